--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -3,7 +3,7 @@
 import { readJson, replyJson } from '../src/net/json.js';
 import type { Random } from '../src/retry/index.js';
 import type { MachineSpec, PlatformStart } from './messages.js';
-import { TokenBucket } from './stateservice.js';
+import { TokenBucket } from './state-service.js';
 
 export const machineType = 'node';
 const gbPerCpu = 4;
--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -6,7 +6,7 @@
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import { StandInCloud } from './cloud.js';
 import type { FromPlatform, PlatformStart, ToPlatform } from './messages.js';
-import { StandInStateService } from './stateservice.js';
+import { StandInStateService } from './state-service.js';
 
 const addressOf = (server: Server): string => `127.0.0.1:${(server.address() as AddressInfo).port}`;
 
--- a/scale/stateservice.ts
+++ b/scale/state-service.ts
@@ -5,7 +5,7 @@
 import type { Txn, Write } from '../src/wire/store.js';
 import { isUrgentJob } from './jobs.js';
 import { now, type PlatformCounts, type PlatformStart } from './messages.js';
-import { purposeOf, StoredTasks } from './writekinds.js';
+import { purposeOf, StoredTasks } from './write-kinds.js';
 
 const conditionsPerOperation = 4;
 const usualDelayMs = 8;
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -10,7 +10,7 @@
   parseBoss,
   type AgentReport,
   type HeldTask,
-} from '../src/wire/agentside.js';
+} from '../src/wire/agent-side.js';
 import { machineType } from './cloud.js';
 import { now, type MachineSpec, type TaskEvent, type WorkerCounts, type WorkersStart } from './messages.js';
 import { isInitialJob, isUrgentJob } from './jobs.js';
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -3,7 +3,7 @@
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { readJson, replyJson } from '../src/net/json.js';
 import { seeded } from '../src/retry/index.js';
-import { parseOrders } from '../src/wire/agentside.js';
+import { parseOrders } from '../src/wire/agent-side.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import {
   noWorkers,
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,5 +1,5 @@
-import { FairQueue, type Entry } from './fairqueue.js';
-import { Tickets, type Turned } from './tickets.js';
+import { FairQueue, type Entry } from './fair-queue.js';
+import { Tickets, type Turned } from './retry-tickets.js';
 
 /** Who is told to come later, and in how many seconds. */
 export interface Away<T> {
--- a/src/admission/plan.ts
+++ b/src/admission/allocation.ts
@@ -1,5 +1,5 @@
-import { maxMin } from './maxmin.js';
-import { alonePart, bunches, partsOf, planned, type Parts, type Wants } from './parts.js';
+import { maxMin } from './max-min-fairness.js';
+import { alonePart, bunches, partsOf, planned, type Parts, type Wants } from './member-allocation.js';
 
 /** What users of one team and class want, a second. */
 export interface KindWant {
--- a/src/admission/wishes.ts
+++ b/src/admission/demand-estimates.ts
@@ -1,5 +1,5 @@
-import { Meter } from './pace.js';
-import { kindName, mostKinds, type KindWant } from './plan.js';
+import { Meter } from './rate-limiter.js';
+import { kindName, mostKinds, type KindWant } from './allocation.js';
 
 interface Wish {
   team: string;
--- a/src/admission/fairqueue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,4 +1,4 @@
-import { Turns, type Lane } from './turns.js';
+import { Turns, type Lane } from './stride-scheduler.js';
 
 /** What waits to be taken in. */
 export interface Entry {
--- a/src/admission/parts.ts
+++ b/src/admission/member-allocation.ts
@@ -1,4 +1,4 @@
-import { maxMin } from './maxmin.js';
+import { maxMin } from './max-min-fairness.js';
 
 /** What a controller wants of the state service's writes, a second. */
 export interface Wants {
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -18,11 +18,11 @@
   type HeldTask,
   type Joined,
   type TaskResult,
-} from '../wire/agentside.js';
+} from '../wire/agent-side.js';
 import { Records, type AgentRecord } from './records.js';
 import { Runner } from './runner.js';
 import type { AgentSettings } from './settings.js';
-import { StandIns } from './standins.js';
+import { StandIns } from './simulated-tasks.js';
 import { Lease } from './lease.js';
 import { Worker, type WorkerEffect, type WorkerMemory } from './worker.js';
 
--- a/src/agent/records.ts
+++ b/src/agent/records.ts
@@ -12,7 +12,7 @@
   writeSync,
 } from 'node:fs';
 import { join } from 'node:path';
-import type { AgentJob, HeldTask } from '../wire/agentside.js';
+import type { AgentJob, HeldTask } from '../wire/agent-side.js';
 
 /** What an agent knows of itself. */
 export interface AgentRecord {
--- a/src/agent/settings.ts
+++ b/src/agent/settings.ts
@@ -1,7 +1,7 @@
 import { cpus, totalmem } from 'node:os';
 import { FormReader, readForms } from '../config/forms.js';
 import { SettingsError } from '../config/settings.js';
-import type { Joining } from '../wire/agentside.js';
+import type { Joining } from '../wire/agent-side.js';
 
 /** What it says of itself when it joins, and how it works. */
 export interface AgentSettings extends Omit<Joining, 'id'> {
--- a/src/agent/standins.ts
+++ b/src/agent/simulated-tasks.ts
@@ -1,5 +1,5 @@
 import { uptime } from 'node:os';
-import type { AgentJob, HeldTask, ResultReason } from '../wire/agentside.js';
+import type { AgentJob, HeldTask, ResultReason } from '../wire/agent-side.js';
 import type { RunnerEvents } from './runner.js';
 import type { Random } from '../retry/index.js';
 
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,6 +1,6 @@
 import type { Order } from '../model/report.js';
 import { pieceName } from '../model/job.js';
-import type { AgentReport, Answer, HeldTask, TaskResult } from '../wire/agentside.js';
+import type { AgentReport, Answer, HeldTask, TaskResult } from '../wire/agent-side.js';
 
 /** What the worker wants done. */
 export type WorkerEffect =
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -1,6 +1,6 @@
 import type { Ad, Expr, Frame } from './expr.js';
-import { framesOf, rootOf } from './frames.js';
-import { noSurroundings, type Evaluating, type Surroundings } from './surroundings.js';
+import { framesOf, rootOf } from './scopes.js';
+import { noSurroundings, type Evaluating, type Surroundings } from './evaluation-context.js';
 import { functions } from './functions/index.js';
 import { binaryOp, unaryOp } from './operators.js';
 import { parseExpr } from './parse.js';
--- a/src/classad/functions/define.ts
+++ b/src/classad/functions/define.ts
@@ -1,4 +1,4 @@
-import type { Evaluating } from '../surroundings.js';
+import type { Evaluating } from '../evaluation-context.js';
 import type { Expr, Frame } from '../expr.js';
 import { strict } from '../operators.js';
 import { Fault, typeOf, type Value } from '../values.js';
--- a/src/classad/partial.ts
+++ b/src/classad/partial.ts
@@ -1,7 +1,7 @@
 import { Evaluation } from './evaluate.js';
-import type { Surroundings } from './surroundings.js';
+import type { Surroundings } from './evaluation-context.js';
 import { literal, type Ad, type Expr } from './expr.js';
-import { framesOf } from './frames.js';
+import { framesOf } from './scopes.js';
 import { functions } from './functions/index.js';
 import { sideOf } from './refs.js';
 import { RecordValue, type Value } from './values.js';
--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -10,7 +10,7 @@
   wishData,
   wishKey,
 } from '../core/storage/index.js';
-import { firstLevel, noWish, type Ability, type LevelState, type Wish } from '../levels/index.js';
+import { firstLevel, noWish, type Ability, type LevelState, type Wish } from '../feature-levels/index.js';
 import { Store } from '../state/store.js';
 import type { Change } from '../wire/store.js';
 import { exits } from './client.js';
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -10,7 +10,7 @@
   type Expr,
 } from '../classad/index.js';
 import { SubmitError, type Place, type Warnings } from './errors.js';
-import type { Outside } from './outside.js';
+import type { Outside } from './submit-environment.js';
 import { joinVariables, newVariables, parseArguments, parseEnvironment } from './quoting.js';
 
 /** What a command is given to work with: the job's attributes so far, and where it stands. */
--- a/src/condor/index.ts
+++ b/src/condor/index.ts
@@ -1,5 +1,5 @@
 export { SubmitError } from './errors.js';
 export { Submission, jsonOf } from './jobs.js';
 export { nativeJob, type Group } from './native.js';
-export { here } from './here.js';
-export type { Outside } from './outside.js';
+export { here } from './submit-host.js';
+export type { Outside } from './submit-environment.js';
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -10,10 +10,10 @@
   type Making,
 } from './commands.js';
 import { SubmitError, type Place } from './errors.js';
-import type { Outside } from './outside.js';
-import { numberMark } from '../model/numbered.js';
+import type { Outside } from './submit-environment.js';
+import { numberMark } from '../model/task-command.js';
 import type { Group } from './native.js';
-import { SubmitFile, type Block } from './submitfile.js';
+import { SubmitFile, type Block } from './submit-file.js';
 
 interface Step {
   command: string;
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -2,7 +2,7 @@
 import { sprintf } from 'sprintf-js';
 import { Ad, ClassAdError, evaluate, parseExpr, printValue, type Value } from '../classad/index.js';
 import { SubmitError, type Place, type Warnings } from './errors.js';
-import type { Outside } from './outside.js';
+import type { Outside } from './submit-environment.js';
 
 export interface Macro {
   name: string;
--- a/src/condor/native.ts
+++ b/src/condor/native.ts
@@ -1,6 +1,6 @@
 import { resolve } from 'node:path';
 import { printExpr, textOf, type Ad, type Expr } from '../classad/index.js';
-import { numberMark } from '../model/numbered.js';
+import { numberMark } from '../model/task-command.js';
 import { plainSubmission } from '../wire/user.js';
 import { SubmitError, type Place, type Warnings } from './errors.js';
 import { newVariables, parseEnvironment, splitWords } from './quoting.js';
--- a/src/condor/queue.ts
+++ b/src/condor/queue.ts
@@ -1,7 +1,7 @@
 import { resolve } from 'node:path';
 import { Ad, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
 import { SubmitError, type Place } from './errors.js';
-import type { Outside } from './outside.js';
+import type { Outside } from './submit-environment.js';
 
 /** What a queue statement asks for: rows of values, and so many jobs for each. */
 export interface Queued {
--- a/src/condor/submitfile.ts
+++ b/src/condor/submit-file.ts
@@ -3,7 +3,7 @@
 import { SubmitError, Warnings, type Place } from './errors.js';
 import { Lines } from './lines.js';
 import { closing, Macros } from './macros.js';
-import type { Outside } from './outside.js';
+import type { Outside } from './submit-environment.js';
 import { parseQueue, type Queued } from './queue.js';
 
 /** Jobs of one queue statement: what was set when it was reached, and its rows. */
--- a/src/condor/here.ts
+++ b/src/condor/submit-host.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
 import { globSync } from 'tinyglobby';
-import type { Outside } from './outside.js';
+import type { Outside } from './submit-environment.js';
 
 /** This machine, as submit files see it. */
 export function here(): Outside {
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -2,10 +2,10 @@
 import { request, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { JobRecord } from '../core/storage/index.js';
 import { jobStatus } from '../wire/user.js';
-import { parseJoining } from '../wire/agentside.js';
+import { parseJoining } from '../wire/agent-side.js';
 import { readJson, replyJson as reply } from '../net/json.js';
 import type { Service } from '../service.js';
-import type { AgentJob } from '../wire/agentside.js';
+import type { AgentJob } from '../wire/agent-side.js';
 import type { Pool } from './pool.js';
 import type { Results } from './results.js';
 import type { ControlSettings } from './settings.js';
--- a/src/control/pool.ts
+++ b/src/control/pool.ts
@@ -1,9 +1,9 @@
 import type { CloudService } from '../cloud/cloud.js';
 import type { Log } from '../core/effects.js';
 import type { MachineType } from '../model/machine.js';
-import type { Joining } from '../wire/agentside.js';
+import type { Joining } from '../wire/agent-side.js';
 import type { ListedMachine } from '../wire/cloud.js';
-import { NotWritten, put, type Guard, type Kv } from './books.js';
+import { NotWritten, put, type Guard, type Kv } from './control-store.js';
 
 /** What is kept of an agent. */
 export interface PoolRecord extends Joining {
--- a/src/control/results.ts
+++ b/src/control/results.ts
@@ -1,6 +1,6 @@
 import { pieceName } from '../model/job.js';
-import type { TaskResult } from '../wire/agentside.js';
-import { NotWritten, put, type Guard, type Kv } from './books.js';
+import type { TaskResult } from '../wire/agent-side.js';
+import { NotWritten, put, type Guard, type Kv } from './control-store.js';
 
 /** How an attempt ended, as it is kept. */
 export interface KeptResult extends TaskResult {
--- a/src/control/settings.ts
+++ b/src/control/settings.ts
@@ -1,6 +1,6 @@
 import { FormReader, readForms, type Form } from '../config/forms.js';
 import { SettingsError, type Settings, type TeamLimits } from '../config/settings.js';
-import type { StandIn } from '../wire/agentside.js';
+import type { StandIn } from '../wire/agent-side.js';
 
 /** A class of jobs without commands: what their tasks do instead. */
 export type ClassStandIn = Omit<StandIn, 'sleepS'> & { sleepS: number | null };
--- a/src/core/fleet.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -1,13 +1,13 @@
 /** The leader and the cloud: machines that are rented, found, given to shards and returned. */
-import type { Operators } from '../config/operators.js';
-import type { Settings } from '../config/settings.js';
-import { isPremium, urgencyRank } from '../model/job.js';
-import { timesFits, type MachineRecord, type MachineType } from '../model/machine.js';
-import type { Report } from '../model/report.js';
-import { score } from '../policy/helios.js';
-import { Attempts, type Random, type RetryPolicy } from '../retry/index.js';
-import type { ListedMachine, RentRequest } from '../wire/cloud.js';
-import type { Write } from '../wire/store.js';
+import type { Operators } from '../../config/operators.js';
+import type { Settings } from '../../config/settings.js';
+import { isPremium, urgencyRank } from '../../model/job.js';
+import { timesFits, type MachineRecord, type MachineType } from '../../model/machine.js';
+import type { Report } from '../../model/report.js';
+import { score } from '../../policy/helios.js';
+import { Attempts, type Random, type RetryPolicy } from '../../retry/index.js';
+import type { ListedMachine, RentRequest } from '../../wire/cloud.js';
+import type { Write } from '../../wire/store.js';
 import {
   blockData,
   blockKey,
@@ -16,12 +16,12 @@
   machineKey,
   Rank,
   typesData,
-} from './storage/index.js';
+} from '../storage/index.js';
 import { Demand, emptyRoom, kindOf, mayUse, slotName, type Unmet } from './demand.js';
-import type { Clock, Effect, Log } from './effects.js';
-import { gpuMachineOpen, hasPlainType } from '../policy/gpus.js';
-import { anchorPrice, candidate, fetchS, weights } from '../policy/pricing.js';
-import type { Machine, Replica } from './replica.js';
+import type { Clock, Effect, Log } from '../effects.js';
+import { gpuMachineOpen, hasPlainType } from '../../policy/gpus.js';
+import { anchorPrice, candidate, fetchS, weights } from '../../policy/pricing.js';
+import type { Machine, Replica } from '../replica.js';
 
 /** A kind of machine in a zone that could be rented. */
 interface Slot {
--- a/src/core/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -1,17 +1,17 @@
 /** What the fleet lacks for the work that waits, read off the replica. */
-import type { Operators } from '../config/operators.js';
-import type { Settings } from '../config/settings.js';
-import { zoneShare, type JobSpec } from '../model/job.js';
-import { timesFits, type Fits, type MachineType } from '../model/machine.js';
-import { teamCap, typeAllowed } from '../policy/admission.js';
-import { limitsOf, slackS } from '../policy/deadlines.js';
-import { spotAllowed } from '../policy/guardrails.js';
-import { mostFailedKept, suspectMachines } from './failures.js';
-import { gpuMachineOpen, hasPlainType } from '../policy/gpus.js';
-import { inOrder, pressingS } from '../policy/order.js';
-import { anchorPrice, fetchS } from '../policy/pricing.js';
-import type { JobRecord } from './storage/index.js';
-import type { Machine, Replica } from './replica.js';
+import type { Operators } from '../../config/operators.js';
+import type { Settings } from '../../config/settings.js';
+import { zoneShare, type JobSpec } from '../../model/job.js';
+import { timesFits, type Fits, type MachineType } from '../../model/machine.js';
+import { teamCap, typeAllowed } from '../../policy/admission.js';
+import { limitsOf, slackS } from '../../policy/deadlines.js';
+import { spotAllowed } from '../../policy/guardrails.js';
+import { mostFailedKept, suspectMachines } from '../failures.js';
+import { gpuMachineOpen, hasPlainType } from '../../policy/gpus.js';
+import { inOrder, pressingS } from '../../policy/order.js';
+import { anchorPrice, fetchS } from '../../policy/pricing.js';
+import type { JobRecord } from '../storage/index.js';
+import type { Machine, Replica } from '../replica.js';
 
 /** Tasks that wait and find no room on the machines of their shard. */
 export interface Unmet {
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -2,25 +2,25 @@
 import { Meter, Pressure, type Demand } from '../admission/index.js';
 import type { Operators } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
-import { abilityOf, Leaving, Levels, type Phase } from '../levels/index.js';
+import { abilityOf, Leaving, Levels, type Phase } from '../feature-levels/index.js';
 import { limitsOf } from '../limits/index.js';
 import type { Matcher } from '../policy/matching.js';
 import { Recovery } from '../recovery/index.js';
 import { retryPolicies, type Random } from '../retry/index.js';
 import { Committer, conditionsPerOperation } from './storage/index.js';
-import { UserRequests } from './userrequests.js';
+import { UserRequests } from './user-requests.js';
 import { Dispatcher } from './dispatcher.js';
 import type { Clock, Command, Effect, Log } from './effects.js';
-import { Fleet } from './fleet.js';
+import { Fleet } from './autoscaler/autoscaler.js';
 import { Membership } from './membership.js';
-import { Neighbours } from './neighbours.js';
-import { Planning } from './planning.js';
-import type { Legacy } from './memory.js';
-import { Rebuilding } from './rebuilding.js';
+import { Neighbours } from './peers.js';
+import { Planning } from './write-budget.js';
+import type { Legacy } from './recovery-records.js';
+import { Rebuilding } from './data-loss-recovery.js';
 import { Replica } from './replica.js';
-import { Reports } from './reports.js';
-import { Upgrade } from './upgrade.js';
-import { View } from './view.js';
+import { Reports } from './heartbeat-router.js';
+import { Upgrade } from './feature-level-manager.js';
+import { View } from './replica-freshness.js';
 
 /** Of the workers' lease: how long a controller that leaves gives answers and hands on. */
 const drainLeases = 0.3;
--- a/src/core/rebuilding.ts
+++ b/src/core/data-loss-recovery.ts
@@ -10,13 +10,13 @@
   audit,
   type Incarnation,
   type Stage,
-} from '../rebuild/index.js';
-import { features } from '../levels/index.js';
+} from '../data-loss/index.js';
+import { features } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
 import { type Committer, incData, incKey, levelKey, Rank, readKey } from './storage/index.js';
 import type { Clock, Effect, Log, Pulse } from './effects.js';
-import { barred, dataOf, isOver, kindOfRef, legacyOf, type Legacy } from './memory.js';
-import type { Neighbours } from './neighbours.js';
+import { barred, dataOf, isOver, kindOfRef, legacyOf, type Legacy } from './recovery-records.js';
+import type { Neighbours } from './peers.js';
 import type { Replica } from './replica.js';
 
 /** So many records are on their way at a time. */
--- a/src/core/dispatcher.ts
+++ b/src/core/dispatcher.ts
@@ -2,17 +2,17 @@
 import type { Operators } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import type { Matcher } from '../policy/matching.js';
-import { Books } from './books/books.js';
-import type { JobRun, MachineRun } from './books/runs.js';
-import { Checkins } from './checkins.js';
+import { Books } from './shard-state/shard-state.js';
+import type { JobRun, MachineRun } from './shard-state/types.js';
+import { Checkins } from './heartbeat-reconciler.js';
 import type { Committer } from './storage/index.js';
 import type { Clock, Effect, Log } from './effects.js';
 import type { Replica } from './replica.js';
-import { Sweep } from '../levels/index.js';
-import { moveOff } from './round/moves.js';
-import { placeRound } from './round/round.js';
+import { Sweep } from '../feature-levels/index.js';
+import { moveOff } from './scheduling/spot-migration.js';
+import { placeRound } from './scheduling/cycle.js';
 import { summarize } from './summary.js';
-import { Upkeep } from './upkeep.js';
+import { Upkeep } from './machine-lifecycle.js';
 
 /** A placement round goes on for so many machines looked at, then lets others have their turn for this long. */
 const mostLookedAt = 6000;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,10 +1,10 @@
 import type { Demand, Turned } from '../admission/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
-import type { Legacy } from './memory.js';
+import type { Legacy } from './recovery-records.js';
 import type { Order, Report } from '../model/report.js';
 import type { Attributes } from '../policy/matching.js';
-import type { Question } from '../vouching/index.js';
+import type { Question } from '../freshness/index.js';
 import type { ListedMachine, RentRequest } from '../wire/cloud.js';
 import type { Change, Txn } from '../wire/store.js';
 
--- a/src/core/upgrade.ts
+++ b/src/core/feature-level-manager.ts
@@ -7,7 +7,7 @@
   type Ability,
   type Decision,
   type LevelState,
-} from '../levels/index.js';
+} from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
 import {
   chiefKey,
@@ -26,7 +26,7 @@
   wishKey,
 } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
-import { barred } from './memory.js';
+import { barred } from './recovery-records.js';
 import type { Membership } from './membership.js';
 import type { Replica } from './replica.js';
 
--- a/src/core/checkins.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -2,11 +2,11 @@
 import { pieceName } from '../model/job.js';
 import type { Order, Report, TaskReport } from '../model/report.js';
 import { enoughEvidence, evidence, suspect, suspectMachines } from './failures.js';
-import type { Books } from './books/books.js';
-import { chunkOf } from './books/jobs.js';
+import type { Books } from './shard-state/shard-state.js';
+import { chunkOf } from './shard-state/jobs.js';
 import type { Effect } from './effects.js';
 import { fetchS } from '../policy/pricing.js';
-import type { Chunk, JobRun, MachineRun, Placement } from './books/runs.js';
+import type { Chunk, JobRun, MachineRun, Placement } from './shard-state/types.js';
 
 const ordersPerAnswer = 400;
 /** A job that fails wherever it goes is tried again after so many worker leases at the latest. */
--- a/src/core/reports.ts
+++ b/src/core/heartbeat-router.ts
@@ -2,13 +2,13 @@
 import type { Report } from '../model/report.js';
 import { helpAbove, helper, sendsAway, successor, wantsHelp, type Load } from '../policy/sharing.js';
 import { answerOut, redirectOut } from '../wire/worker.js';
-import type { MachineRun } from './books/runs.js';
-import { later } from './checkins.js';
+import type { MachineRun } from './shard-state/types.js';
+import { later } from './heartbeat-reconciler.js';
 import type { Dispatcher } from './dispatcher.js';
 import type { Clock, Effect, Log } from './effects.js';
-import type { Fleet } from './fleet.js';
-import { Holding, type Release } from './holding.js';
-import type { Neighbours } from './neighbours.js';
+import type { Fleet } from './autoscaler/autoscaler.js';
+import { Holding, type Release } from './held-responses.js';
+import type { Neighbours } from './peers.js';
 import type { Machine, Replica } from './replica.js';
 
 /** Of the 4 s that workers wait for an answer. */
--- a/src/core/holding.ts
+++ b/src/core/held-responses.ts
@@ -1,7 +1,7 @@
 import type { Settings } from '../config/settings.js';
 import type { Order, Report } from '../model/report.js';
-import type { MachineRun } from './books/runs.js';
-import type { Checkins } from './checkins.js';
+import type { MachineRun } from './shard-state/types.js';
+import type { Checkins } from './heartbeat-reconciler.js';
 import type { Clock } from './effects.js';
 
 /** Workers wait for an answer for 4 s: of that, so much is left for the way and for a process that is late. */
--- a/src/core/upkeep.ts
+++ b/src/core/machine-lifecycle.ts
@@ -1,8 +1,8 @@
 /** Machines that are given up or back. */
 import type { MachineType } from '../model/machine.js';
 import { type Committer, machineData, machineKey, Rank, shardKey } from './storage/index.js';
-import type { Books } from './books/books.js';
-import type { MachineRun } from './books/runs.js';
+import type { Books } from './shard-state/shard-state.js';
+import type { MachineRun } from './shard-state/types.js';
 
 /** The care for the machines of the shards of this process. */
 export class Upkeep {
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -13,7 +13,7 @@
   teamsKey,
 } from './storage/index.js';
 import type { Effect, Log } from './effects.js';
-import { admits } from '../levels/index.js';
+import { admits } from '../feature-levels/index.js';
 import type { Replica } from './replica.js';
 
 /** Without news of the state, the leader looks at the grants this often, as a share of its state lease. */
--- a/src/core/neighbours.ts
+++ b/src/core/peers.ts
@@ -2,8 +2,8 @@
 import type { Demand } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
 import type { Operators } from '../config/operators.js';
-import { admits } from '../levels/index.js';
-import { Recent, Vouching, type Question } from '../vouching/index.js';
+import { admits } from '../feature-levels/index.js';
+import { Recent, Vouching, type Question } from '../freshness/index.js';
 import type { Change } from '../wire/store.js';
 import type { Clock, Effect, Pulse } from './effects.js';
 import type { Replica } from './replica.js';
--- a/src/core/memory.ts
+++ b/src/core/recovery-records.ts
@@ -1,6 +1,6 @@
 /** What a controller knows, as records: told to others after the state service has lost data. */
 import type { Data, Kind } from '../formats/index.js';
-import { merge } from '../rebuild/index.js';
+import { merge } from '../data-loss/index.js';
 import {
   blockData,
   cancelledData,
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -1,9 +1,9 @@
 /** A controller's copy of the state, kept up by the watch. */
 import { inspect, type Data, type Kind } from '../formats/index.js';
 import type { Plan } from '../admission/index.js';
-import { firstLevel, noWish, type Ability, type Levels, type Wish } from '../levels/index.js';
+import { firstLevel, noWish, type Ability, type Levels, type Wish } from '../feature-levels/index.js';
 import type { MachineRecord, MachineType } from '../model/machine.js';
-import { attemptBase, tokenBase, type Incarnation } from '../rebuild/index.js';
+import { attemptBase, tokenBase, type Incarnation } from '../data-loss/index.js';
 import type { Change } from '../wire/store.js';
 import {
   type BlockRecord,
--- a/src/core/round/singles.ts
+++ b/src/core/scheduling/arrays.ts
@@ -2,11 +2,11 @@
 import { fits, timesFits } from '../../model/machine.js';
 import { zoneOpen } from '../../policy/guardrails.js';
 import { suspect } from '../failures.js';
-import { nextWaiting, waitingCount } from '../books/jobs.js';
-import { roomOf } from '../books/machines.js';
-import type { JobRun } from '../books/runs.js';
-import { candidates, eligible, mayCrowd, openRoom } from './fit.js';
-import { leftOver, open } from './leftover.js';
+import { nextWaiting, waitingCount } from '../shard-state/jobs.js';
+import { roomOf } from '../shard-state/machines.js';
+import type { JobRun } from '../shard-state/types.js';
+import { candidates, eligible, mayCrowd, openRoom } from './feasibility.js';
+import { leftOver, open } from './starvation.js';
 import type { ShardRound } from './shard.js';
 
 export function placeEach(job: JobRun, round: ShardRound, withImage = false): void {
--- a/src/core/round/round.ts
+++ b/src/core/scheduling/cycle.ts
@@ -5,17 +5,17 @@
 import { gpuShare } from '../../policy/gpus.js';
 import { inOrder, pressingS } from '../../policy/order.js';
 import { suspect } from '../failures.js';
-import type { Books } from '../books/books.js';
-import { waitingCount } from '../books/jobs.js';
-import type { JobRun } from '../books/runs.js';
-import { lifted } from './floors.js';
+import type { Books } from '../shard-state/shard-state.js';
+import { waitingCount } from '../shard-state/jobs.js';
+import type { JobRun } from '../shard-state/types.js';
+import { lifted } from './minimum-shares.js';
 import { gangMayWait, owe, placeGang, reserve } from './gangs.js';
 import { madeRoom, preempt } from './preemption.js';
-import { overdue } from './leftover.js';
+import { overdue } from './starvation.js';
 import { openShard, type Round, type ShardRound } from './shard.js';
-import { placeEach } from './singles.js';
-import { demandsNow } from './stopping.js';
-import { makeYield } from './yielding.js';
+import { placeEach } from './arrays.js';
+import { demandsNow } from './victims.js';
+import { makeYield } from './voluntary-preemption.js';
 
 /** Scans for tasks to preempt are dear: so many jobs get one in a round. */
 const mostPreemptions = 16;
--- a/src/core/round/fit.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -7,9 +7,9 @@
 import { score } from '../../policy/helios.js';
 import { anchorPrice, candidate, fetchS, weights } from '../../policy/pricing.js';
 import type { Match } from '../../policy/matching.js';
-import type { Books } from '../books/books.js';
-import { usable } from '../books/machines.js';
-import type { JobRun, MachineRun } from '../books/runs.js';
+import type { Books } from '../shard-state/shard-state.js';
+import { usable } from '../shard-state/machines.js';
+import type { JobRun, MachineRun } from '../shard-state/types.js';
 import type { ShardRound } from './shard.js';
 
 /** The machines kept for a job, then those open to all. */
--- a/src/core/round/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -6,12 +6,12 @@
 import { spotAllowed, zoneOpen } from '../../policy/guardrails.js';
 import { pressingS } from '../../policy/order.js';
 import { suspect } from '../failures.js';
-import type { Books } from '../books/books.js';
-import { nextGangAttempt, nextWaiting, waitingCount } from '../books/jobs.js';
-import { roomOf } from '../books/machines.js';
-import type { JobRun, MachineRun } from '../books/runs.js';
-import { candidates, mayCrowd, openRoom, mayEmpty, openTo } from './fit.js';
-import { leftOver } from './leftover.js';
+import type { Books } from '../shard-state/shard-state.js';
+import { nextGangAttempt, nextWaiting, waitingCount } from '../shard-state/jobs.js';
+import { roomOf } from '../shard-state/machines.js';
+import type { JobRun, MachineRun } from '../shard-state/types.js';
+import { candidates, mayCrowd, openRoom, mayEmpty, openTo } from './feasibility.js';
+import { leftOver } from './starvation.js';
 import { claim, type ShardRound } from './shard.js';
 
 /** False: the gang waits for something else than room. */
--- a/src/core/round/floors.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -1,9 +1,9 @@
 /** Teams and classes that had less than their floor go first in a round. */
 import { kindName, type KindUse } from '../../admission/index.js';
 import { suspect } from '../failures.js';
-import type { Books } from '../books/books.js';
-import { waitingCount } from '../books/jobs.js';
-import type { JobRun } from '../books/runs.js';
+import type { Books } from '../shard-state/shard-state.js';
+import { waitingCount } from '../shard-state/jobs.js';
+import type { JobRun } from '../shard-state/types.js';
 
 interface Kind extends KindUse {
   jobs: JobRun[];
--- a/src/core/round/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -4,12 +4,12 @@
 import { limitsOf, slackS } from '../../policy/deadlines.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import { fetchS } from '../../policy/pricing.js';
-import { waitingCount } from '../books/jobs.js';
-import { roomOf } from '../books/machines.js';
-import type { JobRun, MachineRun, Placement } from '../books/runs.js';
-import { mayEmpty, openTo } from './fit.js';
+import { waitingCount } from '../shard-state/jobs.js';
+import { roomOf } from '../shard-state/machines.js';
+import type { JobRun, MachineRun, Placement } from '../shard-state/types.js';
+import { mayEmpty, openTo } from './feasibility.js';
 import { claim, type ShardRound } from './shard.js';
-import { demandsNow, loss, mayStop, type Plan } from './stopping.js';
+import { demandsNow, loss, mayStop, type Plan } from './victims.js';
 
 /** True while tasks on a machine are being stopped. */
 export const madeRoom = (m: MachineRun): boolean => [...m.placements.values()].some((p) => p.stop !== null);
--- a/src/core/round/shard.ts
+++ b/src/core/scheduling/shard.ts
@@ -2,11 +2,11 @@
 import type { JobSpec } from '../../model/job.js';
 import { fits, type Fits, type MachineType } from '../../model/machine.js';
 import type { GpuShare } from '../../policy/gpus.js';
-import type { Books, Owed } from '../books/books.js';
-import { roomOf, usable } from '../books/machines.js';
-import { Openings } from '../openings.js';
-import type { JobRun, MachineRun } from '../books/runs.js';
-import { keptMs } from './patience.js';
+import type { Books, Owed } from '../shard-state/shard-state.js';
+import { roomOf, usable } from '../shard-state/machines.js';
+import { Openings } from '../capacity-index.js';
+import type { JobRun, MachineRun } from '../shard-state/types.js';
+import { keptMs } from './reservation-ageing.js';
 
 /** What holds for a whole round. */
 export interface Round {
--- a/src/core/round/moves.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -4,10 +4,10 @@
 import { mayMove, moveBudget } from '../../policy/guardrails.js';
 import { moveUrgency } from '../../policy/helios.js';
 import { anchorPrice, candidate, weights } from '../../policy/pricing.js';
-import type { Books } from '../books/books.js';
-import { roomOf, usable } from '../books/machines.js';
-import type { JobRun } from '../books/runs.js';
-import { openTo } from './fit.js';
+import type { Books } from '../shard-state/shard-state.js';
+import { roomOf, usable } from '../shard-state/machines.js';
+import type { JobRun } from '../shard-state/types.js';
+import { openTo } from './feasibility.js';
 
 /**
  * Moves tasks off spot machines that cost more than on-demand ones, hazard included. Guardrails: a budget
--- a/src/core/round/leftover.ts
+++ b/src/core/scheduling/starvation.ts
@@ -2,10 +2,10 @@
 import { typeAllowed } from '../../policy/admission.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import { suspect } from '../failures.js';
-import type { Books } from '../books/books.js';
-import type { JobRun, MachineRun } from '../books/runs.js';
-import { matches } from './fit.js';
-import { keptMs } from './patience.js';
+import type { Books } from '../shard-state/shard-state.js';
+import type { JobRun, MachineRun } from '../shard-state/types.js';
+import { matches } from './feasibility.js';
+import { keptMs } from './reservation-ageing.js';
 import type { ShardRound } from './shard.js';
 
 /** Whether all of a job has waited for long. */
--- a/src/core/round/stopping.ts
+++ b/src/core/scheduling/victims.ts
@@ -1,7 +1,7 @@
 import { urgencyRank } from '../../model/job.js';
 import { promptGuarantee } from '../../policy/deadlines.js';
-import type { Books } from '../books/books.js';
-import type { JobRun, MachineRun, Placement } from '../books/runs.js';
+import type { Books } from '../shard-state/shard-state.js';
+import type { JobRun, MachineRun, Placement } from '../shard-state/types.js';
 import type { Round } from './shard.js';
 
 /** Whether a waiting job may have a running task stopped (the protocol's "Preemption"). */
--- a/src/core/round/yielding.ts
+++ b/src/core/scheduling/voluntary-preemption.ts
@@ -4,12 +4,12 @@
 import { isLimitless, limitsOf } from '../../policy/deadlines.js';
 import { keptRoom } from '../../policy/gpus.js';
 import { spotAllowed } from '../../policy/guardrails.js';
-import { waitingCount } from '../books/jobs.js';
-import { roomOf } from '../books/machines.js';
-import type { JobRun, Placement } from '../books/runs.js';
-import { mayCrowd, mayEmpty, openTo } from './fit.js';
+import { waitingCount } from '../shard-state/jobs.js';
+import { roomOf } from '../shard-state/machines.js';
+import type { JobRun, Placement } from '../shard-state/types.js';
+import { mayCrowd, mayEmpty, openTo } from './feasibility.js';
 import { add, promise, type ShardRound } from './shard.js';
-import { demandsNow, loss, mayStop, type Plan } from './stopping.js';
+import { demandsNow, loss, mayStop, type Plan } from './victims.js';
 
 /** Whether an array may have a task give way at once, not only when it is pressed for time. */
 function givesWay(round: ShardRound, job: JobRun, victim: Placement): boolean {
--- a/src/core/books/mending.ts
+++ b/src/core/shard-state/gang-repair.ts
@@ -1,4 +1,4 @@
-import type { JobRun, Placement } from './runs.js';
+import type { JobRun, Placement } from './types.js';
 
 /**
  * Whether a gang that lost a task can go on with the same attempt: only while none of it has started, as far as is known,
--- a/src/core/books/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -1,7 +1,7 @@
 /** A job as it is scheduled: made from its records, and which of its tasks waits next. */
 import type { JobSpec } from '../../model/job.js';
 import { Bits, type ChunkRecord, type JobRecord, type JobUse } from '../storage/index.js';
-import type { Chunk, JobRun } from './runs.js';
+import type { Chunk, JobRun } from './types.js';
 
 /** A job as its records tell it; what is placed is entered by the books. */
 export function newJob(
--- a/src/core/books/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -4,7 +4,7 @@
 import type { Fits, MachineType } from '../../model/machine.js';
 import type { Clock } from '../effects.js';
 import type { Machine } from '../replica.js';
-import type { MachineRun } from './runs.js';
+import type { MachineRun } from './types.js';
 
 /** A machine that this process has just taken up. `leaseUntil`: not before can its worker's lease have ended. */
 export const newMachine = (
--- a/src/core/books/books.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -12,11 +12,11 @@
 import { type Committer, type JobRecord, type Placed, TaskWriter } from '../storage/index.js';
 import type { Clock, Log } from '../effects.js';
 import type { Machine, Replica } from '../replica.js';
-import { Claims } from './claims.js';
+import { Claims } from './reservations.js';
 import { chunkOf, isDone, newJob, remains, waitingCount } from './jobs.js';
-import { mendable } from './mending.js';
+import { mendable } from './gang-repair.js';
 import { newMachine } from './machines.js';
-import type { Chunk, JobRun, MachineRun, Placement } from './runs.js';
+import type { Chunk, JobRun, MachineRun, Placement } from './types.js';
 
 /** What the books tell: weighed by whoever judges machines. */
 export interface BooksListener {
--- a/src/core/storage/chunkstate.ts
+++ b/src/core/storage/chunk-state.ts
@@ -1,5 +1,5 @@
 /** The state of a chunk's tasks as it is to be stored. */
-import type { Chunk, JobRun } from '../books/runs.js';
+import type { Chunk, JobRun } from '../shard-state/types.js';
 import { mostFailedKept } from '../failures.js';
 import type { ChunkRecord } from './records.js';
 
--- a/src/core/storage/index.ts
+++ b/src/core/storage/index.ts
@@ -4,6 +4,12 @@
  */
 export * from './keys.js';
 export * from './records.js';
-export { Committer, conditionsPerOperation, Rank, type CommitLimits, type Intent } from './committer.js';
-export { TaskWriter, type TaskOwner } from './taskwriter.js';
-export * from './tasklog/index.js';
+export {
+  Committer,
+  conditionsPerOperation,
+  Rank,
+  type CommitLimits,
+  type Intent,
+} from './transaction-batcher.js';
+export { TaskWriter, type TaskOwner } from './task-writer.js';
+export * from './task-log/index.js';
--- a/src/core/storage/finisher.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -1,11 +1,11 @@
 /** Brings jobs to their end in the state service: that all tasks are done, and the removal of what is stored of them. */
-import type { JobRun } from '../books/runs.js';
+import type { JobRun } from '../shard-state/types.js';
 import type { Log } from '../effects.js';
 import type { Replica } from '../replica.js';
-import { Rank, type Committer } from './committer.js';
+import { Rank, type Committer } from './transaction-batcher.js';
 import { chunkKey, jobKey, shardKey } from './keys.js';
 import { cancelledData, jobDoneData } from './records.js';
-import type { TaskOwner } from './taskwriter.js';
+import type { TaskOwner } from './task-writer.js';
 
 export class JobFinisher {
   /** Jobs whose end was refused: to be read again when the view has reached a revision. */
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -1,10 +1,10 @@
 /** The durable records and their stored forms. */
 import type { Plan } from '../../admission/index.js';
 import type { Data } from '../../formats/index.js';
-import { unaware, type Ability, type Wish } from '../../levels/index.js';
+import { unaware, type Ability, type Wish } from '../../feature-levels/index.js';
 import type { JobSpec, JobState } from '../../model/job.js';
 import type { MachineRecord, MachineType } from '../../model/machine.js';
-import type { Incarnation, Stage } from '../../rebuild/index.js';
+import type { Incarnation, Stage } from '../../data-loss/index.js';
 
 /**
  * The durable records and their stored form. `w` in a stored value names the write that made it, so that
--- a/src/core/storage/tasklog/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -1,8 +1,8 @@
 /** Truncates the task logs of this process's shards: drops what nobody needs, and checkpoints what keeps old records. */
-import type { Chunk, JobRun } from '../../books/runs.js';
+import type { Chunk, JobRun } from '../../shard-state/types.js';
 import type { Clock } from '../../effects.js';
 import type { Replica } from '../../replica.js';
-import { Rank, type Committer } from '../committer.js';
+import { Rank, type Committer } from '../transaction-batcher.js';
 import { shardKey } from '../keys.js';
 import type { LogItem, LogRecord } from './reader.js';
 import { Truncation, type Checkpoints } from './truncation.js';
--- a/src/core/storage/tasklog/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -5,11 +5,11 @@
  */
 import { urgencyRank } from '../../../model/job.js';
 import type { Condition, Txn } from '../../../wire/store.js';
-import type { Chunk, JobRun } from '../../books/runs.js';
-import { Rank, type Committer } from '../committer.js';
+import type { Chunk, JobRun } from '../../shard-state/types.js';
+import { Rank, type Committer } from '../transaction-batcher.js';
 import { jobKey, logKey, shardKey } from '../keys.js';
 import type { Replica } from '../../replica.js';
-import { stateOf } from '../chunkstate.js';
+import { stateOf } from '../chunk-state.js';
 import { difference, emptyChunk, logData, sizeOf, type LogEntry } from './entry.js';
 
 /** A record's value takes at most this share of what a value may hold, and this many bytes. */
--- a/src/core/storage/taskwriter.ts
+++ b/src/core/storage/task-writer.ts
@@ -2,15 +2,15 @@
 import type { Settings } from '../../config/settings.js';
 import { urgencyRank } from '../../model/job.js';
 import type { Txn, Write } from '../../wire/store.js';
-import { conditionsPerOperation, Rank, type Committer } from './committer.js';
+import { conditionsPerOperation, Rank, type Committer } from './transaction-batcher.js';
 import type { Clock, Log } from '../effects.js';
 import { chunkKey, jobKey, shardKey } from './keys.js';
 import { chunkData, jobCancelledData, jobData, wholeCancelledData, wholeJobData } from './records.js';
 import type { Replica } from '../replica.js';
-import { stateOf } from './chunkstate.js';
-import { JobFinisher } from './finisher.js';
-import { LogTruncator, LogWriter } from './tasklog/index.js';
-import type { Chunk, JobRun } from '../books/runs.js';
+import { stateOf } from './chunk-state.js';
+import { JobFinisher } from './job-finalizer.js';
+import { LogTruncator, LogWriter } from './task-log/index.js';
+import type { Chunk, JobRun } from '../shard-state/types.js';
 
 /** Ends of tasks gather for this share of a report interval before they are written. */
 const endPatience = 0.5;
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -1,9 +1,9 @@
 /** What operators are told of the fleet and of what waits, in the log. */
 import { timesFits } from '../model/machine.js';
 import { suspect } from './failures.js';
-import type { Books } from './books/books.js';
-import { waitingCount } from './books/jobs.js';
-import type { JobRun } from './books/runs.js';
+import type { Books } from './shard-state/shard-state.js';
+import { waitingCount } from './shard-state/jobs.js';
+import type { JobRun } from './shard-state/types.js';
 
 /** Of a class, in the log: its tasks by state, and what the waiting ones wait for. */
 interface ClassSummary {
--- a/src/core/userrequests.ts
+++ b/src/core/user-requests.ts
@@ -28,7 +28,7 @@
   wholeCancelledData,
 } from './storage/index.js';
 import type { Clock, Effect } from './effects.js';
-import type { Share } from './planning.js';
+import type { Share } from './write-budget.js';
 import type { Replica } from './replica.js';
 import type { Condition, Write } from '../wire/store.js';
 
--- a/src/core/planning.ts
+++ b/src/core/write-budget.ts
@@ -14,9 +14,9 @@
 import { type Committer, planData, planKey, Rank } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
 import type { Membership } from './membership.js';
-import type { Neighbours } from './neighbours.js';
+import type { Neighbours } from './peers.js';
 import type { Replica } from './replica.js';
-import type { View } from './view.js';
+import type { View } from './replica-freshness.js';
 
 /** Looks, and plans at most, in a state lease. */
 const looksPerLease = 4;
--- a/src/rebuild/index.ts
+++ b/src/data-loss/index.ts
@@ -7,4 +7,4 @@
   type Stage,
 } from './incarnation.js';
 export { merge, same } from './merge.js';
-export { audit, Witness, type Item } from './witness.js';
+export { audit, Witness, type Item } from './data-loss-detector.js';
--- a/src/levels/decide.ts
+++ b/src/feature-levels/decide.ts
@@ -1,4 +1,4 @@
-import { unaware, type Ability, type LevelState } from './levels.js';
+import { unaware, type Ability, type LevelState } from './feature-levels.js';
 
 /** What operators want; all of it is optional. */
 export interface Wish {
--- a/src/formats/often.ts
+++ b/src/formats/high-volume-records.ts
@@ -1,5 +1,5 @@
 /** Formats of the records that there are many of. */
-import { fieldsOf, type Data, type Format } from './kinds.js';
+import { fieldsOf, type Data, type Format } from './record-types.js';
 
 /**
  * Formats of records that there are by the hundred thousand: checked by hand, since a start reads all of them on a quarter
--- a/src/formats/index.ts
+++ b/src/formats/index.ts
@@ -1,3 +1,3 @@
-export type { Data, Format, Kind } from './kinds.js';
+export type { Data, Format, Kind } from './record-types.js';
 export { formatOf, formats, inspect, type Formats, type Verdict } from './registry.js';
 export { common, messageFormats, type Speaks } from './messages.js';
--- a/src/formats/seldom.ts
+++ b/src/formats/low-volume-records.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { fieldsOf, type Data, type Format } from './kinds.js';
+import { fieldsOf, type Data, type Format } from './record-types.js';
 
 /** Formats of records that there are few of: by schema. */
 function format(entries: v.ObjectEntries): Format {
--- a/src/formats/registry.ts
+++ b/src/formats/registry.ts
@@ -1,7 +1,18 @@
 /** All formats of all kinds of records, and the check of a record before it is used. */
-import type { Data, Format, Kind } from './kinds.js';
-import { block, chunk, job, log, machine } from './often.js';
-import { inc, lead, levelRecord, members, node, plan, shard, teams, types, wish } from './seldom.js';
+import type { Data, Format, Kind } from './record-types.js';
+import { block, chunk, job, log, machine } from './high-volume-records.js';
+import {
+  inc,
+  lead,
+  levelRecord,
+  members,
+  node,
+  plan,
+  shard,
+  teams,
+  types,
+  wish,
+} from './low-volume-records.js';
 
 /**
  * Every format of every kind of durable record, oldest first: the first has number 1. What a program cannot read any more
--- /dev/null
+++ b/src/freshness/index.ts
@@ -0,0 +1,2 @@
+export { Recent } from './recent-changes.js';
+export { Vouching, type Question } from './freshness-quorum.js';
--- a/src/lanes/index.ts
+++ /dev/null
@@ -1,1 +0,0 @@
-export { Lanes, type Lane } from './lanes.js';
--- a/src/matching/index.ts
+++ b/src/matching/index.ts
@@ -1,3 +1,3 @@
 export { ClassAdMatcher, wrongWith } from './matcher.js';
 export { inWords, type Analysis } from './clauses.js';
-export { attributesOf } from './machinead.js';
+export { attributesOf } from './machine-ad.js';
--- a/src/matching/machinead.ts
+++ b/src/matching/machine-ad.ts
@@ -1,6 +1,6 @@
 import { Ad, literal, type Value } from '../classad/index.js';
 import type { Attributes } from '../policy/matching.js';
-import type { Joining } from '../wire/agentside.js';
+import type { Joining } from '../wire/agent-side.js';
 
 const valueOf = (v: string | number | boolean): Value =>
   typeof v === 'number' && Number.isInteger(v) ? BigInt(v) : v;
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -15,7 +15,7 @@
 import type { JobSpec, MatchSpec } from '../model/job.js';
 import type { Attributes, Match, Matcher } from '../policy/matching.js';
 import { clauses, type Analysis } from './clauses.js';
-import { machineAd } from './machinead.js';
+import { machineAd } from './machine-ad.js';
 
 interface Machine {
   ad: Ad;
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -3,7 +3,7 @@
 import type { Speaks } from '../formats/index.js';
 import type { Pulse } from '../core/effects.js';
 import type { ExitWhy, Report, TaskPhase } from '../model/report.js';
-import type { Question } from '../vouching/index.js';
+import type { Question } from '../freshness/index.js';
 
 /**
  * What controllers tell each other: one protobuf message a frame, behind its length as a 32-bit number.
--- /dev/null
+++ b/src/queues/index.ts
@@ -0,0 +1,1 @@
+export { Lanes, type Lane } from './bounded-priority-queues.js';
--- a/src/intake.ts
+++ b/src/request-queue.ts
@@ -1,6 +1,6 @@
 import type { Settings } from './config/settings.js';
 import type { Command, Effect } from './core/effects.js';
-import { Lanes } from './lanes/index.js';
+import { Lanes } from './queues/index.js';
 import type { Limits } from './limits/index.js';
 import type { Random } from './retry/index.js';
 
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -10,7 +10,7 @@
   noLease,
   parseTtl,
   parseTxn,
-} from '../wire/storeside.js';
+} from '../wire/store-side.js';
 import { readJson, replyJson as reply } from '../net/json.js';
 import type { Txn } from '../wire/store.js';
 import type { Engine } from './engine.js';
--- a/src/vouching/index.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-export { Recent } from './recent.js';
-export { Vouching, type Question } from './vouching.js';
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -11,7 +11,7 @@
 import { Worker, type WorkerEffect } from '../src/agent/worker.js';
 import { agentDefaults, parseAgentSettings } from '../src/agent/settings.js';
 import { parseControlSettings } from '../src/control/settings.js';
-import type { AgentJob, HeldTask, TaskResult } from '../src/wire/agentside.js';
+import type { AgentJob, HeldTask, TaskResult } from '../src/wire/agent-side.js';
 import type { Order } from '../src/model/report.js';
 
 const self = { host: 'd.1', endpoint: '127.0.0.1:1', type: 't', zone: 'here' };
--- a/test/plan.test.ts
+++ b/test/allocation.test.ts
@@ -17,7 +17,7 @@
   type Member,
   type Plan,
 } from '../src/admission/index.js';
-import { newestLevel } from '../src/levels/index.js';
+import { newestLevel } from '../src/feature-levels/index.js';
 import { planData, readPlan } from '../src/core/storage/index.js';
 import { formats, inspect } from '../src/formats/index.js';
 import { Flood, flooding, floodable } from './support/flood.js';
--- a/test/meetings.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -14,7 +14,7 @@
   seeds,
   settled,
   some,
-} from './support/meetings.js';
+} from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import type { Node, World } from './support/world.js';
 
--- a/test/rebuild.test.ts
+++ b/test/data-loss.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { attemptBase, audit, incarnationOf, merge, tokenBase, Witness } from '../src/rebuild/index.js';
+import { attemptBase, audit, incarnationOf, merge, tokenBase, Witness } from '../src/data-loss/index.js';
 import {
   chunkData,
   jobCancelledData,
--- a/test/levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -13,7 +13,7 @@
   unaware,
   type Ability,
   type Standing,
-} from '../src/levels/index.js';
+} from '../src/feature-levels/index.js';
 import { jobData, wholeJobData } from '../src/core/storage/index.js';
 import { spec } from './support/world.js';
 
--- a/test/leaders.test.ts
+++ b/test/leader-changes.test.ts
@@ -1,4 +1,13 @@
-import { bounce, cancelS, kill, longWorld, meeting, mixedTraffic, pick, some } from './support/meetings.js';
+import {
+  bounce,
+  cancelS,
+  kill,
+  longWorld,
+  meeting,
+  mixedTraffic,
+  pick,
+  some,
+} from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import { spec, type World } from './support/world.js';
--- a/test/proof.test.ts
+++ b/test/lease-proofs.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { kill, longWorld } from './support/meetings.js';
+import { kill, longWorld } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { spec } from './support/world.js';
 
--- a/test/levelcli.test.ts
+++ b/test/level-cli.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { levelData, membersData, nodeData } from '../src/core/storage/index.js';
-import { abilityOf, newestLevel, unaware } from '../src/levels/index.js';
+import { abilityOf, newestLevel, unaware } from '../src/feature-levels/index.js';
 import { HttpClient } from '../src/net/client.js';
 import { freePort } from '../src/net/port.js';
 import { Engine, LevelDisk, storeServer } from '../src/store/index.js';
--- a/test/odd.test.ts
+++ b/test/malformed-requests.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSubmission } from '../src/wire/user.js';
-import { longWorld } from './support/meetings.js';
+import { longWorld } from './support/concurrent-failures.js';
 import { spec, World } from './support/world.js';
 
 const good = {
--- a/test/measurelevels.ts
+++ b/test/measure-levels.ts
@@ -3,7 +3,7 @@
  */
 import type { Txn } from '../src/wire/store.js';
 import { leaderOf, levelOf, ownerOf, restart } from './support/rolls.js';
-import { found, manyTasks, withWorkers } from './support/foundstate.js';
+import { found, manyTasks, withWorkers } from './support/stored-state.js';
 import { Traffic } from './support/traffic.js';
 import { spec, World, type Node } from './support/world.js';
 
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -7,7 +7,7 @@
 import { Records } from '../src/agent/records.js';
 import { Pool } from '../src/control/pool.js';
 import { Results } from '../src/control/results.js';
-import type { Kv } from '../src/control/books.js';
+import type { Kv } from '../src/control/control-store.js';
 import { seeded } from '../src/retry/index.js';
 import { EmbeddedStore, Engine, LevelDisk } from '../src/store/index.js';
 import { pause, withSite } from './support/site.js';
--- a/test/answers.test.ts
+++ b/test/read-your-writes.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bounce, longWorld, meeting, pick } from './support/meetings.js';
+import { bounce, longWorld, meeting, pick } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { sizes } from './support/sizes.js';
 import { Traffic } from './support/traffic.js';
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Recovery, type Facts } from '../src/recovery/index.js';
-import { Recent, Vouching } from '../src/vouching/index.js';
+import { Recent, Vouching } from '../src/freshness/index.js';
 import { successor, wantsHelp } from '../src/policy/sharing.js';
 import { spec, World, type Node } from './support/world.js';
 
--- a/test/room.test.ts
+++ b/test/reservations.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/model/job.js';
-import { longWorld } from './support/meetings.js';
+import { longWorld } from './support/concurrent-failures.js';
 import { Traffic } from './support/traffic.js';
 import { mostWaitMs, Waiting } from './support/waiting.js';
 import { box, type World } from './support/world.js';
--- a/test/rollreal.ts
+++ b/test/roll-processes.ts
@@ -8,7 +8,7 @@
 import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { newestLevel } from '../src/levels/index.js';
+import { newestLevel } from '../src/feature-levels/index.js';
 import { HttpClient } from '../src/net/client.js';
 import { readJson, replyJson } from '../src/net/json.js';
 import { freePort } from '../src/net/port.js';
--- a/test/roll.ts
+++ b/test/roll.ts
@@ -10,7 +10,7 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { defaults } from '../src/config/operators.js';
-import { rollReal } from './rollreal.js';
+import { rollReal } from './roll-processes.js';
 import { scenarios, type Cast } from './support/rolls.js';
 import { spec, thisProgram, World, type Program } from './support/world.js';
 
--- a/test/scalerun.test.ts
+++ b/test/scale-run.test.ts
@@ -6,7 +6,7 @@
 import { play } from '../scale/run.js';
 import { teamsOf } from '../scale/settings.js';
 import type { TaskEvent, UserEvent } from '../scale/messages.js';
-import { purposeOf, StoredTasks } from '../scale/writekinds.js';
+import { purposeOf, StoredTasks } from '../scale/write-kinds.js';
 
 const cancelS = 38;
 
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { defaults, type Operators } from '../../src/config/operators.js';
 import { levelData, levelKey, wishData } from '../../src/core/storage/index.js';
-import { newestLevel, noWish, type Wish } from '../../src/levels/index.js';
+import { newestLevel, noWish, type Wish } from '../../src/feature-levels/index.js';
 import { Traffic } from './traffic.js';
 import { spec, thisProgram, type Node, World } from './world.js';
 
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -7,7 +7,7 @@
 import { Controller } from '../../src/core/controller.js';
 import type { Command, CommitOutcome, Effect } from '../../src/core/effects.js';
 import { prefix } from '../../src/core/storage/index.js';
-import type { Legacy } from '../../src/core/memory.js';
+import type { Legacy } from '../../src/core/recovery-records.js';
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 import type { Order, Report, TaskReport } from '../../src/model/report.js';
--- a/test/tasklog.test.ts
+++ b/test/task-log.test.ts
@@ -26,12 +26,12 @@
 } from '../src/core/storage/index.js';
 import type { Txn, Write } from '../src/wire/store.js';
 import { Replica } from '../src/core/replica.js';
-import { abilityOf, Levels, newestLevel } from '../src/levels/index.js';
+import { abilityOf, Levels, newestLevel } from '../src/feature-levels/index.js';
 import type { JobSpec } from '../src/model/job.js';
-import { newJob } from '../src/core/books/jobs.js';
-import type { Placement } from '../src/core/books/runs.js';
-import { legacyOf } from '../src/core/memory.js';
-import { wrongInHistory } from './support/loghistory.js';
+import { newJob } from '../src/core/shard-state/jobs.js';
+import type { Placement } from '../src/core/shard-state/types.js';
+import { legacyOf } from '../src/core/recovery-records.js';
+import { wrongInHistory } from './support/task-log-history.js';
 import { levelOf, ownerOf, restart } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import { spec, World, type Node } from './support/world.js';
--- a/test/teamlimits.test.ts
+++ b/test/team-limits.test.ts
@@ -1,4 +1,4 @@
-import { bounce, longWorld, meeting, pick, some } from './support/meetings.js';
+import { bounce, longWorld, meeting, pick, some } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import type { Node, Worker, World } from './support/world.js';
--- a/test/committer.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -4,7 +4,7 @@
 import { Committer, Rank } from '../src/core/storage/index.js';
 import type { Effect } from '../src/core/effects.js';
 import { Replica } from '../src/core/replica.js';
-import { abilityOf, Levels } from '../src/levels/index.js';
+import { abilityOf, Levels } from '../src/feature-levels/index.js';
 import { retryPolicies, seeded } from '../src/retry/index.js';
 import type { Txn } from '../src/wire/store.js';
 
