--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -164,6 +164,20 @@
   why: number;
   saved: boolean;
 }
+interface RawPulse {
+  epoch: number;
+  run: string;
+  busy: number;
+  front: boolean;
+  inc: number;
+  jobs: number;
+}
+interface RawQuestion {
+  nonce: number;
+  epoch: number;
+  run: string;
+  inc: number;
+}
 type RawReport = Omit<Report, 'noticeS' | 'tasks'> & { noticeS: number; tasks: RawTask[] };
 
 const reportOut = (r: Report): RawReport => ({
@@ -196,10 +210,12 @@
 function wireOf(frame: Frame): object {
   if ('relay' in frame) return { relay: { id: frame.relay.id, report: reportOut(frame.relay.report) } };
   if ('pulse' in frame) {
-    const { wants, ...rest } = frame.pulse;
+    const { epoch, run, busy, front, wants, inc, jobs } = frame.pulse;
     const behind = Math.round((wants?.behindS ?? 0) * 10);
-    return { pulse: { ...rest, ...wants, behind, says: wants !== null } };
+    return { pulse: { ...wants, epoch, run, busy, front, inc, jobs, behind, says: wants !== null } };
   }
+  if ('ask' in frame) return { ask: questionOut(frame.ask) };
+  if ('vouch' in frame) return { vouch: { ...frame.vouch, ask: questionOut(frame.vouch.ask) } };
   if (!('hello' in frame)) return frame;
   const { member, run, speaks } = frame.hello;
   return { hello: { member, run, ...speaks } };
@@ -213,7 +229,8 @@
   return out;
 }
 
-const questionIn = ({ nonce, epoch, run, inc }: Question): Question => ({ nonce, epoch, run, inc });
+const questionOut = ({ nonce, epoch, run, inc }: Question): object => ({ nonce, epoch, run, inc });
+const questionIn = ({ nonce, epoch, run, inc }: RawQuestion): Question => ({ nonce, epoch, run, inc });
 
 function decodeFrame(body: Uint8Array): Frame | null {
   const f = type.decode(body) as unknown as Partial<Record<string, unknown>>;
@@ -230,7 +247,7 @@
     return { relayed: { id, status, body: text } };
   }
   if (f['pulse']) {
-    const pulse = f['pulse'] as Omit<Pulse, 'wants'> & Demand & { says: boolean; behind: number };
+    const pulse = f['pulse'] as RawPulse & Demand & { says: boolean; behind: number };
     const { epoch, run, busy, front, tasks, users, behind, follows, inc, jobs } = pulse;
     const kinds = pulse.kinds.map(({ team, class: c, weight, want }: KindWant) => ({
       team,
@@ -246,10 +263,10 @@
     return { turned: { list: list.map(({ id, team, class: c, ageMs }) => ({ id, team, class: c, ageMs })) } };
   }
   if (f['ask']) {
-    return { ask: questionIn(f['ask'] as Question) };
+    return { ask: questionIn(f['ask'] as RawQuestion) };
   }
   if (f['vouch']) {
-    const { ask, run, known } = f['vouch'] as { ask: Question | null; run: string; known: string };
+    const { ask, run, known } = f['vouch'] as { ask: RawQuestion | null; run: string; known: string };
     return ask ? { vouch: { ask: questionIn(ask), run, known } } : null;
   }
   return null;
--- a/src/service.ts
+++ b/src/service.ts
@@ -18,7 +18,7 @@
 import type { StateService } from './state/service.js';
 import { Store } from './state/store.js';
 import { PublicServer, type FrontHooks } from './users/server.js';
-import type { Change } from './wire/store.js';
+import { decodeChanges, encodeChanges } from './wire/store.js';
 
 const tickMs = 50;
 const measureMs = 1000;
@@ -202,7 +202,7 @@
     else if ('vouch' in frame) {
       const { ask: question, run, known } = frame.vouch;
       try {
-        this.push({ c: 'vouched', from, run, question, known: JSON.parse(known) as Change[] });
+        this.push({ c: 'vouched', from, run, question, known: decodeChanges(known) });
       } catch (e) {
         this.log('warn', 'bad message from a peer', { from, error: String((e as Error).message) });
       }
@@ -249,7 +249,7 @@
         for (const p of this.settings.peers) this.mesh?.send(p.member, { ask: e.question });
         break;
       case 'vouch': {
-        const known = JSON.stringify(e.known);
+        const known = encodeChanges(e.known);
         this.mesh?.send(e.to, { vouch: { ask: e.question, run: this.run, known } });
         break;
       }
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -52,7 +52,10 @@
 };
 
 export const parseEpoch = (body: unknown): number | null => read(epochBody, body)?.epoch ?? null;
-export const parseFailed = (body: unknown) => read(failedBody, body);
+export function parseFailed(body: unknown): { failed: string[]; epoch: number } | null {
+  const r = read(failedBody, body);
+  return r && { failed: r.failed, epoch: r.epoch };
+}
 export const parseHold = (body: unknown): number | null => read(holdBody, body)?.hold ?? null;
 
 export function parseItems(body: unknown): { items: Change[]; more: boolean; epoch: number } | null {
@@ -86,3 +89,15 @@
   `/kv?starts=${prefix}${from === '' ? '' : `&from=${from}`}&limit=${limit}`;
 export const watchPath = (prefix: string, from: number, blockMs: number): string =>
   `/changes?starts=${prefix}&from=${from}&blockMs=${blockMs}`;
+
+/** Changes as controllers send them to each other, as JSON. */
+export const encodeChanges = (changes: readonly Change[]): string =>
+  JSON.stringify(changes.map(({ key, data, stamp }) => ({ key, data, stamp })));
+
+/** Throws if the text is not what `encodeChanges` gives. */
+export const decodeChanges = (text: string): Change[] =>
+  (JSON.parse(text) as { key: string; data: unknown; stamp: number }[]).map(({ key, data, stamp }) => ({
+    key,
+    data,
+    stamp,
+  }));
