--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -1,7 +1,7 @@
 /** A hollow worker: speaks the workers' protocol over real sockets as one machine would, and runs nothing. */
 import { Agent } from 'node:http';
-import { pieceName } from '../src/model/job.js';
-import type { Order } from '../src/model/report.js';
+import { taskKey } from '../src/model/job.js';
+import type { TaskOrder } from '../src/model/heartbeat.js';
 import { callOnce } from '../src/net/client.js';
 import type { Random } from '../src/retry/index.js';
 import {
@@ -87,7 +87,7 @@
   }
 
   /** Carries out direct commands; the status to answer with. */
-  ordered(token: number | null, session: number | null, orders: Order[]): 200 | 400 | 409 {
+  ordered(token: number | null, session: number | null, orders: TaskOrder[]): 200 | 400 | 409 {
     if (token === null || session === null) return 400;
     if (token < this.token || session !== this.session) return 409;
     this.token = token;
@@ -212,8 +212,8 @@
 
   // ---- tasks ----
 
-  private carryOut(order: Order): void {
-    const piece = pieceName(order.job, order.index);
+  private carryOut(order: TaskOrder): void {
+    const piece = taskKey(order.job, order.index);
     const task = this.tasks.get(piece);
     if (order.op === 'start') this.start(piece, order, task);
     else if (!task || task.attempt !== order.attempt) return;
@@ -226,7 +226,7 @@
     }
   }
 
-  private start(piece: string, order: Order, held: RunningTask | undefined): void {
+  private start(piece: string, order: TaskOrder, held: RunningTask | undefined): void {
     if (held?.attempt === order.attempt) return;
     this.context.counts.orders++;
     const task: RunningTask = {
--- a/src/agent/runner.ts
+++ b/src/agent/runner.ts
@@ -13,8 +13,8 @@
 import { uptime } from 'node:os';
 import { isAbsolute, join } from 'node:path';
 import type { Log } from '../core/effects.js';
-import { pieceName } from '../model/job.js';
-import { commandOf } from '../model/task-command.js';
+import { taskKey } from '../model/job.js';
+import { commandForTask } from '../model/task-command.js';
 import type { AgentJob, HeldTask, ResultReason, TaskResult } from '../wire/agent-side.js';
 import { groups, marked, markName, signal } from './processes.js';
 import type { Records, TaskRecord } from './records.js';
@@ -92,7 +92,7 @@
     };
     // On disk before it runs: whoever comes back knows that it may have.
     this.records.save(record);
-    const command = job.command && commandOf(job.command, task.index);
+    const command = job.command && commandForTask(job.command, task.index);
     const dir = this.records.dirOf(task);
     const r: Running = { record, job, child: null, pid: null, ending: null, over: false };
     this.running.set(task, r);
@@ -123,13 +123,13 @@
       r.child = child;
       r.pid = child.pid ?? null;
       child.on('error', (e) => {
-        this.log('warn', 'cannot run', { piece: pieceName(task.job, task.index), error: e.message });
+        this.log('warn', 'cannot run', { piece: taskKey(task.job, task.index), error: e.message });
         this.fail(r, 'cannot run');
       });
       child.on('exit', (code, sig) => this.over(r, code, sig));
     } catch (e) {
       this.log('warn', 'cannot run', {
-        piece: pieceName(task.job, task.index),
+        piece: taskKey(task.job, task.index),
         error: String((e as Error).message),
       });
       if (err >= 0) writeSync(err, `${String((e as Error).message)}\n`);
@@ -155,7 +155,7 @@
     // Guards against running it twice: nobody can begin it any more, and it is not begun here.
     if (unclaimed || record.boot !== boot) return this.fail(r, 'lost');
     r.pid = this.leader(r);
-    this.log('info', 'task found again', { piece: pieceName(task.job, task.index), pid: r.pid });
+    this.log('info', 'task found again', { piece: taskKey(task.job, task.index), pid: r.pid });
     if (this.exitCode(r) !== null || r.pid === null || !this.lives(r)) this.over(r, null, null);
   }
 
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,5 +1,5 @@
-import type { Order } from '../model/report.js';
-import { pieceName } from '../model/job.js';
+import type { TaskOrder } from '../model/heartbeat.js';
+import { taskKey } from '../model/job.js';
 import type { AgentReport, Answer, HeldTask, TaskResult } from '../wire/agent-side.js';
 
 /** What the worker wants done. */
@@ -92,7 +92,7 @@
   }
 
   /** Orders that came straight; null: not ours to carry out. */
-  ordered(token: number, session: number, orders: readonly Order[]): WorkerEffect[] | null {
+  ordered(token: number, session: number, orders: readonly TaskOrder[]): WorkerEffect[] | null {
     if (token < this.memory.token || session !== this.memory.session) return null;
     const out: WorkerEffect[] = [];
     if (token > this.memory.token) {
@@ -117,7 +117,7 @@
     return out;
   }
 
-  private execute(orders: readonly Order[]): WorkerEffect[] {
+  private execute(orders: readonly TaskOrder[]): WorkerEffect[] {
     const out: WorkerEffect[] = [];
     for (const o of orders) {
       const task = this.held.get(keyOf(o));
@@ -179,7 +179,7 @@
 }
 
 const keyOf = (t: { job: string; index: number; attempt: number }): string =>
-  `${pieceName(t.job, t.index)} ${t.attempt}`;
+  `${taskKey(t.job, t.index)} ${t.attempt}`;
 
 const asNew: Pick<HeldTask, 'phase' | 'why' | 'saved' | 'result'> = {
   phase: 'fetching',
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -11,7 +11,7 @@
 } from './commands.js';
 import { SubmitError, type Place } from './errors.js';
 import type { Outside } from './submit-environment.js';
-import { numberMark } from '../model/task-command.js';
+import { taskIndexPlaceholder } from '../model/task-command.js';
 import type { Group } from './native.js';
 import { SubmitFile, type Block } from './submit-file.js';
 
@@ -88,7 +88,7 @@
   }
 
   private marked(block: Block, row: number): Ad | null {
-    const perJob = perJobOf(block, row, numberMark, numberMark);
+    const perJob = perJobOf(block, row, taskIndexPlaceholder, taskIndexPlaceholder);
     try {
       return this.job(block, this.steps(block), new Map(), perJob, 0);
     } catch (e) {
@@ -206,7 +206,8 @@
   for (const { name, expr } of marked) {
     const own = job.get(name);
     if (name === 'ProcId' || own === expr) continue;
-    if (!own || printExpr(expr).replaceAll(numberMark, String(proc)) !== printExpr(own)) return false;
+    if (!own || printExpr(expr).replaceAll(taskIndexPlaceholder, String(proc)) !== printExpr(own))
+      return false;
   }
   return true;
 }
--- a/src/condor/native.ts
+++ b/src/condor/native.ts
@@ -1,6 +1,6 @@
 import { resolve } from 'node:path';
 import { printExpr, textOf, type Ad, type Expr } from '../classad/index.js';
-import { numberMark } from '../model/task-command.js';
+import { taskIndexPlaceholder } from '../model/task-command.js';
 import { plainSubmission } from '../wire/user.js';
 import { SubmitError, type Place, type Warnings } from './errors.js';
 import { newVariables, parseEnvironment, splitWords } from './quoting.js';
@@ -57,7 +57,7 @@
   const attributes: Record<string, string> = {};
   for (const { name, expr } of ad) {
     const shown = printExpr(expr);
-    if (!left.test(name) && shown.length <= mostAttribute && !shown.includes(numberMark))
+    if (!left.test(name) && shown.length <= mostAttribute && !shown.includes(taskIndexPlaceholder))
       attributes[name] = shown;
   }
   const always = requirements === undefined || (requirements.k === 'lit' && requirements.v === true);
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -3,8 +3,8 @@
 import type { Log } from '../core/effects.js';
 import { shardKey } from '../core/storage/index.js';
 import type { JobSpec, MatchSpec } from '../model/job.js';
-import type { Attributes, Matcher } from '../policy/matching.js';
-import type { Report } from '../model/report.js';
+import type { MachineAttributes, Matcher } from '../policy/matching.js';
+import type { Heartbeat } from '../model/heartbeat.js';
 import { Service } from '../service.js';
 import { version } from '../version.js';
 import type { StateService } from '../state/service.js';
@@ -28,7 +28,7 @@
 export interface Matching {
   matcher: Matcher & { analyze(m: MatchSpec): object };
   wrongWith(m: MatchSpec): string | null;
-  attributesOf(m: PoolRecord): Attributes;
+  attributesOf(m: PoolRecord): MachineAttributes;
 }
 
 /**
@@ -179,8 +179,8 @@
 
   private async checkin(
     raw: unknown,
-    report: Report,
-    pass: (report: Report) => void,
+    report: Heartbeat,
+    pass: (report: Heartbeat) => void,
     refuse: (status: number, body: object) => void,
   ): Promise<void> {
     let member;
@@ -205,7 +205,7 @@
   }
 
   /** Ends of attempts are kept first; then the core is told what becomes of their tasks. */
-  private async recordEnds(raw: unknown, report: Report): Promise<void> {
+  private async recordEnds(raw: unknown, report: Heartbeat): Promise<void> {
     const ended = new Map<string, TaskResult>();
     for (const r of parseResults(raw)) ended.set(`${r.piece} ${r.attempt}`, r.result);
     if (ended.size === 0) return;
@@ -223,7 +223,7 @@
   }
 
   /** Gangs of which a task has failed for good, and others run on here: they fail together. */
-  private failedGangs(report: Report): Set<string> {
+  private failedGangs(report: Heartbeat): Set<string> {
     const failed = new Set<string>();
     for (const t of report.tasks)
       if (t.phase !== 'exited' && this.results.failures(t.job) > 0 && this.gangTasks(t.job) !== null)
--- a/src/control/gangs.ts
+++ b/src/control/gangs.ts
@@ -1,4 +1,4 @@
-import type { Report, TaskReport } from '../model/report.js';
+import type { Heartbeat, TaskStatus } from '../model/heartbeat.js';
 
 /**
  * Where tasks of a gang find each other: once every one of an attempt is waiting (or runs already, of one that was
@@ -12,7 +12,7 @@
   constructor(private readonly tasksOf: (job: string) => number | null) {}
 
   /** Takes a report in; returns the gangs, as "JOB ATTEMPT", that tasks of this machine may go with now. */
-  seen(report: Report): string[] {
+  seen(report: Heartbeat): string[] {
     const go = new Set<string>();
     for (const t of report.tasks) {
       const tasks = this.tasksOf(t.job);
@@ -35,7 +35,7 @@
   }
 
   /** What a machine held and does not list any more is not there. */
-  private leftOut(report: Report): void {
+  private leftOut(report: Heartbeat): void {
     const listed = new Set(report.tasks.map((t) => `${t.job} ${t.attempt} ${t.index}`));
     for (const [name, gang] of this.there) {
       for (const [index, host] of gang)
@@ -45,4 +45,4 @@
   }
 }
 
-const isThere = (t: TaskReport): boolean => t.phase === 'waiting' || t.phase === 'running';
+const isThere = (t: TaskStatus): boolean => t.phase === 'waiting' || t.phase === 'running';
--- a/src/control/results.ts
+++ b/src/control/results.ts
@@ -1,4 +1,4 @@
-import { pieceName } from '../model/job.js';
+import { taskKey } from '../model/job.js';
 import type { TaskResult } from '../wire/agent-side.js';
 import { NotWritten, put, type Guard, type Kv } from './control-store.js';
 
@@ -48,7 +48,7 @@
   }
 
   private keep(job: string, index: number, r: KeptResult): void {
-    const name = pieceName(job, index);
+    const name = taskKey(job, index);
     const before = this.kept.get(name);
     const was = before?.final && !succeeded(before) ? 1 : 0;
     const is = r.final && !succeeded(r) ? 1 : 0;
@@ -57,7 +57,7 @@
   }
 
   get(job: string, index: number): KeptResult | undefined {
-    return this.kept.get(pieceName(job, index));
+    return this.kept.get(taskKey(job, index));
   }
 
   failures(job: string): number {
@@ -76,7 +76,7 @@
     result: TaskResult,
     guards: Guard[],
   ): Promise<Verdict> {
-    const name = pieceName(job.id, index);
+    const name = taskKey(job.id, index);
     await this.writing.get(name);
     const before = this.kept.get(name);
     // The same end, told again; or one of an attempt before the one that is known.
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -2,9 +2,9 @@
 import type { Operators } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import { isPremium, urgencyRank } from '../../model/job.js';
-import { timesFits, type MachineRecord, type MachineType } from '../../model/machine.js';
-import type { Report } from '../../model/report.js';
-import { score } from '../../policy/helios.js';
+import { fitCount, type MachineRecord, type MachineType } from '../../model/machine.js';
+import type { Heartbeat } from '../../model/heartbeat.js';
+import { placementScore } from '../../policy/helios.js';
 import { Attempts, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { ListedMachine, RentRequest } from '../../wire/cloud.js';
 import type { Write } from '../../wire/store.js';
@@ -19,8 +19,8 @@
 } from '../storage/index.js';
 import { Demand, emptyRoom, kindOf, mayUse, slotName, type Unmet } from './demand.js';
 import type { Clock, Effect, Log } from '../effects.js';
-import { gpuMachineOpen, hasPlainType } from '../../policy/gpus.js';
-import { anchorPrice, candidate, fetchS, weights } from '../../policy/pricing.js';
+import { mayShareGpuMachine, fitsCpuOnlyType } from '../../policy/gpu-sharing.js';
+import { anchorPrice, machineCandidate, imageFetchS, scoreWeights } from '../../policy/pricing.js';
 import type { Machine, Replica } from '../replica.js';
 
 /** A kind of machine in a zone that could be rented. */
@@ -200,7 +200,7 @@
     else this.renting.delete(request.name);
     if (hosts.length === 0) return;
     if (shard === undefined) {
-      for (const host of hosts) this.record({ host, type, zone, spot, shard: -1, standing: 'free', since });
+      for (const host of hosts) this.record({ host, type, zone, spot, shard: -1, state: 'free', since });
       return;
     }
     for (const host of hosts) this.recording.add(host);
@@ -297,13 +297,13 @@
       zone: l.zone,
       spot: l.spot,
       shard: -1,
-      standing: 'free',
+      state: 'free',
       since: this.clock.wall,
     });
   }
 
   /** A worker that nobody knows reports to the leader. */
-  unexpected(r: Report): void {
+  unexpected(r: Heartbeat): void {
     // Guards against taking over a machine whose record cannot be read.
     if (this.replica.sealed.has(machineKey(r.host))) return;
     if (this.deletedLately.has(r.host) || !this.replica.types.some((t) => t.name === r.type)) return;
@@ -326,9 +326,9 @@
   }
 
   private condemn(m: Machine, why: string): void {
-    if (m.standing === 'dead') return;
+    if (m.state === 'dead') return;
     this.log('info', 'machine given up', { host: m.host, why });
-    this.restand(m.host, (now) => ({ ...now, standing: 'dead' }));
+    this.restand(m.host, (now) => ({ ...now, state: 'dead' }));
   }
 
   /** Gives a machine a record of its own, made from how it stands when the write goes out. */
@@ -386,8 +386,8 @@
     const hosts: string[] = [];
     for (const m of this.replica.machines.values()) {
       if (this.deleting.has(m.host) || this.writing.has(machineKey(m.host))) continue;
-      const idle = m.standing === 'free' && !this.settings.pool && this.mayReturn() && this.surplus(m);
-      if (m.standing === 'dead' || idle) hosts.push(m.host);
+      const idle = m.state === 'free' && !this.settings.pool && this.mayReturn() && this.surplus(m);
+      if (m.state === 'dead' || idle) hosts.push(m.host);
       if (hosts.length >= mostPerDelete) break;
     }
     if (hosts.length === 0 || !this.spend()) return;
@@ -429,16 +429,16 @@
           (u.zones === null || u.zones.includes(m.zone)) &&
           mayUse(u.spec, type, m.zone, m.spot) &&
           // The placement would leave it idle.
-          gpuMachineOpen(u.spec, type, 0, this.replica.types),
+          mayShareGpuMachine(u.spec, type, 0, this.replica.types),
       );
       if (!user) {
         this.unwanted.add(m.host);
         continue;
       }
-      user.count -= timesFits(user.spec, type);
+      user.count -= fitCount(user.spec, type);
       this.log('info', 'assigning machine', { host: m.host, shard: user.shard });
       this.restand(m.host, (now) =>
-        now.standing === 'free' ? { ...now, shard: user.shard, standing: 'use' } : null,
+        now.state === 'free' ? { ...now, shard: user.shard, state: 'use' } : null,
       );
     }
     this.rentAll(unmet, out);
@@ -447,10 +447,8 @@
   /** Machines that cost nothing are used as they come. */
   private takeAll(): void {
     for (const m of this.replica.machines.values())
-      if (m.standing === 'free' && !this.writing.has(machineKey(m.host)))
-        this.restand(m.host, (now) =>
-          now.standing === 'free' ? { ...now, shard: 0, standing: 'use' } : null,
-        );
+      if (m.state === 'free' && !this.writing.has(machineKey(m.host)))
+        this.restand(m.host, (now) => (now.state === 'free' ? { ...now, shard: 0, state: 'use' } : null));
   }
 
   /** Fills in the rooms of all machines that are up or coming; returns those that are with the leader. */
@@ -459,8 +457,8 @@
     const types = new Map(this.replica.types.map((t) => [t.name, t]));
     for (const m of this.replica.machines.values()) {
       const type = types.get(m.type);
-      if (!type || m.standing === 'dead' || this.deleting.has(m.host)) continue;
-      if (m.standing === 'use') demand.addMachine(m, type);
+      if (!type || m.state === 'dead' || this.deleting.has(m.host)) continue;
+      if (m.state === 'use') demand.addMachine(m, type);
       else if (!this.writing.has(machineKey(m.host))) free.push({ m, type });
     }
     for (const { request, shard, coming } of this.renting.values()) {
@@ -502,7 +500,7 @@
       let want = wanted.get(key);
       if (!want) wanted.set(key, (want = { slot, shard: u.shard, machines: 0, u }));
       // Small tasks of several jobs share machines.
-      const machines = u.count / timesFits(u.spec, slot.type);
+      const machines = u.count / fitCount(u.spec, slot.type);
       want.machines += machines;
       perZone.set(slot.zone, (perZone.get(slot.zone) ?? 0) + machines);
     }
@@ -531,24 +529,26 @@
     let anchor = anchorPrice(spec, this.replica.types, (t) => t.zones.some((z) => open(t, z, false)));
     if (!Number.isFinite(anchor)) anchor = anchorPrice(spec, this.replica.types, () => true);
     // The dearest machines are not rented for work that others can do: the placement would not use them either.
-    const gpuToo = spec.gpus > 0 || !hasPlainType(spec, this.replica.types);
+    const gpuToo = spec.gpus > 0 || !fitsCpuOnlyType(spec, this.replica.types);
     // Spreads machines over zones; a tie-break only, however large the fleet.
     const balance = 1e-4 / [...perZone.values()].reduce((a, b) => a + b, 1);
     let best: (Slot & { s: number }) | null = null;
     for (const type of this.replica.types) {
       if (type.gpus > 0 && !gpuToo) continue;
-      const per = timesFits(spec, type);
+      const per = fitCount(spec, type);
       if (per < 1) continue;
       // Only the CPUs that the tasks will use bring something: the price is for those.
       const useful = Math.min(1, (Math.min(per, u.count) * Math.max(spec.cpus, 0.01)) / type.cpus);
       for (const zone of type.zones)
         for (const spot of [false, true]) {
           if (!mayUse(spec, type, zone, spot) || !open(type, zone, spot)) continue;
-          const delayS = type.bootS + fetchS(spec, type);
-          const c = candidate(type, spot, this.hazardPerStep(), true, type.cpus, delayS);
+          const delayS = type.bootS + imageFetchS(spec, type);
+          const c = machineCandidate(type, spot, this.hazardPerStep(), true, type.cpus, delayS);
           c.price /= useful;
           const work = { premium: isPremium(spec), cpus: spec.cpus };
-          const s = score(work, c, anchor, weights(this.operators)) - balance * (perZone.get(zone) ?? 0);
+          const s =
+            placementScore(work, c, anchor, scoreWeights(this.operators)) -
+            balance * (perZone.get(zone) ?? 0);
           if (best === null || s > best.s) best = { type, zone, spot, s };
         }
     }
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -1,15 +1,15 @@
 /** What the fleet lacks for the work that waits, read off the replica. */
 import type { Operators } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
-import { zoneShare, type JobSpec } from '../../model/job.js';
-import { timesFits, type Fits, type MachineType } from '../../model/machine.js';
-import { teamCap, typeAllowed } from '../../policy/admission.js';
-import { limitsOf, slackS } from '../../policy/deadlines.js';
+import { maxTasksPerZone, type JobSpec } from '../../model/job.js';
+import { fitCount, type Resources, type MachineType } from '../../model/machine.js';
+import { teamQuota, typeAllowed } from '../../policy/admission.js';
+import { timeLimitsOf, slackS } from '../../policy/deadlines.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import { mostFailedKept, suspectMachines } from '../failures.js';
-import { gpuMachineOpen, hasPlainType } from '../../policy/gpus.js';
-import { inOrder, pressingS } from '../../policy/order.js';
-import { anchorPrice, fetchS } from '../../policy/pricing.js';
+import { mayShareGpuMachine, fitsCpuOnlyType } from '../../policy/gpu-sharing.js';
+import { inPlacementOrder, criticalSlackS } from '../../policy/order.js';
+import { anchorPrice, imageFetchS } from '../../policy/pricing.js';
 import type { JobRecord } from '../storage/index.js';
 import type { Machine, Replica } from '../replica.js';
 
@@ -25,9 +25,9 @@
 }
 
 /** A machine that is up or coming, and what is left on it. */
-export interface Room extends Fits {
+export interface Room extends Resources {
   /** Free only later, as running tasks end. */
-  busy: Fits;
+  busy: Resources;
   /** How long the tasks on it run, on average, by their estimates. */
   runS: number;
   tasks: number;
@@ -41,7 +41,7 @@
   spot: boolean;
   rooms: Room[];
   /** The least that found no room here, of what may and may not take empty machines with GPUs: who takes as much or more need not look. */
-  full: Map<boolean, Fits>;
+  full: Map<boolean, Resources>;
 }
 
 export type RoomKinds = Map<string, RoomKind>;
@@ -147,7 +147,12 @@
     }
     const unmet: Unmet[] = [];
     // GPU work first: the GPU machines' room is counted as its own before other work may have the rest.
-    const ordered = inOrder(jobs, this.settings.objectives, this.wall, pressingS(this.settings));
+    const ordered = inPlacementOrder(
+      jobs,
+      this.settings.objectives,
+      this.wall,
+      criticalSlackS(this.settings),
+    );
     for (const job of [
       ...ordered.filter((j) => j.spec.gpus > 0),
       ...ordered.filter((j) => j.spec.gpus <= 0),
@@ -155,9 +160,9 @@
       const { spec } = job;
       const shard = this.replica.shardOf(spec.team);
       const kinds = this.kindsOf(shard);
-      const cap = teamCap(this.settings, spec.team);
+      const cap = teamQuota(this.settings, spec.team);
       const used = this.teamUse(spec.team);
-      const allowed = timesFits(spec, {
+      const allowed = fitCount(spec, {
         cpus: cap.cpus - used.cpus,
         gpus: cap.gpus - used.gpus,
         memGb: Infinity,
@@ -197,7 +202,7 @@
     const bad = new Set(failed.map((host) => this.byHost.get(host)));
     let room = 0;
     for (const k of here)
-      for (const r of k.rooms) if (!bad.has(r)) room += timesFits(job.spec, emptyRoom(r.type, 0));
+      for (const r of k.rooms) if (!bad.has(r)) room += fitCount(job.spec, emptyRoom(r.type, 0));
     // Guards against renting for a job with a mistake, GPUs at that.
     if (room >= (job.spec.shape === 'gang' ? want : 1))
       return failed.length >= suspectMachines ? 'wait' : null;
@@ -220,7 +225,7 @@
       shard,
       list.filter(({ room, kind }) => {
         if (left <= 0 || !mine.has(kind)) return true;
-        left -= Math.max(1, timesFits(spec, room.type));
+        left -= Math.max(1, fitCount(spec, room.type));
         room.cpus = 0;
         room.busy.cpus = 0;
         return false;
@@ -268,7 +273,7 @@
     const open = zones
       .map((z) => ({
         z,
-        left: Math.max(0, zoneShare(spec.tasks) - (placed.get(z) ?? 0)),
+        left: Math.max(0, maxTasksPerZone(spec.tasks) - (placed.get(z) ?? 0)),
         has: room(z),
         can: obtainable(z),
       }))
@@ -289,12 +294,12 @@
    */
   private slack(job: WaitingJob): number {
     const { spec } = job;
-    const limits = limitsOf(spec, this.settings.objectives);
+    const limits = timeLimitsOf(spec, this.settings.objectives);
     const left = slackS(limits, (this.wall - job.at) / 1000, spec.estimateS);
-    if (limits.done.length + limits.started.length === 0) return Math.max(spec.estimateS, 1);
+    if (limits.completionS.length + limits.startS.length === 0) return Math.max(spec.estimateS, 1);
     let reach = Infinity;
     for (const t of this.replica.types)
-      if (typeAllowed(spec, t)) reach = Math.min(reach, t.bootS + fetchS(spec, t));
+      if (typeAllowed(spec, t)) reach = Math.min(reach, t.bootS + imageFetchS(spec, t));
     return Number.isFinite(left) && left >= reach ? left : Infinity;
   }
 
@@ -311,17 +316,17 @@
     const slack = slackOf * slackShare * (0.75 + dear / 4);
     let served = 0;
     for (const kind of kinds) {
-      const wait = Math.max(0, slack - fetchS(spec, kind.type));
+      const wait = Math.max(0, slack - imageFetchS(spec, kind.type));
       for (const r of kind.rooms) {
         if (served >= want) return served;
         if (
           r.busy.cpus < spec.cpus ||
-          !gpuMachineOpen(spec, r.type, r.type.gpus - r.gpus, this.replica.types)
+          !mayShareGpuMachine(spec, r.type, r.type.gpus - r.gpus, this.replica.types)
         )
           continue;
         const share = Math.min(1, wait / Math.max(r.runS, 1));
         // Whole tasks only: a gang of large tasks must not count on crumbs.
-        const n = Math.min(want - served, Math.floor(timesFits(spec, r.busy) * share));
+        const n = Math.min(want - served, Math.floor(fitCount(spec, r.busy) * share));
         if (n <= 0) continue;
         take(r.busy, spec, n);
         served += n;
@@ -333,7 +338,7 @@
 
 /** Whether empty machines with GPUs are open to it. */
 const takesGpus = (spec: JobSpec, types: readonly MachineType[]): boolean =>
-  spec.gpus > 0 || !hasPlainType(spec, types);
+  spec.gpus > 0 || !fitsCpuOnlyType(spec, types);
 
 /** True if somebody who takes no more than this found the kind full already. */
 function isFull(kind: RoomKind, spec: JobSpec, types: readonly MachineType[]): boolean {
@@ -347,8 +352,8 @@
   if (want <= 0 || isFull(kind, spec, types)) return 0;
   for (const room of kind.rooms) {
     if (got >= want) return got;
-    if (!gpuMachineOpen(spec, room.type, room.type.gpus - room.gpus, types)) continue;
-    const n = Math.min(want - got, timesFits(spec, room));
+    if (!mayShareGpuMachine(spec, room.type, room.type.gpus - room.gpus, types)) continue;
+    const n = Math.min(want - got, fitCount(spec, room));
     if (n <= 0) continue;
     take(room, spec, n);
     got += n;
@@ -362,13 +367,13 @@
   let n = 0;
   if (most <= 0 || isFull(kind, spec, types)) return 0;
   for (const room of kind.rooms) {
-    n += timesFits(spec, room);
+    n += fitCount(spec, room);
     if (n >= most) return most;
   }
   return n;
 }
 
-function take(room: Fits, need: Fits, n: number): void {
+function take(room: Resources, need: Resources, n: number): void {
   room.cpus -= n * need.cpus;
   room.gpus -= n * need.gpus;
   room.memGb -= n * need.memGb;
--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from '../model/job.js';
 import { isPremium, urgencyRank } from '../model/job.js';
-import type { Fits, MachineType } from '../model/machine.js';
+import type { Resources, MachineType } from '../model/machine.js';
 import { typeAllowed } from '../policy/admission.js';
 import { spotAllowed } from '../policy/guardrails.js';
 
@@ -32,7 +32,7 @@
 export const packing = 1e-4;
 
 /** How full a machine is, by what is scarcest on it. */
-export const fullness = (type: MachineType, room: Fits): number =>
+export const fullness = (type: MachineType, room: Resources): number =>
   type.gpus > 0 ? 1 - room.gpus / type.gpus : 1 - room.cpus / type.cpus;
 
 /** What a job that found no room asked for: whoever asks for as much or more finds none either. */
@@ -57,9 +57,9 @@
   constructor(
     machines: Iterable<M>,
     /** What is free on a machine now. */
-    private readonly roomOf: (m: M) => Fits,
+    private readonly roomOf: (m: M) => Resources,
     /** The least that any waiting task takes: a machine with less room is of no use to this round. */
-    private readonly least: Fits,
+    private readonly least: Resources,
   ) {
     const byKind = new Map<string, Kind<M>>();
     let ord = 0;
@@ -79,7 +79,7 @@
     for (const k of this.kinds) k.list.sort(byFullness);
   }
 
-  private useful(room: Fits): boolean {
+  private useful(room: Resources): boolean {
     const tiny = 1e-6;
     return room.cpus + tiny >= this.least.cpus && room.memGb + tiny >= this.least.memGb;
   }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -529,7 +529,7 @@
         break;
       }
       case 'attributes':
-        this.matcher?.set(c.host, c.attributes);
+        this.matcher?.setAttributes(c.host, c.attributes);
         break;
       case 'forget':
         this.fleet.forget(c.host);
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -2,8 +2,8 @@
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import type { Legacy } from './recovery-records.js';
-import type { Order, Report } from '../model/report.js';
-import type { Attributes } from '../policy/matching.js';
+import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
+import type { MachineAttributes } from '../policy/matching.js';
 import type { Question } from '../freshness/index.js';
 import type { ListedMachine, RentRequest } from '../wire/cloud.js';
 import type { Change, Txn } from '../wire/store.js';
@@ -31,7 +31,7 @@
   | { c: 'submit'; rid: number; spec: JobSpec }
   | { c: 'query'; rid: number; id: string }
   | { c: 'withdraw'; rid: number; id: string }
-  | { c: 'checkin'; rid: number; report: Report; from?: string }
+  | { c: 'checkin'; rid: number; report: Heartbeat; from?: string }
   | { c: 'relayed'; rid: number; status: number; body: object | string }
   | { c: 'pulse'; from: string; pulse: Pulse }
   /** Jobs that another controller has turned away. */
@@ -43,7 +43,7 @@
   | { c: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
   /** A peer's connection broke and a new one was refused at once. */
   | { c: 'peer-lost'; member: string }
-  | { c: 'ordered'; host: string; report: Report | null }
+  | { c: 'ordered'; host: string; report: Heartbeat | null }
   /** So many keys of the first reading are here. */
   | { c: 'reading'; keys: number }
   | { c: 'loaded'; items: Change[]; epoch: number }
@@ -58,7 +58,7 @@
   /** The process is to end: it hands on what it has first. */
   | { c: 'leave' }
   /** What a machine says of itself; null: it is gone. */
-  | { c: 'attributes'; host: string; attributes: Attributes | null }
+  | { c: 'attributes'; host: string; attributes: MachineAttributes | null }
   /** A gang that cannot succeed any more: what is left of it is stopped. */
   | { c: 'stop-gang'; id: string }
   | { c: 'types'; types: MachineType[] | null }
@@ -87,7 +87,7 @@
   | { e: 'epoch' }
   | { e: 'catch-up'; epoch: number }
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
-  | { e: 'relay'; to: string; rid: number; report: Report }
+  | { e: 'relay'; to: string; rid: number; report: Heartbeat }
   | { e: 'pulse'; pulse: Pulse }
   | { e: 'turned'; list: Turned[] }
   | { e: 'ask'; question: Question }
@@ -103,7 +103,7 @@
   | { e: 'rent'; request: RentRequest }
   | { e: 'delete'; hosts: string[] }
   | { e: 'list' }
-  | { e: 'order'; host: string; endpoint: string; token: number; session: number; orders: Order[] };
+  | { e: 'order'; host: string; endpoint: string; token: number; session: number; orders: TaskOrder[] };
 
 export interface Clock {
   /** Steady, ms. */
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -1,11 +1,11 @@
 /** Workers' reports: what they prove of placements, and the orders that they are answered with. */
-import { pieceName } from '../model/job.js';
-import type { Order, Report, TaskReport } from '../model/report.js';
+import { taskKey } from '../model/job.js';
+import type { TaskOrder, Heartbeat, TaskStatus } from '../model/heartbeat.js';
 import { enoughEvidence, evidence, suspect, suspectMachines } from './failures.js';
 import type { Books } from './shard-state/shard-state.js';
 import { chunkOf } from './shard-state/jobs.js';
 import type { Effect } from './effects.js';
-import { fetchS } from '../policy/pricing.js';
+import { imageFetchS } from '../policy/pricing.js';
 import type { Chunk, JobRun, MachineRun, Placement } from './shard-state/types.js';
 
 const ordersPerAnswer = 400;
@@ -20,7 +20,7 @@
   constructor(private readonly books: Books) {}
 
   /** Takes in a report of a machine of ours; returns the orders to answer with. */
-  checkin(m: MachineRun, report: Report, token: number): Order[] {
+  checkin(m: MachineRun, report: Heartbeat, token: number): TaskOrder[] {
     const now = this.books.clock.now;
     m.endpoint = report.endpoint;
     m.heardAt = now;
@@ -42,9 +42,9 @@
       m.provenAt = now;
     }
     if (report.noticeS !== null && m.noticeAt === 0) this.onNotice(m, report.noticeS);
-    const orders: Order[] = [];
-    const listed = new Map<string, TaskReport>();
-    for (const t of report.tasks) listed.set(pieceName(t.job, t.index), t);
+    const orders: TaskOrder[] = [];
+    const listed = new Map<string, TaskStatus>();
+    for (const t of report.tasks) listed.set(taskKey(t.job, t.index), t);
     for (const [piece, p] of [...m.placements]) {
       if (p.job.frozen) continue;
       const t = listed.get(piece);
@@ -87,9 +87,9 @@
 
   private starts(
     m: MachineRun,
-    report: Report,
-    listed: ReadonlyMap<string, TaskReport>,
-    orders: Order[],
+    report: Heartbeat,
+    listed: ReadonlyMap<string, TaskStatus>,
+    orders: TaskOrder[],
   ): void {
     if (m.noticeAt > 0) return;
     for (const [piece, p] of m.placements) {
@@ -113,11 +113,11 @@
   }
 
   /** What a machine is to be told now, in answer to the newest report of it that was taken in before. */
-  ordersNow(m: MachineRun, report: Report): Order[] {
-    const orders: Order[] = [];
-    const listed = new Map<string, TaskReport>();
+  ordersNow(m: MachineRun, report: Heartbeat): TaskOrder[] {
+    const orders: TaskOrder[] = [];
+    const listed = new Map<string, TaskStatus>();
     for (const t of report.tasks) {
-      const piece = pieceName(t.job, t.index);
+      const piece = taskKey(t.job, t.index);
       listed.set(piece, t);
       const p = m.placements.get(piece);
       if (p?.attempt === t.attempt && p.stop && t.phase !== 'exited')
@@ -135,11 +135,11 @@
     return true;
   }
 
-  private observe(m: MachineRun, p: Placement, t: TaskReport): void {
+  private observe(m: MachineRun, p: Placement, t: TaskStatus): void {
     const now = this.books.clock.now;
     if (t.phase !== 'exited') {
       p.phase = t.phase;
-      m.images.set(p.job.spec.image, fetchS(p.job.spec, m.type));
+      m.images.set(p.job.spec.image, imageFetchS(p.job.spec, m.type));
       if (t.phase === 'running' && p.ranAt === 0) p.ranAt = now;
       if (t.phase === 'waiting' && p.waitingAt === 0) p.waitingAt = now;
       return;
@@ -149,14 +149,14 @@
       m.failures.clear();
       this.books.gone(p, 'done', 'done');
     } else {
-      this.books.log('debug', 'task ended', { piece: pieceName(job.id, p.index), host: m.host, why: t.why });
+      this.books.log('debug', 'task ended', { piece: taskKey(job.id, p.index), host: m.host, why: t.why });
       if (t.why === 'error') this.onError(m, job);
       if (t.why === 'full' || t.why === 'busy')
         m.avoidUntil = now + this.books.settings.workers.report_s * 2000;
       if (t.why === 'unknown') job.notBefore = now + this.books.settings.workers.report_s * 1000;
       this.books.gone(p, t.why ?? 'exited');
     }
-    this.pendingForget.set(forgetKey(m.host, pieceName(job.id, p.index), p.attempt), {
+    this.pendingForget.set(forgetKey(m.host, taskKey(job.id, p.index), p.attempt), {
       chunk: p.chunk,
       version: p.chunk.version,
       job,
@@ -178,7 +178,7 @@
 
   private onNotice(m: MachineRun, noticeS: number): void {
     m.noticeAt = this.books.clock.now + noticeS * 1000;
-    this.books.hazard.taken();
+    this.books.hazard.recordInterruption();
     this.books.log('info', 'notice', { host: m.host, noticeS });
     for (const p of m.placements.values()) {
       const { spec } = p.job;
@@ -257,7 +257,7 @@
    */
   sendStops(out: Effect[]): void {
     if (this.books.unsentStops.size === 0) return;
-    const byMachine = new Map<MachineRun, Order[]>();
+    const byMachine = new Map<MachineRun, TaskOrder[]>();
     for (const p of this.books.unsentStops) {
       const m = this.books.machines.get(p.host);
       if (p.job.active.get(p.index) !== p || p.stop === null) {
@@ -276,7 +276,7 @@
   }
 }
 
-const stopOrder = ({ job, index, attempt }: Placement, graceS: number): Order => ({
+const stopOrder = ({ job, index, attempt }: Placement, graceS: number): TaskOrder => ({
   op: 'stop',
   job: job.id,
   index,
@@ -284,7 +284,7 @@
   graceS,
 });
 
-const straight = ({ host, endpoint, token, session }: MachineRun, orders: Order[]): Effect => ({
+const straight = ({ host, endpoint, token, session }: MachineRun, orders: TaskOrder[]): Effect => ({
   e: 'order',
   host,
   endpoint,
@@ -294,7 +294,7 @@
 });
 
 /** Whether a report is newer than what was seen up to this session and number. */
-export const later = (r: Report, [session, seq]: [number, number]): boolean =>
+export const later = (r: Heartbeat, [session, seq]: [number, number]): boolean =>
   r.session > session || (r.session === session && r.seq > seq);
 
 const forgetKey = (host: string, piece: string, attempt: number): string => `${host} ${piece} ${attempt}`;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -1,6 +1,13 @@
 import type { Settings } from '../config/settings.js';
-import type { Report } from '../model/report.js';
-import { helpAbove, helper, sendsAway, successor, wantsHelp, type Load } from '../policy/sharing.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import {
+  offloadAbove,
+  leastBusyHelper,
+  shouldRedirect,
+  handoverTarget,
+  needsOffload,
+  type ControllerLoad,
+} from '../policy/load-sharing.js';
 import { answerOut, redirectOut } from '../wire/worker.js';
 import type { MachineRun } from './shard-state/types.js';
 import { later } from './heartbeat-reconciler.js';
@@ -38,7 +45,7 @@
   private readonly redirected = new Map<string, number>();
   /** Reports handed on to their owner, by request, and when, ms. */
   private readonly relays = new Map<number, number>();
-  private load: Load = { busy: 0, connections: 0, machines: 0, shared: 0 };
+  private load: ControllerLoad = { utilization: 0, connections: 0, machines: 0, forwardedShare: 0 };
   /** Reports since the load was last measured, and how many of them came through others. */
   private count = 0;
   private relayedCount = 0;
@@ -65,7 +72,7 @@
   }
 
   get busy(): number {
-    return this.load.busy;
+    return this.load.utilization;
   }
 
   /** Others are asked to keep the workers that reach them. */
@@ -73,7 +80,7 @@
     return this.helped;
   }
 
-  checkin(rid: number, report: Report, from: string | null, out: Effect[]): void {
+  checkin(rid: number, report: Heartbeat, from: string | null, out: Effect[]): void {
     const answer = (status: number, body: object, retryAfterS?: number) =>
       void out.push({ e: 'answer', rid, status, body, retryAfterS });
     // Guards against acting on an old view: a cancellation seen by users could be missed here, and the
@@ -112,7 +119,7 @@
     if (before) this.release(before, out);
     const orders = this.dispatcher.checkins.checkin(run, report, custodian.token);
     // Where time or writes are short, starts come late as it is.
-    const calm = this.load.busy < helpAbove && !this.host.strained();
+    const calm = this.load.utilization < offloadAbove && !this.host.strained();
     const waits = newer && from === null && orders.length === 0 && calm;
     if (waits && this.holding.takes(run, report, custodian.token, rid)) return;
     answer(200, answerOut(custodian.token, orders));
@@ -140,13 +147,13 @@
   private elseTo(): string | null {
     const most = Math.max(1, this.dispatcher.machines.size * sentAwayShare);
     if (!this.helped || this.sentAway >= most) return null;
-    const to = helper(this.neighbours.helpers());
-    if (to === null || !sendsAway(this.load, this.limits.own, to.busy)) return null;
+    const to = leastBusyHelper(this.neighbours.helpers());
+    if (to === null || !shouldRedirect(this.load, this.limits.own, to.busy)) return null;
     this.sentAway++;
     return to.member;
   }
 
-  private elsewhere(rid: number, report: Report, m: Machine, from: string | null, out: Effect[]): void {
+  private elsewhere(rid: number, report: Heartbeat, m: Machine, from: string | null, out: Effect[]): void {
     const { now } = this.clock;
     const custodian = this.replica.custodian(m);
     const there =
@@ -175,10 +182,15 @@
   /** What the process has been doing lately. */
   measured(busy: number, connections: number): void {
     const shared = this.count > 0 ? this.relayedCount / this.count : 0;
-    this.load = { busy, connections, machines: this.dispatcher.machines.size, shared };
+    this.load = {
+      utilization: busy,
+      connections,
+      machines: this.dispatcher.machines.size,
+      forwardedShare: shared,
+    };
     this.count = this.relayedCount = 0;
     this.sentAway = 0;
-    const helped = this.dispatcher.owned.size > 0 && wantsHelp(this.helped, this.load, this.limits.own);
+    const helped = this.dispatcher.owned.size > 0 && needsOffload(this.helped, this.load, this.limits.own);
     if (helped === this.helped) return;
     this.helped = helped;
     this.log('info', helped ? 'others keep our workers' : 'our workers come back', { ...this.load });
@@ -205,7 +217,7 @@
     this.through = new Map();
     const settled = now - this.dispatcher.tookUpAt > this.settings.workers.lease_s * 1000 * settleLeases;
     if (this.dispatcher.owned.size === 0 || !settled || !this.host.fresh()) return;
-    const to = successor(standing, [...this.neighbours.helpers()]);
+    const to = handoverTarget(standing, [...this.neighbours.helpers()]);
     const run = to === null ? undefined : this.neighbours.runOf(to);
     if (to === null || run === undefined) return;
     const { direct, busy } = standing;
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -1,5 +1,5 @@
 import type { Settings } from '../config/settings.js';
-import type { Order, Report } from '../model/report.js';
+import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
 import type { MachineRun } from './shard-state/types.js';
 import type { Checkins } from './heartbeat-reconciler.js';
 import type { Clock } from './effects.js';
@@ -10,7 +10,7 @@
 interface Held {
   rid: number;
   m: MachineRun;
-  report: Report;
+  report: Heartbeat;
   token: number;
   since: number;
 }
@@ -19,7 +19,7 @@
 export interface Release {
   rid: number;
   token: number;
-  orders: Order[] | null;
+  orders: TaskOrder[] | null;
 }
 
 /**
@@ -37,10 +37,10 @@
   ) {}
 
   /** Whether the answer to a report that asks for none at once may wait. */
-  takes(m: MachineRun, report: Report, token: number, rid: number): boolean {
+  takes(m: MachineRun, report: Heartbeat, token: number, rid: number): boolean {
     // Agents are asked for a report when there is something to start. What is to end soon must not wait for its report.
     if (this.settings.pool || report.token !== token || report.noticeS !== null || m.condemned) return false;
-    if (m.record.standing !== 'use' || m.releasing) return false;
+    if (m.record.state !== 'use' || m.releasing) return false;
     const running = [...m.placements.values()].some((p) => p.sent !== null || !p.own);
     if (running ? !this.checkins.pending(m) : report.tasks.length > 0) return false;
     this.held.set(m.host, { rid, m, report, token, since: this.clock.now });
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -29,7 +29,7 @@
       // And against giving back, and being given again at once, what is kept for a gang that waits.
       if (m.placements.size === 0 && (!this.books.canPlace() || this.books.claims.held.has(m.host)))
         m.idleSince = now;
-      if (m.record.standing !== 'use' || m.releasing) continue;
+      if (m.record.state !== 'use' || m.releasing) continue;
       const { pool } = this.books.settings;
       // Guards against a hasty new owner: before it was heard, a machine may be up under the earlier one.
       const quietS = (now - m.takenAt) / 1000;
@@ -37,7 +37,7 @@
         !pool &&
         (m.heardAt > 0 ? silentS > w.lease_s + 2 * w.report_s : quietS > m.type.bootS * 4 + w.lease_s)
       ) {
-        if (m.record.spot && m.heardAt > 0 && m.noticeAt === 0) this.books.hazard.taken();
+        if (m.record.spot && m.heardAt > 0 && m.noticeAt === 0) this.books.hazard.recordInterruption();
         this.release(m, 'dead', m.heardAt > 0 ? 'silent' : 'never came up');
       } else if (m.condemned && m.placements.size === 0) this.release(m, 'dead', 'failing');
       else if (m.noticeAt > 0 && m.placements.size === 0) this.release(m, 'dead', 'notice');
@@ -78,7 +78,7 @@
             { key, stamp: this.books.replica.stamp(key) },
             { key: shardKey(m.record.shard), stamp: grant.stamp },
           ],
-          apply: [{ key, data: machineData({ ...m.record, shard, standing }) }],
+          apply: [{ key, data: machineData({ ...m.record, shard, state: standing }) }],
         };
       },
       ok: () => undefined,
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -475,7 +475,7 @@
     const block = origin && this.blocks.get(origin.block);
     if (block && this.stamp(machineKey(host)) === 0) {
       const { type, zone, spot, shard, since } = block;
-      this.machines.set(host, { host, type, zone, spot, shard, since, standing: 'use', stamp: origin.stamp });
+      this.machines.set(host, { host, type, zone, spot, shard, since, state: 'use', stamp: origin.stamp });
     }
     this.listener.machineChanged(host, this.machines.get(host));
   }
--- a/src/core/scheduling/arrays.ts
+++ b/src/core/scheduling/arrays.ts
@@ -1,6 +1,6 @@
 /** Placement of the tasks of arrays and services, one by one. */
-import { fits, timesFits } from '../../model/machine.js';
-import { zoneOpen } from '../../policy/guardrails.js';
+import { fits, fitCount } from '../../model/machine.js';
+import { zoneAllows } from '../../policy/guardrails.js';
 import { suspect } from '../failures.js';
 import { nextWaiting, waitingCount } from '../shard-state/jobs.js';
 import { roomOf } from '../shard-state/machines.js';
@@ -12,7 +12,7 @@
 export function placeEach(job: JobRun, round: ShardRound, withImage = false): void {
   const { spec } = job;
   const { books, openings } = round;
-  let left = Math.min(waitingCount(job), timesFits(spec, books.teamRoom(spec)));
+  let left = Math.min(waitingCount(job), fitCount(spec, books.teamRoom(spec)));
   // A job that only ever failed is tried one task at a time.
   left = Math.min(left, round.lifted.get(job) ?? Infinity);
   if (suspect(job)) left = Math.min(left, job.active.size === 0 ? 1 : 0);
@@ -22,8 +22,8 @@
   const crowd = mayCrowd(round, job);
   const machines = withImage ? eligible(job, round, true) : candidates(job, round);
   for (const m of machines) {
-    let n = Math.min(left - at.length, timesFits(spec, openRoom(round, job, roomOf(books, m), crowd)));
-    for (; n > 0 && zoneOpen(spec, m.zone, taken); n--) {
+    let n = Math.min(left - at.length, fitCount(spec, openRoom(round, job, roomOf(books, m), crowd)));
+    for (; n > 0 && zoneAllows(spec, m.zone, taken); n--) {
       const index = nextWaiting(job);
       if (index < 0) break;
       at.push({ index, host: m.host });
@@ -45,9 +45,9 @@
 function placeLeftOver(job: JobRun, round: ShardRound): void {
   const { spec } = job;
   const { books, openings } = round;
-  if (timesFits(spec, books.teamRoom(spec, true)) < 1) return;
+  if (fitCount(spec, books.teamRoom(spec, true)) < 1) return;
   for (const m of leftOver(job, round)) {
-    if (!fits(spec, roomOf(books, m)) || !zoneOpen(spec, m.zone, job.zones)) continue;
+    if (!fits(spec, roomOf(books, m)) || !zoneAllows(spec, m.zone, job.zones)) continue;
     const index = nextWaiting(job);
     if (index < 0) return;
     books.log('info', 'room left over', { job: job.id, host: m.host });
--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -1,9 +1,9 @@
 /** One placement round: in which order work is placed. */
 import { urgencyRank } from '../../model/job.js';
-import { withinGuarantee } from '../../policy/admission.js';
-import { promptGuarantee } from '../../policy/deadlines.js';
-import { gpuShare } from '../../policy/gpus.js';
-import { inOrder, pressingS } from '../../policy/order.js';
+import { jobsWithinGuarantee } from '../../policy/admission.js';
+import { hasGuaranteeStartObjective } from '../../policy/deadlines.js';
+import { gpuReserveFor } from '../../policy/gpu-sharing.js';
+import { inPlacementOrder, criticalSlackS } from '../../policy/order.js';
 import { suspect } from '../failures.js';
 import type { Books } from '../shard-state/shard-state.js';
 import { waitingCount } from '../shard-state/jobs.js';
@@ -28,16 +28,16 @@
  * change; each is looked at anew when its turn comes.
  */
 export function* placeRound(books: Books): Generator<number, void> {
-  const entitled = withinGuarantee(books.jobs.values(), books.settings);
-  const waiting = inOrder(
+  const entitled = jobsWithinGuarantee(books.jobs.values(), books.settings);
+  const waiting = inPlacementOrder(
     [...books.jobs.values()].filter((j) => placeable(books, j)),
     books.settings.objectives,
     books.clock.wall,
-    pressingS(books.settings),
-    promptGuarantee(books.settings.objectives) ? entitled : new Set(),
+    criticalSlackS(books.settings),
+    hasGuaranteeStartObjective(books.settings.objectives) ? entitled : new Set(),
   );
   // Guards against a job with a mistake that has room kept for as long as it is tried.
-  const keep = gpuShare(waiting.filter((j) => !suspect(j)));
+  const keep = gpuReserveFor(waiting.filter((j) => !suspect(j)));
   const least = { cpus: Infinity, gpus: 0, memGb: Infinity };
   for (const { spec } of waiting) {
     least.cpus = Math.min(least.cpus, spec.cpus);
--- a/src/core/scheduling/feasibility.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -1,12 +1,12 @@
 /** Which machines a job may go to in a round, and how much of each. */
 import { isPremium, urgencyRank, type JobSpec } from '../../model/job.js';
-import type { Fits, MachineType } from '../../model/machine.js';
+import type { Resources, MachineType } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
-import { isLimitless, limitsOf, slackS } from '../../policy/deadlines.js';
-import { gpuMachineOpen, keptRoom } from '../../policy/gpus.js';
-import { score } from '../../policy/helios.js';
-import { anchorPrice, candidate, fetchS, weights } from '../../policy/pricing.js';
-import type { Match } from '../../policy/matching.js';
+import { hasNoTimeLimits, timeLimitsOf, slackS } from '../../policy/deadlines.js';
+import { mayShareGpuMachine, roomOutsideGpuReserve } from '../../policy/gpu-sharing.js';
+import { placementScore } from '../../policy/helios.js';
+import { anchorPrice, machineCandidate, imageFetchS, scoreWeights } from '../../policy/pricing.js';
+import type { MachineMatch } from '../../policy/matching.js';
 import type { Books } from '../shard-state/shard-state.js';
 import { usable } from '../shard-state/machines.js';
 import type { JobRun, MachineRun } from '../shard-state/types.js';
@@ -28,18 +28,18 @@
   const { books } = round;
   if (!isPremium(spec)) return false;
   if (![...round.types].some((t) => t.gpus <= 0 && typeAllowed(spec, t))) return true;
-  const limits = limitsOf(spec, books.settings.objectives);
+  const limits = timeLimitsOf(spec, books.settings.objectives);
   let reach = Infinity;
   for (const t of books.replica.types)
-    if (t.gpus <= 0 && typeAllowed(spec, t)) reach = Math.min(reach, t.bootS + fetchS(spec, t));
+    if (t.gpus <= 0 && typeAllowed(spec, t)) reach = Math.min(reach, t.bootS + imageFetchS(spec, t));
   const slack = slackS(limits, (books.clock.wall - job.at) / 1000, spec.estimateS);
   // Guards against urgent work that is late already being worse off than what may yet be.
-  return slack < reach || (!isLimitless(limits) && !Number.isFinite(slack));
+  return slack < reach || (!hasNoTimeLimits(limits) && !Number.isFinite(slack));
 }
 
 /** What a job may take of a machine's room: not what GPU work needs, unless it may crowd or its floor is owed to it. */
-export const openRoom = (round: ShardRound, job: JobRun, room: Fits, crowd: boolean): Fits =>
-  round.lifted.has(job) ? room : keptRoom(job.spec, room, round.keep, crowd);
+export const openRoom = (round: ShardRound, job: JobRun, room: Resources, crowd: boolean): Resources =>
+  round.lifted.has(job) ? room : roomOutsideGpuReserve(job.spec, room, round.keep, crowd);
 
 /** Whether a gang may have a machine of this type emptied for it. */
 export const mayEmpty = (round: ShardRound, job: JobRun, type: MachineType): boolean =>
@@ -57,7 +57,7 @@
   (floor || (books.withheld.get(m.host) ?? 0) <= urgencyRank[job.spec.urgency]) &&
   (job.anywhere || !job.errors.has(m.host)) &&
   matches(job, m) &&
-  gpuMachineOpen(job.spec, m.type, m.used.gpus, books.replica.types);
+  mayShareGpuMachine(job.spec, m.type, m.used.gpus, books.replica.types);
 
 /** The policy's score of a kind of machine for a job, before tie-breaks between single machines. */
 function kindScore(
@@ -66,11 +66,16 @@
 ): (type: MachineType, spot: boolean, image: boolean) => number {
   const anchor = anchorPrice(spec, books.replica.types, () => true);
   const hazard = books.hazard.perStep(books.operators['hazard-step-s']);
-  const w = weights(books.operators);
+  const w = scoreWeights(books.operators);
   const work = { premium: isPremium(spec), cpus: spec.cpus };
   return (type, spot, image) =>
     // A leased machine is there already, also when it stands idle: only one to be rented is fresh.
-    score(work, candidate(type, spot, hazard, false, 0, image ? 0 : fetchS(spec, type)), anchor, w);
+    placementScore(
+      work,
+      machineCandidate(type, spot, hazard, false, 0, image ? 0 : imageFetchS(spec, type)),
+      anchor,
+      w,
+    );
 }
 
 /** Machines of the job's shard that may take its tasks and have room for any waiting task, best first. */
@@ -86,7 +91,7 @@
     (m) => usable(books, m) && openTo(books, job, m, lifted.has(job)),
     withImage,
   );
-  return job.match?.ranks ? byRank(job, job.match, score, all) : all;
+  return job.match?.hasRank ? byRank(job, job.match, score, all) : all;
 }
 
 /** Scores that differ by no more than this are alike: they were worked out by different ways of rounding. */
@@ -98,7 +103,7 @@
  */
 function* byRank(
   job: JobRun,
-  match: Match,
+  match: MachineMatch,
   score: ReturnType<typeof kindScore>,
   machines: Iterable<MachineRun>,
 ): Generator<MachineRun> {
--- a/src/core/scheduling/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -1,10 +1,10 @@
 /** Placement of gangs, and what is kept or withheld for those that find no room. */
 import { urgencyRank } from '../../model/job.js';
-import { timesFits, type Fits } from '../../model/machine.js';
+import { fitCount, type Resources } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
-import { limitsOf, slackS } from '../../policy/deadlines.js';
-import { spotAllowed, zoneOpen } from '../../policy/guardrails.js';
-import { pressingS } from '../../policy/order.js';
+import { timeLimitsOf, slackS } from '../../policy/deadlines.js';
+import { spotAllowed, zoneAllows } from '../../policy/guardrails.js';
+import { criticalSlackS } from '../../policy/order.js';
 import { suspect } from '../failures.js';
 import type { Books } from '../shard-state/shard-state.js';
 import { nextGangAttempt, nextWaiting, waitingCount } from '../shard-state/jobs.js';
@@ -16,7 +16,7 @@
 
 /** False: the gang waits for something else than room. */
 export const gangMayWait = (books: Books, job: JobRun): boolean =>
-  job.active.size === 0 && timesFits(job.spec, books.teamRoom(job.spec)) >= waitingCount(job);
+  job.active.size === 0 && fitCount(job.spec, books.teamRoom(job.spec)) >= waitingCount(job);
 
 /** A gang is placed whole in one round or not at all. False: it found no room. */
 export function placeGang(job: JobRun, round: ShardRound): boolean {
@@ -44,7 +44,7 @@
 /** A gang that has waited for long, on machines whose room nobody has taken for long. */
 function placeLeftOver(job: JobRun, round: ShardRound): boolean {
   const { books } = round;
-  if (timesFits(job.spec, books.teamRoom(job.spec, true)) < waitingCount(job)) return false;
+  if (fitCount(job.spec, books.teamRoom(job.spec, true)) < waitingCount(job)) return false;
   const { hosts } = gather(job, leftOver(job, round), (m) => roomOf(books, m));
   if (hosts === null) return false;
   books.log('info', 'room left over', { job: job.id, hosts });
@@ -67,7 +67,7 @@
 function gather(
   job: JobRun,
   machines: Iterable<MachineRun>,
-  room: (m: MachineRun) => Fits,
+  room: (m: MachineRun) => Resources,
 ): { hosts: string[] | null; zoneMost: number; total: number } {
   const { spec } = job;
   const need = waitingCount(job);
@@ -82,7 +82,7 @@
   });
   for (const m of machines) {
     const zone = spec.oneZone ? m.zone : null;
-    const times = timesFits(spec, room(m));
+    const times = fitCount(spec, room(m));
     if (times === 0) continue;
     total += times;
     most.set(m.zone, (most.get(m.zone) ?? 0) + times);
@@ -92,7 +92,7 @@
     }
     const mine = hosts.get(zone)!;
     const zones = taken.get(zone)!;
-    for (let i = 0; i < times && mine.length < need && zoneOpen(spec, m.zone, zones); i++) {
+    for (let i = 0; i < times && mine.length < need && zoneAllows(spec, m.zone, zones); i++) {
       mine.push(m.host);
       zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
     }
@@ -114,7 +114,7 @@
   const { spec } = job;
   const { books } = round;
   let held = 0;
-  for (const m of round.claimed.get(job.id) ?? []) held += timesFits(spec, m.type);
+  for (const m of round.claimed.get(job.id) ?? []) held += fitCount(spec, m.type);
   const need = waitingCount(job) - held;
   if (need <= 0) return;
   const there = round.claimed.get(job.id)?.[0]?.zone ?? null;
@@ -145,7 +145,7 @@
     let z = byZone.get(zone);
     if (!z) byZone.set(zone, (z = { machines: [], slots: 0 }));
     z.machines.push(m);
-    z.slots += timesFits(spec, m.type);
+    z.slots += fitCount(spec, m.type);
     // Soonest first: the zone that is complete first will have run empty first.
     if (z.slots >= need) return z.machines;
   }
@@ -157,8 +157,8 @@
 
 /** Whether a gang is short of time, or late. */
 function hurried({ spec, at }: JobRun, { settings, clock }: Books): boolean {
-  const slack = slackS(limitsOf(spec, settings.objectives), (clock.wall - at) / 1000, spec.estimateS);
-  return !Number.isFinite(slack) || slack <= hurryShare * pressingS(settings);
+  const slack = slackS(timeLimitsOf(spec, settings.objectives), (clock.wall - at) / 1000, spec.estimateS);
+  return !Number.isFinite(slack) || slack <= hurryShare * criticalSlackS(settings);
 }
 
 /**
@@ -176,7 +176,7 @@
     if (round.withheld.has(m.host)) continue;
     if (m.type.gpus > 0 && spec.gpus <= 0 && (gpus -= 2) < 0) continue;
     round.withheld.set(m.host, urgencyRank[spec.urgency]);
-    left -= timesFits(spec, m.type);
+    left -= fitCount(spec, m.type);
   }
 }
 
@@ -195,7 +195,7 @@
   if (owed?.urgency !== rank) {
     let slots = -(books.activeBy.get(rank) ?? 0);
     for (const m of books.machines.values())
-      if (typeAllowed(spec, m.type) && (!m.spot || spotAllowed(spec))) slots += timesFits(spec, m.type);
+      if (typeAllowed(spec, m.type) && (!m.spot || spotAllowed(spec))) slots += fitCount(spec, m.type);
     round.owed.set(spec.team, (owed = { urgency: rank, cpus: 0, gpus: 0, slots }));
   }
   const tasks = Math.max(0, Math.min(waitingCount(job), owed.slots));
--- a/src/core/scheduling/shard.ts
+++ b/src/core/scheduling/shard.ts
@@ -1,7 +1,7 @@
 /** What a shard offers in a placement round. */
 import type { JobSpec } from '../../model/job.js';
-import { fits, type Fits, type MachineType } from '../../model/machine.js';
-import type { GpuShare } from '../../policy/gpus.js';
+import { fits, type Resources, type MachineType } from '../../model/machine.js';
+import type { GpuReserve } from '../../policy/gpu-sharing.js';
 import type { Books, Owed } from '../shard-state/shard-state.js';
 import { roomOf, usable } from '../shard-state/machines.js';
 import { Openings } from '../capacity-index.js';
@@ -16,9 +16,9 @@
   /** Jobs whose team and class had less than their floor: what is kept for others is open to them. */
   lifted: ReadonlyMap<JobRun, number>;
   /** What waiting GPU work needs beside each GPU. */
-  keep: GpuShare | null;
+  keep: GpuReserve | null;
   /** The least that any waiting task takes. */
-  least: Fits;
+  least: Resources;
 }
 
 /** What a round keeps for each shard. */
@@ -37,7 +37,7 @@
   /** What of their teams' limits is kept for them, by team. */
   owed: Map<string, Owed>;
   /** Room being made that a job of this round is counting on, by host. */
-  promised: Map<string, Fits>;
+  promised: Map<string, Resources>;
 }
 
 export function openShard(round: Round, shard: number): ShardRound {
@@ -103,7 +103,7 @@
   round.claimed.set(job.id, [...(round.claimed.get(job.id) ?? []), ...machines]);
 }
 
-export function add(room: Fits, what: Fits, n: number): void {
+export function add(room: Resources, what: Resources, n: number): void {
   room.cpus += n * what.cpus;
   room.gpus += n * what.gpus;
   room.memGb += n * what.memGb;
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -1,9 +1,9 @@
 import { isPremium } from '../../model/job.js';
 import { fits } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
-import { mayMove, moveBudget } from '../../policy/guardrails.js';
-import { moveUrgency } from '../../policy/helios.js';
-import { anchorPrice, candidate, weights } from '../../policy/pricing.js';
+import { residentLongEnough, migrationBudget } from '../../policy/guardrails.js';
+import { migrationUrgency } from '../../policy/helios.js';
+import { anchorPrice, machineCandidate, scoreWeights } from '../../policy/pricing.js';
 import type { Books } from '../shard-state/shard-state.js';
 import { roomOf, usable } from '../shard-state/machines.js';
 import type { JobRun } from '../shard-state/types.js';
@@ -16,25 +16,25 @@
  */
 export function moveOff(books: Books, movedAt: number): number {
   const now = books.clock.now;
-  const w = weights(books.operators);
+  const w = scoreWeights(books.operators);
   const hazard = books.hazard.perStep(books.operators['hazard-step-s']);
   if (now - movedAt < books.operators['move-window-s'] * 1000) return movedAt;
   let last = movedAt;
   let tasks = 0;
   for (const m of books.machines.values()) tasks += m.placements.size;
-  let budget = moveBudget(books.operators['move-share'], tasks);
+  let budget = migrationBudget(books.operators['move-share'], tasks);
   for (const m of books.machines.values()) {
     if (budget <= 0) break;
     if (!m.record.spot || m.placements.size === 0) continue;
-    const c = candidate(m.type, true, hazard, false, 0, 0);
+    const c = machineCandidate(m.type, true, hazard, false, 0, 0);
     for (const p of m.placements.values()) {
       if (budget <= 0) break;
       const { spec } = p.job;
       if (p.phase !== 'running' || p.stop || p.job.frozen || spec.checkpointS <= 0 || isPremium(spec))
         continue;
-      if (!mayMove((now - p.ranAt) / 1000, books.operators['residency-s'])) continue;
+      if (!residentLongEnough((now - p.ranAt) / 1000, books.operators['residency-s'])) continue;
       if (
-        moveUrgency(
+        migrationUrgency(
           c,
           anchorPrice(spec, books.replica.types, () => true),
           w,
--- a/src/core/scheduling/victims.ts
+++ b/src/core/scheduling/victims.ts
@@ -1,5 +1,5 @@
 import { urgencyRank } from '../../model/job.js';
-import { promptGuarantee } from '../../policy/deadlines.js';
+import { hasGuaranteeStartObjective } from '../../policy/deadlines.js';
 import type { Books } from '../shard-state/shard-state.js';
 import type { JobRun, MachineRun, Placement } from '../shard-state/types.js';
 import type { Round } from './shard.js';
@@ -27,7 +27,7 @@
  * are to start; elsewhere its limits decide, like anybody's: stopping others early loses their work.
  */
 export const demandsNow = (round: Round, job: JobRun): boolean =>
-  round.entitled.has(job) && promptGuarantee(round.books.settings.objectives);
+  round.entitled.has(job) && hasGuaranteeStartObjective(round.books.settings.objectives);
 
 /** What is lost by stopping a task, in CPU-seconds: what it saves is not lost, but `againS` to get going again. */
 export function loss(books: Books, p: Placement, againS: number): number {
--- a/src/core/scheduling/voluntary-preemption.ts
+++ b/src/core/scheduling/voluntary-preemption.ts
@@ -1,8 +1,8 @@
 import { urgencyRank } from '../../model/job.js';
-import { fits, timesFits } from '../../model/machine.js';
+import { fits, fitCount } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
-import { isLimitless, limitsOf } from '../../policy/deadlines.js';
-import { keptRoom } from '../../policy/gpus.js';
+import { hasNoTimeLimits, timeLimitsOf } from '../../policy/deadlines.js';
+import { roomOutsideGpuReserve } from '../../policy/gpu-sharing.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import { waitingCount } from '../shard-state/jobs.js';
 import { roomOf } from '../shard-state/machines.js';
@@ -21,7 +21,7 @@
   return (
     urgencyRank[spec.urgency] < urgencyRank[job.spec.urgency] &&
     spec.checkpointS > 0 &&
-    isLimitless(limitsOf(spec, books.settings.objectives))
+    hasNoTimeLimits(timeLimitsOf(spec, books.settings.objectives))
   );
 }
 
@@ -37,7 +37,7 @@
   const entitled = demandsNow(round, job);
   if (!entitled && ![...books.activeBy].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency]))
     return false;
-  let need = Math.min(waitingCount(job), timesFits(spec, books.teamRoom(spec)));
+  let need = Math.min(waitingCount(job), fitCount(spec, books.teamRoom(spec)));
   const crowd = mayCrowd(round, job);
   const plans: Plan[] = [];
   for (const m of round.all) {
@@ -49,7 +49,7 @@
     const room = roomOf(books, m);
     if (promised) add(room, promised, -1);
     for (const p of m.placements.values()) if (p.stop !== null) add(room, p.job.spec, 1);
-    const n = Math.min(need, timesFits(spec, keptRoom(spec, room, round.keep, crowd)));
+    const n = Math.min(need, fitCount(spec, roomOutsideGpuReserve(spec, room, round.keep, crowd)));
     if (n > 0) {
       promise(round, m, spec, n);
       add(room, spec, -n);
@@ -62,7 +62,7 @@
       add(room, p.job.spec, 1);
       plan.victims.push(p);
       plan.lost += loss(books, p, 0);
-      if (!fits(spec, keptRoom(spec, room, round.keep, crowd))) continue;
+      if (!fits(spec, roomOutsideGpuReserve(spec, room, round.keep, crowd))) continue;
       add(room, spec, -1);
       plans.push(plan);
       plan = { m, victims: [], lost: 0 };
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -1,7 +1,7 @@
 /** A machine as it is scheduled, and what is free on it. */
 import type { Operators } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
-import type { Fits, MachineType } from '../../model/machine.js';
+import type { Resources, MachineType } from '../../model/machine.js';
 import type { Clock } from '../effects.js';
 import type { Machine } from '../replica.js';
 import type { MachineRun } from './types.js';
@@ -34,7 +34,7 @@
   failures: new Map(),
   images: new Map(),
   takenAt: now,
-  condemned: record.standing === 'dead',
+  condemned: record.state === 'dead',
   releasing: false,
 });
 
@@ -47,7 +47,7 @@
 /** Whether a machine may take tasks at all now. */
 export function usable({ settings, clock: { now } }: Setting, m: MachineRun): boolean {
   return (
-    m.record.standing === 'use' &&
+    m.record.state === 'use' &&
     !m.condemned &&
     !m.releasing &&
     m.provenAt !== 0 &&
@@ -57,7 +57,7 @@
   );
 }
 
-export const roomOf = ({ operators }: Setting, m: MachineRun): Fits => ({
+export const roomOf = ({ operators }: Setting, m: MachineRun): Resources => ({
   cpus: m.type.cpus * (1 - operators.headroom) - m.used.cpus,
   gpus: m.type.gpus - m.used.gpus,
   memGb: m.type.memGb - m.used.memGb,
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -2,13 +2,13 @@
 import { Floors } from '../../admission/index.js';
 import type { Operators } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
-import { pieceName, urgencyRank, type JobSpec } from '../../model/job.js';
-import { fits, type Fits } from '../../model/machine.js';
+import { taskKey, urgencyRank, type JobSpec } from '../../model/job.js';
+import { fits, type Resources } from '../../model/machine.js';
 import type { Matcher } from '../../policy/matching.js';
-import { teamCap } from '../../policy/admission.js';
-import { zoneOpen } from '../../policy/guardrails.js';
-import { HazardEstimate } from '../../policy/hazard.js';
-import { fetchS } from '../../policy/pricing.js';
+import { teamQuota } from '../../policy/admission.js';
+import { zoneAllows } from '../../policy/guardrails.js';
+import { SpotHazardEstimate } from '../../policy/hazard.js';
+import { imageFetchS } from '../../policy/pricing.js';
 import { type Committer, type JobRecord, type Placed, TaskWriter } from '../storage/index.js';
 import type { Clock, Log } from '../effects.js';
 import type { Machine, Replica } from '../replica.js';
@@ -36,14 +36,14 @@
 /** Of the tasks that one record may hold: jobs of so many keep them in their own, beside the description. */
 const wholeShare = 1 / 8;
 
-const nothing: Fits = { cpus: 0, gpus: 0, memGb: 0 };
+const nothing: Resources = { cpus: 0, gpus: 0, memGb: 0 };
 
 /** The jobs and machines of the shards of this process: what is placed where, what is durable, what waits. */
 export class Books {
   readonly jobs = new Map<string, JobRun>();
   readonly machines = new Map<string, MachineRun>();
   readonly owned = new Set<number>();
-  readonly teamUse = new Map<string, Fits>();
+  readonly teamUse = new Map<string, Resources>();
   /** How many placements there are of each urgency's rank. */
   readonly activeBy = new Map<number, number>();
   /** Placements to be stopped whose workers have not been told straight away yet. */
@@ -60,7 +60,7 @@
   /** What teams' gangs that found no room in the last round will take of their teams' limits, by team. */
   owed: ReadonlyMap<string, Owed> = new Map();
   readonly claims: Claims;
-  readonly hazard: HazardEstimate;
+  readonly hazard: SpotHazardEstimate;
   readonly writer: TaskWriter;
   /** Placements on machines that are not there (yet), by host. */
   private readonly homeless = new Map<string, Placement[]>();
@@ -101,7 +101,7 @@
       operators['floor-share'],
     );
     this.claims = new Claims(clock, settings.workers.lease_s);
-    this.hazard = new HazardEstimate(operators['hazard-prior']);
+    this.hazard = new SpotHazardEstimate(operators['hazard-prior']);
     const wholeTasks = Math.max(1, Math.floor(this.chunkTasks * wholeShare));
     const mostAgeMs = settings.workers.lease_s * 1000 * operators['task-log-leases'];
     const taskLog = { wanted: operators['task-log'] > 0, mostAgeMs };
@@ -180,7 +180,7 @@
     const shard = this.replica.shardOf(spec.team);
     if (!this.owned.has(shard)) return;
     const job = newJob(record, spec, shard, stored, this.chunkTasks, this.replica.attemptBase);
-    job.match = this.matcher?.of(spec) ?? null;
+    job.match = this.matcher?.matchFor(spec) ?? null;
     this.jobs.set(job.id, job);
     for (const [n, c] of stored ?? [])
       for (const p of c.placed) {
@@ -220,7 +220,7 @@
     const job = this.jobs.get(id);
     if (!job) return;
     for (const p of job.active.values()) {
-      this.machines.get(p.host)?.placements.delete(pieceName(job.id, p.index));
+      this.machines.get(p.host)?.placements.delete(taskKey(job.id, p.index));
       this.use(p, -1);
     }
     this.jobs.delete(id);
@@ -272,7 +272,7 @@
       if (m) {
         m.record = now;
         m.releasing = false;
-        if (now.standing === 'dead') m.condemned = true;
+        if (now.state === 'dead') m.condemned = true;
       } else this.takeMachine(now);
       return;
     }
@@ -303,7 +303,7 @@
     };
     job.active.set(p.index, placement);
     const m = this.machines.get(p.host);
-    if (m) m.placements.set(pieceName(job.id, p.index), placement);
+    if (m) m.placements.set(taskKey(job.id, p.index), placement);
     else this.homeless.set(p.host, [...(this.homeless.get(p.host) ?? []), placement]);
     this.use(placement, 1);
     return placement;
@@ -327,8 +327,8 @@
   }
 
   /** What work of a team may still take: its limit goes to its most urgent work first, unless the whole of it is asked for. */
-  teamRoom({ team, urgency }: Pick<JobSpec, 'team' | 'urgency'>, whole = false): Fits {
-    const cap = teamCap(this.settings, team);
+  teamRoom({ team, urgency }: Pick<JobSpec, 'team' | 'urgency'>, whole = false): Resources {
+    const cap = teamQuota(this.settings, team);
     const use = this.teamUse.get(team);
     const owed = this.owed.get(team);
     const first = !whole && owed && owed.urgency > urgencyRank[urgency] ? owed : { cpus: 0, gpus: 0 };
@@ -345,7 +345,7 @@
    */
   stillFits({ job: { spec, zones }, zone }: Placement): boolean {
     if (zone === null || !fits(nothing, this.teamRoom(spec, true))) return false;
-    return zoneOpen(spec, zone, new Map(zones).set(zone, (zones.get(zone) ?? 1) - 1));
+    return zoneAllows(spec, zone, new Map(zones).set(zone, (zones.get(zone) ?? 1) - 1));
   }
 
   /** Places tasks of one job together; they start once all of it is durable. */
@@ -355,7 +355,7 @@
     for (const c of chunks) c.placed = ++c.version;
     for (const a of at) {
       if (job.active.has(a.index)) {
-        this.log('error', 'placed already', { piece: pieceName(job.id, a.index) });
+        this.log('error', 'placed already', { piece: taskKey(job.id, a.index) });
         continue;
       }
       const chunk = chunkOf(job, a.index);
@@ -365,7 +365,7 @@
       if (this.settings.pool) this.unsentStarts.add(placement);
       // On its way: tasks that come later share the fetch.
       const m = this.machines.get(a.host);
-      if (m) m.images.set(job.spec.image, fetchS(job.spec, m.type));
+      if (m) m.images.set(job.spec.image, imageFetchS(job.spec, m.type));
     }
     for (const c of chunks) this.writer.queue(job, c);
     if (waitingCount(job) === 0) job.mending = null;
@@ -380,12 +380,12 @@
     if (job.active.get(p.index) !== p) return;
     job.active.delete(p.index);
     if (job.active.size === 0) job.waitsFrom = this.clock.wall;
-    this.machines.get(p.host)?.placements.delete(pieceName(job.id, p.index));
+    this.machines.get(p.host)?.placements.delete(taskKey(job.id, p.index));
     this.use(p, -1);
     chunk.version++;
     this.writer.noteEnd(job, chunk);
     this.log('debug', 'task gone', {
-      piece: pieceName(job.id, p.index),
+      piece: taskKey(job.id, p.index),
       attempt: p.attempt,
       host: p.host,
       why,
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -1,8 +1,8 @@
 /** The forms of jobs, chunks of their tasks, placements and machines while they are scheduled. */
 import type { JobSpec } from '../../model/job.js';
-import type { Fits, MachineType } from '../../model/machine.js';
-import type { Match } from '../../policy/matching.js';
-import type { TaskPhase } from '../../model/report.js';
+import type { Resources, MachineType } from '../../model/machine.js';
+import type { MachineMatch } from '../../policy/matching.js';
+import type { TaskPhase } from '../../model/heartbeat.js';
 import type { Bits, Rank } from '../storage/index.js';
 import type { Machine } from '../replica.js';
 
@@ -85,7 +85,7 @@
   /** Since when all of it waits, if it does: time of day, ms. */
   waitsFrom: number;
   /** What it asks of machines beyond type and place; null: nothing. */
-  match: Match | null;
+  match: MachineMatch | null;
 }
 
 export interface MachineRun {
@@ -94,7 +94,7 @@
   type: MachineType;
   zone: string;
   spot: boolean;
-  used: Fits;
+  used: Resources;
   placements: Map<string, Placement>;
   endpoint: string;
   session: number;
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -192,7 +192,7 @@
   y: m.zone,
   l: m.spot,
   s: m.shard,
-  st: m.standing,
+  st: m.state,
   at: m.since,
 });
 
@@ -202,10 +202,10 @@
     y: string;
     l: boolean;
     s: number;
-    st: MachineRecord['standing'];
+    st: MachineRecord['state'];
     at: number;
   };
-  return { host, type: d.f, zone: d.y, spot: d.l, shard: d.s, standing: d.st, since: d.at };
+  return { host, type: d.f, zone: d.y, spot: d.l, shard: d.s, state: d.st, since: d.at };
 }
 
 /** A rental's machines: one write for all of them. Those that stand otherwise have a record of their own. */
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -1,5 +1,5 @@
 /** What operators are told of the fleet and of what waits, in the log. */
-import { timesFits } from '../model/machine.js';
+import { fitCount } from '../model/machine.js';
 import { suspect } from './failures.js';
 import type { Books } from './shard-state/shard-state.js';
 import { waitingCount } from './shard-state/jobs.js';
@@ -96,6 +96,6 @@
   if (job.breaking) return 'its attempt being taken down';
   if (job.notBefore > books.clock.now) return suspect(job) ? 'fails everywhere' : 'pause';
   const all = job.spec.shape === 'gang' ? waitingCount(job) : 1;
-  if (timesFits(job.spec, books.teamRoom(job.spec)) < all) return 'team limit';
+  if (fitCount(job.spec, books.teamRoom(job.spec)) < all) return 'team limit';
   return 'machine';
 }
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -12,7 +12,7 @@
   type Turned,
 } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
-import { admissible } from '../policy/admission.js';
+import { rejectionReason } from '../policy/admission.js';
 import { urgencyRank, type JobSpec } from '../model/job.js';
 import type { Random } from '../retry/index.js';
 import { isJobId, jobStatus } from '../wire/user.js';
@@ -124,7 +124,7 @@
     if (this.replica.levels.standsBy || this.replica.isSealedJob(spec.id)) return this.later(rid, out);
     if (this.replica.jobs.has(spec.id)) return this.query(rid, spec.id, out);
     if (this.unsure(spec.id)) return this.later(rid, out);
-    const bad = admissible(spec, this.replica.types, this.settings);
+    const bad = rejectionReason(spec, this.replica.types, this.settings);
     // A job that was accepted must never get 422, so look once more whether it is known.
     if (bad !== null) return this.wait(rid, spec.id, { status: 422, body: { error: bad } }, out);
     const pending = this.submits.get(spec.id);
--- a/src/matching/machine-ad.ts
+++ b/src/matching/machine-ad.ts
@@ -1,16 +1,16 @@
 import { Ad, literal, type Value } from '../classad/index.js';
-import type { Attributes } from '../policy/matching.js';
+import type { MachineAttributes } from '../policy/matching.js';
 import type { Joining } from '../wire/agent-side.js';
 
 const valueOf = (v: string | number | boolean): Value =>
   typeof v === 'number' && Number.isInteger(v) ? BigInt(v) : v;
 
 /** A machine as jobs' expressions see it. */
-export const machineAd = (attributes: Attributes): Ad =>
+export const machineAd = (attributes: MachineAttributes): Ad =>
   new Ad(Object.entries(attributes).map(([name, v]) => ({ name, expr: literal(valueOf(v)) })));
 
 /** What is said of an agent's machine: its own attributes, and above them what is known anyway. */
-export const attributesOf = (m: Omit<Joining, 'id'> & { host: string }): Attributes => ({
+export const attributesOf = (m: Omit<Joining, 'id'> & { host: string }): MachineAttributes => ({
   ...m.attrs,
   Name: m.name,
   Machine: m.host,
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -13,7 +13,7 @@
   type Value,
 } from '../classad/index.js';
 import type { JobSpec, MatchSpec } from '../model/job.js';
-import type { Attributes, Match, Matcher } from '../policy/matching.js';
+import type { MachineAttributes, MachineMatch, Matcher } from '../policy/matching.js';
 import { clauses, type Analysis } from './clauses.js';
 import { machineAd } from './machine-ad.js';
 
@@ -76,7 +76,7 @@
   /** Evaluations so far: what matching costs. */
   evaluations = 0;
 
-  set(host: string, attributes: Attributes | null): void {
+  setAttributes(host: string, attributes: MachineAttributes | null): void {
     if (attributes === null) {
       this.machines.delete(host);
       for (const v of this.views.values()) v.kinds.delete(host);
@@ -85,11 +85,11 @@
     this.machines.set(host, { ad: machineAd(attributes), version: ++this.versions });
   }
 
-  of(spec: JobSpec): Match | null {
+  matchFor(spec: JobSpec): MachineMatch | null {
     if (!spec.match) return null;
     const cluster = this.cluster(spec.match);
     return {
-      ranks: cluster.rank !== null,
+      hasRank: cluster.rank !== null,
       allows: (host) => this.verdict(cluster, host)?.ok ?? false,
       rank: (host) => this.verdict(cluster, host)?.rank ?? 0,
     };
--- a/src/model/report.ts
+++ b/src/model/heartbeat.ts
@@ -1,16 +1,16 @@
 export type TaskPhase = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-export type ExitWhy = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
+export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'full' | 'busy' | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   index: number;
   attempt: number;
   phase: TaskPhase;
-  why: ExitWhy | null;
+  why: ExitReason | null;
   saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   host: string;
   endpoint: string;
   type: string;
@@ -20,10 +20,10 @@
   seq: number;
   token: number;
   noticeS: number | null;
-  tasks: TaskReport[];
+  tasks: TaskStatus[];
 }
 
-export type Order =
+export type TaskOrder =
   | { op: 'start'; job: string; index: number; attempt: number }
   | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; index: number; attempt: number };
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,4 +1,4 @@
-export type Shape = 'array' | 'gang' | 'service';
+export type JobShape = 'array' | 'gang' | 'service';
 export type Urgency = 'production' | 'high' | 'normal' | 'low';
 
 /** What a user asked for; never changes after it was accepted. */
@@ -6,7 +6,7 @@
   id: string;
   class: string;
   team: string;
-  shape: Shape;
+  shape: JobShape;
   urgency: Urgency;
   tasks: number;
   cpus: number;
@@ -63,14 +63,14 @@
 
 export const urgencyRank: Record<Urgency, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
-export const pieceName = (job: string, index: number): string => `${job}/${index}`;
+export const taskKey = (job: string, index: number): string => `${job}/${index}`;
 
-export function splitPiece(piece: string): { job: string; index: number } | null {
-  const at = piece.lastIndexOf('/');
-  const index = Number(piece.slice(at + 1));
+export function parseTaskKey(key: string): { job: string; index: number } | null {
+  const at = key.lastIndexOf('/');
+  const index = Number(key.slice(at + 1));
   if (at <= 0 || !Number.isSafeInteger(index) || index < 0) return null;
-  return { job: piece.slice(0, at), index };
+  return { job: key.slice(0, at), index };
 }
 
 /** The most tasks of a job that `apart` lets into one zone. */
-export const zoneShare = (tasks: number): number => Math.ceil(tasks / 2);
+export const maxTasksPerZone = (tasks: number): number => Math.ceil(tasks / 2);
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -12,7 +12,7 @@
 }
 
 /** `use`: leased to a shard; `free`: with the leader; `dead`: given up, to be returned. */
-export type MachineStanding = 'use' | 'free' | 'dead';
+export type MachineState = 'use' | 'free' | 'dead';
 
 /** The durable record of a rented machine. */
 export interface MachineRecord {
@@ -22,29 +22,31 @@
   spot: boolean;
   /** Owning shard, or -1: with the leader. */
   shard: number;
-  standing: MachineStanding;
+  state: MachineState;
   /** Time of day of the rental, ms. */
   since: number;
 }
 
-export const hourly = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
+export const hourlyPrice = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
 
-export interface Fits {
+export interface Resources {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
 // Amounts are decimals: sums of them may miss by rounding.
-const slack = 1e-6;
-export const fits = (need: Fits, room: Fits): boolean =>
-  need.cpus <= room.cpus + slack && need.gpus <= room.gpus + slack && need.memGb <= room.memGb + slack;
+const roundingTolerance = 1e-6;
+export const fits = (need: Resources, free: Resources): boolean =>
+  need.cpus <= free.cpus + roundingTolerance &&
+  need.gpus <= free.gpus + roundingTolerance &&
+  need.memGb <= free.memGb + roundingTolerance;
 
 /** How many times `need` fits into `room`. */
-export function timesFits(need: Fits, room: Fits): number {
-  let n = Infinity;
-  if (need.cpus > 0) n = Math.min(n, Math.floor((room.cpus + slack) / need.cpus));
-  if (need.gpus > 0) n = Math.min(n, Math.floor((room.gpus + slack) / need.gpus));
-  if (need.memGb > 0) n = Math.min(n, Math.floor((room.memGb + slack) / need.memGb));
-  return Math.max(0, n);
+export function fitCount(need: Resources, free: Resources): number {
+  let count = Infinity;
+  if (need.cpus > 0) count = Math.min(count, Math.floor((free.cpus + roundingTolerance) / need.cpus));
+  if (need.gpus > 0) count = Math.min(count, Math.floor((free.gpus + roundingTolerance) / need.gpus));
+  if (need.memGb > 0) count = Math.min(count, Math.floor((free.memGb + roundingTolerance) / need.memGb));
+  return Math.max(0, count);
 }
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -2,7 +2,7 @@
 import type { Demand, KindWant, Turned } from '../admission/index.js';
 import type { Speaks } from '../formats/index.js';
 import type { Pulse } from '../core/effects.js';
-import type { ExitWhy, Report, TaskPhase } from '../model/report.js';
+import type { ExitReason, Heartbeat, TaskPhase } from '../model/heartbeat.js';
 import type { Question } from '../freshness/index.js';
 
 /**
@@ -135,7 +135,7 @@
 const type = root.lookupType('Frame');
 
 const phases: TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
-const whys: (ExitWhy | null)[] = [
+const whys: (ExitReason | null)[] = [
   null,
   'done',
   'stopped',
@@ -149,7 +149,7 @@
 
 export type Frame =
   | { hello: { member: string; run: string; speaks: Speaks } }
-  | { relay: { id: number; report: Report } }
+  | { relay: { id: number; report: Heartbeat } }
   | { relayed: { id: number; status: number; body: string } }
   | { pulse: Pulse }
   | { ask: Question }
@@ -178,15 +178,15 @@
   run: string;
   inc: number;
 }
-type RawReport = Omit<Report, 'noticeS' | 'tasks'> & { noticeS: number; tasks: RawTask[] };
+type RawReport = Omit<Heartbeat, 'noticeS' | 'tasks'> & { noticeS: number; tasks: RawTask[] };
 
-const reportOut = (r: Report): RawReport => ({
+const reportOut = (r: Heartbeat): RawReport => ({
   ...r,
   noticeS: r.noticeS ?? -1,
   tasks: r.tasks.map((t) => ({ ...t, phase: phases.indexOf(t.phase), why: whys.indexOf(t.why) })),
 });
 
-const reportIn = (r: RawReport): Report => ({
+const reportIn = (r: RawReport): Heartbeat => ({
   host: r.host,
   endpoint: r.endpoint,
   type: r.type,
--- a/src/policy/admission.ts
+++ b/src/policy/admission.ts
@@ -2,31 +2,31 @@
 import type { JobSpec } from '../model/job.js';
 import { fits, type MachineType } from '../model/machine.js';
 
-export interface Cap {
+export interface TeamQuota {
   cpus: number;
   gpus: number;
 }
 
-const cap = (x: number): number => (x > 0 ? x : Infinity);
+const unlimitedIfUnset = (amount: number): number => (amount > 0 ? amount : Infinity);
 
 /** The most a team's tasks may use at any time. */
-export function teamCap(settings: Settings, team: string): Cap {
-  const t = settings.teams.find((x) => x.name === team);
-  return { cpus: cap(t?.cpus_max ?? 0), gpus: cap(t?.gpus_max ?? 0) };
+export function teamQuota(settings: Settings, team: string): TeamQuota {
+  const entry = settings.teams.find((x) => x.name === team);
+  return { cpus: unlimitedIfUnset(entry?.cpus_max ?? 0), gpus: unlimitedIfUnset(entry?.gpus_max ?? 0) };
 }
 
 export const typeAllowed = (spec: JobSpec, type: MachineType): boolean =>
   (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
 
 /** Why a job can never run, or null. */
-export function admissible(spec: JobSpec, types: MachineType[], settings: Settings): string | null {
+export function rejectionReason(spec: JobSpec, types: MachineType[], settings: Settings): string | null {
   if (!settings.teams.some((t) => t.name === spec.team)) return `unknown team ${spec.team}`;
   if (spec.zone !== null && !settings.zones.includes(spec.zone)) return `unknown zone ${spec.zone}`;
   if (!types.some((t) => typeAllowed(spec, t) && (spec.zone === null || t.zones.includes(spec.zone))))
     return 'a task fits no allowed machine type';
-  const together = spec.shape === 'array' ? 1 : spec.tasks;
-  const limit = teamCap(settings, spec.team);
-  if (spec.cpus * together > limit.cpus + 1e-6 || spec.gpus * together > limit.gpus + 1e-6)
+  const simultaneousTasks = spec.shape === 'array' ? 1 : spec.tasks;
+  const quota = teamQuota(settings, spec.team);
+  if (spec.cpus * simultaneousTasks > quota.cpus + 1e-6 || spec.gpus * simultaneousTasks > quota.gpus + 1e-6)
     return 'needs more than the limit of its team';
   return null;
 }
@@ -35,22 +35,22 @@
  * The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs: these need not wait
  * for other teams.
  */
-export function withinGuarantee<T extends { spec: JobSpec; at: number; done: number }>(
+export function jobsWithinGuarantee<T extends { spec: JobSpec; at: number; done: number }>(
   jobs: Iterable<T>,
   settings: Settings,
 ): Set<T> {
-  const left = new Map<string, Cap>();
+  const remaining = new Map<string, TeamQuota>();
   for (const t of settings.teams)
-    if (t.cpus > 0 || t.gpus > 0) left.set(t.name, { cpus: t.cpus, gpus: t.gpus });
-  const inside = new Set<T>();
-  if (left.size === 0) return inside;
-  const byAge = [...jobs].filter((j) => left.has(j.spec.team)).sort((a, b) => a.at - b.at);
+    if (t.cpus > 0 || t.gpus > 0) remaining.set(t.name, { cpus: t.cpus, gpus: t.gpus });
+  const within = new Set<T>();
+  if (remaining.size === 0) return within;
+  const byAge = [...jobs].filter((j) => remaining.has(j.spec.team)).sort((a, b) => a.at - b.at);
   for (const job of byAge) {
-    const team = left.get(job.spec.team)!;
+    const guarantee = remaining.get(job.spec.team)!;
     const tasks = job.spec.tasks - job.done;
-    team.cpus -= tasks * job.spec.cpus;
-    team.gpus -= tasks * job.spec.gpus;
-    if (team.cpus >= -1e-6 && team.gpus >= -1e-6) inside.add(job);
+    guarantee.cpus -= tasks * job.spec.cpus;
+    guarantee.gpus -= tasks * job.spec.gpus;
+    if (guarantee.cpus >= -1e-6 && guarantee.gpus >= -1e-6) within.add(job);
   }
-  return inside;
+  return within;
 }
--- a/src/policy/pricing.ts
+++ b/src/policy/pricing.ts
@@ -1,12 +1,12 @@
 import type { Operators } from '../config/operators.js';
 import type { JobSpec } from '../model/job.js';
-import { hourly, type MachineType } from '../model/machine.js';
+import { hourlyPrice, type MachineType } from '../model/machine.js';
 import { typeAllowed } from './admission.js';
-import type { Candidate, Weights } from './helios.js';
+import type { MachineCandidate, ScoreWeights } from './helios.js';
 
-export const weights = (o: Operators): Weights => ({
-  hazard: o['hazard-weight'],
-  anchor: o['anchor-weight'],
+export const scoreWeights = (operators: Operators): ScoreWeights => ({
+  hazard: operators['hazard-weight'],
+  anchor: operators['anchor-weight'],
 });
 
 /** The cheapest on-demand price per CPU-hour among the types that a job's task fits. */
@@ -15,28 +15,29 @@
   types: MachineType[],
   available: (type: MachineType) => boolean,
 ): number {
-  let best = Infinity;
-  for (const t of types) if (typeAllowed(spec, t) && available(t)) best = Math.min(best, t.price / t.cpus);
-  return best;
+  let cheapest = Infinity;
+  for (const t of types)
+    if (typeAllowed(spec, t) && available(t)) cheapest = Math.min(cheapest, t.price / t.cpus);
+  return cheapest;
 }
 
-export function candidate(
+export function machineCandidate(
   type: MachineType,
   spot: boolean,
   hazard: number,
-  fresh: boolean,
+  needsRental: boolean,
   freeCpus: number,
   delayS: number,
-): Candidate {
+): MachineCandidate {
   return {
-    price: hourly(type, spot) / Math.max(type.cpus, 1),
+    price: hourlyPrice(type, spot) / Math.max(type.cpus, 1),
     spot,
     hazard: spot ? hazard : 0,
-    fresh,
+    needsRental,
     freeCpus,
     delayMin: delayS / 60,
   };
 }
 
-export const fetchS = (spec: JobSpec, type: MachineType): number =>
+export const imageFetchS = (spec: JobSpec, type: MachineType): number =>
   type.fetchGbPerS > 0 ? spec.imageGb / type.fetchGbPerS : 0;
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -3,7 +3,7 @@
 import { replyJson } from '../net/json.js';
 import type { Limits } from '../limits/index.js';
 import type { JobSpec } from '../model/job.js';
-import type { Report } from '../model/report.js';
+import type { Heartbeat } from '../model/heartbeat.js';
 import { parseReport } from '../wire/worker.js';
 import { jobPath, parseSubmission, withdrawEnd } from '../wire/user.js';
 import { Connections, type Peer } from './connections.js';
@@ -20,8 +20,8 @@
   /** Looks at a worker's report before the core does. `pass` hands it on, `refuse` answers instead. */
   checkin(
     raw: unknown,
-    report: Report,
-    pass: (report: Report) => void,
+    report: Heartbeat,
+    pass: (report: Heartbeat) => void,
     refuse: (status: number, body: object) => void,
   ): void;
   /** The answer to a worker, as it goes out. */
@@ -115,8 +115,8 @@
     reply(res, 404, { error: 'not found' });
   }
 
-  private checkin(raw: unknown, report: Report, res: ServerResponse): void {
-    const pass = (seen: Report): void => {
+  private checkin(raw: unknown, report: Heartbeat, res: ServerResponse): void {
+    const pass = (seen: Heartbeat): void => {
       const rid = this.keep(res);
       if (this.hooks) this.hosts.set(rid, seen.host);
       this.push({ c: 'checkin', rid, report: seen });
--- a/src/wire/agent-side.ts
+++ b/src/wire/agent-side.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import { pieceName, splitPiece, type CommandSpec } from '../model/job.js';
-import type { ExitWhy, Order, TaskPhase } from '../model/report.js';
+import { taskKey, parseTaskKey, type CommandSpec } from '../model/job.js';
+import type { ExitReason, TaskOrder, TaskPhase } from '../model/heartbeat.js';
 import { phaseName, whyName } from './worker.js';
 
 /** The worker's side of its protocol: reports out, answers in; and what agents and a control service add to it. */
@@ -22,7 +22,7 @@
   index: number;
   attempt: number;
   phase: TaskPhase;
-  why: ExitWhy | null;
+  why: ExitReason | null;
   saved: boolean;
   result: TaskResult | null;
 }
@@ -49,7 +49,7 @@
   baton: r.token,
   recallS: null,
   pieces: r.tasks.map((t) => ({
-    piece: pieceName(t.job, t.index),
+    piece: taskKey(t.job, t.index),
     try: t.attempt,
     status: phaseName(t.phase),
     ...(t.why === null ? {} : { cause: whyName(t.why) }),
@@ -78,10 +78,10 @@
   orders,
 });
 
-function ordersIn(list: v.InferOutput<typeof orders>): Order[] {
-  const out: Order[] = [];
+function ordersIn(list: v.InferOutput<typeof orders>): TaskOrder[] {
+  const out: TaskOrder[] = [];
   for (const o of list ?? []) {
-    const id = splitPiece(o.piece);
+    const id = parseTaskKey(o.piece);
     if (!id) continue;
     const base = { ...id, attempt: o.try };
     if (o.verb === 'run') out.push({ op: 'start', ...base });
@@ -93,7 +93,7 @@
 
 export interface Answer {
   token: number | null;
-  orders: Order[];
+  orders: TaskOrder[];
   gangs: string[];
 }
 
@@ -110,7 +110,7 @@
 
 export function parseOrders(
   body: unknown,
-): { token: number | null; session: number | null; orders: Order[] } | null {
+): { token: number | null; session: number | null; orders: TaskOrder[] } | null {
   const r = v.safeParse(direct, body);
   return r.success
     ? { token: r.output.baton, session: r.output.tenure, orders: ordersIn(r.output.orders) }
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,11 +1,11 @@
 import * as v from 'valibot';
-import type { CommandSpec, JobSpec, JobState, MatchSpec, Shape, Urgency } from '../model/job.js';
+import type { CommandSpec, JobSpec, JobState, MatchSpec, JobShape, Urgency } from '../model/job.js';
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(120), v.regex(/^\S+$/));
 const maybe = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
 
-const shapes: Record<string, Shape> = { sweep: 'array', ensemble: 'gang', standing: 'service' };
+const shapes: Record<string, JobShape> = { sweep: 'array', ensemble: 'gang', standing: 'service' };
 const urgencies: Record<string, Urgency> = {
   production: 'production',
   urgent: 'high',
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
-import { pieceName, splitPiece } from '../model/job.js';
-import type { ExitWhy, Order, Report, TaskPhase, TaskReport } from '../model/report.js';
+import { taskKey, parseTaskKey } from '../model/job.js';
+import type { ExitReason, TaskOrder, Heartbeat, TaskPhase, TaskStatus } from '../model/heartbeat.js';
 
 const phases: Record<string, TaskPhase> = {
   pulling: 'fetching',
@@ -9,7 +9,7 @@
   saving: 'saving',
   exited: 'exited',
 };
-const whys: Record<string, ExitWhy> = {
+const whys: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -42,13 +42,13 @@
   ),
 });
 
-export function parseReport(body: unknown): Report | string {
+export function parseReport(body: unknown): Heartbeat | string {
   const r = v.safeParse(checkin, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
   const b = r.output;
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   for (const p of b.pieces) {
-    const id = splitPiece(p.piece);
+    const id = parseTaskKey(p.piece);
     // A state this version does not know still means that the task is on the machine.
     if (id === null) return `pieces: ${p.piece}: not a task`;
     tasks.push({
@@ -74,18 +74,18 @@
   };
 }
 
-function orderOut(o: Order): object {
-  const piece = pieceName(o.job, o.index);
+function orderOut(o: TaskOrder): object {
+  const piece = taskKey(o.job, o.index);
   if (o.op === 'start') return { verb: 'run', piece, try: o.attempt };
   if (o.op === 'stop') return { verb: 'kill', piece, try: o.attempt, windDownS: o.graceS };
   return { verb: 'clear', piece, try: o.attempt };
 }
 
-export const answerOut = (token: number, orders: Order[]): object => ({
+export const answerOut = (token: number, orders: TaskOrder[]): object => ({
   baton: token,
   orders: orders.map(orderOut),
 });
-export const ordersOut = (token: number, session: number, orders: Order[]): object => ({
+export const ordersOut = (token: number, session: number, orders: TaskOrder[]): object => ({
   baton: token,
   tenure: session,
   orders: orders.map(orderOut),
@@ -96,4 +96,4 @@
   Object.keys(table).find((k) => table[k] === value) ?? value;
 
 export const phaseName = (phase: TaskPhase): string => nameOf(phases, phase);
-export const whyName = (why: ExitWhy): string => nameOf(whys, why);
+export const whyName = (why: ExitReason): string => nameOf(whys, why);
--- a/src/workers/workers.ts
+++ b/src/workers/workers.ts
@@ -1,6 +1,6 @@
 import { Agent } from 'node:http';
 import { callOnce } from '../net/client.js';
-import type { Order } from '../model/report.js';
+import type { TaskOrder } from '../model/heartbeat.js';
 import { ordersOut } from '../wire/worker.js';
 
 /**
@@ -18,7 +18,7 @@
     this.agent = new Agent({ keepAlive: false, maxTotalSockets: mostSockets });
   }
 
-  async order(endpoint: string, token: number, session: number, orders: Order[]): Promise<boolean> {
+  async order(endpoint: string, token: number, session: number, orders: TaskOrder[]): Promise<boolean> {
     const r = await callOnce(
       this.agent,
       endpoint,
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -12,11 +12,11 @@
 import { agentDefaults, parseAgentSettings } from '../src/agent/settings.js';
 import { parseControlSettings } from '../src/control/settings.js';
 import type { AgentJob, HeldTask, TaskResult } from '../src/wire/agent-side.js';
-import type { Order } from '../src/model/report.js';
+import type { TaskOrder } from '../src/model/heartbeat.js';
 
 const self = { host: 'd.1', endpoint: '127.0.0.1:1', type: 't', zone: 'here' };
-const start = (index: number, attempt: number): Order => ({ op: 'start', job: 'req-1', index, attempt });
-const answer = (token: number, orders: Order[] = [], gangs: string[] = []) => ({ token, orders, gangs });
+const start = (index: number, attempt: number): TaskOrder => ({ op: 'start', job: 'req-1', index, attempt });
+const answer = (token: number, orders: TaskOrder[] = [], gangs: string[] = []) => ({ token, orders, gangs });
 const kinds = (effects: WorkerEffect[] | null): string[] => (effects ?? []).map((e) => e.e);
 
 test('worker: tokens, sessions and leases decide what is carried out', () => {
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -119,8 +119,8 @@
     ),
   );
   const machine = { host: 'm', type: 'box', zone: 'north', spot: false, shard: 0, since: 1 };
-  const dead = machineData({ ...machine, standing: 'dead' });
-  assert.deepEqual(merge('machine', machineData({ ...machine, standing: 'use' }), dead), dead);
+  const dead = machineData({ ...machine, state: 'dead' });
+  assert.deepEqual(merge('machine', machineData({ ...machine, state: 'use' }), dead), dead);
 });
 
 type Kept = ReturnType<World['state']['copy']>;
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -5,7 +5,7 @@
 import { here, nativeJob, Submission, type Outside } from '../src/condor/index.js';
 import { ClassAdMatcher, inWords, wrongWith } from '../src/matching/index.js';
 import type { JobSpec, MatchSpec } from '../src/model/job.js';
-import type { Attributes } from '../src/policy/matching.js';
+import type { MachineAttributes } from '../src/policy/matching.js';
 import { withSite } from './support/site.js';
 
 const asks = (requirements: string | null, rank: string | null = null, attributes = {}): MatchSpec => ({
@@ -13,10 +13,11 @@
   rank,
   attributes,
 });
-const of = (m: ClassAdMatcher, match: MatchSpec) => m.of({ match } as JobSpec)!;
-const farm = (n: number, more: (i: number) => Attributes): ClassAdMatcher => {
+const of = (m: ClassAdMatcher, match: MatchSpec) => m.matchFor({ match } as JobSpec)!;
+const farm = (n: number, more: (i: number) => MachineAttributes): ClassAdMatcher => {
   const m = new ClassAdMatcher();
-  for (let i = 0; i < n; i++) m.set(`m${i}`, { OpSys: 'LINUX', Memory: 1024 * (1 + (i % 10)), ...more(i) });
+  for (let i = 0; i < n; i++)
+    m.setAttributes(`m${i}`, { OpSys: 'LINUX', Memory: 1024 * (1 + (i % 10)), ...more(i) });
   return m;
 };
 
@@ -29,13 +30,13 @@
   assert.equal(allowed(), 800);
   assert.equal(m.evaluations, 10);
   // What it does not name changes nothing; what it names does, for that machine.
-  m.set('m0', { OpSys: 'LINUX', Memory: 1024, Name: 'm0', Load: 7 });
+  m.setAttributes('m0', { OpSys: 'LINUX', Memory: 1024, Name: 'm0', Load: 7 });
   assert.equal(allowed(), 800);
   assert.equal(m.evaluations, 10);
-  m.set('m0', { OpSys: 'LINUX', Memory: 9999, Name: 'm0' });
+  m.setAttributes('m0', { OpSys: 'LINUX', Memory: 9999, Name: 'm0' });
   assert.equal(allowed(), 801);
   assert.equal(m.evaluations, 11);
-  m.set('m0', null);
+  m.setAttributes('m0', null);
   assert.equal(of(m, match).allows('m0'), false);
   assert.equal(of(m, match).rank('m9'), 10_240);
 });
@@ -45,7 +46,7 @@
   for (const rank of ['Nope', '1 / 0', '"text"', 'undefined'])
     assert.equal(of(m, asks(null, rank)).rank('m1'), 0);
   assert.equal(of(m, asks(null, 'Memory > 1500')).rank('m1'), 1);
-  assert.equal(of(m, asks(null, '3')).ranks, false);
+  assert.equal(of(m, asks(null, '3')).hasRank, false);
   for (const r of ['Nope', 'Nope == 1', 'error', '"text"', 'Memory']) {
     const want = r === 'Memory';
     assert.equal(of(m, asks(r)).allows('m0'), want, r);
@@ -57,7 +58,7 @@
 });
 
 test('matching: what excludes how many is told in words; what nobody has, too', () => {
-  const m = farm(10, (i) => (i < 3 ? { HasScanner: true } : ({} as Attributes)));
+  const m = farm(10, (i) => (i < 3 ? { HasScanner: true } : ({} as MachineAttributes)));
   const a = m.analyze(
     asks('TARGET.HasScanner && Memory >= 2048 && (HasLaser || HasLaser is undefined) && OpSys == "linux"'),
   );
@@ -140,8 +141,9 @@
       chosen.push(...at.map((x) => x.host));
       if (chosen.length > 1) return;
       // In the moment after the choice, a is not what it was, and b is.
-      matcher.set(chosen[0], { Ready: 0 });
-      for (const m of s.service.pool.all()) if (m.host !== chosen[0]) matcher.set(m.host, { Ready: 1 });
+      matcher.setAttributes(chosen[0], { Ready: 0 });
+      for (const m of s.service.pool.all())
+        if (m.host !== chosen[0]) matcher.setAttributes(m.host, { Ready: 1 });
     };
     await s.submit(s.job(1, { requirements: 'Ready == 1' }));
     const one = await s.over(1);
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -241,11 +241,11 @@
     attributes: { RequestMemory: String(100 + i) },
   }));
   const matcher = new ClassAdMatcher();
-  machines.forEach((m) => matcher.set(m.Name, m));
+  machines.forEach((m) => matcher.setAttributes(m.Name, m));
   let found = 0;
   const clustered = took(() => {
     for (const s of specs) {
-      const one = matcher.of({ match: s } as never)!;
+      const one = matcher.matchFor({ match: s } as never)!;
       for (const m of machines) if (one.allows(m.Name)) found++;
     }
   });
@@ -267,7 +267,7 @@
   });
   let sampled = 0;
   for (let i = 0; i < specs.length; i += share) {
-    const one = matcher.of({ match: specs[i] } as never)!;
+    const one = matcher.matchFor({ match: specs[i] } as never)!;
     for (const m of machines) if (one.allows(m.Name)) sampled++;
   }
   say(
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,63 +1,74 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { gpuMachineOpen } from '../src/policy/gpus.js';
+import { mayShareGpuMachine } from '../src/policy/gpu-sharing.js';
 import { parseOperators } from '../src/config/operators.js';
 import { parseSettings } from '../src/config/settings.js';
-import { withinGuarantee } from '../src/policy/admission.js';
-import { mayMove, moveBudget, spotAllowed } from '../src/policy/guardrails.js';
-import { HazardEstimate } from '../src/policy/hazard.js';
-import { moveUrgency, order, score, type Candidate } from '../src/policy/helios.js';
-import { inOrder } from '../src/policy/order.js';
+import { jobsWithinGuarantee } from '../src/policy/admission.js';
+import { residentLongEnough, migrationBudget, spotAllowed } from '../src/policy/guardrails.js';
+import { SpotHazardEstimate } from '../src/policy/hazard.js';
+import {
+  migrationUrgency,
+  placementPriority,
+  placementScore,
+  type MachineCandidate,
+} from '../src/policy/helios.js';
+import { inPlacementOrder } from '../src/policy/order.js';
 import { parseSubmission } from '../src/wire/user.js';
 import { box, settingsText, spec } from './support/world.js';
 
 const w = { hazard: 10, anchor: 0.5 };
-const at = (over: Partial<Candidate>): Candidate => ({
+const at = (over: Partial<MachineCandidate>): MachineCandidate => ({
   price: 0.1,
   spot: false,
   hazard: 0,
-  fresh: false,
+  needsRental: false,
   freeCpus: 4,
   delayMin: 0,
   ...over,
 });
 
 test('premium goes first, then larger tasks', () => {
-  assert.ok(order({ premium: true, cpus: 1 }) > order({ premium: false, cpus: 8 }));
-  assert.ok(order({ premium: false, cpus: 8 }) > order({ premium: false, cpus: 2 }));
+  assert.ok(placementPriority({ premium: true, cpus: 1 }) > placementPriority({ premium: false, cpus: 8 }));
+  assert.ok(placementPriority({ premium: false, cpus: 8 }) > placementPriority({ premium: false, cpus: 2 }));
 });
 
 test('hazard is priced in: cheap spot wins until it is taken too often', () => {
   const work = { premium: false, cpus: 1 };
   const ondemand = at({});
   assert.ok(
-    score(work, at({ price: 0.03, spot: true, hazard: 0.001 }), 0.1, w) > score(work, ondemand, 0.1, w),
+    placementScore(work, at({ price: 0.03, spot: true, hazard: 0.001 }), 0.1, w) >
+      placementScore(work, ondemand, 0.1, w),
   );
   assert.ok(
-    score(work, at({ price: 0.03, spot: true, hazard: 0.02 }), 0.1, w) < score(work, ondemand, 0.1, w),
+    placementScore(work, at({ price: 0.03, spot: true, hazard: 0.02 }), 0.1, w) <
+      placementScore(work, ondemand, 0.1, w),
   );
-  assert.equal(moveUrgency({ price: 0.03, spot: true, hazard: 0.001 }, 0.1, w), 0);
-  assert.ok(moveUrgency({ price: 0.03, spot: true, hazard: 0.02 }, 0.1, w) > 0);
+  assert.equal(migrationUrgency({ price: 0.03, spot: true, hazard: 0.001 }, 0.1, w), 0);
+  assert.ok(migrationUrgency({ price: 0.03, spot: true, hazard: 0.02 }, 0.1, w) > 0);
 });
 
 test('premium is anchored to the cheapest on-demand price', () => {
   const work = { premium: true, cpus: 1 };
-  assert.ok(score(work, at({ price: 0.1 }), 0.1, w) > score(work, at({ price: 0.2 }), 0.1, w));
-  assert.ok(score(work, at({ price: 0.1 }), 0.1, w) > score(work, at({ price: 0.1 }), 0.2, w));
+  assert.ok(
+    placementScore(work, at({ price: 0.1 }), 0.1, w) > placementScore(work, at({ price: 0.2 }), 0.1, w),
+  );
+  assert.ok(
+    placementScore(work, at({ price: 0.1 }), 0.1, w) > placementScore(work, at({ price: 0.1 }), 0.2, w),
+  );
 });
 
 test('guardrails: no spot for services and gangs, a budget and a residency for moves', () => {
   assert.equal(spotAllowed(spec('req-1', { spot: true })), true);
   assert.equal(spotAllowed(spec('req-1', { spot: true, shape: 'gang' })), false);
   assert.equal(spotAllowed(spec('req-1', { spot: true, shape: 'service' })), false);
-  assert.equal(moveBudget(0.05, 41), 3);
-  assert.equal(mayMove(59, 60), false);
+  assert.equal(migrationBudget(0.05, 41), 3);
+  assert.equal(residentLongEnough(59, 60), false);
 });
 
 test('the hazard estimate follows what is seen and falls back to its prior', () => {
-  const h = new HazardEstimate(0.5);
+  const h = new SpotHazardEstimate(0.5);
   assert.equal(h.perHour(), 0.5);
-  for (let i = 0; i < 5; i++) h.taken();
+  for (let i = 0; i < 5; i++) h.recordInterruption();
   assert.ok(h.perHour() > 5);
   h.observe(10, 3600);
   assert.ok(h.perHour() < 1);
@@ -124,8 +135,11 @@
   const large = job('req-2', 2, { tasks: 2 });
   const later = job('req-3', 3, { tasks: 1 });
   const guest = job('req-4', 0, { tasks: 1, team: 'blue' });
-  assert.deepEqual([...withinGuarantee([later, large, first, guest], settings)], [first]);
-  assert.deepEqual([...withinGuarantee([later, { ...large, done: 1 }, first, guest], settings)].length, 2);
+  assert.deepEqual([...jobsWithinGuarantee([later, large, first, guest], settings)], [first]);
+  assert.deepEqual(
+    [...jobsWithinGuarantee([later, { ...large, done: 1 }, first, guest], settings)].length,
+    2,
+  );
 });
 
 test('a GPU machine takes short work as company for GPU tasks, not long arrays that would keep it rented after them', () => {
@@ -133,11 +147,11 @@
   const types = [box, gpuBox];
   const short = spec('req-1', { estimateS: 40 });
   const long = spec('req-2', { estimateS: 300 });
-  assert.equal(gpuMachineOpen(short, gpuBox, 1, types), true);
-  assert.equal(gpuMachineOpen(short, gpuBox, 0, types), false);
-  assert.equal(gpuMachineOpen(long, gpuBox, 1, types), false);
-  assert.equal(gpuMachineOpen(spec('req-3', { estimateS: 300, gpus: 1 }), gpuBox, 0, types), true);
-  assert.equal(gpuMachineOpen(long, box, 0, types), true);
+  assert.equal(mayShareGpuMachine(short, gpuBox, 1, types), true);
+  assert.equal(mayShareGpuMachine(short, gpuBox, 0, types), false);
+  assert.equal(mayShareGpuMachine(long, gpuBox, 1, types), false);
+  assert.equal(mayShareGpuMachine(spec('req-3', { estimateS: 300, gpus: 1 }), gpuBox, 0, types), true);
+  assert.equal(mayShareGpuMachine(long, box, 0, types), true);
 });
 
 // Guards against a day of many urgent gangs on which a few large ones that were late already kept all others waiting.
@@ -148,6 +162,6 @@
     at: 1e6 - ageS * 1000,
   });
   const jobs = [gang('large', 8, 100), gang('small', 1, 40), gang('older', 8, 400), gang('fresh', 8, 5)];
-  const ordered = inOrder(jobs, objectives, 1e6, 1).map((j) => j.spec.id);
+  const ordered = inPlacementOrder(jobs, objectives, 1e6, 1).map((j) => j.spec.id);
   assert.deepEqual(ordered, ['fresh', 'older', 'small', 'large']);
 });
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Recovery, type Facts } from '../src/recovery/index.js';
 import { Recent, Vouching } from '../src/freshness/index.js';
-import { successor, wantsHelp } from '../src/policy/sharing.js';
+import { handoverTarget, needsOffload } from '../src/policy/load-sharing.js';
 import { spec, World, type Node } from './support/world.js';
 
 const upWith = (nodes: number, tasks: number, cpus = 1): World => {
@@ -255,12 +255,27 @@
 });
 
 test('sharing: help is asked for and given up with a distance between; a shard goes to whoever hears its workers', () => {
-  assert.equal(wantsHelp(false, { busy: 0.65, connections: 10, machines: 10, shared: 0 }, 100), false);
-  assert.equal(wantsHelp(true, { busy: 0.65, connections: 10, machines: 10, shared: 0 }, 100), true);
-  assert.equal(wantsHelp(true, { busy: 0.1, connections: 10, machines: 90, shared: 0 }, 100), true);
-  assert.equal(wantsHelp(true, { busy: 0.1, connections: 10, machines: 10, shared: 0 }, 100), false);
+  assert.equal(
+    needsOffload(false, { utilization: 0.65, connections: 10, machines: 10, forwardedShare: 0 }, 100),
+    false,
+  );
+  assert.equal(
+    needsOffload(true, { utilization: 0.65, connections: 10, machines: 10, forwardedShare: 0 }, 100),
+    true,
+  );
+  assert.equal(
+    needsOffload(true, { utilization: 0.1, connections: 10, machines: 90, forwardedShare: 0 }, 100),
+    true,
+  );
+  assert.equal(
+    needsOffload(true, { utilization: 0.1, connections: 10, machines: 10, forwardedShare: 0 }, 100),
+    false,
+  );
   // What others do for it would come back.
-  assert.equal(wantsHelp(true, { busy: 0.3, connections: 10, machines: 10, shared: 0.6 }, 100), true);
+  assert.equal(
+    needsOffload(true, { utilization: 0.3, connections: 10, machines: 10, forwardedShare: 0.6 }, 100),
+    true,
+  );
   const others = [
     { member: 'b', busy: 0.1 },
     { member: 'c', busy: 0.9 },
@@ -271,11 +286,11 @@
       ['c', c],
     ]);
   const at = { helped: false, busy: 0.2 };
-  assert.equal(successor({ ...at, direct: 5, through: through(90, 5) }, others), 'b');
-  assert.equal(successor({ ...at, direct: 50, through: through(45, 5) }, others), null);
-  assert.equal(successor({ ...at, direct: 0, through: through(5, 95) }, others), null);
-  assert.equal(successor({ ...at, helped: true, direct: 5, through: through(90, 5) }, others), null);
-  assert.equal(successor({ helped: true, busy: 1, direct: 5, through: through(90, 5) }, others), 'b');
+  assert.equal(handoverTarget({ ...at, direct: 5, through: through(90, 5) }, others), 'b');
+  assert.equal(handoverTarget({ ...at, direct: 50, through: through(45, 5) }, others), null);
+  assert.equal(handoverTarget({ ...at, direct: 0, through: through(5, 95) }, others), null);
+  assert.equal(handoverTarget({ ...at, helped: true, direct: 5, through: through(90, 5) }, others), null);
+  assert.equal(handoverTarget({ helped: true, busy: 1, direct: 5, through: through(90, 5) }, others), 'b');
 });
 
 test('a gang that lost a task while it waited is completed with the same attempt', () => {
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -501,7 +501,7 @@
   assert.equal(onSpot(), 3);
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'service', tasks: 1 }));
   assert.ok(w.playUntil(() => w.running('req-2').length === 1, 60));
-  for (let i = 0; i < 200; i++) w.nodes[0].controller.dispatcher.books.hazard.taken();
+  for (let i = 0; i < 200; i++) w.nodes[0].controller.dispatcher.books.hazard.recordInterruption();
   w.play(20);
   assert.equal(onSpot(), 3);
   assert.ok(w.playUntil(() => onSpot() === 0 && w.running('req-1').length === 3, 200));
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -6,7 +6,7 @@
 import { abilityOf, Levels } from '../src/feature-levels/index.js';
 import { Replica } from '../src/core/replica.js';
 import type { JobSpec } from '../src/model/job.js';
-import type { Fits, MachineType } from '../src/model/machine.js';
+import type { Resources, MachineType } from '../src/model/machine.js';
 import { typeAllowed } from '../src/policy/admission.js';
 import { spotAllowed } from '../src/policy/guardrails.js';
 import { box, spec, World } from './support/world.js';
@@ -21,10 +21,10 @@
 ];
 
 interface TestSlot extends Slot {
-  used: Fits;
+  used: Resources;
 }
 
-const roomOf = (m: TestSlot): Fits => ({
+const roomOf = (m: TestSlot): Resources => ({
   cpus: m.type.cpus - m.used.cpus,
   gpus: m.type.gpus - m.used.gpus,
   memGb: m.type.memGb - m.used.memGb,
@@ -165,11 +165,11 @@
   r.load([], 1);
   r.advance([{ key: 'dp/b/r-1', data: block(['n-1', 'n-2']), stamp: 2 }], 2);
   assert.deepEqual(
-    [...r.machines.values()].map((m) => m.standing),
+    [...r.machines.values()].map((m) => m.state),
     ['use', 'use'],
   );
   r.advance([{ key: 'dp/m/n-1', data: own, stamp: 3 }], 3);
-  assert.equal(r.machines.get('n-1')?.standing, 'dead');
+  assert.equal(r.machines.get('n-1')?.state, 'dead');
   r.advance(
     [
       { key: 'dp/b/r-1', data: block(['n-2']), stamp: 4 },
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -232,7 +232,7 @@
   ready(machines: number): Promise<void> {
     const all = () => [...this.service.service.controller.dispatcher.machines.values()];
     return this.until(
-      async () => all().filter((m) => m.provenAt > 0 && m.record.standing === 'use').length === machines,
+      async () => all().filter((m) => m.provenAt > 0 && m.record.state === 'use').length === machines,
     );
   }
   /** Every attempt that began, as its command noted it: none may be there twice. */
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -1,6 +1,6 @@
 /** What the transactions of a world must say of the task log, whatever happened in it. */
 import { readKey, readLog } from '../../src/core/storage/index.js';
-import { pieceName } from '../../src/model/job.js';
+import { taskKey } from '../../src/model/job.js';
 import type { Write } from '../../src/wire/store.js';
 import type { World } from './world.js';
 
@@ -39,7 +39,7 @@
       if (log && write.data && grants.get(log[1]) !== Number(log[2]))
         wrong.push(`${write.key}: grant is over`);
       for (const { job, index, host } of placementsOf(write)) {
-        const place = `${pieceName(job, index)} ${host}`;
+        const place = `${taskKey(job, index)} ${host}`;
         if (log && cancelled.has(job)) wrong.push(`${place}: placed after its cancellation`);
         if (!placedAt.has(place)) placedAt.set(place, at);
       }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -10,7 +10,7 @@
 import type { Legacy } from '../../src/core/recovery-records.js';
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
-import type { Order, Report, TaskReport } from '../../src/model/report.js';
+import type { TaskOrder, Heartbeat, TaskStatus } from '../../src/model/heartbeat.js';
 import { seeded } from '../../src/retry/index.js';
 import type { RentRequest } from '../../src/wire/cloud.js';
 import type { Change, Txn } from '../../src/wire/store.js';
@@ -503,7 +503,7 @@
 }
 
 interface Running {
-  report: TaskReport;
+  report: TaskStatus;
   since: number;
   /** How long it saves, if it does. */
   saveS?: number;
@@ -522,7 +522,7 @@
   /** Its reports arrive; answers and direct commands to it are lost. */
   deaf = false;
   /** Direct commands that have come while it hung. */
-  private readonly waiting: { orders: Order[]; token: number; session: number }[] = [];
+  private readonly waiting: { orders: TaskOrder[]; token: number; session: number }[] = [];
   /** Controllers that it cannot reach. */
   readonly cutFrom = new Set<string>();
   sick = false;
@@ -547,7 +547,7 @@
     this.runS = world.runS;
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.seq++;
     return {
       host: this.host,
@@ -708,13 +708,13 @@
   }
 
   /** Commands sent straight to it: carried out late, too, as long as token and session are right. */
-  straight(orders: Order[], token: number, session: number): void {
+  straight(orders: TaskOrder[], token: number, session: number): void {
     if (this.deaf) return;
     if (this.hung) this.waiting.push({ orders, token, session });
     else if (session === this.session) this.execute(orders, token);
   }
 
-  execute(orders: Order[], token: number): void {
+  execute(orders: TaskOrder[], token: number): void {
     if (token < this.token || this.hung) return;
     this.token = token;
     for (const o of orders) {
@@ -723,7 +723,7 @@
       if (o.op === 'start') {
         this.world.noteStart(this, o.job, o.index, t !== undefined);
         if (t) continue;
-        const report: TaskReport = {
+        const report: TaskStatus = {
           job: o.job,
           index: o.index,
           attempt: o.attempt,
@@ -821,7 +821,7 @@
   early = 0;
   /** Of this share of the reports a copy is kept until somebody else leads or owns, and then reaches every controller. */
   keptForNext = 0;
-  readonly old: Report[] = [];
+  readonly old: Heartbeat[] = [];
   /** How many such copies came just as somebody else had begun. */
   oldCame = 0;
   private readonly begun = new Map<string, number>();
