--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -56,7 +56,7 @@
 
   async members(): Promise<ReturnType<typeof readMembers>> {
     const c = await this.one(membersKey);
-    return c ? readMembers(c.data) : { seen: new Map(), note: null };
+    return c ? readMembers(c.data) : { capabilities: new Map(), note: null };
   }
 
   async present(): Promise<Map<string, Ability>> {
@@ -88,7 +88,7 @@
   say(`level ${level.level}${level.write < level.level ? `, being lowered to ${level.write}` : ''}`);
   if (wish.most !== null) say(`held at ${wish.most}${wish.lower ? ', to be lowered to it' : ''}`);
   if (wish.gone.length > 0) say(`gone for good: ${wish.gone.join(' ')}`);
-  for (const [member, can] of new Map([...members.seen, ...present]))
+  for (const [member, can] of new Map([...members.capabilities, ...present]))
     say(
       `${member.padEnd(16)} program ${can.program}, levels ${can.least} to ${can.most}, ${present.has(member) ? 'here' : 'not here'}`,
     );
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -182,7 +182,7 @@
 
   private shown(job: JobRecord): { status: string } & Record<string, unknown> {
     const { replica } = this.control.service.controller;
-    const c = replica.counts(job.id);
+    const c = replica.taskCounts(job.id);
     const failed = this.control.results.failures(job.id);
     return {
       nameId: job.id,
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -174,7 +174,7 @@
   private gangTasks(id: string): number | null {
     const spec = this.spec(id);
     if (spec?.shape !== 'gang') return null;
-    return spec.tasks - this.service.controller.replica.counts(id).done;
+    return spec.tasks - this.service.controller.replica.taskCounts(id).done;
   }
 
   private async checkin(
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -21,7 +21,7 @@
 import type { Clock, Effect, Log } from '../effects.js';
 import { mayShareGpuMachine, fitsCpuOnlyType } from '../../policy/gpu-sharing.js';
 import { anchorPrice, machineCandidate, imageFetchS, scoreWeights } from '../../policy/pricing.js';
-import type { Machine, Replica } from '../replica.js';
+import type { VersionedMachine, Replica } from '../replica.js';
 
 /** A kind of machine in a zone that could be rented. */
 interface Slot {
@@ -103,7 +103,7 @@
       this.typesAt = now;
       out.push({ e: 'types' });
     }
-    if (this.replica.types.length === 0) return;
+    if (this.replica.machineTypes.length === 0) return;
     if (!this.listing && now - this.listAt > this.settings.cloud.list_lag_s * 1000 && this.spend()) {
       this.listing = true;
       this.listAt = now;
@@ -128,7 +128,7 @@
   }
 
   private get typesEveryMs(): number {
-    return this.replica.types.length === 0 ? 500 : this.settings.workers.lease_s * 2000;
+    return this.replica.machineTypes.length === 0 ? 500 : this.settings.workers.lease_s * 2000;
   }
 
   /** A call may go out now: within the budget, and one at a time while the cloud does not answer. */
@@ -146,9 +146,9 @@
     if (!types || types.length === 0) return;
     const drift = (a: number, b: number) => Math.abs(a - b) > 0.01 * Math.max(a, b);
     const same =
-      types.length === this.replica.types.length &&
+      types.length === this.replica.machineTypes.length &&
       types.every((t, i) => {
-        const k = this.replica.types[i];
+        const k = this.replica.machineTypes[i];
         return (
           k.name === t.name &&
           k.cpus === t.cpus &&
@@ -157,7 +157,7 @@
         );
       });
     if (same) return;
-    this.change('types', () => [{ key: this.replica.typesKey, data: typesData(types) }]);
+    this.change('types', () => [{ key: this.replica.activeTypesKey, data: typesData(types) }]);
   }
 
   private answered(ok: boolean): void {
@@ -208,7 +208,7 @@
       blockKey(request.name),
       () => {
         const key = blockKey(request.name);
-        const known = this.replica.stamp(key) > 0;
+        const known = this.replica.stampOf(key) > 0;
         return known ? null : [{ key, data: blockData({ type, zone, spot, shard, since, hosts }) }];
       },
       () => {
@@ -239,7 +239,7 @@
 
   private dropMachine(host: string): Write[] | null {
     const key = machineKey(host);
-    return this.replica.stamp(key) > 0 ? [{ key, data: undefined }] : null;
+    return this.replica.stampOf(key) > 0 ? [{ key, data: undefined }] : null;
   }
 
   private leaveBlock(id: string, gone: ReadonlySet<string>): Write[] | null {
@@ -269,7 +269,7 @@
       // whose rental is being recorded just now.
       else if (
         !known &&
-        !this.replica.sealed.has(machineKey(l.host)) &&
+        !this.replica.unreadableRecords.has(machineKey(l.host)) &&
         l.ageS > this.settings.cloud.list_lag_s &&
         !this.deletedLately.has(l.host)
       )
@@ -305,8 +305,8 @@
   /** A worker that nobody knows reports to the leader. */
   unexpected(r: Heartbeat): void {
     // Guards against taking over a machine whose record cannot be read.
-    if (this.replica.sealed.has(machineKey(r.host))) return;
-    if (this.deletedLately.has(r.host) || !this.replica.types.some((t) => t.name === r.type)) return;
+    if (this.replica.unreadableRecords.has(machineKey(r.host))) return;
+    if (this.deletedLately.has(r.host) || !this.replica.machineTypes.some((t) => t.name === r.type)) return;
     // Guards against the fast boot: up before the rental's answer is here or recorded.
     if (this.recording.has(r.host)) return;
     const slot = slotName(r.type, r.zone, r.spot);
@@ -325,14 +325,14 @@
     if (m) this.condemn(m, 'forgotten');
   }
 
-  private condemn(m: Machine, why: string): void {
+  private condemn(m: VersionedMachine, why: string): void {
     if (m.state === 'dead') return;
     this.log('info', 'machine given up', { host: m.host, why });
     this.restand(m.host, (now) => ({ ...now, state: 'dead' }));
   }
 
   /** Gives a machine a record of its own, made from how it stands when the write goes out. */
-  private restand(host: string, to: (now: Machine) => MachineRecord | null): void {
+  private restand(host: string, to: (now: VersionedMachine) => MachineRecord | null): void {
     const key = machineKey(host);
     this.change(key, () => {
       const now = this.replica.machines.get(host);
@@ -361,7 +361,7 @@
     this.committer.add({
       rank: Rank.fleet,
       build: () => {
-        const lead = this.replica.lead;
+        const lead = this.replica.leader;
         const apply = lead?.member === this.settings.member ? build() : null;
         if (!lead || apply === null) {
           done();
@@ -369,8 +369,8 @@
         }
         return {
           when: [
-            ...apply.map((w) => ({ key: w.key, stamp: this.replica.stamp(w.key) })),
-            { key: this.replica.leadKey, stamp: lead.stamp },
+            ...apply.map((w) => ({ key: w.key, stamp: this.replica.stampOf(w.key) })),
+            { key: this.replica.activeLeaderKey, stamp: lead.stamp },
           ],
           apply,
         };
@@ -402,7 +402,7 @@
   }
 
   /** A free machine that the last plan found no use for. */
-  private surplus(m: Machine): boolean {
+  private surplus(m: VersionedMachine): boolean {
     return this.unwanted.has(m.host);
   }
 
@@ -429,7 +429,7 @@
           (u.zones === null || u.zones.includes(m.zone)) &&
           mayUse(u.spec, type, m.zone, m.spot) &&
           // The placement would leave it idle.
-          mayShareGpuMachine(u.spec, type, 0, this.replica.types),
+          mayShareGpuMachine(u.spec, type, 0, this.replica.machineTypes),
       );
       if (!user) {
         this.unwanted.add(m.host);
@@ -452,9 +452,9 @@
   }
 
   /** Fills in the rooms of all machines that are up or coming; returns those that are with the leader. */
-  private countRooms(demand: Demand): { m: Machine; type: MachineType }[] {
-    const free: { m: Machine; type: MachineType }[] = [];
-    const types = new Map(this.replica.types.map((t) => [t.name, t]));
+  private countRooms(demand: Demand): { m: VersionedMachine; type: MachineType }[] {
+    const free: { m: VersionedMachine; type: MachineType }[] = [];
+    const types = new Map(this.replica.machineTypes.map((t) => [t.name, t]));
     for (const m of this.replica.machines.values()) {
       const type = types.get(m.type);
       if (!type || m.state === 'dead' || this.deleting.has(m.host)) continue;
@@ -480,7 +480,7 @@
   }
 
   private refusalMs(type: string): number {
-    const boot = this.replica.types.find((t) => t.name === type)?.bootS ?? 30;
+    const boot = this.replica.machineTypes.find((t) => t.name === type)?.bootS ?? 30;
     return boot * 1000 * (this.operators['idle-boots'] || 1) * 0.5;
   }
 
@@ -508,7 +508,7 @@
       for (let left = Math.ceil(machines - 1e-6); left > 0; left -= mostPerRent) {
         if (!this.spend()) return;
         const request: RentRequest = {
-          name: `r-${this.replica.tokenBase + this.replica.lead!.stamp}-${++this.count}`,
+          name: `r-${this.replica.tokenBase + this.replica.leader!.stamp}-${++this.count}`,
           type: slot.type.name,
           zone: slot.zone,
           spot: slot.spot,
@@ -526,14 +526,14 @@
     const open = (type: MachineType, zone: string, spot: boolean) =>
       this.isOpen(type, zone, spot) && (u.zones === null || u.zones.includes(zone));
     // Premium stays anchored to a type that can be had; if none can, to the cheapest that fits.
-    let anchor = anchorPrice(spec, this.replica.types, (t) => t.zones.some((z) => open(t, z, false)));
-    if (!Number.isFinite(anchor)) anchor = anchorPrice(spec, this.replica.types, () => true);
+    let anchor = anchorPrice(spec, this.replica.machineTypes, (t) => t.zones.some((z) => open(t, z, false)));
+    if (!Number.isFinite(anchor)) anchor = anchorPrice(spec, this.replica.machineTypes, () => true);
     // The dearest machines are not rented for work that others can do: the placement would not use them either.
-    const gpuToo = spec.gpus > 0 || !fitsCpuOnlyType(spec, this.replica.types);
+    const gpuToo = spec.gpus > 0 || !fitsCpuOnlyType(spec, this.replica.machineTypes);
     // Spreads machines over zones; a tie-break only, however large the fleet.
     const balance = 1e-4 / [...perZone.values()].reduce((a, b) => a + b, 1);
     let best: (Slot & { s: number }) | null = null;
-    for (const type of this.replica.types) {
+    for (const type of this.replica.machineTypes) {
       if (type.gpus > 0 && !gpuToo) continue;
       const per = fitCount(spec, type);
       if (per < 1) continue;
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -11,7 +11,7 @@
 import { inPlacementOrder, criticalSlackS } from '../../policy/order.js';
 import { anchorPrice, imageFetchS } from '../../policy/pricing.js';
 import type { JobRecord } from '../storage/index.js';
-import type { Machine, Replica } from '../replica.js';
+import type { VersionedMachine, Replica } from '../replica.js';
 
 /** Tasks that wait and find no room on the machines of their shard. */
 export interface Unmet {
@@ -101,7 +101,7 @@
     return kinds;
   }
 
-  addMachine(m: Machine, type: MachineType): void {
+  addMachine(m: VersionedMachine, type: MachineType): void {
     const room = emptyRoom(type, this.operators.headroom);
     this.byHost.set(m.host, room);
     kindOf(this.kindsOf(m.shard), type, m.zone, m.spot).rooms.push(room);
@@ -139,9 +139,9 @@
   /** What waits and finds no room, in placement order. */
   unmet(): Unmet[] {
     const jobs: WaitingJob[] = [];
-    for (const id of this.replica.open) {
+    for (const id of this.replica.openJobs) {
       const job = this.replica.jobs.get(id)!;
-      const c = this.replica.counts(id);
+      const c = this.replica.taskCounts(id);
       const waiting = job.tasks - c.done - c.running;
       if (waiting > 0 && job.spec) jobs.push({ ...job, spec: job.spec, waiting });
     }
@@ -158,7 +158,7 @@
       ...ordered.filter((j) => j.spec.gpus <= 0),
     ]) {
       const { spec } = job;
-      const shard = this.replica.shardOf(spec.team);
+      const shard = this.replica.shardOfTeam(spec.team);
       const kinds = this.kindsOf(shard);
       const cap = teamQuota(this.settings, spec.team);
       const used = this.teamUse(spec.team);
@@ -182,7 +182,7 @@
           unmet.push({ spec, shard, count: spec.shape === 'gang' ? want : 1, zones: part.zones, slack: 0 });
           continue;
         }
-        for (const kind of here) want -= takeFrom(kind, spec, want, this.replica.types);
+        for (const kind of here) want -= takeFrom(kind, spec, want, this.replica.machineTypes);
         const slack = this.slack(job);
         want -= this.soon(spec, slack, want, here);
         if (want > 0 && spec.shape === 'gang') this.keepFor(spec, shard, here, want);
@@ -198,7 +198,7 @@
    */
   private afterFailures(job: WaitingJob, want: number, here: RoomKind[]): 'wait' | 'another' | null {
     const failed = this.replica.chunks.get(job.id)?.get(0)?.failed ?? [];
-    if (failed.length === 0 || this.replica.counts(job.id).done > 0) return null;
+    if (failed.length === 0 || this.replica.taskCounts(job.id).done > 0) return null;
     const bad = new Set(failed.map((host) => this.byHost.get(host)));
     let room = 0;
     for (const k of here)
@@ -252,11 +252,11 @@
       let n = 0;
       for (const k of kinds.values())
         if (k.zone === zone && mayUse(spec, k.type, k.zone, k.spot))
-          n += countIn(k, spec, count - n, this.replica.types);
+          n += countIn(k, spec, count - n, this.replica.machineTypes);
       return n;
     };
     const obtainable = (zone: string): number =>
-      this.replica.types.some(
+      this.replica.machineTypes.some(
         (t) => t.zones.includes(zone) && mayUse(spec, t, zone, false) && this.isOpen(t, zone, false),
       )
         ? 1
@@ -298,7 +298,7 @@
     const left = slackS(limits, (this.wall - job.at) / 1000, spec.estimateS);
     if (limits.completionS.length + limits.startS.length === 0) return Math.max(spec.estimateS, 1);
     let reach = Infinity;
-    for (const t of this.replica.types)
+    for (const t of this.replica.machineTypes)
       if (typeAllowed(spec, t)) reach = Math.min(reach, t.bootS + imageFetchS(spec, t));
     return Number.isFinite(left) && left >= reach ? left : Infinity;
   }
@@ -311,8 +311,8 @@
     if (want <= 0) return 0;
     // The dearer the machine it takes, the longer running tasks are waited for.
     const perCpu = (t: MachineType) => t.price / Math.max(t.cpus, 1);
-    const cheapest = Math.min(...this.replica.types.map(perCpu));
-    const dear = 1 - cheapest / anchorPrice(spec, this.replica.types, () => true);
+    const cheapest = Math.min(...this.replica.machineTypes.map(perCpu));
+    const dear = 1 - cheapest / anchorPrice(spec, this.replica.machineTypes, () => true);
     const slack = slackOf * slackShare * (0.75 + dear / 4);
     let served = 0;
     for (const kind of kinds) {
@@ -321,7 +321,7 @@
         if (served >= want) return served;
         if (
           r.busy.cpus < spec.cpus ||
-          !mayShareGpuMachine(spec, r.type, r.type.gpus - r.gpus, this.replica.types)
+          !mayShareGpuMachine(spec, r.type, r.type.gpus - r.gpus, this.replica.machineTypes)
         )
           continue;
         const share = Math.min(1, wait / Math.max(r.runS, 1));
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -15,8 +15,8 @@
 import { Membership } from './membership.js';
 import { Neighbours } from './peers.js';
 import { Planning } from './write-budget.js';
-import type { Legacy } from './recovery-records.js';
-import { Rebuilding } from './data-loss-recovery.js';
+import type { RecoveryRecords } from './recovery-records.js';
+import { DataLossRecovery } from './data-loss-recovery.js';
 import { Replica } from './replica.js';
 import { Reports } from './heartbeat-router.js';
 import { Upgrade } from './feature-level-manager.js';
@@ -60,7 +60,7 @@
   private toldAwayAt = -Infinity;
   private readonly fair: boolean;
   private readonly planning: Planning;
-  private readonly rebuilding: Rebuilding;
+  private readonly rebuilding: DataLossRecovery;
   private ended = false;
   private readonly pressure = new Pressure();
   private readonly requests = new Meter(3000);
@@ -80,7 +80,7 @@
     /** Which program this is, for those who look after a roll. */
     program = '?',
     /** What this process knew before the state service lost data. */
-    legacy: Legacy | null = null,
+    recoveryRecords: RecoveryRecords | null = null,
   ) {
     this.fair = operators['fair-admission'] > 0;
     this.levels = new Levels(abilityOf(program, operators['level-most']));
@@ -98,8 +98,8 @@
         },
         machineChanged: (host, now) => this.dispatcher.books.machineChanged(host, now),
         shardChanged: () => (this.shardsChanged = true),
-        decisive: (change) => this.neighbours.noteDecisive(change),
-        sealed: (key, why) =>
+        criticalChange: (change) => this.neighbours.noteDecisive(change),
+        readabilityChanged: (key, why) =>
           why === null
             ? this.log('info', 'record can be read again', { key })
             : this.log('error', 'record not acted on', { key, why }),
@@ -162,7 +162,7 @@
       clock,
       log,
     );
-    this.rebuilding = new Rebuilding(
+    this.rebuilding = new DataLossRecovery(
       settings,
       run,
       replica,
@@ -171,16 +171,16 @@
       clock,
       ttlMs,
       this.dispatcher.books.freshLimitMs + leaseMs,
-      legacy,
+      recoveryRecords,
       log,
     );
-    this.dispatcher.books.attempted = (...what) => this.rebuilding.attempted(...what);
-    this.fleet.mayReturn = () => this.rebuilding.sureOfAbsence;
-    this.neighbours.jobs = () => this.rebuilding.jobs;
+    this.dispatcher.books.attempted = (...what) => this.rebuilding.attemptReported(...what);
+    this.fleet.mayReturn = () => this.rebuilding.canConfirmAbsence;
+    this.neighbours.jobs = () => this.rebuilding.jobCount;
     this.dispatcher.books.canPlace = () => !this.view.stale;
-    this.dispatcher.books.mayStart = () => this.rebuilding.sureOfAbsence && this.view.current;
-    this.userRequests.sureOfAbsence = () => this.rebuilding.sureOfAbsence;
-    committer.conflicted = (failed, epoch) => this.rebuilding.conflicted(failed, epoch);
+    this.dispatcher.books.mayStart = () => this.rebuilding.canConfirmAbsence && this.view.current;
+    this.userRequests.sureOfAbsence = () => this.rebuilding.canConfirmAbsence;
+    committer.conflicted = (failed, epoch) => this.rebuilding.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.dispatcher.more = () => ({ admission: this.admissionSummary() });
     this.recovery = new Recovery(settings.workers.lease_s * 1000 * operators['recovery-leases']);
@@ -194,8 +194,8 @@
       {
         member: settings.member,
         run,
-        seen: (token) => this.rebuilding.token(token),
-        fresh: () => this.view.answersWorkers && this.rebuilding.acting,
+        seen: (token) => this.rebuilding.tokenReported(token),
+        fresh: () => this.view.answersWorkers && this.rebuilding.mayAct,
         strained: () => this.committer.health < 1 || this.userRequests.crowded,
         leading: () => this.membership.leading,
         handOver: (shard, to, toRun) => this.membership.handOver(shard, to, toRun),
@@ -213,13 +213,13 @@
    * that the others are served.
    */
   get healthy(): boolean {
-    if (this.levels.standsBy || this.leaving.asked || !this.rebuilding.acting) return false;
+    if (this.levels.standsBy || this.leaving.asked || !this.rebuilding.mayAct) return false;
     const { told } = this.neighbours;
     // Read by somebody else: they can be asked meanwhile.
-    if (this.replica.epoch < 0) return this.view.unreachable && told.epoch < 0;
+    if (this.replica.watchRevision < 0) return this.view.unreachable && told.epoch < 0;
     if (!this.view.stale) return true;
     const alone = this.settings.peers.length > 0 && this.clock.now - told.at > this.membership.ttlMs;
-    return !alone && !(told.epoch > this.replica.epoch && told.at > this.view.at);
+    return !alone && !(told.epoch > this.replica.watchRevision && told.at > this.view.at);
   }
 
   step(commands: Command[], clock: Clock): Effect[] {
@@ -231,15 +231,15 @@
     // It was told to begin anew: nothing that it does counts any more.
     if (this.ended) return out;
     for (const c of commands) this.handle(c, out);
-    if (this.rebuilding.step(out)) {
+    if (this.rebuilding.detect(out)) {
       this.ended = true;
       this.userRequests.abandon(out);
       return out;
     }
-    const { acting } = this.rebuilding;
+    const { mayAct: acting } = this.rebuilding;
     this.committer.held = !acting;
     this.settle();
-    this.membership.tick(now, out, acting, this.rebuilding.given);
+    this.membership.tick(now, out, acting, this.rebuilding.essentialsRestored);
     this.rebuilding.tick(this.membership.leading);
     const leading = this.membership.leading;
     if (leading !== this.wasLeading) {
@@ -249,7 +249,7 @@
     }
     // Guards against a leader that was cut off or stood still: what it would rent or return may be another's by now.
     if (leading && acting && !this.view.stale && this.membership.holds(now) && !this.leaving.asked) {
-      this.rebuilding.audit(out);
+      this.rebuilding.requestAudit(out);
       this.fleet.tick(out);
       this.upgrade.tick();
       if (this.fair) this.planning.lead(this.demand);
@@ -262,7 +262,7 @@
     this.committer.pump(now, out);
     if (this.view.wantsVouching) this.neighbours.ask(out);
     this.tell(out, null);
-    if (this.rebuilding.wantsReading) out.push({ e: 'epoch' });
+    if (this.rebuilding.wantsRevisionRead) out.push({ e: 'epoch' });
     this.read(leading, out);
     this.follow();
     if (this.fair) this.requests.add(out.filter((e) => asksState.has(e.e)).length, now);
@@ -271,7 +271,7 @@
 
   /** Whether it may say of a job that it was never accepted. */
   get sureOfAbsence(): boolean {
-    return this.rebuilding.sureOfAbsence;
+    return this.rebuilding.canConfirmAbsence;
   }
 
   /** How far this process is, if it was asked to leave. */
@@ -307,14 +307,14 @@
     const { now } = this.clock;
     const { ttlMs } = this.membership;
     const everyMs = Math.min(this.view.freshLimitMs / 8, leading ? ttlMs / 4 : Infinity);
-    if (now - this.readAt > everyMs && this.replica.epoch >= 0) out.push({ e: 'epoch' });
+    if (now - this.readAt > everyMs && this.replica.watchRevision >= 0) out.push({ e: 'epoch' });
     if (out.some((o) => o.e === 'epoch')) this.readAt = now;
   }
 
   /** News goes out at once; a change of what we ask of the others is news. */
   private tell(out: Effect[], epoch: number | null): void {
     const { front } = this.reports;
-    const news = front !== this.wasFront ? this.replica.epoch : epoch;
+    const news = front !== this.wasFront ? this.replica.watchRevision : epoch;
     this.wasFront = front;
     this.neighbours.tell(out, this.reports.busy, front, () => this.demand, news);
   }
@@ -389,13 +389,13 @@
     const { dispatcher, recovery } = this;
     const { unproven } = dispatcher;
     const t = recovery.step(now, {
-      read: this.replica.epoch >= 0,
+      read: this.replica.watchRevision >= 0,
       present: this.membership.present,
       owned: dispatcher.owned.size,
       unproven: unproven.length,
       placed: dispatcher.books.placed,
     });
-    if (t) this.log('info', 'recovery', { ...t, keys: this.replica.size });
+    if (t) this.log('info', 'recovery', { ...t, keys: this.replica.keyCount });
     if (recovery.overdue(now))
       this.log('warn', 'machines still to be proven', {
         machines: unproven.length,
@@ -476,8 +476,8 @@
         break;
       case 'pulse':
         this.neighbours.pulse(c.from, c.pulse);
-        this.rebuilding.heard(c.pulse);
-        if (c.pulse.epoch > this.replica.epoch) out.push({ e: 'catch-up', epoch: c.pulse.epoch });
+        this.rebuilding.peerHeard(c.pulse);
+        if (c.pulse.epoch > this.replica.watchRevision) out.push({ e: 'catch-up', epoch: c.pulse.epoch });
         break;
       case 'asked':
         this.neighbours.asked(c.from, c.question, out);
@@ -489,28 +489,28 @@
         this.log('info', 'reading state', { keys: c.keys });
         break;
       case 'loaded':
-        this.rebuilding.loaded(c.items, c.epoch);
-        this.replica.load(c.items, c.epoch);
+        this.rebuilding.snapshotLoaded(c.items, c.epoch);
+        this.replica.loadSnapshot(c.items, c.epoch);
         this.neighbours.loaded(c.epoch);
         this.log('info', 'state loaded', { epoch: c.epoch, keys: c.items.length });
         this.shardsChanged = true;
         break;
       case 'changes':
-        this.replica.advance(c.changes, c.epoch);
+        this.replica.applyWatch(c.changes, c.epoch);
         break;
       case 'committed':
-        if (c.outcome.r === 'ok') this.rebuilding.reached(c.outcome.epoch);
+        if (c.outcome.r === 'ok') this.rebuilding.revisionReached(c.outcome.epoch);
         this.committer.outcome(c.outcome, this.clock.now, out);
         // The others need not wait for their next watch.
         if (c.outcome.r === 'ok') this.tell(out, c.outcome.epoch);
         break;
       case 'epoch':
-        this.rebuilding.read(c.sentAt, c.epoch);
+        this.rebuilding.revisionRead(c.sentAt, c.epoch);
         this.view.read(c.sentAt, c.epoch);
         this.userRequests.epochRead(c.sentAt, c.epoch, out, this.view.vouchedFor);
         break;
       case 'audited':
-        this.rebuilding.audited(c.from, c.items, c.more, c.epoch);
+        this.rebuilding.auditPageRead(c.from, c.items, c.more, c.epoch);
         break;
       case 'leased':
         this.membership.leased(c.hold, this.clock.now);
--- a/src/core/dispatcher.ts
+++ b/src/core/dispatcher.ts
@@ -111,7 +111,7 @@
       }
     for (const [shard, grant] of this.replica.shards)
       // The view must include all that earlier owners wrote, so it has to have reached the grant.
-      if (!books.owned.has(shard) && this.isMine(shard) && this.replica.epoch >= grant.stamp) {
+      if (!books.owned.has(shard) && this.isMine(shard) && this.replica.watchRevision >= grant.stamp) {
         books.open(shard);
         this.astray = true;
         this.tookUpAt = this.clock.now;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,7 +1,7 @@
 import type { Demand, Turned } from '../admission/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
-import type { Legacy } from './recovery-records.js';
+import type { RecoveryRecords } from './recovery-records.js';
 import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
 import type { MachineAttributes } from '../policy/matching.js';
 import type { Question } from '../freshness/index.js';
@@ -95,7 +95,7 @@
   /** Read some keys behind this one. */
   | { e: 'audit'; from: string; keys: number }
   /** The state service has lost data: this controller is to begin anew with what it knew. */
-  | { e: 'reborn'; legacy: Legacy }
+  | { e: 'reborn'; recoveryRecords: RecoveryRecords }
   | { e: 'lease'; ttlMs: number }
   | { e: 'renew'; hold: number }
   | { e: 'unlease'; hold: number }
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -26,7 +26,7 @@
   wishKey,
 } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
-import { barred } from './recovery-records.js';
+import { leaderPlaceholder } from './recovery-records.js';
 import type { Membership } from './membership.js';
 import type { Replica } from './replica.js';
 
@@ -59,7 +59,7 @@
     const { now } = this.clock;
     if (this.busy || now - this.lookedAt < this.ttlMs / looksPerLease) return;
     // Guards against lowering while a record that was written just before the level changed has not been seen yet.
-    if (this.replica.epoch < this.replica.levels.state.stamp) return;
+    if (this.replica.watchRevision < this.replica.levels.state.stamp) return;
     this.lookedAt = now;
     const d = this.decide();
     switch (d.do) {
@@ -91,11 +91,11 @@
       state: replica.levels.state,
       newest: Math.min(newestLevel, replica.levels.mine.most),
       configured,
-      seen: replica.members.seen,
-      witnessed: replica.witnessed,
+      seen: replica.members.capabilities,
+      witnessed: replica.observedCapabilities,
       wish: replica.wish,
       newer: this.newerRecords(),
-      stuck: [...replica.sealed.keys(), ...replica.withExtras],
+      stuck: [...replica.unreadableRecords.keys(), ...replica.keysWithUnknownFields],
     });
   }
 
@@ -104,8 +104,8 @@
     const { replica } = this;
     const { write } = replica.levels.state;
     if (write >= features['task-log'].level) return 0;
-    const logged = replica.taskLog.size + replica.checkpoints;
-    return write >= features['small-jobs'].level ? logged : logged + replica.whole.size;
+    const logged = replica.taskLog.size + replica.checkpointCount;
+    return write >= features['small-jobs'].level ? logged : logged + replica.jobsWithInlineTasks.size;
   }
 
   /**
@@ -114,7 +114,7 @@
    */
   private counted(): string[] {
     const { settings, replica } = this;
-    const ever = settings.pool ? replica.members.seen.keys() : [];
+    const ever = settings.pool ? replica.members.capabilities.keys() : [];
     const peers = settings.peers.map((p) => p.member);
     return [...new Set([settings.member, ...peers, ...replica.nodes.keys(), ...ever])];
   }
@@ -126,7 +126,7 @@
   }
 
   private refuse(text: string): void {
-    const { note, seen } = this.replica.members;
+    const { note, capabilities: seen } = this.replica.members;
     const { stamp } = this.replica.wish;
     if (note?.wish === stamp && note.text === text) return;
     this.log('warn', text, { level: this.replica.levels.state.level });
@@ -147,10 +147,10 @@
     if (was === is) return apply;
     const mine = { member: settings.member, run: membership.run };
     const hold = membership.hold ?? undefined;
-    const types = replica.types.length > 0 ? typesData(replica.types) : undefined;
+    const types = replica.machineTypes.length > 0 ? typesData(replica.machineTypes) : undefined;
     if (is)
       apply.push(
-        { key: leadKey, data: { ...barred } },
+        { key: leadKey, data: { ...leaderPlaceholder } },
         { key: chiefKey, data: mine, hold },
         { key: typesKey, data: undefined },
         { key: kindsKey, data: types },
@@ -163,7 +163,7 @@
         { key: kindsKey, data: undefined },
       );
     // A key that is not there cannot be dropped.
-    return apply.filter((w) => w.data !== undefined || replica.stamp(w.key) > 0);
+    return apply.filter((w) => w.data !== undefined || replica.stampOf(w.key) > 0);
   }
 
   private write(what: string, decision: Decision, build: () => Write[]): void {
@@ -183,21 +183,21 @@
         }
         const apply = build();
         const keys = new Set([
-          replica.leadKey,
+          replica.activeLeaderKey,
           levelKey,
           membersKey,
           wishKey,
           ...this.counted().map(nodeKey),
         ]);
         for (const w of apply) keys.add(w.key);
-        return { when: [...keys].map((key) => ({ key, stamp: replica.stamp(key) })), apply };
+        return { when: [...keys].map((key) => ({ key, stamp: replica.stampOf(key) })), apply };
       },
       ok: () => {
         done();
         this.said = '';
         this.log('info', what, {
           ...replica.levels.state,
-          can: Object.fromEntries([...replica.members.seen].map(([m, c]) => [m, c.most])),
+          can: Object.fromEntries([...replica.members.capabilities].map(([m, c]) => [m, c.most])),
         });
       },
       conflict: done,
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -58,7 +58,7 @@
     for (const [piece, t] of listed) {
       const p = m.placements.get(piece);
       // Guards against stopping, or forgetting the result of, what a newer program has placed here.
-      if (p?.job.frozen || this.books.replica.isSealedJob(t.job)) continue;
+      if (p?.job.frozen || this.books.replica.isJobUnreadable(t.job)) continue;
       if (p?.attempt === t.attempt) {
         if (p.stop && t.phase !== 'exited') orders.push(stopOrder(p, p.stop.graceS));
       } else if (t.phase === 'exited') {
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -16,7 +16,7 @@
 import type { Fleet } from './autoscaler/autoscaler.js';
 import { Holding, type Release } from './held-responses.js';
 import type { Neighbours } from './peers.js';
-import type { Machine, Replica } from './replica.js';
+import type { VersionedMachine, Replica } from './replica.js';
 
 /** Of the 4 s that workers wait for an answer. */
 const relayMs = 2000;
@@ -93,9 +93,9 @@
         this.fleet.unexpected(report);
         return answer(503, {}, 1);
       }
-      return answer(421, redirectOut(this.replica.lead?.member ?? null));
+      return answer(421, redirectOut(this.replica.leader?.member ?? null));
     }
-    const custodian = this.replica.custodian(m);
+    const custodian = this.replica.responsibleController(m);
     if (!custodian || !this.isMine(custodian)) return this.elsewhere(rid, report, m, from, out);
     this.redirected.delete(report.host);
     // Somebody came under a newer token: we are the stale owner and do not know it yet.
@@ -133,7 +133,7 @@
   /** Whether a report that was taken in before may still be answered under this token. */
   private stands(run: MachineRun, token: number): boolean {
     const m = this.replica.machines.get(run.host);
-    const custodian = m && this.replica.custodian(m);
+    const custodian = m && this.replica.responsibleController(m);
     if (!this.host.fresh() || this.replica.levels.standsBy || !custodian) return false;
     if (!this.isMine(custodian) || custodian.token !== token) return false;
     return this.dispatcher.machines.get(run.host) === run;
@@ -153,9 +153,15 @@
     return to.member;
   }
 
-  private elsewhere(rid: number, report: Heartbeat, m: Machine, from: string | null, out: Effect[]): void {
+  private elsewhere(
+    rid: number,
+    report: Heartbeat,
+    m: VersionedMachine,
+    from: string | null,
+    out: Effect[],
+  ): void {
     const { now } = this.clock;
-    const custodian = this.replica.custodian(m);
+    const custodian = this.replica.responsibleController(m);
     const there =
       custodian !== null &&
       custodian.member !== this.host.member &&
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -53,7 +53,7 @@
    */
   private idleMs(m: MachineRun): number {
     const perCpu = (t: MachineType): number => t.price / Math.max(t.cpus, 1);
-    const cheapest = Math.min(...this.books.replica.types.map(perCpu));
+    const cheapest = Math.min(...this.books.replica.machineTypes.map(perCpu));
     const replaceS = m.type.bootS + Math.max(0, ...m.images.values());
     return this.books.operators['idle-boots'] * Math.max(0.5, cheapest / perCpu(m.type)) * replaceS * 1000;
   }
@@ -75,7 +75,7 @@
         const shard = standing === 'free' ? -1 : m.record.shard;
         return {
           when: [
-            { key, stamp: this.books.replica.stamp(key) },
+            { key, stamp: this.books.replica.stampOf(key) },
             { key: shardKey(m.record.shard), stamp: grant.stamp },
           ],
           apply: [{ key, data: machineData({ ...m.record, shard, state: standing }) }],
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -61,7 +61,7 @@
   }
 
   get leading(): boolean {
-    return this.replica.lead?.member === this.settings.member && this.replica.lead.run === this.run;
+    return this.replica.leader?.member === this.settings.member && this.replica.leader.run === this.run;
   }
 
   /**
@@ -79,7 +79,7 @@
   /** Hands on what this process has, then goes: its shards to others, leadership and presence to nobody. */
   leave(out: Effect[]): void {
     this.leaving = true;
-    if (this.left || this.replica.epoch < 0) return;
+    if (this.left || this.replica.watchRevision < 0) return;
     const { member } = this.settings;
     const { state } = this.replica.levels;
     const others = [...this.replica.nodes.values()].filter(
@@ -99,14 +99,14 @@
       build: () => {
         const keys = [
           ...(this.present ? [nodeKey(member)] : []),
-          ...(this.leading ? [this.replica.leadKey] : []),
+          ...(this.leading ? [this.replica.activeLeaderKey] : []),
         ];
         if (keys.length === 0) {
           ended();
           return null;
         }
         return {
-          when: keys.map((key) => ({ key, stamp: this.replica.stamp(key) })),
+          when: keys.map((key) => ({ key, stamp: this.replica.stampOf(key) })),
           apply: keys.map((key) => ({ key, data: undefined })),
         };
       },
@@ -123,7 +123,7 @@
 
   /** `acting`: while lost data is brought back nobody leads; `given`: this process has written what it knew of it. */
   tick(now: number, out: Effect[], acting: boolean, given: boolean): void {
-    if (this.replica.epoch < 0 || !given) return;
+    if (this.replica.watchRevision < 0 || !given) return;
     const { levels } = this.replica;
     const mine = this.replica.nodes.get(this.settings.member);
     if (!this.cleared) {
@@ -149,8 +149,8 @@
     if (!this.present)
       this.put(nodeKey(this.settings.member), nodeData(this.run, this.hold, levels.mine), this.hold);
     else if (levels.standsBy || !acting) return;
-    else if (this.replica.lead === null)
-      this.put(this.replica.leadKey, { member: this.settings.member, run: this.run }, this.hold);
+    else if (this.replica.leader === null)
+      this.put(this.replica.activeLeaderKey, { member: this.settings.member, run: this.run }, this.hold);
     if (this.leading && acting) this.lead(now);
   }
 
@@ -185,15 +185,15 @@
   /** The leader's upkeep of the team table and the grants. */
   private lead(now: number): void {
     // Every step comes here, and hardly any brings news.
-    if (this.replica.epoch === this.ledEpoch && now - this.ledAt < this.ttlMs * ledShare) return;
+    if (this.replica.watchRevision === this.ledEpoch && now - this.ledAt < this.ttlMs * ledShare) return;
     this.ledAt = now;
-    this.ledEpoch = this.replica.epoch;
+    this.ledEpoch = this.replica.watchRevision;
     const shards = this.operators.shards > 0 ? this.operators.shards : 1 + this.settings.peers.length;
     const teams = this.settings.teams.map((t) => t.name);
-    const known = new Set(this.replica.teams.flat());
+    const known = new Set(this.replica.teamsByShard.flat());
     if (this.replica.teamsStamp === 0 || teams.some((t) => !known.has(t))) {
       // A team that has a home keeps it: its cap is counted there.
-      const table = this.replica.teams.map((list) => [...list]);
+      const table = this.replica.teamsByShard.map((list) => [...list]);
       while (table.length < Math.min(shards, teams.length)) table.push([]);
       for (const team of teams)
         if (!known.has(team)) table.reduce((a, b) => (b.length < a.length ? b : a)).push(team);
@@ -209,7 +209,7 @@
     if (alive.length === 0) return;
     const load = new Map(alive.map((n) => [n.member, 0]));
     const loose: number[] = [];
-    this.replica.teams.forEach((_, shard) => {
+    this.replica.teamsByShard.forEach((_, shard) => {
       const grant = this.replica.shards.get(shard);
       if (grant && this.replica.isAlive(grant.owner, grant.run))
         load.set(grant.owner, (load.get(grant.owner) ?? 0) + 1);
@@ -255,18 +255,18 @@
     if (this.busy.has(key)) return;
     this.busy.add(key);
     const leads = hold !== undefined && data['member'] === this.settings.member;
-    const leadStamp = this.leading && hold === undefined ? this.replica.lead!.stamp : null;
+    const leadStamp = this.leading && hold === undefined ? this.replica.leader!.stamp : null;
     this.committer.add({
       rank: Rank.membership,
       build: () => {
         // Guards against a leadership that another has taken, or that has moved with the level, while this waited.
-        const late = leads && (key !== this.replica.leadKey || this.replica.lead !== null);
+        const late = leads && (key !== this.replica.activeLeaderKey || this.replica.leader !== null);
         if ((hold !== undefined && hold !== this.hold) || late || this.left) {
           this.busy.delete(key);
           return null;
         }
-        const when = [{ key, stamp: this.replica.stamp(key) }];
-        if (leadStamp !== null) when.push({ key: this.replica.leadKey, stamp: leadStamp });
+        const when = [{ key, stamp: this.replica.stampOf(key) }];
+        if (leadStamp !== null) when.push({ key: this.replica.activeLeaderKey, stamp: leadStamp });
         return { when, apply: [{ key, data, hold }] };
       },
       ok: () => this.busy.delete(key),
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -76,7 +76,7 @@
   }
 
   /** Jobs that this process knows. */
-  jobs: () => number = () => this.replica.jobKeys;
+  jobs: () => number = () => this.replica.jobCount;
 
   /** The most jobs that any other knows. */
   get mostJobs(): number {
@@ -107,7 +107,7 @@
     const { now } = this.clock;
     if (news === null && now - this.pulsedAt < this.ttlMs / pulsesPerLease) return;
     this.pulsedAt = now;
-    const epoch = Math.max(this.replica.epoch, news ?? -1);
+    const epoch = Math.max(this.replica.watchRevision, news ?? -1);
     out.push({
       e: 'pulse',
       pulse: {
@@ -128,7 +128,7 @@
     return new Map(
       this.members.map((m) => {
         const o = this.others.get(m);
-        const here = this.replica.epoch < 0 || this.replica.nodes.has(m);
+        const here = this.replica.watchRevision < 0 || this.replica.nodes.has(m);
         if (here) this.hereAt.set(m, now);
         const fallen = now - (this.hereAt.get(m) ?? -Infinity) > this.ttlMs * knowsGone;
         return [m, { here, fallen, demand: here && o && this.isFresh(o) ? o.pulse.wants : null }];
@@ -139,18 +139,18 @@
   // ---- vouching ----
 
   private get inc(): number {
-    return this.replica.inc?.n ?? 0;
+    return this.replica.incarnation?.number ?? 0;
   }
 
   ask(out: Effect[]): void {
-    const q = this.vouching.ask(this.clock.now, this.replica.epoch, this.inc);
+    const q = this.vouching.ask(this.clock.now, this.replica.watchRevision, this.inc);
     if (q) out.push({ e: 'ask', question: q });
   }
 
   asked(from: string, question: Question, out: Effect[]): void {
     // Guards against a view of what was before a loss being confirmed, or changed, by what is known since.
     if (question.inc !== this.inc) return;
-    const known = this.replica.epoch < 0 ? null : this.recent.since(question.epoch);
+    const known = this.replica.watchRevision < 0 ? null : this.recent.since(question.epoch);
     if (known) out.push({ e: 'vouch', to: from, question, known });
   }
 
--- a/src/core/recovery-records.ts
+++ b/src/core/recovery-records.ts
@@ -22,50 +22,51 @@
 import type { Replica } from './replica.js';
 
 /** What a controller knew when it saw that the state service had lost data. */
-export interface Legacy {
+export interface RecoveryRecords {
   /** The incarnation that it followed. */
-  n: number;
+  incarnation: number;
   /** The revision up to which it had followed it. */
-  epoch: number;
+  revision: number;
   /** By key, in the order in which they are to be written again. */
   records: Map<string, Data>;
-  why: string;
+  reason: string;
 }
 
 /** Leadership as programs that know no levels see it from level 2 on: taken, for ever, by nobody. */
-export const barred = { member: 'level-2', run: 'barred' };
+export const leaderPlaceholder = { member: 'level-2', run: 'barred' };
 
-export const kindOfRef = (ref: KeyRef): Kind =>
+export const recordKindOf = (ref: KeyRef): Kind =>
   ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
 
 /** Needed before anybody can act; then what the fleet does; what is over comes last. */
-export const isOver = (key: string, data: Data): boolean => key.startsWith('dp/j/') && data['s'] === 'done';
+export const isFinishedJob = (key: string, data: Data): boolean =>
+  key.startsWith('dp/j/') && data['s'] === 'done';
 
 /** A record as it is stored, or undefined; leases' keys, grants and the plan are not restored: they are made anew. */
-export function dataOf(replica: Replica, key: string): Data | undefined {
+export function storedRecordOf(replica: Replica, key: string): Data | undefined {
   const ref = readKey(key);
-  if (ref === null || replica.sealed.has(key)) return undefined;
+  if (ref === null || replica.unreadableRecords.has(key)) return undefined;
   // The state of a chunk's tasks may be in the task log only.
-  if (ref.kind !== 'chunk' && replica.stamp(key) === 0) return undefined;
-  const data = bare(replica, ref);
-  return data && { ...replica.extras(key), ...data };
+  if (ref.kind !== 'chunk' && replica.stampOf(key) === 0) return undefined;
+  const data = recordFields(replica, ref);
+  return data && { ...replica.unknownFieldsOf(key), ...data };
 }
 
-function bare(replica: Replica, ref: KeyRef): Data | undefined {
+function recordFields(replica: Replica, ref: KeyRef): Data | undefined {
   switch (ref.kind) {
     case 'level':
       return levelData(replica.levels.state.level, replica.levels.state.write);
     case 'members':
-      return membersData(replica.members.seen, null);
+      return membersData(replica.members.capabilities, null);
     case 'wish':
       return wishData(replica.wish);
     case 'types':
     case 'kinds':
-      return replica.types.length > 0 ? typesData(replica.types) : undefined;
+      return replica.machineTypes.length > 0 ? typesData(replica.machineTypes) : undefined;
     case 'teams':
-      return teamsData(replica.teams);
+      return teamsData(replica.teamsByShard);
     case 'lead':
-      return replica.levels.state.level >= 2 ? { ...barred } : undefined;
+      return replica.levels.state.level >= 2 ? { ...leaderPlaceholder } : undefined;
     case 'block': {
       const b = replica.blocks.get(ref.block);
       return b && blockData(b);
@@ -76,10 +77,12 @@
     }
     case 'job': {
       const job = replica.jobs.get(ref.id);
-      return job && jobRecord(replica, job);
+      return job && storedJob(replica, job);
     }
     case 'chunk': {
-      const c = replica.whole.has(ref.id) ? undefined : replica.chunks.get(ref.id)?.get(ref.chunk);
+      const c = replica.jobsWithInlineTasks.has(ref.id)
+        ? undefined
+        : replica.chunks.get(ref.id)?.get(ref.chunk);
       return c && chunkData(c, c.revision);
     }
     default:
@@ -87,7 +90,7 @@
   }
 }
 
-function jobRecord(replica: Replica, { id, state, spec, at, tasks, use, whole }: JobRecord): Data {
+function storedJob(replica: Replica, { id, state, spec, at, tasks, use, whole }: JobRecord): Data {
   const own = whole ? replica.chunks.get(id)?.get(0) : undefined;
   if (state === 'done') return jobDoneData(at, tasks);
   if (state === 'open' && spec) return own ? wholeJobData(spec, at, chunkData(own)) : jobData(spec, at);
@@ -95,7 +98,7 @@
   return own ? { ...data, v: 2, t: chunkData(own) } : data;
 }
 
-const order = [
+const restoreOrder = [
   'level',
   'lead',
   'kinds',
@@ -110,26 +113,36 @@
 ];
 
 /** Keys of the states that the task log tells, also of those that have no record of their own. */
-function* loggedChunks(replica: Replica): Generator<string> {
+function* loggedChunkKeys(replica: Replica): Generator<string> {
   for (const [id, chunks] of replica.chunks)
     for (const [number, { revision }] of chunks) if (revision > 0) yield chunkKey(id, number);
 }
 
 /** Everything that a controller knows, put together with what it still had to write of an earlier loss. */
-export function legacyOf(replica: Replica, before: Legacy | null, n: number, why: string): Legacy {
+export function collectRecoveryRecords(
+  replica: Replica,
+  earlier: RecoveryRecords | null,
+  incarnation: number,
+  reason: string,
+): RecoveryRecords {
   const records = new Map<string, Data>();
-  for (const { key } of replica.known()) {
-    const data = dataOf(replica, key);
+  for (const { key } of replica.knownKeys()) {
+    const data = storedRecordOf(replica, key);
     if (data) records.set(key, data);
   }
-  for (const key of loggedChunks(replica)) {
-    const data = dataOf(replica, key);
+  for (const key of loggedChunkKeys(replica)) {
+    const data = storedRecordOf(replica, key);
     if (data) records.set(key, data);
   }
-  for (const [key, data] of before?.records ?? [])
-    records.set(key, merge(kindOfRef(readKey(key)!), records.get(key), data));
+  for (const [key, data] of earlier?.records ?? [])
+    records.set(key, merge(recordKindOf(readKey(key)!), records.get(key), data));
   const rank = ([key, data]: [string, Data]): number =>
-    order.indexOf(readKey(key)!.kind) + (isOver(key, data) ? order.length : 0);
+    restoreOrder.indexOf(readKey(key)!.kind) + (isFinishedJob(key, data) ? restoreOrder.length : 0);
   const sorted = [...records].sort((a, b) => rank(a) - rank(b));
-  return { n, epoch: Math.max(replica.epoch, before?.epoch ?? -1), records: new Map(sorted), why };
+  return {
+    incarnation,
+    revision: Math.max(replica.watchRevision, earlier?.revision ?? -1),
+    records: new Map(sorted),
+    reason,
+  };
 }
--- a/src/core/replica-freshness.ts
+++ b/src/core/replica-freshness.ts
@@ -94,7 +94,7 @@
 
   settle(): void {
     this.readings = this.readings.filter((r) => {
-      if (r.epoch > this.replica.epoch) return true;
+      if (r.epoch > this.replica.watchRevision) return true;
       this.completeAt = Math.max(this.completeAt, r.sentAt);
       if (r.sentAt >= this.wokeAt) this.at = Math.max(this.at, r.sentAt);
       return false;
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -38,32 +38,32 @@
   typesKey,
 } from './storage/index.js';
 
-export type Machine = MachineRecord & { stamp: number };
+export type VersionedMachine = MachineRecord & { stamp: number };
 
 /** What the replica tells its owner about a change that took effect. */
 export interface ReplicaListener {
-  jobChanged(id: string, now: JobRecord | undefined): void;
-  machineChanged(host: string, now: Machine | undefined): void;
+  jobChanged(id: string, job: JobRecord | undefined): void;
+  machineChanged(host: string, machine: VersionedMachine | undefined): void;
   shardChanged(shard: number): void;
   /** A change that others must not miss: a job's end, a grant, leadership. */
-  decisive(change: Change): void;
+  criticalChange(change: Change): void;
   /** A record that is not acted on, and why; null: it can be read again. */
-  sealed(key: string, why: string | null): void;
+  readabilityChanged(key: string, reason: string | null): void;
   levelChanged(): void;
   incarnationChanged(): void;
 }
 
-interface Lead {
+interface LeaderRecord {
   member: string;
   run: string;
   stamp: number;
 }
 
-const kindOfRef = (ref: KeyRef): Kind =>
+const recordKindOf = (ref: KeyRef): Kind =>
   ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
 
 /** Without these nobody could join, lead or be told the level: damaged ones are written anew. */
-const renewed: ReadonlySet<string> = new Set([
+const replaceableKinds: ReadonlySet<string> = new Set([
   'node',
   'lead',
   'chief',
@@ -80,54 +80,57 @@
  * later writes.
  */
 export class Replica {
-  epoch = -1;
+  watchRevision = -1;
   /** Who leads, by the key that holds it: which one counts depends on the level. */
-  private readonly leads = new Map<string, Lead>();
-  private readonly typeLists = new Map<string, MachineType[]>();
-  types: MachineType[] = [];
+  private readonly leaderRecords = new Map<string, LeaderRecord>();
+  private readonly machineTypesByKey = new Map<string, MachineType[]>();
+  machineTypes: MachineType[] = [];
   /** What members were last seen with, and the leader's answer to the operators. */
-  members: { seen: Map<string, Ability>; note: LevelNote | null } = { seen: new Map(), note: null };
+  members: { capabilities: Map<string, Ability>; note: LevelNote | null } = {
+    capabilities: new Map(),
+    note: null,
+  };
   wish: Wish = noWish;
   /** Incarnations that the state names: one, but for the moments in which another is opened. */
-  readonly incs = new Map<number, Incarnation>();
+  readonly incarnations = new Map<number, Incarnation>();
   /** Who may write how much; null: there is no plan. */
   plan: Plan | null = null;
-  teams: string[][] = [];
+  teamsByShard: string[][] = [];
   teamsStamp = 0;
   readonly nodes = new Map<string, NodeRecord>();
   /** What members could do when they were last here, as far as this process has seen it. */
-  readonly witnessed = new Map<string, Ability>();
+  readonly observedCapabilities = new Map<string, Ability>();
   readonly shards = new Map<number, ShardRecord>();
   /** Every machine: by its own record, or else as its block says. */
-  readonly machines = new Map<string, Machine>();
+  readonly machines = new Map<string, VersionedMachine>();
   readonly blocks = new Map<string, BlockRecord>();
   /** Which block a machine came with, and the revision at which it did. */
-  private readonly origins = new Map<string, { block: string; stamp: number }>();
+  private readonly originBlocks = new Map<string, { block: string; stamp: number }>();
   readonly jobs = new Map<string, JobRecord>();
   /** How many jobs are recorded, whether their records can be read or not. */
-  jobKeys = 0;
-  readonly open = new Set<string>();
+  jobCount = 0;
+  readonly openJobs = new Set<string>();
   readonly chunks = new Map<string, Map<number, ChunkRecord>>();
   private readonly stamps = new Map<string, number>();
   private readonly writers = new Map<string, string>();
-  private readonly gone = new Map<string, number>();
+  private readonly recentDeletions = new Map<string, number>();
   /** Fields of records that this program does not know. */
-  private readonly unknown = new Map<string, Data>();
+  private readonly unknownFields = new Map<string, Data>();
   /** Records that are not acted on, and why. */
-  readonly sealed = new Map<string, string>();
+  readonly unreadableRecords = new Map<string, string>();
   /** Jobs whose tasks' records cannot be read. */
-  private readonly sealedTasks = new Map<string, Set<number>>();
+  private readonly unreadableChunks = new Map<string, Set<number>>();
   /** Jobs whose record holds the state of their tasks. */
-  readonly whole = new Set<string>();
+  readonly jobsWithInlineTasks = new Set<string>();
   /** Changes of tasks' states that are not in their own records yet. */
   readonly taskLog = new LogReader({
     get: (job, chunk) => this.chunks.get(job)?.get(chunk),
-    set: (job, chunk, state) => this.setLogged(job, chunk, state),
+    set: (job, chunk, state) => this.setLoggedChunk(job, chunk, state),
     end: (job, chunk) => this.setChunk(job, chunk, null),
-    standing: (job) => this.standing(job),
+    standing: (job) => this.taskLogStatus(job),
   });
   /** Records of the task log that cannot be read: nobody knows what they placed. */
-  private readonly sealedLogs = new Set<string>();
+  private readonly unreadableLogs = new Set<string>();
 
   constructor(
     private readonly listener: ReplicaListener,
@@ -135,196 +138,200 @@
   ) {}
 
   /** Whether the states of a job's tasks are in the task log and in records of their own. */
-  standing(id: string): 'unknown' | 'followed' | 'over' {
+  taskLogStatus(id: string): 'unknown' | 'followed' | 'over' {
     const job = this.jobs.get(id);
     if (!job) return 'unknown';
-    return job.state === 'done' || this.whole.has(id) ? 'over' : 'followed';
+    return job.state === 'done' || this.jobsWithInlineTasks.has(id) ? 'over' : 'followed';
   }
 
   /** The revision of a chunk's state that its own record holds; null: nothing is known of its tasks. */
-  checkpointOf(id: string, chunk: number): number | null {
+  checkpointRevision(id: string, chunk: number): number | null {
     return this.chunks.get(id)?.get(chunk)?.checkpoint ?? null;
   }
 
   /** The state of some tasks as the task log has it. Of a cancelled job nothing is kept once nothing of it is placed. */
-  private setLogged(id: string, chunk: number, state: ChunkRecord): void {
+  private setLoggedChunk(id: string, chunk: number, state: ChunkRecord): void {
     const isOver = this.jobs.get(id)?.state === 'cancelled' && state.placed.length === 0;
     this.setChunk(id, chunk, isOver ? null : state);
   }
 
   /** The incarnation that this is; null: the state names none. */
-  get inc(): Incarnation | null {
+  get incarnation(): Incarnation | null {
     let last: Incarnation | null = null;
-    for (const i of this.incs.values()) if (!last || i.n > last.n) last = i;
+    for (const i of this.incarnations.values()) if (!last || i.number > last.number) last = i;
     return last;
   }
 
   get tokenBase(): number {
-    return tokenBase(this.inc?.n ?? 1);
+    return tokenBase(this.incarnation?.number ?? 1);
   }
 
   get attemptBase(): number {
-    return attemptBase(this.inc?.n ?? 1);
+    return attemptBase(this.incarnation?.number ?? 1);
   }
 
   /** How many chunks' own records are checkpoints of a task log. */
-  get checkpoints(): number {
+  get checkpointCount(): number {
     let count = 0;
     for (const chunks of this.chunks.values()) for (const c of chunks.values()) if (c.checkpoint > 0) count++;
     return count;
   }
 
   /** What is known of every key: its stamp. */
-  *known(): Generator<{ key: string; stamp: number }> {
+  *knownKeys(): Generator<{ key: string; stamp: number }> {
     for (const [key, stamp] of this.stamps) yield { key, stamp };
   }
 
-  get leadKey(): string {
+  get activeLeaderKey(): string {
     return this.levels.has('barred-lead') ? chiefKey : leadKey;
   }
 
-  get typesKey(): string {
+  get activeTypesKey(): string {
     return this.levels.has('barred-lead') ? kindsKey : typesKey;
   }
 
-  get lead(): Lead | null {
-    return this.leads.get(this.leadKey) ?? null;
+  get leader(): LeaderRecord | null {
+    return this.leaderRecords.get(this.activeLeaderKey) ?? null;
   }
 
   /** Fields of a record's that this program does not know, and that must survive its writes. */
-  extras(key: string): Data | undefined {
-    return this.unknown.get(key);
+  unknownFieldsOf(key: string): Data | undefined {
+    return this.unknownFields.get(key);
   }
 
   /** Whether something of a job cannot be read: nothing is done about it, and nobody is told that it is not there. */
-  isSealedJob(id: string): boolean {
-    return this.sealed.size > 0 && (this.sealed.has(jobKey(id)) || this.sealedTasks.has(id));
+  isJobUnreadable(id: string): boolean {
+    return (
+      this.unreadableRecords.size > 0 &&
+      (this.unreadableRecords.has(jobKey(id)) || this.unreadableChunks.has(id))
+    );
   }
 
   /** Whether a machine that is not known may be there all the same: its record, or some rental's, cannot be read. */
-  mayBeThere(host: string): boolean {
-    if (this.sealed.size === 0) return false;
-    if (this.sealed.has(machineKey(host))) return true;
-    for (const key of this.sealed.keys()) if (readKey(key)?.kind === 'block') return true;
+  mayHaveMachine(host: string): boolean {
+    if (this.unreadableRecords.size === 0) return false;
+    if (this.unreadableRecords.has(machineKey(host))) return true;
+    for (const key of this.unreadableRecords.keys()) if (readKey(key)?.kind === 'block') return true;
     return false;
   }
 
   /** The stamp of what holds the state of some of a job's tasks. */
-  tasksStamp(id: string, chunk: number): number {
-    return this.stamp(this.whole.has(id) ? jobKey(id) : chunkKey(id, chunk));
+  taskStateStamp(id: string, chunk: number): number {
+    return this.stampOf(this.jobsWithInlineTasks.has(id) ? jobKey(id) : chunkKey(id, chunk));
   }
 
   /** Keys with fields that this program does not know: none of its formats can express them. */
-  get withExtras(): Iterable<string> {
-    return this.unknown.keys();
+  get keysWithUnknownFields(): Iterable<string> {
+    return this.unknownFields.keys();
   }
 
-  stamp(key: string): number {
+  stampOf(key: string): number {
     return this.stamps.get(key) ?? 0;
   }
 
   /** How many keys there are. */
-  get size(): number {
+  get keyCount(): number {
     return this.stamps.size;
   }
 
   /** Which write made the key's present value. */
-  writer(key: string): string | undefined {
+  writerOf(key: string): string | undefined {
     return this.writers.get(key);
   }
 
   /** A complete reading that began at `epoch`: keys it lacks are gone unless they are younger. */
-  load(items: Change[], epoch: number): void {
+  loadSnapshot(items: Change[], epoch: number): void {
     const present = new Set(items.map((i) => i.key));
     for (const [key, stamp] of [...this.stamps])
       if (!present.has(key) && stamp <= epoch) this.apply({ key, data: undefined, stamp: epoch });
     for (const item of items) this.apply(item);
-    this.follow(epoch);
+    this.advanceTo(epoch);
   }
 
-  advance(changes: Change[], epoch: number): void {
+  applyWatch(changes: Change[], epoch: number): void {
     // Guards against the overtaken answer: up to `epoch` everything was seen, and an older put must not bring a
     // dropped key back.
-    const seen = this.epoch;
+    const seen = this.watchRevision;
     for (const change of changes) if (change.stamp > seen) this.apply(change);
-    this.follow(epoch);
+    this.advanceTo(epoch);
   }
 
-  private follow(epoch: number): void {
-    if (epoch > this.epoch) this.epoch = epoch;
+  private advanceTo(epoch: number): void {
+    if (epoch > this.watchRevision) this.watchRevision = epoch;
     // A drop that we made ourselves is remembered until the watch has passed it: an older put that the
     // watch still has to deliver must not bring the key back.
-    for (const [key, stamp] of this.gone) if (stamp <= this.epoch) this.gone.delete(key);
+    for (const [key, stamp] of this.recentDeletions)
+      if (stamp <= this.watchRevision) this.recentDeletions.delete(key);
   }
 
   apply({ key, data, stamp }: Change): void {
     if (!key.startsWith(prefix)) return;
-    if ((this.stamps.get(key) ?? -1) >= stamp || (this.gone.get(key) ?? -1) >= stamp) return;
+    if ((this.stamps.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
     const ref = readKey(key);
     if (ref === null) return;
     const had = this.stamps.has(key);
     if (data === undefined || data === null) {
-      if (had && ref.kind === 'job') this.jobKeys--;
+      if (had && ref.kind === 'job') this.jobCount--;
       this.stamps.delete(key);
       this.writers.delete(key);
-      this.unknown.delete(key);
-      this.unseal(ref, key);
-      if (stamp > this.epoch) this.gone.set(key, stamp);
+      this.unknownFields.delete(key);
+      this.markReadable(ref, key);
+      if (stamp > this.watchRevision) this.recentDeletions.set(key, stamp);
     } else {
-      if (!had && ref.kind === 'job') this.jobKeys++;
+      if (!had && ref.kind === 'job') this.jobCount++;
       this.stamps.set(key, stamp);
       const w = (data as Stored).w;
       if (typeof w === 'string') this.writers.set(key, w);
       else this.writers.delete(key);
     }
-    const here = data !== undefined && data !== null && this.readable(ref, key, data);
+    const here = data !== undefined && data !== null && this.checkReadable(ref, key, data);
     const over = ref.kind === 'job' && here && (data as { s?: unknown }).s !== 'open';
     if (over || ref.kind === 'shard' || ref.kind === 'lead' || ref.kind === 'chief')
-      this.listener.decisive({ key, data, stamp });
+      this.listener.criticalChange({ key, data, stamp });
     switch (ref.kind) {
       case 'lead':
       case 'chief': {
         const d = data as { member: string; run: string };
-        if (here) this.leads.set(key, { member: d.member, run: d.run, stamp });
-        else this.leads.delete(key);
+        if (here) this.leaderRecords.set(key, { member: d.member, run: d.run, stamp });
+        else this.leaderRecords.delete(key);
         break;
       }
       case 'types':
       case 'kinds':
-        if (here) this.typeLists.set(key, readTypes(data));
-        else this.typeLists.delete(key);
-        this.types = this.typeLists.get(this.typesKey) ?? [];
+        if (here) this.machineTypesByKey.set(key, readTypes(data));
+        else this.machineTypesByKey.delete(key);
+        this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
         break;
       case 'level': {
         const d = data as { level: number; write: number };
-        this.noteUnreadable();
+        this.updateLevelReadability();
         this.levels.state = here ? { level: d.level, write: d.write, stamp } : { ...firstLevel, stamp: 0 };
-        this.types = this.typeLists.get(this.typesKey) ?? [];
+        this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
         this.listener.levelChanged();
         break;
       }
       case 'members':
-        this.members = here ? readMembers(data) : { seen: new Map(), note: null };
+        this.members = here ? readMembers(data) : { capabilities: new Map(), note: null };
         break;
       case 'wish':
         this.wish = here ? readWish(data, stamp) : noWish;
         break;
       case 'inc':
-        if (here) this.incs.set(ref.n, readInc(ref.n, data, stamp));
-        else this.incs.delete(ref.n);
+        if (here) this.incarnations.set(ref.n, readInc(ref.n, data, stamp));
+        else this.incarnations.delete(ref.n);
         this.listener.incarnationChanged();
         break;
       case 'plan':
         this.plan = here ? readPlan(data) : null;
         break;
       case 'teams':
-        this.teams = here ? readTeams(data) : [];
+        this.teamsByShard = here ? readTeams(data) : [];
         this.teamsStamp = here ? stamp : 0;
         break;
       case 'node': {
         if (here) this.nodes.set(ref.member, readNode(ref.member, data, stamp));
         else this.nodes.delete(ref.member);
-        if (here) this.witnessed.set(ref.member, this.nodes.get(ref.member)!.can);
+        if (here) this.observedCapabilities.set(ref.member, this.nodes.get(ref.member)!.can);
         break;
       }
       case 'shard': {
@@ -336,38 +343,38 @@
       }
       case 'block':
         // Guards against taking a machine for gone because its record cannot be read: what was known stays.
-        if (this.sealed.has(key)) break;
+        if (this.unreadableRecords.has(key)) break;
         this.applyBlock(ref.block, here ? readBlock(data) : null, stamp);
         break;
       case 'machine':
-        if (this.sealed.has(key)) break;
+        if (this.unreadableRecords.has(key)) break;
         if (here) this.machines.set(ref.host, { ...readMachine(ref.host, data), stamp });
         else this.machines.delete(ref.host);
-        this.settleMachine(ref.host);
+        this.resolveMachine(ref.host);
         break;
       case 'job': {
         if (here) this.jobs.set(ref.id, readJob(ref.id, data, stamp));
         else this.jobs.delete(ref.id);
         const job = this.jobs.get(ref.id);
-        this.applyWhole(ref.id, job?.whole === true ? (data as { t: unknown }).t : null, stamp);
-        if (job?.state === 'open') this.open.add(ref.id);
-        else this.open.delete(ref.id);
-        this.endLogged(ref.id, job);
+        this.applyInlineTasks(ref.id, job?.whole === true ? (data as { t: unknown }).t : null, stamp);
+        if (job?.state === 'open') this.openJobs.add(ref.id);
+        else this.openJobs.delete(ref.id);
+        this.dropLoggedChunks(ref.id, job);
         this.taskLog.connect(ref.id);
         this.listener.jobChanged(ref.id, job);
         break;
       }
       case 'chunk': {
         // Guards against the order within a transaction: a job that took its tasks' state in has it there.
-        if (this.whole.has(ref.id) && ref.chunk === 0) break;
-        this.setChunk(ref.id, ref.chunk, here ? this.checkpointed(ref, readChunk(data, stamp)) : null);
+        if (this.jobsWithInlineTasks.has(ref.id) && ref.chunk === 0) break;
+        this.setChunk(ref.id, ref.chunk, here ? this.mergeCheckpoint(ref, readChunk(data, stamp)) : null);
         this.taskLog.connect(ref.id);
         break;
       }
       case 'log':
-        if (this.sealed.has(key)) this.sealedLogs.add(key);
-        else this.sealedLogs.delete(key);
-        this.noteUnreadable();
+        if (this.unreadableRecords.has(key)) this.unreadableLogs.add(key);
+        else this.unreadableLogs.delete(key);
+        this.updateLevelReadability();
         if (here) this.taskLog.put(key, ref.shard, data, stamp);
         else this.taskLog.drop(key);
         break;
@@ -375,21 +382,21 @@
   }
 
   /** Guards against acting on part of what is placed: what a record of the task log said cannot be known. */
-  private noteUnreadable(): void {
-    this.levels.unreadable = this.sealed.has(levelKey) || this.sealedLogs.size > 0;
+  private updateLevelReadability(): void {
+    this.levels.unreadable = this.unreadableRecords.has(levelKey) || this.unreadableLogs.size > 0;
   }
 
   /** A chunk's own record, unless the task log has led beyond it. */
-  private checkpointed(ref: { id: string; chunk: number }, record: ChunkRecord): ChunkRecord {
+  private mergeCheckpoint(ref: { id: string; chunk: number }, record: ChunkRecord): ChunkRecord {
     const logged = this.chunks.get(ref.id)?.get(ref.chunk);
     const isBehind = logged !== undefined && record.revision > 0 && record.revision < logged.revision;
     return isBehind ? { ...logged, stamp: record.stamp, checkpoint: record.revision } : record;
   }
 
   /** What the task log said of a job that is over is not needed any more. */
-  private endLogged(id: string, job: JobRecord | undefined): void {
+  private dropLoggedChunks(id: string, job: JobRecord | undefined): void {
     const chunks = this.chunks.get(id);
-    if (!chunks || !job || job.state === 'open' || this.whole.has(id)) return;
+    if (!chunks || !job || job.state === 'open' || this.jobsWithInlineTasks.has(id)) return;
     for (const [number, { revision, placed }] of [...chunks])
       if (revision > 0 && (job.state === 'done' || placed.length === 0)) this.setChunk(id, number, null);
   }
@@ -406,48 +413,49 @@
   }
 
   /** The state of a job's tasks came or went with its own record. */
-  private applyWhole(id: string, tasks: unknown, stamp: number): void {
+  private applyInlineTasks(id: string, tasks: unknown, stamp: number): void {
     if (tasks !== null) {
-      this.whole.add(id);
+      this.jobsWithInlineTasks.add(id);
       this.setChunk(id, 0, readChunk(tasks, stamp));
-    } else if (this.whole.delete(id) && this.stamp(chunkKey(id, 0)) === 0) this.setChunk(id, 0, null);
+    } else if (this.jobsWithInlineTasks.delete(id) && this.stampOf(chunkKey(id, 0)) === 0)
+      this.setChunk(id, 0, null);
   }
 
   /** Whether a record can be acted on; what it has that this program does not know is kept. */
-  private readable(ref: KeyRef, key: string, data: unknown): boolean {
-    const verdict = inspect(kindOfRef(ref), data);
+  private checkReadable(ref: KeyRef, key: string, data: unknown): boolean {
+    const verdict = inspect(recordKindOf(ref), data);
     if (verdict.ok) {
-      if (verdict.extras) this.unknown.set(key, verdict.extras);
-      else this.unknown.delete(key);
-      this.unseal(ref, key);
+      if (verdict.extras) this.unknownFields.set(key, verdict.extras);
+      else this.unknownFields.delete(key);
+      this.markReadable(ref, key);
       return true;
     }
-    this.unknown.delete(key);
+    this.unknownFields.delete(key);
     const why = `${verdict.why}: ${verdict.text}`;
-    if (verdict.why === 'damaged' && renewed.has(ref.kind)) {
-      this.listener.sealed(key, why);
+    if (verdict.why === 'damaged' && replaceableKinds.has(ref.kind)) {
+      this.listener.readabilityChanged(key, why);
       return false;
     }
-    if (this.sealed.get(key) === why) return false;
-    this.sealed.set(key, why);
+    if (this.unreadableRecords.get(key) === why) return false;
+    this.unreadableRecords.set(key, why);
     if (ref.kind === 'chunk') {
-      const chunks = this.sealedTasks.get(ref.id) ?? new Set();
-      this.sealedTasks.set(ref.id, chunks.add(ref.chunk));
+      const chunks = this.unreadableChunks.get(ref.id) ?? new Set();
+      this.unreadableChunks.set(ref.id, chunks.add(ref.chunk));
       this.listener.jobChanged(ref.id, this.jobs.get(ref.id));
     }
-    this.listener.sealed(key, why);
+    this.listener.readabilityChanged(key, why);
     return false;
   }
 
-  private unseal(ref: KeyRef, key: string): void {
-    if (!this.sealed.delete(key)) return;
+  private markReadable(ref: KeyRef, key: string): void {
+    if (!this.unreadableRecords.delete(key)) return;
     if (ref.kind === 'chunk') {
-      const chunks = this.sealedTasks.get(ref.id);
+      const chunks = this.unreadableChunks.get(ref.id);
       chunks?.delete(ref.chunk);
-      if (chunks?.size === 0) this.sealedTasks.delete(ref.id);
+      if (chunks?.size === 0) this.unreadableChunks.delete(ref.id);
       this.listener.jobChanged(ref.id, this.jobs.get(ref.id));
     }
-    this.listener.sealed(key, null);
+    this.listener.readabilityChanged(key, null);
   }
 
   private applyBlock(id: string, block: BlockRecord | null, stamp: number): void {
@@ -457,23 +465,23 @@
     const now = new Set(block?.hosts);
     for (const host of before)
       if (!now.has(host)) {
-        this.origins.delete(host);
-        if (this.stamp(machineKey(host)) === 0 && this.machines.delete(host)) this.settleMachine(host);
+        this.originBlocks.delete(host);
+        if (this.stampOf(machineKey(host)) === 0 && this.machines.delete(host)) this.resolveMachine(host);
       }
     for (const host of now)
-      if (!this.origins.has(host)) {
+      if (!this.originBlocks.has(host)) {
         // Rewritten when machines leave it: the others came under their owner when it was first written.
-        this.origins.set(host, { block: id, stamp });
-        if (this.stamp(machineKey(host)) === 0) this.settleMachine(host);
+        this.originBlocks.set(host, { block: id, stamp });
+        if (this.stampOf(machineKey(host)) === 0) this.resolveMachine(host);
       }
   }
 
   /** A machine without a record of its own stands as its block says. */
-  private settleMachine(host: string): void {
-    if (this.sealed.has(machineKey(host))) return;
-    const origin = this.origins.get(host);
+  private resolveMachine(host: string): void {
+    if (this.unreadableRecords.has(machineKey(host))) return;
+    const origin = this.originBlocks.get(host);
     const block = origin && this.blocks.get(origin.block);
-    if (block && this.stamp(machineKey(host)) === 0) {
+    if (block && this.stampOf(machineKey(host)) === 0) {
       const { type, zone, spot, shard, since } = block;
       this.machines.set(host, { host, type, zone, spot, shard, since, state: 'use', stamp: origin.stamp });
     }
@@ -481,11 +489,11 @@
   }
 
   blockOf(host: string): string | undefined {
-    return this.origins.get(host)?.block;
+    return this.originBlocks.get(host)?.block;
   }
 
-  shardOf(team: string): number {
-    return this.teams.findIndex((teams) => teams.includes(team));
+  shardOfTeam(team: string): number {
+    return this.teamsByShard.findIndex((teams) => teams.includes(team));
   }
 
   isAlive(member: string, run: string): boolean {
@@ -493,16 +501,16 @@
   }
 
   /** The member that answers for a machine, with the token that its answers carry. */
-  custodian(m: Machine): { member: string; run: string; token: number } | null {
+  responsibleController(m: VersionedMachine): { member: string; run: string; token: number } | null {
     const holder = m.shard >= 0 ? this.shards.get(m.shard) : undefined;
     const of = (stamp: number): number => this.tokenBase + Math.max(m.stamp, stamp);
     if (holder) return { member: holder.owner, run: holder.run, token: of(holder.stamp) };
-    if (m.shard < 0 && this.lead)
-      return { member: this.lead.member, run: this.lead.run, token: of(this.lead.stamp) };
+    if (m.shard < 0 && this.leader)
+      return { member: this.leader.member, run: this.leader.run, token: of(this.leader.stamp) };
     return null;
   }
 
-  counts(id: string): { done: number; running: number } {
+  taskCounts(id: string): { done: number; running: number } {
     let done = 0;
     let running = 0;
     for (const c of this.chunks.get(id)?.values() ?? []) {
--- a/src/core/scheduling/feasibility.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -30,7 +30,7 @@
   if (![...round.types].some((t) => t.gpus <= 0 && typeAllowed(spec, t))) return true;
   const limits = timeLimitsOf(spec, books.settings.objectives);
   let reach = Infinity;
-  for (const t of books.replica.types)
+  for (const t of books.replica.machineTypes)
     if (t.gpus <= 0 && typeAllowed(spec, t)) reach = Math.min(reach, t.bootS + imageFetchS(spec, t));
   const slack = slackS(limits, (books.clock.wall - job.at) / 1000, spec.estimateS);
   // Guards against urgent work that is late already being worse off than what may yet be.
@@ -57,14 +57,14 @@
   (floor || (books.withheld.get(m.host) ?? 0) <= urgencyRank[job.spec.urgency]) &&
   (job.anywhere || !job.errors.has(m.host)) &&
   matches(job, m) &&
-  mayShareGpuMachine(job.spec, m.type, m.used.gpus, books.replica.types);
+  mayShareGpuMachine(job.spec, m.type, m.used.gpus, books.replica.machineTypes);
 
 /** The policy's score of a kind of machine for a job, before tie-breaks between single machines. */
 function kindScore(
   books: Books,
   spec: JobSpec,
 ): (type: MachineType, spot: boolean, image: boolean) => number {
-  const anchor = anchorPrice(spec, books.replica.types, () => true);
+  const anchor = anchorPrice(spec, books.replica.machineTypes, () => true);
   const hazard = books.hazard.perStep(books.operators['hazard-step-s']);
   const w = scoreWeights(books.operators);
   const work = { premium: isPremium(spec), cpus: spec.cpus };
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -45,7 +45,7 @@
   let need = waitingCount(job);
   if (spec.shape !== 'gang') need = Math.min(need, 1);
   if (fitCount(spec, books.teamRoom(spec)) < need) return false;
-  const kinds = books.replica.types.filter((t) => typeAllowed(spec, t));
+  const kinds = books.replica.machineTypes.filter((t) => typeAllowed(spec, t));
   const bootS = Math.min(...kinds.map((t) => t.bootS + imageFetchS(spec, t)));
   const hurry = Number.isFinite(slack) ? slack : 2 * bootS - ageS;
   if (!demandsNow(round, job) && hurry > bootS + 2 * books.settings.workers.report_s) return false;
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -36,7 +36,7 @@
       if (
         migrationUrgency(
           c,
-          anchorPrice(spec, books.replica.types, () => true),
+          anchorPrice(spec, books.replica.machineTypes, () => true),
           w,
         ) <= 0
       )
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -3,12 +3,12 @@
 import type { Settings } from '../../config/settings.js';
 import type { Resources, MachineType } from '../../model/machine.js';
 import type { Clock } from '../effects.js';
-import type { Machine } from '../replica.js';
+import type { VersionedMachine } from '../replica.js';
 import type { MachineRun } from './types.js';
 
 /** A machine that this process has just taken up. `leaseUntil`: not before can its worker's lease have ended. */
 export const newMachine = (
-  record: Machine,
+  record: VersionedMachine,
   type: MachineType,
   now: number,
   leaseUntil: number,
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -11,7 +11,7 @@
 import { imageFetchS } from '../../policy/pricing.js';
 import { type Committer, type JobRecord, type Placed, TaskWriter } from '../storage/index.js';
 import type { Clock, Log } from '../effects.js';
-import type { Machine, Replica } from '../replica.js';
+import type { VersionedMachine, Replica } from '../replica.js';
 import { Claims } from './reservations.js';
 import { chunkOf, isDone, newJob, remains, waitingCount } from './jobs.js';
 import { mendable } from './gang-repair.js';
@@ -145,12 +145,12 @@
     this.writer.close(shard);
     for (const [id, job] of this.jobs) if (job.shard === shard) this.dropJob(id);
     for (const [id, spec] of this.unread)
-      if (this.replica.shardOf(spec.team) === shard) this.forgetUnread(id);
+      if (this.replica.shardOfTeam(spec.team) === shard) this.forgetUnread(id);
     for (const [host, m] of this.machines) if (m.record.shard === shard) this.machines.delete(host);
   }
 
-  private takeMachine(record: Machine): void {
-    const type = this.replica.types.find((t) => t.name === record.type);
+  private takeMachine(record: VersionedMachine): void {
+    const type = this.replica.machineTypes.find((t) => t.name === record.type);
     if (!type || this.machines.has(record.host)) return;
     const { now } = this.clock;
     const leaseUntil = now + this.leaseLeftMs;
@@ -173,11 +173,11 @@
 
   private takeJob(record: JobRecord): void {
     if (this.jobs.has(record.id)) return;
-    if (this.replica.isSealedJob(record.id)) return this.countUnread(record);
+    if (this.replica.isJobUnreadable(record.id)) return this.countUnread(record);
     const stored = this.replica.chunks.get(record.id);
     const spec = record.spec ?? (record.use && stored ? remains(record, record.use) : null);
     if (spec === null) return;
-    const shard = this.replica.shardOf(spec.team);
+    const shard = this.replica.shardOfTeam(spec.team);
     if (!this.owned.has(shard)) return;
     const job = newJob(record, spec, shard, stored, this.chunkTasks, this.replica.attemptBase);
     job.match = this.matcher?.matchFor(spec) ?? null;
@@ -187,7 +187,7 @@
         const placement = this.enter(job, job.chunks[n], p, false);
         if (job.cancelled) this.stop(placement, 0);
         // Guards against a machine whose record was lost: one that has none was given back, as a rule, but that proves nothing.
-        if (!this.replica.machines.has(p.host) && !this.replica.mayBeThere(p.host))
+        if (!this.replica.machines.has(p.host) && !this.replica.mayHaveMachine(p.host))
           this.unaccounted.set(placement, this.clock.now + this.leaseLeftMs);
       }
     if (spec.shape === 'gang' && job.active.size > 0) this.checkGang(job);
@@ -197,7 +197,7 @@
 
   /** Nobody knows which tasks of this job run: its team's limit counts all of them. */
   private countUnread({ id, spec }: JobRecord): void {
-    if (spec === null || this.unread.has(id) || !this.owned.has(this.replica.shardOf(spec.team))) return;
+    if (spec === null || this.unread.has(id) || !this.owned.has(this.replica.shardOfTeam(spec.team))) return;
     this.unread.set(id, spec);
     this.addUse(spec, spec.tasks);
   }
@@ -235,7 +235,7 @@
   // ---- changes seen by the replica ----
 
   jobChanged(id: string, record: JobRecord | undefined): void {
-    const frozen = this.replica.isSealedJob(id);
+    const frozen = this.replica.isJobUnreadable(id);
     const job = this.jobs.get(id);
     if (frozen) {
       if (job) job.frozen = true;
@@ -266,7 +266,7 @@
     }
   }
 
-  machineChanged(host: string, now: Machine | undefined): void {
+  machineChanged(host: string, now: VersionedMachine | undefined): void {
     const m = this.machines.get(host);
     if (now && this.owned.has(now.shard)) {
       if (m) {
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -4,7 +4,7 @@
 import type { MachineMatch } from '../../policy/matching.js';
 import type { TaskPhase } from '../../model/heartbeat.js';
 import type { Bits, Rank } from '../storage/index.js';
-import type { Machine } from '../replica.js';
+import type { VersionedMachine } from '../replica.js';
 
 /** A task's present attempt. It exists from the decision to place until it is proven gone. */
 export interface Placement {
@@ -90,7 +90,7 @@
 
 export interface MachineRun {
   host: string;
-  record: Machine;
+  record: VersionedMachine;
   type: MachineType;
   zone: string;
   spot: boolean;
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -26,7 +26,7 @@
     this.refused = [];
     for (const one of refused) {
       if (this.owner.jobs.get(one.job.id) !== one.job) continue;
-      if (this.replica.epoch < one.epoch) this.refused.push(one);
+      if (this.replica.watchRevision < one.epoch) this.refused.push(one);
       else this.owner.reread(one.job.id);
     }
   }
@@ -44,7 +44,9 @@
           job.finishing = false;
           return null;
         }
-        const stored = this.replica.whole.has(job.id) ? [] : job.chunks.filter((c) => c.stamp > 0);
+        const stored = this.replica.jobsWithInlineTasks.has(job.id)
+          ? []
+          : job.chunks.filter((c) => c.stamp > 0);
         const drops = stored.slice(0, this.operationsPerTransaction - 1);
         return {
           when: [
@@ -77,9 +79,9 @@
 
   /** The job is over and nothing of it is left: its tasks' records go. */
   dropChunks(job: JobRun): void {
-    if (this.replica.whole.has(job.id)) this.dropTasks(job.id);
+    if (this.replica.jobsWithInlineTasks.has(job.id)) this.dropTasks(job.id);
     for (const c of job.chunks)
-      if (this.replica.stamp(chunkKey(job.id, c.number)) > 0) this.dropChunk(job.id, c.number);
+      if (this.replica.stampOf(chunkKey(job.id, c.number)) > 0) this.dropChunk(job.id, c.number);
   }
 
   /** A cancelled job of which nothing is left: the state of its tasks goes out of its record. */
@@ -103,7 +105,7 @@
     this.committer.add({
       rank: Rank.cleanup,
       build: () => {
-        const stamp = this.replica.stamp(key);
+        const stamp = this.replica.stampOf(key);
         return stamp === 0 || this.replica.jobs.get(id)?.state === 'open'
           ? null
           : { when: [{ key, stamp }], apply: [{ key, data: undefined }] };
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -254,9 +254,9 @@
   text: string;
 }
 
-export function readMembers(data: unknown): { seen: Map<string, Ability>; note: LevelNote | null } {
+export function readMembers(data: unknown): { capabilities: Map<string, Ability>; note: LevelNote | null } {
   const d = data as { seen: Record<string, Ability>; note?: LevelNote };
-  return { seen: new Map(Object.entries(d.seen)), note: d.note ?? null };
+  return { capabilities: new Map(Object.entries(d.seen)), note: d.note ?? null };
 }
 
 export const wishData = (w: Omit<Wish, 'stamp'>): Data => ({
@@ -312,7 +312,7 @@
 export const incData = (by: string, run: string, stage: Stage): Data => ({ by, run, stage });
 export const readInc = (n: number, data: unknown, stamp: number): Incarnation => {
   const { by, run, stage } = data as { by: string; run: string; stage: Stage };
-  return { n, by, run, stage, stamp };
+  return { number: n, openedBy: by, run, stage, stamp };
 };
 
 /** Which teams are at home in which shard. */
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -35,7 +35,7 @@
     this.truncation = new Truncation(limits.mostAgeMs, checkpointedAtOnce);
     this.known = {
       standing: (job) => this.standing(job),
-      checkpointOf: (job, chunk) => replica.checkpointOf(job, chunk),
+      checkpointOf: (job, chunk) => replica.checkpointRevision(job, chunk),
     };
   }
 
@@ -60,7 +60,7 @@
   /** A cancelled job of which nothing is on any machine any more is over. */
   private standing(id: string): 'unknown' | 'followed' | 'over' {
     const isCancelled = this.replica.jobs.get(id)?.state === 'cancelled';
-    return isCancelled && !this.owner.jobs.has(id) ? 'over' : this.replica.standing(id);
+    return isCancelled && !this.owner.jobs.has(id) ? 'over' : this.replica.taskLogStatus(id);
   }
 
   private checkpointItem({ job: id, chunk }: LogItem): void {
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -167,7 +167,7 @@
       if (chunk.queued === ticket) chunk.queued = null;
       return null;
     }
-    if (this.replica.epoch < chunk.blockedUntil) {
+    if (this.replica.watchRevision < chunk.blockedUntil) {
       this.changed.delete(chunk);
       chunk.queued = null;
       this.tasks.blocked(job, chunk, chunk.blockedUntil);
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -99,7 +99,7 @@
 
   private isLogged(job: JobRun): boolean {
     const { replica } = this;
-    return this.taskLog.wanted && replica.levels.has('task-log') && !replica.whole.has(job.id);
+    return this.taskLog.wanted && replica.levels.has('task-log') && !replica.jobsWithInlineTasks.has(job.id);
   }
 
   private logOf(shard: number): LogWriter {
@@ -151,7 +151,7 @@
           chunk.queued = null;
           return null;
         }
-        if (this.replica.epoch < chunk.blockedUntil) {
+        if (this.replica.watchRevision < chunk.blockedUntil) {
           // Tried again when the view has caught up.
           chunk.queued = null;
           this.blocked.push({ job, chunk });
@@ -176,7 +176,7 @@
   /** Where the state of a job's tasks goes: into the job's own record if it is small and the level in force lets it. */
   private tasksTxn(job: JobRun, chunk: Chunk, grant: number): Txn {
     const { replica } = this;
-    const was = replica.whole.has(job.id);
+    const was = replica.jobsWithInlineTasks.has(job.id);
     const tasks = chunkData(stateOf(job, chunk), was || !this.keepsRevisions ? 0 : chunk.version);
     const key = chunkKey(job.id, chunk.number);
     const jobAt = { key: jobKey(job.id), stamp: job.stamp };
@@ -211,7 +211,7 @@
   /** Whether a job's tasks are kept in another way than the level in force has it. */
   astray(job: JobRun): boolean {
     const { replica } = this;
-    const whole = replica.whole.has(job.id);
+    const whole = replica.jobsWithInlineTasks.has(job.id);
     if (!replica.levels.has('task-log') && this.revised(job).length > 0) return true;
     if (replica.levels.has('small-jobs'))
       return !whole && !this.isLogged(job) && job.chunks[0].stamp > 0 && this.fitsWhole(job);
@@ -273,7 +273,7 @@
     this.blocked = [];
     for (const b of blocked) {
       if (this.owner.jobs.get(b.job.id) !== b.job) continue;
-      if (this.replica.epoch < b.chunk.blockedUntil) {
+      if (this.replica.watchRevision < b.chunk.blockedUntil) {
         this.blocked.push(b);
         continue;
       }
@@ -287,7 +287,7 @@
   /** Whether another than this process has written a chunk's state since. */
   private changedElsewhere(job: JobRun, chunk: Chunk): boolean {
     const { replica } = this;
-    if (replica.tasksStamp(job.id, chunk.number) !== chunk.stamp) return true;
+    if (replica.taskStateStamp(job.id, chunk.number) !== chunk.stamp) return true;
     const revision = replica.chunks.get(job.id)?.get(chunk.number)?.revision ?? 0;
     return revision > chunk.durable;
   }
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -163,11 +163,12 @@
     this.refilledAt = now;
     if (this.flight) {
       if (this.waitFor) {
-        if (this.replica.epoch >= this.waitFor.epoch) this.judge(this.waitFor.failed, this.waitFor.epoch);
+        if (this.replica.watchRevision >= this.waitFor.epoch)
+          this.judge(this.waitFor.failed, this.waitFor.epoch);
       } else if (!this.sent && now >= this.resendAt) this.send(now, out);
     }
     if (this.flight || now < this.resendAt || this.tokens < 1) return;
-    if (this.replica.epoch < this.blockedUntil) return;
+    if (this.replica.watchRevision < this.blockedUntil) return;
     if (this.replica.levels.standsBy || this.held) this.standBy();
     const first = this.queues.findIndex((q) => q.length > 0);
     if (first < 0) return;
@@ -184,10 +185,10 @@
 
   private assemble(now: number, out: Effect[]): void {
     const built: Built[] = [];
-    const fence = { key: levelKey, stamp: this.replica.stamp(levelKey) };
+    const fence = { key: levelKey, stamp: this.replica.stampOf(levelKey) };
     const when = new Map<string, Condition>([[fence.key, fence]]);
-    const { inc } = this.replica;
-    if (inc) when.set(incKey(inc.n), { key: incKey(inc.n), stamp: inc.stamp });
+    const { incarnation: inc } = this.replica;
+    if (inc) when.set(incKey(inc.number), { key: incKey(inc.number), stamp: inc.stamp });
     const apply: Write[] = [];
     const touched = new Set<string>();
     const most = Math.min(this.limits.ops, Math.floor(this.tokens));
@@ -206,9 +207,9 @@
         const txn = intent.build();
         if (txn === null) continue;
         // Guards against writing over what a newer program wrote, or what is damaged: somebody may need it.
-        const shut = txn.apply.filter((w) => this.replica.sealed.has(w.key)).map((w) => w.key);
+        const shut = txn.apply.filter((w) => this.replica.unreadableRecords.has(w.key)).map((w) => w.key);
         if (shut.length > 0) {
-          intent.conflict(shut, this.replica.epoch);
+          intent.conflict(shut, this.replica.watchRevision);
           continue;
         }
         const size = JSON.stringify(txnOut(txn)).length;
@@ -245,7 +246,7 @@
     for (const b of built) if (b.intent.rank !== Rank.user) this.others.add(b.txn.apply.length, now);
     const mark = `${this.run}.${++this.count}`;
     for (const w of apply)
-      if (w.data !== undefined) w.data = { ...this.replica.extras(w.key), ...w.data, w: mark };
+      if (w.data !== undefined) w.data = { ...this.replica.unknownFieldsOf(w.key), ...w.data, w: mark };
     this.flight = { built, txn: { when: [...when.values()], apply }, mark, unsure: false };
     this.waitFor = null;
     this.send(now, out);
@@ -305,7 +306,7 @@
           // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
           this.waitFor = { epoch: o.epoch, failed: o.failed };
           out.push({ e: 'catch-up', epoch: o.epoch });
-          if (this.replica.epoch >= o.epoch) this.judge(o.failed, o.epoch);
+          if (this.replica.watchRevision >= o.epoch) this.judge(o.failed, o.epoch);
         } else {
           this.flight = null;
           const failed = new Set(o.failed);
@@ -358,7 +359,7 @@
           if (o.r === 'malformed')
             this.log('error', 'transaction malformed', { keys: flight.txn.apply.map((w) => w.key) });
           const keys = flight.txn.when.map((c) => c.key);
-          for (const b of flight.built) b.intent.conflict(keys, this.replica.epoch);
+          for (const b of flight.built) b.intent.conflict(keys, this.replica.watchRevision);
         }
         break;
     }
@@ -375,13 +376,13 @@
     this.flight = null;
     this.waitFor = null;
     const applied = flight.txn.apply.some(
-      (w) => w.data !== undefined && this.replica.writer(w.key) === flight.mark,
+      (w) => w.data !== undefined && this.replica.writerOf(w.key) === flight.mark,
     );
     const failing = new Set(failed);
     for (const b of flight.built) {
       const put = b.txn.apply.find((w) => w.data !== undefined);
-      const here = put && this.replica.writer(put.key) === flight.mark;
-      if (here) b.intent.ok(this.replica.stamp(put.key));
+      const here = put && this.replica.writerOf(put.key) === flight.mark;
+      if (here) b.intent.ok(this.replica.stampOf(put.key));
       else if (applied && !put) b.intent.ok(epoch);
       else {
         const mine = b.txn.when.filter((c) => failing.has(c.key)).map((c) => c.key);
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -120,11 +120,11 @@
   sureOfAbsence: () => boolean = () => true;
 
   submit(rid: number, spec: JobSpec, out: Effect[]): void {
-    if (this.replica.epoch < 0 || this.replica.types.length === 0) return this.later(rid, out);
-    if (this.replica.levels.standsBy || this.replica.isSealedJob(spec.id)) return this.later(rid, out);
+    if (this.replica.watchRevision < 0 || this.replica.machineTypes.length === 0) return this.later(rid, out);
+    if (this.replica.levels.standsBy || this.replica.isJobUnreadable(spec.id)) return this.later(rid, out);
     if (this.replica.jobs.has(spec.id)) return this.query(rid, spec.id, out);
     if (this.unsure(spec.id)) return this.later(rid, out);
-    const bad = rejectionReason(spec, this.replica.types, this.settings);
+    const bad = rejectionReason(spec, this.replica.machineTypes, this.settings);
     // A job that was accepted must never get 422, so look once more whether it is known.
     if (bad !== null) return this.wait(rid, spec.id, { status: 422, body: { error: bad } }, out);
     const pending = this.submits.get(spec.id);
@@ -270,7 +270,7 @@
   query(rid: number, id: string, out: Effect[]): void {
     if (this.answerFinal(rid, id, out)) return;
     if (!isJobId(id)) return void out.push({ e: 'answer', rid, status: 404, body: { error: 'no such job' } });
-    if (this.replica.epoch < 0 || this.unsure(id)) return this.later(rid, out);
+    if (this.replica.watchRevision < 0 || this.unsure(id)) return this.later(rid, out);
     this.wait(rid, id, 'status', out);
   }
 
@@ -278,7 +278,7 @@
     if (this.answerFinal(rid, id, out)) return;
     if (!isJobId(id)) return void out.push({ e: 'answer', rid, status: 404, body: { error: 'no such job' } });
     // Guards against a cancellation that nobody can carry out, since what runs is not known.
-    if (this.replica.epoch < 0 || this.replica.levels.standsBy || this.replica.isSealedJob(id))
+    if (this.replica.watchRevision < 0 || this.replica.levels.standsBy || this.replica.isJobUnreadable(id))
       return this.later(rid, out);
     const job = this.replica.jobs.get(id);
     if (!job) return this.wait(rid, id, 'withdraw', out);
@@ -319,7 +319,7 @@
    */
   private unsure(id: string): boolean {
     return (
-      this.replica.sealed.has(jobKey(id)) ||
+      this.replica.unreadableRecords.has(jobKey(id)) ||
       ((this.replica.levels.standsBy || !this.sureOfAbsence()) && !this.replica.jobs.has(id))
     );
   }
@@ -362,7 +362,7 @@
 
   private answerJob(rid: number, id: string, out: Effect[]): void {
     const job = this.replica.jobs.get(id)!;
-    const c = job.state === 'done' ? { done: job.tasks, running: 0 } : this.replica.counts(id);
+    const c = job.state === 'done' ? { done: job.tasks, running: 0 } : this.replica.taskCounts(id);
     const running = job.state === 'open' ? c.running : 0;
     out.push({
       e: 'answer',
@@ -406,7 +406,7 @@
       const ready: Waiter[] = [];
       for (const w of this.waiters) {
         const vouched = w.then === 'status' && w.since <= vouchedAt && this.replica.jobs.has(w.id);
-        if (vouched || (w.epoch !== null && this.replica.epoch >= w.epoch)) ready.push(w);
+        if (vouched || (w.epoch !== null && this.replica.watchRevision >= w.epoch)) ready.push(w);
         else if (now - w.since > giveUpMs) this.later(w.rid, out);
         else left.push(w);
       }
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -99,7 +99,7 @@
       return { ...part, wholeUsers: [...plan.parts.values()].reduce((sum, p) => sum + p.users, 0) };
     // Guards against following a plan that was replaced while nothing was heard of it, or one that counts this controller as
     // gone, or that cannot be read.
-    const fallen = !fresh || plan !== null || this.replica.sealed.has(planKey);
+    const fallen = !fresh || plan !== null || this.replica.unreadableRecords.has(planKey);
     const parts = withoutPlan(writes, n, fallen);
     return { ...parts, wholeUsers: parts.users * n, kinds: noKinds };
   }
@@ -111,7 +111,7 @@
     const { ttlMs } = this.membership;
     if (!this.inForce || this.busy || now - this.lookedAt < ttlMs / looksPerLease) return;
     this.lookedAt = now;
-    if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.sealed.has(planKey)) return;
+    if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.unreadableRecords.has(planKey)) return;
     const next = (): Plan => this.next(mine);
     if (!differs(plan, next(), this.settings.state.write_rps)) return;
     this.busy = true;
@@ -120,7 +120,7 @@
     this.committer.add({
       rank: Rank.membership,
       build: () => {
-        const { lead } = this.replica;
+        const { leader: lead } = this.replica;
         // Guards against a leader of before, which knows neither who follows what nor the newest plan.
         if (!lead || !this.membership.leading || !this.inForce) {
           done();
@@ -128,8 +128,8 @@
         }
         return {
           when: [
-            { key: planKey, stamp: this.replica.stamp(planKey) },
-            { key: this.replica.leadKey, stamp: lead.stamp },
+            { key: planKey, stamp: this.replica.stampOf(planKey) },
+            { key: this.replica.activeLeaderKey, stamp: lead.stamp },
           ],
           apply: [{ key: planKey, data: planData(next(), this.settings.state.value_kb) }],
         };
--- a/src/data-loss/index.ts
+++ b/src/data-loss/index.ts
@@ -1,10 +1,14 @@
 export {
   attemptBase,
   incarnationOf,
-  mostIncarnations,
+  maxIncarnations as mostIncarnations,
   tokenBase,
   type Incarnation,
-  type Stage,
+  type IncarnationStage as Stage,
 } from './incarnation.js';
-export { merge, same } from './merge.js';
-export { audit, Witness, type Item } from './data-loss-detector.js';
+export { mergeRecords as merge, sameRecord as same } from './merge.js';
+export {
+  comparePage as audit,
+  DataLossDetector as Witness,
+  type KeyRevision as Item,
+} from './data-loss-detector.js';
--- a/src/service.ts
+++ b/src/service.ts
@@ -10,7 +10,7 @@
 import { limitsOf, type Limits } from './limits/index.js';
 import { Memory } from './memory-usage.js';
 import type { Mesh } from './peers/mesh.js';
-import type { Legacy } from './core/recovery-records.js';
+import type { RecoveryRecords } from './core/recovery-records.js';
 import type { Frame } from './peers/frames.js';
 import type { Matcher } from './policy/matching.js';
 import { Attempts, retryPolicies, seeded, type Random, type RetryPolicies } from './retry/index.js';
@@ -101,17 +101,26 @@
     );
   }
 
-  private make(legacy: Legacy | null): Controller {
+  private make(recoveryRecords: RecoveryRecords | null): Controller {
     const { settings, operators, run, random, log, parts, program } = this;
-    return new Controller(settings, operators, run, random, log, parts.matcher ?? null, program, legacy);
+    return new Controller(
+      settings,
+      operators,
+      run,
+      random,
+      log,
+      parts.matcher ?? null,
+      program,
+      recoveryRecords,
+    );
   }
 
   /** The state service has lost data: the core begins anew with what it knew, as another process would. */
-  private rebear(legacy: Legacy): void {
+  private rebear(recoveryRecords: RecoveryRecords): void {
     this.run = `${this.run.split('.')[0]}.${++this.rebirths}`;
     this.intake.forget();
     this.follower.restart();
-    this.controller = this.make(legacy);
+    this.controller = this.make(recoveryRecords);
   }
 
   async start(): Promise<void> {
@@ -282,7 +291,7 @@
         break;
       }
       case 'reborn':
-        this.rebear(e.legacy);
+        this.rebear(e.recoveryRecords);
         break;
       case 'lease':
         void this.store.lease(e.ttlMs).then((hold) => back({ c: 'leased', hold }));
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -26,32 +26,32 @@
 
 test('a loss is told from a lagging answer, a lease that ended and a legal deletion', () => {
   const w = new Witness();
-  w.reached(10, 100);
-  w.reached(20, 200);
+  w.revisionReached(10, 100);
+  w.revisionReached(20, 200);
   // Sent before 20 was known: an answer that lags.
-  assert.equal(w.read(150, 15), null);
-  assert.equal(w.read(200, 12), null);
-  assert.match(w.read(201, 19)!, /revision 19 after 20/);
+  assert.equal(w.revisionRead(150, 15), null);
+  assert.equal(w.revisionRead(200, 12), null);
+  assert.match(w.revisionRead(201, 19)!, /revision 19 after 20/);
   // What failed is explained by a change that came, and not by none.
-  w.failed('dp/a', 7, 30);
+  w.conditionFailed('dp/a', 7, 30);
   assert.equal(
-    w.settle(29, () => 7),
+    w.checkFailedConditions(29, () => 7),
     null,
   );
   assert.equal(
-    w.settle(30, () => 28),
+    w.checkFailedConditions(30, () => 28),
     null,
   );
-  w.failed('dp/a', 7, 30);
+  w.conditionFailed('dp/a', 7, 30);
   assert.match(
-    w.settle(31, () => 7)!,
+    w.checkFailedConditions(31, () => 7)!,
     /dp\/a is not at 7/,
   );
   // A token of a revision that is still to be seen, and one of a revision that never comes.
-  assert.equal(w.token(25, 1, 300), null);
-  assert.equal(w.read(290, 22), null);
-  assert.match(w.read(301, 24)!, /worker has seen revision 25/);
-  assert.match(w.token(tokenBase(4) + 1, 2, 300)!, /later incarnation/);
+  assert.equal(w.tokenReported(25, 1, 300), null);
+  assert.equal(w.revisionRead(290, 22), null);
+  assert.match(w.revisionRead(301, 24)!, /worker has seen revision 25/);
+  assert.match(w.tokenReported(tokenBase(4) + 1, 2, 300)!, /later incarnation/);
   const mine = [
     { key: 'dp/a', stamp: 3 },
     { key: 'dp/b', stamp: 9 },
--- a/test/malformed-requests.test.ts
+++ b/test/malformed-requests.test.ts
@@ -99,7 +99,7 @@
   };
   refused(503);
   w.cloudDown = false;
-  assert.ok(w.playUntil(() => w.nodes.every((n) => n.controller.replica.types.length > 0), 20));
+  assert.ok(w.playUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes.length > 0), 20));
   w.play(10);
   refused(422);
   for (const n of w.nodes) n.boot();
@@ -120,6 +120,8 @@
   w.play(5);
   // The cloud does not offer the type any more.
   w.types = [{ ...w.types[0], name: 'other' }];
-  assert.ok(w.playUntil(() => w.nodes.every((n) => n.controller.replica.types[0]?.name === 'other'), 120));
+  assert.ok(
+    w.playUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes[0]?.name === 'other'), 120),
+  );
   for (const n of w.nodes) assert.equal(n.submit({ ...job, types: ['box'] })?.status, 200);
 });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -10,7 +10,7 @@
       () =>
         w.nodes.every(
           (n) =>
-            n.controller.replica.types.length > 0 &&
+            n.controller.replica.machineTypes.length > 0 &&
             n.controller.replica.shards.size > 0 &&
             n.controller.sureOfAbsence,
         ),
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -141,8 +141,8 @@
       jobChanged: () => undefined,
       machineChanged: () => undefined,
       shardChanged: () => undefined,
-      decisive: () => undefined,
-      sealed: () => undefined,
+      criticalChange: () => undefined,
+      readabilityChanged: () => undefined,
       levelChanged: () => undefined,
       incarnationChanged: () => undefined,
     },
@@ -152,9 +152,9 @@
 test('an overtaken answer of the state service does not bring a dropped key back', () => {
   const r = replica();
   const put = { key: 'dp/m/n-1', data: { f: 'box', y: 'north', l: false, s: 0, st: 'use', at: 0 }, stamp: 5 };
-  r.load([], 1);
-  r.advance([put, { key: 'dp/m/n-1', data: undefined, stamp: 6 }], 8);
-  r.advance([put], 5);
+  r.loadSnapshot([], 1);
+  r.applyWatch([put, { key: 'dp/m/n-1', data: undefined, stamp: 6 }], 8);
+  r.applyWatch([put], 5);
   assert.equal(r.machines.size, 0);
 });
 
@@ -162,15 +162,15 @@
   const r = replica();
   const block = (h: string[]) => ({ f: 'box', y: 'north', l: false, s: 0, at: 0, h });
   const own = { f: 'box', y: 'north', l: false, s: 0, st: 'dead', at: 0 };
-  r.load([], 1);
-  r.advance([{ key: 'dp/b/r-1', data: block(['n-1', 'n-2']), stamp: 2 }], 2);
+  r.loadSnapshot([], 1);
+  r.applyWatch([{ key: 'dp/b/r-1', data: block(['n-1', 'n-2']), stamp: 2 }], 2);
   assert.deepEqual(
     [...r.machines.values()].map((m) => m.state),
     ['use', 'use'],
   );
-  r.advance([{ key: 'dp/m/n-1', data: own, stamp: 3 }], 3);
+  r.applyWatch([{ key: 'dp/m/n-1', data: own, stamp: 3 }], 3);
   assert.equal(r.machines.get('n-1')?.state, 'dead');
-  r.advance(
+  r.applyWatch(
     [
       { key: 'dp/b/r-1', data: block(['n-2']), stamp: 4 },
       { key: 'dp/m/n-1', data: undefined, stamp: 4 },
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -26,7 +26,7 @@
   w.runS = setting.runS ?? 600;
   setting.prepare?.(w);
   const ready = (n: Node): boolean =>
-    n.controller.replica.types.length > 0 &&
+    n.controller.replica.machineTypes.length > 0 &&
     n.controller.replica.shards.size > 0 &&
     n.controller.sureOfAbsence;
   assert.ok(
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -55,7 +55,7 @@
     n.boot();
   }
   assert.ok(
-    w.playUntil(() => w.nodes.every((n) => n.controller.replica.types.length > 0), 20),
+    w.playUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes.length > 0), 20),
     'up',
   );
   assert.ok(
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -7,7 +7,7 @@
 import { Controller } from '../../src/core/controller.js';
 import type { Command, CommitOutcome, Effect } from '../../src/core/effects.js';
 import { prefix } from '../../src/core/storage/index.js';
-import type { Legacy } from '../../src/core/recovery-records.js';
+import type { RecoveryRecords } from '../../src/core/recovery-records.js';
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 import type { TaskOrder, Heartbeat, TaskStatus } from '../../src/model/heartbeat.js';
@@ -263,7 +263,7 @@
   /** How often it began anew with what it knew. */
   reborn = 0;
 
-  private start(legacy: Legacy | null): void {
+  private start(recoveryRecords: RecoveryRecords | null): void {
     this.readFrom = this.world.now;
     this.followed = -1;
     this.controller = new this.program.Controller(
@@ -274,7 +274,7 @@
       (...line) => void this.logged.push(line),
       null,
       this.program.name,
-      legacy,
+      recoveryRecords,
     );
   }
 
@@ -462,7 +462,7 @@
         this.reborn++;
         // What was asked for before counts no more; requests wait on.
         this.queue = this.queue.filter((c) => ['submit', 'query', 'withdraw', 'checkin'].includes(c.c));
-        this.start(e.legacy);
+        this.start(e.recoveryRecords);
         break;
     }
   }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -30,7 +30,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import { newJob } from '../src/core/shard-state/jobs.js';
 import type { Placement } from '../src/core/shard-state/types.js';
-import { legacyOf } from '../src/core/recovery-records.js';
+import { collectRecoveryRecords } from '../src/core/recovery-records.js';
 import { wrongInHistory } from './support/task-log-history.js';
 import { levelOf, ownerOf, restart } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
@@ -174,8 +174,8 @@
 
 test('an older checkpoint that is read late does not take the place of what the log has told since', () => {
   const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, decisive: quiet };
-  const more = { sealed: quiet, levelChanged: quiet, incarnationChanged: quiet };
+  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
+  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
   const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
   const { entries, states } = historyOf([1, 2, 1, 3]);
   const job = jobData(spec('req-1', { tasks: size }), 1);
@@ -200,7 +200,7 @@
   const w = new World(3, { ...withLog, ...over }, seed);
   w.capacity = 20;
   const ready = (): boolean =>
-    levelOf(w).level === newestLevel && w.nodes.every((n) => n.controller.replica.types.length > 0);
+    levelOf(w).level === newestLevel && w.nodes.every((n) => n.controller.replica.machineTypes.length > 0);
   assert.ok(w.playUntil(ready, 60));
   return w;
 }
@@ -263,8 +263,8 @@
 
 test('a record holds no more than a value may: cancelled jobs that do not fit are cleared by the next', () => {
   const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, decisive: quiet };
-  const more = { sealed: quiet, levelChanged: quiet, incarnationChanged: quiet };
+  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
+  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
   const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const intents: Intent[] = [];
@@ -296,8 +296,8 @@
 
 test('a refused write is built again without the job that was cancelled, before the view has caught up', () => {
   const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, decisive: quiet };
-  const more = { sealed: quiet, levelChanged: quiet, incarnationChanged: quiet };
+  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
+  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
   const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const intents: Intent[] = [];
@@ -319,7 +319,7 @@
     job.active.set(0, { index: 0, attempt: 1, host: 'n-1', chunk } as Placement);
     writer.mark(job, chunk, chunk.queued, 0);
   }
-  replica.advance([], 6);
+  replica.applyWatch([], 6);
   const jobsOf = (txn: Txn | null): string[] => readLog(txn!.apply[0].data).map((e) => e.job);
   writer.tick(0);
   assert.deepEqual(jobsOf(intents[0].build()), ['req-1', 'req-2', 'req-3']);
@@ -365,7 +365,7 @@
   assert.ok(w.playUntil(() => hit !== '', 60));
   const from = w.now;
   const isPlaced = (id: string): boolean =>
-    w.nodes.every((n) => n.controller.replica.counts(id).running === 2);
+    w.nodes.every((n) => n.controller.replica.taskCounts(id).running === 2);
   const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== hit);
   assert.ok(
     w.playUntil(() => others.every(isPlaced), 30),
@@ -528,7 +528,7 @@
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
   assert.equal(w.state.keys.has('dp/t/req-1/0'), false);
-  const { records } = legacyOf(w.nodes[1].controller.replica, null, 1, 'test');
+  const { records } = collectRecoveryRecords(w.nodes[1].controller.replica, null, 1, 'test');
   const told = records.get('dp/t/req-1/0') as { p: unknown[]; r: number };
   assert.equal(told.p.length, 2);
   assert.ok(told.r > 0);
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -14,8 +14,8 @@
   jobChanged: quiet,
   machineChanged: quiet,
   shardChanged: quiet,
-  decisive: quiet,
-  sealed: quiet,
+  criticalChange: quiet,
+  readabilityChanged: quiet,
   levelChanged: quiet,
   incarnationChanged: quiet,
 };
@@ -28,7 +28,7 @@
 
   constructor(writesPerS: number) {
     const replica = new Replica(listener, new Levels(abilityOf('test')));
-    replica.load([], 1);
+    replica.loadSnapshot([], 1);
     const limits = { ops: 24, conditions: 96, bytes: 48 * 1024, writesPerS, nodes: 1 };
     const retry = retryPolicies({
       peers: [],
--- a/test/urgent-work.test.ts
+++ b/test/urgent-work.test.ts
@@ -11,7 +11,7 @@
   // Few would be stopped for them before the limit is near.
   w.types = [{ ...box, bootS: 3 }];
   w.playUntil(
-    () => w.nodes[0].controller.replica.types.length > 0 && w.nodes[0].controller.sureOfAbsence,
+    () => w.nodes[0].controller.replica.machineTypes.length > 0 && w.nodes[0].controller.sureOfAbsence,
     20,
   );
   w.nodes[0].submit(spec('req-1', { team: 'blue', urgency: 'low', tasks: 600 }));
@@ -45,7 +45,7 @@
   w.nodes[0].settings.objectives.push({ kind: 'wait', class: 'photo', within_s: 60, times: 1 });
   w.capacity = 6;
   w.playUntil(
-    () => w.nodes[0].controller.replica.types.length > 0 && w.nodes[0].controller.sureOfAbsence,
+    () => w.nodes[0].controller.replica.machineTypes.length > 0 && w.nodes[0].controller.sureOfAbsence,
     20,
   );
   w.nodes[0].submit(spec('req-1', { team: 'red', urgency: 'low', tasks: 600 }));
