--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -44,7 +44,8 @@
 
 /** Beyond so many, what is remembered begins anew: only time is lost by it. */
 const mostClusters = 20_000;
-const mostVerdicts = 2000;
+/** More than a fleet has machines: where each is of a kind of its own, a smaller one is emptied within every look. */
+const mostVerdicts = 16_384;
 
 const number = (v: Value): number =>
   typeof v === 'bigint' ? Number(v) : typeof v === 'number' && Number.isFinite(v) ? v : v === true ? 1 : 0;
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -41,6 +41,17 @@
   assert.equal(of(m, match).rank('m9'), 10_240);
 });
 
+test('matching: a fleet of 4,000 machines that all differ is evaluated once, not again on every look', () => {
+  const m = farm(4000, (i) => ({ Name: `m${i}` }));
+  const match = asks('Name != "m7"');
+  for (let look = 0; look < 2; look++) {
+    let allowed = 0;
+    for (let i = 0; i < 4000; i++) if (of(m, match).allows(`m${i}`)) allowed++;
+    assert.equal(allowed, 3999);
+    assert.equal(m.evaluations, 4000);
+  }
+});
+
 test('matching: a rank without a value, or an error, likes all alike; requirements without a value hold nowhere', () => {
   const m = farm(2, () => ({}));
   for (const rank of ['Nope', '1 / 0', '"text"', 'undefined'])
