--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -57,16 +57,20 @@
   host: string;
 }
 
-/** The durable state of some of a job's tasks. */
-export interface ChunkRecord {
+/** The state of some of a job's tasks: what of a chunk's record its owner decides. */
+export interface ChunkState {
   /** The highest attempt number ever used in this chunk. */
   last: number;
   done: Bits;
-  /** How many are done. */
-  doneCount: number;
   placed: Placed[];
   /** Of a job's first chunk, while none of its tasks has completed: some of the machines on which it failed. */
   failed: string[];
+}
+
+/** The durable state of some of a job's tasks. */
+export interface ChunkRecord extends ChunkState {
+  /** How many are done. */
+  doneCount: number;
   /** The revision of its own record; 0: it has none. */
   stamp: number;
   /** Rises with each change of the state that the task log or a checkpoint tells; 0: neither ever did. */
@@ -160,10 +164,7 @@
 }
 
 /** `revision` 0: what the record says is all there is, no task log follows it. */
-export const chunkData = (
-  c: Pick<ChunkRecord, 'last' | 'done' | 'placed' | 'failed'>,
-  revision = 0,
-): Data => ({
+export const chunkData = (c: ChunkState, revision = 0): Data => ({
   n: c.last,
   d: c.done.toString(),
   p: c.placed.map((p) => [p.index, p.attempt, p.host]),
--- a/src/core/storage/task-log/entry.ts
+++ b/src/core/storage/task-log/entry.ts
@@ -3,14 +3,10 @@
  * many jobs, share a record, so that one write makes the placements and ends of a whole round durable.
  */
 import type { Data } from '../../../formats/index.js';
-import { Bits, type ChunkRecord, type Placed } from '../records.js';
+import { Bits, type ChunkRecord, type ChunkState, type Placed } from '../records.js';
 
-export interface LogEntry {
-  job: string;
-  chunk: number;
-  /** It leads from this revision of the chunk's state to that one, and applies to no other. */
-  from: number;
-  to: number;
+/** What leads from one state of a chunk to another. */
+export interface Difference {
   /** The highest attempt number ever used. */
   last: number;
   placed: Placed[];
@@ -22,6 +18,14 @@
   failed: string[] | null;
 }
 
+export interface LogEntry extends Difference {
+  job: string;
+  chunk: number;
+  /** It leads from this revision of the chunk's state to that one, and applies to no other. */
+  from: number;
+  to: number;
+}
+
 type StoredPlacement = [index: number, attempt: number, host: string];
 type StoredEntry = [
   job: string,
@@ -88,15 +92,8 @@
   };
 }
 
-/** What leads from one state of a chunk to another. */
-export type Difference = Pick<LogEntry, 'last' | 'placed' | 'done' | 'freed' | 'failed'>;
-
 /** What a chunk's tasks are to be, as its owner has it. */
-export interface WantedState {
-  last: number;
-  done: Bits;
-  placed: Placed[];
-  failed: string[];
+export interface WantedState extends ChunkState {
   /** How many tasks the chunk has. */
   size: number;
 }
