--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -112,7 +112,7 @@
   private machines(): object[] {
     const { pool, service, settings } = this.control;
     const now = performance.now();
-    const runs = service.controller.dispatcher.machines;
+    const runs = service.controller.shardManager.machines;
     return [...pool.all()].map((m) => {
       const run = runs.get(m.host);
       const silentS = m.heardAt === null ? null : (now - m.heardAt) / 1000;
@@ -140,7 +140,9 @@
         tasks,
         usedCpus: run?.used.cpus ?? 0,
         silentS: silentS === null ? null : Math.round(silentS * 10) / 10,
-        ...(missing && tasks > 0 && run ? { held: whyHeld(run.leaseUntil, now, settings.leaseS) } : {}),
+        ...(missing && tasks > 0 && run
+          ? { held: whyHeld(run.earliestLeaseExpiry, now, settings.leaseS) }
+          : {}),
       };
     });
   }
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -134,7 +134,7 @@
 
   /** Whether the work is with this process, as far as it knows. What it writes about it is guarded by the grant. */
   get owns(): boolean {
-    return this.service.controller.dispatcher.owned.size > 0;
+    return this.service.controller.shardManager.ownedShards.size > 0;
   }
 
   /** The results as they are: the owner has them, others read them. */
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -6,7 +6,7 @@
 import { teamQuota, typeAllowed } from '../../policy/admission.js';
 import { timeLimitsOf, slackS } from '../../policy/deadlines.js';
 import { spotAllowed } from '../../policy/guardrails.js';
-import { mostFailedKept, suspectMachines } from '../failures.js';
+import { maxStoredFailedHosts, suspectHostCount } from '../failure-attribution.js';
 import { mayShareGpuMachine, fitsCpuOnlyType } from '../../policy/gpu-sharing.js';
 import { inPlacementOrder, criticalSlackS } from '../../policy/order.js';
 import { anchorPrice, imageFetchS } from '../../policy/pricing.js';
@@ -205,8 +205,8 @@
       for (const r of k.rooms) if (!bad.has(r)) room += fitCount(job.spec, emptyRoom(r.type, 0));
     // Guards against renting for a job with a mistake, GPUs at that.
     if (room >= (job.spec.shape === 'gang' ? want : 1))
-      return failed.length >= suspectMachines ? 'wait' : null;
-    return failed.length < mostFailedKept ? 'another' : 'wait';
+      return failed.length >= suspectHostCount ? 'wait' : null;
+    return failed.length < maxStoredFailedHosts ? 'another' : 'wait';
   }
 
   /** The placement keeps the emptiest machines for a gang that finds no room; others must not count on them. */
--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -5,7 +5,7 @@
 import { spotAllowed } from '../policy/guardrails.js';
 
 /** What the index needs to know of a machine. */
-export interface Slot {
+export interface IndexedMachine {
   host: string;
   type: MachineType;
   zone: string;
@@ -14,32 +14,32 @@
 }
 
 /** Machines of one type that are rented the same way: the policy tells them apart only by image and fullness. */
-export interface Kind<M extends Slot> {
+export interface MachineGroup<M extends IndexedMachine> {
   type: MachineType;
   spot: boolean;
   /** Fullest first; machines without any room for what waits are left out. */
-  list: Entry<M>[];
+  entries: IndexEntry<M>[];
 }
 
-interface Entry<M> {
-  m: M;
+interface IndexEntry<M> {
+  machine: M;
   full: number;
   /** Place in the order in which the machines came: the last tie-break. */
   ord: number;
 }
 
 /** Tie-break among machines of like score; far below any price difference that matters. */
-export const packing = 1e-4;
+export const packingTieBreak = 1e-4;
 
 /** How full a machine is, by what is scarcest on it. */
 export const fullness = (type: MachineType, room: Resources): number =>
   type.gpus > 0 ? 1 - room.gpus / type.gpus : 1 - room.cpus / type.cpus;
 
 /** What a job that found no room asked for: whoever asks for as much or more finds none either. */
-interface Failure {
+interface UnplaceableRequest {
   spec: JobSpec;
   /** Of a gang: the most tasks that any zone, and all zones together, could have taken. */
-  zoneMost: number;
+  maxPerZone: number;
   total: number;
 }
 
@@ -49,39 +49,39 @@
  * fullness only, so sorted lists by kind are merged, and only as far as a job has tasks. `looked` counts the
  * machines looked at.
  */
-export class Openings<M extends Slot> {
-  readonly kinds: Kind<M>[] = [];
-  looked = 0;
-  private failures: Failure[] = [];
+export class CapacityIndex<M extends IndexedMachine> {
+  readonly groups: MachineGroup<M>[] = [];
+  examined = 0;
+  private unplaceable: UnplaceableRequest[] = [];
 
   constructor(
     machines: Iterable<M>,
     /** What is free on a machine now. */
-    private readonly roomOf: (m: M) => Resources,
+    private readonly freeCapacity: (m: M) => Resources,
     /** The least that any waiting task takes: a machine with less room is of no use to this round. */
-    private readonly least: Resources,
+    private readonly minRequest: Resources,
   ) {
-    const byKind = new Map<string, Kind<M>>();
+    const byKind = new Map<string, MachineGroup<M>>();
     let ord = 0;
     for (const m of machines) {
-      this.looked++;
+      this.examined++;
       ord++;
-      const room = roomOf(m);
-      if (!this.useful(room)) continue;
+      const room = freeCapacity(m);
+      if (!this.isUseful(room)) continue;
       const key = `${m.type.name} ${m.spot ? 1 : 0}`;
       let kind = byKind.get(key);
       if (!kind) {
-        byKind.set(key, (kind = { type: m.type, spot: m.spot, list: [] }));
-        this.kinds.push(kind);
+        byKind.set(key, (kind = { type: m.type, spot: m.spot, entries: [] }));
+        this.groups.push(kind);
       }
-      kind.list.push({ m, full: fullness(m.type, room), ord });
+      kind.entries.push({ machine: m, full: fullness(m.type, room), ord });
     }
-    for (const k of this.kinds) k.list.sort(byFullness);
+    for (const k of this.groups) k.entries.sort(byFullness);
   }
 
-  private useful(room: Resources): boolean {
+  private isUseful(room: Resources): boolean {
     const tiny = 1e-6;
-    return room.cpus + tiny >= this.least.cpus && room.memGb + tiny >= this.least.memGb;
+    return room.cpus + tiny >= this.minRequest.cpus && room.memGb + tiny >= this.minRequest.memGb;
   }
 
   /**
@@ -89,29 +89,35 @@
    * image; `open` what else decides about a machine;
    * `withImage` leaves out those that lack the image.
    */
-  *best(
+  *bestFirst(
     spec: JobSpec,
     score: (type: MachineType, spot: boolean, hasImage: boolean) => number,
-    open: (m: M) => boolean,
+    isEligible: (m: M) => boolean,
     withImage = false,
   ): Generator<M> {
-    const heads: { list: Entry<M>[]; at: number; image: boolean; base: number; ord: number; s: number }[] =
-      [];
+    const heads: {
+      list: IndexEntry<M>[];
+      at: number;
+      image: boolean;
+      base: number;
+      ord: number;
+      s: number;
+    }[] = [];
     const advance = (h: (typeof heads)[number]): boolean => {
       for (; h.at < h.list.length; h.at++) {
         const e = h.list[h.at];
-        this.looked++;
-        if (e.m.images.has(spec.image) !== h.image || !open(e.m)) continue;
-        h.s = h.base + packing * e.full;
+        this.examined++;
+        if (e.machine.images.has(spec.image) !== h.image || !isEligible(e.machine)) continue;
+        h.s = h.base + packingTieBreak * e.full;
         h.ord = e.ord;
         return true;
       }
       return false;
     };
-    for (const k of this.kinds) {
+    for (const k of this.groups) {
       if (!typeAllowed(spec, k.type) || (k.spot && !spotAllowed(spec))) continue;
       for (const image of withImage ? [true] : [true, false]) {
-        const h = { list: k.list, at: 0, image, base: score(k.type, k.spot, image), ord: 0, s: 0 };
+        const h = { list: k.entries, at: 0, image, base: score(k.type, k.spot, image), ord: 0, s: 0 };
         if (advance(h)) heads.push(h);
       }
     }
@@ -123,44 +129,45 @@
         if (a.s > b.s || (a.s === b.s && a.ord < b.ord)) top = i;
       }
       const h = heads[top];
-      yield h.list[h.at].m;
+      yield h.list[h.at].machine;
       h.at++;
       if (!advance(h)) heads.splice(top, 1);
     }
   }
 
   /** Tasks were placed on these machines: they move to where they belong now, or out. */
-  changed(hosts: ReadonlySet<string>): void {
+  reposition(hosts: ReadonlySet<string>): void {
     if (hosts.size === 0) return;
-    for (const k of this.kinds) {
-      const moved: Entry<M>[] = [];
-      k.list = k.list.filter((e) => {
-        if (!hosts.has(e.m.host)) return true;
+    for (const k of this.groups) {
+      const moved: IndexEntry<M>[] = [];
+      k.entries = k.entries.filter((e) => {
+        if (!hosts.has(e.machine.host)) return true;
         moved.push(e);
         return false;
       });
       for (const e of moved) {
-        const room = this.roomOf(e.m);
-        if (!this.useful(room)) continue;
-        e.full = fullness(e.m.type, room);
-        insert(k.list, e);
+        const room = this.freeCapacity(e.machine);
+        if (!this.isUseful(room)) continue;
+        e.full = fullness(e.machine.type, room);
+        insert(k.entries, e);
       }
     }
   }
 
   /** Takes machines out: they are kept for somebody. */
   remove(hosts: ReadonlySet<string>): void {
-    if (hosts.size > 0) for (const k of this.kinds) k.list = k.list.filter((e) => !hosts.has(e.m.host));
+    if (hosts.size > 0)
+      for (const k of this.groups) k.entries = k.entries.filter((e) => !hosts.has(e.machine.host));
   }
 
   /** Remembers that a job found no room (more). Within a round room only shrinks. */
-  failed(spec: JobSpec, zoneMost = 0, total = 0): void {
-    this.failures.push({ spec, zoneMost, total });
+  noteUnplaceable(spec: JobSpec, maxPerZone = 0, total = 0): void {
+    this.unplaceable.push({ spec, maxPerZone, total });
   }
 
   /** True if a job that asked for no more than this one has found no room already. */
-  hopeless(spec: JobSpec, count: number): boolean {
-    return this.failures.some((f) => {
+  isUnplaceable(spec: JobSpec, count: number): boolean {
+    return this.unplaceable.some((f) => {
       const a = f.spec;
       if (
         a.cpus > spec.cpus ||
@@ -175,7 +182,7 @@
       )
         return false;
       if (spec.shape !== 'gang') return a.shape !== 'gang' && !a.oneZone && !a.apart;
-      return a.shape === 'gang' && count > (spec.oneZone ? f.zoneMost : f.total);
+      return a.shape === 'gang' && count > (spec.oneZone ? f.maxPerZone : f.total);
     });
   }
 }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -9,7 +9,7 @@
 import { retryPolicies, type Random } from '../retry/index.js';
 import { Committer, conditionsPerOperation } from './storage/index.js';
 import { UserRequests } from './user-requests.js';
-import { Dispatcher } from './dispatcher.js';
+import { ShardManager } from './shard-manager.js';
 import type { Clock, Command, Effect, Log } from './effects.js';
 import { Fleet } from './autoscaler/autoscaler.js';
 import { Membership } from './membership.js';
@@ -39,7 +39,7 @@
 export class Controller {
   readonly replica: Replica;
   readonly membership: Membership;
-  readonly dispatcher: Dispatcher;
+  readonly shardManager: ShardManager;
   readonly fleet: Fleet;
   readonly recovery: Recovery;
   readonly view: View;
@@ -94,9 +94,9 @@
       {
         jobChanged: (id, now) => {
           if (now?.state === 'open') this.userRequests.taken(id);
-          this.dispatcher.books.jobChanged(id, now);
+          this.shardManager.shardState.jobChanged(id, now);
         },
-        machineChanged: (host, now) => this.dispatcher.books.machineChanged(host, now),
+        machineChanged: (host, now) => this.shardManager.shardState.machineChanged(host, now),
         shardChanged: () => (this.shardsChanged = true),
         criticalChange: (change) => this.neighbours.noteDecisive(change),
         readabilityChanged: (key, why) =>
@@ -147,11 +147,11 @@
       this.fair,
       random,
     );
-    this.dispatcher = new Dispatcher(settings, operators, run, replica, committer, clock, log, matcher);
+    this.shardManager = new ShardManager(settings, operators, run, replica, committer, clock, log, matcher);
     this.upgrade = new Upgrade(settings, replica, committer, this.membership, clock, ttlMs, log);
     this.fleet = new Fleet(settings, operators, replica, committer, clock, retry.cloud, random, log);
-    this.fleet.hazardPerStep = () => this.dispatcher.books.hazard.perStep(operators['hazard-step-s']);
-    this.view = new View(replica, clock, ttlMs, this.dispatcher.books.freshLimitMs, log);
+    this.fleet.hazardPerStep = () => this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
+    this.view = new View(replica, clock, ttlMs, this.shardManager.shardState.maxReplicaAgeMs, log);
     this.planning = new Planning(
       settings,
       replica,
@@ -170,24 +170,24 @@
       this.neighbours,
       clock,
       ttlMs,
-      this.dispatcher.books.freshLimitMs + leaseMs,
+      this.shardManager.shardState.maxReplicaAgeMs + leaseMs,
       recoveryRecords,
       log,
     );
-    this.dispatcher.books.attempted = (...what) => this.rebuilding.attemptReported(...what);
+    this.shardManager.shardState.onUnknownAttempt = (...what) => this.rebuilding.attemptReported(...what);
     this.fleet.mayReturn = () => this.rebuilding.canConfirmAbsence;
     this.neighbours.jobs = () => this.rebuilding.jobCount;
-    this.dispatcher.books.canPlace = () => !this.view.stale;
-    this.dispatcher.books.mayStart = () => this.rebuilding.canConfirmAbsence && this.view.current;
+    this.shardManager.shardState.canPlaceTasks = () => !this.view.stale;
+    this.shardManager.shardState.mayStartTasks = () => this.rebuilding.canConfirmAbsence && this.view.current;
     this.userRequests.sureOfAbsence = () => this.rebuilding.canConfirmAbsence;
     committer.conflicted = (failed, epoch) => this.rebuilding.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
-    if (this.fair) this.dispatcher.more = () => ({ admission: this.admissionSummary() });
+    if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new Recovery(settings.workers.lease_s * 1000 * operators['recovery-leases']);
     this.reports = new Reports(
       settings,
       replica,
-      this.dispatcher,
+      this.shardManager,
       this.fleet,
       this.neighbours,
       clock,
@@ -255,7 +255,7 @@
       if (this.fair) this.planning.lead(this.demand);
     }
     if (this.leaving.asked) this.membership.leave(out);
-    this.dispatcher.tick(out);
+    this.shardManager.tick(out);
     this.reports.tick(out);
     if (this.fair) this.divide(out);
     this.userRequests.pump(out, this.view.vouchedAt);
@@ -277,7 +277,7 @@
   /** How far this process is, if it was asked to leave. */
   get phase(): Phase {
     return this.leaving.phase(this.clock.now, {
-      owned: this.dispatcher.owned.size,
+      owned: this.shardManager.ownedShards.size,
       leading: this.membership.leading,
       present: this.membership.present,
       busy: this.committer.waiting > 0 || this.fleet.calling,
@@ -289,7 +289,7 @@
     const { levels } = this;
     const { level, write } = levels.state;
     this.shardsChanged = true;
-    this.dispatcher.levelChanged();
+    this.shardManager.levelChanged();
     const key = `${levels.unreadable} ${level} ${write}`;
     if (key === this.saidLevel) return;
     this.saidLevel = key;
@@ -372,10 +372,11 @@
   private settle(): void {
     this.view.settle();
     if (!this.shardsChanged) return;
-    this.dispatcher.syncShards();
+    this.shardManager.reconcileShards();
     // A grant may be visible before the view has reached it: looked at again until it is taken up.
     this.shardsChanged = [...this.replica.shards].some(
-      ([k, g]) => g.owner === this.settings.member && g.run === this.run && !this.dispatcher.owned.has(k),
+      ([k, g]) =>
+        g.owner === this.settings.member && g.run === this.run && !this.shardManager.ownedShards.has(k),
     );
   }
 
@@ -386,14 +387,14 @@
     this.checkedAt = now;
     if (this.fair) this.look();
     this.tellAway();
-    const { dispatcher, recovery } = this;
-    const { unproven } = dispatcher;
+    const { shardManager, recovery } = this;
+    const { unconfirmedMachines: unproven } = shardManager;
     const t = recovery.step(now, {
       read: this.replica.watchRevision >= 0,
       present: this.membership.present,
-      owned: dispatcher.owned.size,
+      owned: shardManager.ownedShards.size,
       unproven: unproven.length,
-      placed: dispatcher.books.placed,
+      placed: shardManager.shardState.placementCount,
     });
     if (t) this.log('info', 'recovery', { ...t, keys: this.replica.keyCount });
     if (recovery.overdue(now))
@@ -401,7 +402,7 @@
         machines: unproven.length,
         some: unproven
           .slice(0, mostNamed)
-          .map((m) => ({ host: m.host, heardMs: m.heardAt && now - m.heardAt })),
+          .map((m) => ({ host: m.host, heardMs: m.lastHeartbeatAt && now - m.lastHeartbeatAt })),
       });
     const r = recovery.recovered(now);
     if (r) this.log(r.late ? 'warn' : 'info', r.late ? 'recovered late' : 'recovered', { ...r });
@@ -521,11 +522,14 @@
       case 'leave':
         if (this.leaving.asked) break;
         this.leaving.begin(this.clock.now);
-        this.log('info', 'leaving', { shards: [...this.dispatcher.owned], leading: this.membership.leading });
+        this.log('info', 'leaving', {
+          shards: [...this.shardManager.ownedShards],
+          leading: this.membership.leading,
+        });
         break;
       case 'stop-gang': {
-        const job = this.dispatcher.books.jobs.get(c.id);
-        if (job) this.dispatcher.books.stopGang(job);
+        const job = this.shardManager.shardState.jobs.get(c.id);
+        if (job) this.shardManager.shardState.stopGang(job);
         break;
       }
       case 'attributes':
--- a/src/core/failures.ts
+++ b/src/core/failure-attribution.ts
@@ -3,39 +3,40 @@
  * several machines and completes nowhere is itself to blame; a machine is, if jobs that complete elsewhere fail on it,
  * or several that have been nowhere else.
  */
-export interface Tried {
+export interface FailureHistory {
   /** Machines on which its tasks failed. */
-  errors: ReadonlySet<string>;
+  failedHosts: ReadonlySet<string>;
   /** How many of its tasks have completed. */
-  successes: number;
+  completedCount: number;
 }
 
 /** On so many machines a job must have failed, and completed on none, to be suspected of a mistake. */
-export const suspectMachines = 2;
+export const suspectHostCount = 2;
 
 /** So many of the machines that a job failed on are recorded. */
-export const mostFailedKept = 4;
+export const maxStoredFailedHosts = 4;
 
-export const suspect = (job: Tried): boolean => job.successes === 0 && job.errors.size >= suspectMachines;
+export const isSuspect = (job: FailureHistory): boolean =>
+  job.completedCount === 0 && job.failedHosts.size >= suspectHostCount;
 
 /** A machine with so much evidence against it is given up. */
-export const enoughEvidence = 2;
+export const quarantineEvidence = 2;
 
 /**
  * The evidence against a machine. Guards against a job with a mistake: its hundreds of tasks fail on as many machines
  * within seconds, and every one of those would be rested or given up.
  */
-export function evidence(
-  failures: ReadonlyMap<string, number>,
-  jobOf: (id: string) => Tried | undefined,
+export function evidenceAgainst(
+  failuresByJob: ReadonlyMap<string, number>,
+  jobOf: (id: string) => FailureHistory | undefined,
 ): number {
   let sum = 0;
-  for (const [id, times] of failures) {
+  for (const [id, times] of failuresByJob) {
     const job = jobOf(id);
     // Of a job that is over, nothing is known any more.
     if (!job) continue;
-    if (job.successes > 0) sum += Math.min(times, enoughEvidence);
-    else if (!suspect(job)) sum += 1;
+    if (job.completedCount > 0) sum += Math.min(times, quarantineEvidence);
+    else if (!isSuspect(job)) sum += 1;
   }
   return sum;
 }
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -9,9 +9,9 @@
   type ControllerLoad,
 } from '../policy/load-sharing.js';
 import { answerOut, redirectOut } from '../wire/worker.js';
-import type { MachineRun } from './shard-state/types.js';
-import { later } from './heartbeat-reconciler.js';
-import type { Dispatcher } from './dispatcher.js';
+import type { ScheduledMachine } from './shard-state/types.js';
+import { isNewerHeartbeat } from './heartbeat-reconciler.js';
+import type { ShardManager } from './shard-manager.js';
 import type { Clock, Effect, Log } from './effects.js';
 import type { Fleet } from './autoscaler/autoscaler.js';
 import { Holding, type Release } from './held-responses.js';
@@ -60,7 +60,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
-    private readonly dispatcher: Dispatcher,
+    private readonly shardManager: ShardManager,
     private readonly fleet: Fleet,
     private readonly neighbours: Neighbours,
     private readonly clock: Clock,
@@ -68,7 +68,7 @@
     private readonly limits: { own: number; relays: number },
     private readonly log: Log,
   ) {
-    this.holding = new Holding(settings, dispatcher.checkins, clock);
+    this.holding = new Holding(settings, shardManager.heartbeatReconciler, clock);
   }
 
   get busy(): number {
@@ -108,16 +108,16 @@
       this.fleet.heardFrom(m.host);
       return answer(200, answerOut(custodian.token, []));
     }
-    const run = this.dispatcher.machines.get(m.host);
+    const run = this.shardManager.machines.get(m.host);
     if (!run) return answer(503, {}, 1);
     const to = from === null && report.token === custodian.token ? this.elseTo() : null;
     if (to !== null) return answer(421, redirectOut(to));
     this.fleet.heardFrom(m.host);
     // A late copy is no newer report: the machine may still wait for the answer to the one that is held.
-    const newer = later(report, [run.session, run.seq]);
+    const newer = isNewerHeartbeat(report, [run.agentEpoch, run.heartbeatSeq]);
     const before = newer ? this.holding.superseded(m.host) : null;
     if (before) this.release(before, out);
-    const orders = this.dispatcher.checkins.checkin(run, report, custodian.token);
+    const orders = this.shardManager.heartbeatReconciler.reconcile(run, report, custodian.token);
     // Where time or writes are short, starts come late as it is.
     const calm = this.load.utilization < offloadAbove && !this.host.strained();
     const waits = newer && from === null && orders.length === 0 && calm;
@@ -131,12 +131,12 @@
   }
 
   /** Whether a report that was taken in before may still be answered under this token. */
-  private stands(run: MachineRun, token: number): boolean {
+  private stands(run: ScheduledMachine, token: number): boolean {
     const m = this.replica.machines.get(run.host);
     const custodian = m && this.replica.responsibleController(m);
     if (!this.host.fresh() || this.replica.levels.standsBy || !custodian) return false;
     if (!this.isMine(custodian) || custodian.token !== token) return false;
-    return this.dispatcher.machines.get(run.host) === run;
+    return this.shardManager.machines.get(run.host) === run;
   }
 
   private isMine({ member, run }: { member: string; run: string }): boolean {
@@ -145,7 +145,7 @@
 
   /** Through whom a worker is to report from now on, or null. Only one that has been proven may go. */
   private elseTo(): string | null {
-    const most = Math.max(1, this.dispatcher.machines.size * sentAwayShare);
+    const most = Math.max(1, this.shardManager.machines.size * sentAwayShare);
     if (!this.helped || this.sentAway >= most) return null;
     const to = leastBusyHelper(this.neighbours.helpers());
     if (to === null || !shouldRedirect(this.load, this.limits.own, to.busy)) return null;
@@ -191,12 +191,13 @@
     this.load = {
       utilization: busy,
       connections,
-      machines: this.dispatcher.machines.size,
+      machines: this.shardManager.machines.size,
       forwardedShare: shared,
     };
     this.count = this.relayedCount = 0;
     this.sentAway = 0;
-    const helped = this.dispatcher.owned.size > 0 && needsOffload(this.helped, this.load, this.limits.own);
+    const helped =
+      this.shardManager.ownedShards.size > 0 && needsOffload(this.helped, this.load, this.limits.own);
     if (helped === this.helped) return;
     this.helped = helped;
     this.log('info', helped ? 'others keep our workers' : 'our workers come back', { ...this.load });
@@ -221,14 +222,15 @@
     const standing = { direct: this.direct, through: this.through, helped: this.helped, busy: this.busy };
     this.direct = 0;
     this.through = new Map();
-    const settled = now - this.dispatcher.tookUpAt > this.settings.workers.lease_s * 1000 * settleLeases;
-    if (this.dispatcher.owned.size === 0 || !settled || !this.host.fresh()) return;
+    const settled =
+      now - this.shardManager.lastAcquiredAt > this.settings.workers.lease_s * 1000 * settleLeases;
+    if (this.shardManager.ownedShards.size === 0 || !settled || !this.host.fresh()) return;
     const to = handoverTarget(standing, [...this.neighbours.helpers()]);
     const run = to === null ? undefined : this.neighbours.runOf(to);
     if (to === null || run === undefined) return;
     const { direct, busy } = standing;
     const through = Object.fromEntries(standing.through);
-    for (const shard of this.dispatcher.owned) {
+    for (const shard of this.shardManager.ownedShards) {
       this.log('info', 'handing over shard', { shard, to, direct, through, busy });
       this.host.handOver(shard, to, run);
     }
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -1,7 +1,7 @@
 import type { Settings } from '../config/settings.js';
 import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
-import type { MachineRun } from './shard-state/types.js';
-import type { Checkins } from './heartbeat-reconciler.js';
+import type { ScheduledMachine } from './shard-state/types.js';
+import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { Clock } from './effects.js';
 
 /** Workers wait for an answer for 4 s: of that, so much is left for the way and for a process that is late. */
@@ -9,7 +9,7 @@
 
 interface Held {
   rid: number;
-  m: MachineRun;
+  m: ScheduledMachine;
   report: Heartbeat;
   token: number;
   since: number;
@@ -32,17 +32,20 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly checkins: Checkins,
+    private readonly heartbeatReconciler: HeartbeatReconciler,
     private readonly clock: Clock,
   ) {}
 
   /** Whether the answer to a report that asks for none at once may wait. */
-  takes(m: MachineRun, report: Heartbeat, token: number, rid: number): boolean {
+  takes(m: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
     // Agents are asked for a report when there is something to start. What is to end soon must not wait for its report.
-    if (this.settings.pool || report.token !== token || report.noticeS !== null || m.condemned) return false;
+    if (this.settings.pool || report.token !== token || report.noticeS !== null || m.quarantined)
+      return false;
     if (m.record.state !== 'use' || m.releasing) return false;
-    const running = [...m.placements.values()].some((p) => p.sent !== null || !p.own);
-    if (running ? !this.checkins.pending(m) : report.tasks.length > 0) return false;
+    const running = [...m.placements.values()].some(
+      (p) => p.startSentWith !== null || !p.placedByThisProcess,
+    );
+    if (running ? !this.heartbeatReconciler.awaitsDurableStart(m) : report.tasks.length > 0) return false;
     this.held.set(m.host, { rid, m, report, token, since: this.clock.now });
     return true;
   }
@@ -56,12 +59,16 @@
   }
 
   /** Those that have waited long enough, or whose tasks may start. `stands`: it is still this process that answers for it. */
-  *due(stands: (m: MachineRun, token: number) => boolean): Generator<Release> {
+  *due(stands: (m: ScheduledMachine, token: number) => boolean): Generator<Release> {
     for (const [host, { rid, m, report, token, since }] of this.held) {
       const over = this.clock.now - since >= heldMs;
-      if (!over && (m.placements.size === 0 || this.checkins.pending(m))) continue;
+      if (!over && (m.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(m))) continue;
       this.held.delete(host);
-      yield { rid, token, orders: stands(m, token) ? this.checkins.ordersNow(m, report) : null };
+      yield {
+        rid,
+        token,
+        orders: stands(m, token) ? this.heartbeatReconciler.currentOrders(m, report) : null,
+      };
     }
   }
 }
--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -4,10 +4,10 @@
 import { hasGuaranteeStartObjective } from '../../policy/deadlines.js';
 import { gpuReserveFor } from '../../policy/gpu-sharing.js';
 import { inPlacementOrder, criticalSlackS } from '../../policy/order.js';
-import { suspect } from '../failures.js';
-import type { Books } from '../shard-state/shard-state.js';
-import { waitingCount } from '../shard-state/jobs.js';
-import type { JobRun } from '../shard-state/types.js';
+import { isSuspect } from '../failure-attribution.js';
+import type { ShardState } from '../shard-state/shard-state.js';
+import { waitingTaskCount } from '../shard-state/jobs.js';
+import type { ScheduledJob } from '../shard-state/types.js';
 import { lifted } from './minimum-shares.js';
 import { gangMayWait, owe, placeGang, reserve } from './gangs.js';
 import { madeRoom, preempt } from './preemption.js';
@@ -27,24 +27,24 @@
  * since, so that reports and requests need not wait for all of it. Between two steps jobs and machines may
  * change; each is looked at anew when its turn comes.
  */
-export function* placeRound(books: Books): Generator<number, void> {
-  const entitled = jobsWithinGuarantee(books.jobs.values(), books.settings);
+export function* placeRound(shardState: ShardState): Generator<number, void> {
+  const entitled = jobsWithinGuarantee(shardState.jobs.values(), shardState.settings);
   const waiting = inPlacementOrder(
-    [...books.jobs.values()].filter((j) => placeable(books, j)),
-    books.settings.objectives,
-    books.clock.wall,
-    criticalSlackS(books.settings),
-    hasGuaranteeStartObjective(books.settings.objectives) ? entitled : new Set(),
+    [...shardState.jobs.values()].filter((j) => placeable(shardState, j)),
+    shardState.settings.objectives,
+    shardState.clock.wall,
+    criticalSlackS(shardState.settings),
+    hasGuaranteeStartObjective(shardState.settings.objectives) ? entitled : new Set(),
   );
   // Guards against a job with a mistake that has room kept for as long as it is tried.
-  const keep = gpuReserveFor(waiting.filter((j) => !suspect(j)));
+  const keep = gpuReserveFor(waiting.filter((j) => !isSuspect(j)));
   const least = { cpus: Infinity, gpus: 0, memGb: Infinity };
   for (const { spec } of waiting) {
     least.cpus = Math.min(least.cpus, spec.cpus);
     least.memGb = Math.min(least.memGb, spec.memGb);
   }
-  const raised = lifted(books, waiting);
-  const whole: Round = { books, entitled, lifted: raised, keep, least };
+  const raised = lifted(shardState, waiting);
+  const whole: Round = { shardState, entitled, lifted: raised, keep, least };
   const shards = new Map<number, ShardRound>();
   const roundOf = (shard: number): ShardRound => {
     let round = shards.get(shard);
@@ -53,21 +53,26 @@
   };
   let preemptions = 0;
   let yielding = 0;
-  books.claims.prune(books.jobs, books.machines);
+  shardState.reservations.prune(shardState.jobs, shardState.machines);
   // Work of one level is of like urgency, and either all within its teams' guarantees or none.
-  const levelOf = (job: JobRun): number => urgencyRank[job.spec.urgency] + (demandsNow(whole, job) ? 10 : 0);
+  const levelOf = (job: ScheduledJob): number =>
+    urgencyRank[job.spec.urgency] + (demandsNow(whole, job) ? 10 : 0);
   let level = Infinity;
   for (const job of raised.keys()) {
-    if (!placeable(books, job) || books.jobs.get(job.id) !== job) continue;
+    if (!placeable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
     const round = roundOf(job.shard);
-    const before = job.active.size;
+    const before = job.placements.size;
     if (job.spec.shape === 'gang') {
-      if (!placeGang(job, round) && gangMayWait(books, job)) reserve(job, round);
+      if (!placeGang(job, round) && gangMayWait(shardState, job)) reserve(job, round);
     } else placeEach(job, round);
-    if (job.active.size > before)
-      books.log('info', 'floor', { job: job.id, class: job.spec.class, tasks: job.active.size - before });
-    yield round.openings.looked;
-    round.openings.looked = 0;
+    if (job.placements.size > before)
+      shardState.log('info', 'floor', {
+        job: job.id,
+        class: job.spec.class,
+        tasks: job.placements.size - before,
+      });
+    yield round.capacityIndex.examined;
+    round.capacityIndex.examined = 0;
   }
   whole.lifted = new Map();
   for (const round of shards.values()) round.lifted = whole.lifted;
@@ -79,52 +84,57 @@
       for (const other of waiting) {
         const { spec } = other;
         if (levelOf(other) !== level || spec.gpus <= 0 || spec.shape !== 'array') continue;
-        if (!placeable(books, other) || books.jobs.get(other.id) !== other) continue;
+        if (!placeable(shardState, other) || shardState.jobs.get(other.id) !== other) continue;
         const round = roundOf(other.shard);
         placeEach(other, round, true);
-        yield round.openings.looked;
-        round.openings.looked = 0;
+        yield round.capacityIndex.examined;
+        round.capacityIndex.examined = 0;
       }
     }
-    if (!placeable(books, job) || books.jobs.get(job.id) !== job) continue;
+    if (!placeable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
     const round = roundOf(job.shard);
-    const { openings } = round;
-    const count = waitingCount(job);
-    const late = round.unused.length > 0 && overdue(books, job);
-    const hopeless = !late && !round.claimed.has(job.id) && openings.hopeless(job.spec, count);
-    if (job.mending !== null) {
+    const { capacityIndex } = round;
+    const count = waitingTaskCount(job);
+    const late = round.unused.length > 0 && overdue(shardState, job);
+    const hopeless = !late && !round.claimed.has(job.id) && capacityIndex.isUnplaceable(job.spec, count);
+    if (job.repairAttempt !== null) {
       placeEach(job, round);
       continue;
     }
     if (job.spec.shape === 'gang') {
       if (!hopeless && placeGang(job, round)) {
         owe(job, round);
-        yield openings.looked;
-        openings.looked = 0;
+        yield capacityIndex.examined;
+        capacityIndex.examined = 0;
         continue;
       }
       owe(job, round);
-      if (gangMayWait(books, job) && !suspect(job)) reserve(job, round);
+      if (gangMayWait(shardState, job) && !isSuspect(job)) reserve(job, round);
     } else if (!hopeless) placeEach(job, round);
     // Guards against a job that has failed everywhere being tried nowhere any more.
-    job.anywhere = suspect(job) && job.active.size === 0;
-    if (waitingCount(job) > 0 && job.active.size === 0 && preemptions < mostPreemptions && !suspect(job))
+    job.anyHostAllowed = isSuspect(job) && job.placements.size === 0;
+    if (
+      waitingTaskCount(job) > 0 &&
+      job.placements.size === 0 &&
+      preemptions < mostPreemptions &&
+      !isSuspect(job)
+    )
       if (!round.claimed.get(job.id)?.some((m) => madeRoom(m)) && preempt(job, round)) preemptions++;
-    if (job.spec.shape === 'array' && waitingCount(job) > 0 && yielding < mostYields && !suspect(job))
+    if (job.spec.shape === 'array' && waitingTaskCount(job) > 0 && yielding < mostYields && !isSuspect(job))
       if (makeYield(job, round)) yielding++;
-    yield openings.looked;
-    openings.looked = 0;
+    yield capacityIndex.examined;
+    capacityIndex.examined = 0;
   }
-  books.owed = new Map([...shards.values()].flatMap((round) => [...round.owed]));
-  books.withheld = new Map([...shards.values()].flatMap((round) => [...round.withheld]));
+  shardState.quotaReservations = new Map([...shards.values()].flatMap((round) => [...round.owed]));
+  shardState.withheldHosts = new Map([...shards.values()].flatMap((round) => [...round.withheld]));
 }
 
-const placeable = (books: Books, j: JobRun): boolean =>
+const placeable = (shardState: ShardState, j: ScheduledJob): boolean =>
   !j.cancelled &&
-  !j.finishing &&
-  !j.frozen &&
-  !j.breaking &&
+  !j.finalizing &&
+  !j.unreadable &&
+  !j.tearingDown &&
   // Guards against a second zone for a job whose tasks may be in one that is not known.
-  !(j.astray > 0 && (j.spec.oneZone || j.spec.apart)) &&
-  j.notBefore <= books.clock.now &&
-  waitingCount(j) > 0;
+  !(j.unknownZoneTasks > 0 && (j.spec.oneZone || j.spec.apart)) &&
+  j.retryNotBefore <= shardState.clock.now &&
+  waitingTaskCount(j) > 0;
--- a/src/core/scheduling/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -5,72 +5,73 @@
 import { timeLimitsOf, slackS } from '../../policy/deadlines.js';
 import { spotAllowed, zoneAllows } from '../../policy/guardrails.js';
 import { criticalSlackS } from '../../policy/order.js';
-import { suspect } from '../failures.js';
-import type { Books } from '../shard-state/shard-state.js';
-import { nextGangAttempt, nextWaiting, waitingCount } from '../shard-state/jobs.js';
-import { roomOf } from '../shard-state/machines.js';
-import type { JobRun, MachineRun } from '../shard-state/types.js';
+import { isSuspect } from '../failure-attribution.js';
+import type { ShardState } from '../shard-state/shard-state.js';
+import { nextGangAttempt, takeNextWaiting, waitingTaskCount } from '../shard-state/jobs.js';
+import { freeCapacity } from '../shard-state/machines.js';
+import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
 import { candidates, mayCrowd, openRoom, mayEmpty, openTo } from './feasibility.js';
 import { leftOver } from './starvation.js';
 import { claim, type ShardRound } from './shard.js';
 
 /** False: the gang waits for something else than room. */
-export const gangMayWait = (books: Books, job: JobRun): boolean =>
-  job.active.size === 0 && fitCount(job.spec, books.teamRoom(job.spec)) >= waitingCount(job);
+export const gangMayWait = (shardState: ShardState, job: ScheduledJob): boolean =>
+  job.placements.size === 0 &&
+  fitCount(job.spec, shardState.availableQuota(job.spec)) >= waitingTaskCount(job);
 
 /** A gang is placed whole in one round or not at all. False: it found no room. */
-export function placeGang(job: JobRun, round: ShardRound): boolean {
+export function placeGang(job: ScheduledJob, round: ShardRound): boolean {
   const { spec } = job;
-  const { books, openings } = round;
-  if (!gangMayWait(books, job)) {
+  const { shardState, capacityIndex } = round;
+  if (!gangMayWait(shardState, job)) {
     // Tasks of an earlier attempt hold their machines and zones until they are proven gone.
-    if (job.active.size === 0) placeLeftOver(job, round);
+    if (job.placements.size === 0) placeLeftOver(job, round);
     return true;
   }
   const crowd = mayCrowd(round, job);
   const { hosts, zoneMost, total } = gather(job, candidates(job, round), (m) =>
-    openRoom(round, job, roomOf(books, m), crowd),
+    openRoom(round, job, freeCapacity(shardState, m), crowd),
   );
   if (hosts !== null) {
     placeOn(job, round, hosts);
     return true;
   }
   if (placeLeftOver(job, round)) return true;
-  if (job.errors.size === 0 && job.match === null && !round.claimed.has(job.id))
-    openings.failed(spec, zoneMost, total);
+  if (job.failedHosts.size === 0 && job.match === null && !round.claimed.has(job.id))
+    capacityIndex.noteUnplaceable(spec, zoneMost, total);
   return false;
 }
 
 /** A gang that has waited for long, on machines whose room nobody has taken for long. */
-function placeLeftOver(job: JobRun, round: ShardRound): boolean {
-  const { books } = round;
-  if (fitCount(job.spec, books.teamRoom(job.spec, true)) < waitingCount(job)) return false;
-  const { hosts } = gather(job, leftOver(job, round), (m) => roomOf(books, m));
+function placeLeftOver(job: ScheduledJob, round: ShardRound): boolean {
+  const { shardState } = round;
+  if (fitCount(job.spec, shardState.availableQuota(job.spec, true)) < waitingTaskCount(job)) return false;
+  const { hosts } = gather(job, leftOver(job, round), (m) => freeCapacity(shardState, m));
   if (hosts === null) return false;
-  books.log('info', 'room left over', { job: job.id, hosts });
+  shardState.log('info', 'room left over', { job: job.id, hosts });
   placeOn(job, round, hosts);
   return true;
 }
 
-function placeOn(job: JobRun, round: ShardRound, hosts: string[]): void {
+function placeOn(job: ScheduledJob, round: ShardRound, hosts: string[]): void {
   const at: { index: number; host: string }[] = [];
   for (const host of hosts) {
-    const index = nextWaiting(job);
+    const index = takeNextWaiting(job);
     if (index >= 0) at.push({ index, host });
   }
-  round.books.place(job, at, nextGangAttempt(job));
-  round.openings.changed(new Set(hosts));
-  round.books.claims.end(job.id);
+  round.shardState.placeTasks(job, at, nextGangAttempt(job));
+  round.capacityIndex.reposition(new Set(hosts));
+  round.shardState.reservations.release(job.id);
 }
 
 /** The first of some machines on which all of a gang has room, a host for each task; null: there are none. */
 function gather(
-  job: JobRun,
-  machines: Iterable<MachineRun>,
-  room: (m: MachineRun) => Resources,
+  job: ScheduledJob,
+  machines: Iterable<ScheduledMachine>,
+  room: (m: ScheduledMachine) => Resources,
 ): { hosts: string[] | null; zoneMost: number; total: number } {
   const { spec } = job;
-  const need = waitingCount(job);
+  const need = waitingTaskCount(job);
   const hosts = new Map<string | null, string[]>();
   const taken = new Map<string | null, Map<string, number>>();
   const most = new Map<string, number>();
@@ -110,35 +111,40 @@
  * first gangs get some, since machines that wait for others to run empty do nothing. For the others machines are withheld
  * from work of less urgency alone: what is as urgent takes them as they come free.
  */
-export function reserve(job: JobRun, round: ShardRound): void {
+export function reserve(job: ScheduledJob, round: ShardRound): void {
   const { spec } = job;
-  const { books } = round;
+  const { shardState } = round;
   let held = 0;
   for (const m of round.claimed.get(job.id) ?? []) held += fitCount(spec, m.type);
-  const need = waitingCount(job) - held;
+  const need = waitingTaskCount(job) - held;
   if (need <= 0) return;
   const there = round.claimed.get(job.id)?.[0]?.zone ?? null;
   const fit = round.all.filter((m) => {
-    round.openings.looked++;
+    round.capacityIndex.examined++;
     return (
       typeAllowed(spec, m.type) &&
       (!m.spot || spotAllowed(spec)) &&
-      openTo(books, job, m) &&
+      openTo(shardState, job, m) &&
       mayEmpty(round, job, m.type)
     );
   });
   const best = soonest(job, need, there, fit);
   // The first gang always gets its machines; the others only while not too many are kept.
-  const kept = books.claims.held.size;
+  const kept = shardState.reservations.byHost.size;
   if (best !== null && (kept === 0 || kept + best.length <= claimShare * (fit.length + kept)))
     return claim(job, round, best);
   withhold(job, round, need, fit);
 }
 
 /** The machines that will have run empty first, as many as the gang needs, in one zone if it must be. */
-function soonest(job: JobRun, need: number, there: string | null, fit: MachineRun[]): MachineRun[] | null {
+function soonest(
+  job: ScheduledJob,
+  need: number,
+  there: string | null,
+  fit: ScheduledMachine[],
+): ScheduledMachine[] | null {
   const { spec } = job;
-  const byZone = new Map<string | null, { machines: MachineRun[]; slots: number }>();
+  const byZone = new Map<string | null, { machines: ScheduledMachine[]; slots: number }>();
   for (const m of fit) {
     if (spec.oneZone && there !== null && m.zone !== there) continue;
     const zone = spec.oneZone ? m.zone : null;
@@ -156,7 +162,7 @@
 const hurryShare = 2;
 
 /** Whether a gang is short of time, or late. */
-function hurried({ spec, at }: JobRun, { settings, clock }: Books): boolean {
+function hurried({ spec, at }: ScheduledJob, { settings, clock }: ShardState): boolean {
   const slack = slackS(timeLimitsOf(spec, settings.objectives), (clock.wall - at) / 1000, spec.estimateS);
   return !Number.isFinite(slack) || slack <= hurryShare * criticalSlackS(settings);
 }
@@ -165,9 +171,9 @@
  * Guards against work of less urgency that takes each place that comes free on machines that only whole gangs could use:
  * small tasks always find one, a gang that needs most of a machine never does. Half of the GPU machines stay with GPU work.
  */
-function withhold(job: JobRun, round: ShardRound, need: number, fit: MachineRun[]): void {
+function withhold(job: ScheduledJob, round: ShardRound, need: number, fit: ScheduledMachine[]): void {
   const { spec } = job;
-  if (!hurried(job, round.books)) return;
+  if (!hurried(job, round.shardState)) return;
   let left = need;
   let gpus = 0;
   for (const m of round.all) if (m.type.gpus > 0) gpus += round.withheld.has(m.host) ? -1 : 1;
@@ -184,22 +190,22 @@
  * Guards against a team's limit that is used up by its less urgent work while its urgent gangs wait: as much of it as they
  * could use goes to nothing else. What no machine could take is not kept.
  */
-export function owe(job: JobRun, round: ShardRound): void {
+export function owe(job: ScheduledJob, round: ShardRound): void {
   const { spec } = job;
-  const { books } = round;
-  if (job.active.size > 0 || suspect(job) || !hurried(job, round.books)) return;
+  const { shardState } = round;
+  if (job.placements.size > 0 || isSuspect(job) || !hurried(job, round.shardState)) return;
   const rank = urgencyRank[spec.urgency];
   const before = round.owed.get(spec.team);
   if (before && before.urgency > rank) return;
   let owed = before;
   if (owed?.urgency !== rank) {
-    let slots = -(books.activeBy.get(rank) ?? 0);
-    for (const m of books.machines.values())
+    let slots = -(shardState.placementsByUrgency.get(rank) ?? 0);
+    for (const m of shardState.machines.values())
       if (typeAllowed(spec, m.type) && (!m.spot || spotAllowed(spec))) slots += fitCount(spec, m.type);
-    round.owed.set(spec.team, (owed = { urgency: rank, cpus: 0, gpus: 0, slots }));
+    round.owed.set(spec.team, (owed = { urgency: rank, cpus: 0, gpus: 0, tasks: slots }));
   }
-  const tasks = Math.max(0, Math.min(waitingCount(job), owed.slots));
-  owed.slots -= tasks;
+  const tasks = Math.max(0, Math.min(waitingTaskCount(job), owed.tasks));
+  owed.tasks -= tasks;
   owed.cpus += tasks * spec.cpus;
   owed.gpus += tasks * spec.gpus;
 }
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -1,51 +1,51 @@
 /** Teams and classes that had less than their floor go first in a round. */
 import { kindName, type KindUse } from '../../admission/index.js';
-import { suspect } from '../failures.js';
-import type { Books } from '../shard-state/shard-state.js';
-import { waitingCount } from '../shard-state/jobs.js';
-import type { JobRun } from '../shard-state/types.js';
+import { isSuspect } from '../failure-attribution.js';
+import type { ShardState } from '../shard-state/shard-state.js';
+import { waitingTaskCount } from '../shard-state/jobs.js';
+import type { ScheduledJob } from '../shard-state/types.js';
 
 interface Kind extends KindUse {
-  jobs: JobRun[];
+  jobs: ScheduledJob[];
 }
 
 /** The jobs that go first because their team and class had less than their floor, and how many of their tasks may. */
-export function lifted(books: Books, waiting: readonly JobRun[]): Map<JobRun, number> {
-  const out = new Map<JobRun, number>();
-  if (books.operators['floor-share'] <= 0) return out;
+export function lifted(shardState: ShardState, waiting: readonly ScheduledJob[]): Map<ScheduledJob, number> {
+  const out = new Map<ScheduledJob, number>();
+  if (shardState.operators['floor-share'] <= 0) return out;
   const room = { cpus: 0, gpus: 0 };
-  for (const m of books.machines.values()) {
+  for (const m of shardState.machines.values()) {
     room.cpus += m.type.cpus;
     room.gpus += m.type.gpus;
   }
   if (room.cpus <= 0) return out;
-  const shareOf = (job: JobRun): number =>
+  const shareOf = (job: ScheduledJob): number =>
     Math.max(job.spec.cpus / room.cpus, room.gpus > 0 ? job.spec.gpus / room.gpus : 0);
   const kinds = new Map<string, Kind>();
-  const kindOf = ({ spec: { team, class: cls } }: JobRun): Kind => {
+  const kindOf = ({ spec: { team, class: cls } }: ScheduledJob): Kind => {
     const kind = kindName(team, cls);
     let k = kinds.get(kind);
     if (!k) kinds.set(kind, (k = { kind, team, share: 0, waiting: false, jobs: [] }));
     return k;
   };
-  for (const job of books.jobs.values())
-    if (job.active.size > 0) kindOf(job).share += job.active.size * shareOf(job);
+  for (const job of shardState.jobs.values())
+    if (job.placements.size > 0) kindOf(job).share += job.placements.size * shareOf(job);
   for (const job of waiting) {
     // Guards against a job with a mistake that is lifted for ever: what it takes comes to nothing.
-    if (suspect(job)) continue;
+    if (isSuspect(job)) continue;
     const k = kindOf(job);
     k.waiting = true;
     k.jobs.push(job);
   }
-  for (const owed of books.floors.look(books.clock.now, [...kinds.values()])) {
+  for (const owed of shardState.minimumShares.look(shardState.clock.now, [...kinds.values()])) {
     let left = owed.share;
     for (const job of kinds.get(owed.kind)!.jobs.sort((a, b) => a.at - b.at)) {
       if (left <= 0) break;
       const each = shareOf(job);
       // A gang whole or not at all, and something in any case: a floor may be less than a task.
-      const count = job.spec.shape === 'gang' ? waitingCount(job) : Math.max(1, Math.floor(left / each));
+      const count = job.spec.shape === 'gang' ? waitingTaskCount(job) : Math.max(1, Math.floor(left / each));
       out.set(job, count);
-      left -= Math.min(count, waitingCount(job)) * each;
+      left -= Math.min(count, waitingTaskCount(job)) * each;
     }
   }
   return out;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -4,15 +4,16 @@
 import { timeLimitsOf, slackS } from '../../policy/deadlines.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import { imageFetchS } from '../../policy/pricing.js';
-import { waitingCount } from '../shard-state/jobs.js';
-import { roomOf } from '../shard-state/machines.js';
-import type { JobRun, MachineRun, Placement } from '../shard-state/types.js';
+import { waitingTaskCount } from '../shard-state/jobs.js';
+import { freeCapacity } from '../shard-state/machines.js';
+import type { ScheduledJob, ScheduledMachine, Placement } from '../shard-state/types.js';
 import { mayEmpty, openTo } from './feasibility.js';
 import { claim, type ShardRound } from './shard.js';
 import { demandsNow, loss, mayStop, type Plan } from './victims.js';
 
 /** True while tasks on a machine are being stopped. */
-export const madeRoom = (m: MachineRun): boolean => [...m.placements.values()].some((p) => p.stop !== null);
+export const madeRoom = (m: ScheduledMachine): boolean =>
+  [...m.placements.values()].some((p) => p.stopRequest !== null);
 
 /** Of plans in order of loss: those of the zone where so many of them lose least together. */
 function cheapestZone(plans: Plan[], need: number): Plan[] {
@@ -33,39 +34,41 @@
  * Makes room for a job that neither a free place nor a machine rented now would serve in time, by stopping
  * the tasks that lose least. Machines where room is being made are kept for it. False: not looked for.
  */
-export function preempt(job: JobRun, round: ShardRound): boolean {
+export function preempt(job: ScheduledJob, round: ShardRound): boolean {
   const { spec } = job;
-  const { books } = round;
+  const { shardState } = round;
   const entitled = round.entitled.has(job);
-  const lower = [...books.activeBy].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency]);
+  const lower = [...shardState.placementsByUrgency].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency]);
   if (!entitled && !lower) return false;
-  const limits = timeLimitsOf(spec, books.settings.objectives);
-  const ageS = (books.clock.wall - job.at) / 1000;
+  const limits = timeLimitsOf(spec, shardState.settings.objectives);
+  const ageS = (shardState.clock.wall - job.at) / 1000;
   const slack = slackS(limits, ageS, spec.estimateS);
-  let need = waitingCount(job);
+  let need = waitingTaskCount(job);
   if (spec.shape !== 'gang') need = Math.min(need, 1);
-  if (fitCount(spec, books.teamRoom(spec)) < need) return false;
-  const kinds = books.replica.machineTypes.filter((t) => typeAllowed(spec, t));
+  if (fitCount(spec, shardState.availableQuota(spec)) < need) return false;
+  const kinds = shardState.replica.machineTypes.filter((t) => typeAllowed(spec, t));
   const bootS = Math.min(...kinds.map((t) => t.bootS + imageFetchS(spec, t)));
   const hurry = Number.isFinite(slack) ? slack : 2 * bootS - ageS;
-  if (!demandsNow(round, job) && hurry > bootS + 2 * books.settings.workers.report_s) return false;
+  if (!demandsNow(round, job) && hurry > bootS + 2 * shardState.settings.workers.report_s) return false;
   let plans: Plan[] = [];
   // For a whole machine much is stopped at once: what saves has to fetch and to queue again, so it counts like the rest.
-  const lossOf = (p: Placement): number => loss(books, p, Infinity);
+  const lossOf = (p: Placement): number => loss(shardState, p, Infinity);
   const kept = round.claimed.get(job.id) ?? [];
   for (const m of [...kept, ...round.all]) {
-    round.openings.looked++;
-    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !openTo(books, job, m)) continue;
+    round.capacityIndex.examined++;
+    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !openTo(shardState, job, m)) continue;
     if (!mayEmpty(round, job, m.type)) continue;
-    const room = roomOf(books, m);
+    const room = freeCapacity(shardState, m);
     const victims: Placement[] = [];
     let lost = 0;
-    const all = [...m.placements.values()].filter((p) => p.stop !== null || mayStop(round, job, p, entitled));
+    const all = [...m.placements.values()].filter(
+      (p) => p.stopRequest !== null || mayStop(round, job, p, entitled),
+    );
     all.sort((a, b) => lossOf(a) - lossOf(b));
     for (const p of all) {
       if (fits(spec, room)) break;
       // A gang stops as a whole; that loses more than the room is worth.
-      if (p.stop === null && p.job.spec.shape === 'gang') continue;
+      if (p.stopRequest === null && p.job.spec.shape === 'gang') continue;
       room.cpus += p.job.spec.cpus;
       room.gpus += p.job.spec.gpus;
       room.memGb += p.job.spec.memGb;
@@ -86,9 +89,9 @@
   );
   for (const plan of chosen)
     for (const p of plan.victims)
-      if (p.stop === null) {
-        books.log('info', 'preempting', { job: p.job.id, index: p.index, host: p.host, for: job.id });
-        books.stop(p, p.job.spec.saveS);
+      if (p.stopRequest === null) {
+        shardState.log('info', 'preempting', { job: p.job.id, index: p.index, host: p.host, for: job.id });
+        shardState.requestStop(p, p.job.spec.saveS);
       }
   return true;
 }
--- a/src/core/scheduling/starvation.ts
+++ b/src/core/scheduling/starvation.ts
@@ -1,16 +1,18 @@
 /** Room that is kept for others opens to work that has waited for long. */
 import { typeAllowed } from '../../policy/admission.js';
 import { spotAllowed } from '../../policy/guardrails.js';
-import { suspect } from '../failures.js';
-import type { Books } from '../shard-state/shard-state.js';
-import type { JobRun, MachineRun } from '../shard-state/types.js';
+import { isSuspect } from '../failure-attribution.js';
+import type { ShardState } from '../shard-state/shard-state.js';
+import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
 import { matches } from './feasibility.js';
 import { keptMs } from './reservation-ageing.js';
 import type { ShardRound } from './shard.js';
 
 /** Whether all of a job has waited for long. */
-export const overdue = (books: Books, job: JobRun): boolean =>
-  job.active.size === 0 && !suspect(job) && books.clock.wall - job.waitsFrom > keptMs(books.settings);
+export const overdue = (shardState: ShardState, job: ScheduledJob): boolean =>
+  job.placements.size === 0 &&
+  !isSuspect(job) &&
+  shardState.clock.wall - job.fullyWaitingSince > keptMs(shardState.settings);
 
 /**
  * Machines with room that nobody has taken for long, for a job that has waited for long. Guards against room that is kept
@@ -18,20 +20,21 @@
  * whoever waits beside it would do so for ever. A job gets one task through by that, or one gang; then it is not overdue any
  * more. Single tasks go to one machine until it is full, and to another a lease later: the others still run empty for gangs.
  */
-export function* leftOver(job: JobRun, round: ShardRound): Generator<MachineRun> {
+export function* leftOver(job: ScheduledJob, round: ShardRound): Generator<ScheduledMachine> {
   const { spec } = job;
-  const { books, openings } = round;
-  if (round.unused.length === 0 || !overdue(books, job)) return;
-  const { now } = books.clock;
-  const another = now - books.opened.at > books.settings.workers.lease_s * 1000;
+  const { shardState, capacityIndex } = round;
+  if (round.unused.length === 0 || !overdue(shardState, job)) return;
+  const { now } = shardState.clock;
+  const another = now - shardState.starvationRelief.at > shardState.settings.workers.lease_s * 1000;
   for (const m of round.unused) {
-    openings.looked++;
-    if (spec.shape !== 'gang' && m.host !== books.opened.host && !another) continue;
+    capacityIndex.examined++;
+    if (spec.shape !== 'gang' && m.host !== shardState.starvationRelief.host && !another) continue;
     if (typeAllowed(spec, m.type) && (!m.spot || spotAllowed(spec)) && matches(job, m)) yield m;
   }
 }
 
 /** A single task has gone to this machine. */
-export function open({ books }: ShardRound, { host }: MachineRun): void {
-  if (books.opened.host !== host) books.opened = { host, at: books.clock.now };
+export function open({ shardState }: ShardRound, { host }: ScheduledMachine): void {
+  if (shardState.starvationRelief.host !== host)
+    shardState.starvationRelief = { host, at: shardState.clock.now };
 }
--- a/src/core/scheduling/voluntary-preemption.ts
+++ b/src/core/scheduling/voluntary-preemption.ts
@@ -4,24 +4,24 @@
 import { hasNoTimeLimits, timeLimitsOf } from '../../policy/deadlines.js';
 import { roomOutsideGpuReserve } from '../../policy/gpu-sharing.js';
 import { spotAllowed } from '../../policy/guardrails.js';
-import { waitingCount } from '../shard-state/jobs.js';
-import { roomOf } from '../shard-state/machines.js';
-import type { JobRun, Placement } from '../shard-state/types.js';
+import { waitingTaskCount } from '../shard-state/jobs.js';
+import { freeCapacity } from '../shard-state/machines.js';
+import type { ScheduledJob, Placement } from '../shard-state/types.js';
 import { mayCrowd, mayEmpty, openTo } from './feasibility.js';
 import { add, promise, type ShardRound } from './shard.js';
 import { demandsNow, loss, mayStop, type Plan } from './victims.js';
 
 /** Whether an array may have a task give way at once, not only when it is pressed for time. */
-function givesWay(round: ShardRound, job: JobRun, victim: Placement): boolean {
-  const { books } = round;
+function givesWay(round: ShardRound, job: ScheduledJob, victim: Placement): boolean {
+  const { shardState } = round;
   const { spec } = victim.job;
-  if (victim.stop !== null || victim.job.frozen || spec.shape !== 'array') return false;
+  if (victim.stopRequest !== null || victim.job.unreadable || spec.shape !== 'array') return false;
   if (demandsNow(round, job)) return mayStop(round, job, victim, true);
   // Work that nobody waits for by a certain time, and that loses next to nothing.
   return (
     urgencyRank[spec.urgency] < urgencyRank[job.spec.urgency] &&
     spec.checkpointS > 0 &&
-    hasNoTimeLimits(timeLimitsOf(spec, books.settings.objectives))
+    hasNoTimeLimits(timeLimitsOf(spec, shardState.settings.objectives))
   );
 }
 
@@ -31,24 +31,27 @@
  * the fleet while it was idle: others would wait until their tasks end. Room that is being made already is counted, for one
  * job of the round only. False: not looked for.
  */
-export function makeYield(job: JobRun, round: ShardRound): boolean {
+export function makeYield(job: ScheduledJob, round: ShardRound): boolean {
   const { spec } = job;
-  const { books } = round;
+  const { shardState } = round;
   const entitled = demandsNow(round, job);
-  if (!entitled && ![...books.activeBy].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency]))
+  if (
+    !entitled &&
+    ![...shardState.placementsByUrgency].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency])
+  )
     return false;
-  let need = Math.min(waitingCount(job), fitCount(spec, books.teamRoom(spec)));
+  let need = Math.min(waitingTaskCount(job), fitCount(spec, shardState.availableQuota(spec)));
   const crowd = mayCrowd(round, job);
   const plans: Plan[] = [];
   for (const m of round.all) {
     if (need <= 0) return true;
-    round.openings.looked++;
-    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !openTo(books, job, m)) continue;
+    round.capacityIndex.examined++;
+    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !openTo(shardState, job, m)) continue;
     if (!mayEmpty(round, job, m.type)) continue;
     const promised = round.promised.get(m.host);
-    const room = roomOf(books, m);
+    const room = freeCapacity(shardState, m);
     if (promised) add(room, promised, -1);
-    for (const p of m.placements.values()) if (p.stop !== null) add(room, p.job.spec, 1);
+    for (const p of m.placements.values()) if (p.stopRequest !== null) add(room, p.job.spec, 1);
     const n = Math.min(need, fitCount(spec, roomOutsideGpuReserve(spec, room, round.keep, crowd)));
     if (n > 0) {
       promise(round, m, spec, n);
@@ -56,12 +59,12 @@
       need -= n;
     }
     const victims = [...m.placements.values()].filter((p) => givesWay(round, job, p));
-    victims.sort((a, b) => loss(books, a, 0) - loss(books, b, 0));
+    victims.sort((a, b) => loss(shardState, a, 0) - loss(shardState, b, 0));
     let plan: Plan = { m, victims: [], lost: 0 };
     for (const p of victims) {
       add(room, p.job.spec, 1);
       plan.victims.push(p);
-      plan.lost += loss(books, p, 0);
+      plan.lost += loss(shardState, p, 0);
       if (!fits(spec, roomOutsideGpuReserve(spec, room, round.keep, crowd))) continue;
       add(room, spec, -1);
       plans.push(plan);
@@ -72,11 +75,11 @@
   for (const plan of plans.slice(0, need)) {
     promise(round, plan.m, spec, 1);
     for (const p of plan.victims) {
-      books.log('debug', 'giving way', { job: p.job.id, index: p.index, host: p.host, for: job.id });
-      books.stop(p, p.job.spec.saveS);
+      shardState.log('debug', 'giving way', { job: p.job.id, index: p.index, host: p.host, for: job.id });
+      shardState.requestStop(p, p.job.spec.saveS);
     }
   }
   if (plans.length > 0 && need > 0)
-    books.log('info', 'others give way', { for: job.id, entitled, tasks: Math.min(need, plans.length) });
+    shardState.log('info', 'others give way', { for: job.id, entitled, tasks: Math.min(need, plans.length) });
   return true;
 }
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -1,94 +1,97 @@
 /** A job as it is scheduled: made from its records, and which of its tasks waits next. */
 import type { JobSpec } from '../../model/job.js';
 import { Bits, type ChunkRecord, type JobRecord, type JobUse } from '../storage/index.js';
-import type { Chunk, JobRun } from './types.js';
+import type { TaskChunk, ScheduledJob } from './types.js';
 
 /** A job as its records tell it; what is placed is entered by the books. */
-export function newJob(
+export function createScheduledJob(
   record: JobRecord,
   spec: JobSpec,
   shard: number,
   stored: ReadonlyMap<number, ChunkRecord> | undefined,
-  chunkTasks: number,
+  tasksPerChunk: number,
   /** Attempts go on above this. */
   attemptBase = 0,
-): JobRun {
-  const job: JobRun = {
+): ScheduledJob {
+  const job: ScheduledJob = {
     id: record.id,
     spec,
     shard,
     at: record.at,
-    stamp: record.stamp,
+    modRevision: record.stamp,
     cancelled: record.state !== 'open',
     chunks: [],
-    chunkTasks,
-    active: new Map(),
-    fresh: 0,
-    retry: new Set(),
+    tasksPerChunk,
+    placements: new Map(),
+    nextUnplaced: 0,
+    requeued: new Set(),
     done: 0,
-    zones: new Map(),
-    astray: 0,
-    finishing: false,
-    frozen: false,
-    breaking: false,
-    mending: null,
-    errors: new Set(stored?.get(0)?.failed),
-    probes: 0,
-    anywhere: false,
-    successes: 0,
-    notBefore: 0,
-    waitsFrom: record.at,
+    tasksByZone: new Map(),
+    unknownZoneTasks: 0,
+    finalizing: false,
+    unreadable: false,
+    tearingDown: false,
+    repairAttempt: null,
+    failedHosts: new Set(stored?.get(0)?.failed),
+    failedProbes: 0,
+    anyHostAllowed: false,
+    completedCount: 0,
+    retryNotBefore: 0,
+    fullyWaitingSince: record.at,
     match: null,
   };
-  for (let base = 0, n = 0; base < record.tasks; base += chunkTasks, n++) {
+  for (let base = 0, n = 0; base < record.tasks; base += tasksPerChunk, n++) {
     const c = stored?.get(n);
     const revision = c?.revision ?? 0;
     job.chunks.push({
-      number: n,
-      base,
-      size: Math.min(chunkTasks, record.tasks - base),
-      stamp: c?.stamp ?? 0,
-      last: Math.max(c?.last ?? 0, attemptBase),
-      done: c?.done.copy() ?? new Bits(),
+      index: n,
+      firstTask: base,
+      size: Math.min(tasksPerChunk, record.tasks - base),
+      modRevision: c?.stamp ?? 0,
+      lastAttempt: Math.max(c?.last ?? 0, attemptBase),
+      completed: c?.done.copy() ?? new Bits(),
       version: revision,
-      placed: revision,
-      durable: revision,
-      queued: null,
-      blockedUntil: 0,
+      placedVersion: revision,
+      durableVersion: revision,
+      queuedWrite: null,
+      writeBlockedUntilRevision: 0,
     });
     job.done += c?.done.count() ?? 0;
   }
-  job.successes = job.done;
+  job.completedCount = job.done;
   return job;
 }
 
-export const chunkOf = (job: JobRun, index: number): Chunk => job.chunks[Math.floor(index / job.chunkTasks)];
+export const chunkOf = (job: ScheduledJob, index: number): TaskChunk =>
+  job.chunks[Math.floor(index / job.tasksPerChunk)];
 
-export function isDone(job: JobRun, index: number): boolean {
+export function isCompleted(job: ScheduledJob, index: number): boolean {
   const c = chunkOf(job, index);
-  return c.done.has(index - c.base);
+  return c.completed.has(index - c.firstTask);
 }
 
-export const waitingCount = (job: JobRun): number => job.spec.tasks - job.done - job.active.size;
+export const waitingTaskCount = (job: ScheduledJob): number =>
+  job.spec.tasks - job.done - job.placements.size;
 
 /** The next task that waits for a place, or -1. */
-export function nextWaiting(job: JobRun): number {
-  const waits = (i: number) => !job.active.has(i) && !isDone(job, i);
-  for (const i of job.retry) {
-    job.retry.delete(i);
+export function takeNextWaiting(job: ScheduledJob): number {
+  const waits = (i: number) => !job.placements.has(i) && !isCompleted(job, i);
+  for (const i of job.requeued) {
+    job.requeued.delete(i);
     if (waits(i)) return i;
   }
-  while (job.fresh < job.spec.tasks) {
-    const i = job.fresh++;
+  while (job.nextUnplaced < job.spec.tasks) {
+    const i = job.nextUnplaced++;
     if (waits(i)) return i;
   }
   return -1;
 }
 
-export const nextGangAttempt = (job: JobRun): number => Math.max(...job.chunks.map((c) => c.last)) + 1;
+export const nextGangAttempt = (job: ScheduledJob): number =>
+  Math.max(...job.chunks.map((c) => c.lastAttempt)) + 1;
 
 /** Stands in for the description of a cancelled job: only what its last tasks take matters now. */
-export const remains = (record: JobRecord, use: JobUse): JobSpec => ({
+export const cancelledJobSpec = (record: JobRecord, use: JobUse): JobSpec => ({
   id: record.id,
   class: '',
   shape: 'array',
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -4,15 +4,15 @@
 import type { Resources, MachineType } from '../../model/machine.js';
 import type { Clock } from '../effects.js';
 import type { VersionedMachine } from '../replica.js';
-import type { MachineRun } from './types.js';
+import type { ScheduledMachine } from './types.js';
 
-/** A machine that this process has just taken up. `leaseUntil`: not before can its worker's lease have ended. */
-export const newMachine = (
+/** A machine that this process has just taken up. `earliestLeaseExpiry`: not before can its worker's lease have ended. */
+export const createScheduledMachine = (
   record: VersionedMachine,
   type: MachineType,
   now: number,
-  leaseUntil: number,
-): MachineRun => ({
+  earliestLeaseExpiry: number,
+): ScheduledMachine => ({
   host: record.host,
   record,
   type,
@@ -21,43 +21,43 @@
   used: { cpus: 0, gpus: 0, memGb: 0 },
   placements: new Map(),
   endpoint: '',
-  session: 0,
-  seq: 0,
-  provenAt: 0,
-  heardAt: 0,
-  leaseUntil,
-  token: 0,
-  noticeAt: 0,
-  avoidUntil: 0,
+  agentEpoch: 0,
+  heartbeatSeq: 0,
+  confirmedAt: 0,
+  lastHeartbeatAt: 0,
+  earliestLeaseExpiry,
+  fencingToken: 0,
+  reclaimAt: 0,
+  cooldownUntil: 0,
   idleSince: now,
-  roomSince: 0,
-  failures: new Map(),
+  freeCapacitySince: 0,
+  failuresByJob: new Map(),
   images: new Map(),
-  takenAt: now,
-  condemned: record.state === 'dead',
+  acquiredAt: now,
+  quarantined: record.state === 'dead',
   releasing: false,
 });
 
-interface Setting {
+interface SchedulingContext {
   settings: Settings;
   operators: Operators;
   clock: Clock;
 }
 
 /** Whether a machine may take tasks at all now. */
-export function usable({ settings, clock: { now } }: Setting, m: MachineRun): boolean {
+export function acceptsTasks({ settings, clock: { now } }: SchedulingContext, m: ScheduledMachine): boolean {
   return (
     m.record.state === 'use' &&
-    !m.condemned &&
+    !m.quarantined &&
     !m.releasing &&
-    m.provenAt !== 0 &&
-    now - m.heardAt <= settings.workers.report_s * 2500 &&
-    m.noticeAt === 0 &&
-    m.avoidUntil <= now
+    m.confirmedAt !== 0 &&
+    now - m.lastHeartbeatAt <= settings.workers.report_s * 2500 &&
+    m.reclaimAt === 0 &&
+    m.cooldownUntil <= now
   );
 }
 
-export const roomOf = ({ operators }: Setting, m: MachineRun): Resources => ({
+export const freeCapacity = ({ operators }: SchedulingContext, m: ScheduledMachine): Resources => ({
   cpus: m.type.cpus * (1 - operators.headroom) - m.used.cpus,
   gpus: m.type.gpus - m.used.gpus,
   memGb: m.type.memGb - m.used.memGb,
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -8,87 +8,87 @@
 
 /** A task's present attempt. It exists from the decision to place until it is proven gone. */
 export interface Placement {
-  job: JobRun;
+  job: ScheduledJob;
   index: number;
   attempt: number;
   host: string;
   /** The zone of its machine, as far as that was known when it was entered. */
   zone: string | null;
-  chunk: Chunk;
+  chunk: TaskChunk;
   /** The chunk's version that first holds it: durable once that version is. */
-  version: number;
+  chunkVersion: number;
   /** Decided by this process, so nobody else can have sent its start. */
-  own: boolean;
+  placedByThisProcess: boolean;
   /** The (session, seq) of the report whose answer carried the start. */
-  sent: [number, number] | null;
+  startSentWith: [number, number] | null;
   phase: TaskPhase | 'placed';
   /** When it was first seen to run, ms; 0: not yet. */
-  ranAt: number;
+  runningSince: number;
   /** Gang: when it was first seen to wait for the others, ms; 0: not yet. */
-  waitingAt: number;
+  waitingSince: number;
   placedAt: number;
   /** Wanted off its machine, with this much time to save. */
-  stop: { graceS: number; since: number } | null;
+  stopRequest: { graceS: number; since: number } | null;
 }
 
-export interface Chunk {
-  number: number;
-  base: number;
+export interface TaskChunk {
+  index: number;
+  firstTask: number;
   size: number;
-  stamp: number;
-  last: number;
-  done: Bits;
+  modRevision: number;
+  lastAttempt: number;
+  completed: Bits;
   /** Version in memory, and the newest version known to be durable. */
   version: number;
   /** The version that holds the newest placement. */
-  placed: number;
-  durable: number;
+  placedVersion: number;
+  durableVersion: number;
   /** Its write that waits or is under way. */
-  queued: { rank: Rank } | null;
+  queuedWrite: { rank: Rank } | null;
   /** Not to be written before the view has reached this revision. */
-  blockedUntil: number;
+  writeBlockedUntilRevision: number;
 }
 
-export interface JobRun {
+export interface ScheduledJob {
   id: string;
   spec: JobSpec;
   shard: number;
   at: number;
-  stamp: number;
+  modRevision: number;
   cancelled: boolean;
-  chunks: Chunk[];
+  chunks: TaskChunk[];
   /** How many tasks each chunk but the last has. */
-  chunkTasks: number;
-  active: Map<number, Placement>;
+  tasksPerChunk: number;
+  placements: Map<number, Placement>;
   /** Tasks that wait for a place: those never placed from `fresh` on, and those to be placed again. */
-  fresh: number;
-  retry: Set<number>;
+  nextUnplaced: number;
+  requeued: Set<number>;
   done: number;
-  zones: Map<string, number>;
+  tasksByZone: Map<string, number>;
   /** Tasks on machines of which no record says in which zone they are. */
-  astray: number;
-  finishing: boolean;
+  unknownZoneTasks: number;
+  finalizing: boolean;
   /** Something of it cannot be read (any more): what is placed stays counted, and nothing is done about it. */
-  frozen: boolean;
+  unreadable: boolean;
   /** Gang: an attempt is being taken down; nothing starts until all of it is gone. */
-  breaking: boolean;
+  tearingDown: boolean;
   /** Gang: tasks that were lost before it started are placed anew with this attempt, which the others wait with. */
-  mending: number | null;
+  repairAttempt: number | null;
   /** Machines on which its tasks failed. */
-  errors: Set<string>;
+  failedHosts: Set<string>;
   /** How often it was tried in vain since it is suspected of a mistake. */
-  probes: number;
+  failedProbes: number;
   /** It found no place where it has not failed yet: it may be tried on any machine. */
-  anywhere: boolean;
-  successes: number;
-  notBefore: number;
+  anyHostAllowed: boolean;
+  completedCount: number;
+  retryNotBefore: number;
   /** Since when all of it waits, if it does: time of day, ms. */
-  waitsFrom: number;
+  fullyWaitingSince: number;
   /** What it asks of machines beyond type and place; null: nothing. */
   match: MachineMatch | null;
 }
 
-export interface MachineRun {
+export interface ScheduledMachine {
   host: string;
   record: VersionedMachine;
   type: MachineType;
@@ -97,25 +97,25 @@
   used: Resources;
   placements: Map<string, Placement>;
   endpoint: string;
-  session: number;
-  seq: number;
+  agentEpoch: number;
+  heartbeatSeq: number;
   /** Last report under our present token, ms; 0: none yet. */
-  provenAt: number;
-  heardAt: number;
+  confirmedAt: number;
+  lastHeartbeatAt: number;
   /** Not before this can its worker's lease have ended. */
-  leaseUntil: number;
-  token: number;
-  noticeAt: number;
-  avoidUntil: number;
+  earliestLeaseExpiry: number;
+  fencingToken: number;
+  reclaimAt: number;
+  cooldownUntil: number;
   idleSince: number;
   /** Since when it has had room for something that waits, ms; 0: it has none. */
-  roomSince: number;
+  freeCapacitySince: number;
   /** How many tasks of which jobs failed on it since it last completed one. */
-  failures: Map<string, number>;
+  failuresByJob: Map<string, number>;
   /** Images seen on it, and how long they take to fetch, s. */
   images: Map<string, number>;
   /** When this process took it up, ms. */
-  takenAt: number;
-  condemned: boolean;
+  acquiredAt: number;
+  quarantined: boolean;
   releasing: boolean;
 }
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -1,5 +1,5 @@
 /** Brings jobs to their end in the state service: that all tasks are done, and the removal of what is stored of them. */
-import type { JobRun } from '../shard-state/types.js';
+import type { ScheduledJob } from '../shard-state/types.js';
 import type { Log } from '../effects.js';
 import type { Replica } from '../replica.js';
 import { Rank, type Committer } from './transaction-batcher.js';
@@ -9,7 +9,7 @@
 
 export class JobFinisher {
   /** Jobs whose end was refused: to be read again when the view has reached a revision. */
-  private refused: { job: JobRun; epoch: number }[] = [];
+  private refused: { job: ScheduledJob; epoch: number }[] = [];
 
   constructor(
     private readonly operationsPerTransaction: number,
@@ -27,61 +27,61 @@
     for (const one of refused) {
       if (this.owner.jobs.get(one.job.id) !== one.job) continue;
       if (this.replica.watchRevision < one.epoch) this.refused.push(one);
-      else this.owner.reread(one.job.id);
+      else this.owner.reloadJob(one.job.id);
     }
   }
 
   /** Every task is done: the job's end and the removal of its tasks' records in one transaction. */
-  finish(job: JobRun): void {
-    if (job.finishing) return;
-    job.finishing = true;
+  finish(job: ScheduledJob): void {
+    if (job.finalizing) return;
+    job.finalizing = true;
     this.committer.add({
       rank: Rank.task,
       build: () => {
         const grant = this.replica.shards.get(job.shard);
-        const { jobs, owned } = this.owner;
-        if (jobs.get(job.id) !== job || !grant || !owned.has(job.shard) || job.cancelled || job.frozen) {
-          job.finishing = false;
+        const { jobs, ownedShards: owned } = this.owner;
+        if (jobs.get(job.id) !== job || !grant || !owned.has(job.shard) || job.cancelled || job.unreadable) {
+          job.finalizing = false;
           return null;
         }
         const stored = this.replica.jobsWithInlineTasks.has(job.id)
           ? []
-          : job.chunks.filter((c) => c.stamp > 0);
+          : job.chunks.filter((c) => c.modRevision > 0);
         const drops = stored.slice(0, this.operationsPerTransaction - 1);
         return {
           when: [
             { key: shardKey(job.shard), stamp: grant.stamp },
-            { key: jobKey(job.id), stamp: job.stamp },
-            ...drops.map((c) => ({ key: chunkKey(job.id, c.number), stamp: c.stamp })),
+            { key: jobKey(job.id), stamp: job.modRevision },
+            ...drops.map((c) => ({ key: chunkKey(job.id, c.index), stamp: c.modRevision })),
           ],
           apply: [
             { key: jobKey(job.id), data: jobDoneData(job.at, job.spec.tasks) },
-            ...drops.map((c) => ({ key: chunkKey(job.id, c.number), data: undefined })),
+            ...drops.map((c) => ({ key: chunkKey(job.id, c.index), data: undefined })),
           ],
         };
       },
       ok: () => this.finished(job),
       conflict: (_, epoch) => {
-        job.finishing = false;
+        job.finalizing = false;
         this.refused.push({ job, epoch });
       },
     });
   }
 
-  private finished(job: JobRun): void {
-    for (const c of job.chunks) c.durable = c.version;
+  private finished(job: ScheduledJob): void {
+    for (const c of job.chunks) c.durableVersion = c.version;
     this.owner.jobs.delete(job.id);
-    const { doneOf } = this.owner;
+    const { finishedJobsByTeam: doneOf } = this.owner;
     doneOf.set(job.spec.team, (doneOf.get(job.spec.team) ?? 0) + 1);
     this.log('info', 'job done', { job: job.id });
     this.dropChunks(job);
   }
 
   /** The job is over and nothing of it is left: its tasks' records go. */
-  dropChunks(job: JobRun): void {
+  dropChunks(job: ScheduledJob): void {
     if (this.replica.jobsWithInlineTasks.has(job.id)) this.dropTasks(job.id);
     for (const c of job.chunks)
-      if (this.replica.stampOf(chunkKey(job.id, c.number)) > 0) this.dropChunk(job.id, c.number);
+      if (this.replica.stampOf(chunkKey(job.id, c.index)) > 0) this.dropChunk(job.id, c.index);
   }
 
   /** A cancelled job of which nothing is left: the state of its tasks goes out of its record. */
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -1,5 +1,5 @@
 /** Truncates the task logs of this process's shards: drops what nobody needs, and checkpoints what keeps old records. */
-import type { Chunk, JobRun } from '../../shard-state/types.js';
+import type { TaskChunk, ScheduledJob } from '../../shard-state/types.js';
 import type { Clock } from '../../effects.js';
 import type { Replica } from '../../replica.js';
 import { Rank, type Committer } from '../transaction-batcher.js';
@@ -14,8 +14,8 @@
 const checkpointedAtOnce = 4;
 
 export interface OwnedJobs {
-  jobs: ReadonlyMap<string, JobRun>;
-  owned: ReadonlySet<number>;
+  jobs: ReadonlyMap<string, ScheduledJob>;
+  ownedShards: ReadonlySet<number>;
 }
 
 export class LogTruncator {
@@ -30,7 +30,7 @@
     private readonly clock: Clock,
     private readonly owner: OwnedJobs,
     private readonly limits: { mostAgeMs: number; operations: number },
-    private readonly checkpoint: (job: JobRun, chunk: Chunk) => void,
+    private readonly checkpoint: (job: ScheduledJob, chunk: TaskChunk) => void,
   ) {
     this.truncation = new Truncation(limits.mostAgeMs, checkpointedAtOnce);
     this.known = {
@@ -45,7 +45,7 @@
     const { taskLog } = this.replica;
     if (this.dropping || taskLog.size === 0 || now - this.lookedAt < truncateEveryMs) return;
     this.lookedAt = now;
-    for (const shard of this.owner.owned) {
+    for (const shard of this.owner.ownedShards) {
       const records = taskLog.records.filter((record) => record.shard === shard);
       const plan = this.truncation.plan(records, this.known, now);
       for (const item of plan.checkpoint) this.checkpointItem(item);
@@ -75,7 +75,7 @@
       rank: Rank.cleanup,
       build: () => {
         const grant = this.replica.shards.get(shard);
-        if (!grant || !this.owner.owned.has(shard)) {
+        if (!grant || !this.owner.ownedShards.has(shard)) {
           end();
           return null;
         }
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -5,7 +5,7 @@
  */
 import { urgencyRank } from '../../../model/job.js';
 import type { Condition, Txn } from '../../../wire/store.js';
-import type { Chunk, JobRun } from '../../shard-state/types.js';
+import type { TaskChunk, ScheduledJob } from '../../shard-state/types.js';
 import { Rank, type Committer } from '../transaction-batcher.js';
 import { jobKey, logKey, shardKey } from '../keys.js';
 import type { Replica } from '../../replica.js';
@@ -28,11 +28,11 @@
   /** Whether the log's shard is this process's. */
   owned(shard: number): boolean;
   /** Whether a job may be written: it is this process's, and nothing else is being done about it. */
-  writable(job: JobRun): boolean;
+  writable(job: ScheduledJob): boolean;
   /** A chunk's state up to this version is durable. */
-  durable(job: JobRun, chunk: Chunk, version: number): void;
+  durable(job: ScheduledJob, chunk: TaskChunk, version: number): void;
   /** A chunk's write was refused, because of its job or of the grant: to be looked at when the view has reached `epoch`. */
-  blocked(job: JobRun, chunk: Chunk, epoch: number): void;
+  blocked(job: ScheduledJob, chunk: TaskChunk, epoch: number): void;
 }
 
 interface LogLimits {
@@ -42,8 +42,8 @@
 }
 
 interface Waiting {
-  job: JobRun;
-  chunk: Chunk;
+  job: ScheduledJob;
+  chunk: TaskChunk;
   ticket: { rank: Rank };
   since: number;
 }
@@ -54,7 +54,7 @@
 
 export class LogWriter {
   /** Chunks with changes to be written, in order of arrival. */
-  private readonly changed = new Map<Chunk, Waiting>();
+  private readonly changed = new Map<TaskChunk, Waiting>();
   /** Cancelled jobs of which nothing is left, and since when, ms: their last placements go from the log. */
   private readonly cleared = new Map<string, number>();
   private built: Built[] = [];
@@ -77,7 +77,7 @@
   }
 
   /** A chunk has changed. */
-  mark(job: JobRun, chunk: Chunk, ticket: { rank: Rank }, now: number): void {
+  mark(job: ScheduledJob, chunk: TaskChunk, ticket: { rank: Rank }, now: number): void {
     const before = this.changed.get(chunk);
     this.changed.set(chunk, { job, chunk, ticket, since: before?.since ?? now });
   }
@@ -153,7 +153,7 @@
       bytes += size;
       if (needsCondition) {
         conditions.add(one.job.id);
-        when.push({ key: jobKey(one.job.id), stamp: one.job.stamp });
+        when.push({ key: jobKey(one.job.id), stamp: one.job.modRevision });
       }
       this.built.push({ ...one, entry });
     }
@@ -162,24 +162,24 @@
 
   /** null: there is nothing to be written of it (any more), or not now. */
   private entryOf({ job, chunk, ticket }: Waiting): LogEntry | null {
-    if (chunk.queued !== ticket || !this.tasks.writable(job)) {
+    if (chunk.queuedWrite !== ticket || !this.tasks.writable(job)) {
       this.changed.delete(chunk);
-      if (chunk.queued === ticket) chunk.queued = null;
+      if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
       return null;
     }
-    if (this.replica.watchRevision < chunk.blockedUntil) {
+    if (this.replica.watchRevision < chunk.writeBlockedUntilRevision) {
       this.changed.delete(chunk);
-      chunk.queued = null;
-      this.tasks.blocked(job, chunk, chunk.blockedUntil);
+      chunk.queuedWrite = null;
+      this.tasks.blocked(job, chunk, chunk.writeBlockedUntilRevision);
       return null;
     }
-    const before = this.replica.chunks.get(job.id)?.get(chunk.number) ?? emptyChunk;
+    const before = this.replica.chunks.get(job.id)?.get(chunk.index) ?? emptyChunk;
     const after = { ...stateOf(job, chunk), size: chunk.size };
     // A later change must get a number above this one.
     const to = (chunk.version = Math.max(chunk.version, before.revision + 1));
     return {
       job: job.id,
-      chunk: chunk.number,
+      chunk: chunk.index,
       from: before.revision,
       to,
       ...difference(before, after),
@@ -238,13 +238,13 @@
     }
   }
 
-  private forget(chunk: Chunk, ticket: Waiting['ticket']): void {
+  private forget(chunk: TaskChunk, ticket: Waiting['ticket']): void {
     if (this.changed.get(chunk)?.ticket === ticket) this.changed.delete(chunk);
-    if (chunk.queued === ticket) chunk.queued = null;
+    if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
   }
 }
 
-const isUrgent = (job: JobRun): boolean => urgencyRank[job.spec.urgency] > urgencyRank.normal;
+const isUrgent = (job: ScheduledJob): boolean => urgencyRank[job.spec.urgency] > urgencyRank.normal;
 
 const urgencyOf = ({ job, ticket }: Waiting): number =>
   ticket.rank === Rank.cleanup ? -1 : urgencyRank[job.spec.urgency];
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -10,24 +10,24 @@
 import { stateOf } from './chunk-state.js';
 import { JobFinisher } from './job-finalizer.js';
 import { LogTruncator, LogWriter } from './task-log/index.js';
-import type { Chunk, JobRun } from '../shard-state/types.js';
+import type { TaskChunk, ScheduledJob } from '../shard-state/types.js';
 
 /** Ends of tasks gather for this share of a report interval before they are written. */
 const endPatience = 0.5;
 
 /** Urgent work does not queue behind the placements of all others. */
-const placementRank = ({ spec }: JobRun): Rank =>
+const placementRank = ({ spec }: ScheduledJob): Rank =>
   urgencyRank[spec.urgency] > urgencyRank.normal ? Rank.urgent : Rank.task;
 
 /** The process's jobs and shards, as the write path needs them. */
 export interface TaskOwner {
-  jobs: Map<string, JobRun>;
+  jobs: Map<string, ScheduledJob>;
   /** Jobs that were brought to their end, by team. */
-  doneOf: Map<string, number>;
+  finishedJobsByTeam: Map<string, number>;
   /** Shards of this process. */
-  owned: ReadonlySet<number>;
+  ownedShards: ReadonlySet<number>;
   /** Another writer was there: the job is to be built anew from what is durable. */
-  reread(id: string): void;
+  reloadJob(id: string): void;
 }
 
 /**
@@ -35,8 +35,8 @@
  * their job's, or in the task log, as the level in force has it.
  */
 export class TaskWriter {
-  private readonly ended = new Map<Chunk, { job: JobRun; since: number }>();
-  private blocked: { job: JobRun; chunk: Chunk }[] = [];
+  private readonly ended = new Map<TaskChunk, { job: ScheduledJob; since: number }>();
+  private blocked: { job: ScheduledJob; chunk: TaskChunk }[] = [];
   private readonly finisher: JobFinisher;
   /** The task logs of this process's shards. */
   private readonly logs = new Map<number, LogWriter>();
@@ -70,12 +70,12 @@
   }
 
   /** Every task of a job is done. */
-  finish(job: JobRun): void {
+  finish(job: ScheduledJob): void {
     this.finisher.finish(job);
   }
 
   /** A cancelled job is over and nothing of it is left: its tasks' records go. */
-  dropChunks(job: JobRun): void {
+  dropChunks(job: ScheduledJob): void {
     if (this.isLogged(job) && this.revised(job).length > 0)
       this.logOf(job.shard).clear(job.id, this.clock.now);
     this.finisher.dropChunks(job);
@@ -87,17 +87,17 @@
   }
 
   /** Has a chunk's changes written, with those of other jobs where the task log is used. */
-  queue(job: JobRun, chunk: Chunk, rank = placementRank(job)): void {
-    if (chunk.queued !== null && chunk.queued.rank <= rank) return;
+  queue(job: ScheduledJob, chunk: TaskChunk, rank = placementRank(job)): void {
+    if (chunk.queuedWrite !== null && chunk.queuedWrite.rank <= rank) return;
     // Placements overtake ends: the intent queued for those finds nothing left to do.
     const ticket = { rank };
-    chunk.queued = ticket;
+    chunk.queuedWrite = ticket;
     this.ended.delete(chunk);
     if (this.isLogged(job)) this.logOf(job.shard).mark(job, chunk, ticket, this.clock.now);
     else this.writeChunk(job, chunk, ticket);
   }
 
-  private isLogged(job: JobRun): boolean {
+  private isLogged(job: ScheduledJob): boolean {
     const { replica } = this;
     return this.taskLog.wanted && replica.levels.has('task-log') && !replica.jobsWithInlineTasks.has(job.id);
   }
@@ -116,44 +116,44 @@
       reportS: workers.report_s,
     };
     return new LogWriter(shard, limits, this.replica, this.committer, {
-      owned: (shard) => this.owner.owned.has(shard),
+      owned: (shard) => this.owner.ownedShards.has(shard),
       writable: (job) => this.isWritable(job),
       durable: (job, chunk, version) => this.noteDurable(job, chunk, version),
       blocked: (job, chunk, epoch) => this.block(job, chunk, epoch),
     });
   }
 
-  private isWritable(job: JobRun): boolean {
-    const { jobs, owned } = this.owner;
-    return jobs.get(job.id) === job && owned.has(job.shard) && !job.finishing && !job.frozen;
+  private isWritable(job: ScheduledJob): boolean {
+    const { jobs, ownedShards: owned } = this.owner;
+    return jobs.get(job.id) === job && owned.has(job.shard) && !job.finalizing && !job.unreadable;
   }
 
-  private noteDurable(job: JobRun, chunk: Chunk, version: number): void {
-    chunk.durable = version;
-    if (chunk.placed > version) this.queue(job, chunk);
+  private noteDurable(job: ScheduledJob, chunk: TaskChunk, version: number): void {
+    chunk.durableVersion = version;
+    if (chunk.placedVersion > version) this.queue(job, chunk);
     else if (chunk.version > version) this.noteEnd(job, chunk);
   }
 
-  private block(job: JobRun, chunk: Chunk, epoch: number): void {
-    chunk.blockedUntil = epoch;
+  private block(job: ScheduledJob, chunk: TaskChunk, epoch: number): void {
+    chunk.writeBlockedUntilRevision = epoch;
     this.blocked.push({ job, chunk });
   }
 
   /** Has a chunk's whole state written in a record of its own: where no task log is used, and as a checkpoint of it. */
-  private writeChunk(job: JobRun, chunk: Chunk, ticket: { rank: Rank }): void {
+  private writeChunk(job: ScheduledJob, chunk: TaskChunk, ticket: { rank: Rank }): void {
     let building = 0;
     this.committer.add({
       rank: ticket.rank,
       build: () => {
-        if (chunk.queued !== ticket) return null;
+        if (chunk.queuedWrite !== ticket) return null;
         const grant = this.replica.shards.get(job.shard);
         if (!grant || !this.isWritable(job)) {
-          chunk.queued = null;
+          chunk.queuedWrite = null;
           return null;
         }
-        if (this.replica.watchRevision < chunk.blockedUntil) {
+        if (this.replica.watchRevision < chunk.writeBlockedUntilRevision) {
           // Tried again when the view has caught up.
-          chunk.queued = null;
+          chunk.queuedWrite = null;
           this.blocked.push({ job, chunk });
           return null;
         }
@@ -161,12 +161,12 @@
         return this.tasksTxn(job, chunk, grant.stamp);
       },
       ok: (epoch) => {
-        if (chunk.queued === ticket) chunk.queued = null;
-        chunk.stamp = epoch;
+        if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
+        chunk.modRevision = epoch;
         this.noteDurable(job, chunk, building);
       },
       conflict: (failed, epoch) => {
-        if (chunk.queued === ticket) chunk.queued = null;
+        if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
         this.log('info', 'task commit refused', { job: job.id, failed });
         this.block(job, chunk, epoch);
       },
@@ -174,27 +174,27 @@
   }
 
   /** Where the state of a job's tasks goes: into the job's own record if it is small and the level in force lets it. */
-  private tasksTxn(job: JobRun, chunk: Chunk, grant: number): Txn {
+  private tasksTxn(job: ScheduledJob, chunk: TaskChunk, grant: number): Txn {
     const { replica } = this;
     const was = replica.jobsWithInlineTasks.has(job.id);
     const tasks = chunkData(stateOf(job, chunk), was || !this.keepsRevisions ? 0 : chunk.version);
-    const key = chunkKey(job.id, chunk.number);
-    const jobAt = { key: jobKey(job.id), stamp: job.stamp };
+    const key = chunkKey(job.id, chunk.index);
+    const jobAt = { key: jobKey(job.id), stamp: job.modRevision };
     const when = [{ key: shardKey(job.shard), stamp: grant }, jobAt];
     const whole = replica.levels.has('small-jobs') && (was || (!this.isLogged(job) && this.fitsWhole(job)));
     if (!whole && !was)
-      return { when: [...when, { key, stamp: chunk.stamp }], apply: [{ key, data: tasks }] };
+      return { when: [...when, { key, stamp: chunk.modRevision }], apply: [{ key, data: tasks }] };
     const apply: Write[] = [];
     const { spec, at } = job;
     if (whole) {
       const data = job.cancelled ? wholeCancelledData(at, spec, tasks) : wholeJobData(spec, at, tasks);
       apply.push({ key: jobAt.key, data });
-      if (!was && chunk.stamp > 0) apply.push({ key, data: undefined });
+      if (!was && chunk.modRevision > 0) apply.push({ key, data: undefined });
     } else {
       const data = job.cancelled ? jobCancelledData(at, spec) : jobData(spec, at);
       apply.push({ key: jobAt.key, data }, { key, data: tasks });
     }
-    return { when: [...when, { key, stamp: was ? 0 : chunk.stamp }], apply };
+    return { when: [...when, { key, stamp: was ? 0 : chunk.modRevision }], apply };
   }
 
   /** Whether records of tasks say which revision of their state they hold: while any task log may speak of them. */
@@ -204,29 +204,29 @@
   }
 
   /** Whether a job's tasks may be kept in its own record. One that is over, but for its last tasks, stays as it is. */
-  fitsWhole(job: JobRun): boolean {
+  fitsWhole(job: ScheduledJob): boolean {
     return !job.cancelled && job.chunks.length === 1 && job.spec.tasks <= this.wholeTasks;
   }
 
   /** Whether a job's tasks are kept in another way than the level in force has it. */
-  astray(job: JobRun): boolean {
+  astray(job: ScheduledJob): boolean {
     const { replica } = this;
     const whole = replica.jobsWithInlineTasks.has(job.id);
     if (!replica.levels.has('task-log') && this.revised(job).length > 0) return true;
     if (replica.levels.has('small-jobs'))
-      return !whole && !this.isLogged(job) && job.chunks[0].stamp > 0 && this.fitsWhole(job);
+      return !whole && !this.isLogged(job) && job.chunks[0].modRevision > 0 && this.fitsWhole(job);
     return whole;
   }
 
   /** Chunks of which the task log, or a checkpoint of it, tells the state. */
-  private revised(job: JobRun): Chunk[] {
+  private revised(job: ScheduledJob): TaskChunk[] {
     const states = this.replica.chunks.get(job.id);
-    return job.chunks.filter((c) => (states?.get(c.number)?.revision ?? 0) > 0);
+    return job.chunks.filter((c) => (states?.get(c.index)?.revision ?? 0) > 0);
   }
 
   /** Writes a job's tasks once more as the level in force has it, unless that is about to happen; how many writes it takes. */
-  rewrite(job: JobRun): number {
-    if (job.finishing || job.frozen) return 0;
+  rewrite(job: ScheduledJob): number {
+    if (job.finalizing || job.unreadable) return 0;
     const revised = this.replica.levels.has('task-log') ? [] : this.revised(job);
     const chunks = revised.length > 0 ? revised.filter((c) => !this.isCheckpointed(job, c)) : [job.chunks[0]];
     let writes = 0;
@@ -235,24 +235,24 @@
   }
 
   /** Nothing more can be done about a checkpoint while the log that it follows is there. */
-  private isCheckpointed(job: JobRun, chunk: Chunk): boolean {
-    const state = this.replica.chunks.get(job.id)?.get(chunk.number);
+  private isCheckpointed(job: ScheduledJob, chunk: TaskChunk): boolean {
+    const state = this.replica.chunks.get(job.id)?.get(chunk.index);
     return state !== undefined && state.checkpoint === state.revision && this.replica.taskLog.size > 0;
   }
 
   /** Has a chunk's state written in its own record, unless it is about to be written. */
-  private checkpoint(job: JobRun, chunk: Chunk): boolean {
-    if (chunk.queued !== null) return false;
+  private checkpoint(job: ScheduledJob, chunk: TaskChunk): boolean {
+    if (chunk.queuedWrite !== null) return false;
     const ticket = { rank: Rank.cleanup };
-    chunk.queued = ticket;
+    chunk.queuedWrite = ticket;
     this.ended.delete(chunk);
     this.writeChunk(job, chunk, ticket);
     return true;
   }
 
   /** An end is written with the chunk's next placement, or after a while with the others of its chunk. */
-  noteEnd(job: JobRun, chunk: Chunk): void {
-    if (!chunk.queued && !this.ended.has(chunk)) this.ended.set(chunk, { job, since: this.clock.now });
+  noteEnd(job: ScheduledJob, chunk: TaskChunk): void {
+    if (!chunk.queuedWrite && !this.ended.has(chunk)) this.ended.set(chunk, { job, since: this.clock.now });
   }
 
   flushEnds(): void {
@@ -261,7 +261,7 @@
       // In order of age.
       if (this.clock.now - e.since < patience) break;
       this.ended.delete(chunk);
-      if (this.owner.jobs.get(e.job.id) === e.job && chunk.durable < chunk.version)
+      if (this.owner.jobs.get(e.job.id) === e.job && chunk.durableVersion < chunk.version)
         this.queue(e.job, chunk, Rank.cleanup);
     }
   }
@@ -273,22 +273,22 @@
     this.blocked = [];
     for (const b of blocked) {
       if (this.owner.jobs.get(b.job.id) !== b.job) continue;
-      if (this.replica.watchRevision < b.chunk.blockedUntil) {
+      if (this.replica.watchRevision < b.chunk.writeBlockedUntilRevision) {
         this.blocked.push(b);
         continue;
       }
       if (this.changedElsewhere(b.job, b.chunk)) {
         this.log('warn', 'chunk changed by another writer, reading it again', { job: b.job.id });
-        this.owner.reread(b.job.id);
+        this.owner.reloadJob(b.job.id);
       } else this.queue(b.job, b.chunk);
     }
   }
 
   /** Whether another than this process has written a chunk's state since. */
-  private changedElsewhere(job: JobRun, chunk: Chunk): boolean {
+  private changedElsewhere(job: ScheduledJob, chunk: TaskChunk): boolean {
     const { replica } = this;
-    if (replica.taskStateStamp(job.id, chunk.number) !== chunk.stamp) return true;
-    const revision = replica.chunks.get(job.id)?.get(chunk.number)?.revision ?? 0;
-    return revision > chunk.durable;
+    if (replica.taskStateStamp(job.id, chunk.index) !== chunk.modRevision) return true;
+    const revision = replica.chunks.get(job.id)?.get(chunk.index)?.revision ?? 0;
+    return revision > chunk.durableVersion;
   }
 }
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -1,9 +1,9 @@
 /** What operators are told of the fleet and of what waits, in the log. */
 import { fitCount } from '../model/machine.js';
-import { suspect } from './failures.js';
-import type { Books } from './shard-state/shard-state.js';
-import { waitingCount } from './shard-state/jobs.js';
-import type { JobRun } from './shard-state/types.js';
+import { isSuspect } from './failure-attribution.js';
+import type { ShardState } from './shard-state/shard-state.js';
+import { waitingTaskCount } from './shard-state/jobs.js';
+import type { ScheduledJob } from './shard-state/types.js';
 
 /** Of a class, in the log: its tasks by state, and what the waiting ones wait for. */
 interface ClassSummary {
@@ -26,9 +26,9 @@
 }
 
 /** For operators: how the fleet is used and what waits. `looked`: machines that placement has looked at; `more`: of others. */
-export function summarize(books: Books, looked: number, more: object): void {
+export function summarize(shardState: ShardState, looked: number, more: object): void {
   const fleet: Record<string, { up: number; coming: number; idle: number; cpus: number; gpus: number }> = {};
-  for (const m of books.machines.values()) {
+  for (const m of shardState.machines.values()) {
     const f = (fleet[`${m.type.name}${m.spot ? ' spot' : ''}`] ??= {
       up: 0,
       coming: 0,
@@ -36,9 +36,9 @@
       cpus: 0,
       gpus: 0,
     });
-    if (m.provenAt === 0) f.coming++;
+    if (m.confirmedAt === 0) f.coming++;
     else f.up++;
-    if (m.provenAt > 0 && m.placements.size === 0) f.idle++;
+    if (m.confirmedAt > 0 && m.placements.size === 0) f.idle++;
     f.cpus += m.used.cpus / m.type.cpus;
     if (m.type.gpus > 0) f.gpus += m.used.gpus / m.type.gpus;
   }
@@ -49,22 +49,22 @@
   const jobs: Record<string, ClassSummary> = {};
   const teams: Record<string, TeamSummary> = {};
   const teamOf = (name: string): TeamSummary => {
-    const use = books.teamUse.get(name);
+    const use = shardState.usageByTeam.get(name);
     return (teams[name] ??= {
       open: 0,
-      done: books.doneOf.get(name) ?? 0,
+      done: shardState.finishedJobsByTeam.get(name) ?? 0,
       waiting: 0,
       active: 0,
       cpus: Math.round(use?.cpus ?? 0),
       gpus: Math.round(use?.gpus ?? 0),
     });
   };
-  for (const name of books.doneOf.keys()) teamOf(name);
-  for (const j of books.jobs.values()) {
+  for (const name of shardState.finishedJobsByTeam.keys()) teamOf(name);
+  for (const j of shardState.jobs.values()) {
     const team = teamOf(j.spec.team);
     team.open++;
-    team.waiting += waitingCount(j);
-    team.active += j.active.size;
+    team.waiting += waitingTaskCount(j);
+    team.active += j.placements.size;
     const c = (jobs[j.spec.class] ??= {
       jobs: 0,
       waiting: 0,
@@ -74,28 +74,28 @@
       because: {},
     });
     c.jobs++;
-    const waiting = waitingCount(j);
+    const waiting = waitingTaskCount(j);
     c.waiting += waiting;
     if (waiting > 0) {
-      const why = waitsFor(books, j);
+      const why = waitsFor(shardState, j);
       c.because[why] = (c.because[why] ?? 0) + waiting;
     }
-    for (const p of j.active.values()) {
+    for (const p of j.placements.values()) {
       if (p.phase === 'running') c.running++;
       else if (p.phase === 'placed') c.placed++;
       else c.fetching++;
     }
   }
-  books.log('info', 'summary', { fleet, jobs, teams, looked, ...more });
+  shardState.log('info', 'summary', { fleet, jobs, teams, looked, ...more });
 }
 
 /** What a job's waiting tasks wait for, in an operator's words. */
-function waitsFor(books: Books, job: JobRun): string {
+function waitsFor(shardState: ShardState, job: ScheduledJob): string {
   if (job.cancelled) return 'cancelled';
-  if (job.finishing) return 'its end being recorded';
-  if (job.breaking) return 'its attempt being taken down';
-  if (job.notBefore > books.clock.now) return suspect(job) ? 'fails everywhere' : 'pause';
-  const all = job.spec.shape === 'gang' ? waitingCount(job) : 1;
-  if (fitCount(job.spec, books.teamRoom(job.spec)) < all) return 'team limit';
+  if (job.finalizing) return 'its end being recorded';
+  if (job.tearingDown) return 'its attempt being taken down';
+  if (job.retryNotBefore > shardState.clock.now) return isSuspect(job) ? 'fails everywhere' : 'pause';
+  const all = job.spec.shape === 'gang' ? waitingTaskCount(job) : 1;
+  if (fitCount(job.spec, shardState.availableQuota(job.spec)) < all) return 'team limit';
   return 'machine';
 }
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -69,7 +69,7 @@
     );
     await s.until(
       async () =>
-        s.service.service.controller.dispatcher.machines.values().next().value?.placements.size === 0,
+        s.service.service.controller.shardManager.machines.values().next().value?.placements.size === 0,
     );
   }));
 
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -143,11 +143,11 @@
     await s.agent('a', '(cpus 4) (mem-gb 2) (attribute Ready 1)');
     await s.agent('b', '(cpus 4) (mem-gb 2) (attribute Ready 0)');
     await s.ready(2);
-    const { books } = s.service.service.controller.dispatcher;
+    const { shardState } = s.service.service.controller.shardManager;
     const { matcher } = s.service.matching!;
     const chosen: string[] = [];
-    const place = books.place.bind(books);
-    books.place = (job, at, attempt) => {
+    const place = shardState.placeTasks.bind(shardState);
+    shardState.placeTasks = (job, at, attempt) => {
       place(job, at, attempt);
       chosen.push(...at.map((x) => x.host));
       if (chosen.length > 1) return;
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -123,7 +123,8 @@
   const all = await agents(1000, port);
   const http = new HttpClient(`127.0.0.1:${port}`, 2);
   const machines = (): number =>
-    [...open.control.service.controller.dispatcher.machines.values()].filter((m) => m.provenAt > 0).length;
+    [...open.control.service.controller.shardManager.machines.values()].filter((m) => m.confirmedAt > 0)
+      .length;
   while (machines() < 1000) await pause(100);
   say(
     `memory of the service and 1,000 agents in one process: ${(((heapMb() - withJobs) * 1024) / 1000).toFixed(1)} KB for each agent`,
@@ -140,8 +141,8 @@
     await pause(20);
   }
   say(`restart: accepts ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
-  const { books } = open.control.service.controller.dispatcher;
-  while (books.placed === 0) await pause(10);
+  const { shardState } = open.control.service.controller.shardManager;
+  while (shardState.placementCount === 0) await pause(10);
   say(`restart: first placement ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
   while (machines() < 1000) await pause(20);
   say(
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -14,7 +14,8 @@
   assert.ok(w.playUntil(() => w.running('req-1').length === tasks, 60));
   return w;
 };
-const ownerOf = (w: World): Node => w.nodes.find((n) => n.alive && n.controller.dispatcher.owned.size > 0)!;
+const ownerOf = (w: World): Node =>
+  w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.size > 0)!;
 const sessions = (w: World): number[] => [...w.workers.values()].map((x) => x.session);
 
 test('an outage longer than the view stays fresh: the others vouch, no task loses its lease', () => {
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { enoughEvidence, evidence } from '../src/core/failures.js';
+import { quarantineEvidence, evidenceAgainst } from '../src/core/failure-attribution.js';
 import { encodeFrame, FrameReader } from '../src/peers/frames.js';
 import { box, spec, World } from './support/world.js';
 
@@ -128,7 +128,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 3 }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 3, 60));
-  const owner = w.nodes.find((n) => n.controller.dispatcher.jobs.has('req-1'))!;
+  const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
   owner.alive = false;
   const other = w.nodes.find((n) => n !== owner)!;
   assert.equal(other.withdraw('req-1')?.body['status'], 'aborted');
@@ -155,7 +155,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 4 }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 4, 60));
-  const owner = w.nodes.find((n) => n.controller.dispatcher.jobs.has('req-1'))!;
+  const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
   owner.cut = true;
   w.play(60);
   owner.cut = false;
@@ -303,19 +303,19 @@
 });
 
 test('a faulty machine among jobs with a mistake is still found', () => {
-  const good = { errors: new Set(['a']), successes: 1 };
-  const mistaken = { errors: new Set(['a', 'b']), successes: 0 };
-  const fresh = { errors: new Set(['a']), successes: 0 };
+  const good = { failedHosts: new Set(['a']), completedCount: 1 };
+  const mistaken = { failedHosts: new Set(['a', 'b']), completedCount: 0 };
+  const fresh = { failedHosts: new Set(['a']), completedCount: 0 };
   const jobs = new Map([
     ['good', good],
     ['mistaken', mistaken],
     ['fresh', fresh],
   ]);
-  const of = (...f: [string, number][]): number => evidence(new Map(f), (id) => jobs.get(id));
+  const of = (...f: [string, number][]): number => evidenceAgainst(new Map(f), (id) => jobs.get(id));
   assert.equal(of(['mistaken', 50]), 0);
-  assert.ok(of(['fresh', 50]) < enoughEvidence);
-  assert.ok(of(['good', 2]) >= enoughEvidence);
-  assert.ok(of(['good', 1], ['fresh', 1], ['mistaken', 9]) >= enoughEvidence);
+  assert.ok(of(['fresh', 50]) < quarantineEvidence);
+  assert.ok(of(['good', 2]) >= quarantineEvidence);
+  assert.ok(of(['good', 1], ['fresh', 1], ['mistaken', 9]) >= quarantineEvidence);
 });
 
 test('a guest that filled the fleet gives way: at once to a guarantee, without loss to work of higher urgency', () => {
@@ -347,7 +347,7 @@
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 2 }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
   w.play(60);
-  w.nodes.find((n) => n.controller.dispatcher.jobs.has('req-1'))!.alive = false;
+  w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!.alive = false;
   w.play(30);
   assert.deepEqual(w.deleted, []);
   assert.equal(w.running('req-1').length, 2);
@@ -359,7 +359,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 5, team: 'blue', cpus: 4 }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 4, 60));
-  w.nodes.find((n) => n.controller.dispatcher.jobs.has('req-1'))!.alive = false;
+  w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!.alive = false;
   w.play(20);
   // One task lost and one that never had a place: both find one on the same machine in the same round.
   const lost = w.running('req-1')[3];
@@ -375,7 +375,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 1 }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 1, 60));
-  const owner = w.nodes.find((n) => n.controller.dispatcher.jobs.has('req-1'))!;
+  const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
   const worker = w.workers.get(w.running('req-1')[0].host)!;
   worker.cutFrom.add(owner.member);
   w.play(60);
@@ -388,7 +388,7 @@
     for (let at = 0; at < 26; at += 1.3) {
       const w = new World(2);
       up(w);
-      const owner = w.nodes.find((n) => n.controller.dispatcher.owned.size > 0)!;
+      const owner = w.nodes.find((n) => n.controller.shardManager.ownedShards.size > 0)!;
       const other = w.nodes.find((n) => n !== owner)!;
       other.submit(spec('req-1', { tasks: 4 }));
       other.submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 }));
@@ -416,14 +416,14 @@
   up(w);
   w.play(20);
   const [owner, ...others] = [...w.nodes].sort(
-    (a, b) => b.controller.dispatcher.owned.size - a.controller.dispatcher.owned.size,
+    (a, b) => b.controller.shardManager.ownedShards.size - a.controller.shardManager.ownedShards.size,
   );
-  const shards = [...owner.controller.dispatcher.owned];
+  const shards = [...owner.controller.shardManager.ownedShards];
   assert.ok(shards.length > 0);
   owner.alive = false;
   for (const n of others) n.push({ c: 'peer-lost', member: owner.member });
   w.play(1);
-  for (const k of shards) assert.ok(others.some((n) => n.controller.dispatcher.owned.has(k)));
+  for (const k of shards) assert.ok(others.some((n) => n.controller.shardManager.ownedShards.has(k)));
 });
 
 test('a node cut off alone from the state service sends its users away; in a common outage all stay', () => {
@@ -501,7 +501,7 @@
   assert.equal(onSpot(), 3);
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'service', tasks: 1 }));
   assert.ok(w.playUntil(() => w.running('req-2').length === 1, 60));
-  for (let i = 0; i < 200; i++) w.nodes[0].controller.dispatcher.books.hazard.recordInterruption();
+  for (let i = 0; i < 200; i++) w.nodes[0].controller.shardManager.shardState.hazard.recordInterruption();
   w.play(20);
   assert.equal(onSpot(), 3);
   assert.ok(w.playUntil(() => onSpot() === 0 && w.running('req-1').length === 3, 200));
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { fullness, Openings, packing, type Slot } from '../src/core/capacity-index.js';
+import { fullness, CapacityIndex, packingTieBreak, type IndexedMachine } from '../src/core/capacity-index.js';
 import { abilityOf, Levels } from '../src/feature-levels/index.js';
 import { Replica } from '../src/core/replica.js';
 import type { JobSpec } from '../src/model/job.js';
@@ -20,7 +20,7 @@
   { ...box, name: 'gpu', cpus: 16, gpus: 2, memGb: 64, price: 9, spotPrice: 2 },
 ];
 
-interface TestSlot extends Slot {
+interface TestSlot extends IndexedMachine {
   used: Resources;
 }
 
@@ -39,7 +39,7 @@
     .filter((m) => typeAllowed(job, m.type) && (!m.spot || spotAllowed(job)) && roomOf(m).cpus >= 1)
     .map((m) => ({
       host: m.host,
-      s: score(m.type, m.spot, m.images.has(job.image)) + packing * fullness(m.type, roomOf(m)),
+      s: score(m.type, m.spot, m.images.has(job.image)) + packingTieBreak * fullness(m.type, roomOf(m)),
     }))
     .sort((a, b) => b.s - a.s)
     .map((x) => x.host);
@@ -57,7 +57,7 @@
         used: { cpus: upTo(type.cpus + 1), gpus: 0, memGb: 0 },
       };
     });
-    const openings = new Openings(machines, roomOf, { cpus: 1, gpus: 0, memGb: 0 });
+    const capacityIndex = new CapacityIndex(machines, roomOf, { cpus: 1, gpus: 0, memGb: 0 });
     for (let step = 0; step < 20; step++) {
       const job = spec('req-1', {
         image: `img-${upTo(4)}`,
@@ -65,11 +65,11 @@
         spot: upTo(2) === 1,
         types: upTo(3) === 0 ? [types[upTo(types.length)].name] : null,
       });
-      const found = [...openings.best(job, score, () => true)].map((m) => m.host);
+      const found = [...capacityIndex.bestFirst(job, score, () => true)].map((m) => m.host);
       assert.deepEqual(found, plainOrder(machines, job));
       const taken = machines.filter((m) => found.slice(0, 3).includes(m.host) && roomOf(m).cpus >= 1);
       for (const m of taken) m.used.cpus++;
-      openings.changed(new Set(taken.map((m) => m.host)));
+      capacityIndex.reposition(new Set(taken.map((m) => m.host)));
     }
   }
 });
@@ -80,7 +80,7 @@
   w.reportMs = 5000;
   w.types = [{ ...box, cpus: 16, memGb: 64, bootS: 5 }];
   w.play(3);
-  const { dispatcher } = w.nodes[0].controller;
+  const { shardManager } = w.nodes[0].controller;
   for (let i = 0; i < 150; i++)
     w.nodes[0].push({
       c: 'submit',
@@ -90,9 +90,9 @@
   w.play(30);
   assert.ok(w.starts.length > 10_000, `${w.starts.length} started`);
   // Everything is full, and over 100 jobs of five sizes wait: each size looks at each machine twice at most.
-  const before = dispatcher.looked;
+  const before = shardManager.machinesExamined;
   w.play(5);
-  const perRound = (dispatcher.looked - before) / 5;
+  const perRound = (shardManager.machinesExamined - before) / 5;
   assert.ok(perRound < 12 * 1000, `${perRound} machines looked at in a round`);
   // A rental is one record, ends are written together: far fewer writes than machines and tasks.
   const writes = w.commits.reduce((n, c) => n + c.txn.apply.length, 0);
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -266,7 +266,10 @@
     n.push({ c: 'leave' });
     const from = w.now;
     assert.ok(
-      w.playUntil(() => n.controller.dispatcher.owned.size === 0 && !n.controller.membership.leading, 2),
+      w.playUntil(
+        () => n.controller.shardManager.ownedShards.size === 0 && !n.controller.membership.leading,
+        2,
+      ),
     );
     assert.ok(w.playUntil(() => ownerOf(w) !== undefined && leaderOf(w) !== undefined, 2));
     assert.ok(w.now - from < 1500, `${w.now - from} ms`);
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -26,7 +26,7 @@
   };
 
 export const ownerOf = (w: World): Node | undefined =>
-  w.nodes.find((n) => n.alive && n.controller.dispatcher.owned.size > 0);
+  w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.size > 0);
 export const leaderOf = (w: World): Node | undefined =>
   w.nodes.find((n) => n.alive && n.controller.membership.leading);
 
@@ -246,7 +246,7 @@
       restart(w, n, cast.earlier);
       w.play(20);
       assert.equal(n.controller.membership.leading, false);
-      assert.equal(n.controller.dispatcher.owned.size, 0);
+      assert.equal(n.controller.shardManager.ownedShards.size, 0);
       if (cast.knowsLevels) {
         assert.equal(n.controller.healthy, false);
         assert.equal(n.logged.filter(([, what]) => what.startsWith('standing by')).length, 1);
@@ -258,7 +258,7 @@
       for (const x of others) x.alive = false;
       w.play(25);
       assert.equal(n.controller.membership.leading, false);
-      assert.equal(n.controller.dispatcher.owned.size, 0);
+      assert.equal(n.controller.shardManager.ownedShards.size, 0);
       for (const x of others) x.boot();
       w.play(20);
       // It is replaced at last.
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -230,9 +230,9 @@
   }
   /** So many machines of the service in this process may take tasks. */
   ready(machines: number): Promise<void> {
-    const all = () => [...this.service.service.controller.dispatcher.machines.values()];
+    const all = () => [...this.service.service.controller.shardManager.machines.values()];
     return this.until(
-      async () => all().filter((m) => m.provenAt > 0 && m.record.state === 'use').length === machines,
+      async () => all().filter((m) => m.confirmedAt > 0 && m.record.state === 'use').length === machines,
     );
   }
   /** Every attempt that began, as its command noted it: none may be there twice. */
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -28,7 +28,7 @@
 import { Replica } from '../src/core/replica.js';
 import { abilityOf, Levels, newestLevel } from '../src/feature-levels/index.js';
 import type { JobSpec } from '../src/model/job.js';
-import { newJob } from '../src/core/shard-state/jobs.js';
+import { createScheduledJob } from '../src/core/shard-state/jobs.js';
 import type { Placement } from '../src/core/shard-state/types.js';
 import { collectRecoveryRecords } from '../src/core/recovery-records.js';
 import { wrongInHistory } from './support/task-log-history.js';
@@ -312,12 +312,12 @@
   });
   for (const id of ['req-1', 'req-2', 'req-3']) {
     replica.apply({ key: `dp/j/${id}`, data: jobData(spec(id, { tasks: 2 }), 1), stamp: 6 });
-    const job = newJob(replica.jobs.get(id)!, spec(id, { tasks: 2 }), 0, undefined, 16);
+    const job = createScheduledJob(replica.jobs.get(id)!, spec(id, { tasks: 2 }), 0, undefined, 16);
     const [chunk] = job.chunks;
-    chunk.queued = { rank: Rank.task };
+    chunk.queuedWrite = { rank: Rank.task };
     chunk.version = 1;
-    job.active.set(0, { index: 0, attempt: 1, host: 'n-1', chunk } as Placement);
-    writer.mark(job, chunk, chunk.queued, 0);
+    job.placements.set(0, { index: 0, attempt: 1, host: 'n-1', chunk } as Placement);
+    writer.mark(job, chunk, chunk.queuedWrite, 0);
   }
   replica.applyWatch([], 6);
   const jobsOf = (txn: Txn | null): string[] => readLog(txn!.apply[0].data).map((e) => e.job);
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -123,7 +123,7 @@
     };
     for (let s = 2; s < 75; s += 4 + 5 * w.chance()) {
       at(s, () => {
-        const owner = w.nodes.find((n) => n.alive && n.controller.dispatcher.owned.has(0));
+        const owner = w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.has(0));
         const to: Node = pick(w, w.nodes);
         const run = owner?.controller.replica.nodes.get(to.member)?.run;
         if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
--- a/test/urgent-work.test.ts
+++ b/test/urgent-work.test.ts
@@ -26,9 +26,9 @@
     w.nodes[0].submit(
       spec(`req-2${i}`, { class: 'photo', team: 'blue', urgency: 'high', shape: 'gang', tasks: 1, cpus: 8 }),
     );
-  const { books } = w.nodes[0].controller.dispatcher;
-  assert.ok(w.playUntil(() => books.withheld.size >= 3, 30));
-  const kept = [...books.withheld.keys()];
+  const { shardState } = w.nodes[0].controller.shardManager;
+  assert.ok(w.playUntil(() => shardState.withheldHosts.size >= 3, 30));
+  const kept = [...shardState.withheldHosts.keys()];
   // What had been placed by then starts with the next report.
   w.play(4);
   const from = w.starts.length;
