--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -8,63 +8,69 @@
 import type { ShardState } from '../shard-state/shard-state.js';
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import type { ScheduledJob } from '../shard-state/types.js';
-import { lifted } from './minimum-shares.js';
-import { gangMayWait, owe, placeGang, reserve } from './gangs.js';
-import { madeRoom, preempt } from './preemption.js';
-import { overdue } from './starvation.js';
-import { openShard, type Round, type ShardRound } from './shard.js';
-import { placeEach } from './arrays.js';
-import { demandsNow } from './victims.js';
-import { makeYield } from './voluntary-preemption.js';
+import { jobsBelowMinimumShare } from './minimum-shares.js';
+import { awaitsRoom, reserveQuota, placeGang, reserveForGang } from './gangs.js';
+import { hasStoppingTasks, preemptFor } from './preemption.js';
+import { isStarving } from './starvation.js';
+import { beginShardCycle, type CycleContext, type ShardCycle } from './shard-cycle.js';
+import { placeTasks } from './arrays.js';
+import { preemptsImmediately } from './victims.js';
+import { preemptVoluntarily } from './voluntary-preemption.js';
 
 /** Scans for tasks to preempt are dear: so many jobs get one in a round. */
-const mostPreemptions = 16;
+const maxPreemptionScans = 16;
 /** Scans of all machines for tasks of arrays that give way, in a round. */
-const mostYields = 4;
+const maxVoluntaryPreemptionScans = 4;
 
 /**
  * One placement round over all shards of this node, in steps: it yields how many machines it has looked at
  * since, so that reports and requests need not wait for all of it. Between two steps jobs and machines may
  * change; each is looked at anew when its turn comes.
  */
-export function* placeRound(shardState: ShardState): Generator<number, void> {
-  const entitled = jobsWithinGuarantee(shardState.jobs.values(), shardState.settings);
+export function* schedulingCycle(shardState: ShardState): Generator<number, void> {
+  const withinGuarantee = jobsWithinGuarantee(shardState.jobs.values(), shardState.settings);
   const waiting = inPlacementOrder(
-    [...shardState.jobs.values()].filter((j) => placeable(shardState, j)),
+    [...shardState.jobs.values()].filter((j) => isSchedulable(shardState, j)),
     shardState.settings.objectives,
     shardState.clock.wall,
     criticalSlackS(shardState.settings),
-    hasGuaranteeStartObjective(shardState.settings.objectives) ? entitled : new Set(),
+    hasGuaranteeStartObjective(shardState.settings.objectives) ? withinGuarantee : new Set(),
   );
   // Guards against a job with a mistake that has room kept for as long as it is tried.
-  const keep = gpuReserveFor(waiting.filter((j) => !isSuspect(j)));
-  const least = { cpus: Infinity, gpus: 0, memGb: Infinity };
+  const gpuReserve = gpuReserveFor(waiting.filter((j) => !isSuspect(j)));
+  const minRequest = { cpus: Infinity, gpus: 0, memGb: Infinity };
   for (const { spec } of waiting) {
-    least.cpus = Math.min(least.cpus, spec.cpus);
-    least.memGb = Math.min(least.memGb, spec.memGb);
+    minRequest.cpus = Math.min(minRequest.cpus, spec.cpus);
+    minRequest.memGb = Math.min(minRequest.memGb, spec.memGb);
   }
-  const raised = lifted(shardState, waiting);
-  const whole: Round = { shardState, entitled, lifted: raised, keep, least };
-  const shards = new Map<number, ShardRound>();
-  const roundOf = (shard: number): ShardRound => {
+  const belowMinimumShare = jobsBelowMinimumShare(shardState, waiting);
+  const context: CycleContext = {
+    shardState,
+    withinGuarantee,
+    belowMinimumShare: belowMinimumShare,
+    gpuReserve,
+    minRequest,
+  };
+  const shards = new Map<number, ShardCycle>();
+  const roundOf = (shard: number): ShardCycle => {
     let round = shards.get(shard);
-    if (!round) shards.set(shard, (round = openShard(whole, shard)));
+    if (!round) shards.set(shard, (round = beginShardCycle(context, shard)));
     return round;
   };
-  let preemptions = 0;
-  let yielding = 0;
+  let preemptionScans = 0;
+  let voluntaryPreemptionScans = 0;
   shardState.reservations.prune(shardState.jobs, shardState.machines);
   // Work of one level is of like urgency, and either all within its teams' guarantees or none.
   const levelOf = (job: ScheduledJob): number =>
-    urgencyRank[job.spec.urgency] + (demandsNow(whole, job) ? 10 : 0);
+    urgencyRank[job.spec.urgency] + (preemptsImmediately(context, job) ? 10 : 0);
   let level = Infinity;
-  for (const job of raised.keys()) {
-    if (!placeable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
+  for (const job of belowMinimumShare.keys()) {
+    if (!isSchedulable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
     const round = roundOf(job.shard);
     const before = job.placements.size;
     if (job.spec.shape === 'gang') {
-      if (!placeGang(job, round) && gangMayWait(shardState, job)) reserve(job, round);
-    } else placeEach(job, round);
+      if (!placeGang(job, round) && awaitsRoom(shardState, job)) reserveForGang(job, round);
+    } else placeTasks(job, round);
     if (job.placements.size > before)
       shardState.log('info', 'floor', {
         job: job.id,
@@ -74,8 +80,8 @@
     yield round.capacityIndex.examined;
     round.capacityIndex.examined = 0;
   }
-  whole.lifted = new Map();
-  for (const round of shards.values()) round.lifted = whole.lifted;
+  context.belowMinimumShare = new Map();
+  for (const round of shards.values()) round.belowMinimumShare = context.belowMinimumShare;
   for (const job of waiting) {
     if (levelOf(job) < level) {
       level = levelOf(job);
@@ -84,57 +90,66 @@
       for (const other of waiting) {
         const { spec } = other;
         if (levelOf(other) !== level || spec.gpus <= 0 || spec.shape !== 'array') continue;
-        if (!placeable(shardState, other) || shardState.jobs.get(other.id) !== other) continue;
+        if (!isSchedulable(shardState, other) || shardState.jobs.get(other.id) !== other) continue;
         const round = roundOf(other.shard);
-        placeEach(other, round, true);
+        placeTasks(other, round, true);
         yield round.capacityIndex.examined;
         round.capacityIndex.examined = 0;
       }
     }
-    if (!placeable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
+    if (!isSchedulable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
     const round = roundOf(job.shard);
     const { capacityIndex } = round;
     const count = waitingTaskCount(job);
-    const late = round.unused.length > 0 && overdue(shardState, job);
-    const hopeless = !late && !round.claimed.has(job.id) && capacityIndex.isUnplaceable(job.spec, count);
+    const late = round.agedCapacity.length > 0 && isStarving(shardState, job);
+    const hopeless =
+      !late && !round.reservedMachines.has(job.id) && capacityIndex.isUnplaceable(job.spec, count);
     if (job.repairAttempt !== null) {
-      placeEach(job, round);
+      placeTasks(job, round);
       continue;
     }
     if (job.spec.shape === 'gang') {
       if (!hopeless && placeGang(job, round)) {
-        owe(job, round);
+        reserveQuota(job, round);
         yield capacityIndex.examined;
         capacityIndex.examined = 0;
         continue;
       }
-      owe(job, round);
-      if (gangMayWait(shardState, job) && !isSuspect(job)) reserve(job, round);
-    } else if (!hopeless) placeEach(job, round);
+      reserveQuota(job, round);
+      if (awaitsRoom(shardState, job) && !isSuspect(job)) reserveForGang(job, round);
+    } else if (!hopeless) placeTasks(job, round);
     // Guards against a job that has failed everywhere being tried nowhere any more.
     job.anyHostAllowed = isSuspect(job) && job.placements.size === 0;
     if (
       waitingTaskCount(job) > 0 &&
       job.placements.size === 0 &&
-      preemptions < mostPreemptions &&
+      preemptionScans < maxPreemptionScans &&
+      !isSuspect(job)
+    )
+      if (!round.reservedMachines.get(job.id)?.some((m) => hasStoppingTasks(m)) && preemptFor(job, round))
+        preemptionScans++;
+    if (
+      job.spec.shape === 'array' &&
+      waitingTaskCount(job) > 0 &&
+      voluntaryPreemptionScans < maxVoluntaryPreemptionScans &&
       !isSuspect(job)
     )
-      if (!round.claimed.get(job.id)?.some((m) => madeRoom(m)) && preempt(job, round)) preemptions++;
-    if (job.spec.shape === 'array' && waitingTaskCount(job) > 0 && yielding < mostYields && !isSuspect(job))
-      if (makeYield(job, round)) yielding++;
+      if (preemptVoluntarily(job, round)) voluntaryPreemptionScans++;
     yield capacityIndex.examined;
     capacityIndex.examined = 0;
   }
-  shardState.quotaReservations = new Map([...shards.values()].flatMap((round) => [...round.owed]));
-  shardState.withheldHosts = new Map([...shards.values()].flatMap((round) => [...round.withheld]));
+  shardState.quotaReservations = new Map(
+    [...shards.values()].flatMap((round) => [...round.quotaReservations]),
+  );
+  shardState.withheldHosts = new Map([...shards.values()].flatMap((round) => [...round.minUrgencyByHost]));
 }
 
-const placeable = (shardState: ShardState, j: ScheduledJob): boolean =>
-  !j.cancelled &&
-  !j.finalizing &&
-  !j.unreadable &&
-  !j.tearingDown &&
+const isSchedulable = (shardState: ShardState, job: ScheduledJob): boolean =>
+  !job.cancelled &&
+  !job.finalizing &&
+  !job.unreadable &&
+  !job.tearingDown &&
   // Guards against a second zone for a job whose tasks may be in one that is not known.
-  !(j.unknownZoneTasks > 0 && (j.spec.oneZone || j.spec.apart)) &&
-  j.retryNotBefore <= shardState.clock.now &&
-  waitingTaskCount(j) > 0;
+  !(job.unknownZoneTasks > 0 && (job.spec.oneZone || job.spec.apart)) &&
+  job.retryNotBefore <= shardState.clock.now &&
+  waitingTaskCount(job) > 0;
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -5,24 +5,27 @@
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import type { ScheduledJob } from '../shard-state/types.js';
 
-interface Kind extends KindUse {
+interface WorkKind extends KindUse {
   jobs: ScheduledJob[];
 }
 
 /** The jobs that go first because their team and class had less than their floor, and how many of their tasks may. */
-export function lifted(shardState: ShardState, waiting: readonly ScheduledJob[]): Map<ScheduledJob, number> {
-  const out = new Map<ScheduledJob, number>();
-  if (shardState.operators['floor-share'] <= 0) return out;
-  const room = { cpus: 0, gpus: 0 };
+export function jobsBelowMinimumShare(
+  shardState: ShardState,
+  waiting: readonly ScheduledJob[],
+): Map<ScheduledJob, number> {
+  const result = new Map<ScheduledJob, number>();
+  if (shardState.operators['floor-share'] <= 0) return result;
+  const capacity = { cpus: 0, gpus: 0 };
   for (const m of shardState.machines.values()) {
-    room.cpus += m.type.cpus;
-    room.gpus += m.type.gpus;
+    capacity.cpus += m.type.cpus;
+    capacity.gpus += m.type.gpus;
   }
-  if (room.cpus <= 0) return out;
+  if (capacity.cpus <= 0) return result;
   const shareOf = (job: ScheduledJob): number =>
-    Math.max(job.spec.cpus / room.cpus, room.gpus > 0 ? job.spec.gpus / room.gpus : 0);
-  const kinds = new Map<string, Kind>();
-  const kindOf = ({ spec: { team, class: cls } }: ScheduledJob): Kind => {
+    Math.max(job.spec.cpus / capacity.cpus, capacity.gpus > 0 ? job.spec.gpus / capacity.gpus : 0);
+  const kinds = new Map<string, WorkKind>();
+  const kindOf = ({ spec: { team, class: cls } }: ScheduledJob): WorkKind => {
     const kind = kindName(team, cls);
     let k = kinds.get(kind);
     if (!k) kinds.set(kind, (k = { kind, team, share: 0, waiting: false, jobs: [] }));
@@ -33,9 +36,9 @@
   for (const job of waiting) {
     // Guards against a job with a mistake that is lifted for ever: what it takes comes to nothing.
     if (isSuspect(job)) continue;
-    const k = kindOf(job);
-    k.waiting = true;
-    k.jobs.push(job);
+    const kind = kindOf(job);
+    kind.waiting = true;
+    kind.jobs.push(job);
   }
   for (const owed of shardState.minimumShares.look(shardState.clock.now, [...kinds.values()])) {
     let left = owed.share;
@@ -44,9 +47,9 @@
       const each = shareOf(job);
       // A gang whole or not at all, and something in any case: a floor may be less than a task.
       const count = job.spec.shape === 'gang' ? waitingTaskCount(job) : Math.max(1, Math.floor(left / each));
-      out.set(job, count);
+      result.set(job, count);
       left -= Math.min(count, waitingTaskCount(job)) * each;
     }
   }
-  return out;
+  return result;
 }
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -7,24 +7,24 @@
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import { freeCapacity } from '../shard-state/machines.js';
 import type { ScheduledJob, ScheduledMachine, Placement } from '../shard-state/types.js';
-import { mayEmpty, openTo } from './feasibility.js';
-import { claim, type ShardRound } from './shard.js';
-import { demandsNow, loss, mayStop, type Plan } from './victims.js';
+import { mayDrain, isFeasible } from './feasibility.js';
+import { reserveMachines, type ShardCycle } from './shard-cycle.js';
+import { preemptsImmediately, preemptionLoss, mayPreempt, type PreemptionPlan } from './victims.js';
 
 /** True while tasks on a machine are being stopped. */
-export const madeRoom = (m: ScheduledMachine): boolean =>
-  [...m.placements.values()].some((p) => p.stopRequest !== null);
+export const hasStoppingTasks = (machine: ScheduledMachine): boolean =>
+  [...machine.placements.values()].some((p) => p.stopRequest !== null);
 
 /** Of plans in order of loss: those of the zone where so many of them lose least together. */
-function cheapestZone(plans: Plan[], need: number): Plan[] {
-  let best: Plan[] = [];
-  let least = Infinity;
-  for (const zone of new Set(plans.map((p) => p.m.zone))) {
-    const here = plans.filter((p) => p.m.zone === zone).slice(0, need);
-    const lost = here.reduce((sum, p) => sum + p.lost, 0);
-    if (here.length === need && lost < least) {
-      least = lost;
-      best = here;
+function cheapestZone(plans: PreemptionPlan[], count: number): PreemptionPlan[] {
+  let best: PreemptionPlan[] = [];
+  let minLoss = Infinity;
+  for (const zone of new Set(plans.map((p) => p.machine.zone))) {
+    const inZone = plans.filter((p) => p.machine.zone === zone).slice(0, count);
+    const loss = inZone.reduce((sum, p) => sum + p.lostCpuS, 0);
+    if (inZone.length === count && loss < minLoss) {
+      minLoss = loss;
+      best = inZone;
     }
   }
   return best;
@@ -34,35 +34,37 @@
  * Makes room for a job that neither a free place nor a machine rented now would serve in time, by stopping
  * the tasks that lose least. Machines where room is being made are kept for it. False: not looked for.
  */
-export function preempt(job: ScheduledJob, round: ShardRound): boolean {
+export function preemptFor(job: ScheduledJob, cycle: ShardCycle): boolean {
   const { spec } = job;
-  const { shardState } = round;
-  const entitled = round.entitled.has(job);
+  const { shardState } = cycle;
+  const withinGuarantee = cycle.withinGuarantee.has(job);
   const lower = [...shardState.placementsByUrgency].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency]);
-  if (!entitled && !lower) return false;
+  if (!withinGuarantee && !lower) return false;
   const limits = timeLimitsOf(spec, shardState.settings.objectives);
   const ageS = (shardState.clock.wall - job.at) / 1000;
   const slack = slackS(limits, ageS, spec.estimateS);
-  let need = waitingTaskCount(job);
-  if (spec.shape !== 'gang') need = Math.min(need, 1);
-  if (fitCount(spec, shardState.availableQuota(spec)) < need) return false;
-  const kinds = shardState.replica.machineTypes.filter((t) => typeAllowed(spec, t));
-  const bootS = Math.min(...kinds.map((t) => t.bootS + imageFetchS(spec, t)));
-  const hurry = Number.isFinite(slack) ? slack : 2 * bootS - ageS;
-  if (!demandsNow(round, job) && hurry > bootS + 2 * shardState.settings.workers.report_s) return false;
-  let plans: Plan[] = [];
+  let needed = waitingTaskCount(job);
+  if (spec.shape !== 'gang') needed = Math.min(needed, 1);
+  if (fitCount(spec, shardState.availableQuota(spec)) < needed) return false;
+  const allowedTypes = shardState.replica.machineTypes.filter((t) => typeAllowed(spec, t));
+  const bootS = Math.min(...allowedTypes.map((t) => t.bootS + imageFetchS(spec, t)));
+  const timeLeftS = Number.isFinite(slack) ? slack : 2 * bootS - ageS;
+  if (!preemptsImmediately(cycle, job) && timeLeftS > bootS + 2 * shardState.settings.workers.report_s)
+    return false;
+  let plans: PreemptionPlan[] = [];
   // For a whole machine much is stopped at once: what saves has to fetch and to queue again, so it counts like the rest.
-  const lossOf = (p: Placement): number => loss(shardState, p, Infinity);
-  const kept = round.claimed.get(job.id) ?? [];
-  for (const m of [...kept, ...round.all]) {
-    round.capacityIndex.examined++;
-    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !openTo(shardState, job, m)) continue;
-    if (!mayEmpty(round, job, m.type)) continue;
+  const lossOf = (p: Placement): number => preemptionLoss(shardState, p, Infinity);
+  const reserved = cycle.reservedMachines.get(job.id) ?? [];
+  for (const m of [...reserved, ...cycle.unreserved]) {
+    cycle.capacityIndex.examined++;
+    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !isFeasible(shardState, job, m))
+      continue;
+    if (!mayDrain(cycle, job, m.type)) continue;
     const room = freeCapacity(shardState, m);
     const victims: Placement[] = [];
     let lost = 0;
     const all = [...m.placements.values()].filter(
-      (p) => p.stopRequest !== null || mayStop(round, job, p, entitled),
+      (p) => p.stopRequest !== null || mayPreempt(cycle, job, p, withinGuarantee),
     );
     all.sort((a, b) => lossOf(a) - lossOf(b));
     for (const p of all) {
@@ -75,17 +77,17 @@
       victims.push(p);
       lost += lossOf(p);
     }
-    if (fits(spec, room)) plans.push({ m, victims, lost });
+    if (fits(spec, room)) plans.push({ machine: m, victims, lostCpuS: lost });
   }
-  plans.sort((a, b) => a.lost - b.lost);
-  if (spec.oneZone && plans.length >= need) plans = cheapestZone(plans, need);
-  if (plans.length < need) return true;
-  const chosen = plans.slice(0, need);
+  plans.sort((a, b) => a.lostCpuS - b.lostCpuS);
+  if (spec.oneZone && plans.length >= needed) plans = cheapestZone(plans, needed);
+  if (plans.length < needed) return true;
+  const chosen = plans.slice(0, needed);
   // What is in the way of the zone is found out by the placement; here only the loss counts.
-  claim(
+  reserveMachines(
     job,
-    round,
-    chosen.map((p) => p.m).filter((m) => !kept.includes(m)),
+    cycle,
+    chosen.map((p) => p.machine).filter((m) => !reserved.includes(m)),
   );
   for (const plan of chosen)
     for (const p of plan.victims)
--- a/src/core/scheduling/reservation-ageing.ts
+++ b/src/core/scheduling/reservation-ageing.ts
@@ -2,6 +2,7 @@
 import type { Settings } from '../../config/settings.js';
 
 /** For so many worker leases room may be kept for others while work that it fits waits. */
-const keptLeases = 2.5;
+const maxReservationLeases = 2.5;
 
-export const keptMs = (settings: Settings): number => settings.workers.lease_s * 1000 * keptLeases;
+export const maxReservationAgeMs = (settings: Settings): number =>
+  settings.workers.lease_s * 1000 * maxReservationLeases;
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -7,26 +7,26 @@
 import type { ShardState } from '../shard-state/shard-state.js';
 import { freeCapacity, acceptsTasks } from '../shard-state/machines.js';
 import type { ScheduledJob } from '../shard-state/types.js';
-import { openTo } from './feasibility.js';
+import { isFeasible } from './feasibility.js';
 
 /**
  * Moves tasks off spot machines that cost more than on-demand ones, hazard included. Guardrails: a budget
- * per window, residency, only tasks that save, and only when there is a place to go. `movedAt` tells when a move was
+ * per window, residency, only tasks that save, and only when there is a place to go. `lastMigrationAt` tells when a move was
  * last ordered, ms; so does the answer.
  */
-export function moveOff(shardState: ShardState, movedAt: number): number {
+export function migrateOffSpot(shardState: ShardState, lastMigrationAt: number): number {
   const now = shardState.clock.now;
-  const w = scoreWeights(shardState.operators);
+  const weights = scoreWeights(shardState.operators);
   const hazard = shardState.hazard.perStep(shardState.operators['hazard-step-s']);
-  if (now - movedAt < shardState.operators['move-window-s'] * 1000) return movedAt;
-  let last = movedAt;
-  let tasks = 0;
-  for (const m of shardState.machines.values()) tasks += m.placements.size;
-  let budget = migrationBudget(shardState.operators['move-share'], tasks);
+  if (now - lastMigrationAt < shardState.operators['move-window-s'] * 1000) return lastMigrationAt;
+  let latestAt = lastMigrationAt;
+  let runningTasks = 0;
+  for (const m of shardState.machines.values()) runningTasks += m.placements.size;
+  let budget = migrationBudget(shardState.operators['move-share'], runningTasks);
   for (const m of shardState.machines.values()) {
     if (budget <= 0) break;
     if (!m.record.spot || m.placements.size === 0) continue;
-    const c = machineCandidate(m.type, true, hazard, false, 0, 0);
+    const candidate = machineCandidate(m.type, true, hazard, false, 0, 0);
     for (const p of m.placements.values()) {
       if (budget <= 0) break;
       const { spec } = p.job;
@@ -41,31 +41,31 @@
       if (!residentLongEnough((now - p.runningSince) / 1000, shardState.operators['residency-s'])) continue;
       if (
         migrationUrgency(
-          c,
+          candidate,
           anchorPrice(spec, shardState.replica.machineTypes, () => true),
-          w,
+          weights,
         ) <= 0
       )
         continue;
-      if (!freePlaceOffSpot(shardState, p.job)) continue;
+      if (!hasOnDemandRoom(shardState, p.job)) continue;
       shardState.requestStop(p, spec.saveS);
       budget--;
-      last = now;
+      latestAt = now;
       shardState.log('info', 'moving off spot', { job: p.job.id, index: p.index, host: m.host });
     }
   }
-  return last;
+  return latestAt;
 }
 
-function freePlaceOffSpot(shardState: ShardState, job: ScheduledJob): boolean {
-  for (const m of shardState.machines.values())
+function hasOnDemandRoom(shardState: ShardState, job: ScheduledJob): boolean {
+  for (const machine of shardState.machines.values())
     if (
-      m.record.shard === job.shard &&
-      !m.spot &&
-      typeAllowed(job.spec, m.type) &&
-      fits(job.spec, freeCapacity(shardState, m)) &&
-      acceptsTasks(shardState, m) &&
-      openTo(shardState, job, m)
+      machine.record.shard === job.shard &&
+      !machine.spot &&
+      typeAllowed(job.spec, machine.type) &&
+      fits(job.spec, freeCapacity(shardState, machine)) &&
+      acceptsTasks(shardState, machine) &&
+      isFeasible(shardState, job, machine)
     )
       return true;
   return false;
--- a/src/core/scheduling/starvation.ts
+++ b/src/core/scheduling/starvation.ts
@@ -4,15 +4,15 @@
 import { isSuspect } from '../failure-attribution.js';
 import type { ShardState } from '../shard-state/shard-state.js';
 import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
-import { matches } from './feasibility.js';
-import { keptMs } from './reservation-ageing.js';
-import type { ShardRound } from './shard.js';
+import { meetsConstraints } from './feasibility.js';
+import { maxReservationAgeMs } from './reservation-ageing.js';
+import type { ShardCycle } from './shard-cycle.js';
 
 /** Whether all of a job has waited for long. */
-export const overdue = (shardState: ShardState, job: ScheduledJob): boolean =>
+export const isStarving = (shardState: ShardState, job: ScheduledJob): boolean =>
   job.placements.size === 0 &&
   !isSuspect(job) &&
-  shardState.clock.wall - job.fullyWaitingSince > keptMs(shardState.settings);
+  shardState.clock.wall - job.fullyWaitingSince > maxReservationAgeMs(shardState.settings);
 
 /**
  * Machines with room that nobody has taken for long, for a job that has waited for long. Guards against room that is kept
@@ -20,21 +20,27 @@
  * whoever waits beside it would do so for ever. A job gets one task through by that, or one gang; then it is not overdue any
  * more. Single tasks go to one machine until it is full, and to another a lease later: the others still run empty for gangs.
  */
-export function* leftOver(job: ScheduledJob, round: ShardRound): Generator<ScheduledMachine> {
+export function* agedMachines(job: ScheduledJob, cycle: ShardCycle): Generator<ScheduledMachine> {
   const { spec } = job;
-  const { shardState, capacityIndex } = round;
-  if (round.unused.length === 0 || !overdue(shardState, job)) return;
+  const { shardState, capacityIndex } = cycle;
+  if (cycle.agedCapacity.length === 0 || !isStarving(shardState, job)) return;
   const { now } = shardState.clock;
-  const another = now - shardState.starvationRelief.at > shardState.settings.workers.lease_s * 1000;
-  for (const m of round.unused) {
+  const mayOpenAnother = now - shardState.starvationRelief.at > shardState.settings.workers.lease_s * 1000;
+  for (const machine of cycle.agedCapacity) {
     capacityIndex.examined++;
-    if (spec.shape !== 'gang' && m.host !== shardState.starvationRelief.host && !another) continue;
-    if (typeAllowed(spec, m.type) && (!m.spot || spotAllowed(spec)) && matches(job, m)) yield m;
+    if (spec.shape !== 'gang' && machine.host !== shardState.starvationRelief.host && !mayOpenAnother)
+      continue;
+    if (
+      typeAllowed(spec, machine.type) &&
+      (!machine.spot || spotAllowed(spec)) &&
+      meetsConstraints(job, machine)
+    )
+      yield machine;
   }
 }
 
 /** A single task has gone to this machine. */
-export function open({ shardState }: ShardRound, { host }: ScheduledMachine): void {
+export function recordAgedPlacement({ shardState }: ShardCycle, { host }: ScheduledMachine): void {
   if (shardState.starvationRelief.host !== host)
     shardState.starvationRelief = { host, at: shardState.clock.now };
 }
--- a/src/core/scheduling/voluntary-preemption.ts
+++ b/src/core/scheduling/voluntary-preemption.ts
@@ -7,16 +7,16 @@
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import { freeCapacity } from '../shard-state/machines.js';
 import type { ScheduledJob, Placement } from '../shard-state/types.js';
-import { mayCrowd, mayEmpty, openTo } from './feasibility.js';
-import { add, promise, type ShardRound } from './shard.js';
-import { demandsNow, loss, mayStop, type Plan } from './victims.js';
+import { mayUseGpuReserve, mayDrain, isFeasible } from './feasibility.js';
+import { addResources, earmark, type ShardCycle } from './shard-cycle.js';
+import { preemptsImmediately, preemptionLoss, mayPreempt, type PreemptionPlan } from './victims.js';
 
 /** Whether an array may have a task give way at once, not only when it is pressed for time. */
-function givesWay(round: ShardRound, job: ScheduledJob, victim: Placement): boolean {
-  const { shardState } = round;
+function mayPreemptVoluntarily(cycle: ShardCycle, job: ScheduledJob, victim: Placement): boolean {
+  const { shardState } = cycle;
   const { spec } = victim.job;
   if (victim.stopRequest !== null || victim.job.unreadable || spec.shape !== 'array') return false;
-  if (demandsNow(round, job)) return mayStop(round, job, victim, true);
+  if (preemptsImmediately(cycle, job)) return mayPreempt(cycle, job, victim, true);
   // Work that nobody waits for by a certain time, and that loses next to nothing.
   return (
     urgencyRank[spec.urgency] < urgencyRank[job.spec.urgency] &&
@@ -31,55 +31,68 @@
  * the fleet while it was idle: others would wait until their tasks end. Room that is being made already is counted, for one
  * job of the round only. False: not looked for.
  */
-export function makeYield(job: ScheduledJob, round: ShardRound): boolean {
+export function preemptVoluntarily(job: ScheduledJob, cycle: ShardCycle): boolean {
   const { spec } = job;
-  const { shardState } = round;
-  const entitled = demandsNow(round, job);
+  const { shardState } = cycle;
+  const immediate = preemptsImmediately(cycle, job);
   if (
-    !entitled &&
+    !immediate &&
     ![...shardState.placementsByUrgency].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency])
   )
     return false;
-  let need = Math.min(waitingTaskCount(job), fitCount(spec, shardState.availableQuota(spec)));
-  const crowd = mayCrowd(round, job);
-  const plans: Plan[] = [];
-  for (const m of round.all) {
-    if (need <= 0) return true;
-    round.capacityIndex.examined++;
-    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !openTo(shardState, job, m)) continue;
-    if (!mayEmpty(round, job, m.type)) continue;
-    const promised = round.promised.get(m.host);
-    const room = freeCapacity(shardState, m);
-    if (promised) add(room, promised, -1);
-    for (const p of m.placements.values()) if (p.stopRequest !== null) add(room, p.job.spec, 1);
-    const n = Math.min(need, fitCount(spec, roomOutsideGpuReserve(spec, room, round.keep, crowd)));
+  let needed = Math.min(waitingTaskCount(job), fitCount(spec, shardState.availableQuota(spec)));
+  const mayUseReserve = mayUseGpuReserve(cycle, job);
+  const plans: PreemptionPlan[] = [];
+  for (const machine of cycle.unreserved) {
+    if (needed <= 0) return true;
+    cycle.capacityIndex.examined++;
+    if (
+      !typeAllowed(spec, machine.type) ||
+      (machine.spot && !spotAllowed(spec)) ||
+      !isFeasible(shardState, job, machine)
+    )
+      continue;
+    if (!mayDrain(cycle, job, machine.type)) continue;
+    const earmarked = cycle.earmarked.get(machine.host);
+    const free = freeCapacity(shardState, machine);
+    if (earmarked) addResources(free, earmarked, -1);
+    for (const p of machine.placements.values())
+      if (p.stopRequest !== null) addResources(free, p.job.spec, 1);
+    const n = Math.min(
+      needed,
+      fitCount(spec, roomOutsideGpuReserve(spec, free, cycle.gpuReserve, mayUseReserve)),
+    );
     if (n > 0) {
-      promise(round, m, spec, n);
-      add(room, spec, -n);
-      need -= n;
+      earmark(cycle, machine, spec, n);
+      addResources(free, spec, -n);
+      needed -= n;
     }
-    const victims = [...m.placements.values()].filter((p) => givesWay(round, job, p));
-    victims.sort((a, b) => loss(shardState, a, 0) - loss(shardState, b, 0));
-    let plan: Plan = { m, victims: [], lost: 0 };
+    const victims = [...machine.placements.values()].filter((p) => mayPreemptVoluntarily(cycle, job, p));
+    victims.sort((a, b) => preemptionLoss(shardState, a, 0) - preemptionLoss(shardState, b, 0));
+    let plan: PreemptionPlan = { machine, victims: [], lostCpuS: 0 };
     for (const p of victims) {
-      add(room, p.job.spec, 1);
+      addResources(free, p.job.spec, 1);
       plan.victims.push(p);
-      plan.lost += loss(shardState, p, 0);
-      if (!fits(spec, roomOutsideGpuReserve(spec, room, round.keep, crowd))) continue;
-      add(room, spec, -1);
+      plan.lostCpuS += preemptionLoss(shardState, p, 0);
+      if (!fits(spec, roomOutsideGpuReserve(spec, free, cycle.gpuReserve, mayUseReserve))) continue;
+      addResources(free, spec, -1);
       plans.push(plan);
-      plan = { m, victims: [], lost: 0 };
+      plan = { machine, victims: [], lostCpuS: 0 };
     }
   }
-  plans.sort((a, b) => a.lost - b.lost);
-  for (const plan of plans.slice(0, need)) {
-    promise(round, plan.m, spec, 1);
+  plans.sort((a, b) => a.lostCpuS - b.lostCpuS);
+  for (const plan of plans.slice(0, needed)) {
+    earmark(cycle, plan.machine, spec, 1);
     for (const p of plan.victims) {
       shardState.log('debug', 'giving way', { job: p.job.id, index: p.index, host: p.host, for: job.id });
       shardState.requestStop(p, p.job.spec.saveS);
     }
   }
-  if (plans.length > 0 && need > 0)
-    shardState.log('info', 'others give way', { for: job.id, entitled, tasks: Math.min(need, plans.length) });
+  if (plans.length > 0 && needed > 0)
+    shardState.log('info', 'others give way', {
+      for: job.id,
+      entitled: immediate,
+      tasks: Math.min(needed, plans.length),
+    });
   return true;
 }
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -9,8 +9,8 @@
 import type { Clock, Effect, Log } from './effects.js';
 import type { Replica } from './replica.js';
 import { Sweep } from '../feature-levels/index.js';
-import { moveOff } from './scheduling/spot-migration.js';
-import { placeRound } from './scheduling/cycle.js';
+import { migrateOffSpot } from './scheduling/spot-migration.js';
+import { schedulingCycle } from './scheduling/cycle.js';
 import { summarize } from './summary.js';
 import { MachineLifecycle } from './machine-lifecycle.js';
 
@@ -156,7 +156,7 @@
     this.shardState.taskWriter.flushEnds();
     if (this.cycle === null && now - this.lastCycleAt >= this.operators['round-s'] * 1000) {
       this.lastCycleAt = now;
-      this.cycle = placeRound(this.shardState);
+      this.cycle = schedulingCycle(this.shardState);
     }
     if (this.cycle !== null && now - this.slicedAt >= sliceMs) {
       this.slicedAt = now;
@@ -171,7 +171,7 @@
       const step = round.next();
       if (step.done) {
         this.cycle = null;
-        this.lastMigrationAt = moveOff(this.shardState, this.lastMigrationAt);
+        this.lastMigrationAt = migrateOffSpot(this.shardState, this.lastMigrationAt);
         return;
       }
       looked += step.value;
