--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,138 +1,18 @@
-import protobuf from 'protobufjs/light.js';
-import type { Demand, KindWant, Turned } from '../admission/index.js';
+/** What controllers tell each other: one protobuf message a frame, behind its length as a 32-bit number. */
+import type { Demand, Turned } from '../admission/index.js';
 import type { Speaks } from '../formats/index.js';
 import type { Pulse } from '../core/effects.js';
 import type { ExitReason, Heartbeat, TaskPhase } from '../model/heartbeat.js';
 import type { Question } from '../freshness/index.js';
-
-/**
- * What controllers tell each other: one protobuf message a frame, behind its length as a 32-bit number.
- * All of it only speeds things up or carries a worker's report to its owner; the state service stays the truth.
- * Counters are doubles: they are exact below 2^53 and need no 64-bit integers.
- */
-const root = protobuf.Root.fromJSON({
-  nested: {
-    Frame: {
-      oneofs: { body: { oneof: ['hello', 'relay', 'relayed', 'pulse', 'ask', 'vouch', 'turned'] } },
-      fields: {
-        hello: { type: 'Hello', id: 1 },
-        relayed: { type: 'Relayed', id: 3 },
-        pulse: { type: 'Pulse', id: 4 },
-        relay: { type: 'Relay', id: 5 },
-        ask: { type: 'Ask', id: 6 },
-        vouch: { type: 'Vouch', id: 7 },
-        turned: { type: 'Turned', id: 8 },
-      },
-    },
-    Hello: {
-      fields: {
-        member: { type: 'string', id: 1 },
-        run: { type: 'string', id: 2 },
-        /** The formats of messages that the sender reads; 0: it knows only the first. */
-        least: { type: 'uint32', id: 3 },
-        most: { type: 'uint32', id: 4 },
-      },
-    },
-    /** A worker's report that reached the wrong controller. */
-    Relay: { fields: { id: { type: 'uint32', id: 1 }, report: { type: 'Report', id: 2 } } },
-    Report: {
-      fields: {
-        host: { type: 'string', id: 1 },
-        endpoint: { type: 'string', id: 2 },
-        type: { type: 'string', id: 3 },
-        zone: { type: 'string', id: 4 },
-        spot: { type: 'bool', id: 5 },
-        session: { type: 'double', id: 6 },
-        seq: { type: 'double', id: 7 },
-        token: { type: 'double', id: 8 },
-        /** Below zero: no notice. */
-        noticeS: { type: 'double', id: 9 },
-        tasks: { rule: 'repeated', type: 'Task', id: 10 },
-      },
-    },
-    Task: {
-      fields: {
-        job: { type: 'string', id: 1 },
-        index: { type: 'uint32', id: 2 },
-        attempt: { type: 'double', id: 3 },
-        phase: { type: 'uint32', id: 4 },
-        /** 0: none. */
-        why: { type: 'uint32', id: 5 },
-        saved: { type: 'bool', id: 6 },
-      },
-    },
-    /** The answer to a relayed report, as the worker is to get it. */
-    Relayed: {
-      fields: {
-        id: { type: 'uint32', id: 1 },
-        status: { type: 'uint32', id: 2 },
-        body: { type: 'string', id: 3 },
-      },
-    },
-    Pulse: {
-      fields: {
-        /** The newest revision that the sender knows of. */
-        epoch: { type: 'double', id: 1 },
-        run: { type: 'string', id: 2 },
-        /** How busy the sender is, in thousandths of what it has. */
-        busy: { type: 'uint32', id: 3 },
-        /** Its workers may stay at whoever they reach: their reports are to be relayed. */
-        front: { type: 'bool', id: 4 },
-        /** Writes a second that the sender wants, for what was accepted and for users. */
-        tasks: { type: 'uint32', id: 5 },
-        users: { type: 'uint32', id: 6 },
-        /** It says what it wants. Zeros are not sent: without this, one that wants nothing would look like one that does not say. */
-        says: { type: 'bool', id: 7 },
-        /** How far behind it is with writing for accepted work, tenths of a second. */
-        behind: { type: 'uint32', id: 8 },
-        /** The plan that it follows. */
-        follows: { type: 'uint32', id: 9 },
-        kinds: { rule: 'repeated', type: 'Kind', id: 10 },
-        /** The incarnation of the state that it follows. */
-        inc: { type: 'uint32', id: 11 },
-        jobs: { type: 'uint32', id: 12 },
-      },
-    },
-    /** What users of a team and class want there, a second. */
-    Kind: {
-      fields: {
-        team: { type: 'string', id: 1 },
-        class: { type: 'string', id: 2 },
-        weight: { type: 'float', id: 3 },
-        want: { type: 'float', id: 4 },
-      },
-    },
-    /** Jobs that were turned away, and since when their users try. */
-    Turned: { fields: { list: { rule: 'repeated', type: 'Away', id: 1 } } },
-    Away: {
-      fields: {
-        id: { type: 'string', id: 1 },
-        team: { type: 'string', id: 2 },
-        class: { type: 'string', id: 3 },
-        ageMs: { type: 'uint32', id: 4 },
-      },
-    },
-    /** What do you know above this revision? */
-    Ask: {
-      fields: {
-        nonce: { type: 'uint32', id: 1 },
-        epoch: { type: 'double', id: 2 },
-        run: { type: 'string', id: 3 },
-        /** The incarnation that the sender follows. */
-        inc: { type: 'uint32', id: 4 },
-      },
-    },
-    /** All of it, as JSON. */
-    Vouch: {
-      fields: {
-        ask: { type: 'Ask', id: 1 },
-        run: { type: 'string', id: 2 },
-        known: { type: 'string', id: 3 },
-      },
-    },
-  },
-});
-const type = root.lookupType('Frame');
+import {
+  frameType,
+  type WireAsk,
+  type WireAway,
+  type WireFrame,
+  type WireHello,
+  type WirePulse,
+  type WireReport,
+} from './frame-schema.js';
 
 const phases: TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
 const whys: (ExitReason | null)[] = [
@@ -156,117 +36,146 @@
   | { turned: { list: Turned[] } }
   | { vouch: { ask: Question; run: string; known: string } };
 
-interface RawTask {
-  job: string;
-  index: number;
-  attempt: number;
-  phase: number;
-  why: number;
-  saved: boolean;
+function reportOut(r: Heartbeat): WireReport {
+  return {
+    host: r.host,
+    endpoint: r.endpoint,
+    type: r.type,
+    zone: r.zone,
+    spot: r.spot,
+    session: r.session,
+    seq: r.seq,
+    token: r.token,
+    noticeS: r.noticeS ?? -1,
+    tasks: r.tasks.map((t) => ({
+      job: t.job,
+      index: t.index,
+      attempt: t.attempt,
+      phase: phases.indexOf(t.phase),
+      why: whys.indexOf(t.why),
+      saved: t.saved,
+    })),
+  };
+}
+
+function reportIn(r: WireReport): Heartbeat {
+  return {
+    host: r.host,
+    endpoint: r.endpoint,
+    type: r.type,
+    zone: r.zone,
+    spot: r.spot,
+    session: r.session,
+    seq: r.seq,
+    token: r.token,
+    noticeS: r.noticeS < 0 ? null : r.noticeS,
+    tasks: r.tasks.map((t) => ({
+      job: t.job,
+      index: t.index,
+      attempt: t.attempt,
+      // A state that this version does not know still means that the task is on the machine.
+      phase: phases[t.phase] ?? 'running',
+      why: t.why < whys.length ? whys[t.why] : 'error',
+      saved: t.saved,
+    })),
+  };
 }
-interface RawPulse {
-  epoch: number;
-  run: string;
-  busy: number;
-  front: boolean;
-  inc: number;
-  jobs: number;
+
+function pulseOut(p: Pulse): Partial<WirePulse> {
+  const status = { epoch: p.epoch, run: p.run, busy: p.busy, front: p.front, inc: p.inc, jobs: p.jobs };
+  const d = p.wants;
+  if (d === null) return { ...status, says: false, behind: 0 };
+  return {
+    ...status,
+    says: true,
+    tasks: d.tasks,
+    users: d.users,
+    behind: Math.round(d.behindS * 10),
+    follows: d.follows,
+    kinds: d.kinds.map((k) => ({ team: k.team, class: k.class, weight: k.weight, want: k.want })),
+  };
 }
-interface RawQuestion {
-  nonce: number;
-  epoch: number;
-  run: string;
-  inc: number;
+
+function demandIn(p: WirePulse): Demand {
+  return {
+    tasks: p.tasks,
+    users: p.users,
+    behindS: p.behind / 10,
+    follows: p.follows,
+    kinds: p.kinds.map((k) => ({ team: k.team, class: k.class, weight: k.weight, want: k.want })),
+  };
 }
-type RawReport = Omit<Heartbeat, 'noticeS' | 'tasks'> & { noticeS: number; tasks: RawTask[] };
 
-const reportOut = (r: Heartbeat): RawReport => ({
-  ...r,
-  noticeS: r.noticeS ?? -1,
-  tasks: r.tasks.map((t) => ({ ...t, phase: phases.indexOf(t.phase), why: whys.indexOf(t.why) })),
-});
+function pulseIn(p: WirePulse): Pulse {
+  return {
+    epoch: p.epoch,
+    run: p.run,
+    busy: p.busy,
+    front: p.front,
+    wants: p.says ? demandIn(p) : null,
+    inc: p.inc,
+    jobs: p.jobs,
+  };
+}
 
-const reportIn = (r: RawReport): Heartbeat => ({
-  host: r.host,
-  endpoint: r.endpoint,
-  type: r.type,
-  zone: r.zone,
-  spot: r.spot,
-  session: r.session,
-  seq: r.seq,
-  token: r.token,
-  noticeS: r.noticeS < 0 ? null : r.noticeS,
-  tasks: r.tasks.map((t) => ({
-    job: t.job,
-    index: t.index,
-    attempt: t.attempt,
-    // A state that this version does not know still means that the task is on the machine.
-    phase: phases[t.phase] ?? 'running',
-    why: t.why < whys.length ? whys[t.why] : 'error',
-    saved: t.saved,
-  })),
+const helloOut = (member: string, run: string, speaks: Speaks): WireHello => ({
+  member,
+  run,
+  least: speaks.least,
+  most: speaks.most,
 });
 
+/** A sender that names no formats knows only the first. */
+const speaksIn = (h: WireHello): Speaks => ({ least: h.least || 1, most: h.most || 1 });
+
+const turnedOut = (t: Turned): WireAway => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
+const turnedIn = (t: WireAway): Turned => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
+
+const questionOut = (q: Question): WireAsk => ({ nonce: q.nonce, epoch: q.epoch, run: q.run, inc: q.inc });
+const questionIn = (q: WireAsk): Question => ({ run: q.run, nonce: q.nonce, epoch: q.epoch, inc: q.inc });
+
 function wireOf(frame: Frame): object {
+  if ('hello' in frame) return { hello: helloOut(frame.hello.member, frame.hello.run, frame.hello.speaks) };
   if ('relay' in frame) return { relay: { id: frame.relay.id, report: reportOut(frame.relay.report) } };
-  if ('pulse' in frame) {
-    const { epoch, run, busy, front, wants, inc, jobs } = frame.pulse;
-    const behind = Math.round((wants?.behindS ?? 0) * 10);
-    return { pulse: { ...wants, epoch, run, busy, front, inc, jobs, behind, says: wants !== null } };
+  if ('relayed' in frame) {
+    const { id, status, body } = frame.relayed;
+    return { relayed: { id, status, body } };
   }
+  if ('pulse' in frame) return { pulse: pulseOut(frame.pulse) };
+  if ('turned' in frame) return { turned: { list: frame.turned.list.map(turnedOut) } };
   if ('ask' in frame) return { ask: questionOut(frame.ask) };
-  if ('vouch' in frame) return { vouch: { ...frame.vouch, ask: questionOut(frame.vouch.ask) } };
-  if (!('hello' in frame)) return frame;
-  const { member, run, speaks } = frame.hello;
-  return { hello: { member, run, ...speaks } };
+  const { ask, run, known } = frame.vouch;
+  return { vouch: { ask: questionOut(ask), run, known } };
 }
 
 export function encodeFrame(frame: Frame): Buffer {
-  const body = type.encode(wireOf(frame)).finish();
+  const body = frameType.encode(wireOf(frame)).finish();
   const out = Buffer.allocUnsafe(4 + body.length);
   out.writeUInt32BE(body.length, 0);
   out.set(body, 4);
   return out;
 }
 
-const questionOut = ({ nonce, epoch, run, inc }: Question): object => ({ nonce, epoch, run, inc });
-const questionIn = ({ nonce, epoch, run, inc }: RawQuestion): Question => ({ nonce, epoch, run, inc });
-
+/** Null for a message that this program does not know, or that lacks what it is about. */
 function decodeFrame(body: Uint8Array): Frame | null {
-  const f = type.decode(body) as unknown as Partial<Record<string, unknown>>;
-  if (f['hello']) {
-    const { member, run, least, most } = f['hello'] as { member: string; run: string } & Speaks;
-    return { hello: { member, run, speaks: { least: least || 1, most: most || 1 } } };
+  const f = frameType.decode(body) as WireFrame;
+  if (f.hello) {
+    const { member, run } = f.hello;
+    return { hello: { member, run, speaks: speaksIn(f.hello) } };
   }
-  if (f['relay']) {
-    const { id, report } = f['relay'] as { id: number; report: RawReport | null };
+  if (f.relay) {
+    const { id, report } = f.relay;
     return report ? { relay: { id, report: reportIn(report) } } : null;
   }
-  if (f['relayed']) {
-    const { id, status, body: text } = f['relayed'] as { id: number; status: number; body: string };
+  if (f.relayed) {
+    const { id, status, body: text } = f.relayed;
     return { relayed: { id, status, body: text } };
   }
-  if (f['pulse']) {
-    const pulse = f['pulse'] as RawPulse & Demand & { says: boolean; behind: number };
-    const { epoch, run, busy, front, tasks, users, behind, follows, inc, jobs } = pulse;
-    const kinds = pulse.kinds.map(({ team, class: c, weight, want }: KindWant) => ({
-      team,
-      class: c,
-      weight,
-      want,
-    }));
-    const wants = pulse.says ? { tasks, users, behindS: behind / 10, follows, kinds } : null;
-    return { pulse: { epoch, run, busy, front, wants, inc, jobs } };
-  }
-  if (f['turned']) {
-    const { list } = f['turned'] as { list: Turned[] };
-    return { turned: { list: list.map(({ id, team, class: c, ageMs }) => ({ id, team, class: c, ageMs })) } };
-  }
-  if (f['ask']) {
-    return { ask: questionIn(f['ask'] as RawQuestion) };
-  }
-  if (f['vouch']) {
-    const { ask, run, known } = f['vouch'] as { ask: RawQuestion | null; run: string; known: string };
+  if (f.pulse) return { pulse: pulseIn(f.pulse) };
+  if (f.turned) return { turned: { list: f.turned.list.map(turnedIn) } };
+  if (f.ask) return { ask: questionIn(f.ask) };
+  if (f.vouch) {
+    const { ask, run, known } = f.vouch;
     return ask ? { vouch: { ask: questionIn(ask), run, known } } : null;
   }
   return null;
