--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -34,6 +34,11 @@
 const mostPerDelete = 100;
 const listPage = 500;
 const returnEveryMs = 250;
+/**
+ * Deleted machines that are remembered, so that a listing that is older than their deletion does not bring them back. More
+ * than the largest fleet: all of it may be returned within one listing lag.
+ */
+const maxRememberedDeletions = 20_000;
 /** Of the cloud's request budget; the rest is slack for its clock and ours. */
 const budgetShare = 0.8;
 
@@ -394,7 +399,7 @@
     for (const h of hosts) {
       this.deleting.add(h);
       this.deletedLately.add(h);
-      if (this.deletedLately.size > 1000)
+      if (this.deletedLately.size > maxRememberedDeletions)
         this.deletedLately.delete(this.deletedLately.values().next().value!);
     }
     this.log('info', 'returning', { hosts });
--- /dev/null
+++ b/test/autoscaler.test.ts
@@ -0,0 +1,111 @@
+/** Machines that the cloud has deleted are not taken for unexpected ones, also when the whole fleet is deleted at once. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { defaults } from '../src/config/operators.js';
+import { parseSettings } from '../src/config/settings.js';
+import { Fleet } from '../src/core/autoscaler/autoscaler.js';
+import type { Effect } from '../src/core/effects.js';
+import { Replica } from '../src/core/replica.js';
+import {
+  blockData,
+  blockKey,
+  leadKey,
+  machineData,
+  machineKey,
+  typesData,
+  typesKey,
+  type Committer,
+  type Intent,
+} from '../src/core/storage/index.js';
+import { abilityOf, Levels } from '../src/feature-levels/index.js';
+import { retryPolicies, seeded } from '../src/retry/index.js';
+import type { ListedMachine } from '../src/wire/cloud.js';
+import { box, settingsText } from './support/world.js';
+
+const quiet = (): void => undefined;
+
+test('4,000 machines returned one after the other are not taken in again by a listing that still has them', () => {
+  const settings = parseSettings(settingsText('n0', 1));
+  const replica = new Replica(
+    {
+      jobChanged: quiet,
+      machineChanged: quiet,
+      shardChanged: quiet,
+      criticalChange: quiet,
+      readabilityChanged: quiet,
+      levelChanged: quiet,
+      incarnationChanged: quiet,
+    },
+    new Levels(abilityOf('test')),
+  );
+  const hosts = Array.from({ length: 4000 }, (_, i) => `host-${i}`);
+  const record = { type: box.name, zone: 'north', spot: false, shard: 0, since: 0 };
+  const blocks = Array.from({ length: 80 }, (_, i) => hosts.slice(i * 50, (i + 1) * 50));
+  replica.loadSnapshot(
+    [
+      { key: leadKey, data: { member: settings.member, run: 'run' }, stamp: 1 },
+      { key: typesKey, data: typesData([box]), stamp: 1 },
+      ...blocks.map((b, i) => ({
+        key: blockKey(`b-${i}`),
+        data: blockData({ ...record, hosts: b }),
+        stamp: 1,
+      })),
+      ...hosts.map((host) => ({
+        key: machineKey(host),
+        data: machineData({ ...record, host, state: 'dead' }),
+        stamp: 1,
+      })),
+    ],
+    1,
+  );
+  assert.equal(replica.machines.size, 4000);
+  let stamp = 1;
+  const committer = {
+    add(intent: Intent): void {
+      const txn = intent.build();
+      if (!txn) return;
+      stamp++;
+      for (const w of txn.apply) replica.apply({ ...w, stamp });
+      intent.ok(stamp);
+    },
+  } as unknown as Committer;
+  const unexpected: unknown[] = [];
+  const clock = { now: 0, wall: 1_000_000 };
+  const fleet = new Fleet(
+    settings,
+    defaults,
+    replica,
+    committer,
+    clock,
+    retryPolicies({ ...settings, stateLeaseMs: 3200 }).cloud,
+    seeded(1),
+    (_, message, fields) => void (message === 'unexpected machine' && unexpected.push(fields)),
+  );
+  const deleted: string[] = [];
+  while (deleted.length < hosts.length && clock.now < 60_000) {
+    clock.now += 250;
+    clock.wall += 250;
+    const out: Effect[] = [];
+    fleet.tick(out);
+    for (const e of out) if (e.e === 'list') fleet.listed(null, clock.now);
+    for (const e of out)
+      if (e.e === 'delete') {
+        deleted.push(...e.hosts);
+        fleet.deleted(e.hosts, true);
+      }
+  }
+  assert.equal(deleted.length, 4000);
+  assert.equal(replica.machines.size, 0);
+  const late = hosts.map((host): ListedMachine => ({
+    host,
+    endpoint: '',
+    type: box.name,
+    zone: 'north',
+    spot: false,
+    status: 'running',
+    ageS: 100,
+  }));
+  fleet.listed(late, clock.now);
+  assert.equal(unexpected.length, 0);
+  assert.equal(replica.machines.size, 0);
+});
