--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -101,7 +101,7 @@
   ['neighbours.recent.kept', 512],
   ['rebuilding.witness.known', 256],
 ]);
-const records = /^(replica|dispatcher\.books\.replica)\.(jobs|stamps|writers)$/;
+const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|stamps|writers)$/;
 
 meeting(
   'one-task jobs four a second, a quarter cancelled, some at their end; leaders change',
