--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -238,7 +238,8 @@
         this.lease.watch();
         if (r.job && r.task.phase !== 'fetching' && r.task.phase !== 'waiting')
           this.runner.adopt(r, r.job, this.boot);
-        else this.carryOut([{ e: 'prepare', task: Object.assign(r.task, { phase: 'fetching' as const }) }]);
+        else
+          this.carryOut([{ type: 'prepare', task: Object.assign(r.task, { phase: 'fetching' as const }) }]);
       }
     this.runner.sweepOrphans();
     this.log('info', 'joined', { host: joined.host, session: this.memory.session, tasks: tasks.length });
@@ -306,7 +307,7 @@
 
   private carryOut(effects: readonly WorkerEffect[]): void {
     for (const e of effects)
-      switch (e.e) {
+      switch (e.type) {
         case 'soon':
           this.tellSoon();
           break;
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -5,15 +5,15 @@
 /** What the worker wants done. */
 export type WorkerEffect =
   /** Get the job's description, and run the task unless it has to wait for its gang. */
-  | { e: 'prepare'; task: HeldTask }
-  | { e: 'run'; task: HeldTask }
-  | { e: 'stop'; task: HeldTask; graceS: number }
+  | { type: 'prepare'; task: HeldTask }
+  | { type: 'run'; task: HeldTask }
+  | { type: 'stop'; task: HeldTask; graceS: number }
   /** Its record may go. */
-  | { e: 'forget'; task: HeldTask }
+  | { type: 'forget'; task: HeldTask }
   /** Session or token changed: to be kept. */
-  | { e: 'remember' }
+  | { type: 'remember' }
   /** Something to report before the next turn. */
-  | { e: 'soon' };
+  | { type: 'soon' };
 
 export interface WorkerIdentity {
   host: string;
@@ -83,7 +83,7 @@
     const out: WorkerEffect[] = [];
     if (a.token > memory.token) {
       memory.token = a.token;
-      out.push({ e: 'remember' }, { e: 'soon' });
+      out.push({ type: 'remember' }, { type: 'soon' });
     }
     this.leaseFrom = Math.max(this.leaseFrom, sentAt);
     out.push(...this.execute(a.orders));
@@ -97,7 +97,7 @@
     const out: WorkerEffect[] = [];
     if (token > this.memory.token) {
       this.memory.token = token;
-      out.push({ e: 'remember' });
+      out.push({ type: 'remember' });
     }
     return [...out, ...this.execute(orders)];
   }
@@ -111,8 +111,9 @@
   newSession(now: number): WorkerEffect[] {
     this.memory.session++;
     this.leaseFrom = now;
-    const out: WorkerEffect[] = [{ e: 'remember' }];
-    for (const task of this.held.values()) out.push({ e: 'stop', task, graceS: 0 }, { e: 'forget', task });
+    const out: WorkerEffect[] = [{ type: 'remember' }];
+    for (const task of this.held.values())
+      out.push({ type: 'stop', task, graceS: 0 }, { type: 'forget', task });
     this.held.clear();
     return out;
   }
@@ -130,11 +131,11 @@
         );
         this.held.set(keyOf(o), fresh);
         if (other) out.push(...this.exited(fresh, 'busy', null, false));
-        else out.push({ e: 'prepare', task: fresh });
+        else out.push({ type: 'prepare', task: fresh });
       } else if (task) {
         if (o.op === 'forget' && task.phase === 'exited') {
           this.held.delete(keyOf(o));
-          out.push({ e: 'forget', task });
+          out.push({ type: 'forget', task });
         } else if (o.op === 'stop' && task.phase !== 'exited') out.push(...this.stop(task, o.graceS));
       }
     }
@@ -145,11 +146,11 @@
     if (task.phase === 'running' || task.phase === 'saving') {
       const again = task.phase === 'saving' && graceS > 0;
       task.phase = 'saving';
-      return again ? [] : [{ e: 'stop', task, graceS }];
+      return again ? [] : [{ type: 'stop', task, graceS }];
     }
     // It has not begun: there is nothing to end.
     this.exited(task, 'stopped', null, false);
-    return [{ e: 'stop', task, graceS: 0 }, { e: 'soon' }];
+    return [{ type: 'stop', task, graceS: 0 }, { type: 'soon' }];
   }
 
   private gangComplete(name: string): WorkerEffect[] {
@@ -157,7 +158,7 @@
     for (const task of this.held.values())
       if (task.phase === 'waiting' && gangName(task) === name) {
         task.phase = 'running';
-        out.push({ e: 'run', task }, { e: 'soon' });
+        out.push({ type: 'run', task }, { type: 'soon' });
       }
     return out;
   }
@@ -168,13 +169,13 @@
   prepared(task: HeldTask, gang: boolean): WorkerEffect[] {
     if (task.phase !== 'fetching') return [];
     task.phase = gang ? 'waiting' : 'running';
-    return gang ? [{ e: 'soon' }] : [{ e: 'run', task }, { e: 'soon' }];
+    return gang ? [{ type: 'soon' }] : [{ type: 'run', task }, { type: 'soon' }];
   }
 
   exited(task: HeldTask, why: HeldTask['why'], result: TaskResult | null, saved: boolean): WorkerEffect[] {
     if (task.phase === 'exited') return [];
     Object.assign(task, { phase: 'exited', why, result, saved });
-    return [{ e: 'soon' }];
+    return [{ type: 'soon' }];
   }
 }
 
--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -71,9 +71,9 @@
       when: [{ key: wishKey, stamp: now.stamp }],
       apply: [{ key: wishKey, data: wishData({ ...now, ...to(now) }) }],
     });
-    if (o.r === 'ok') return o.epoch;
+    if (o.type === 'ok') return o.epoch;
     return this.fail(
-      o.r === 'conflict' ? 'somebody else has just changed it: look again' : `not written: ${o.r}`,
+      o.type === 'conflict' ? 'somebody else has just changed it: look again' : `not written: ${o.type}`,
     );
   }
 }
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -155,7 +155,7 @@
       if (what === 'drain') await pool.drain(m.host);
       else {
         await pool.forget(m.host);
-        service.push({ c: 'forget', host: m.host });
+        service.push({ type: 'forget-machine', host: m.host });
       }
       reply(res, 200, { host: m.host, [what]: true });
     } catch (e) {
--- a/src/control/control-store.ts
+++ b/src/control/control-store.ts
@@ -28,8 +28,8 @@
 ): Promise<void> {
   for (let i = 0; i < tries; i++) {
     const o = await kv.commit({ when: guards, apply: entries.map(([key, data]) => ({ key, data })) });
-    if (o.r === 'ok') return;
-    if (o.r === 'malformed' || o.r === 'conflict') break;
+    if (o.type === 'ok') return;
+    if (o.type === 'malformed' || o.type === 'conflict') break;
   }
   throw new NotWritten('the store did not take it');
 }
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -90,11 +90,11 @@
     );
     if (matching)
       this.pool.onMember = (host, m) =>
-        this.service.push({ c: 'attributes', host, attributes: m && matching.attributesOf(m) });
+        this.service.push({ type: 'machine-attributes', host, attributes: m && matching.attributesOf(m) });
     this.api = new Api(this, snapshot);
-    this.pool.onForgotten = (host) => this.service.push({ c: 'forget', host });
+    this.pool.onForgotten = (host) => this.service.push({ type: 'forget-machine', host });
     this.pool.onTypes = () =>
-      void this.pool.types().then((types) => this.service.push({ c: 'types', types }));
+      void this.pool.types().then((types) => this.service.push({ type: 'machine-types', types }));
   }
 
   async start(): Promise<void> {
@@ -197,7 +197,7 @@
       if (e instanceof NotWritten) return refuse(503, { error: e.message });
       throw e;
     }
-    for (const id of this.failedGangs(report)) this.service.push({ c: 'stop-gang', id });
+    for (const id of this.failedGangs(report)) this.service.push({ type: 'stop-gang', id });
     // Drained: like a machine that is to be taken back, with all the time that it needs.
     if (member.drainedAt !== null) report.noticeS = this.settings.drainS;
     this.go.set(report.host, this.gangs.seen(report));
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -106,7 +106,7 @@
     if (!this.askingTypes && now - this.typesAt > this.typesEveryMs && this.spend()) {
       this.askingTypes = true;
       this.typesAt = now;
-      out.push({ e: 'types' });
+      out.push({ type: 'list-machine-types' });
     }
     if (this.replica.machineTypes.length === 0) return;
     if (!this.listing && now - this.listAt > this.settings.cloud.list_lag_s * 1000 && this.spend()) {
@@ -114,13 +114,14 @@
       this.listAt = now;
       // Each further page is a call, too.
       this.budget -= Math.floor(this.replica.machines.size / listPage);
-      out.push({ e: 'list' });
+      out.push({ type: 'list-machines' });
     }
     if (now - this.returnedAt >= returnEveryMs) {
       this.returnedAt = now;
       this.returnMachines(out);
     }
-    while (this.askAgain.length > 0 && this.spend()) out.push({ e: 'rent', request: this.askAgain.shift()! });
+    while (this.askAgain.length > 0 && this.spend())
+      out.push({ type: 'rent-machines', request: this.askAgain.shift()! });
     if (now - this.planAt >= 1000 && this.replica.shards.size > 0) {
       this.planAt = now;
       this.plan(out);
@@ -403,7 +404,7 @@
         this.deletedLately.delete(this.deletedLately.values().next().value!);
     }
     this.log('info', 'returning', { hosts });
-    out.push({ e: 'delete', hosts });
+    out.push({ type: 'delete-machines', hosts });
   }
 
   /** A free machine that the last plan found no use for. */
@@ -521,7 +522,7 @@
         };
         this.renting.set(request.name, { request, shard, coming: request.count });
         this.log('info', 'renting', { ...request, job: u.spec.id, urgency: urgencyRank[u.spec.urgency] });
-        out.push({ e: 'rent', request });
+        out.push({ type: 'rent-machines', request });
       }
   }
 
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -27,7 +27,14 @@
 const handLeases = 0.6;
 
 /** Effects that are requests to the state service. */
-const asksState: ReadonlySet<string> = new Set(['commit', 'epoch', 'catch-up', 'lease', 'renew', 'unlease']);
+const asksState: ReadonlySet<string> = new Set([
+  'commit',
+  'read-revision',
+  'catch-up',
+  'grant-lease',
+  'renew-lease',
+  'revoke-lease',
+]);
 
 /** So many machines are named in a log line at most. */
 const mostNamed = 8;
@@ -262,10 +269,10 @@
     this.committer.pump(now, out);
     if (this.view.wantsVouching) this.neighbours.ask(out);
     this.tell(out, null);
-    if (this.rebuilding.wantsRevisionRead) out.push({ e: 'epoch' });
+    if (this.rebuilding.wantsRevisionRead) out.push({ type: 'read-revision' });
     this.read(leading, out);
     this.follow();
-    if (this.fair) this.requests.add(out.filter((e) => asksState.has(e.e)).length, now);
+    if (this.fair) this.requests.add(out.filter((e) => asksState.has(e.type)).length, now);
     return out;
   }
 
@@ -307,8 +314,8 @@
     const { now } = this.clock;
     const { ttlMs } = this.membership;
     const everyMs = Math.min(this.view.freshLimitMs / 8, leading ? ttlMs / 4 : Infinity);
-    if (now - this.readAt > everyMs && this.replica.watchRevision >= 0) out.push({ e: 'epoch' });
-    if (out.some((o) => o.e === 'epoch')) this.readAt = now;
+    if (now - this.readAt > everyMs && this.replica.watchRevision >= 0) out.push({ type: 'read-revision' });
+    if (out.some((o) => o.type === 'read-revision')) this.readAt = now;
   }
 
   /** News goes out at once; a change of what we ask of the others is news. */
@@ -436,7 +443,7 @@
   }
 
   private handle(c: Command, out: Effect[]): void {
-    switch (c.c) {
+    switch (c.type) {
       case 'tick':
         break;
       case 'submit':
@@ -445,13 +452,13 @@
       case 'query':
         this.userRequests.query(c.rid, c.id, out);
         break;
-      case 'withdraw':
+      case 'cancel':
         this.userRequests.withdraw(c.rid, c.id, out);
         break;
-      case 'checkin':
+      case 'heartbeat':
         this.reports.checkin(c.rid, c.report, c.from ?? null, out);
         break;
-      case 'relayed':
+      case 'forwarded-response':
         this.reports.relayed(c.rid, c.status, c.body, out);
         break;
       case 'load':
@@ -468,28 +475,28 @@
         const node = this.replica.nodes.get(c.member);
         if (node && !this.view.stale) {
           this.log('info', 'peer lost', { member: c.member });
-          out.push({ e: 'unlease', hold: node.hold });
+          out.push({ type: 'revoke-lease', hold: node.hold });
         }
         break;
       }
-      case 'turned':
+      case 'rejected-jobs':
         this.userRequests.told(c.list);
         break;
-      case 'pulse':
+      case 'peer-status':
         this.neighbours.pulse(c.from, c.pulse);
         this.rebuilding.peerHeard(c.pulse);
-        if (c.pulse.epoch > this.replica.watchRevision) out.push({ e: 'catch-up', epoch: c.pulse.epoch });
+        if (c.pulse.epoch > this.replica.watchRevision) out.push({ type: 'catch-up', epoch: c.pulse.epoch });
         break;
-      case 'asked':
+      case 'freshness-query':
         this.neighbours.asked(c.from, c.question, out);
         break;
-      case 'vouched':
+      case 'freshness-confirmed':
         this.view.vouched(this.neighbours.vouched(c.from, c.run, c.question, c.known, this.view.completeAt));
         break;
-      case 'reading':
+      case 'snapshot-progress':
         this.log('info', 'reading state', { keys: c.keys });
         break;
-      case 'loaded':
+      case 'snapshot-loaded':
         this.rebuilding.snapshotLoaded(c.items, c.epoch);
         this.replica.loadSnapshot(c.items, c.epoch);
         this.neighbours.loaded(c.epoch);
@@ -499,27 +506,27 @@
       case 'changes':
         this.replica.applyWatch(c.changes, c.epoch);
         break;
-      case 'committed':
-        if (c.outcome.r === 'ok') this.rebuilding.revisionReached(c.outcome.epoch);
+      case 'commit-result':
+        if (c.outcome.type === 'ok') this.rebuilding.revisionReached(c.outcome.epoch);
         this.committer.outcome(c.outcome, this.clock.now, out);
         // The others need not wait for their next watch.
-        if (c.outcome.r === 'ok') this.tell(out, c.outcome.epoch);
+        if (c.outcome.type === 'ok') this.tell(out, c.outcome.epoch);
         break;
-      case 'epoch':
+      case 'revision-read':
         this.rebuilding.revisionRead(c.sentAt, c.epoch);
         this.view.read(c.sentAt, c.epoch);
         this.userRequests.epochRead(c.sentAt, c.epoch, out, this.view.vouchedFor);
         break;
-      case 'audited':
+      case 'audit-result':
         this.rebuilding.auditPageRead(c.from, c.items, c.more, c.epoch);
         break;
-      case 'leased':
+      case 'lease-granted':
         this.membership.leased(c.hold, this.clock.now);
         break;
-      case 'renewed':
+      case 'lease-renewal-result':
         this.membership.renewed(c.hold, c.outcome, this.clock.now);
         break;
-      case 'leave':
+      case 'shut-down':
         if (this.leaving.asked) break;
         this.leaving.begin(this.clock.now);
         this.log('info', 'leaving', {
@@ -532,22 +539,22 @@
         if (job) this.shardManager.shardState.stopGang(job);
         break;
       }
-      case 'attributes':
+      case 'machine-attributes':
         this.matcher?.setAttributes(c.host, c.attributes);
         break;
-      case 'forget':
+      case 'forget-machine':
         this.fleet.forget(c.host);
         break;
-      case 'types':
+      case 'machine-types':
         this.fleet.gotTypes(c.types);
         break;
-      case 'rented':
+      case 'rental-result':
         this.fleet.rented(c.request, c.outcome);
         break;
-      case 'deleted':
+      case 'deletion-result':
         this.fleet.deleted(c.hosts, c.ok);
         break;
-      case 'listed':
+      case 'machine-list':
         this.fleet.listed(c.machines, c.askedAt);
         break;
     }
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -208,7 +208,7 @@
     if (now - this.lastAuditAt < 1000 / (this.settings.state.rps * auditShare)) return;
     this.lastAuditAt = now;
     this.auditInFlight = true;
-    out.push({ e: 'audit', from: this.auditCursor, keys: auditPageKeys });
+    out.push({ type: 'audit', from: this.auditCursor, keys: auditPageKeys });
   }
 
   /** True: this controller begins anew, with what it knew. */
@@ -257,7 +257,7 @@
       const was = joins ? n - 1 : n;
       this.log('error', 'state service has lost data', { why, incarnation: was });
       out.push({
-        e: 'reborn',
+        type: 'restart',
         recoveryRecords: collectRecoveryRecords(replica, this.recoveryRecords, was, why),
       });
       return true;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -27,83 +27,94 @@
 
 /** What the adapters bring to the core. `rid` names a request that waits for its answer. */
 export type Command =
-  | { c: 'tick' }
-  | { c: 'submit'; rid: number; spec: JobSpec }
-  | { c: 'query'; rid: number; id: string }
-  | { c: 'withdraw'; rid: number; id: string }
-  | { c: 'checkin'; rid: number; report: Heartbeat; from?: string }
-  | { c: 'relayed'; rid: number; status: number; body: object | string }
-  | { c: 'pulse'; from: string; pulse: Pulse }
+  | { type: 'tick' }
+  | { type: 'submit'; rid: number; spec: JobSpec }
+  | { type: 'query'; rid: number; id: string }
+  | { type: 'cancel'; rid: number; id: string }
+  | { type: 'heartbeat'; rid: number; report: Heartbeat; from?: string }
+  | { type: 'forwarded-response'; rid: number; status: number; body: object | string }
+  | { type: 'peer-status'; from: string; pulse: Pulse }
   /** Jobs that another controller has turned away. */
-  | { c: 'turned'; list: Turned[] }
+  | { type: 'rejected-jobs'; list: Turned[] }
   /** What a peer wants to know, and what another has answered us. */
-  | { c: 'asked'; from: string; question: Question }
-  | { c: 'vouched'; from: string; run: string; question: Question; known: Change[] }
+  | { type: 'freshness-query'; from: string; question: Question }
+  | { type: 'freshness-confirmed'; from: string; run: string; question: Question; known: Change[] }
   /** What the process has been doing lately: share of its time, connections that are open, shares of memory and waiting room. */
-  | { c: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
+  | { type: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
   /** A peer's connection broke and a new one was refused at once. */
-  | { c: 'peer-lost'; member: string }
-  | { c: 'ordered'; host: string; report: Heartbeat | null }
+  | { type: 'peer-lost'; member: string }
+  | { type: 'task-commands-result'; host: string; report: Heartbeat | null }
   /** So many keys of the first reading are here. */
-  | { c: 'reading'; keys: number }
-  | { c: 'loaded'; items: Change[]; epoch: number }
-  | { c: 'changes'; changes: Change[]; epoch: number }
-  | { c: 'committed'; outcome: CommitOutcome }
+  | { type: 'snapshot-progress'; keys: number }
+  | { type: 'snapshot-loaded'; items: Change[]; epoch: number }
+  | { type: 'changes'; changes: Change[]; epoch: number }
+  | { type: 'commit-result'; outcome: CommitOutcome }
   /** A part of what is stored; `epoch` null: no answer. */
-  | { c: 'audited'; from: string; items: Change[]; more: boolean; epoch: number | null }
-  | { c: 'epoch'; sentAt: number; epoch: number | null }
-  | { c: 'leased'; hold: number | null }
-  | { c: 'renewed'; hold: number; outcome: 'ok' | 'gone' | 'failed' }
-  | { c: 'forget'; host: string }
+  | { type: 'audit-result'; from: string; items: Change[]; more: boolean; epoch: number | null }
+  | { type: 'revision-read'; sentAt: number; epoch: number | null }
+  | { type: 'lease-granted'; hold: number | null }
+  | { type: 'lease-renewal-result'; hold: number; outcome: 'ok' | 'gone' | 'failed' }
+  | { type: 'forget-machine'; host: string }
   /** The process is to end: it hands on what it has first. */
-  | { c: 'leave' }
+  | { type: 'shut-down' }
   /** What a machine says of itself; null: it is gone. */
-  | { c: 'attributes'; host: string; attributes: MachineAttributes | null }
+  | { type: 'machine-attributes'; host: string; attributes: MachineAttributes | null }
   /** A gang that cannot succeed any more: what is left of it is stopped. */
-  | { c: 'stop-gang'; id: string }
-  | { c: 'types'; types: MachineType[] | null }
-  | { c: 'rented'; request: RentRequest; outcome: { hosts: string[] } | 'none' | 'refused' | 'unknown' }
-  | { c: 'deleted'; hosts: string[]; ok: boolean }
-  | { c: 'listed'; machines: ListedMachine[] | null; askedAt: number };
+  | { type: 'stop-gang'; id: string }
+  | { type: 'machine-types'; types: MachineType[] | null }
+  | {
+      type: 'rental-result';
+      request: RentRequest;
+      outcome: { hosts: string[] } | 'none' | 'refused' | 'unknown';
+    }
+  | { type: 'deletion-result'; hosts: string[]; ok: boolean }
+  | { type: 'machine-list'; machines: ListedMachine[] | null; askedAt: number };
 
 export type CommitOutcome =
-  | { r: 'ok'; epoch: number }
-  | { r: 'conflict'; failed: string[]; epoch: number }
+  | { type: 'ok'; epoch: number }
+  | { type: 'conflict'; failed: string[]; epoch: number }
   /** Certainly not executed. */
-  | { r: 'refused' }
+  | { type: 'rejected' }
   /** Certainly not executed: more was asked of the state service than it takes. */
-  | { r: 'busy' }
+  | { type: 'rate-limited' }
   /** A state lease named in it is no more. Certainly not executed. */
-  | { r: 'unleased' }
-  | { r: 'malformed' }
+  | { type: 'lease-expired' }
+  | { type: 'malformed' }
   /** No answer: it may have been executed, or may be executed later. */
-  | { r: 'unknown' };
+  | { type: 'unknown' };
 
 /** What the core wants done. */
 export type Effect =
   /** A body that is text already goes out as it is. */
-  | { e: 'answer'; rid: number; status: number; body: object | string; retryAfterS?: number }
-  | { e: 'commit'; txn: Txn }
-  | { e: 'epoch' }
-  | { e: 'catch-up'; epoch: number }
+  | { type: 'respond'; rid: number; status: number; body: object | string; retryAfterS?: number }
+  | { type: 'commit'; txn: Txn }
+  | { type: 'read-revision' }
+  | { type: 'catch-up'; epoch: number }
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
-  | { e: 'relay'; to: string; rid: number; report: Heartbeat }
-  | { e: 'pulse'; pulse: Pulse }
-  | { e: 'turned'; list: Turned[] }
-  | { e: 'ask'; question: Question }
-  | { e: 'vouch'; to: string; question: Question; known: Change[] }
+  | { type: 'forward-heartbeat'; to: string; rid: number; report: Heartbeat }
+  | { type: 'peer-status'; pulse: Pulse }
+  | { type: 'rejected-jobs'; list: Turned[] }
+  | { type: 'query-freshness'; question: Question }
+  | { type: 'confirm-freshness'; to: string; question: Question; known: Change[] }
   /** Read some keys behind this one. */
-  | { e: 'audit'; from: string; keys: number }
+  | { type: 'audit'; from: string; keys: number }
   /** The state service has lost data: this controller is to begin anew with what it knew. */
-  | { e: 'reborn'; recoveryRecords: RecoveryRecords }
-  | { e: 'lease'; ttlMs: number }
-  | { e: 'renew'; hold: number }
-  | { e: 'unlease'; hold: number }
-  | { e: 'types' }
-  | { e: 'rent'; request: RentRequest }
-  | { e: 'delete'; hosts: string[] }
-  | { e: 'list' }
-  | { e: 'order'; host: string; endpoint: string; token: number; session: number; orders: TaskOrder[] };
+  | { type: 'restart'; recoveryRecords: RecoveryRecords }
+  | { type: 'grant-lease'; ttlMs: number }
+  | { type: 'renew-lease'; hold: number }
+  | { type: 'revoke-lease'; hold: number }
+  | { type: 'list-machine-types' }
+  | { type: 'rent-machines'; request: RentRequest }
+  | { type: 'delete-machines'; hosts: string[] }
+  | { type: 'list-machines' }
+  | {
+      type: 'send-task-commands';
+      host: string;
+      endpoint: string;
+      token: number;
+      session: number;
+      orders: TaskOrder[];
+    };
 
 export interface Clock {
   /** Steady, ms. */
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -312,7 +312,7 @@
   { host, endpoint, fencingToken: token, agentEpoch: session }: ScheduledMachine,
   orders: TaskOrder[],
 ): Effect => ({
-  e: 'order',
+  type: 'send-task-commands',
   host,
   endpoint,
   token,
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -82,7 +82,7 @@
 
   checkin(rid: number, report: Heartbeat, from: string | null, out: Effect[]): void {
     const answer = (status: number, body: object, retryAfterS?: number) =>
-      void out.push({ e: 'answer', rid, status, body, retryAfterS });
+      void out.push({ type: 'respond', rid, status, body, retryAfterS });
     // Guards against acting on an old view: a cancellation seen by users could be missed here, and the
     // answer would keep the task alive.
     this.host.seen(report.token);
@@ -126,8 +126,8 @@
   }
 
   private release({ rid, token, orders }: Release, out: Effect[]): void {
-    if (orders === null) out.push({ e: 'answer', rid, status: 503, body: {}, retryAfterS: 1 });
-    else out.push({ e: 'answer', rid, status: 200, body: answerOut(token, orders) });
+    if (orders === null) out.push({ type: 'respond', rid, status: 503, body: {}, retryAfterS: 1 });
+    else out.push({ type: 'respond', rid, status: 200, body: answerOut(token, orders) });
   }
 
   /** Whether a report that was taken in before may still be answered under this token. */
@@ -174,15 +174,15 @@
     if (relay && this.relays.size < this.limits.relays) {
       if (back) this.redirected.set(report.host, now);
       this.relays.set(rid, now);
-      out.push({ e: 'relay', to: custodian.member, rid, report });
+      out.push({ type: 'forward-heartbeat', to: custodian.member, rid, report });
       return;
     }
     if (there) this.redirected.set(report.host, now);
-    out.push({ e: 'answer', rid, status: 421, body: redirectOut(there ? custodian.member : null) });
+    out.push({ type: 'respond', rid, status: 421, body: redirectOut(there ? custodian.member : null) });
   }
 
   relayed(rid: number, status: number, body: object | string, out: Effect[]): void {
-    if (this.relays.delete(rid)) out.push({ e: 'answer', rid, status, body });
+    if (this.relays.delete(rid)) out.push({ type: 'respond', rid, status, body });
   }
 
   /** What the process has been doing lately. */
@@ -209,7 +209,7 @@
       // In order of age.
       if (now - at <= relayMs) break;
       this.relays.delete(rid);
-      out.push({ e: 'answer', rid, status: 503, body: {} });
+      out.push({ type: 'respond', rid, status: 503, body: {} });
     }
     for (const r of this.holding.due((m, token) => this.stands(m, token))) this.release(r, out);
     if (now - this.lookedAt >= this.settings.workers.lease_s * 500) this.look();
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -117,7 +117,7 @@
 
   private goneFor(out: Effect[]): void {
     this.left = true;
-    if (this.hold !== null) out.push({ e: 'unlease', hold: this.hold });
+    if (this.hold !== null) out.push({ type: 'revoke-lease', hold: this.hold });
     this.hold = null;
   }
 
@@ -129,21 +129,21 @@
     if (!this.cleared) {
       this.cleared = true;
       // A presence from an earlier run of this very member: that process is over, so its lease may end now.
-      if (mine && mine.run !== this.run) out.push({ e: 'unlease', hold: mine.hold });
+      if (mine && mine.run !== this.run) out.push({ type: 'revoke-lease', hold: mine.hold });
     }
     if (this.hold === null) {
       if (this.leaving) return;
       if (!this.asking && this.asks.take(now)) {
         this.asking = true;
         this.askedAt = now;
-        out.push({ e: 'lease', ttlMs: this.ttlMs });
+        out.push({ type: 'grant-lease', ttlMs: this.ttlMs });
       }
       return;
     }
     if (!this.renewing && now >= this.renewAt) {
       this.renewing = true;
       this.askedAt = now;
-      out.push({ e: 'renew', hold: this.hold });
+      out.push({ type: 'renew-lease', hold: this.hold });
     }
     if (this.leaving) return;
     if (!this.present)
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -109,7 +109,7 @@
     this.pulsedAt = now;
     const epoch = Math.max(this.replica.watchRevision, news ?? -1);
     out.push({
-      e: 'pulse',
+      type: 'peer-status',
       pulse: {
         epoch,
         run: this.run,
@@ -144,14 +144,14 @@
 
   ask(out: Effect[]): void {
     const q = this.vouching.ask(this.clock.now, this.replica.watchRevision, this.inc);
-    if (q) out.push({ e: 'ask', question: q });
+    if (q) out.push({ type: 'query-freshness', question: q });
   }
 
   asked(from: string, question: Question, out: Effect[]): void {
     // Guards against a view of what was before a loss being confirmed, or changed, by what is known since.
     if (question.inc !== this.inc) return;
     const known = this.replica.watchRevision < 0 ? null : this.recent.since(question.epoch);
-    if (known) out.push({ e: 'vouch', to: from, question, known });
+    if (known) out.push({ type: 'confirm-freshness', to: from, question, known });
   }
 
   /** The moment up to which the view is known to be complete by a peer's answer, ms, or null. */
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -276,14 +276,14 @@
     this.sent = true;
     this.lastAt = now;
     this.tokens -= this.flight!.txn.apply.length;
-    out.push({ e: 'commit', txn: this.flight!.txn });
+    out.push({ type: 'commit', txn: this.flight!.txn });
   }
 
   outcome(o: CommitOutcome, now: number, out: Effect[]): void {
     const flight = this.flight;
     if (!flight) return;
-    if (o.r !== 'refused' && o.r !== 'unknown' && o.r !== 'busy') this.attempts.ok();
-    switch (o.r) {
+    if (o.type !== 'rejected' && o.type !== 'unknown' && o.type !== 'rate-limited') this.attempts.ok();
+    switch (o.type) {
       case 'ok':
         this.flight = null;
         this.bulkOff = false;
@@ -300,12 +300,12 @@
       case 'conflict':
         if (o.failed.some((key) => key === levelKey || key.startsWith(incPrefix))) {
           this.blockedUntil = o.epoch;
-          out.push({ e: 'catch-up', epoch: o.epoch });
+          out.push({ type: 'catch-up', epoch: o.epoch });
         }
         if (flight.unsure) {
           // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
           this.waitFor = { epoch: o.epoch, failed: o.failed };
-          out.push({ e: 'catch-up', epoch: o.epoch });
+          out.push({ type: 'catch-up', epoch: o.epoch });
           if (this.replica.watchRevision >= o.epoch) this.judge(o.failed, o.epoch);
         } else {
           this.flight = null;
@@ -321,7 +321,7 @@
           }
         }
         break;
-      case 'busy':
+      case 'rate-limited':
         this.health = Math.max(leastHealth, this.health * fall);
         this.found = Math.max((this.limits.writesPerS / this.limits.nodes) * fall, this.found * fall);
         this.tokens = Math.min(this.tokens, 0);
@@ -333,7 +333,7 @@
           for (const b of flight.built) this.add(b.intent);
         }
         break;
-      case 'refused':
+      case 'rejected':
         this.back(now);
         if (flight.unsure) {
           this.sent = false;
@@ -347,7 +347,7 @@
         flight.unsure = true;
         this.sent = false;
         break;
-      case 'unleased':
+      case 'lease-expired':
       case 'malformed':
         this.flight = null;
         if (flight.built.length > 1) {
@@ -356,7 +356,7 @@
           for (const b of flight.built) this.add(b.intent);
         } else {
           this.bulkOff = false;
-          if (o.r === 'malformed')
+          if (o.type === 'malformed')
             this.log('error', 'transaction malformed', { keys: flight.txn.apply.map((w) => w.key) });
           const keys = flight.txn.when.map((c) => c.key);
           for (const b of flight.built) b.intent.conflict(keys, this.replica.watchRevision);
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -197,7 +197,7 @@
     this.turned.push({ id, team, class: cls, ageMs: Math.round(this.clock.now - firstAt) });
     for (const rid of entry.rids)
       out.push({
-        e: 'answer',
+        type: 'respond',
         rid,
         status: 429,
         body: { error: 'more is asked than can be taken' },
@@ -231,7 +231,7 @@
       this.turnAway(this.admission.overdue(e, now), out);
     }
     if (this.turned.length === 0) return;
-    out.push({ e: 'turned', list: this.turned });
+    out.push({ type: 'rejected-jobs', list: this.turned });
     this.turned = [];
   }
 
@@ -256,7 +256,12 @@
       ok: () => {
         this.admission.tickets.end(spec.id);
         answer((r) =>
-          this.out.push({ e: 'answer', rid: r, status: 201, body: { nameId: spec.id, status: 'pending' } }),
+          this.out.push({
+            type: 'respond',
+            rid: r,
+            status: 201,
+            body: { nameId: spec.id, status: 'pending' },
+          }),
         );
       },
       conflict: () => answer((r) => this.query(r, spec.id, this.out)),
@@ -269,14 +274,16 @@
 
   query(rid: number, id: string, out: Effect[]): void {
     if (this.answerFinal(rid, id, out)) return;
-    if (!isJobId(id)) return void out.push({ e: 'answer', rid, status: 404, body: { error: 'no such job' } });
+    if (!isJobId(id))
+      return void out.push({ type: 'respond', rid, status: 404, body: { error: 'no such job' } });
     if (this.replica.watchRevision < 0 || this.unsure(id)) return this.later(rid, out);
     this.wait(rid, id, 'status', out);
   }
 
   withdraw(rid: number, id: string, out: Effect[]): void {
     if (this.answerFinal(rid, id, out)) return;
-    if (!isJobId(id)) return void out.push({ e: 'answer', rid, status: 404, body: { error: 'no such job' } });
+    if (!isJobId(id))
+      return void out.push({ type: 'respond', rid, status: 404, body: { error: 'no such job' } });
     // Guards against a cancellation that nobody can carry out, since what runs is not known.
     if (this.replica.watchRevision < 0 || this.replica.levels.standsBy || this.replica.isJobUnreadable(id))
       return this.later(rid, out);
@@ -365,7 +372,7 @@
     const c = job.state === 'done' ? { done: job.tasks, running: 0 } : this.replica.taskCounts(id);
     const running = job.state === 'open' ? c.running : 0;
     out.push({
-      e: 'answer',
+      type: 'respond',
       rid,
       status: 200,
       body: { nameId: id, status: jobStatus(job.state, running), done: c.done, running },
@@ -373,7 +380,7 @@
   }
 
   private later(rid: number, out: Effect[]): void {
-    out.push({ e: 'answer', rid, status: 503, body: { error: 'try again later' }, retryAfterS: 1 });
+    out.push({ type: 'respond', rid, status: 503, body: { error: 'try again later' }, retryAfterS: 1 });
   }
 
   private wait(rid: number, id: string, then: Waiter['then'], out: Effect[]): void {
@@ -414,16 +421,17 @@
       for (const w of ready) {
         const known = this.replica.jobs.has(w.id);
         if (typeof w.then === 'object' && !known && !this.unsure(w.id))
-          out.push({ e: 'answer', rid: w.rid, status: w.then.status, body: w.then.body });
+          out.push({ type: 'respond', rid: w.rid, status: w.then.status, body: w.then.body });
         else if (!known && this.unsure(w.id)) this.later(w.rid, out);
-        else if (!known) out.push({ e: 'answer', rid: w.rid, status: 404, body: { error: 'no such job' } });
+        else if (!known)
+          out.push({ type: 'respond', rid: w.rid, status: 404, body: { error: 'no such job' } });
         else if (w.then === 'withdraw') this.withdraw(w.rid, w.id, out);
         else this.answerJob(w.rid, w.id, out);
       }
       if (!this.reading && now >= this.readAt && this.waiters.some((w) => w.epoch === null)) {
         this.reading = true;
         this.readAt = now + this.readEveryMs;
-        out.push({ e: 'epoch' });
+        out.push({ type: 'read-revision' });
       }
     }
     // Given up: answered at once. The write itself may still go through, and a repeated request finds it.
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -4,8 +4,8 @@
 import type { Limits } from './limits/index.js';
 import type { Random } from './retry/index.js';
 
-type Request = Extract<Command, { c: 'submit' | 'query' | 'withdraw' | 'checkin' }>;
-const laneNames = { withdraw: 'withdraw', checkin: 'checkin', submit: 'submit', query: 'query' } as const;
+type Request = Extract<Command, { type: 'submit' | 'query' | 'cancel' | 'heartbeat' }>;
+const laneNames = { cancel: 'cancel', heartbeat: 'heartbeat', submit: 'submit', query: 'query' } as const;
 type LaneName = keyof typeof laneNames;
 
 /** What requests may take of a step together: the next step sees what has come meanwhile. */
@@ -15,7 +15,7 @@
 /** Who is turned away comes back within this share of the workers' report interval, and not all at once. */
 const spreadShare = 1;
 
-const isRequest = (c: Command): c is Request => c.c in laneNames;
+const isRequest = (c: Command): c is Request => c.type in laneNames;
 
 /**
  * What waits to be worked off. What our own calls brought goes first and is never turned away; requests come through
@@ -37,8 +37,8 @@
     // In order of need. How long senders wait is what the protocol says.
     this.lanes = new Lanes(
       {
-        withdraw: { share: 4, most: waiting, patienceMs: 5000 * patience },
-        checkin: { share: 4, most, patienceMs: 4000 * patience },
+        cancel: { share: 4, most: waiting, patienceMs: 5000 * patience },
+        heartbeat: { share: 4, most, patienceMs: 4000 * patience },
         submit: { share: 3, most: waiting, patienceMs: 5000 * patience },
         query: { share: 1, most: waiting, patienceMs: 2000 * patience },
       },
@@ -56,8 +56,8 @@
       this.inner.push(c);
       return [];
     }
-    if (this.tight && (c.c === 'query' || c.c === 'submit')) return [this.later(c)];
-    return this.lanes.offer(c.c, c, now).map((x) => this.later(x));
+    if (this.tight && (c.type === 'query' || c.type === 'submit')) return [this.later(c)];
+    return this.lanes.offer(c.type, c, now).map((x) => this.later(x));
   }
 
   /** Of the submissions that may wait to be worked off, so many do. */
@@ -80,6 +80,6 @@
   private later(c: Request): Effect {
     const spread = this.settings.workers.report_s * spreadShare * this.random();
     const body = { error: 'too much at once, try again later' };
-    return { e: 'answer', rid: c.rid, status: 503, body, retryAfterS: 1 + Math.floor(spread) };
+    return { type: 'respond', rid: c.rid, status: 503, body, retryAfterS: 1 + Math.floor(spread) };
   }
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -86,10 +86,10 @@
       new Attempts(this.retry.state, this.random),
       () => performance.now(),
       {
-        reading: (keys) => this.push({ c: 'reading', keys }),
-        loaded: (items, epoch) => this.push({ c: 'loaded', items, epoch }),
-        changed: (changes, epoch) => this.push({ c: 'changes', changes, epoch }),
-        read: (sentAt, epoch) => this.push({ c: 'epoch', sentAt, epoch }),
+        reading: (keys) => this.push({ type: 'snapshot-progress', keys }),
+        loaded: (items, epoch) => this.push({ type: 'snapshot-loaded', items, epoch }),
+        changed: (changes, epoch) => this.push({ type: 'changes', changes, epoch }),
+        read: (sentAt, epoch) => this.push({ type: 'revision-read', sentAt, epoch }),
       },
     );
     this.front = new PublicServer(
@@ -131,7 +131,7 @@
     });
     this.log('info', 'listening', { member: this.settings.member, addr: this.settings.publicAddr });
     void this.follower.run();
-    this.timers.push(setInterval(() => this.push({ c: 'tick' }), tickMs));
+    this.timers.push(setInterval(() => this.push({ type: 'tick' }), tickMs));
     this.timers.push(setInterval(() => this.measure(), measureMs));
     if (this.settings.peers.length === 0) return;
     // Loaded only now: start-up time counts, and nobody waits for the talk between controllers.
@@ -144,7 +144,7 @@
       this.limits.sockets.peers,
       this.log,
       (from, frame) => this.fromPeer(from, frame),
-      (member) => this.push({ c: 'peer-lost', member }),
+      (member) => this.push({ type: 'peer-lost', member }),
     );
     await mesh.start();
     this.mesh = mesh;
@@ -161,7 +161,7 @@
    */
   async leave(): Promise<void> {
     if (this.left === null) {
-      this.push({ c: 'leave' });
+      this.push({ type: 'shut-down' });
       this.left = new Promise((resolve) => {
         const timer = setInterval(() => {
           if (this.controller.phase !== 'gone') return;
@@ -193,25 +193,25 @@
     this.utilization = now;
     this.intake.tight = this.memory.look(performance.now());
     const connections = this.front.tend(performance.now());
-    this.push({ c: 'load', busy, connections, memory: this.memory.share, waiting: this.intake.fill });
+    this.push({ type: 'load', busy, connections, memory: this.memory.share, waiting: this.intake.fill });
   }
 
   private fromPeer(from: string, frame: Frame): void {
-    if ('turned' in frame) return this.push({ c: 'turned', list: frame.turned.list });
-    if ('pulse' in frame) return this.push({ c: 'pulse', from, pulse: frame.pulse });
+    if ('turned' in frame) return this.push({ type: 'rejected-jobs', list: frame.turned.list });
+    if ('pulse' in frame) return this.push({ type: 'peer-status', from, pulse: frame.pulse });
     if ('relay' in frame) {
       // Below zero, so that they never meet the numbers of our own server's requests.
       const rid = -++this.owedCount;
       this.owed.set(rid, { to: from, id: frame.relay.id });
-      this.push({ c: 'checkin', rid, report: frame.relay.report, from });
+      this.push({ type: 'heartbeat', rid, report: frame.relay.report, from });
     } else if ('relayed' in frame) {
       const { id, status, body } = frame.relayed;
-      this.push({ c: 'relayed', rid: id, status, body });
-    } else if ('ask' in frame) this.push({ c: 'asked', from, question: frame.ask });
+      this.push({ type: 'forwarded-response', rid: id, status, body });
+    } else if ('ask' in frame) this.push({ type: 'freshness-query', from, question: frame.ask });
     else if ('vouch' in frame) {
       const { ask: question, run, known } = frame.vouch;
       try {
-        this.push({ c: 'vouched', from, run, question, known: decodeChanges(known) });
+        this.push({ type: 'freshness-confirmed', from, run, question, known: decodeChanges(known) });
       } catch (e) {
         this.log('warn', 'bad message from a peer', { from, error: String((e as Error).message) });
       }
@@ -243,26 +243,26 @@
     const { rebirths } = this;
     // Guards against answers to what was asked for before this process began anew.
     const back = (c: Command): void => void (rebirths === this.rebirths && this.push(c));
-    switch (e.e) {
-      case 'relay':
+    switch (e.type) {
+      case 'forward-heartbeat':
         if (!this.mesh?.send(e.to, { relay: { id: e.rid, report: e.report } }))
-          this.push({ c: 'relayed', rid: e.rid, status: 503, body: {} });
+          this.push({ type: 'forwarded-response', rid: e.rid, status: 503, body: {} });
         break;
-      case 'pulse':
+      case 'peer-status':
         for (const p of this.settings.peers) this.mesh?.send(p.member, { pulse: e.pulse });
         break;
-      case 'turned':
+      case 'rejected-jobs':
         for (const p of this.settings.peers) this.mesh?.send(p.member, { turned: { list: e.list } });
         break;
-      case 'ask':
+      case 'query-freshness':
         for (const p of this.settings.peers) this.mesh?.send(p.member, { ask: e.question });
         break;
-      case 'vouch': {
+      case 'confirm-freshness': {
         const known = encodeChanges(e.known);
         this.mesh?.send(e.to, { vouch: { ask: e.question, run: this.run, known } });
         break;
       }
-      case 'answer': {
+      case 'respond': {
         const owed = this.owed.get(e.rid);
         if (owed) {
           this.owed.delete(e.rid);
@@ -274,9 +274,9 @@
         break;
       }
       case 'commit':
-        void this.store.commit(e.txn).then((outcome) => back({ c: 'committed', outcome }));
+        void this.store.commit(e.txn).then((outcome) => back({ type: 'commit-result', outcome }));
         break;
-      case 'epoch':
+      case 'read-revision':
         this.follower.ask();
         break;
       case 'catch-up':
@@ -286,37 +286,41 @@
         const { from, keys } = e;
         void this.store.part(from, keys).then((page) => {
           const { items, more, epoch } = page ?? { items: [], more: false, epoch: null };
-          back({ c: 'audited', from, items, more, epoch });
+          back({ type: 'audit-result', from, items, more, epoch });
         });
         break;
       }
-      case 'reborn':
+      case 'restart':
         this.rebear(e.recoveryRecords);
         break;
-      case 'lease':
-        void this.store.lease(e.ttlMs).then((hold) => back({ c: 'leased', hold }));
+      case 'grant-lease':
+        void this.store.lease(e.ttlMs).then((hold) => back({ type: 'lease-granted', hold }));
         break;
-      case 'renew':
-        void this.store.renew(e.hold).then((outcome) => back({ c: 'renewed', hold: e.hold, outcome }));
+      case 'renew-lease':
+        void this.store
+          .renew(e.hold)
+          .then((outcome) => back({ type: 'lease-renewal-result', hold: e.hold, outcome }));
         break;
-      case 'unlease':
+      case 'revoke-lease':
         void this.store.unlease(e.hold);
         break;
-      case 'types':
-        void this.cloud.types().then((types) => back({ c: 'types', types }));
+      case 'list-machine-types':
+        void this.cloud.types().then((types) => back({ type: 'machine-types', types }));
         break;
-      case 'rent':
-        void this.cloud.rent(e.request).then((outcome) => back({ c: 'rented', request: e.request, outcome }));
+      case 'rent-machines':
+        void this.cloud
+          .rent(e.request)
+          .then((outcome) => back({ type: 'rental-result', request: e.request, outcome }));
         break;
-      case 'delete':
-        void this.cloud.delete(e.hosts).then((ok) => back({ c: 'deleted', hosts: e.hosts, ok }));
+      case 'delete-machines':
+        void this.cloud.delete(e.hosts).then((ok) => back({ type: 'deletion-result', hosts: e.hosts, ok }));
         break;
-      case 'list': {
+      case 'list-machines': {
         const askedAt = performance.now();
-        void this.cloud.list().then((machines) => back({ c: 'listed', machines, askedAt }));
+        void this.cloud.list().then((machines) => back({ type: 'machine-list', machines, askedAt }));
         break;
       }
-      case 'order':
+      case 'send-task-commands':
         void this.workers.order(e.endpoint, e.token, e.session, e.orders);
         break;
     }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -35,21 +35,21 @@
 
   async commit(txn: Txn): Promise<CommitOutcome> {
     const r = await this.calls.call('POST', '/commit', txnOut(txn), this.timeoutMs);
-    if (r === null) return { r: 'unknown' };
+    if (r === null) return { type: 'unknown' };
     if (r.status === 200) {
       const epoch = parseEpoch(r.body);
-      return epoch === null ? { r: 'unknown' } : { r: 'ok', epoch };
+      return epoch === null ? { type: 'unknown' } : { type: 'ok', epoch };
     }
     if (r.status === 409) {
       const f = parseFailed(r.body);
-      return f === null ? { r: 'unknown' } : { r: 'conflict', ...f };
+      return f === null ? { type: 'unknown' } : { type: 'conflict', ...f };
     }
     if (r.status === 400) {
       const why = (r.body as { error?: unknown } | null)?.error;
-      return { r: why === 'no such lease' ? 'unleased' : 'malformed' };
+      return { type: why === 'no such lease' ? 'lease-expired' : 'malformed' };
     }
-    if (r.status === 429) return { r: 'busy' };
-    return r.status === 503 ? { r: 'refused' } : { r: 'unknown' };
+    if (r.status === 429) return { type: 'rate-limited' };
+    return r.status === 503 ? { type: 'rejected' } : { type: 'unknown' };
   }
 
   async lease(ttlMs: number): Promise<number | null> {
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -6,11 +6,11 @@
 import { Keyspace, scan, type Delta, type Entry, type View } from './keyspace.js';
 
 export type Outcome =
-  | { r: 'ok'; epoch: number }
-  | { r: 'conflict'; failed: string[]; epoch: number }
-  | { r: 'unleased' }
+  | { type: 'ok'; epoch: number }
+  | { type: 'conflict'; failed: string[]; epoch: number }
+  | { type: 'lease-expired' }
   /** The disk failed: it may be durable or not. */
-  | { r: 'unknown' };
+  | { type: 'unknown' };
 
 interface Waiting {
   /** null: only waits for what came before. */
@@ -79,13 +79,13 @@
   }
 
   commit(txn: Txn): Promise<Outcome> {
-    if (this.stopped) return Promise.resolve({ r: 'unknown' });
+    if (this.stopped) return Promise.resolve({ type: 'unknown' });
     const v = this.space.commit(txn, this.now());
-    if (v.r === 'unleased') return Promise.resolve(v);
+    if (v.type === 'lease-expired') return Promise.resolve(v);
     // A refusal, too, tells of changes that may not be durable yet.
-    if (v.r === 'conflict' || v.delta === null)
-      return this.behind().then((ok) => (ok ? strip(v) : { r: 'unknown' }));
-    return this.durable(v.delta).then((ok) => (ok ? { r: 'ok', epoch: v.epoch } : { r: 'unknown' }));
+    if (v.type === 'conflict' || v.delta === null)
+      return this.behind().then((ok) => (ok ? strip(v) : { type: 'unknown' }));
+    return this.durable(v.delta).then((ok) => (ok ? { type: 'ok', epoch: v.epoch } : { type: 'unknown' }));
   }
 
   async lease(ttlMs: number): Promise<number | null> {
@@ -217,6 +217,6 @@
 }
 
 const strip = (
-  v: { r: 'ok'; epoch: number } | { r: 'conflict'; failed: string[]; epoch: number },
+  v: { type: 'ok'; epoch: number } | { type: 'conflict'; failed: string[]; epoch: number },
 ): Outcome =>
-  v.r === 'ok' ? { r: 'ok', epoch: v.epoch } : { r: 'conflict', failed: v.failed, epoch: v.epoch };
+  v.type === 'ok' ? { type: 'ok', epoch: v.epoch } : { type: 'conflict', failed: v.failed, epoch: v.epoch };
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -94,9 +94,9 @@
   const refusal = gate.transaction(txn);
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
   const o = await engine.commit(txn);
-  if (o.r === 'ok') reply(res, 200, epochOut(o.epoch));
-  else if (o.r === 'conflict') reply(res, 409, conflictOut(o.failed, o.epoch));
-  else if (o.r === 'unleased') reply(res, 400, { error: noLease });
+  if (o.type === 'ok') reply(res, 200, epochOut(o.epoch));
+  else if (o.type === 'conflict') reply(res, 409, conflictOut(o.failed, o.epoch));
+  else if (o.type === 'lease-expired') reply(res, 400, { error: noLease });
   // It may be on disk or not: no answer says so.
   else res.destroy();
 }
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -32,9 +32,9 @@
 }
 
 export type Verdict =
-  | { r: 'ok'; epoch: number; delta: Delta | null }
-  | { r: 'conflict'; failed: string[]; epoch: number }
-  | { r: 'unleased' };
+  | { type: 'ok'; epoch: number; delta: Delta | null }
+  | { type: 'conflict'; failed: string[]; epoch: number }
+  | { type: 'lease-expired' };
 
 /** What readers see: one moment of the keyspace. Taking it costs nothing, the tree is shared until it changes. */
 export interface View {
@@ -78,10 +78,11 @@
   }
 
   commit(txn: Txn, now: number): Verdict {
-    for (const w of txn.apply) if (w.hold !== undefined && !this.lives(w.hold, now)) return { r: 'unleased' };
+    for (const w of txn.apply)
+      if (w.hold !== undefined && !this.lives(w.hold, now)) return { type: 'lease-expired' };
     const failed = txn.when.filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key);
-    if (failed.length > 0) return { r: 'conflict', failed, epoch: this.epoch };
-    if (txn.apply.length === 0) return { r: 'ok', epoch: this.epoch, delta: null };
+    if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
+    if (txn.apply.length === 0) return { type: 'ok', epoch: this.epoch, delta: null };
     const delta = this.begin();
     for (const w of txn.apply)
       if (w.data === undefined) this.drop(w.key, delta);
@@ -91,7 +92,7 @@
           { data: w.data, stamp: this.epoch, ...(w.hold === undefined ? {} : { hold: w.hold }) },
           delta,
         );
-    return { r: 'ok', epoch: this.epoch, delta };
+    return { type: 'ok', epoch: this.epoch, delta };
   }
 
   lease(ttlMs: number, now: number): { hold: number; delta: Delta } {
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -93,7 +93,7 @@
         if (typeof spec === 'string') return reply(res, 400, { error: spec });
         const wrong = this.hooks ? this.hooks.admit(spec) : spec.match ? noMatching : null;
         if (wrong !== null) return reply(res, 400, { error: wrong });
-        this.push({ c: 'submit', rid: this.keep(res), spec });
+        this.push({ type: 'submit', rid: this.keep(res), spec });
       });
     }
     if (path === '/checkin') {
@@ -106,11 +106,11 @@
     }
     if (`/${part[1]}` === jobPath && part.length === 3 && part[2] !== '') {
       if (!allow(method, 'GET', res)) return;
-      return this.push({ c: 'query', rid: this.keep(res), id: part[2] });
+      return this.push({ type: 'query', rid: this.keep(res), id: part[2] });
     }
     if (`/${part[1]}` === jobPath && part.length === 4 && part[3] === withdrawEnd) {
       if (!allow(method, 'POST', res)) return;
-      return this.read(req, res, null, () => this.push({ c: 'withdraw', rid: this.keep(res), id: part[2] }));
+      return this.read(req, res, null, () => this.push({ type: 'cancel', rid: this.keep(res), id: part[2] }));
     }
     reply(res, 404, { error: 'not found' });
   }
@@ -119,7 +119,7 @@
     const pass = (seen: Heartbeat): void => {
       const rid = this.keep(res);
       if (this.hooks) this.hosts.set(rid, seen.host);
-      this.push({ c: 'checkin', rid, report: seen });
+      this.push({ type: 'heartbeat', rid, report: seen });
     };
     if (!this.hooks) return pass(report);
     this.hooks.checkin(raw, report, pass, (status, body) => reply(res, status, body));
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -239,7 +239,7 @@
         for (const n of w.nodes)
           for (let i = 0; i < 3; i++) {
             n.answers.delete(rid - 3000);
-            n.push({ c: 'query', rid: ++rid, id: `req-${100_001 + ((rid * 7) % 2000)}` });
+            n.push({ type: 'query', rid: ++rid, id: `req-${100_001 + ((rid * 7) % 2000)}` });
           }
         if (w.now < 70_000) w.after(10, storm);
       };
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -17,7 +17,7 @@
 const self = { host: 'd.1', endpoint: '127.0.0.1:1', type: 't', zone: 'here' };
 const start = (index: number, attempt: number): TaskOrder => ({ op: 'start', job: 'req-1', index, attempt });
 const answer = (token: number, orders: TaskOrder[] = [], gangs: string[] = []) => ({ token, orders, gangs });
-const kinds = (effects: WorkerEffect[] | null): string[] => (effects ?? []).map((e) => e.e);
+const kinds = (effects: WorkerEffect[] | null): string[] => (effects ?? []).map((e) => e.type);
 
 test('worker: tokens, sessions and leases decide what is carried out', () => {
   const w = new Worker(self, { session: 1, seq: 0, token: 0 }, 10_000, 0);
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -219,7 +219,7 @@
     assert.ok(old.controller['committer'].writesPerS <= floorOf(30, 3) + 1e-9);
     w.play(10);
     const plans = w.commits.slice(mark).filter((c) => c.txn.apply.some((a) => a.key === 'dp/plan'));
-    assert.ok(plans.every((c) => c.member === by.member || c.outcome.r !== 'ok'));
+    assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
     assert.ok(planOf(w).stamp >= stamp);
     assert.equal(old.controller.replica.plan!.number, by.controller.replica.plan!.number);
     w.play(90);
@@ -250,7 +250,7 @@
 test('plans are written seldom, and hardly at all when nothing changes', tired, () => {
   const { w } = floodWorld();
   const written = () =>
-    w.commits.filter((c) => c.outcome.r === 'ok' && c.txn.apply.some((a) => a.key === 'dp/plan')).length;
+    w.commits.filter((c) => c.outcome.type === 'ok' && c.txn.apply.some((a) => a.key === 'dp/plan')).length;
   const before = written();
   w.play(60);
   // Two a state lease (3.2 s) at most.
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -87,9 +87,9 @@
     clock.wall += 250;
     const out: Effect[] = [];
     fleet.tick(out);
-    for (const e of out) if (e.e === 'list') fleet.listed(null, clock.now);
+    for (const e of out) if (e.type === 'list-machines') fleet.listed(null, clock.now);
     for (const e of out)
-      if (e.e === 'delete') {
+      if (e.type === 'delete-machines') {
         deleted.push(...e.hosts);
         fleet.deleted(e.hosts, true);
       }
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -23,7 +23,7 @@
 function cutPeers(w: World, how: Peers, leader: Node, other: Node): void {
   if (how === 'refuse')
     for (const a of w.nodes)
-      for (const b of w.nodes) if (a !== b) a.push({ c: 'peer-lost', member: b.member });
+      for (const b of w.nodes) if (a !== b) a.push({ type: 'peer-lost', member: b.member });
   if (how === 'refuse' || how === 'hang') w.talk = false;
   if (how === 'apart-leader') leader.apart = true;
   if (how === 'apart-other') other.apart = true;
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -235,7 +235,7 @@
     users,
     (x, ago) => {
       losses['an older copy'](x, ago);
-      x.after(20_000, () => x.heldBack.forEach((txn) => assert.notEqual(x.state.commit(txn).r, 'ok')));
+      x.after(20_000, () => x.heldBack.forEach((txn) => assert.notEqual(x.state.commit(txn).type, 'ok')));
       x.after(55_000, () => {
         still.holdBack = false;
         still.frozen = false;
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -20,7 +20,7 @@
   kill(w, was);
   assert.ok(w.playUntil(() => ownerOf(w) !== undefined, 20));
   const owner = ownerOf(w)!;
-  owner.push({ c: 'checkin', rid: ++w.rids, report: old });
+  owner.push({ type: 'heartbeat', rid: ++w.rids, report: old });
   w.play(0.1);
   for (const x of w.workers.values()) x.silent = false;
   was.boot();
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -26,7 +26,7 @@
     const during = users.jobs.filter((j) => j.acceptedAt > 0);
     const written = w.commits
       .slice(commits)
-      .filter((c) => c.outcome.r === 'ok')
+      .filter((c) => c.outcome.type === 'ok')
       .reduce((n, c) => n + c.txn.apply.length, 0);
     // Against what max-min owes each of what was accepted altogether.
     const shares = flooding.map(
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -24,7 +24,7 @@
 }
 
 const writesOf = (w: World, what: (txn: Txn) => boolean = () => true): number =>
-  w.commits.reduce((n, c) => (c.outcome.r === 'ok' && what(c.txn) ? n + c.txn.apply.length : n), 0);
+  w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.apply.length : n), 0);
 
 /** One-task jobs at a rate: how many are accepted within a second and done, and what each writes. */
 function rate(most: number, perS: number): string {
@@ -51,7 +51,7 @@
     if (w.now < end && sent < ((w.now - from) / 1000) * perS) {
       const n = w.nodes[sent % 3];
       const id = `req-${++sent}`;
-      n.push({ c: 'submit', rid: sent, spec: spec(id, { tasks: 1, team: 'blue', cpus: 0.5 }) });
+      n.push({ type: 'submit', rid: sent, spec: spec(id, { tasks: 1, team: 'blue', cpus: 0.5 }) });
       open.set(sent, { at: w.now, n });
       submitted.set(id, w.now);
     }
@@ -92,7 +92,7 @@
   const starts = w.starts.length;
   const at = w.now;
   if (orderly) {
-    n.push({ c: 'leave' });
+    n.push({ type: 'shut-down' });
     w.playUntil(() => n.controller.phase === 'gone', 20);
   }
   const left = w.now - at;
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -26,7 +26,7 @@
     // Some that are over, and some that run for long.
     for (let i = 0; i < 700; i++)
       w.nodes[i % 3].push({
-        c: 'submit',
+        type: 'submit',
         rid: ++rid,
         spec: spec(`req-${1000 + i}`, { team: 'blue', tasks: 1, cpus: 0.1 }),
       });
@@ -38,7 +38,7 @@
     for (const n of w.nodes) n.settings.state.write_rps = 35;
     for (let i = 0; i < 120; i++)
       w.nodes[i % 3].push({
-        c: 'submit',
+        type: 'submit',
         rid: ++rid,
         spec: spec(`req-${3000 + i}`, { team: 'blue', tasks: 100, cpus: 1, estimateS: 1000 }),
       });
@@ -68,7 +68,7 @@
     const whole = when('rebuilt');
     const writes = w.commits
       .slice(commits)
-      .reduce((n, c) => n + (c.outcome.r === 'ok' ? c.txn.apply.length : 0), 0);
+      .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.apply.length : 0), 0);
     const first = w.starts.length;
     w.playUntil(() => w.starts.length > first, 60);
     say(
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -39,14 +39,14 @@
   const beganAt = w.now;
   for (let i = 0; i < jobs; i++) {
     const job = spec(`req-${i + 1}`, { tasks: tasksPerJob, team: 'blue', cpus: 0.2 });
-    w.nodes[i % w.nodes.length].push({ c: 'submit', rid: firstRequest + i, spec: job });
+    w.nodes[i % w.nodes.length].push({ type: 'submit', rid: firstRequest + i, spec: job });
   }
   w.playUntil(() => w.finished.length >= jobs * tasksPerJob, 600);
   const tookS = (w.now - beganAt) / 1000;
   w.play(10);
   const writes: Record<WriteKind, number> = { accept: 0, tasks: 0, final: 0, drop: 0, other: 0 };
   for (const { txn, outcome } of w.commits.slice(from))
-    if (outcome.r === 'ok') for (const write of txn.apply) writes[kindOf(write)]++;
+    if (outcome.type === 'ok') for (const write of txn.apply) writes[kindOf(write)]++;
   return { starts: w.starts.length, writes, tookS, broken: w.broken.length };
 }
 
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -185,7 +185,7 @@
   withStore(async (kv) => {
     const grant = async (owner: string): Promise<number> => {
       const o = await kv.commit({ when: [], apply: [{ key: 'dp/shard/0', data: { owner } }] });
-      return o.r === 'ok' ? o.epoch : assert.fail(o.r);
+      return o.type === 'ok' ? o.epoch : assert.fail(o.type);
     };
     const job = { id: 'req-1', retries: 0, gang: false };
     const end = { exit: 1, signal: null, reason: 'exited' as const, startedAt: 1, endedAt: 2 };
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -142,7 +142,7 @@
     const w = new World(2, {}, seed);
     w.reportMs = 1000;
     w.play(1.2);
-    w.nodes[0].push({ c: 'submit', rid: 1, spec: spec('req-1', { team: 'blue', tasks: 8, cpus: 4 }) });
+    w.nodes[0].push({ type: 'submit', rid: 1, spec: spec('req-1', { team: 'blue', tasks: 8, cpus: 4 }) });
     w.playUntil(() => w.rentals.length > 0, 5);
     assert.ok(w.rentals.length > 0);
     const leader = w.nodes.find((n) => n.controller.membership.leading)!;
@@ -241,7 +241,7 @@
   const direct = (): number => [...w.workers.values()].filter((x) => x.node === owner).length;
   assert.equal(direct(), w.workers.size);
   for (let i = 0; i < 40; i++) {
-    owner.push({ c: 'load', busy: 0.9, connections: 100 });
+    owner.push({ type: 'load', busy: 0.9, connections: 100 });
     w.play(0.5);
   }
   assert.ok(direct() < w.workers.size / 2, `${direct()} of ${w.workers.size}`);
@@ -249,7 +249,7 @@
   assert.ok(w.playUntil(() => w.finished.length === 4, 90));
   assert.deepEqual(new Set(sessions(w)), new Set([1]));
   for (let i = 0; i < 20; i++) {
-    owner.push({ c: 'load', busy: 0.1, connections: 10 });
+    owner.push({ type: 'load', busy: 0.1, connections: 10 });
     w.play(0.5);
   }
   assert.equal(direct(), w.workers.size);
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -47,17 +47,17 @@
   const intake = new Intake(settings, limits, seeded(3));
   const after = new Set<number>();
   for (let rid = 0; rid < 1500; rid++)
-    for (const e of intake.offer({ c: 'query', rid, id: 'req-1' }, 0))
-      if (e.e === 'answer') {
+    for (const e of intake.offer({ type: 'query', rid, id: 'req-1' }, 0))
+      if (e.type === 'respond') {
         assert.equal(e.status, 503);
         after.add(e.retryAfterS!);
       }
   assert.deepEqual(after, new Set([1, 2]));
-  assert.deepEqual(intake.offer({ c: 'withdraw', rid: 9000, id: 'req-1' }, 0).length, 1);
-  assert.ok(intake.take(1).commands.some((c) => c.c === 'withdraw'));
+  assert.deepEqual(intake.offer({ type: 'cancel', rid: 9000, id: 'req-1' }, 0).length, 1);
+  assert.ok(intake.take(1).commands.some((c) => c.type === 'cancel'));
   intake.tight = true;
-  assert.equal(intake.offer({ c: 'submit', rid: 9001, spec: spec('req-2') }, 1).length, 1);
-  assert.equal(intake.offer({ c: 'withdraw', rid: 9002, id: 'req-1' }, 1).length, 0);
+  assert.equal(intake.offer({ type: 'submit', rid: 9001, spec: spec('req-2') }, 1).length, 1);
+  assert.equal(intake.offer({ type: 'cancel', rid: 9002, id: 'req-1' }, 1).length, 0);
 });
 
 test('retries: an outage is met with few calls, pauses differ by seed and repeat with it, every one ends', () => {
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -185,7 +185,7 @@
   assert.ok(w.playUntil(() => host() !== undefined, 60));
   w.play(5);
   w.nodes[0].push({
-    c: 'checkin',
+    type: 'heartbeat',
     rid: 5,
     report: { ...old, host: host()!, token: w.workers.get(host()!)!.token },
   });
@@ -421,7 +421,7 @@
   const shards = [...owner.controller.shardManager.ownedShards];
   assert.ok(shards.length > 0);
   owner.alive = false;
-  for (const n of others) n.push({ c: 'peer-lost', member: owner.member });
+  for (const n of others) n.push({ type: 'peer-lost', member: owner.member });
   w.play(1);
   for (const k of shards) assert.ok(others.some((n) => n.controller.shardManager.ownedShards.has(k)));
 });
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -83,7 +83,7 @@
   const { shardManager } = w.nodes[0].controller;
   for (let i = 0; i < 150; i++)
     w.nodes[0].push({
-      c: 'submit',
+      type: 'submit',
       rid: 900_000 + i,
       spec: spec(`req-${1000 + i}`, { team: 'blue', tasks: 200, cpus: 1 + (i % 5) / 10 }),
     });
@@ -128,7 +128,8 @@
   const w = new World(1);
   w.play(3);
   const n = w.nodes[0];
-  for (let i = 0; i < 400; i++) n.push({ c: 'submit', rid: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
+  for (let i = 0; i < 400; i++)
+    n.push({ type: 'submit', rid: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
   w.play(1);
   // 400 writes take the budget of some 11 s.
   assert.ok(w.playUntil(() => w.starts.length > 0, 9));
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -80,22 +80,22 @@
     withStore(async (s) => {
       assert.deepEqual(
         await s.commit({ when: [{ key: 'dp/a', stamp: 0 }], apply: [put('dp/a', 1), put('dp/b', 1)] }),
-        { r: 'ok', epoch: 1 },
+        { type: 'ok', epoch: 1 },
       );
       assert.deepEqual(await s.commit({ when: [{ key: 'dp/a', stamp: 0 }], apply: [put('dp/a', 2)] }), {
-        r: 'conflict',
+        type: 'conflict',
         failed: ['dp/a'],
         epoch: 1,
       });
       assert.deepEqual(
         await s.commit({ when: [{ key: 'dp/a', stamp: 1 }], apply: [{ key: 'dp/b', data: undefined }] }),
-        { r: 'ok', epoch: 2 },
+        { type: 'ok', epoch: 2 },
       );
       assert.deepEqual(await s.commit({ when: [{ key: 'dp/a', stamp: 1 }], apply: [] }), {
-        r: 'ok',
+        type: 'ok',
         epoch: 2,
       });
-      assert.deepEqual(await s.commit({ when: [], apply: [put('dp/c', 1, 99)] }), { r: 'unleased' });
+      assert.deepEqual(await s.commit({ when: [], apply: [put('dp/c', 1, 99)] }), { type: 'lease-expired' });
       const page = await s.page('');
       assert.deepEqual(page, { items: [{ key: 'dp/a', data: { n: 1 }, stamp: 1 }], more: false, epoch: 2 });
       assert.deepEqual(await s.changes(1, 0), {
@@ -223,22 +223,22 @@
   const good = await Promise.all(
     Array.from({ length: 50 }, (_, i) => engine.commit({ when: [], apply: [put(`a${i}`, i)] })),
   );
-  assert.ok(good.every((r) => r.r === 'ok'));
+  assert.ok(good.every((r) => r.type === 'ok'));
   assert.ok(disk.writes <= 3, `${disk.writes} writes for 50 commits at once`);
   disk.failing = true;
   const bad = await Promise.all([
     engine.commit({ when: [], apply: [put('b', 1)] }),
     engine.commit({ when: [], apply: [put('c', 1)] }),
   ]);
-  assert.deepEqual(bad, [{ r: 'unknown' }, { r: 'unknown' }]);
+  assert.deepEqual(bad, [{ type: 'unknown' }, { type: 'unknown' }]);
   assert.equal((broken as StoreError | null)?.kind, 'full');
   assert.equal(engine.get('b').entry, undefined);
-  assert.deepEqual(await engine.commit({ when: [], apply: [put('d', 1)] }), { r: 'unknown' });
+  assert.deepEqual(await engine.commit({ when: [], apply: [put('d', 1)] }), { type: 'unknown' });
   disk.failing = false;
   const again = await Engine.open(disk, quiet, never);
   assert.equal(again.get('a49').entry?.stamp, 50);
   assert.deepEqual(await again.commit({ when: [{ key: 'b', stamp: 0 }], apply: [put('b', 1)] }), {
-    r: 'ok',
+    type: 'ok',
     epoch: 51,
   });
 });
@@ -249,8 +249,8 @@
   const first = engine.commit({ when: [], apply: [put('a', 1)] });
   const refused = engine.commit({ when: [{ key: 'a', stamp: 0 }], apply: [put('a', 2)] });
   assert.equal(engine.get('a').entry, undefined);
-  assert.equal((await first).r, 'ok');
-  assert.deepEqual(await refused, { r: 'conflict', failed: ['a'], epoch: 1 });
+  assert.equal((await first).type, 'ok');
+  assert.deepEqual(await refused, { type: 'conflict', failed: ['a'], epoch: 1 });
   assert.equal(disk.epoch, 1);
 });
 
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -263,7 +263,7 @@
     w.play(20);
     const n = who(w)!;
     const failed = users.failed;
-    n.push({ c: 'leave' });
+    n.push({ type: 'shut-down' });
     const from = w.now;
     assert.ok(
       w.playUntil(
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -107,7 +107,7 @@
 export function kill(w: World, n: Node): void {
   n.alive = false;
   for (const x of w.nodes)
-    if (x !== n && w.chance() < 0.8) w.after(20, () => x.push({ c: 'peer-lost', member: n.member }));
+    if (x !== n && w.chance() < 0.8) w.after(20, () => x.push({ type: 'peer-lost', member: n.member }));
 }
 
 const lengths = [3, 8, 20, 45, 80];
--- a/test/support/flood.ts
+++ b/test/support/flood.ts
@@ -84,7 +84,7 @@
     if (alive.length === 0) return this.again(job, 1000);
     const node = alive[this.turn++ % alive.length];
     const rid = ++this.rid;
-    node.push({ c: 'submit', rid, spec: job.spec });
+    node.push({ type: 'submit', rid, spec: job.spec });
     this.open.push({ job, node, rid, at: w.now });
   }
 
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -42,7 +42,7 @@
   const key = 'dp/wish';
   const data = wishData({ ...noWish, ...over });
   const o = w.state.commit({ when: [], apply: [{ key, data }] });
-  assert.equal(o.r, 'ok');
+  assert.equal(o.type, 'ok');
 }
 
 /** Three controllers of the old program that serve. */
@@ -156,7 +156,11 @@
     w.endless.add('req-1');
     for (const id of ['req-1', 'req-2', 'req-3']) {
       w.endless.add(id);
-      w.nodes[0].push({ c: 'submit', rid: 1, spec: spec(id, { tasks: 1, team: 'blue', shape: 'service' }) });
+      w.nodes[0].push({
+        type: 'submit',
+        rid: 1,
+        spec: spec(id, { tasks: 1, team: 'blue', shape: 'service' }),
+      });
     }
     w.play(15);
     for (const n of w.nodes) n.alive = false;
@@ -222,7 +226,7 @@
     w.play(3);
     for (const txn of late) {
       const o = w.state.commit(txn);
-      if (o.r !== 'ok') continue;
+      if (o.type !== 'ok') continue;
       // Without a condition on the level, a program that knows none can still add a job that was not there: format 1.
       assert.ok(!cast.knowsLevels, 'carried out');
       assert.ok(
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -31,7 +31,7 @@
   const grants = new Map<string, number>();
   const placedAt = new Map<string, number>();
   for (const { txn, outcome, at } of w.commits) {
-    if (outcome.r !== 'ok') continue;
+    if (outcome.type !== 'ok') continue;
     for (const write of txn.apply) {
       const ref = readKey(write.key);
       if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.epoch);
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -6,7 +6,7 @@
   node: Node;
   rid: number;
   at: number;
-  what: 'submit' | 'query' | 'withdraw';
+  what: 'submit' | 'query' | 'cancel';
 }
 
 type Told = 'accepted' | 'done' | 'aborted';
@@ -92,7 +92,7 @@
   /** Its user calls a job off, through this controller first. */
   cancel(id: string, through?: Node): void {
     this.wantsEnd.add(id);
-    this.ask('withdraw', id, through);
+    this.ask('cancel', id, through);
   }
 
   /** Jobs that were accepted and are not known to be over. */
@@ -171,14 +171,14 @@
     const rid = ++this.rid;
     const job = this.jobs.get(id);
     if (!job) {
-      node.push({ c: 'query', rid, id });
+      node.push({ type: 'query', rid, id });
       this.open.push({ id, node, rid, at: this.w.now, what: 'query' });
       return;
     }
     if (job.shape === 'gang') this.w.gangs.set(id, job.tasks);
     if (job.shape === 'service') this.w.endless.add(id);
     this.w.specs.set(id, job);
-    node.push(what === 'submit' ? { c: 'submit', rid, spec: job } : { c: what, rid, id });
+    node.push(what === 'submit' ? { type: 'submit', rid, spec: job } : { type: what, rid, id });
     this.open.push({ id, node, rid, at: this.w.now, what });
   }
 
@@ -196,7 +196,7 @@
       }
       const n = Number(id.slice(4));
       if (n % this.withdrawEvery === 0) this.wantsEnd.add(id);
-      this.ask(this.wantsEnd.has(id) ? 'withdraw' : 'query', id);
+      this.ask(this.wantsEnd.has(id) ? 'cancel' : 'query', id);
     }
   }
 
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -115,12 +115,13 @@
 
   commit(txn: Txn): CommitOutcome {
     this.before(txn);
-    if (this.down) return { r: 'refused' };
-    if (this.busy || !this.spend(txn.apply.length)) return { r: 'busy' };
+    if (this.down) return { type: 'rejected' };
+    if (this.busy || !this.spend(txn.apply.length)) return { type: 'rate-limited' };
     this.expire();
-    if (txn.apply.some((w) => w.hold !== undefined && !this.holds.has(w.hold))) return { r: 'unleased' };
+    if (txn.apply.some((w) => w.hold !== undefined && !this.holds.has(w.hold)))
+      return { type: 'lease-expired' };
     const failed = txn.when.filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key);
-    if (failed.length > 0) return { r: 'conflict', failed, epoch: this.epoch };
+    if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
     if (txn.apply.length > 0) this.epoch++;
     for (const w of txn.apply) {
       const change = { key: w.key, data: w.data && JSON.parse(JSON.stringify(w.data)), stamp: this.epoch };
@@ -128,7 +129,7 @@
       else this.keys.set(w.key, { ...change, hold: w.hold });
       this.log.push(change);
     }
-    return { r: 'ok', epoch: this.epoch };
+    return { type: 'ok', epoch: this.epoch };
   }
 
   /** Puts and deletes that it takes in a second; bursts of a second's worth are allowed. */
@@ -294,9 +295,9 @@
     if (off && this.followed < 0) this.readFrom = this.world.now;
     const read = this.followed >= 0 || this.world.now >= this.readFrom + this.world.readMs;
     if (!off && read && this.world.now >= this.newsAt) {
-      if (this.followed < 0) this.push({ c: 'loaded', items: s.items(), epoch: s.epoch });
+      if (this.followed < 0) this.push({ type: 'snapshot-loaded', items: s.items(), epoch: s.epoch });
       else if (this.followed < s.epoch)
-        this.push({ c: 'changes', changes: s.log.filter((c) => c.stamp > this.followed), epoch: s.epoch });
+        this.push({ type: 'changes', changes: s.log.filter((c) => c.stamp > this.followed), epoch: s.epoch });
       this.followed = s.epoch;
     }
     const commands = this.queue;
@@ -326,8 +327,8 @@
   private carryOut(e: Effect, reply: (c: Command | null) => void): void {
     const w = this.world;
     const off = this.cut || w.state.down || this.throttled;
-    switch (e.e) {
-      case 'answer':
+    switch (e.type) {
+      case 'respond':
         this.answers.set(e.rid, {
           status: e.status,
           body: e.body as Record<string, unknown>,
@@ -335,71 +336,78 @@
         });
         break;
       case 'commit': {
-        if (this.cut) return reply({ c: 'committed', outcome: { r: 'refused' } });
-        if (this.throttled) return reply({ c: 'committed', outcome: { r: 'busy' } });
+        if (this.cut) return reply({ type: 'commit-result', outcome: { type: 'rejected' } });
+        if (this.throttled) return reply({ type: 'commit-result', outcome: { type: 'rate-limited' } });
         if (this.holdBack) {
           w.heldBack.push(e.txn);
-          return reply({ c: 'committed', outcome: { r: 'unknown' } });
+          return reply({ type: 'commit-result', outcome: { type: 'unknown' } });
         }
         if (w.chance() < w.state.lateShare && !w.state.down) {
           const { txn } = e;
           w.after(2000 + 10_000 * w.chance(), () => {
             w.commits.push({ member: this.member, txn, outcome: w.state.commit(txn), at: w.now });
           });
-          return void w.after(w.lostAnswerMs, () => reply({ c: 'committed', outcome: { r: 'unknown' } }));
+          return void w.after(w.lostAnswerMs, () =>
+            reply({ type: 'commit-result', outcome: { type: 'unknown' } }),
+          );
         }
         const { txn } = e;
         w.sometime(w.commitMs(), () => {
           const outcome = w.state.commit(txn);
           w.commits.push({ member: this.member, txn, outcome, at: w.now });
           const lost = w.state.loseAnswers || w.state.loses(txn);
-          if (lost) w.sometime(w.lostMs(), () => reply({ c: 'committed', outcome: { r: 'unknown' } }));
-          else reply({ c: 'committed', outcome });
+          if (lost)
+            w.sometime(w.lostMs(), () => reply({ type: 'commit-result', outcome: { type: 'unknown' } }));
+          else reply({ type: 'commit-result', outcome });
         });
         break;
       }
-      case 'epoch':
-        reply({ c: 'epoch', sentAt: w.now * this.clockRate, epoch: off ? null : w.state.epoch });
+      case 'read-revision':
+        reply({ type: 'revision-read', sentAt: w.now * this.clockRate, epoch: off ? null : w.state.epoch });
         break;
-      case 'lease':
-        reply({ c: 'leased', hold: off ? null : w.state.lease(e.ttlMs) });
+      case 'grant-lease':
+        reply({ type: 'lease-granted', hold: off ? null : w.state.lease(e.ttlMs) });
         break;
-      case 'renew':
-        reply({ c: 'renewed', hold: e.hold, outcome: off ? 'failed' : w.state.renew(e.hold) });
+      case 'renew-lease':
+        reply({
+          type: 'lease-renewal-result',
+          hold: e.hold,
+          outcome: off ? 'failed' : w.state.renew(e.hold),
+        });
         break;
-      case 'unlease':
+      case 'revoke-lease':
         if (!off) w.state.end(e.hold);
         break;
-      case 'types':
-        reply({ c: 'types', types: w.cloudDown ? null : w.types });
+      case 'list-machine-types':
+        reply({ type: 'machine-types', types: w.cloudDown ? null : w.types });
         break;
-      case 'rent': {
+      case 'rent-machines': {
         this.actsAsLeader('rent');
         w.rentals.push(e.request);
-        if (w.cloudDown) return reply({ c: 'rented', request: e.request, outcome: 'refused' });
+        if (w.cloudDown) return reply({ type: 'rental-result', request: e.request, outcome: 'refused' });
         const { request } = e;
         if (w.chance() < w.cloudLate) {
           w.after(2000 + 10_000 * w.chance(), () => w.rent(request));
-          return reply({ c: 'rented', request, outcome: 'unknown' });
+          return reply({ type: 'rental-result', request, outcome: 'unknown' });
         }
         const outcome = w.rent(request);
-        w.sometime(w.cloudMs(), () => reply({ c: 'rented', request, outcome }));
+        w.sometime(w.cloudMs(), () => reply({ type: 'rental-result', request, outcome }));
         break;
       }
-      case 'delete':
+      case 'delete-machines':
         this.actsAsLeader('return');
-        if (w.cloudDown) return reply({ c: 'deleted', hosts: e.hosts, ok: false });
+        if (w.cloudDown) return reply({ type: 'deletion-result', hosts: e.hosts, ok: false });
         if (w.chance() < w.cloudLate) {
           const { hosts } = e;
           w.after(2000 + 10_000 * w.chance(), () => w.remove(hosts));
-          return reply({ c: 'deleted', hosts, ok: false });
+          return reply({ type: 'deletion-result', hosts, ok: false });
         }
         w.remove(e.hosts);
-        reply({ c: 'deleted', hosts: e.hosts, ok: true });
+        reply({ type: 'deletion-result', hosts: e.hosts, ok: true });
         break;
-      case 'list':
+      case 'list-machines':
         reply({
-          c: 'listed',
+          type: 'machine-list',
           askedAt: w.now * this.clockRate,
           machines: w.cloudDown
             ? null
@@ -414,36 +422,42 @@
               })),
         });
         break;
-      case 'order':
+      case 'send-task-commands':
         w.sometime(w.orderMs(), () => {
           const to = w.workers.get(e.host);
           if (!to?.cutFrom.has(this.member)) to?.straight(e.orders, e.token, e.session);
         });
         break;
-      case 'relay': {
+      case 'forward-heartbeat': {
         const to = w.nodes.find((n) => n.member === e.to);
         const id = ++w.rids;
         if (!to?.alive || this.apart || to.apart)
-          return reply({ c: 'relayed', rid: e.rid, status: 503, body: {} });
-        to.push({ c: 'checkin', rid: id, report: e.report, from: this.member });
+          return reply({ type: 'forwarded-response', rid: e.rid, status: 503, body: {} });
+        to.push({ type: 'heartbeat', rid: id, report: e.report, from: this.member });
         w.after(30, () => {
           const a = to.answers.get(id);
-          if (a) this.push({ c: 'relayed', rid: e.rid, status: a.status, body: a.body });
+          if (a) this.push({ type: 'forwarded-response', rid: e.rid, status: a.status, body: a.body });
         });
         break;
       }
-      case 'pulse':
-        this.tellPeers((to) => to.push({ c: 'pulse', from: this.member, pulse: e.pulse }));
+      case 'peer-status':
+        this.tellPeers((to) => to.push({ type: 'peer-status', from: this.member, pulse: e.pulse }));
         break;
-      case 'turned':
-        this.tellPeers((to) => to.push({ c: 'turned', list: e.list }));
+      case 'rejected-jobs':
+        this.tellPeers((to) => to.push({ type: 'rejected-jobs', list: e.list }));
         break;
-      case 'ask':
-        this.tellPeers((to) => to.push({ c: 'asked', from: this.member, question: e.question }));
+      case 'query-freshness':
+        this.tellPeers((to) => to.push({ type: 'freshness-query', from: this.member, question: e.question }));
         break;
-      case 'vouch': {
+      case 'confirm-freshness': {
         const { question, known } = e;
-        const vouched = { c: 'vouched', from: this.member, run: this.run, question, known } as const;
+        const vouched = {
+          type: 'freshness-confirmed',
+          from: this.member,
+          run: this.run,
+          question,
+          known,
+        } as const;
         this.tellPeers((to) => to.member === e.to && to.push(vouched));
         break;
       }
@@ -455,13 +469,13 @@
           .sort((a, b) => (a.key < b.key ? -1 : 1))
           .filter((i) => i.key > e.from);
         const part = { items: items.slice(0, e.keys), more: items.length > e.keys };
-        reply({ c: 'audited', from: e.from, ...part, epoch: off ? null : w.state.epoch });
+        reply({ type: 'audit-result', from: e.from, ...part, epoch: off ? null : w.state.epoch });
         break;
       }
-      case 'reborn':
+      case 'restart':
         this.reborn++;
         // What was asked for before counts no more; requests wait on.
-        this.queue = this.queue.filter((c) => ['submit', 'query', 'withdraw', 'checkin'].includes(c.c));
+        this.queue = this.queue.filter((c) => ['submit', 'query', 'cancel', 'heartbeat'].includes(c.type));
         this.start(e.recoveryRecords);
         break;
     }
@@ -496,10 +510,10 @@
     if (job.shape === 'service') this.world.endless.add(job.id);
     if (job.shape === 'gang') this.world.gangs.set(job.id, job.tasks);
     this.world.specs.set(job.id, job);
-    return this.ask((rid) => ({ c: 'submit', rid, spec: job }));
+    return this.ask((rid) => ({ type: 'submit', rid, spec: job }));
   };
-  status = (id: string) => this.ask((rid) => ({ c: 'query', rid, id }));
-  withdraw = (id: string) => this.ask((rid) => ({ c: 'withdraw', rid, id }));
+  status = (id: string) => this.ask((rid) => ({ type: 'query', rid, id }));
+  withdraw = (id: string) => this.ask((rid) => ({ type: 'cancel', rid, id }));
 }
 
 interface Running {
@@ -636,11 +650,13 @@
     const rid = ++w.rids;
     const report = this.report();
     if (!node.controller.replica.machines.has(this.host)) w.early++;
-    node.push({ c: 'checkin', rid, report });
+    node.push({ type: 'heartbeat', rid, report });
     if (w.chance() < w.keptForNext) w.old.push(report);
     if (w.chance() < w.lateReports) {
       const to = w.nodes[Math.floor(w.chance() * w.nodes.length)];
-      w.after(2000 + 1.5 * w.leaseMs * w.chance(), () => to.push({ c: 'checkin', rid: ++w.rids, report }));
+      w.after(2000 + 1.5 * w.leaseMs * w.chance(), () =>
+        to.push({ type: 'heartbeat', rid: ++w.rids, report }),
+      );
     }
     if (this.deaf) {
       this.target++;
@@ -939,7 +955,7 @@
     for (const report of this.old.splice(0)) {
       const ms = this.chance() < 0.5 ? 100 * this.chance() : 4000 * this.chance();
       this.after(ms, () => {
-        for (const n of this.nodes) if (n.alive) n.push({ c: 'checkin', rid: ++this.rids, report });
+        for (const n of this.nodes) if (n.alive) n.push({ type: 'heartbeat', rid: ++this.rids, report });
         this.oldCame++;
       });
     }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -231,13 +231,13 @@
     w.play(10);
     for (let i = 0; i < jobs; i++)
       w.nodes[i % 3].push({
-        c: 'submit',
+        type: 'submit',
         rid: 9000 + i,
         spec: spec(`req-${i + 1}`, { tasks, team: 'blue', cpus: 0.2 }),
       });
     assert.ok(w.playUntil(() => w.finished.length === jobs * tasks, 300));
     w.play(5);
-    const written = w.commits.flatMap((c) => (c.outcome.r === 'ok' ? c.txn.apply : []));
+    const written = w.commits.flatMap((c) => (c.outcome.type === 'ok' ? c.txn.apply : []));
     return { writesAStart: written.filter(isTaskWrite).length / w.starts.length, broken: w.broken };
   };
   const [without, logged] = [play({}), play(withLog)];
@@ -346,7 +346,7 @@
   w.state.writesPerS = 40;
   for (let i = 1; i <= 12; i++)
     w.nodes[i % 3].push({
-      c: 'submit',
+      type: 'submit',
       rid: 8000 + i,
       spec: spec(`req-${i}`, { tasks: 2, team: 'blue', cpus: 1 }),
     });
@@ -386,7 +386,9 @@
       w.nodes[i % 3].submit(spec(id, { tasks: 2, team: 'blue', cpus: 1 }));
     const cancelled = jobs.filter((_, i) => i % 2 === 0);
     for (const [i, id] of cancelled.entries())
-      w.after(Math.round(w.chance() * 3000), () => w.nodes[i % 3].push({ c: 'withdraw', rid: 7000 + i, id }));
+      w.after(Math.round(w.chance() * 3000), () =>
+        w.nodes[i % 3].push({ type: 'cancel', rid: 7000 + i, id }),
+      );
     w.play(15);
     for (const [i, id] of cancelled.entries())
       if (w.nodes[i % 3].answers.get(7000 + i)?.body['status'] === 'aborted') w.cancelledAt.set(id, w.now);
@@ -452,7 +454,7 @@
   w.workers.get(host)!.silent = true;
   assert.ok(w.playUntil(() => w.running('req-1').filter((r) => r.host !== host).length === 2, 200));
   w.play(15);
-  assert.equal(w.state.commit(late).r, 'ok');
+  assert.equal(w.state.commit(late).type, 'ok');
   w.play(5);
   for (const n of w.nodes) {
     const placed = [...n.controller.replica.chunks.get('req-1')!.values()].flatMap((c) => c.placed);
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -50,9 +50,9 @@
       const out: Effect[] = [];
       this.committer.pump(at, out);
       for (const effect of out)
-        if (effect.e === 'commit') {
+        if (effect.type === 'commit') {
           this.written.push(...effect.txn.apply.map((w) => w.key));
-          this.committer.outcome({ r: 'ok', epoch: ++this.epoch }, at, []);
+          this.committer.outcome({ type: 'ok', epoch: ++this.epoch }, at, []);
         }
     }
   }
