--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,8 +1,8 @@
-import { FairQueue, type Entry } from './fair-queue.js';
-import { Tickets, type Turned } from './retry-tickets.js';
+import { FairQueue, type QueueEntry } from './fair-queue.js';
+import { RetryTickets, type Rejection } from './retry-tickets.js';
 
 /** Who is told to come later, and in how many seconds. */
-export interface Away<T> {
+export interface RejectedEntry<T> {
   entry: T;
   retryAfterS: number;
 }
@@ -20,23 +20,23 @@
 }
 
 /** How much of a pause is left to chance, so that those who are turned away together do not come back together. */
-const spread = 0.25;
+const retryJitter = 0.25;
 /** So many of a class may wait whatever its pace. */
-const leastRoom = 2;
+const minClassCapacity = 2;
 /** The last try is to come so long before its user gives up, ms. */
-const lastTryMs = 3000;
+const finalRetryMarginMs = 3000;
 
 /**
  * Takes jobs in at the pace at which they can be written, fairly by team and class. What cannot be taken within the patience
  * is turned away at once, with when to come again; who has tried longest goes first, and takes the place of the youngest of
  * its class.
  */
-export class Admission<T extends Entry> {
+export class AdmissionQueue<T extends QueueEntry> {
   private readonly queue: FairQueue<T>;
-  readonly tickets: Tickets;
+  readonly tickets: RetryTickets;
   /** Jobs a second that this controller may take in; and that all may together. */
   rate = 1;
-  wholeRate = 1;
+  totalRate = 1;
 
   constructor(
     private readonly limits: AdmissionLimits,
@@ -45,7 +45,7 @@
     private readonly random: () => number,
   ) {
     this.queue = new FairQueue(teamWeight, classWeight);
-    this.tickets = new Tickets(limits.tickets, limits.tryMs);
+    this.tickets = new RetryTickets(limits.tickets, limits.tryMs);
   }
 
   get size(): number {
@@ -53,48 +53,49 @@
   }
 
   /** Somebody wants in. Who is turned away for it: itself, or one of its class that has tried for less long. */
-  offer(e: T, now: number): Away<T> | null {
-    e.firstAt = Math.min(e.firstAt, this.tickets.first(e.id) ?? Infinity);
+  offer(e: T, now: number): RejectedEntry<T> | null {
+    e.firstAt = Math.min(e.firstAt, this.tickets.firstAttemptAt(e.id) ?? Infinity);
     const whole = this.rate * (this.limits.patienceMs / 1000);
     const full = this.queue.size >= this.limits.most;
     // While all that wait can be taken in within the patience, it does not matter whose they are.
     const crowded = full || this.queue.size >= whole;
-    const room = crowded ? Math.max(leastRoom, whole * this.queue.share(e)) : Infinity;
-    const { older, all } = this.queue.ahead(e);
-    if (older >= room || (full && all === 0)) return this.away(e, now);
-    const youngest = all + 1 > room || full ? this.queue.youngest(e) : undefined;
-    this.queue.add(e);
+    const room = crowded ? Math.max(minClassCapacity, whole * this.queue.shareOf(e)) : Infinity;
+    const { older, all } = this.queue.position(e);
+    if (older >= room || (full && all === 0)) return this.reject(e, now);
+    const youngest = all + 1 > room || full ? this.queue.newest(e) : undefined;
+    this.queue.enqueue(e);
     if (!youngest) return null;
     this.queue.remove(youngest);
-    return this.away(youngest, now);
+    return this.reject(youngest, now);
   }
 
   /** Who is taken in next. */
-  next(): T | null {
-    return this.queue.next();
+  dequeue(): T | null {
+    return this.queue.dequeue();
   }
 
   /** It has waited for too long: the pace has fallen since it came. */
-  overdue(e: T, now: number): Away<T> {
+  expire(e: T, now: number): RejectedEntry<T> {
     this.queue.remove(e);
-    return this.away(e, now);
+    return this.reject(e, now);
   }
 
   /** When to come again: when those of its class that were turned away before it will have had their turn. */
-  private away(e: T, now: number): Away<T> {
+  private reject(e: T, now: number): RejectedEntry<T> {
     const ageMs = Math.max(0, now - e.firstAt);
-    this.tickets.note({ ...e, ageMs }, now);
+    this.tickets.record({ ...e, ageMs }, now);
     const { tryMs, longestMs } = this.limits;
-    const pace = Math.max(1e-3, this.wholeRate * this.queue.share(e));
-    const turnMs = (1000 * this.tickets.outstanding(e.team, e.class) * Math.max(0, 1 - ageMs / tryMs)) / pace;
-    const some = turnMs * (1 + spread * (2 * this.random() - 1));
-    const left = tryMs - ageMs - lastTryMs;
+    const pace = Math.max(1e-3, this.totalRate * this.queue.shareOf(e));
+    const turnMs =
+      (1000 * this.tickets.outstandingCount(e.team, e.class) * Math.max(0, 1 - ageMs / tryMs)) / pace;
+    const some = turnMs * (1 + retryJitter * (2 * this.random() - 1));
+    const left = tryMs - ageMs - finalRetryMarginMs;
     const pause = Math.min(longestMs, some, left > 1000 ? left : longestMs);
     return { entry: e, retryAfterS: Math.max(1, Math.round(pause / 100) / 10) };
   }
 
   /** What another controller has turned away. */
-  told(list: readonly Turned[], now: number): void {
-    for (const t of list) this.tickets.note(t, now);
+  recordPeerRejections(list: readonly Rejection[], now: number): void {
+    for (const t of list) this.tickets.record(t, now);
   }
 }
--- a/src/admission/allocation.ts
+++ b/src/admission/allocation.ts
@@ -1,8 +1,15 @@
-import { maxMin } from './max-min-fairness.js';
-import { alonePart, bunches, partsOf, planned, type Parts, type Wants } from './member-allocation.js';
+import { maxMinShares } from './max-min-fairness.js';
+import {
+  equalShare,
+  burstFactor,
+  divideWrites,
+  allocatableShare,
+  type WriteShare,
+  type WriteDemand,
+} from './member-allocation.js';
 
 /** What users of one team and class want, a second. */
-export interface KindWant {
+export interface WorkloadDemand {
   team: string;
   class: string;
   /** Of its class within its team, by urgency. */
@@ -11,55 +18,55 @@
 }
 
 /** What a controller tells of itself for the plan. */
-export interface Demand extends Wants {
+export interface MemberDemand extends WriteDemand {
   /** The team and class of those that wait to be taken in there, those that want most first; none while nobody has to wait. */
-  kinds: KindWant[];
+  kinds: WorkloadDemand[];
   /** The number of the plan that it follows; 0: none. */
   follows: number;
 }
 
 /** A controller's part of the writes, a second. */
-export interface PlanPart extends Parts {
+export interface MemberAllocation extends WriteShare {
   /** The most that it may be making use of, by this plan or an earlier one that it may still follow. */
   most: number;
-  /** In which proportion teams (`kindName(team, '')`), and the classes of each, take turns there. */
+  /** In which proportion teams (`workloadKey(team, '')`), and the classes of each, take turns there. */
   kinds: ReadonlyMap<string, number>;
 }
 
 /** What all controllers follow: a durable record. */
-export interface Plan {
-  number: number;
-  parts: ReadonlyMap<string, PlanPart>;
+export interface WriteAllocation {
+  version: number;
+  members: ReadonlyMap<string, MemberAllocation>;
 }
 
 /** A controller, as whoever works the plan out knows it. */
-export interface Member {
+export interface MemberStatus {
   name: string;
   /** Its presence is there. */
   here: boolean;
   /** Its presence has been gone for so long that it knows, or does not reach the state service: it has fallen back to its floor. */
   fallen: boolean;
   /** What it told last; null: it is not heard. */
-  demand: Demand | null;
+  demand: MemberDemand | null;
 }
 
-export const kindName = (team: string, cls: string): string => `${team} ${cls}`;
+export const workloadKey = (team: string, cls: string): string => `${team} ${cls}`;
 
 /** Of an equal share: what each may make use of at any time, also one that knows of no plan, or of none that is new. */
 const floorShare = 0.25;
 /** Team and class that have work are to get at least this share of an equal one, whatever their weights. */
 const leastKindShare = 0.5;
 /** So many kinds of a controller are named; the others share what is left as they come. */
-export const mostKinds = 16;
+export const maxNamedWorkloads = 16;
 
-export const wholeOf = (writesPerS: number): number => writesPerS * planned;
-export const floorOf = (writesPerS: number, members: number): number =>
-  (wholeOf(writesPerS) / members) * floorShare;
+export const allocatableWrites = (writesPerS: number): number => writesPerS * allocatableShare;
+export const minMemberWrites = (writesPerS: number, members: number): number =>
+  (allocatableWrites(writesPerS) / members) * floorShare;
 
 /** What a controller follows that has no plan that is known to be new: deterministic, and all of them together are the whole. */
-export function withoutPlan(writesPerS: number, members: number, planInForce: boolean): Parts {
-  if (!planInForce) return alonePart(writesPerS, members);
-  const total = floorOf(writesPerS, members);
+export function fallbackWrites(writesPerS: number, members: number, planInForce: boolean): WriteShare {
+  if (!planInForce) return equalShare(writesPerS, members);
+  const total = minMemberWrites(writesPerS, members);
   return { total, users: total / 2 };
 }
 
@@ -69,50 +76,50 @@
  * more than the whole. What a plan takes from one is therefore given to another only by a plan after that member has told
  * that it follows, or has surely fallen back to its floor (`fallen`; `settled`: the last plan is older than views may be).
  */
-export function nextPlan(
-  last: Plan | null,
+export function nextAllocation(
+  last: WriteAllocation | null,
   writesPerS: number,
-  members: readonly Member[],
+  members: readonly MemberStatus[],
   settled: boolean,
   teamWeight: (team: string) => number,
-): Plan {
-  const whole = wholeOf(writesPerS);
-  const floor = floorOf(writesPerS, members.length);
+): WriteAllocation {
+  const whole = allocatableWrites(writesPerS);
+  const floor = minMemberWrites(writesPerS, members.length);
   const equal = whole / members.length;
   const here = members.filter((m) => m.here || m.demand);
   // Whose presence is gone writes nothing; its floor is kept for it.
   const writes = writesPerS * (1 - (floor * (members.length - here.length)) / whole);
   // Whoever is here and not heard is taken to want an equal share.
-  const wants = here.map((m): Wants => m.demand ?? { tasks: equal / 2, users: equal / 2, behindS: 0 });
-  const usersAll = partsOf(writes, wants).reduce((sum, p) => sum + p.users, 0);
+  const wants = here.map((m): WriteDemand => m.demand ?? { tasks: equal / 2, users: equal / 2, behindS: 0 });
+  const usersAll = divideWrites(writes, wants).reduce((sum, p) => sum + p.users, 0);
   const shares = kindParts(usersAll, here, teamWeight);
   const crowd = shares.map((s) => s.rate);
-  const ideals = partsOf(writes, wants, crowd.some((x) => x > 0) ? crowd : null);
+  const ideals = divideWrites(writes, wants, crowd.some((x) => x > 0) ? crowd : null);
   const ideal = new Map(here.map((m, i) => [m.name, { ...ideals[i], kinds: shares[i].kinds }]));
   const using = members.map((m) => {
-    const before = last?.parts.get(m.name);
+    const before = last?.members.get(m.name);
     if (!last) return equal;
     if (!before || m.fallen) return floor;
-    return Math.max(floor, settled || (m.demand?.follows ?? 0) >= last.number ? before.total : before.most);
+    return Math.max(floor, settled || (m.demand?.follows ?? 0) >= last.version ? before.total : before.most);
   });
   // Guards against members that come and go in the settings: what they may be using counts until the plan has settled.
   const names = new Set(members.map((m) => m.name));
   let others = 0;
-  if (last && !settled) for (const [name, p] of last.parts) if (!names.has(name)) others += p.most;
+  if (last && !settled) for (const [name, p] of last.members) if (!names.has(name)) others += p.most;
   const free = Math.max(0, whole - others - using.reduce((a, b) => a + b, 0));
   const wanted = members.map((m) => ideal.get(m.name)?.total ?? floor);
-  const raises = maxMin(
+  const raises = maxMinShares(
     free,
     wanted.map((want, i) => ({ want: Math.max(0, want - using[i]), weight: 1, floor: 0 })),
   );
-  const parts = new Map<string, PlanPart>();
+  const parts = new Map<string, MemberAllocation>();
   members.forEach((m, i) => {
     const total = Math.max(floor, down(Math.min(wanted[i], using[i] + raises[i])));
     const users = down(Math.min(ideal.get(m.name)?.users ?? total / 2, total));
     const kinds = ideal.get(m.name)?.kinds ?? new Map<string, number>();
     parts.set(m.name, { total, users, most: Math.max(using[i], total), kinds });
   });
-  return { number: (last?.number ?? 0) + 1, parts };
+  return { version: (last?.version ?? 0) + 1, members: parts };
 }
 
 /**
@@ -121,7 +128,7 @@
  */
 function kindParts(
   users: number,
-  members: readonly Member[],
+  members: readonly MemberStatus[],
   teamWeight: (team: string) => number,
 ): { rate: number; kinds: Map<string, number> }[] {
   const teams = new Map<string, Map<string, { weight: number; want: number; at: number[] }>>();
@@ -131,15 +138,15 @@
       if (!team) teams.set(k.team, (team = new Map()));
       let kind = team.get(k.class);
       if (!kind) team.set(k.class, (kind = { weight: k.weight, want: 0, at: members.map(() => 0) }));
-      kind.want += k.want * bunches;
-      kind.at[i] += k.want * bunches;
+      kind.want += k.want * burstFactor;
+      kind.at[i] += k.want * burstFactor;
     }
   });
   const out = members.map(() => ({ rate: 0, kinds: new Map<string, number>() }));
   /** By controller: those that get all that they want, of the teams and of each team's classes. */
   const content: { at: number; name: string; level: Map<string, number> }[] = [];
   const least = (total: number, n: number): number => (leastKindShare * total) / Math.max(1, n);
-  const ofTeams = maxMin(
+  const ofTeams = maxMinShares(
     users,
     [...teams].map(([name, classes]) => ({
       want: sum([...classes.values()].map((k) => k.want)),
@@ -150,7 +157,7 @@
   const teamRates = members.map(() => new Map<string, number>());
   [...teams].forEach(([team, classes], t) => {
     const list = [...classes];
-    const ofClasses = maxMin(
+    const ofClasses = maxMinShares(
       ofTeams[t],
       list.map(([, k]) => ({ want: k.want, weight: k.weight, floor: least(ofTeams[t], list.length) })),
     );
@@ -160,15 +167,16 @@
       k.at.forEach((want, i) => {
         if (want <= 0) return;
         const rate = (ofClasses[c] * want) / k.want;
-        const name = kindName(team, cls);
+        const name = workloadKey(team, cls);
         out[i].rate += rate;
         levels[i].set(name, rate);
-        teamRates[i].set(kindName(team, ''), (teamRates[i].get(kindName(team, '')) ?? 0) + rate);
+        teamRates[i].set(workloadKey(team, ''), (teamRates[i].get(workloadKey(team, '')) ?? 0) + rate);
         if (ofClasses[c] > k.want - tiny) content.push({ at: i, name, level: levels[i] });
       }),
     );
     members.forEach((_, i) => {
-      if (whole && levels[i].size > 0) content.push({ at: i, name: kindName(team, ''), level: teamRates[i] });
+      if (whole && levels[i].size > 0)
+        content.push({ at: i, name: workloadKey(team, ''), level: teamRates[i] });
       for (const [name, rate] of levels[i]) out[i].kinds.set(name, rate);
     });
   });
@@ -186,11 +194,16 @@
 const down = (x: number): number => Math.floor(x * 100) / 100;
 
 /** Whether a plan differs so much from the one in force that it is worth a write. */
-export function differs(a: Plan | null, b: Plan, writesPerS: number, share = 0.1): boolean {
-  if (!a || a.parts.size !== b.parts.size) return true;
-  const much = (wholeOf(writesPerS) / b.parts.size) * share;
-  for (const [name, p] of b.parts) {
-    const was = a.parts.get(name);
+export function isWorthWriting(
+  a: WriteAllocation | null,
+  b: WriteAllocation,
+  writesPerS: number,
+  share = 0.1,
+): boolean {
+  if (!a || a.members.size !== b.members.size) return true;
+  const much = (allocatableWrites(writesPerS) / b.members.size) * share;
+  for (const [name, p] of b.members) {
+    const was = a.members.get(name);
     if (!was || Math.abs(was.total - p.total) > much || Math.abs(was.users - p.users) > much) return true;
     // What nobody follows any more can be given away: that is a change, too, though not of its own part.
     if (was.most - p.most > much) return true;
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,7 +1,7 @@
-import { Turns, type Lane } from './stride-scheduler.js';
+import { StrideScheduler, type Flow } from './stride-scheduler.js';
 
 /** What waits to be taken in. */
-export interface Entry {
+export interface QueueEntry {
   id: string;
   team: string;
   class: string;
@@ -9,19 +9,19 @@
   firstAt: number;
 }
 
-interface ClassLane<T> extends Lane {
+interface ClassFlow<T> extends Flow {
   items: T[];
 }
-interface TeamLane<T> extends Lane {
-  classes: Turns<ClassLane<T>>;
+interface TeamFlow<T> extends Flow {
+  classes: StrideScheduler<ClassFlow<T>>;
 }
 
 /**
  * Waiting entries by team, then by class. Who has got least for its weight goes next, so whoever floods waits behind its own,
  * and whoever had nothing waiting goes next; within a class whoever tried first goes first. Memory is bounded by what waits.
  */
-export class FairQueue<T extends Entry> {
-  private readonly teams = new Turns<TeamLane<T>>();
+export class FairQueue<T extends QueueEntry> {
+  private readonly teams = new StrideScheduler<TeamFlow<T>>();
   private count = 0;
 
   constructor(
@@ -34,31 +34,31 @@
   }
 
   /** How many of its class wait that tried before it; and all of its class. */
-  ahead(e: Entry): { older: number; all: number } {
+  position(e: QueueEntry): { older: number; all: number } {
     const items = this.teams.get(e.team)?.classes.get(e.class)?.items ?? [];
-    return { older: place(items, e.firstAt), all: items.length };
+    return { older: insertionIndex(items, e.firstAt), all: items.length };
   }
 
   /** The share of what is taken that this class gets now, if all that wait want more. */
-  share(e: T): number {
+  shareOf(e: T): number {
     const team = this.teams.get(e.team);
     const ofTeams = this.teams.shareOf(e.team, this.teamWeight(e.team));
     const weight = this.classWeight(e);
     return ofTeams * (team ? team.classes.shareOf(e.class, weight) : 1);
   }
 
-  add(e: T): void {
-    const team = this.teams.enter(e.team, this.teamWeight(e.team), (lane) => ({
+  enqueue(e: T): void {
+    const team = this.teams.addEntry(e.team, this.teamWeight(e.team), (lane) => ({
       ...lane,
-      classes: new Turns<ClassLane<T>>(),
+      classes: new StrideScheduler<ClassFlow<T>>(),
     }));
-    const lane = team.classes.enter(e.class, this.classWeight(e), (l) => ({ ...l, items: [] }));
-    lane.items.splice(place(lane.items, e.firstAt), 0, e);
+    const lane = team.classes.addEntry(e.class, this.classWeight(e), (l) => ({ ...l, items: [] }));
+    lane.items.splice(insertionIndex(lane.items, e.firstAt), 0, e);
     this.count++;
   }
 
   /** The youngest of a class. */
-  youngest(e: Entry): T | undefined {
+  newest(e: QueueEntry): T | undefined {
     return this.teams.get(e.team)?.classes.get(e.class)?.items.at(-1);
   }
 
@@ -68,23 +68,23 @@
     const at = lane?.items.indexOf(e) ?? -1;
     if (!team || !lane || at < 0) return false;
     lane.items.splice(at, 1);
-    this.left(team, lane);
+    this.entryRemoved(team, lane);
     return true;
   }
 
   /** Who goes next. */
-  next(): T | null {
-    const team = this.teams.next();
-    const lane = team?.classes.next();
+  dequeue(): T | null {
+    const team = this.teams.selectNext();
+    const lane = team?.classes.selectNext();
     const e = lane?.items.shift();
     if (!team || !lane || !e) return null;
-    this.left(team, lane);
+    this.entryRemoved(team, lane);
     return e;
   }
 
-  private left(team: TeamLane<T>, lane: ClassLane<T>): void {
-    team.classes.leave(lane);
-    this.teams.leave(team);
+  private entryRemoved(team: TeamFlow<T>, lane: ClassFlow<T>): void {
+    team.classes.removeEntry(lane);
+    this.teams.removeEntry(team);
     this.count--;
   }
 
@@ -95,7 +95,7 @@
 }
 
 /** Where one that tried at this time belongs: behind those that tried before or at the same time. */
-function place(items: readonly Entry[], firstAt: number): number {
+function insertionIndex(items: readonly QueueEntry[], firstAt: number): number {
   let lo = 0;
   let hi = items.length;
   while (lo < hi) {
--- a/src/admission/fairness-index.ts
+++ b/src/admission/fairness-index.ts
@@ -1,5 +1,5 @@
 /** Jain's index of fairness: 1 if all have alike, 1/n if one has all. */
-export function jain(shares: readonly number[]): number {
+export function jainIndex(shares: readonly number[]): number {
   const sum = shares.reduce((a, b) => a + b, 0);
   const squares = shares.reduce((a, b) => a + b * b, 0);
   return squares > 0 ? (sum * sum) / (shares.length * squares) : 1;
--- a/src/admission/max-min-fairness.ts
+++ b/src/admission/max-min-fairness.ts
@@ -13,7 +13,7 @@
  * Weighted max-min: floors first (all alike less if together they are too much), then the rest in proportion to the weights;
  * what one does not want goes to the others. The parts never exceed the whole.
  */
-export function maxMin(total: number, claims: readonly Claim[]): number[] {
+export function maxMinShares(total: number, claims: readonly Claim[]): number[] {
   const firsts = claims.map((c) => Math.max(0, Math.min(c.want, c.floor)));
   const sum = firsts.reduce((a, b) => a + b, 0);
   const scale = sum > total ? Math.max(0, total) / sum : 1;
--- a/src/admission/member-allocation.ts
+++ b/src/admission/member-allocation.ts
@@ -1,7 +1,7 @@
-import { maxMin } from './max-min-fairness.js';
+import { maxMinShares } from './max-min-fairness.js';
 
 /** What a controller wants of the state service's writes, a second. */
-export interface Wants {
+export interface WriteDemand {
   /** For what was accepted already, and for the fleet. */
   tasks: number;
   /** For jobs that users bring. */
@@ -11,7 +11,7 @@
 }
 
 /** Of the writes, so many are planned; the rest is slack for clocks and for what nobody foresaw. */
-export const planned = 0.94;
+export const allocatableShare = 0.94;
 /**
  * What was accepted goes first up to this share: up to the first while nothing waits, up to the second once it is so far
  * behind. A job of one task takes one write to be accepted and two afterwards, so in a lasting flood the two find their
@@ -20,11 +20,11 @@
 const tasksLeast = 0.45;
 const tasksMost = 0.7;
 const behindMostS = 8;
-export const bunches = 1.5;
+export const burstFactor = 1.5;
 /** Of an equal share: what each gets in any case. */
 const floorShare = 0.25;
 
-export interface Parts {
+export interface WriteShare {
   /** All writes that it may make, and those of them for jobs that users bring. */
   total: number;
   users: number;
@@ -35,32 +35,32 @@
  * left is divided among those to whom users come; what nobody wants is shared out, for what comes next. `crowd`: how many
  * users' jobs each is to take in, where teams and classes decide that.
  */
-export function partsOf(
+export function divideWrites(
   writesPerS: number,
-  wants: readonly Wants[],
+  wants: readonly WriteDemand[],
   crowd: readonly number[] | null = null,
-): Parts[] {
+): WriteShare[] {
   const n = wants.length;
-  const whole = writesPerS * planned;
+  const whole = writesPerS * allocatableShare;
   const floor = (whole / n) * floorShare;
   const behind = Math.min(1, Math.max(0, ...wants.map((w) => w.behindS)) / behindMostS);
-  const tasks = maxMin(
+  const tasks = maxMinShares(
     whole * (tasksLeast + (tasksMost - tasksLeast) * behind),
     wants.map((w) => ({ want: w.tasks, weight: 1, floor })),
   );
   const rest = whole - tasks.reduce((a, b) => a + b, 0);
-  const users = maxMin(
+  const users = maxMinShares(
     rest,
     // Users come in bunches: more than they brought of late, and never nothing.
     wants.map((w, i) => ({
-      want: Math.max(floor, crowd ? crowd[i] : w.users * bunches),
+      want: Math.max(floor, crowd ? crowd[i] : w.users * burstFactor),
       weight: 1,
       floor,
     })),
   );
   // What users leave is for accepted work that wants more than came first; the rest is for whatever comes next.
   const left = Math.max(0, rest - users.reduce((a, b) => a + b, 0));
-  const more = maxMin(
+  const more = maxMinShares(
     left,
     wants.map((w, i) => ({ want: Math.max(0, w.tasks - tasks[i]), weight: 1, floor: 0 })),
   );
@@ -69,7 +69,7 @@
 }
 
 /** Knowing nothing of the others: an equal share, half of it for jobs that users bring. */
-export const alonePart = (writesPerS: number, n: number): Parts => ({
-  total: (writesPerS * planned) / n,
-  users: (writesPerS * planned) / n / 2,
+export const equalShare = (writesPerS: number, n: number): WriteShare => ({
+  total: (writesPerS * allocatableShare) / n,
+  users: (writesPerS * allocatableShare) / n / 2,
 });
--- a/src/admission/minimum-shares.ts
+++ b/src/admission/minimum-shares.ts
@@ -1,5 +1,5 @@
 /** What a team and class of accepted work has, and whether some of it waits for room. */
-export interface KindUse {
+export interface WorkloadUsage {
   kind: string;
   team: string;
   /** Of the room there is, by what it takes most of: CPUs or GPUs. */
@@ -8,7 +8,7 @@
 }
 
 /** A kind that is to get the next free room, up to this share of all. */
-export interface Owed {
+export interface ShareDeficit {
   kind: string;
   share: number;
 }
@@ -20,13 +20,13 @@
 }
 
 /** So many kinds at most are lifted at a time, those that have waited longest first. */
-const mostLifted = 16;
+const maxDeficits = 16;
 
 /**
  * No starving after acceptance. A kind that has waited for a whole window, and has had less than its floor over it, is owed the
  * next free room up to that floor: a share of an equal part, first by team, then by class. Beyond it the order decides alone.
  */
-export class Floors {
+export class MinimumShares {
   private readonly kinds = new Map<string, Seen>();
   private at = -1;
 
@@ -36,13 +36,13 @@
     private readonly floorShare: number,
   ) {}
 
-  look(now: number, uses: readonly KindUse[]): Owed[] {
+  findDeficits(now: number, uses: readonly WorkloadUsage[]): ShareDeficit[] {
     if (this.floorShare <= 0) return [];
     const rise = this.at < 0 ? 1 : 1 - Math.exp((this.at - now) / this.windowMs);
     this.at = now;
     const classes = new Map<string, number>();
     for (const u of uses) if (u.waiting || u.share > 0) classes.set(u.team, (classes.get(u.team) ?? 0) + 1);
-    const owed: (Owed & { since: number })[] = [];
+    const owed: (ShareDeficit & { since: number })[] = [];
     const there = new Set<string>();
     for (const u of uses) {
       there.add(u.kind);
@@ -56,7 +56,7 @@
     }
     for (const kind of this.kinds.keys()) if (!there.has(kind)) this.kinds.delete(kind);
     owed.sort((a, b) => a.since - b.since);
-    return owed.slice(0, mostLifted).map(({ kind, share }) => ({ kind, share }));
+    return owed.slice(0, maxDeficits).map(({ kind, share }) => ({ kind, share }));
   }
 }
 
@@ -64,7 +64,7 @@
  * The longest that a task which fits an empty machine waits while its kind has had less than its floor, s: the window, then
  * until the next machine of its kind runs empty or is there anew, then a round and the way to the worker.
  */
-export const longestWaitS = (w: {
+export const maxStarvationS = (w: {
   windowS: number;
   /** What runs there now at the most, and what a machine takes to come up with the image. */
   runS: number;
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -1,5 +1,5 @@
 /** How much of what is scarce is used here, each as a share of what there is. */
-export interface Load {
+export interface ResourceLoad {
   /** Writes that are wanted, of this controller's part. */
   writes: number;
   /** Requests to the state service, of an equal share. */
@@ -12,12 +12,12 @@
   waiting: number;
 }
 
-export interface Picture {
-  load: Load;
+export interface OverloadSnapshot {
+  load: ResourceLoad;
   /** What is nearest to its end. */
-  tightest: keyof Load;
+  bottleneck: keyof ResourceLoad;
   /** Of the jobs that the writes allow, so many may be taken in. */
-  factor: number;
+  admissionFactor: number;
 }
 
 /** From this share on less is taken in; at the whole, this share of what the writes allow. */
@@ -31,22 +31,22 @@
  * plan; whatever else runs short slows the taking in of new jobs, so that polls, cancellations, reports and what was accepted
  * keep what they need.
  */
-export class Pressure {
-  private smooth: Load = { writes: 0, requests: 0, time: 0, sockets: 0, memory: 0, waiting: 0 };
+export class OverloadMonitor {
+  private smooth: ResourceLoad = { writes: 0, requests: 0, time: 0, sockets: 0, memory: 0, waiting: 0 };
 
-  look(now: Load): Picture {
-    for (const name of Object.keys(now) as (keyof Load)[])
+  observe(now: ResourceLoad): OverloadSnapshot {
+    for (const name of Object.keys(now) as (keyof ResourceLoad)[])
       this.smooth[name] += (now[name] - this.smooth[name]) * follow;
-    return this.picture;
+    return this.snapshot;
   }
 
-  get picture(): Picture {
+  get snapshot(): OverloadSnapshot {
     const load = { ...this.smooth };
-    const names = Object.keys(load) as (keyof Load)[];
+    const names = Object.keys(load) as (keyof ResourceLoad)[];
     const tightest = names.reduce((a, b) => (load[b] > load[a] ? b : a));
     // Writes are shared by the plan already.
     const other = Math.max(...names.filter((n) => n !== 'writes').map((n) => load[n]));
     const over = Math.min(1, Math.max(0, (other - tightAt) / (1 - tightAt)));
-    return { load, tightest, factor: 1 - (1 - leastFactor) * over };
+    return { load, bottleneck: tightest, admissionFactor: 1 - (1 - leastFactor) * over };
   }
 }
--- a/src/admission/rate-limiter.ts
+++ b/src/admission/rate-limiter.ts
@@ -1,5 +1,5 @@
 /** A rate over about a second, and what may be done at a pace. Times in ms. */
-export class Meter {
+export class RateMeter {
   private value = 0;
   private at = -1;
 
@@ -23,7 +23,7 @@
 }
 
 /** Lets so much through a second; what was not used for a while may be used at once. */
-export class Bucket {
+export class TokenBucket {
   private tokens = 0;
   private at = -1;
 
@@ -31,7 +31,7 @@
   constructor(private readonly overS = 1) {}
 
   /** Whole tokens that are there now. */
-  fill(rate: number, now: number): number {
+  refill(rate: number, now: number): number {
     this.tokens =
       this.at < 0
         ? rate
--- a/src/admission/retry-tickets.ts
+++ b/src/admission/retry-tickets.ts
@@ -1,5 +1,5 @@
 /** A job that was turned away, as controllers tell each other. */
-export interface Turned {
+export interface Rejection {
   id: string;
   team: string;
   class: string;
@@ -9,7 +9,7 @@
 
 interface Ticket {
   kind: string;
-  firstAt: number;
+  firstAttemptAt: number;
 }
 
 const kindOf = (team: string, cls: string): string => `${team} ${cls}`;
@@ -18,7 +18,7 @@
  * Who was turned away and may come back, here or at another controller: since when it tries. Bounded: the oldest tickets go
  * first, whose users have given up by then.
  */
-export class Tickets {
+export class RetryTickets {
   private readonly byId = new Map<string, Ticket>();
   private readonly waiting = new Map<string, number>();
 
@@ -29,30 +29,30 @@
   ) {}
 
   /** How many of a class were turned away and have not been taken in since. */
-  outstanding(team: string, cls: string): number {
+  outstandingCount(team: string, cls: string): number {
     return this.waiting.get(kindOf(team, cls)) ?? 0;
   }
 
   /** When a job's user first tried, if that is known. */
-  first(id: string): number | undefined {
-    return this.byId.get(id)?.firstAt;
+  firstAttemptAt(id: string): number | undefined {
+    return this.byId.get(id)?.firstAttemptAt;
   }
 
-  note({ id, team, class: cls, ageMs }: Turned, now: number): void {
+  record({ id, team, class: cls, ageMs }: Rejection, now: number): void {
     const firstAt = now - ageMs;
     const known = this.byId.get(id);
     if (known) {
-      known.firstAt = Math.min(known.firstAt, firstAt);
+      known.firstAttemptAt = Math.min(known.firstAttemptAt, firstAt);
       return;
     }
     const kind = kindOf(team, cls);
-    this.byId.set(id, { kind, firstAt });
+    this.byId.set(id, { kind, firstAttemptAt: firstAt });
     this.waiting.set(kind, (this.waiting.get(kind) ?? 0) + 1);
     this.prune(now);
   }
 
   /** It was taken in, or is known not to be wanted any more. */
-  end(id: string): void {
+  remove(id: string): void {
     const t = this.byId.get(id);
     if (!t) return;
     this.byId.delete(id);
@@ -63,8 +63,8 @@
 
   prune(now: number): void {
     for (const [id, t] of this.byId) {
-      if (this.byId.size <= this.most && now - t.firstAt <= this.tryMs) break;
-      this.end(id);
+      if (this.byId.size <= this.most && now - t.firstAttemptAt <= this.tryMs) break;
+      this.remove(id);
     }
   }
 }
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -10,19 +10,19 @@
 } from '../wire/cloud.js';
 import type { MachineType } from '../model/machine.js';
 
-const pageItems = 500;
+const maxPageItems = 500;
 
 /** The cloud as the core needs it, or what stands in its place. */
-export interface CloudService {
-  types(): Promise<MachineType[] | null>;
-  rent(request: RentRequest): Promise<{ hosts: string[] } | 'none' | 'refused' | 'unknown'>;
+export interface CloudProvider {
+  listMachineTypes(): Promise<MachineType[] | null>;
+  rentMachines(request: RentRequest): Promise<{ hosts: string[] } | 'none' | 'refused' | 'unknown'>;
   /** True: the machines, and all that was on them, are gone. */
-  delete(hosts: string[]): Promise<boolean>;
-  list(): Promise<ListedMachine[] | null>;
+  deleteMachines(hosts: string[]): Promise<boolean>;
+  listMachines(): Promise<ListedMachine[] | null>;
 }
 
 /** The cloud as the core sees it. Its rate is kept by the core. */
-export class Cloud implements CloudService {
+export class HttpCloudProvider implements CloudProvider {
   private readonly client: HttpClient;
 
   constructor(
@@ -33,12 +33,12 @@
     this.client = new HttpClient(addr, 4);
   }
 
-  async types(): Promise<MachineType[] | null> {
+  async listMachineTypes(): Promise<MachineType[] | null> {
     const r = await this.client.call('GET', '/machine_types', null, this.timeoutMs);
     return r?.status === 200 ? parseTypes(r.body) : null;
   }
 
-  async rent(request: RentRequest): Promise<{ hosts: string[] } | 'none' | 'refused' | 'unknown'> {
+  async rentMachines(request: RentRequest): Promise<{ hosts: string[] } | 'none' | 'refused' | 'unknown'> {
     const r = await this.client.call('POST', '/rentals', rentOut(request), this.timeoutMs);
     if (r === null) return 'unknown';
     if (r.status === 200) {
@@ -50,15 +50,15 @@
     return r.status === 429 || r.status === 400 ? 'refused' : 'unknown';
   }
 
-  async delete(hosts: string[]): Promise<boolean> {
+  async deleteMachines(hosts: string[]): Promise<boolean> {
     const r = await this.client.call('POST', '/rentals/delete', deleteOut(hosts), this.timeoutMs);
     return r?.status === 200;
   }
 
-  async list(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     for (let from = ''; ;) {
-      const path = `/rentals?${from === '' ? '' : `from=${from}&`}limit=${pageItems}`;
+      const path = `/rentals?${from === '' ? '' : `from=${from}&`}limit=${maxPageItems}`;
       const r = await this.client.call('GET', path, null, this.timeoutMs);
       const page = r?.status === 200 ? parseList(r.body) : null;
       if (!page) return null;
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -94,7 +94,7 @@
     this.api = new Api(this, snapshot);
     this.pool.onForgotten = (host) => this.service.push({ type: 'forget-machine', host });
     this.pool.onTypes = () =>
-      void this.pool.types().then((types) => this.service.push({ type: 'machine-types', types }));
+      void this.pool.listMachineTypes().then((types) => this.service.push({ type: 'machine-types', types }));
   }
 
   async start(): Promise<void> {
--- a/src/control/pool.ts
+++ b/src/control/pool.ts
@@ -1,4 +1,4 @@
-import type { CloudService } from '../cloud/cloud.js';
+import type { CloudProvider } from '../cloud/cloud.js';
 import type { Log } from '../core/effects.js';
 import type { MachineType } from '../model/machine.js';
 import type { Joining } from '../wire/agent-side.js';
@@ -27,7 +27,7 @@
 const keyOf = (host: string): string => `${prefix}${host}`;
 
 /** The agents, in the place of rented machines: they come and go by themselves. */
-export class Pool implements CloudService {
+export class Pool implements CloudProvider {
   private readonly members = new Map<string, Member>();
   /** Being read: several agents may ask at once. */
   private reading: Promise<void> | null = null;
@@ -186,7 +186,7 @@
 
   // ---- in the cloud's place ----
 
-  types(): Promise<MachineType[]> {
+  listMachineTypes(): Promise<MachineType[]> {
     const types = new Map<string, MachineType>();
     for (const m of this.members.values())
       if (!types.has(m.type))
@@ -206,12 +206,12 @@
     return Promise.resolve([...types.values()]);
   }
 
-  rent(): Promise<'none'> {
+  rentMachines(): Promise<'none'> {
     return Promise.resolve('none');
   }
 
   /** Only what has left or was forgotten is gone. */
-  async delete(hosts: string[]): Promise<boolean> {
+  async deleteMachines(hosts: string[]): Promise<boolean> {
     const mine = hosts.flatMap((h) => this.members.get(h) ?? []);
     if (mine.some((m) => m.drainedAt === null && !m.forgotten)) return false;
     if (mine.length > 0)
@@ -227,7 +227,7 @@
     return true;
   }
 
-  list(): Promise<ListedMachine[]> {
+  listMachines(): Promise<ListedMachine[]> {
     const list: ListedMachine[] = [];
     for (const m of this.members.values())
       list.push({
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -17,14 +17,14 @@
   Rank,
   typesData,
 } from '../storage/index.js';
-import { Demand, emptyRoom, kindOf, mayUse, slotName, type Unmet } from './demand.js';
+import { DemandCalculator, emptyHeadroom, poolOf, isEligible, offerKey, type UnmetDemand } from './demand.js';
 import type { Clock, Effect, Log } from '../effects.js';
 import { mayShareGpuMachine, fitsCpuOnlyType } from '../../policy/gpu-sharing.js';
 import { anchorPrice, machineCandidate, imageFetchS, scoreWeights } from '../../policy/pricing.js';
 import type { VersionedMachine, Replica } from '../replica.js';
 
 /** A kind of machine in a zone that could be rented. */
-interface Slot {
+interface MachineOffer {
   type: MachineType;
   zone: string;
   spot: boolean;
@@ -44,9 +44,9 @@
 
 /**
  * The leader's care for the fleet: what to rent for which shard, whom to give free machines, what to return.
- * Demand is read off the replica, which every node has.
+ * DemandCalculator is read off the replica, which every node has.
  */
-export class Fleet {
+export class Autoscaler {
   private typesAt = -Infinity;
   private askingTypes = false;
   private listAt = -Infinity;
@@ -69,7 +69,7 @@
   private readonly heard = new Map<string, number>();
   hazardPerStep: () => number = () => 0;
   /** Guards against returning a machine on which something runs that is not known (any more). */
-  mayReturn: () => boolean = () => true;
+  mayScaleIn: () => boolean = () => true;
 
   constructor(
     private readonly settings: Settings,
@@ -129,7 +129,7 @@
   }
 
   /** Something was asked of the cloud that changes what there is, or waits to be recorded. */
-  get calling(): boolean {
+  get hasPendingChanges(): boolean {
     return this.renting.size > 0 || this.deleting.size > 0 || this.writing.size > 0;
   }
 
@@ -146,7 +146,7 @@
 
   // ---- answers of the cloud ----
 
-  gotTypes(types: MachineType[] | null): void {
+  handleMachineTypes(types: MachineType[] | null): void {
     this.askingTypes = false;
     this.answered(types !== null);
     if (!types || types.length === 0) return;
@@ -171,10 +171,10 @@
     else this.calls.fail(this.clock.now);
   }
 
-  rented(request: RentRequest, outcome: { hosts: string[] } | 'none' | 'refused' | 'unknown'): void {
+  handleRental(request: RentRequest, outcome: { hosts: string[] } | 'none' | 'refused' | 'unknown'): void {
     this.answered(typeof outcome === 'object' || outcome === 'none');
     const asked = this.renting.get(request.name);
-    const slot = slotName(request.type, request.zone, request.spot);
+    const slot = offerKey(request.type, request.zone, request.spot);
     const now = this.clock.now;
     if (typeof outcome === 'object') {
       this.log('info', 'rented', { ...request, hosts: outcome.hosts });
@@ -224,7 +224,7 @@
     );
   }
 
-  deleted(hosts: string[], ok: boolean): void {
+  handleDeletion(hosts: string[], ok: boolean): void {
     this.answered(ok);
     const blocks = new Map<string, string[]>();
     for (const host of hosts) {
@@ -260,7 +260,7 @@
     return apply;
   }
 
-  listed(machines: ListedMachine[] | null, askedAt: number): void {
+  handleListing(machines: ListedMachine[] | null, askedAt: number): void {
     this.listing = false;
     this.answered(machines !== null);
     if (!machines) return;
@@ -309,24 +309,24 @@
   }
 
   /** A worker that nobody knows reports to the leader. */
-  unexpected(r: Heartbeat): void {
+  adoptReportingMachine(r: Heartbeat): void {
     // Guards against taking over a machine whose record cannot be read.
     if (this.replica.unreadableRecords.has(machineKey(r.host))) return;
     if (this.deletedLately.has(r.host) || !this.replica.machineTypes.some((t) => t.name === r.type)) return;
     // Guards against the fast boot: up before the rental's answer is here or recorded.
     if (this.recording.has(r.host)) return;
-    const slot = slotName(r.type, r.zone, r.spot);
+    const slot = offerKey(r.type, r.zone, r.spot);
     for (const { request } of this.renting.values())
-      if (slotName(request.type, request.zone, request.spot) === slot) return;
+      if (offerKey(request.type, request.zone, request.spot) === slot) return;
     this.adopt(r);
   }
 
-  heardFrom(host: string): void {
+  recordHeartbeat(host: string): void {
     this.heard.set(host, this.clock.now);
   }
 
   /** A person says that a machine is gone, with all that was on it. */
-  forget(host: string): void {
+  abandonMachine(host: string): void {
     const m = this.replica.machines.get(host);
     if (m) this.condemn(m, 'forgotten');
   }
@@ -392,7 +392,7 @@
     const hosts: string[] = [];
     for (const m of this.replica.machines.values()) {
       if (this.deleting.has(m.host) || this.writing.has(machineKey(m.host))) continue;
-      const idle = m.state === 'free' && !this.settings.pool && this.mayReturn() && this.surplus(m);
+      const idle = m.state === 'free' && !this.settings.pool && this.mayScaleIn() && this.surplus(m);
       if (m.state === 'dead' || idle) hosts.push(m.host);
       if (hosts.length >= mostPerDelete) break;
     }
@@ -418,7 +418,7 @@
 
   private plan(out: Effect[]): void {
     if (this.settings.pool) return this.takeAll();
-    const demand = new Demand(
+    const demand = new DemandCalculator(
       this.settings,
       this.operators,
       this.replica,
@@ -433,7 +433,7 @@
         (u) =>
           u.count > 0 &&
           (u.zones === null || u.zones.includes(m.zone)) &&
-          mayUse(u.spec, type, m.zone, m.spot) &&
+          isEligible(u.spec, type, m.zone, m.spot) &&
           // The placement would leave it idle.
           mayShareGpuMachine(u.spec, type, 0, this.replica.machineTypes),
       );
@@ -458,7 +458,7 @@
   }
 
   /** Fills in the rooms of all machines that are up or coming; returns those that are with the leader. */
-  private countRooms(demand: Demand): { m: VersionedMachine; type: MachineType }[] {
+  private countRooms(demand: DemandCalculator): { m: VersionedMachine; type: MachineType }[] {
     const free: { m: VersionedMachine; type: MachineType }[] = [];
     const types = new Map(this.replica.machineTypes.map((t) => [t.name, t]));
     for (const m of this.replica.machines.values()) {
@@ -470,15 +470,15 @@
     for (const { request, shard, coming } of this.renting.values()) {
       const type = types.get(request.type);
       if (!type) continue;
-      const { rooms } = kindOf(demand.kindsOf(shard), type, request.zone, request.spot);
-      for (let i = 0; i < coming; i++) rooms.push(emptyRoom(type, this.operators.headroom));
+      const { rooms } = poolOf(demand.kindsOf(shard), type, request.zone, request.spot);
+      for (let i = 0; i < coming; i++) rooms.push(emptyHeadroom(type, this.operators.headroom));
     }
     demand.takePlaced();
     return free;
   }
 
   private isOpen(type: MachineType, zone: string, spot: boolean): boolean {
-    const refusal = this.refused.get(slotName(type.name, zone, spot));
+    const refusal = this.refused.get(offerKey(type.name, zone, spot));
     if (!refusal) return true;
     // A slot that is refused time and again rests longer and longer.
     const rest = this.refusalMs(type.name) * 2 ** Math.min(refusal.times - 1, 3);
@@ -494,15 +494,15 @@
    * Rents what the unmet tasks take. Jobs that would have the same machines share a request: calls are few, and
    * a fleet of hundreds must come up within some seconds.
    */
-  private rentAll(unmet: Unmet[], out: Effect[]): void {
+  private rentAll(unmet: UnmetDemand[], out: Effect[]): void {
     const perZone = new Map<string, number>();
     for (const m of this.replica.machines.values()) perZone.set(m.zone, (perZone.get(m.zone) ?? 0) + 1);
-    const wanted = new Map<string, { slot: Slot; shard: number; machines: number; u: Unmet }>();
+    const wanted = new Map<string, { slot: MachineOffer; shard: number; machines: number; u: UnmetDemand }>();
     for (const u of unmet) {
       if (u.count <= 0) continue;
       const slot = this.bestSlot(u, perZone);
       if (!slot) continue;
-      const key = `${u.shard} ${slotName(slot.type.name, slot.zone, slot.spot)}`;
+      const key = `${u.shard} ${offerKey(slot.type.name, slot.zone, slot.spot)}`;
       let want = wanted.get(key);
       if (!want) wanted.set(key, (want = { slot, shard: u.shard, machines: 0, u }));
       // Small tasks of several jobs share machines.
@@ -527,7 +527,7 @@
   }
 
   /** The best kind of machine to rent for a job's unmet tasks, by the policy's score; null: none is to be had. */
-  private bestSlot(u: Unmet, perZone: ReadonlyMap<string, number>): Slot | null {
+  private bestSlot(u: UnmetDemand, perZone: ReadonlyMap<string, number>): MachineOffer | null {
     const { spec } = u;
     const open = (type: MachineType, zone: string, spot: boolean) =>
       this.isOpen(type, zone, spot) && (u.zones === null || u.zones.includes(zone));
@@ -538,7 +538,7 @@
     const gpuToo = spec.gpus > 0 || !fitsCpuOnlyType(spec, this.replica.machineTypes);
     // Spreads machines over zones; a tie-break only, however large the fleet.
     const balance = 1e-4 / [...perZone.values()].reduce((a, b) => a + b, 1);
-    let best: (Slot & { s: number }) | null = null;
+    let best: (MachineOffer & { s: number }) | null = null;
     for (const type of this.replica.machineTypes) {
       if (type.gpus > 0 && !gpuToo) continue;
       const per = fitCount(spec, type);
@@ -547,7 +547,7 @@
       const useful = Math.min(1, (Math.min(per, u.count) * Math.max(spec.cpus, 0.01)) / type.cpus);
       for (const zone of type.zones)
         for (const spot of [false, true]) {
-          if (!mayUse(spec, type, zone, spot) || !open(type, zone, spot)) continue;
+          if (!isEligible(spec, type, zone, spot) || !open(type, zone, spot)) continue;
           const delayS = type.bootS + imageFetchS(spec, type);
           const c = machineCandidate(type, spot, this.hazardPerStep(), true, type.cpus, delayS);
           c.price /= useful;
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -14,7 +14,7 @@
 import type { VersionedMachine, Replica } from '../replica.js';
 
 /** Tasks that wait and find no room on the machines of their shard. */
-export interface Unmet {
+export interface UnmetDemand {
   spec: JobSpec;
   shard: number;
   count: number;
@@ -25,7 +25,7 @@
 }
 
 /** A machine that is up or coming, and what is left on it. */
-export interface Room extends Resources {
+export interface Headroom extends Resources {
   /** Free only later, as running tasks end. */
   busy: Resources;
   /** How long the tasks on it run, on average, by their estimates. */
@@ -35,16 +35,16 @@
 }
 
 /** Rooms of one type, zone and way of renting: a job may use all of them or none. */
-interface RoomKind {
+interface MachinePool {
   type: MachineType;
   zone: string;
   spot: boolean;
-  rooms: Room[];
+  rooms: Headroom[];
   /** The least that found no room here, of what may and may not take empty machines with GPUs: who takes as much or more need not look. */
   full: Map<boolean, Resources>;
 }
 
-export type RoomKinds = Map<string, RoomKind>;
+export type MachinePools = Map<string, MachinePool>;
 
 type WaitingJob = JobRecord & { spec: JobSpec; waiting: number };
 
@@ -52,17 +52,17 @@
 const slackShare = 0.6;
 
 /** The kinds of one shard, made when first asked for. */
-export function kindOf(kinds: RoomKinds, type: MachineType, zone: string, spot: boolean): RoomKind {
-  const key = slotName(type.name, zone, spot);
+export function poolOf(kinds: MachinePools, type: MachineType, zone: string, spot: boolean): MachinePool {
+  const key = offerKey(type.name, zone, spot);
   let kind = kinds.get(key);
   if (!kind) kinds.set(key, (kind = { type, zone, spot, rooms: [], full: new Map() }));
   return kind;
 }
 
-export const slotName = (type: string, zone: string, spot: boolean): string =>
+export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type} ${zone} ${spot ? 'spot' : ''}`;
 
-export const emptyRoom = (type: MachineType, headroom: number): Room => ({
+export const emptyHeadroom = (type: MachineType, headroom: number): Headroom => ({
   busy: { cpus: 0, gpus: 0, memGb: 0 },
   runS: 0,
   tasks: 0,
@@ -72,19 +72,19 @@
   memGb: type.memGb,
 });
 
-export const mayUse = (spec: JobSpec, type: MachineType, zone: string, spot: boolean): boolean =>
+export const isEligible = (spec: JobSpec, type: MachineType, zone: string, spot: boolean): boolean =>
   typeAllowed(spec, type) && (spec.zone === null || spec.zone === zone) && (!spot || spotAllowed(spec));
 
 /**
  * What the fleet lacks, read off the replica, which every node has: one pass over what is placed, then one over
  * what waits, in placement order.
  */
-export class Demand {
-  private readonly rooms = new Map<number, RoomKinds>();
-  private readonly byHost = new Map<string, Room>();
+export class DemandCalculator {
+  private readonly rooms = new Map<number, MachinePools>();
+  private readonly byHost = new Map<string, Headroom>();
   private readonly teams = new Map<string, { cpus: number; gpus: number }>();
   /** Rooms with tasks on them, emptiest first, by shard: made when a gang first asks. */
-  private readonly emptiest = new Map<number, { room: Room; kind: RoomKind }[]>();
+  private readonly emptiest = new Map<number, { room: Headroom; kind: MachinePool }[]>();
 
   constructor(
     private readonly settings: Settings,
@@ -95,16 +95,16 @@
     private readonly isOpen: (type: MachineType, zone: string, spot: boolean) => boolean,
   ) {}
 
-  kindsOf(shard: number): RoomKinds {
+  kindsOf(shard: number): MachinePools {
     let kinds = this.rooms.get(shard);
     if (!kinds) this.rooms.set(shard, (kinds = new Map()));
     return kinds;
   }
 
   addMachine(m: VersionedMachine, type: MachineType): void {
-    const room = emptyRoom(type, this.operators.headroom);
+    const room = emptyHeadroom(type, this.operators.headroom);
     this.byHost.set(m.host, room);
-    kindOf(this.kindsOf(m.shard), type, m.zone, m.spot).rooms.push(room);
+    poolOf(this.kindsOf(m.shard), type, m.zone, m.spot).rooms.push(room);
   }
 
   /** Takes what is placed off the rooms and the teams' limits. */
@@ -137,7 +137,7 @@
   }
 
   /** What waits and finds no room, in placement order. */
-  unmet(): Unmet[] {
+  unmet(): UnmetDemand[] {
     const jobs: WaitingJob[] = [];
     for (const id of this.replica.openJobs) {
       const job = this.replica.jobs.get(id)!;
@@ -145,7 +145,7 @@
       const waiting = job.tasks - c.done - c.running;
       if (waiting > 0 && job.spec) jobs.push({ ...job, spec: job.spec, waiting });
     }
-    const unmet: Unmet[] = [];
+    const unmet: UnmetDemand[] = [];
     // GPU work first: the GPU machines' room is counted as its own before other work may have the rest.
     const ordered = inPlacementOrder(
       jobs,
@@ -174,7 +174,8 @@
       for (const part of this.zoneParts(job, left, kinds)) {
         let want = part.count;
         const here = [...kinds.values()].filter(
-          (k) => mayUse(spec, k.type, k.zone, k.spot) && (part.zones === null || part.zones.includes(k.zone)),
+          (k) =>
+            isEligible(spec, k.type, k.zone, k.spot) && (part.zones === null || part.zones.includes(k.zone)),
         );
         const verdict = this.afterFailures(job, want, here);
         if (verdict === 'wait') continue;
@@ -196,13 +197,13 @@
    * Of a job that has failed and completed nothing: it needs another machine if it has failed on all that there are;
    * one that is suspected of a mistake waits for those that others need. null: it counts like any.
    */
-  private afterFailures(job: WaitingJob, want: number, here: RoomKind[]): 'wait' | 'another' | null {
+  private afterFailures(job: WaitingJob, want: number, here: MachinePool[]): 'wait' | 'another' | null {
     const failed = this.replica.chunks.get(job.id)?.get(0)?.failed ?? [];
     if (failed.length === 0 || this.replica.taskCounts(job.id).done > 0) return null;
     const bad = new Set(failed.map((host) => this.byHost.get(host)));
     let room = 0;
     for (const k of here)
-      for (const r of k.rooms) if (!bad.has(r)) room += fitCount(job.spec, emptyRoom(r.type, 0));
+      for (const r of k.rooms) if (!bad.has(r)) room += fitCount(job.spec, emptyHeadroom(r.type, 0));
     // Guards against renting for a job with a mistake, GPUs at that.
     if (room >= (job.spec.shape === 'gang' ? want : 1))
       return failed.length >= suspectHostCount ? 'wait' : null;
@@ -210,7 +211,7 @@
   }
 
   /** The placement keeps the emptiest machines for a gang that finds no room; others must not count on them. */
-  private keepFor(spec: JobSpec, shard: number, here: RoomKind[], want: number): void {
+  private keepFor(spec: JobSpec, shard: number, here: MachinePool[], want: number): void {
     let list = this.emptiest.get(shard);
     if (!list) {
       list = [];
@@ -237,7 +238,7 @@
   private zoneParts(
     job: WaitingJob,
     count: number,
-    kinds: RoomKinds,
+    kinds: MachinePools,
   ): { count: number; zones: string[] | null }[] {
     const { spec } = job;
     if (spec.zone !== null || (!spec.oneZone && !spec.apart)) return [{ count, zones: null }];
@@ -251,13 +252,13 @@
     const room = (zone: string): number => {
       let n = 0;
       for (const k of kinds.values())
-        if (k.zone === zone && mayUse(spec, k.type, k.zone, k.spot))
+        if (k.zone === zone && isEligible(spec, k.type, k.zone, k.spot))
           n += countIn(k, spec, count - n, this.replica.machineTypes);
       return n;
     };
     const obtainable = (zone: string): number =>
       this.replica.machineTypes.some(
-        (t) => t.zones.includes(zone) && mayUse(spec, t, zone, false) && this.isOpen(t, zone, false),
+        (t) => t.zones.includes(zone) && isEligible(spec, t, zone, false) && this.isOpen(t, zone, false),
       )
         ? 1
         : 0;
@@ -307,7 +308,7 @@
    * How many of a job's tasks need no further machine because running tasks will make room in time. Part of
    * the slack is kept for the image, for estimates that are too low, and for others who want the same room.
    */
-  private soon(spec: JobSpec, slackOf: number, want: number, kinds: RoomKind[]): number {
+  private soon(spec: JobSpec, slackOf: number, want: number, kinds: MachinePool[]): number {
     if (want <= 0) return 0;
     // The dearer the machine it takes, the longer running tasks are waited for.
     const perCpu = (t: MachineType) => t.price / Math.max(t.cpus, 1);
@@ -341,13 +342,13 @@
   spec.gpus > 0 || !fitsCpuOnlyType(spec, types);
 
 /** True if somebody who takes no more than this found the kind full already. */
-function isFull(kind: RoomKind, spec: JobSpec, types: readonly MachineType[]): boolean {
+function isFull(kind: MachinePool, spec: JobSpec, types: readonly MachineType[]): boolean {
   const f = kind.full.get(takesGpus(spec, types));
   return f !== undefined && f.cpus <= spec.cpus && f.gpus <= spec.gpus && f.memGb <= spec.memGb;
 }
 
 /** Takes room for up to `want` tasks; how many it was. */
-function takeFrom(kind: RoomKind, spec: JobSpec, want: number, types: readonly MachineType[]): number {
+function takeFrom(kind: MachinePool, spec: JobSpec, want: number, types: readonly MachineType[]): number {
   let got = 0;
   if (want <= 0 || isFull(kind, spec, types)) return 0;
   for (const room of kind.rooms) {
@@ -363,7 +364,7 @@
   return got;
 }
 
-function countIn(kind: RoomKind, spec: JobSpec, most: number, types: readonly MachineType[]): number {
+function countIn(kind: MachinePool, spec: JobSpec, most: number, types: readonly MachineType[]): number {
   let n = 0;
   if (most <= 0 || isFull(kind, spec, types)) return 0;
   for (const room of kind.rooms) {
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -11,10 +11,10 @@
 import { UserRequests } from './user-requests.js';
 import { ShardManager } from './shard-manager.js';
 import type { Clock, Command, Effect, Log } from './effects.js';
-import { Fleet } from './autoscaler/autoscaler.js';
+import { Autoscaler } from './autoscaler/autoscaler.js';
 import { Membership } from './membership.js';
 import { Neighbours } from './peers.js';
-import { Planning } from './write-budget.js';
+import { WriteBudget } from './write-budget.js';
 import type { RecoveryRecords } from './recovery-records.js';
 import { DataLossRecovery } from './data-loss-recovery.js';
 import { Replica } from './replica.js';
@@ -47,7 +47,7 @@
   readonly replica: Replica;
   readonly membership: Membership;
   readonly shardManager: ShardManager;
-  readonly fleet: Fleet;
+  readonly autoscaler: Autoscaler;
   readonly recovery: Recovery;
   readonly view: View;
   readonly levels: Levels;
@@ -66,10 +66,10 @@
   private saidLevel = '';
   private toldAwayAt = -Infinity;
   private readonly fair: boolean;
-  private readonly planning: Planning;
+  private readonly planning: WriteBudget;
   private readonly rebuilding: DataLossRecovery;
   private ended = false;
-  private readonly pressure = new Pressure();
+  private readonly overloadMonitor = new Pressure();
   private readonly requests = new Meter(3000);
   /** Shares that the process tells of: sockets, memory, room for what waits. */
   private told = { sockets: 0, memory: 0, waiting: 0 };
@@ -156,10 +156,20 @@
     );
     this.shardManager = new ShardManager(settings, operators, run, replica, committer, clock, log, matcher);
     this.upgrade = new Upgrade(settings, replica, committer, this.membership, clock, ttlMs, log);
-    this.fleet = new Fleet(settings, operators, replica, committer, clock, retry.cloud, random, log);
-    this.fleet.hazardPerStep = () => this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
+    this.autoscaler = new Autoscaler(
+      settings,
+      operators,
+      replica,
+      committer,
+      clock,
+      retry.cloud,
+      random,
+      log,
+    );
+    this.autoscaler.hazardPerStep = () =>
+      this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
     this.view = new View(replica, clock, ttlMs, this.shardManager.shardState.maxReplicaAgeMs, log);
-    this.planning = new Planning(
+    this.planning = new WriteBudget(
       settings,
       replica,
       committer,
@@ -182,7 +192,7 @@
       log,
     );
     this.shardManager.shardState.onUnknownAttempt = (...what) => this.rebuilding.attemptReported(...what);
-    this.fleet.mayReturn = () => this.rebuilding.canConfirmAbsence;
+    this.autoscaler.mayScaleIn = () => this.rebuilding.canConfirmAbsence;
     this.neighbours.jobs = () => this.rebuilding.jobCount;
     this.shardManager.shardState.canPlaceTasks = () => !this.view.stale;
     this.shardManager.shardState.mayStartTasks = () => this.rebuilding.canConfirmAbsence && this.view.current;
@@ -195,7 +205,7 @@
       settings,
       replica,
       this.shardManager,
-      this.fleet,
+      this.autoscaler,
       this.neighbours,
       clock,
       {
@@ -252,14 +262,14 @@
     if (leading !== this.wasLeading) {
       this.wasLeading = leading;
       this.log('info', leading ? 'leading' : 'no longer leading');
-      this.fleet.reset();
+      this.autoscaler.reset();
     }
     // Guards against a leader that was cut off or stood still: what it would rent or return may be another's by now.
     if (leading && acting && !this.view.stale && this.membership.holds(now) && !this.leaving.asked) {
       this.rebuilding.requestAudit(out);
-      this.fleet.tick(out);
+      this.autoscaler.tick(out);
       this.upgrade.tick();
-      if (this.fair) this.planning.lead(this.demand);
+      if (this.fair) this.planning.proposeNext(this.demand);
     }
     if (this.leaving.asked) this.membership.leave(out);
     this.shardManager.tick(out);
@@ -287,7 +297,7 @@
       owned: this.shardManager.ownedShards.size,
       leading: this.membership.leading,
       present: this.membership.present,
-      busy: this.committer.waiting > 0 || this.fleet.calling,
+      busy: this.committer.waiting > 0 || this.autoscaler.hasPendingChanges,
     });
   }
 
@@ -334,18 +344,18 @@
       users: Math.round(this.userRequests.usersWanted()),
       behindS: this.committer.behindS,
       kinds: this.fair ? this.userRequests.kindsWanted() : [],
-      follows: this.planning.follows,
+      follows: this.planning.followedVersion,
     };
   }
 
   /** This controller's part of the writes, and those that it takes in with it. */
   private divide(out: Effect[]): void {
-    this.planning.follow();
-    const share = this.planning.share(this.demand);
+    this.planning.observe();
+    const share = this.planning.localShare(this.demand);
     this.committer.allow(share.total);
     // The state service may take less than it is said to.
     const { health } = this.committer;
-    const { factor } = this.pressure.picture;
+    const { admissionFactor: factor } = this.overloadMonitor.snapshot;
     this.userRequests.admit(share, factor * health, out);
   }
 
@@ -355,20 +365,20 @@
     const { tasks, users } = this.demand;
     const { rps } = this.settings.state;
     const equal = rps / (1 + this.settings.peers.length);
-    const picture = this.pressure.look({
+    const picture = this.overloadMonitor.observe({
       writes: (tasks + users) / Math.max(1, this.committer.writesPerS),
       requests: this.requests.rate(now) / equal,
       time: this.reports.busy,
       ...this.told,
     });
-    this.userRequests.short = picture.factor < 1 ? picture.tightest : 'writes';
+    this.userRequests.short = picture.admissionFactor < 1 ? picture.bottleneck : 'writes';
   }
 
   private admissionSummary(): object {
     const round = (x: number): number => Math.round(100 * x) / 100;
-    const { load, tightest, factor } = this.pressure.picture;
+    const { load, bottleneck: tightest, admissionFactor: factor } = this.overloadMonitor.snapshot;
     return {
-      plan: this.planning.follows,
+      plan: this.planning.followedVersion,
       pressure: Object.fromEntries(Object.entries(load).map(([k, x]) => [k, round(x as number)])),
       tightest,
       factor: round(factor),
@@ -437,7 +447,7 @@
       tasks,
       users,
       behindS: Math.round(behindS * 10) / 10,
-      plan: this.planning.follows,
+      plan: this.planning.followedVersion,
     });
     away.clear();
   }
@@ -543,19 +553,19 @@
         this.matcher?.setAttributes(c.host, c.attributes);
         break;
       case 'forget-machine':
-        this.fleet.forget(c.host);
+        this.autoscaler.abandonMachine(c.host);
         break;
       case 'machine-types':
-        this.fleet.gotTypes(c.types);
+        this.autoscaler.handleMachineTypes(c.types);
         break;
       case 'rental-result':
-        this.fleet.rented(c.request, c.outcome);
+        this.autoscaler.handleRental(c.request, c.outcome);
         break;
       case 'deletion-result':
-        this.fleet.deleted(c.hosts, c.ok);
+        this.autoscaler.handleDeletion(c.hosts, c.ok);
         break;
       case 'machine-list':
-        this.fleet.listed(c.machines, c.askedAt);
+        this.autoscaler.handleListing(c.machines, c.askedAt);
         break;
     }
   }
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -13,7 +13,7 @@
 import { isNewerHeartbeat } from './heartbeat-reconciler.js';
 import type { ShardManager } from './shard-manager.js';
 import type { Clock, Effect, Log } from './effects.js';
-import type { Fleet } from './autoscaler/autoscaler.js';
+import type { Autoscaler } from './autoscaler/autoscaler.js';
 import { Holding, type Release } from './held-responses.js';
 import type { Neighbours } from './peers.js';
 import type { VersionedMachine, Replica } from './replica.js';
@@ -61,7 +61,7 @@
     private readonly settings: Settings,
     private readonly replica: Replica,
     private readonly shardManager: ShardManager,
-    private readonly fleet: Fleet,
+    private readonly autoscaler: Autoscaler,
     private readonly neighbours: Neighbours,
     private readonly clock: Clock,
     private readonly host: ReportsHost,
@@ -90,7 +90,7 @@
     const m = this.replica.machines.get(report.host);
     if (!m) {
       if (this.host.leading()) {
-        this.fleet.unexpected(report);
+        this.autoscaler.adoptReportingMachine(report);
         return answer(503, {}, 1);
       }
       return answer(421, redirectOut(this.replica.leader?.member ?? null));
@@ -105,14 +105,14 @@
     if (from === null) this.direct++;
     else this.through.set(from, (this.through.get(from) ?? 0) + 1);
     if (m.shard < 0) {
-      this.fleet.heardFrom(m.host);
+      this.autoscaler.recordHeartbeat(m.host);
       return answer(200, answerOut(custodian.token, []));
     }
     const run = this.shardManager.machines.get(m.host);
     if (!run) return answer(503, {}, 1);
     const to = from === null && report.token === custodian.token ? this.elseTo() : null;
     if (to !== null) return answer(421, redirectOut(to));
-    this.fleet.heardFrom(m.host);
+    this.autoscaler.recordHeartbeat(m.host);
     // A late copy is no newer report: the machine may still wait for the answer to the one that is held.
     const newer = isNewerHeartbeat(report, [run.agentEpoch, run.heartbeatSeq]);
     const before = newer ? this.holding.superseded(m.host) : null;
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -29,7 +29,7 @@
   readMachine,
   readMembers,
   readNode,
-  readPlan,
+  readAllocation,
   readTeams,
   readTypes,
   readWish,
@@ -94,7 +94,7 @@
   /** Incarnations that the state names: one, but for the moments in which another is opened. */
   readonly incarnations = new Map<number, Incarnation>();
   /** Who may write how much; null: there is no plan. */
-  plan: Plan | null = null;
+  writeAllocation: Plan | null = null;
   teamsByShard: string[][] = [];
   teamsStamp = 0;
   readonly nodes = new Map<string, NodeRecord>();
@@ -322,7 +322,7 @@
         this.listener.incarnationChanged();
         break;
       case 'plan':
-        this.plan = here ? readPlan(data) : null;
+        this.writeAllocation = here ? readAllocation(data) : null;
         break;
       case 'teams':
         this.teamsByShard = here ? readTeams(data) : [];
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -40,7 +40,7 @@
     kind.waiting = true;
     kind.jobs.push(job);
   }
-  for (const owed of shardState.minimumShares.look(shardState.clock.now, [...kinds.values()])) {
+  for (const owed of shardState.minimumShares.findDeficits(shardState.clock.now, [...kinds.values()])) {
     let left = owed.share;
     for (const job of kinds.get(owed.kind)!.jobs.sort((a, b) => a.at - b.at)) {
       if (left <= 0) break;
--- a/src/core/storage/keys.ts
+++ b/src/core/storage/keys.ts
@@ -14,7 +14,7 @@
 export const incPrefix = 'dp/inc/';
 export const incKey = (n: number): string => `${incPrefix}${n}`;
 /** Who may write how much, from level 3 on. */
-export const planKey = 'dp/plan';
+export const allocationKey = 'dp/plan';
 export const nodeKey = (member: string): string => `dp/node/${member}`;
 export const shardKey = (shard: number): string => `dp/shard/${shard}`;
 /** The machines of one rental. */
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -272,9 +272,9 @@
 }
 
 /** How much of what a value may hold a plan takes; kinds that do not fit are left out, smallest first. */
-const planShare = 0.5;
+const maxAllocationValueShare = 0.5;
 
-export function planData({ number, parts }: Plan, valueKb: number): Data {
+export function allocationData({ version: number, members: parts }: Plan, valueKb: number): Data {
   const named = [...parts].flatMap(([member, p]) =>
     [...p.kinds].map(([kind, rate]) => ({ member, kind, rate })),
   );
@@ -294,20 +294,23 @@
     ),
   });
   let data = of(named);
-  while (named.length > 0 && Buffer.byteLength(JSON.stringify(data)) > valueKb * 1024 * planShare) {
+  while (
+    named.length > 0 &&
+    Buffer.byteLength(JSON.stringify(data)) > valueKb * 1024 * maxAllocationValueShare
+  ) {
     named.length = Math.floor(named.length / 2);
     data = of(named);
   }
   return data;
 }
 
-export function readPlan(data: unknown): Plan {
+export function readAllocation(data: unknown): Plan {
   const d = data as { n: number; p: Record<string, [number, number, number, Record<string, number>]> };
   const parts = Object.entries(d.p).map(
     ([member, [total, users, most, kinds]]) =>
       [member, { total, users, most, kinds: new Map(Object.entries(kinds)) }] as const,
   );
-  return { number: d.n, parts: new Map(parts) };
+  return { version: d.n, members: new Map(parts) };
 }
 
 export const incData = (by: string, run: string, stage: Stage): Data => ({ by, run, stage });
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -28,7 +28,7 @@
   wholeCancelledData,
 } from './storage/index.js';
 import type { Clock, Effect } from './effects.js';
-import type { Share } from './write-budget.js';
+import type { LocalWriteShare } from './write-budget.js';
 import type { Replica } from './replica.js';
 import type { Condition, Write } from '../wire/store.js';
 
@@ -86,7 +86,7 @@
   private turned: Turned[] = [];
   /** Who was turned away, by team, class and reason. */
   readonly away = new Map<string, number>();
-  private readonly wishes: Wishes;
+  private readonly demandEstimates: Wishes;
   private crowdedAt = -Infinity;
   /** In which proportion team and class take turns, as the plan has it; empty: by guarantee and urgency. */
   private kinds: ReadonlyMap<string, number> = new Map();
@@ -107,7 +107,7 @@
     const { rps } = settings.state;
     this.readEveryMs = (1000 * (1 + settings.peers.length)) / (rps * readingShare);
     const weightOf = teamWeights(settings.teams);
-    this.wishes = new Wishes(mostWaiting / 8, tryMs);
+    this.demandEstimates = new Wishes(mostWaiting / 8, tryMs);
     this.admission = new Admission(
       { most: mostWaiting, patienceMs, tryMs, longestMs: longestRetryMs, tickets: mostWaiting },
       (team) => (this.kinds.size > 0 ? this.rateOf(kindName(team, '')) : weightOf(team)),
@@ -152,7 +152,7 @@
       return this.commitNew(e);
     }
     this.arrivals.add(1, now);
-    this.wishes.add(e.team, e.class, byUrgency(spec), now);
+    this.demandEstimates.recordArrival(e.team, e.class, byUrgency(spec), now);
     this.newcomers.set(e.id, e);
     const away = this.admission.offer(e, now);
     if (away) this.turnAway(away, out);
@@ -172,12 +172,12 @@
   kindsWanted(): KindWant[] {
     const { now } = this.clock;
     if (this.admission.size > 0) this.crowdedAt = now;
-    return this.crowded ? this.wishes.list(now) : [];
+    return this.crowded ? this.demandEstimates.largest(now) : [];
   }
 
   /** Jobs that other controllers have turned away: here they are not the last either. */
   told(list: readonly Turned[]): void {
-    this.admission.told(
+    this.admission.recordPeerRejections(
       list.filter((t) => !this.replica.jobs.has(t.id)),
       this.clock.now,
     );
@@ -185,7 +185,7 @@
 
   /** A job is accepted, by whomever. */
   taken(id: string): void {
-    this.admission.tickets.end(id);
+    this.admission.tickets.remove(id);
   }
 
   private turnAway({ entry, retryAfterS }: Away<Newcomer>, out: Effect[]): void {
@@ -209,17 +209,17 @@
   short = 'writes';
 
   /** Takes in as many as may be written now. `factor`: of them, so many where something else runs short. */
-  admit(share: Share, factor: number, out: Effect[]): void {
+  admit(share: LocalWriteShare, factor: number, out: Effect[]): void {
     const { now } = this.clock;
     this.admission.rate = share.users * factor;
-    this.admission.wholeRate = share.wholeUsers * factor;
+    this.admission.totalRate = share.totalUsers * factor;
     if (share.kinds !== this.kinds) {
       this.kinds = share.kinds;
       this.bestRate = Math.max(0.01, ...share.kinds.values());
     }
-    let room = Math.min(this.bucket.fill(this.admission.rate, now), this.committer.userRoom);
+    let room = Math.min(this.bucket.refill(this.admission.rate, now), this.committer.userRoom);
     for (; room > 0; room--) {
-      const e = this.admission.next();
+      const e = this.admission.dequeue();
       if (!e) break;
       this.bucket.take(1);
       this.newcomers.delete(e.id);
@@ -228,7 +228,7 @@
     // They are in the order in which they came.
     for (const e of this.newcomers.values()) {
       if (now - e.since <= giveUpWriteMs) break;
-      this.turnAway(this.admission.overdue(e, now), out);
+      this.turnAway(this.admission.expire(e, now), out);
     }
     if (this.turned.length === 0) return;
     out.push({ type: 'rejected-jobs', list: this.turned });
@@ -254,7 +254,7 @@
         apply: [{ key: jobKey(spec.id), data: jobData(spec, this.clock.wall) }],
       }),
       ok: () => {
-        this.admission.tickets.end(spec.id);
+        this.admission.tickets.remove(spec.id);
         answer((r) =>
           this.out.push({
             type: 'respond',
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -11,7 +11,7 @@
   type Plan,
 } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
-import { type Committer, planData, planKey, Rank } from './storage/index.js';
+import { type Committer, allocationData, allocationKey, Rank } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
 import type { Membership } from './membership.js';
 import type { Neighbours } from './peers.js';
@@ -25,8 +25,8 @@
 const settledLeases = 1.25;
 
 /** What this controller may write, and what all may take in together, a second. */
-export interface Share extends Parts {
-  wholeUsers: number;
+export interface LocalWriteShare extends Parts {
+  totalUsers: number;
   /** In which proportion team and class take turns; none: by guarantee and urgency. */
   kinds: ReadonlyMap<string, number>;
 }
@@ -38,7 +38,7 @@
  * part of the newest that it knows. One whose view is older than its state lease falls back to its floor: so a plan that is
  * older than that is followed by nobody, and no clock but its own says so to each.
  */
-export class Planning {
+export class WriteBudget {
   private lookedAt = -Infinity;
   private busy = false;
   private wroteAt = -Infinity;
@@ -64,8 +64,8 @@
   }
 
   /** The plan that this controller follows, or would if its view were new. */
-  get follows(): number {
-    return this.inForce ? (this.replica.plan?.number ?? 0) : 0;
+  get followedVersion(): number {
+    return this.inForce ? (this.replica.writeAllocation?.version ?? 0) : 0;
   }
 
   private get members(): string[] {
@@ -73,14 +73,14 @@
   }
 
   /** Looks at what is there; in each step, so that whoever comes to lead knows how old the plan is. */
-  follow(): void {
-    const number = this.replica.plan?.number ?? 0;
+  observe(): void {
+    const number = this.replica.writeAllocation?.version ?? 0;
     if (number !== this.known.number) this.known = { number, at: this.clock.now };
     this.neighbours.demands();
   }
 
   /** This controller's share. Without a plan that is in force all work it out from the same pulses; knowing nothing, it is equal. */
-  share(mine: Demand): Share {
+  localShare(mine: Demand): LocalWriteShare {
     const writes = this.settings.state.write_rps;
     const { members } = this;
     const n = members.length;
@@ -90,28 +90,29 @@
         (m) => m.demand ?? { tasks: m.here ? alone.total : 0, users: 0, behindS: 0 },
       );
       const parts = partsOf(writes, [mine, ...heard]);
-      return { ...parts[0], wholeUsers: parts.reduce((sum, p) => sum + p.users, 0), kinds: noKinds };
+      return { ...parts[0], totalUsers: parts.reduce((sum, p) => sum + p.users, 0), kinds: noKinds };
     }
-    const { plan } = this.replica;
-    const part = plan?.parts.get(this.settings.member);
+    const { writeAllocation: plan } = this.replica;
+    const part = plan?.members.get(this.settings.member);
     const fresh = !this.view.stale && this.membership.present;
     if (plan && part && fresh)
-      return { ...part, wholeUsers: [...plan.parts.values()].reduce((sum, p) => sum + p.users, 0) };
+      return { ...part, totalUsers: [...plan.members.values()].reduce((sum, p) => sum + p.users, 0) };
     // Guards against following a plan that was replaced while nothing was heard of it, or one that counts this controller as
     // gone, or that cannot be read.
-    const fallen = !fresh || plan !== null || this.replica.unreadableRecords.has(planKey);
+    const fallen = !fresh || plan !== null || this.replica.unreadableRecords.has(allocationKey);
     const parts = withoutPlan(writes, n, fallen);
-    return { ...parts, wholeUsers: parts.users * n, kinds: noKinds };
+    return { ...parts, totalUsers: parts.users * n, kinds: noKinds };
   }
 
   /** As the leader: the next plan, if it is worth a write. */
-  lead(mine: Demand): void {
+  proposeNext(mine: Demand): void {
     const { now } = this.clock;
-    const { plan } = this.replica;
+    const { writeAllocation: plan } = this.replica;
     const { ttlMs } = this.membership;
     if (!this.inForce || this.busy || now - this.lookedAt < ttlMs / looksPerLease) return;
     this.lookedAt = now;
-    if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.unreadableRecords.has(planKey)) return;
+    if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.unreadableRecords.has(allocationKey))
+      return;
     const next = (): Plan => this.next(mine);
     if (!differs(plan, next(), this.settings.state.write_rps)) return;
     this.busy = true;
@@ -128,27 +129,31 @@
         }
         return {
           when: [
-            { key: planKey, stamp: this.replica.stampOf(planKey) },
+            { key: allocationKey, stamp: this.replica.stampOf(allocationKey) },
             { key: this.replica.activeLeaderKey, stamp: lead.stamp },
           ],
-          apply: [{ key: planKey, data: planData(next(), this.settings.state.value_kb) }],
+          apply: [{ key: allocationKey, data: allocationData(next(), this.settings.state.value_kb) }],
         };
       },
       ok: () => {
         done();
-        const p = this.replica.plan;
-        if (p) this.log('debug', 'plan', { number: p.number, ...planData(p, this.settings.state.value_kb) });
+        const p = this.replica.writeAllocation;
+        if (p)
+          this.log('debug', 'plan', {
+            number: p.version,
+            ...allocationData(p, this.settings.state.value_kb),
+          });
       },
       conflict: done,
     });
   }
 
   private next(mine: Demand): Plan {
-    const { plan } = this.replica;
+    const { writeAllocation: plan } = this.replica;
     const others = this.neighbours.demands();
     const members = this.members.map((name) =>
       name === this.settings.member
-        ? { name, here: true, fallen: false, demand: { ...mine, follows: this.follows } }
+        ? { name, here: true, fallen: false, demand: { ...mine, follows: this.followedVersion } }
         : { name, ...others.get(name)! },
     );
     const settled = this.clock.now - this.known.at > settledLeases * this.membership.ttlMs;
--- a/src/queues/bounded-priority-queues.ts
+++ b/src/queues/bounded-priority-queues.ts
@@ -1,5 +1,5 @@
 /** One kind of work and what it may take. */
-export interface Lane {
+export interface QueueLimits {
   /** Its share of what is worked off while others wait too; shares are relative. */
   share: number;
   /** How many may wait in it. */
@@ -18,16 +18,16 @@
  * for the others. Names are in order of need: when all of them together hold too much, the newest of the least needed
  * is turned away.
  */
-export class Lanes<K extends string, T> {
-  private readonly queues: { name: K; lane: Lane; items: Waiting<T>[]; credit: number }[];
-  private held = 0;
+export class BoundedPriorityQueues<K extends string, T> {
+  private readonly queues: { name: K; lane: QueueLimits; items: Waiting<T>[]; credit: number }[];
+  private queued = 0;
 
   constructor(
-    lanes: Record<K, Lane>,
+    lanes: Record<K, QueueLimits>,
     /** How many may wait in all of them together. */
     private readonly most: number,
   ) {
-    this.queues = (Object.entries(lanes) as [K, Lane][]).map(([name, lane]) => ({
+    this.queues = (Object.entries(lanes) as [K, QueueLimits][]).map(([name, lane]) => ({
       name,
       lane,
       items: [],
@@ -36,11 +36,11 @@
   }
 
   get size(): number {
-    return this.held;
+    return this.queued;
   }
 
   /** How much of what may wait in a lane does. */
-  fill(name: K): number {
+  fillRatio(name: K): number {
     const q = this.queues.find((x) => x.name === name)!;
     return q.items.length / q.lane.most;
   }
@@ -50,12 +50,12 @@
     const q = this.queues.find((x) => x.name === name)!;
     if (q.items.length >= q.lane.most) return [item];
     q.items.push({ item, since: now });
-    this.held++;
-    if (this.held <= this.most) return [];
+    this.queued++;
+    if (this.queued <= this.most) return [];
     for (let i = this.queues.length - 1; i >= 0; i--) {
       const last = this.queues[i].items.pop();
       if (last === undefined) continue;
-      this.held--;
+      this.queued--;
       return [last.item];
     }
     return [];
@@ -69,23 +69,23 @@
       let late = 0;
       while (late < q.items.length && now - q.items[late].since > q.lane.patienceMs) late++;
       for (const w of q.items.splice(0, late)) expired.push(w.item);
-      this.held -= late;
+      this.queued -= late;
     }
-    if (this.held <= count) {
+    if (this.queued <= count) {
       for (const q of this.queues) {
         for (const w of q.items) items.push(w.item);
         q.items = [];
         q.credit = 0;
       }
-      this.held = 0;
+      this.queued = 0;
       return { items, expired };
     }
-    while (items.length < count) this.passOnce(items, count);
+    while (items.length < count) this.serveRound(items, count);
     return { items, expired };
   }
 
   /** Each lane that has work gets what its share of the rest is worth; what it cannot use is kept for its next turn. */
-  private passOnce(items: T[], count: number): void {
+  private serveRound(items: T[], count: number): void {
     const busy = this.queues.filter((q) => q.items.length > 0);
     const shares = busy.reduce((sum, q) => sum + q.lane.share, 0);
     const rest = count - items.length;
@@ -94,7 +94,7 @@
       const n = Math.min(Math.floor(q.credit), q.items.length, count - items.length);
       q.credit = q.items.length > n ? q.credit - n : 0;
       for (const w of q.items.splice(0, n)) items.push(w.item);
-      this.held -= n;
+      this.queued -= n;
     }
   }
 }
--- a/src/queues/index.ts
+++ b/src/queues/index.ts
@@ -1,1 +1,1 @@
-export { Lanes, type Lane } from './bounded-priority-queues.js';
+export { BoundedPriorityQueues as Lanes, type QueueLimits as Lane } from './bounded-priority-queues.js';
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -21,11 +21,11 @@
  * What waits to be worked off. What our own calls brought goes first and is never turned away; requests come through
  * lanes, so that a thousand workers and hundreds of users that come at once do not starve each other.
  */
-export class Intake {
+export class RequestQueue {
   private inner: Command[] = [];
   private readonly lanes: Lanes<LaneName, Request>;
   /** Memory is short: only what stops work or keeps it alive is taken in. */
-  tight = false;
+  memoryShort = false;
 
   constructor(
     private readonly settings: Settings,
@@ -56,17 +56,17 @@
       this.inner.push(c);
       return [];
     }
-    if (this.tight && (c.type === 'query' || c.type === 'submit')) return [this.later(c)];
+    if (this.memoryShort && (c.type === 'query' || c.type === 'submit')) return [this.later(c)];
     return this.lanes.offer(c.type, c, now).map((x) => this.later(x));
   }
 
   /** Of the submissions that may wait to be worked off, so many do. */
-  get fill(): number {
-    return this.lanes.fill('submit');
+  get submissionFillRatio(): number {
+    return this.lanes.fillRatio('submit');
   }
 
   /** Answers to what was asked before count no more; requests wait on. */
-  forget(): void {
+  discardResponses(): void {
     this.inner = [];
   }
 
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,12 +1,12 @@
 import { randomBytes } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
-import { Cloud, type CloudService } from './cloud/cloud.js';
-import { Workers } from './workers/workers.js';
+import { HttpCloudProvider, type CloudProvider } from './cloud/cloud.js';
+import { WorkerClient } from './workers/workers.js';
 import type { Operators } from './config/operators.js';
 import { splitAddr, type Settings } from './config/settings.js';
 import { Controller } from './core/controller.js';
 import type { Command, Effect, Log } from './core/effects.js';
-import { Intake } from './request-queue.js';
+import { RequestQueue } from './request-queue.js';
 import { limitsOf, type Limits } from './limits/index.js';
 import { Memory } from './memory-usage.js';
 import type { Mesh } from './peers/mesh.js';
@@ -30,7 +30,7 @@
 /** What stands in the place of the platform's state service and cloud. */
 export interface Parts {
   state: StateService;
-  cloud: CloudService;
+  cloud: CloudProvider;
   hooks: FrontHooks;
   matcher: Matcher;
 }
@@ -44,11 +44,11 @@
   private readonly random: Random;
   private readonly retry: RetryPolicies;
   private readonly limits: Limits;
-  private readonly cloud: CloudService;
-  private readonly workers: Workers;
+  private readonly cloud: CloudProvider;
+  private readonly workerClient: WorkerClient;
   private readonly follower: Follower;
   private readonly front: PublicServer;
-  private readonly intake: Intake;
+  private readonly requestQueue: RequestQueue;
   private readonly memory: Memory;
   private mesh: Mesh | null = null;
   /** Answers owed to peers that relayed a report: by our request number. */
@@ -75,10 +75,10 @@
     this.limits = limitsOf(settings);
     this.controller = this.make(null);
     this.store = parts.state ?? new Store(settings.endpoints.state, this.retry.state.deadlineMs);
-    this.cloud = parts.cloud ?? new Cloud(settings.endpoints.cloud, this.retry.cloud.deadlineMs);
-    this.workers = new Workers(this.retry.workers.deadlineMs, this.limits.sockets.orders);
+    this.cloud = parts.cloud ?? new HttpCloudProvider(settings.endpoints.cloud, this.retry.cloud.deadlineMs);
+    this.workerClient = new WorkerClient(this.retry.workers.deadlineMs, this.limits.sockets.orders);
     this.memory = new Memory(this.limits.memory, log);
-    this.intake = new Intake(settings, this.limits, this.random);
+    this.requestQueue = new RequestQueue(settings, this.limits, this.random);
     const share = settings.state.rps / (1 + settings.peers.length);
     this.follower = new Follower(
       this.store,
@@ -118,7 +118,7 @@
   /** The state service has lost data: the core begins anew with what it knew, as another process would. */
   private rebear(recoveryRecords: RecoveryRecords): void {
     this.run = `${this.run.split('.')[0]}.${++this.rebirths}`;
-    this.intake.forget();
+    this.requestQueue.discardResponses();
     this.follower.restart();
     this.controller = this.make(recoveryRecords);
   }
@@ -191,9 +191,15 @@
     const now = performance.eventLoopUtilization();
     const { utilization: busy } = performance.eventLoopUtilization(now, this.utilization);
     this.utilization = now;
-    this.intake.tight = this.memory.look(performance.now());
+    this.requestQueue.memoryShort = this.memory.look(performance.now());
     const connections = this.front.tend(performance.now());
-    this.push({ type: 'load', busy, connections, memory: this.memory.share, waiting: this.intake.fill });
+    this.push({
+      type: 'load',
+      busy,
+      connections,
+      memory: this.memory.share,
+      waiting: this.requestQueue.submissionFillRatio,
+    });
   }
 
   private fromPeer(from: string, frame: Frame): void {
@@ -219,12 +225,12 @@
   }
 
   push(c: Command): void {
-    for (const e of this.intake.offer(c, performance.now())) this.carryOut(e);
+    for (const e of this.requestQueue.offer(c, performance.now())) this.carryOut(e);
     this.schedule();
   }
 
   private schedule(): void {
-    if (this.scheduled || this.intake.empty) return;
+    if (this.scheduled || this.requestQueue.empty) return;
     this.scheduled = true;
     setImmediate(() => this.work());
   }
@@ -232,7 +238,7 @@
   private work(): void {
     this.scheduled = false;
     const now = performance.now();
-    const { commands, answers } = this.intake.take(now);
+    const { commands, answers } = this.requestQueue.take(now);
     for (const e of answers) this.carryOut(e);
     const effects = this.controller.step(commands, { now, wall: Date.now() });
     for (const e of effects) this.carryOut(e);
@@ -305,23 +311,25 @@
         void this.store.unlease(e.hold);
         break;
       case 'list-machine-types':
-        void this.cloud.types().then((types) => back({ type: 'machine-types', types }));
+        void this.cloud.listMachineTypes().then((types) => back({ type: 'machine-types', types }));
         break;
       case 'rent-machines':
         void this.cloud
-          .rent(e.request)
+          .rentMachines(e.request)
           .then((outcome) => back({ type: 'rental-result', request: e.request, outcome }));
         break;
       case 'delete-machines':
-        void this.cloud.delete(e.hosts).then((ok) => back({ type: 'deletion-result', hosts: e.hosts, ok }));
+        void this.cloud
+          .deleteMachines(e.hosts)
+          .then((ok) => back({ type: 'deletion-result', hosts: e.hosts, ok }));
         break;
       case 'list-machines': {
         const askedAt = performance.now();
-        void this.cloud.list().then((machines) => back({ type: 'machine-list', machines, askedAt }));
+        void this.cloud.listMachines().then((machines) => back({ type: 'machine-list', machines, askedAt }));
         break;
       }
       case 'send-task-commands':
-        void this.workers.order(e.endpoint, e.token, e.session, e.orders);
+        void this.workerClient.sendOrders(e.endpoint, e.token, e.session, e.orders);
         break;
     }
   }
--- a/src/workers/workers.ts
+++ b/src/workers/workers.ts
@@ -7,18 +7,18 @@
  * Orders sent straight to workers. Only stops go this way: they may be carried out late, and a late stop of
  * an attempt harms nothing, while a late start could run a task twice.
  */
-export class Workers {
+export class WorkerClient {
   private readonly agent: Agent;
 
   constructor(
     private readonly timeoutMs: number,
     /** So many at once; the others wait, and are given up like those that get no answer. */
-    mostSockets: number,
+    maxSockets: number,
   ) {
-    this.agent = new Agent({ keepAlive: false, maxTotalSockets: mostSockets });
+    this.agent = new Agent({ keepAlive: false, maxTotalSockets: maxSockets });
   }
 
-  async order(endpoint: string, token: number, session: number, orders: TaskOrder[]): Promise<boolean> {
+  async sendOrders(endpoint: string, token: number, session: number, orders: TaskOrder[]): Promise<boolean> {
     const r = await callOnce(
       this.agent,
       endpoint,
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -82,9 +82,9 @@
     () => 1,
     (e) => (e.class === 'heavy' ? 2 : 1),
   );
-  for (let n = 0; n < 60; n++) q.add(item('a', 'flood', n));
-  for (let n = 0; n < 30; n++) q.add(item('b', n % 2 ? 'heavy' : 'light', n));
-  const took = Array.from({ length: 24 }, () => q.next()!);
+  for (let n = 0; n < 60; n++) q.enqueue(item('a', 'flood', n));
+  for (let n = 0; n < 30; n++) q.enqueue(item('b', n % 2 ? 'heavy' : 'light', n));
+  const took = Array.from({ length: 24 }, () => q.dequeue()!);
   assert.equal(took.filter((e) => e.team === 'a').length, 12);
   assert.equal(took.filter((e) => e.class === 'heavy').length, 8);
   assert.deepEqual(
@@ -92,36 +92,36 @@
     Array.from({ length: 12 }, (_, i) => i),
   );
   // It had nothing waiting: its next goes before the flood's, once.
-  q.add(item('c', 'small', 1));
-  assert.equal(q.next()!.team, 'c');
-  q.add(item('c', 'small', 2));
-  q.add(item('c', 'small', 3));
-  const next = Array.from({ length: 4 }, () => q.next()!.team);
+  q.enqueue(item('c', 'small', 1));
+  assert.equal(q.dequeue()!.team, 'c');
+  q.enqueue(item('c', 'small', 2));
+  q.enqueue(item('c', 'small', 3));
+  const next = Array.from({ length: 4 }, () => q.dequeue()!.team);
   assert.equal(next.filter((t) => t === 'c').length <= 2, true);
   // One that tried longer than all goes first in its class, and can be taken out.
   const old = item('a', 'flood', 99, -5);
-  q.add(old);
-  assert.deepEqual(q.ahead(item('a', 'flood', 98, -4)).older, 1);
+  q.enqueue(old);
+  assert.deepEqual(q.position(item('a', 'flood', 98, -4)).older, 1);
   assert.ok(q.remove(old) && !q.remove(old));
   const size = q.size;
   assert.equal([...q].length, size);
-  while (q.next() !== null);
+  while (q.dequeue() !== null);
   assert.equal(q.size, 0);
 });
 
 test('tickets: bounded, told by others, and gone when the job is taken in or its user has given up', () => {
   const t = new Tickets(100, 60_000);
   const turned = (n: number, ageMs = 0) => ({ id: `req-${n}`, team: 'a', class: 'c', ageMs });
-  for (let n = 0; n < 150; n++) t.note(turned(n), n);
-  assert.equal(t.outstanding('a', 'c'), 100);
-  assert.equal(t.first('req-10'), undefined);
-  assert.equal(t.first('req-149'), 149);
-  t.note(turned(149, 400), 200);
-  assert.equal(t.first('req-149'), -200);
-  t.end('req-149');
-  assert.equal(t.outstanding('a', 'c'), 99);
+  for (let n = 0; n < 150; n++) t.record(turned(n), n);
+  assert.equal(t.outstandingCount('a', 'c'), 100);
+  assert.equal(t.firstAttemptAt('req-10'), undefined);
+  assert.equal(t.firstAttemptAt('req-149'), 149);
+  t.record(turned(149, 400), 200);
+  assert.equal(t.firstAttemptAt('req-149'), -200);
+  t.remove('req-149');
+  assert.equal(t.outstandingCount('a', 'c'), 99);
   t.prune(200_000);
-  assert.equal(t.outstanding('a', 'c'), 0);
+  assert.equal(t.outstandingCount('a', 'c'), 0);
 });
 
 test('who is turned away is told when to come, spread, at most 30 s and before its user gives up; the oldest gets in', () => {
@@ -134,7 +134,7 @@
     () => (n++ % 10) / 10,
   );
   a.rate = 10;
-  a.wholeRate = 30;
+  a.totalRate = 30;
   const away = Array.from({ length: 400 }, (_, i) => a.offer(item('t', 'c', i, 0), 0)).filter(
     (x) => x !== null,
   );
@@ -142,9 +142,9 @@
   const pauses = away.map((x) => x.retryAfterS);
   assert.ok(pauses.every((s) => s >= 1 && s <= 30));
   assert.ok(new Set(pauses).size > 50);
-  while (a.next() !== null);
+  while (a.dequeue() !== null);
   // It comes again after 20 s, through here or elsewhere: it has tried for longest, so the youngest makes way.
-  a.told([{ id: 'tc5000', team: 't', class: 'c', ageMs: 20_000 }], 25_000);
+  a.recordPeerRejections([{ id: 'tc5000', team: 't', class: 'c', ageMs: 20_000 }], 25_000);
   for (let i = 0; i < 20; i++) a.offer(item('t', 'c', 6000 + i, 25_000), 25_000);
   const back = item('t', 'c', 5000, 25_000);
   const gone = a.offer(back, 25_000);
@@ -302,7 +302,7 @@
     const from = performance.now();
     for (let i = 0; i < 200; i++) {
       a.offer(item('u', 'small', classes + i), classes + i);
-      a.next();
+      a.dequeue();
     }
     cost.push((performance.now() - from) / 200);
     // The other team's come every second turn at least.
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -18,7 +18,7 @@
   type Plan,
 } from '../src/admission/index.js';
 import { newestLevel } from '../src/feature-levels/index.js';
-import { planData, readPlan } from '../src/core/storage/index.js';
+import { allocationData, readAllocation } from '../src/core/storage/index.js';
 import { formats, inspect } from '../src/formats/index.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 import { leaderOf, levelOf, ownerOf, wish } from './support/rolls.js';
@@ -59,10 +59,10 @@
         const told = names.map(() => 0);
         for (const s of steps) {
           names.forEach((_, i) => {
-            if (plan && s.catches[i]) follows[i] = plan.number;
+            if (plan && s.catches[i]) follows[i] = plan.version;
             if (s.tells[i]) told[i] = Math.max(told[i], follows[i]);
             // Older than views may be: whoever does not follow the last one has fallen back.
-            if (plan && s.settled && follows[i] < plan.number) follows[i] = -1;
+            if (plan && s.settled && follows[i] < plan.version) follows[i] = -1;
             if (plan && !s.here[i] && s.fallen[i]) follows[i] = -1;
           });
           const members = names.map((name, i): Member => ({
@@ -72,15 +72,15 @@
             demand: s.here[i] ? demand(s.wants[i][0], s.wants[i][1], told[i]) : null,
           }));
           plan = nextPlan(plan, writes, members, s.settled, alike);
-          plans.set(plan.number, plan);
+          plans.set(plan.version, plan);
           const used = names.map((name, i) => {
             if (follows[i] === 0) return withoutPlan(writes, n, false).total;
             if (follows[i] < 0) return withoutPlan(writes, n, true).total;
-            return plans.get(follows[i])!.parts.get(name)!.total;
+            return plans.get(follows[i])!.members.get(name)!.total;
           });
           const sum = used.reduce((x, y) => x + y, 0);
           assert.ok(sum <= wholeOf(writes) + 1e-6, `${used.join(' + ')} of ${wholeOf(writes)}`);
-          for (const p of plan.parts.values()) {
+          for (const p of plan.members.values()) {
             assert.ok(
               p.total >= floorOf(writes, n) - 1e-9 && p.users <= p.total + 1e-9 && p.total <= p.most + 1e-9,
             );
@@ -98,11 +98,11 @@
     { name: 'b', here: true, fallen: false, demand: demand(0, 2, follows) },
   ];
   const first = nextPlan(null, 40, members(0), false, alike);
-  const of = (p: Plan, name: string) => p.parts.get(name)!.total;
+  const of = (p: Plan, name: string) => p.members.get(name)!.total;
   assert.ok(of(first, 'a') <= wholeOf(40) / 2 && of(first, 'b') < wholeOf(40) / 2);
   const early = nextPlan(first, 40, members(0), false, alike);
   assert.ok(of(early, 'a') <= of(first, 'a') + 1e-9);
-  const second = nextPlan(early, 40, members(early.number), false, alike);
+  const second = nextPlan(early, 40, members(early.version), false, alike);
   assert.ok(of(second, 'a') > wholeOf(40) * 0.6, String(of(second, 'a')));
   // Another leader knows of nobody what it follows, until it is told or time has passed.
   assert.ok(of(nextPlan(second, 40, members(0), false, alike), 'a') >= of(second, 'a') - 1e-9);
@@ -135,7 +135,7 @@
     },
   ];
   const before: Plan = nextPlan(null, 20, members, true, alike);
-  const { parts } = nextPlan(before, 20, members, true, alike);
+  const { members: parts } = nextPlan(before, 20, members, true, alike);
   const [a, b] = [parts.get('a')!, parts.get('b')!];
   // Half of all for x, which comes to a alone; of y's half its small class gets all it wants.
   assert.ok(a.users > b.users * 1.5, `${a.users} ${b.users}`);
@@ -157,27 +157,27 @@
     demand: demand(9, 9, 0, kinds),
   }));
   const plan = nextPlan(null, 40, members, false, alike);
-  const data = planData(plan, 8);
+  const data = allocationData(plan, 8);
   assert.ok(JSON.stringify(data).length <= 4096);
   assert.deepEqual(inspect('plan', data), { ok: true, format: 1, extras: null });
-  assert.equal(readPlan(data).parts.get('b')!.total, plan.parts.get('b')!.total);
+  assert.equal(readAllocation(data).members.get('b')!.total, plan.members.get('b')!.total);
   assert.match(JSON.stringify(inspect('plan', { n: 1, p: { a: [1, 2] } })), /damaged.*p\.a/);
   assert.equal(formats.plan.length, 1);
 });
 
 test('what users wish is told by team and class, bounded; pressure slows the taking in, writes do not count twice', () => {
   const w = new Wishes(100, 60_000);
-  for (let i = 0; i < 10_000; i++) w.add('t', `c${i}`, 1, i);
-  for (let i = 0; i < 300; i++) w.add('u', 'one', 1, 10_000 + i * 10);
-  const list = w.list(13_000);
+  for (let i = 0; i < 10_000; i++) w.recordArrival('t', `c${i}`, 1, i);
+  for (let i = 0; i < 300; i++) w.recordArrival('u', 'one', 1, 10_000 + i * 10);
+  const list = w.largest(13_000);
   assert.ok(list.length <= 16 && list.some((k) => k.team === 't' && k.class === '*'));
   assert.ok(list.some((k) => k.team === 'u' && k.want > 20));
   const p = new Pressure();
   const load = { writes: 3, requests: 0.2, time: 0.3, sockets: 0.1, memory: 0.4, waiting: 0 };
-  for (let i = 0; i < 50; i++) p.look(load);
-  assert.deepEqual([p.picture.factor, p.picture.tightest], [1, 'writes']);
-  for (let i = 0; i < 50; i++) p.look({ ...load, writes: 0.5, memory: 1 });
-  assert.ok(p.picture.factor < 0.3 && p.picture.tightest === 'memory');
+  for (let i = 0; i < 50; i++) p.observe(load);
+  assert.deepEqual([p.snapshot.admissionFactor, p.snapshot.bottleneck], [1, 'writes']);
+  for (let i = 0; i < 50; i++) p.observe({ ...load, writes: 0.5, memory: 1 });
+  assert.ok(p.snapshot.admissionFactor < 0.3 && p.snapshot.bottleneck === 'memory');
 });
 
 const tired = { timeout: 120_000 };
@@ -203,7 +203,7 @@
     const { w, users } = floodWorld();
     w.play(15);
     const old = leaderOf(w)!;
-    const { number } = old.controller.replica.plan!;
+    const { version: number } = old.controller.replica.writeAllocation!;
     assert.ok(number >= 2);
     old.frozen = true;
     w.play(20);
@@ -221,7 +221,10 @@
     const plans = w.commits.slice(mark).filter((c) => c.txn.apply.some((a) => a.key === 'dp/plan'));
     assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
     assert.ok(planOf(w).stamp >= stamp);
-    assert.equal(old.controller.replica.plan!.number, by.controller.replica.plan!.number);
+    assert.equal(
+      old.controller.replica.writeAllocation!.version,
+      by.controller.replica.writeAllocation!.version,
+    );
     w.play(90);
     served(users, 0.8);
     assert.deepEqual(w.broken, []);
@@ -280,11 +283,13 @@
     wish(w, { most: 2, lower: true });
     assert.ok(w.playUntil(() => levelOf(w).level === 2, 20));
     w.play(5);
-    assert.ok(w.nodes.every((n) => n.controller['planning'].follows === 0));
+    assert.ok(w.nodes.every((n) => n.controller['planning'].followedVersion === 0));
     wish(w, {});
     assert.ok(w.playUntil(() => levelOf(w).level === newestLevel, 20));
     w.play(100);
-    assert.ok(w.nodes.every((n) => n.controller['planning'].follows === (planOf(w).data as { n: number }).n));
+    assert.ok(
+      w.nodes.every((n) => n.controller['planning'].followedVersion === (planOf(w).data as { n: number }).n),
+    );
     served(users, 0.9);
     assert.deepEqual(w.broken, []);
   },
@@ -302,7 +307,7 @@
     assert.equal((planOf(w).data as { v: number }).v, 9);
     w.state.commit({ when: [], apply: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
     w.play(4);
-    for (const n of w.nodes) assert.ok(n.controller['planning'].follows > 0);
+    for (const n of w.nodes) assert.ok(n.controller['planning'].followedVersion > 0);
   },
 );
 
@@ -313,18 +318,18 @@
     { kind: 'b small', team: 'b', share: small, waiting: waits },
     { kind: 'b other', team: 'b', share: 0, waiting: false },
   ];
-  assert.deepEqual(f.look(0, uses(0)), []);
-  assert.deepEqual(f.look(9000, uses(0)), []);
+  assert.deepEqual(f.findDeficits(0, uses(0)), []);
+  assert.deepEqual(f.findDeficits(9000, uses(0)), []);
   // Half of an equal part: a quarter for the team, all of it for its only class that has work.
-  assert.deepEqual(f.look(10_000, uses(0)), [{ kind: 'b small', share: 0.25 }]);
+  assert.deepEqual(f.findDeficits(10_000, uses(0)), [{ kind: 'b small', share: 0.25 }]);
   assert.deepEqual(
-    f.look(11_000, uses(0.2)).map((o) => Math.round(o.share * 100)),
+    f.findDeficits(11_000, uses(0.2)).map((o) => Math.round(o.share * 100)),
     [5],
   );
-  assert.deepEqual(f.look(12_000, uses(0.25)), []);
+  assert.deepEqual(f.findDeficits(12_000, uses(0.25)), []);
   // It had nothing waiting meanwhile: a window begins anew.
-  f.look(20_000, uses(0, false));
-  assert.deepEqual(f.look(29_000, uses(0)), []);
+  f.findDeficits(20_000, uses(0, false));
+  assert.deepEqual(f.findDeficits(29_000, uses(0)), []);
   const many = Array.from({ length: 10_000 }, (_, i) => ({
     kind: `c ${i}`,
     team: 'c',
@@ -332,8 +337,8 @@
     waiting: true,
   }));
   const g = new Floors(1000, 0.5);
-  g.look(0, many);
-  assert.equal(g.look(1000, many).length, 16);
+  g.findDeficits(0, many);
+  assert.equal(g.findDeficits(1000, many).length, 16);
 });
 
 /** The fleet is full, and work with deadlines for twice of it goes on coming; what nobody waits for goes behind all of it. */
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { defaults } from '../src/config/operators.js';
 import { parseSettings } from '../src/config/settings.js';
-import { Fleet } from '../src/core/autoscaler/autoscaler.js';
+import { Autoscaler } from '../src/core/autoscaler/autoscaler.js';
 import type { Effect } from '../src/core/effects.js';
 import { Replica } from '../src/core/replica.js';
 import {
@@ -71,7 +71,7 @@
   } as unknown as Committer;
   const unexpected: unknown[] = [];
   const clock = { now: 0, wall: 1_000_000 };
-  const fleet = new Fleet(
+  const autoscaler = new Autoscaler(
     settings,
     defaults,
     replica,
@@ -86,12 +86,12 @@
     clock.now += 250;
     clock.wall += 250;
     const out: Effect[] = [];
-    fleet.tick(out);
-    for (const e of out) if (e.type === 'list-machines') fleet.listed(null, clock.now);
+    autoscaler.tick(out);
+    for (const e of out) if (e.type === 'list-machines') autoscaler.handleListing(null, clock.now);
     for (const e of out)
       if (e.type === 'delete-machines') {
         deleted.push(...e.hosts);
-        fleet.deleted(e.hosts, true);
+        autoscaler.handleDeletion(e.hosts, true);
       }
   }
   assert.equal(deleted.length, 4000);
@@ -105,7 +105,7 @@
     status: 'running',
     ageS: 100,
   }));
-  fleet.listed(late, clock.now);
+  autoscaler.handleListing(late, clock.now);
   assert.equal(unexpected.length, 0);
   assert.equal(replica.machines.size, 0);
 });
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -3,7 +3,7 @@
 import { connect, createServer, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { parseSettings } from '../src/config/settings.js';
-import { Intake } from '../src/request-queue.js';
+import { RequestQueue } from '../src/request-queue.js';
 import { Lanes } from '../src/queues/index.js';
 import { limitsOf } from '../src/limits/index.js';
 import { Memory } from '../src/memory-usage.js';
@@ -44,20 +44,20 @@
 test('intake: in a storm of polls a cancellation gets through, polls are told when to come back, not all at once', () => {
   const settings = parseSettings(settingsText('n0', 3));
   const limits = limitsOf({ ...settings, quota: { mem_mb: 100, fd_limit: 500 } });
-  const intake = new Intake(settings, limits, seeded(3));
+  const requestQueue = new RequestQueue(settings, limits, seeded(3));
   const after = new Set<number>();
   for (let rid = 0; rid < 1500; rid++)
-    for (const e of intake.offer({ type: 'query', rid, id: 'req-1' }, 0))
+    for (const e of requestQueue.offer({ type: 'query', rid, id: 'req-1' }, 0))
       if (e.type === 'respond') {
         assert.equal(e.status, 503);
         after.add(e.retryAfterS!);
       }
   assert.deepEqual(after, new Set([1, 2]));
-  assert.deepEqual(intake.offer({ type: 'cancel', rid: 9000, id: 'req-1' }, 0).length, 1);
-  assert.ok(intake.take(1).commands.some((c) => c.type === 'cancel'));
-  intake.tight = true;
-  assert.equal(intake.offer({ type: 'submit', rid: 9001, spec: spec('req-2') }, 1).length, 1);
-  assert.equal(intake.offer({ type: 'cancel', rid: 9002, id: 'req-1' }, 1).length, 0);
+  assert.deepEqual(requestQueue.offer({ type: 'cancel', rid: 9000, id: 'req-1' }, 0).length, 1);
+  assert.ok(requestQueue.take(1).commands.some((c) => c.type === 'cancel'));
+  requestQueue.memoryShort = true;
+  assert.equal(requestQueue.offer({ type: 'submit', rid: 9001, spec: spec('req-2') }, 1).length, 1);
+  assert.equal(requestQueue.offer({ type: 'cancel', rid: 9002, id: 'req-1' }, 1).length, 0);
 });
 
 test('retries: an outage is met with few calls, pauses differ by seed and repeat with it, every one ends', () => {
