--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -419,7 +419,10 @@
         machines: unproven.length,
         some: unproven
           .slice(0, mostNamed)
-          .map((m) => ({ host: m.host, heardMs: m.lastHeartbeatAt && now - m.lastHeartbeatAt })),
+          .map((machine) => ({
+            host: machine.host,
+            heardMs: machine.lastHeartbeatAt && now - machine.lastHeartbeatAt,
+          })),
       });
     const r = recovery.recovered(now);
     if (r) this.log(r.late ? 'warn' : 'info', r.late ? 'recovered late' : 'recovered', { ...r });
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -23,50 +23,54 @@
   constructor(private readonly shardState: ShardState) {}
 
   /** Takes in a report of a machine of ours; returns the orders to answer with. */
-  reconcile(m: ScheduledMachine, report: Heartbeat, token: number): TaskOrder[] {
+  reconcile(machine: ScheduledMachine, report: Heartbeat, token: number): TaskOrder[] {
     const now = this.shardState.clock.now;
-    m.endpoint = report.endpoint;
-    m.lastHeartbeatAt = now;
-    if (m.fencingToken !== token) {
-      m.fencingToken = token;
-      m.confirmedAt = 0;
+    machine.endpoint = report.endpoint;
+    machine.lastHeartbeatAt = now;
+    if (machine.fencingToken !== token) {
+      machine.fencingToken = token;
+      machine.confirmedAt = 0;
     }
     // Under our token no earlier owner can renew the lease any more.
     const proof = report.token === token;
     const leaseEnd = now + this.shardState.settings.workers.lease_s * 1000;
-    m.earliestLeaseExpiry = proof ? leaseEnd : Math.max(m.earliestLeaseExpiry, leaseEnd);
+    machine.earliestLeaseExpiry = proof ? leaseEnd : Math.max(machine.earliestLeaseExpiry, leaseEnd);
     // Guards against the late report: its list is as old as itself, and its answer will be dropped.
-    if (!isNewerHeartbeat(report, [m.agentEpoch, m.heartbeatSeq])) return [];
-    m.agentEpoch = report.session;
-    m.heartbeatSeq = report.seq;
+    if (!isNewerHeartbeat(report, [machine.agentEpoch, machine.heartbeatSeq])) return [];
+    machine.agentEpoch = report.session;
+    machine.heartbeatSeq = report.seq;
     if (proof) {
       // Guards against returning a machine for having been idle while it booted.
-      if (m.confirmedAt === 0 && m.placements.size === 0) m.idleSince = now;
-      m.confirmedAt = now;
+      if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
+      machine.confirmedAt = now;
     }
-    if (report.noticeS !== null && m.reclaimAt === 0) this.handleReclaimNotice(m, report.noticeS);
+    if (report.noticeS !== null && machine.reclaimAt === 0) this.handleReclaimNotice(machine, report.noticeS);
     const orders: TaskOrder[] = [];
     const listed = new Map<string, TaskStatus>();
     for (const t of report.tasks) listed.set(taskKey(t.job, t.index), t);
-    for (const [piece, p] of [...m.placements]) {
-      if (p.job.unreadable) continue;
+    for (const [piece, placement] of [...machine.placements]) {
+      if (placement.job.unreadable) continue;
       const t = listed.get(piece);
       // Guards against the old copy that a new owner hears first: a gang that was mended has the same attempt there again.
       // That a task was completed stays true; that it ended otherwise counts only under our token.
       const ended = t?.phase === 'exited' && t.why !== 'done';
-      if (t?.attempt === p.attempt) {
-        if (proof || !ended) this.applyTaskStatus(m, p, t);
-      } else if (proof && (p.startSentWith === null || isNewerHeartbeat(report, p.startSentWith)))
-        this.handleMissingTask(m, p);
+      if (t?.attempt === placement.attempt) {
+        if (proof || !ended) this.applyTaskStatus(machine, placement, t);
+      } else if (
+        proof &&
+        (placement.startSentWith === null || isNewerHeartbeat(report, placement.startSentWith))
+      )
+        this.handleMissingTask(machine, placement);
     }
     for (const [piece, t] of listed) {
-      const p = m.placements.get(piece);
+      const placement = machine.placements.get(piece);
       // Guards against stopping, or forgetting the result of, what a newer program has placed here.
-      if (p?.job.unreadable || this.shardState.replica.isJobUnreadable(t.job)) continue;
-      if (p?.attempt === t.attempt) {
-        if (p.stopRequest && t.phase !== 'exited') orders.push(stopOrder(p, p.stopRequest.graceS));
+      if (placement?.job.unreadable || this.shardState.replica.isJobUnreadable(t.job)) continue;
+      if (placement?.attempt === t.attempt) {
+        if (placement.stopRequest && t.phase !== 'exited')
+          orders.push(stopOrder(placement, placement.stopRequest.graceS));
       } else if (t.phase === 'exited') {
-        const held = this.pendingForget.get(forgetKey(m.host, piece, t.attempt));
+        const held = this.pendingForget.get(forgetKey(machine.host, piece, t.attempt));
         // Guards against losing a result: a task is forgotten only after its end is durable.
         if (
           !held ||
@@ -79,135 +83,161 @@
             held.chunk.durableVersion >= held.version
           )
             orders.push({ op: 'forget', job: t.job, index: t.index, attempt: t.attempt });
-          this.pendingForget.delete(forgetKey(m.host, piece, t.attempt));
+          this.pendingForget.delete(forgetKey(machine.host, piece, t.attempt));
         }
       } else if (proof) {
-        this.shardState.log('warn', 'stray task', { piece, attempt: t.attempt, host: m.host });
+        this.shardState.log('warn', 'stray task', { piece, attempt: t.attempt, host: machine.host });
         const job = this.shardState.jobs.get(t.job);
         if (job && t.index < job.spec.tasks)
           this.shardState.onUnknownAttempt(piece, t.attempt, chunkOf(job, t.index).lastAttempt);
         orders.push({ op: 'stop', job: t.job, index: t.index, attempt: t.attempt, graceS: 0 });
       }
     }
-    if (proof) this.addStarts(m, report, listed, orders);
+    if (proof) this.addStarts(machine, report, listed, orders);
     return orders.slice(0, maxOrdersPerResponse);
   }
 
   private addStarts(
-    m: ScheduledMachine,
+    machine: ScheduledMachine,
     report: Heartbeat,
     listed: ReadonlyMap<string, TaskStatus>,
     orders: TaskOrder[],
   ): void {
-    if (m.reclaimAt > 0) return;
-    for (const [piece, p] of m.placements) {
+    if (machine.reclaimAt > 0) return;
+    for (const [piece, placement] of machine.placements) {
       if (orders.length >= maxOrdersPerResponse) break;
       // Guards against a machine that has changed since it was chosen. What may have been sent stays where it is.
-      if (p.placedByThisProcess && p.startSentWith === null && p.job.match?.allows(m.host) === false) {
-        this.shardState.removePlacement(p, 'the machine matches no longer');
+      if (
+        placement.placedByThisProcess &&
+        placement.startSentWith === null &&
+        placement.job.match?.allows(machine.host) === false
+      ) {
+        this.shardState.removePlacement(placement, 'the machine matches no longer');
         continue;
       }
-      if (listed.get(piece)?.attempt === p.attempt || p.stopRequest || !this.mayStart(p)) continue;
-      p.startSentWith = [report.session, report.seq];
-      orders.push({ op: 'start', job: p.job.id, index: p.index, attempt: p.attempt });
+      if (
+        listed.get(piece)?.attempt === placement.attempt ||
+        placement.stopRequest ||
+        !this.mayStart(placement)
+      )
+        continue;
+      placement.startSentWith = [report.session, report.seq];
+      orders.push({ op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt });
     }
   }
 
   /** Placements of a machine that are on their way to being durable. */
-  awaitsDurableStart(m: ScheduledMachine): boolean {
-    for (const p of m.placements.values())
-      if (p.placedByThisProcess && p.startSentWith === null && p.stopRequest === null && !this.mayStart(p))
+  awaitsDurableStart(machine: ScheduledMachine): boolean {
+    for (const placement of machine.placements.values())
+      if (
+        placement.placedByThisProcess &&
+        placement.startSentWith === null &&
+        placement.stopRequest === null &&
+        !this.mayStart(placement)
+      )
         return true;
     return false;
   }
 
   /** What a machine is to be told now, in answer to the newest report of it that was taken in before. */
-  currentOrders(m: ScheduledMachine, report: Heartbeat): TaskOrder[] {
+  currentOrders(machine: ScheduledMachine, report: Heartbeat): TaskOrder[] {
     const orders: TaskOrder[] = [];
     const listed = new Map<string, TaskStatus>();
     for (const t of report.tasks) {
       const piece = taskKey(t.job, t.index);
       listed.set(piece, t);
-      const p = m.placements.get(piece);
-      if (p?.attempt === t.attempt && p.stopRequest && t.phase !== 'exited')
-        orders.push(stopOrder(p, p.stopRequest.graceS));
+      const placement = machine.placements.get(piece);
+      if (placement?.attempt === t.attempt && placement.stopRequest && t.phase !== 'exited')
+        orders.push(stopOrder(placement, placement.stopRequest.graceS));
     }
-    this.addStarts(m, report, listed, orders);
+    this.addStarts(machine, report, listed, orders);
     return orders;
   }
 
   /** Guards against starting what a crash could forget: durable first, and a gang's attempt as a whole. */
-  private mayStart(p: Placement): boolean {
-    if (p.job.cancelled || p.job.finalizing || p.job.unreadable || !this.shardState.mayStartTasks())
+  private mayStart(placement: Placement): boolean {
+    if (
+      placement.job.cancelled ||
+      placement.job.finalizing ||
+      placement.job.unreadable ||
+      !this.shardState.mayStartTasks()
+    )
       return false;
-    if (p.job.spec.shape !== 'gang') return p.chunk.durableVersion >= p.chunkVersion;
-    for (const q of p.job.placements.values()) if (q.chunk.durableVersion < q.chunkVersion) return false;
+    if (placement.job.spec.shape !== 'gang') return placement.chunk.durableVersion >= placement.chunkVersion;
+    for (const q of placement.job.placements.values())
+      if (q.chunk.durableVersion < q.chunkVersion) return false;
     return true;
   }
 
-  private applyTaskStatus(m: ScheduledMachine, p: Placement, t: TaskStatus): void {
+  private applyTaskStatus(machine: ScheduledMachine, placement: Placement, t: TaskStatus): void {
     const now = this.shardState.clock.now;
     if (t.phase !== 'exited') {
-      p.phase = t.phase;
-      m.images.set(p.job.spec.image, imageFetchS(p.job.spec, m.type));
-      if (t.phase === 'running' && p.runningSince === 0) p.runningSince = now;
-      if (t.phase === 'waiting' && p.waitingSince === 0) p.waitingSince = now;
+      placement.phase = t.phase;
+      machine.images.set(placement.job.spec.image, imageFetchS(placement.job.spec, machine.type));
+      if (t.phase === 'running' && placement.runningSince === 0) placement.runningSince = now;
+      if (t.phase === 'waiting' && placement.waitingSince === 0) placement.waitingSince = now;
       return;
     }
-    const { job } = p;
+    const { job } = placement;
     if (t.why === 'done') {
-      m.failuresByJob.clear();
-      this.shardState.removePlacement(p, 'done', 'done');
+      machine.failuresByJob.clear();
+      this.shardState.removePlacement(placement, 'done', 'done');
     } else {
       this.shardState.log('debug', 'task ended', {
-        piece: taskKey(job.id, p.index),
-        host: m.host,
+        piece: taskKey(job.id, placement.index),
+        host: machine.host,
         why: t.why,
       });
-      if (t.why === 'error') this.handleTaskError(m, job);
+      if (t.why === 'error') this.handleTaskError(machine, job);
       if (t.why === 'full' || t.why === 'busy')
-        m.cooldownUntil = now + this.shardState.settings.workers.report_s * 2000;
+        machine.cooldownUntil = now + this.shardState.settings.workers.report_s * 2000;
       if (t.why === 'unknown') job.retryNotBefore = now + this.shardState.settings.workers.report_s * 1000;
-      this.shardState.removePlacement(p, t.why ?? 'exited');
+      this.shardState.removePlacement(placement, t.why ?? 'exited');
     }
-    this.pendingForget.set(forgetKey(m.host, taskKey(job.id, p.index), p.attempt), {
-      chunk: p.chunk,
-      version: p.chunk.version,
+    this.pendingForget.set(forgetKey(machine.host, taskKey(job.id, placement.index), placement.attempt), {
+      chunk: placement.chunk,
+      version: placement.chunk.version,
       job,
     });
   }
 
   /** A newer report under our token does not list the attempt: it is not on the machine. */
-  private handleMissingTask(m: ScheduledMachine, p: Placement): void {
-    if (p.stopRequest || p.job.cancelled) return this.shardState.removePlacement(p, 'absent');
-    if (p.phase === 'placed') {
+  private handleMissingTask(machine: ScheduledMachine, placement: Placement): void {
+    if (placement.stopRequest || placement.job.cancelled)
+      return this.shardState.removePlacement(placement, 'absent');
+    if (placement.phase === 'placed') {
       // Never seen there; its start is sent (again) with this answer. A machine under notice gets none.
-      if (m.reclaimAt > 0 || m.quarantined) this.shardState.removePlacement(p, 'machine not to be used');
-      else if (!p.placedByThisProcess && p.startSentWith === null && !this.shardState.mayStillStart(p))
-        this.shardState.removePlacement(p, 'given up by the owner before');
+      if (machine.reclaimAt > 0 || machine.quarantined)
+        this.shardState.removePlacement(placement, 'machine not to be used');
+      else if (
+        !placement.placedByThisProcess &&
+        placement.startSentWith === null &&
+        !this.shardState.mayStillStart(placement)
+      )
+        this.shardState.removePlacement(placement, 'given up by the owner before');
       return;
     }
-    this.shardState.removePlacement(p, 'vanished', 'lost');
+    this.shardState.removePlacement(placement, 'vanished', 'lost');
   }
 
-  private handleReclaimNotice(m: ScheduledMachine, noticeS: number): void {
-    m.reclaimAt = this.shardState.clock.now + noticeS * 1000;
+  private handleReclaimNotice(machine: ScheduledMachine, noticeS: number): void {
+    machine.reclaimAt = this.shardState.clock.now + noticeS * 1000;
     this.shardState.hazard.recordInterruption();
-    this.shardState.log('info', 'notice', { host: m.host, noticeS });
-    for (const p of m.placements.values()) {
-      const { spec } = p.job;
+    this.shardState.log('info', 'notice', { host: machine.host, noticeS });
+    for (const placement of machine.placements.values()) {
+      const { spec } = placement.job;
       // What can save, saves; what cannot may still finish in time.
       if (spec.checkpointS > 0 && spec.shape !== 'gang' && spec.saveS <= noticeS)
-        this.shardState.requestStop(p, spec.saveS);
-      if (spec.shape === 'gang') this.shardState.stopGang(p.job);
+        this.shardState.requestStop(placement, spec.saveS);
+      if (spec.shape === 'gang') this.shardState.stopGang(placement.job);
     }
   }
 
-  private handleTaskError(m: ScheduledMachine, job: ScheduledJob): void {
-    m.failuresByJob.set(job.id, (m.failuresByJob.get(job.id) ?? 0) + 1);
+  private handleTaskError(machine: ScheduledMachine, job: ScheduledJob): void {
+    machine.failuresByJob.set(job.id, (machine.failuresByJob.get(job.id) ?? 0) + 1);
     const before = job.failedHosts.size;
-    job.failedHosts.add(m.host);
-    if (!isSuspect(job)) return this.reassessMachine(m);
+    job.failedHosts.add(machine.host);
+    if (!isSuspect(job)) return this.reassessMachine(machine);
     // Guards against a crowd of first tries that all fail at about the same time: together they are one.
     if (job.placements.size <= 1) job.failedProbes++;
     const w = this.shardState.settings.workers;
@@ -227,27 +257,28 @@
 
   reassessFailedHosts(job: ScheduledJob): void {
     for (const host of job.failedHosts) {
-      const m = this.shardState.machines.get(host);
-      if (m) this.reassessMachine(m);
+      const machine = this.shardState.machines.get(host);
+      if (machine) this.reassessMachine(machine);
     }
   }
 
   /** Weighs what failed on a machine: it is given up, rests for a while, or is cleared. */
-  private reassessMachine(m: ScheduledMachine): void {
-    const against = evidenceAgainst(m.failuresByJob, (id) => this.shardState.jobs.get(id));
+  private reassessMachine(machine: ScheduledMachine): void {
+    const against = evidenceAgainst(machine.failuresByJob, (id) => this.shardState.jobs.get(id));
     if (against < quarantineEvidence) {
-      m.cooldownUntil =
+      machine.cooldownUntil =
         against > 0 ? this.shardState.clock.now + this.shardState.settings.workers.report_s * 4000 : 0;
       return;
     }
-    if (m.quarantined) return;
+    if (machine.quarantined) return;
     this.shardState.log('warn', 'machine fails its tasks', {
-      host: m.host,
-      failures: Object.fromEntries(m.failuresByJob),
+      host: machine.host,
+      failures: Object.fromEntries(machine.failuresByJob),
     });
-    m.quarantined = true;
-    for (const p of m.placements.values())
-      if (p.job.spec.shape !== 'gang') this.shardState.requestStop(p, p.job.spec.saveS);
+    machine.quarantined = true;
+    for (const placement of machine.placements.values())
+      if (placement.job.spec.shape !== 'gang')
+        this.shardState.requestStop(placement, placement.job.spec.saveS);
   }
 
   /**
@@ -259,14 +290,21 @@
     const { unsentStarts } = this.shardState;
     if (unsentStarts.size === 0) return;
     const wanted = new Set<ScheduledMachine>();
-    for (const p of unsentStarts) {
-      const gone = p.job.placements.get(p.index) !== p;
-      if (!gone && p.startSentWith === null && !this.mayStart(p)) continue;
-      unsentStarts.delete(p);
-      const m = this.shardState.machines.get(p.host);
-      if (!gone && p.startSentWith === null && m && m.endpoint !== '' && m.confirmedAt > 0) wanted.add(m);
+    for (const placement of unsentStarts) {
+      const gone = placement.job.placements.get(placement.index) !== placement;
+      if (!gone && placement.startSentWith === null && !this.mayStart(placement)) continue;
+      unsentStarts.delete(placement);
+      const machine = this.shardState.machines.get(placement.host);
+      if (
+        !gone &&
+        placement.startSentWith === null &&
+        machine &&
+        machine.endpoint !== '' &&
+        machine.confirmedAt > 0
+      )
+        wanted.add(machine);
     }
-    for (const m of wanted) out.push(directOrder(m, []));
+    for (const machine of wanted) out.push(directOrder(machine, []));
   }
 
   /**
@@ -276,27 +314,27 @@
   sendStopOrders(out: Effect[]): void {
     if (this.shardState.unsentStops.size === 0) return;
     const byMachine = new Map<ScheduledMachine, TaskOrder[]>();
-    for (const p of this.shardState.unsentStops) {
-      const m = this.shardState.machines.get(p.host);
-      if (p.job.placements.get(p.index) !== p || p.stopRequest === null) {
-        this.shardState.unsentStops.delete(p);
+    for (const placement of this.shardState.unsentStops) {
+      const machine = this.shardState.machines.get(placement.host);
+      if (placement.job.placements.get(placement.index) !== placement || placement.stopRequest === null) {
+        this.shardState.unsentStops.delete(placement);
         continue;
       }
-      if (p.job.unreadable) continue;
+      if (placement.job.unreadable) continue;
       if (
-        !m ||
-        m.endpoint === '' ||
-        m.confirmedAt === 0 ||
-        (p.startSentWith === null && p.phase === 'placed')
+        !machine ||
+        machine.endpoint === '' ||
+        machine.confirmedAt === 0 ||
+        (placement.startSentWith === null && placement.phase === 'placed')
       )
         continue;
-      const orders = byMachine.get(m) ?? [];
+      const orders = byMachine.get(machine) ?? [];
       if (orders.length >= maxOrdersPerResponse) continue;
-      this.shardState.unsentStops.delete(p);
-      byMachine.set(m, orders);
-      orders.push(stopOrder(p, p.stopRequest.graceS));
+      this.shardState.unsentStops.delete(placement);
+      byMachine.set(machine, orders);
+      orders.push(stopOrder(placement, placement.stopRequest.graceS));
     }
-    for (const [m, orders] of byMachine) out.push(directOrder(m, orders));
+    for (const [machine, orders] of byMachine) out.push(directOrder(machine, orders));
   }
 }
 
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -211,7 +211,7 @@
       this.relays.delete(rid);
       out.push({ type: 'respond', rid, status: 503, body: {} });
     }
-    for (const r of this.holding.due((m, token) => this.stands(m, token))) this.release(r, out);
+    for (const r of this.holding.due((machine, token) => this.stands(machine, token))) this.release(r, out);
     if (now - this.lookedAt >= this.settings.workers.lease_s * 500) this.look();
   }
 
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -9,7 +9,7 @@
 
 interface Held {
   rid: number;
-  m: ScheduledMachine;
+  machine: ScheduledMachine;
   report: Heartbeat;
   token: number;
   since: number;
@@ -37,16 +37,17 @@
   ) {}
 
   /** Whether the answer to a report that asks for none at once may wait. */
-  takes(m: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
+  takes(machine: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
     // Agents are asked for a report when there is something to start. What is to end soon must not wait for its report.
-    if (this.settings.pool || report.token !== token || report.noticeS !== null || m.quarantined)
+    if (this.settings.pool || report.token !== token || report.noticeS !== null || machine.quarantined)
       return false;
-    if (m.record.state !== 'use' || m.releasing) return false;
-    const running = [...m.placements.values()].some(
-      (p) => p.startSentWith !== null || !p.placedByThisProcess,
+    if (machine.record.state !== 'use' || machine.releasing) return false;
+    const running = [...machine.placements.values()].some(
+      (placement) => placement.startSentWith !== null || !placement.placedByThisProcess,
     );
-    if (running ? !this.heartbeatReconciler.awaitsDurableStart(m) : report.tasks.length > 0) return false;
-    this.held.set(m.host, { rid, m, report, token, since: this.clock.now });
+    if (running ? !this.heartbeatReconciler.awaitsDurableStart(machine) : report.tasks.length > 0)
+      return false;
+    this.held.set(machine.host, { rid, machine, report, token, since: this.clock.now });
     return true;
   }
 
@@ -59,15 +60,16 @@
   }
 
   /** Those that have waited long enough, or whose tasks may start. `stands`: it is still this process that answers for it. */
-  *due(stands: (m: ScheduledMachine, token: number) => boolean): Generator<Release> {
-    for (const [host, { rid, m, report, token, since }] of this.held) {
+  *due(stands: (machine: ScheduledMachine, token: number) => boolean): Generator<Release> {
+    for (const [host, { rid, machine, report, token, since }] of this.held) {
       const over = this.clock.now - since >= heldMs;
-      if (!over && (m.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(m))) continue;
+      if (!over && (machine.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(machine)))
+        continue;
       this.held.delete(host);
       yield {
         rid,
         token,
-        orders: stands(m, token) ? this.heartbeatReconciler.currentOrders(m, report) : null,
+        orders: stands(machine, token) ? this.heartbeatReconciler.currentOrders(machine, report) : null,
       };
     }
   }
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -17,36 +17,46 @@
     const w = this.shardState.settings.workers;
     let spot = 0;
     this.shardState.dropExpiredPlacements();
-    for (const m of this.shardState.machines.values()) {
-      if (m.record.spot && m.lastHeartbeatAt > 0) spot++;
-      const silentS = (now - m.lastHeartbeatAt) / 1000;
+    for (const machine of this.shardState.machines.values()) {
+      if (machine.record.spot && machine.lastHeartbeatAt > 0) spot++;
+      const silentS = (now - machine.lastHeartbeatAt) / 1000;
       // Steady clocks differ by up to 0.05%; the margin also covers a lease check that comes late.
-      if (m.placements.size > 0 && now > m.earliestLeaseExpiry + w.lease_s * 1.5 + 1000) {
-        this.shardState.log('info', 'lease of a silent machine ended', { host: m.host, silentS });
-        for (const p of [...m.placements.values()]) this.shardState.removePlacement(p, 'lease ended', 'lost');
+      if (machine.placements.size > 0 && now > machine.earliestLeaseExpiry + w.lease_s * 1.5 + 1000) {
+        this.shardState.log('info', 'lease of a silent machine ended', { host: machine.host, silentS });
+        for (const placement of [...machine.placements.values()])
+          this.shardState.removePlacement(placement, 'lease ended', 'lost');
       }
       // Guards against giving the fleet back for having stood idle through an outage: work waits for it.
       // And against giving back, and being given again at once, what is kept for a gang that waits.
       if (
-        m.placements.size === 0 &&
-        (!this.shardState.canPlaceTasks() || this.shardState.reservations.byHost.has(m.host))
+        machine.placements.size === 0 &&
+        (!this.shardState.canPlaceTasks() || this.shardState.reservations.byHost.has(machine.host))
       )
-        m.idleSince = now;
-      if (m.record.state !== 'use' || m.releasing) continue;
+        machine.idleSince = now;
+      if (machine.record.state !== 'use' || machine.releasing) continue;
       const { pool } = this.shardState.settings;
       // Guards against a hasty new owner: before it was heard, a machine may be up under the earlier one.
-      const quietS = (now - m.acquiredAt) / 1000;
+      const quietS = (now - machine.acquiredAt) / 1000;
       if (
         !pool &&
-        (m.lastHeartbeatAt > 0 ? silentS > w.lease_s + 2 * w.report_s : quietS > m.type.bootS * 4 + w.lease_s)
+        (machine.lastHeartbeatAt > 0
+          ? silentS > w.lease_s + 2 * w.report_s
+          : quietS > machine.type.bootS * 4 + w.lease_s)
       ) {
-        if (m.record.spot && m.lastHeartbeatAt > 0 && m.reclaimAt === 0)
+        if (machine.record.spot && machine.lastHeartbeatAt > 0 && machine.reclaimAt === 0)
           this.shardState.hazard.recordInterruption();
-        this.release(m, 'dead', m.lastHeartbeatAt > 0 ? 'silent' : 'never came up');
-      } else if (m.quarantined && m.placements.size === 0) this.release(m, 'dead', 'failing');
-      else if (m.reclaimAt > 0 && m.placements.size === 0) this.release(m, 'dead', 'notice');
-      else if (!pool && m.placements.size === 0 && m.confirmedAt > 0 && now - m.idleSince > this.maxIdleMs(m))
-        this.release(m, 'free', 'idle');
+        this.release(machine, 'dead', machine.lastHeartbeatAt > 0 ? 'silent' : 'never came up');
+      } else if (machine.quarantined && machine.placements.size === 0)
+        this.release(machine, 'dead', 'failing');
+      else if (machine.reclaimAt > 0 && machine.placements.size === 0)
+        this.release(machine, 'dead', 'notice');
+      else if (
+        !pool &&
+        machine.placements.size === 0 &&
+        machine.confirmedAt > 0 &&
+        now - machine.idleSince > this.maxIdleMs(machine)
+      )
+        this.release(machine, 'free', 'idle');
     }
     this.shardState.hazard.observe(spot, elapsedS);
   }
@@ -55,44 +65,47 @@
    * How long an idle machine is worth keeping: in proportion to what its replacement would take to be of use,
    * boot and largest image, and down to half of that for the dearest.
    */
-  private maxIdleMs(m: ScheduledMachine): number {
+  private maxIdleMs(machine: ScheduledMachine): number {
     const perCpu = (t: MachineType): number => t.price / Math.max(t.cpus, 1);
     const cheapest = Math.min(...this.shardState.replica.machineTypes.map(perCpu));
-    const replacementS = m.type.bootS + Math.max(0, ...m.images.values());
+    const replacementS = machine.type.bootS + Math.max(0, ...machine.images.values());
     return (
-      this.shardState.operators['idle-boots'] * Math.max(0.5, cheapest / perCpu(m.type)) * replacementS * 1000
+      this.shardState.operators['idle-boots'] *
+      Math.max(0.5, cheapest / perCpu(machine.type)) *
+      replacementS *
+      1000
     );
   }
 
   /** Gives a machine back to the leader: idle ones to be used elsewhere, dead ones to be returned. */
-  private release(m: ScheduledMachine, standing: 'free' | 'dead', why: string): void {
-    m.releasing = true;
-    this.shardState.log('info', 'releasing machine', { host: m.host, standing, why });
-    const key = machineKey(m.host);
+  private release(machine: ScheduledMachine, standing: 'free' | 'dead', why: string): void {
+    machine.releasing = true;
+    this.shardState.log('info', 'releasing machine', { host: machine.host, standing, why });
+    const key = machineKey(machine.host);
     this.committer.add({
       rank: Rank.fleet,
       build: () => {
-        const grant = this.shardState.replica.shards.get(m.record.shard);
+        const grant = this.shardState.replica.shards.get(machine.record.shard);
         const usable =
-          this.shardState.machines.get(m.host) === m &&
+          this.shardState.machines.get(machine.host) === machine &&
           grant &&
-          this.shardState.ownedShards.has(m.record.shard);
-        if (!usable || (standing === 'free' && m.placements.size > 0)) {
-          m.releasing = false;
+          this.shardState.ownedShards.has(machine.record.shard);
+        if (!usable || (standing === 'free' && machine.placements.size > 0)) {
+          machine.releasing = false;
           return null;
         }
-        const shard = standing === 'free' ? -1 : m.record.shard;
+        const shard = standing === 'free' ? -1 : machine.record.shard;
         return {
           when: [
             { key, stamp: this.shardState.replica.stampOf(key) },
-            { key: shardKey(m.record.shard), stamp: grant.stamp },
+            { key: shardKey(machine.record.shard), stamp: grant.stamp },
           ],
-          apply: [{ key, data: machineData({ ...m.record, shard, state: standing }) }],
+          apply: [{ key, data: machineData({ ...machine.record, shard, state: standing }) }],
         };
       },
       ok: () => undefined,
       conflict: () => {
-        m.releasing = false;
+        machine.releasing = false;
       },
     });
   }
--- a/src/core/scheduling/arrays.ts
+++ b/src/core/scheduling/arrays.ts
@@ -54,13 +54,14 @@
   const { spec } = job;
   const { shardState, capacityIndex } = cycle;
   if (fitCount(spec, shardState.availableQuota(spec, true)) < 1) return;
-  for (const m of agedMachines(job, cycle)) {
-    if (!fits(spec, freeCapacity(shardState, m)) || !zoneAllows(spec, m.zone, job.tasksByZone)) continue;
+  for (const machine of agedMachines(job, cycle)) {
+    if (!fits(spec, freeCapacity(shardState, machine)) || !zoneAllows(spec, machine.zone, job.tasksByZone))
+      continue;
     const index = takeNextWaiting(job);
     if (index < 0) return;
-    shardState.log('info', 'room left over', { job: job.id, host: m.host });
-    shardState.placeTasks(job, [{ index, host: m.host }]);
-    recordAgedPlacement(cycle, m);
-    return capacityIndex.reposition(new Set([m.host]));
+    shardState.log('info', 'room left over', { job: job.id, host: machine.host });
+    shardState.placeTasks(job, [{ index, host: machine.host }]);
+    recordAgedPlacement(cycle, machine);
+    return capacityIndex.reposition(new Set([machine.host]));
   }
 }
--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -30,14 +30,14 @@
 export function* schedulingCycle(shardState: ShardState): Generator<number, void> {
   const withinGuarantee = jobsWithinGuarantee(shardState.jobs.values(), shardState.settings);
   const waiting = inPlacementOrder(
-    [...shardState.jobs.values()].filter((j) => isSchedulable(shardState, j)),
+    [...shardState.jobs.values()].filter((job) => isSchedulable(shardState, job)),
     shardState.settings.objectives,
     shardState.clock.wall,
     criticalSlackS(shardState.settings),
     hasGuaranteeStartObjective(shardState.settings.objectives) ? withinGuarantee : new Set(),
   );
   // Guards against a job with a mistake that has room kept for as long as it is tried.
-  const gpuReserve = gpuReserveFor(waiting.filter((j) => !isSuspect(j)));
+  const gpuReserve = gpuReserveFor(waiting.filter((job) => !isSuspect(job)));
   const minRequest = { cpus: Infinity, gpus: 0, memGb: Infinity };
   for (const { spec } of waiting) {
     minRequest.cpus = Math.min(minRequest.cpus, spec.cpus);
@@ -126,7 +126,10 @@
       preemptionScans < maxPreemptionScans &&
       !isSuspect(job)
     )
-      if (!round.reservedMachines.get(job.id)?.some((m) => hasStoppingTasks(m)) && preemptFor(job, round))
+      if (
+        !round.reservedMachines.get(job.id)?.some((machine) => hasStoppingTasks(machine)) &&
+        preemptFor(job, round)
+      )
         preemptionScans++;
     if (
       job.spec.shape === 'array' &&
--- a/src/core/scheduling/feasibility.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -14,8 +14,8 @@
 
 /** The machines kept for a job, then those open to all. */
 export function* candidateMachines(job: ScheduledJob, cycle: ShardCycle): Generator<ScheduledMachine> {
-  for (const m of cycle.reservedMachines.get(job.id) ?? [])
-    if (acceptsTasks(cycle.shardState, m) && isFeasible(cycle.shardState, job, m)) yield m;
+  for (const machine of cycle.reservedMachines.get(job.id) ?? [])
+    if (acceptsTasks(cycle.shardState, machine) && isFeasible(cycle.shardState, job, machine)) yield machine;
   yield* rankedMachines(job, cycle);
 }
 
@@ -102,7 +102,8 @@
   const all = capacityIndex.bestFirst(
     job.spec,
     score,
-    (m) => acceptsTasks(shardState, m) && isFeasible(shardState, job, m, belowMinimumShare.has(job)),
+    (machine) =>
+      acceptsTasks(shardState, machine) && isFeasible(shardState, job, machine, belowMinimumShare.has(job)),
     withImage,
   );
   return job.match?.hasRank ? byRank(job, job.match, score, all) : all;
@@ -121,12 +122,12 @@
   score: ReturnType<typeof typeScore>,
   machines: Iterable<ScheduledMachine>,
 ): Generator<ScheduledMachine> {
-  const all = [...machines].map((m, ord) => ({
-    m,
+  const all = [...machines].map((machine, ord) => ({
+    m: machine,
     ord,
-    s: Math.round(score(m.type, m.spot, m.images.has(job.spec.image)) / scoreTolerance),
-    r: match.rank(m.host),
+    s: Math.round(score(machine.type, machine.spot, machine.images.has(job.spec.image)) / scoreTolerance),
+    r: match.rank(machine.host),
   }));
   all.sort((a, b) => b.s - a.s || b.r - a.r || a.ord - b.ord);
-  for (const { m } of all) yield m;
+  for (const { m: machine } of all) yield machine;
 }
--- a/src/core/scheduling/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -33,8 +33,8 @@
     hosts,
     zoneMost: maxInZone,
     total,
-  } = findHosts(job, candidateMachines(job, cycle), (m) =>
-    usableRoom(cycle, job, freeCapacity(shardState, m), mayUseReserve),
+  } = findHosts(job, candidateMachines(job, cycle), (machine) =>
+    usableRoom(cycle, job, freeCapacity(shardState, machine), mayUseReserve),
   );
   if (hosts !== null) {
     placeOnHosts(job, cycle, hosts);
@@ -50,7 +50,7 @@
 function placeOnAgedRoom(job: ScheduledJob, cycle: ShardCycle): boolean {
   const { shardState } = cycle;
   if (fitCount(job.spec, shardState.availableQuota(job.spec, true)) < waitingTaskCount(job)) return false;
-  const { hosts } = findHosts(job, agedMachines(job, cycle), (m) => freeCapacity(shardState, m));
+  const { hosts } = findHosts(job, agedMachines(job, cycle), (machine) => freeCapacity(shardState, machine));
   if (hosts === null) return false;
   shardState.log('info', 'room left over', { job: job.id, hosts });
   placeOnHosts(job, cycle, hosts);
@@ -72,7 +72,7 @@
 function findHosts(
   job: ScheduledJob,
   machines: Iterable<ScheduledMachine>,
-  room: (m: ScheduledMachine) => Resources,
+  room: (machine: ScheduledMachine) => Resources,
 ): { hosts: string[] | null; zoneMost: number; total: number } {
   const { spec } = job;
   const needed = waitingTaskCount(job);
@@ -119,17 +119,18 @@
   const { spec } = job;
   const { shardState } = cycle;
   let reservedSlots = 0;
-  for (const m of cycle.reservedMachines.get(job.id) ?? []) reservedSlots += fitCount(spec, m.type);
+  for (const machine of cycle.reservedMachines.get(job.id) ?? [])
+    reservedSlots += fitCount(spec, machine.type);
   const needed = waitingTaskCount(job) - reservedSlots;
   if (needed <= 0) return;
   const reservedZone = cycle.reservedMachines.get(job.id)?.[0]?.zone ?? null;
-  const usable = cycle.unreserved.filter((m) => {
+  const usable = cycle.unreserved.filter((machine) => {
     cycle.capacityIndex.examined++;
     return (
-      typeAllowed(spec, m.type) &&
-      (!m.spot || spotAllowed(spec)) &&
-      isFeasible(shardState, job, m) &&
-      mayDrain(cycle, job, m.type)
+      typeAllowed(spec, machine.type) &&
+      (!machine.spot || spotAllowed(spec)) &&
+      isFeasible(shardState, job, machine) &&
+      mayDrain(cycle, job, machine.type)
     );
   });
   const chosen = soonestDrained(job, needed, reservedZone, usable);
@@ -153,13 +154,13 @@
 ): ScheduledMachine[] | null {
   const { spec } = job;
   const byZone = new Map<string | null, { machines: ScheduledMachine[]; slots: number }>();
-  for (const m of usable) {
-    if (spec.oneZone && reservedZone !== null && m.zone !== reservedZone) continue;
-    const zone = spec.oneZone ? m.zone : null;
+  for (const machine of usable) {
+    if (spec.oneZone && reservedZone !== null && machine.zone !== reservedZone) continue;
+    const zone = spec.oneZone ? machine.zone : null;
     let group = byZone.get(zone);
     if (!group) byZone.set(zone, (group = { machines: [], slots: 0 }));
-    group.machines.push(m);
-    group.slots += fitCount(spec, m.type);
+    group.machines.push(machine);
+    group.slots += fitCount(spec, machine.type);
     // Soonest first: the zone that is complete first will have run empty first.
     if (group.slots >= needed) return group.machines;
   }
@@ -189,14 +190,14 @@
   if (!isPressed(job, cycle.shardState)) return;
   let missing = needed;
   let gpuMachineBalance = 0;
-  for (const m of cycle.unreserved)
-    if (m.type.gpus > 0) gpuMachineBalance += cycle.minUrgencyByHost.has(m.host) ? -1 : 1;
-  for (const m of usable) {
+  for (const machine of cycle.unreserved)
+    if (machine.type.gpus > 0) gpuMachineBalance += cycle.minUrgencyByHost.has(machine.host) ? -1 : 1;
+  for (const machine of usable) {
     if (missing <= 0) return;
-    if (cycle.minUrgencyByHost.has(m.host)) continue;
-    if (m.type.gpus > 0 && spec.gpus <= 0 && (gpuMachineBalance -= 2) < 0) continue;
-    cycle.minUrgencyByHost.set(m.host, urgencyRank[spec.urgency]);
-    missing -= fitCount(spec, m.type);
+    if (cycle.minUrgencyByHost.has(machine.host)) continue;
+    if (machine.type.gpus > 0 && spec.gpus <= 0 && (gpuMachineBalance -= 2) < 0) continue;
+    cycle.minUrgencyByHost.set(machine.host, urgencyRank[spec.urgency]);
+    missing -= fitCount(spec, machine.type);
   }
 }
 
@@ -214,8 +215,9 @@
   let reservation = before;
   if (reservation?.urgency !== rank) {
     let slots = -(shardState.placementsByUrgency.get(rank) ?? 0);
-    for (const m of shardState.machines.values())
-      if (typeAllowed(spec, m.type) && (!m.spot || spotAllowed(spec))) slots += fitCount(spec, m.type);
+    for (const machine of shardState.machines.values())
+      if (typeAllowed(spec, machine.type) && (!machine.spot || spotAllowed(spec)))
+        slots += fitCount(spec, machine.type);
     cycle.quotaReservations.set(spec.team, (reservation = { urgency: rank, cpus: 0, gpus: 0, tasks: slots }));
   }
   const tasks = Math.max(0, Math.min(waitingTaskCount(job), reservation.tasks));
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -17,9 +17,9 @@
   const result = new Map<ScheduledJob, number>();
   if (shardState.operators['floor-share'] <= 0) return result;
   const capacity = { cpus: 0, gpus: 0 };
-  for (const m of shardState.machines.values()) {
-    capacity.cpus += m.type.cpus;
-    capacity.gpus += m.type.gpus;
+  for (const machine of shardState.machines.values()) {
+    capacity.cpus += machine.type.cpus;
+    capacity.gpus += machine.type.gpus;
   }
   if (capacity.cpus <= 0) return result;
   const shareOf = (job: ScheduledJob): number =>
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -13,7 +13,7 @@
 
 /** True while tasks on a machine are being stopped. */
 export const hasStoppingTasks = (machine: ScheduledMachine): boolean =>
-  [...machine.placements.values()].some((p) => p.stopRequest !== null);
+  [...machine.placements.values()].some((placement) => placement.stopRequest !== null);
 
 /** Of plans in order of loss: those of the zone where so many of them lose least together. */
 function cheapestZone(plans: PreemptionPlan[], count: number): PreemptionPlan[] {
@@ -53,31 +53,35 @@
     return false;
   let plans: PreemptionPlan[] = [];
   // For a whole machine much is stopped at once: what saves has to fetch and to queue again, so it counts like the rest.
-  const lossOf = (p: Placement): number => preemptionLoss(shardState, p, Infinity);
+  const lossOf = (placement: Placement): number => preemptionLoss(shardState, placement, Infinity);
   const reserved = cycle.reservedMachines.get(job.id) ?? [];
-  for (const m of [...reserved, ...cycle.unreserved]) {
+  for (const machine of [...reserved, ...cycle.unreserved]) {
     cycle.capacityIndex.examined++;
-    if (!typeAllowed(spec, m.type) || (m.spot && !spotAllowed(spec)) || !isFeasible(shardState, job, m))
+    if (
+      !typeAllowed(spec, machine.type) ||
+      (machine.spot && !spotAllowed(spec)) ||
+      !isFeasible(shardState, job, machine)
+    )
       continue;
-    if (!mayDrain(cycle, job, m.type)) continue;
-    const room = freeCapacity(shardState, m);
+    if (!mayDrain(cycle, job, machine.type)) continue;
+    const room = freeCapacity(shardState, machine);
     const victims: Placement[] = [];
     let lost = 0;
-    const all = [...m.placements.values()].filter(
-      (p) => p.stopRequest !== null || mayPreempt(cycle, job, p, withinGuarantee),
+    const all = [...machine.placements.values()].filter(
+      (placement) => placement.stopRequest !== null || mayPreempt(cycle, job, placement, withinGuarantee),
     );
     all.sort((a, b) => lossOf(a) - lossOf(b));
-    for (const p of all) {
+    for (const placement of all) {
       if (fits(spec, room)) break;
       // A gang stops as a whole; that loses more than the room is worth.
-      if (p.stopRequest === null && p.job.spec.shape === 'gang') continue;
-      room.cpus += p.job.spec.cpus;
-      room.gpus += p.job.spec.gpus;
-      room.memGb += p.job.spec.memGb;
-      victims.push(p);
-      lost += lossOf(p);
+      if (placement.stopRequest === null && placement.job.spec.shape === 'gang') continue;
+      room.cpus += placement.job.spec.cpus;
+      room.gpus += placement.job.spec.gpus;
+      room.memGb += placement.job.spec.memGb;
+      victims.push(placement);
+      lost += lossOf(placement);
     }
-    if (fits(spec, room)) plans.push({ machine: m, victims, lostCpuS: lost });
+    if (fits(spec, room)) plans.push({ machine: machine, victims, lostCpuS: lost });
   }
   plans.sort((a, b) => a.lostCpuS - b.lostCpuS);
   if (spec.oneZone && plans.length >= needed) plans = cheapestZone(plans, needed);
@@ -87,13 +91,18 @@
   reserveMachines(
     job,
     cycle,
-    chosen.map((p) => p.machine).filter((m) => !reserved.includes(m)),
+    chosen.map((p) => p.machine).filter((machine) => !reserved.includes(machine)),
   );
   for (const plan of chosen)
-    for (const p of plan.victims)
-      if (p.stopRequest === null) {
-        shardState.log('info', 'preempting', { job: p.job.id, index: p.index, host: p.host, for: job.id });
-        shardState.requestStop(p, p.job.spec.saveS);
+    for (const placement of plan.victims)
+      if (placement.stopRequest === null) {
+        shardState.log('info', 'preempting', {
+          job: placement.job.id,
+          index: placement.index,
+          host: placement.host,
+          for: job.id,
+        });
+        shardState.requestStop(placement, placement.job.spec.saveS);
       }
   return true;
 }
--- a/src/core/scheduling/shard-cycle.ts
+++ b/src/core/scheduling/shard-cycle.ts
@@ -66,8 +66,12 @@
       else reservedMachines.set(reservation.job, [machine]);
     }
   }
-  const capacityIndex = new CapacityIndex(unreserved, (m) => freeCapacity(shardState, m), minRequest);
-  const drainTimes = new Map(unreserved.map((m) => [m, drainTimeS(shardState, m)]));
+  const capacityIndex = new CapacityIndex(
+    unreserved,
+    (machine) => freeCapacity(shardState, machine),
+    minRequest,
+  );
+  const drainTimes = new Map(unreserved.map((machine) => [machine, drainTimeS(shardState, machine)]));
   unreserved.sort((a, b) => drainTimes.get(a)! - drainTimes.get(b)!);
   return {
     ...context,
@@ -96,12 +100,12 @@
 
 export function reserveMachines(job: ScheduledJob, cycle: ShardCycle, machines: ScheduledMachine[]): void {
   const hosts = new Set<string>();
-  for (const m of machines) {
-    hosts.add(m.host);
-    cycle.shardState.reservations.reserve(m.host, job.id);
+  for (const machine of machines) {
+    hosts.add(machine.host);
+    cycle.shardState.reservations.reserve(machine.host, job.id);
   }
   cycle.capacityIndex.remove(hosts);
-  cycle.unreserved = cycle.unreserved.filter((m) => !hosts.has(m.host));
+  cycle.unreserved = cycle.unreserved.filter((machine) => !hosts.has(machine.host));
   cycle.reservedMachines.set(job.id, [...(cycle.reservedMachines.get(job.id) ?? []), ...machines]);
 }
 
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -21,24 +21,25 @@
   if (now - lastMigrationAt < shardState.operators['move-window-s'] * 1000) return lastMigrationAt;
   let latestAt = lastMigrationAt;
   let runningTasks = 0;
-  for (const m of shardState.machines.values()) runningTasks += m.placements.size;
+  for (const machine of shardState.machines.values()) runningTasks += machine.placements.size;
   let budget = migrationBudget(shardState.operators['move-share'], runningTasks);
-  for (const m of shardState.machines.values()) {
+  for (const machine of shardState.machines.values()) {
     if (budget <= 0) break;
-    if (!m.record.spot || m.placements.size === 0) continue;
-    const candidate = machineCandidate(m.type, true, hazard, false, 0, 0);
-    for (const p of m.placements.values()) {
+    if (!machine.record.spot || machine.placements.size === 0) continue;
+    const candidate = machineCandidate(machine.type, true, hazard, false, 0, 0);
+    for (const placement of machine.placements.values()) {
       if (budget <= 0) break;
-      const { spec } = p.job;
+      const { spec } = placement.job;
       if (
-        p.phase !== 'running' ||
-        p.stopRequest ||
-        p.job.unreadable ||
+        placement.phase !== 'running' ||
+        placement.stopRequest ||
+        placement.job.unreadable ||
         spec.checkpointS <= 0 ||
         isPremium(spec)
       )
         continue;
-      if (!residentLongEnough((now - p.runningSince) / 1000, shardState.operators['residency-s'])) continue;
+      if (!residentLongEnough((now - placement.runningSince) / 1000, shardState.operators['residency-s']))
+        continue;
       if (
         migrationUrgency(
           candidate,
@@ -47,11 +48,15 @@
         ) <= 0
       )
         continue;
-      if (!hasOnDemandRoom(shardState, p.job)) continue;
-      shardState.requestStop(p, spec.saveS);
+      if (!hasOnDemandRoom(shardState, placement.job)) continue;
+      shardState.requestStop(placement, spec.saveS);
       budget--;
       latestAt = now;
-      shardState.log('info', 'moving off spot', { job: p.job.id, index: p.index, host: m.host });
+      shardState.log('info', 'moving off spot', {
+        job: placement.job.id,
+        index: placement.index,
+        host: machine.host,
+      });
     }
   }
   return latestAt;
--- a/src/core/scheduling/voluntary-preemption.ts
+++ b/src/core/scheduling/voluntary-preemption.ts
@@ -56,8 +56,8 @@
     const earmarked = cycle.earmarked.get(machine.host);
     const free = freeCapacity(shardState, machine);
     if (earmarked) addResources(free, earmarked, -1);
-    for (const p of machine.placements.values())
-      if (p.stopRequest !== null) addResources(free, p.job.spec, 1);
+    for (const placement of machine.placements.values())
+      if (placement.stopRequest !== null) addResources(free, placement.job.spec, 1);
     const n = Math.min(
       needed,
       fitCount(spec, roomOutsideGpuReserve(spec, free, cycle.gpuReserve, mayUseReserve)),
@@ -67,13 +67,15 @@
       addResources(free, spec, -n);
       needed -= n;
     }
-    const victims = [...machine.placements.values()].filter((p) => mayPreemptVoluntarily(cycle, job, p));
+    const victims = [...machine.placements.values()].filter((placement) =>
+      mayPreemptVoluntarily(cycle, job, placement),
+    );
     victims.sort((a, b) => preemptionLoss(shardState, a, 0) - preemptionLoss(shardState, b, 0));
     let plan: PreemptionPlan = { machine, victims: [], lostCpuS: 0 };
-    for (const p of victims) {
-      addResources(free, p.job.spec, 1);
-      plan.victims.push(p);
-      plan.lostCpuS += preemptionLoss(shardState, p, 0);
+    for (const placement of victims) {
+      addResources(free, placement.job.spec, 1);
+      plan.victims.push(placement);
+      plan.lostCpuS += preemptionLoss(shardState, placement, 0);
       if (!fits(spec, roomOutsideGpuReserve(spec, free, cycle.gpuReserve, mayUseReserve))) continue;
       addResources(free, spec, -1);
       plans.push(plan);
@@ -83,9 +85,14 @@
   plans.sort((a, b) => a.lostCpuS - b.lostCpuS);
   for (const plan of plans.slice(0, needed)) {
     earmark(cycle, plan.machine, spec, 1);
-    for (const p of plan.victims) {
-      shardState.log('debug', 'giving way', { job: p.job.id, index: p.index, host: p.host, for: job.id });
-      shardState.requestStop(p, p.job.spec.saveS);
+    for (const placement of plan.victims) {
+      shardState.log('debug', 'giving way', {
+        job: placement.job.id,
+        index: placement.index,
+        host: placement.host,
+        for: job.id,
+      });
+      shardState.requestStop(placement, placement.job.spec.saveS);
     }
   }
   if (plans.length > 0 && needed > 0)
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -121,8 +121,8 @@
         shardState.acquireShard(shard);
         this.migrationPending = true;
         this.lastAcquiredAt = this.clock.now;
-        for (const m of shardState.machines.values())
-          if (m.placements.size > 0) this.awaitingConfirmation.add(m);
+        for (const machine of shardState.machines.values())
+          if (machine.placements.size > 0) this.awaitingConfirmation.add(machine);
         this.log('info', 'shard taken up', {
           shard,
           grant: grant.stamp,
@@ -134,9 +134,13 @@
 
   /** Machines that held tasks when their shard was taken up and have neither reported nor gone since. */
   get unconfirmedMachines(): readonly ScheduledMachine[] {
-    for (const m of this.awaitingConfirmation)
-      if (m.confirmedAt > 0 || m.placements.size === 0 || this.machines.get(m.host) !== m)
-        this.awaitingConfirmation.delete(m);
+    for (const machine of this.awaitingConfirmation)
+      if (
+        machine.confirmedAt > 0 ||
+        machine.placements.size === 0 ||
+        this.machines.get(machine.host) !== machine
+      )
+        this.awaitingConfirmation.delete(machine);
     return [...this.awaitingConfirmation];
   }
 
--- a/src/core/shard-state/gang-repair.ts
+++ b/src/core/shard-state/gang-repair.ts
@@ -15,20 +15,24 @@
     return false;
   // Another has to be placed, told of with the next report, and fetch its image.
   const minReadyS = 2 * workers.report_s + longestFetchS(job);
-  for (const p of job.placements.values()) {
-    if (p.attempt !== lost.attempt || p.stopRequest !== null || !isWaitingToStart(p)) return false;
-    if (p.waitingSince > 0 && (now - p.waitingSince) / 1000 + minReadyS > workers.gang_wait_s) return false;
+  for (const placement of job.placements.values()) {
+    if (placement.attempt !== lost.attempt || placement.stopRequest !== null || !isWaitingToStart(placement))
+      return false;
+    if (placement.waitingSince > 0 && (now - placement.waitingSince) / 1000 + minReadyS > workers.gang_wait_s)
+      return false;
   }
   return true;
 }
 
-const isWaitingToStart = (p: Placement): boolean =>
-  p.runningSince === 0 && (p.phase === 'placed' || p.phase === 'fetching' || p.phase === 'waiting');
+const isWaitingToStart = (placement: Placement): boolean =>
+  placement.runningSince === 0 &&
+  (placement.phase === 'placed' || placement.phase === 'fetching' || placement.phase === 'waiting');
 
 /** How long the image has taken those that wait: the best guess for the one to come. */
 function longestFetchS(job: ScheduledJob): number {
   let longest = 0;
-  for (const p of job.placements.values())
-    if (p.waitingSince > 0) longest = Math.max(longest, (p.waitingSince - p.placedAt) / 1000);
+  for (const placement of job.placements.values())
+    if (placement.waitingSince > 0)
+      longest = Math.max(longest, (placement.waitingSince - placement.placedAt) / 1000);
   return longest;
 }
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -66,8 +66,8 @@
   job.chunks[Math.floor(index / job.tasksPerChunk)];
 
 export function isCompleted(job: ScheduledJob, index: number): boolean {
-  const c = chunkOf(job, index);
-  return c.completed.has(index - c.firstTask);
+  const chunk = chunkOf(job, index);
+  return chunk.completed.has(index - chunk.firstTask);
 }
 
 export const waitingTaskCount = (job: ScheduledJob): number =>
@@ -88,7 +88,7 @@
 }
 
 export const nextGangAttempt = (job: ScheduledJob): number =>
-  Math.max(...job.chunks.map((c) => c.lastAttempt)) + 1;
+  Math.max(...job.chunks.map((chunk) => chunk.lastAttempt)) + 1;
 
 /** Stands in for the description of a cancelled job: only what its last tasks take matters now. */
 export const cancelledJobSpec = (record: JobRecord, use: JobUse): JobSpec => ({
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -45,20 +45,23 @@
 }
 
 /** Whether a machine may take tasks at all now. */
-export function acceptsTasks({ settings, clock: { now } }: SchedulingContext, m: ScheduledMachine): boolean {
+export function acceptsTasks(
+  { settings, clock: { now } }: SchedulingContext,
+  machine: ScheduledMachine,
+): boolean {
   return (
-    m.record.state === 'use' &&
-    !m.quarantined &&
-    !m.releasing &&
-    m.confirmedAt !== 0 &&
-    now - m.lastHeartbeatAt <= settings.workers.report_s * 2500 &&
-    m.reclaimAt === 0 &&
-    m.cooldownUntil <= now
+    machine.record.state === 'use' &&
+    !machine.quarantined &&
+    !machine.releasing &&
+    machine.confirmedAt !== 0 &&
+    now - machine.lastHeartbeatAt <= settings.workers.report_s * 2500 &&
+    machine.reclaimAt === 0 &&
+    machine.cooldownUntil <= now
   );
 }
 
-export const freeCapacity = ({ operators }: SchedulingContext, m: ScheduledMachine): Resources => ({
-  cpus: m.type.cpus * (1 - operators.headroom) - m.used.cpus,
-  gpus: m.type.gpus - m.used.gpus,
-  memGb: m.type.memGb - m.used.memGb,
+export const freeCapacity = ({ operators }: SchedulingContext, machine: ScheduledMachine): Resources => ({
+  cpus: machine.type.cpus * (1 - operators.headroom) - machine.used.cpus,
+  gpus: machine.type.gpus - machine.used.gpus,
+  memGb: machine.type.memGb - machine.used.memGb,
 });
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -124,11 +124,14 @@
 
   /** Placements on machines without a record are gone once the leases of their workers have surely ended. */
   dropExpiredPlacements(): void {
-    for (const [p, until] of this.expiringPlacements) {
-      const there = p.job.placements.get(p.index) === p && this.jobs.get(p.job.id) === p.job;
-      if (there && !this.machines.has(p.host) && this.clock.now <= until) continue;
-      if (there && !this.replica.machines.has(p.host)) this.removePlacement(p, 'machine returned');
-      this.expiringPlacements.delete(p);
+    for (const [placement, until] of this.expiringPlacements) {
+      const there =
+        placement.job.placements.get(placement.index) === placement &&
+        this.jobs.get(placement.job.id) === placement.job;
+      if (there && !this.machines.has(placement.host) && this.clock.now <= until) continue;
+      if (there && !this.replica.machines.has(placement.host))
+        this.removePlacement(placement, 'machine returned');
+      this.expiringPlacements.delete(placement);
     }
   }
 
@@ -146,7 +149,8 @@
     for (const [id, job] of this.jobs) if (job.shard === shard) this.removeJob(id);
     for (const [id, spec] of this.unreadableJobs)
       if (this.replica.shardOfTeam(spec.team) === shard) this.forgetUnreadable(id);
-    for (const [host, m] of this.machines) if (m.record.shard === shard) this.machines.delete(host);
+    for (const [host, machine] of this.machines)
+      if (machine.record.shard === shard) this.machines.delete(host);
   }
 
   private addMachine(record: VersionedMachine): void {
@@ -155,7 +159,7 @@
     const { now } = this.clock;
     const leaseUntil = now + this.maxRemainingLeaseMs;
     // Guards against machines that are brought back after what runs on them: what they hold would be taken for free.
-    const jobs = new Set(this.takePlacementsOnUnknownHost(record.host).map((p) => p.job.id));
+    const jobs = new Set(this.takePlacementsOnUnknownHost(record.host).map((placement) => placement.job.id));
     for (const id of jobs) this.removeJob(id);
     this.machines.set(record.host, createScheduledMachine(record, type, now, leaseUntil));
     for (const id of jobs) {
@@ -168,7 +172,11 @@
   private takePlacementsOnUnknownHost(host: string): Placement[] {
     const all = this.placementsOnUnknownHosts.get(host) ?? [];
     this.placementsOnUnknownHosts.delete(host);
-    return all.filter((p) => p.job.placements.get(p.index) === p && this.jobs.get(p.job.id) === p.job);
+    return all.filter(
+      (placement) =>
+        placement.job.placements.get(placement.index) === placement &&
+        this.jobs.get(placement.job.id) === placement.job,
+    );
   }
 
   private addJob(record: JobRecord): void {
@@ -224,9 +232,9 @@
     this.forgetUnreadable(id);
     const job = this.jobs.get(id);
     if (!job) return;
-    for (const p of job.placements.values()) {
-      this.machines.get(p.host)?.placements.delete(taskKey(job.id, p.index));
-      this.countPlacement(p, -1);
+    for (const placement of job.placements.values()) {
+      this.machines.get(placement.host)?.placements.delete(taskKey(job.id, placement.index));
+      this.countPlacement(placement, -1);
     }
     this.jobs.delete(id);
   }
@@ -259,13 +267,13 @@
     if (record.whole) job.chunks[0].modRevision = record.stamp;
     if (record.state === 'cancelled' && !job.cancelled) {
       job.cancelled = true;
-      for (const p of [...job.placements.values()]) {
-        if (p.placedByThisProcess && p.startSentWith === null)
-          this.removePlacement(p, 'cancelled before its start');
+      for (const placement of [...job.placements.values()]) {
+        if (placement.placedByThisProcess && placement.startSentWith === null)
+          this.removePlacement(placement, 'cancelled before its start');
         else {
           // No saving for a cancelled task, also if it is being stopped in order already.
-          p.stopRequest = null;
-          this.requestStop(p, 0);
+          placement.stopRequest = null;
+          this.requestStop(placement, 0);
         }
       }
       this.checkCancelled(job);
@@ -273,21 +281,22 @@
   }
 
   machineChanged(host: string, now: VersionedMachine | undefined): void {
-    const m = this.machines.get(host);
+    const machine = this.machines.get(host);
     if (now && this.ownedShards.has(now.shard)) {
-      if (m) {
-        m.record = now;
-        m.releasing = false;
-        if (now.state === 'dead') m.quarantined = true;
+      if (machine) {
+        machine.record = now;
+        machine.releasing = false;
+        if (now.state === 'dead') machine.quarantined = true;
       } else this.addMachine(now);
       return;
     }
     // Its record is dropped only after the cloud has confirmed the deletion: all that was on it is gone.
-    if (m && !now)
-      for (const p of [...m.placements.values()]) this.removePlacement(p, 'machine returned', 'lost');
+    if (machine && !now)
+      for (const placement of [...machine.placements.values()])
+        this.removePlacement(placement, 'machine returned', 'lost');
     if (!now)
-      for (const p of this.takePlacementsOnUnknownHost(host))
-        this.removePlacement(p, 'machine returned', 'lost');
+      for (const placement of this.takePlacementsOnUnknownHost(host))
+        this.removePlacement(placement, 'machine returned', 'lost');
     this.machines.delete(host);
   }
 
@@ -311,8 +320,8 @@
       stopRequest: null,
     };
     job.placements.set(p.index, placement);
-    const m = this.machines.get(p.host);
-    if (m) m.placements.set(taskKey(job.id, p.index), placement);
+    const machine = this.machines.get(p.host);
+    if (machine) machine.placements.set(taskKey(job.id, p.index), placement);
     else
       this.placementsOnUnknownHosts.set(p.host, [
         ...(this.placementsOnUnknownHosts.get(p.host) ?? []),
@@ -323,20 +332,24 @@
   }
 
   /** Counts a placement in or out: in its machine, its team and its zone. */
-  private countPlacement(p: Placement, sign: 1 | -1): void {
-    const { spec } = p.job;
-    const m = this.machines.get(p.host);
+  private countPlacement(placement: Placement, sign: 1 | -1): void {
+    const { spec } = placement.job;
+    const machine = this.machines.get(placement.host);
     this.addUsage(spec, sign);
-    if (m) {
-      m.used.cpus += sign * spec.cpus;
-      m.used.gpus += sign * spec.gpus;
-      m.used.memGb += sign * spec.memGb;
+    if (machine) {
+      machine.used.cpus += sign * spec.cpus;
+      machine.used.gpus += sign * spec.gpus;
+      machine.used.memGb += sign * spec.memGb;
     }
     const rank = urgencyRank[spec.urgency];
     this.placementsByUrgency.set(rank, (this.placementsByUrgency.get(rank) ?? 0) + sign);
-    if (p.zone !== null) p.job.tasksByZone.set(p.zone, (p.job.tasksByZone.get(p.zone) ?? 0) + sign);
-    else p.job.unknownZoneTasks += sign;
-    if (m && m.placements.size === 0) m.idleSince = this.clock.now;
+    if (placement.zone !== null)
+      placement.job.tasksByZone.set(
+        placement.zone,
+        (placement.job.tasksByZone.get(placement.zone) ?? 0) + sign,
+      );
+    else placement.job.unknownZoneTasks += sign;
+    if (machine && machine.placements.size === 0) machine.idleSince = this.clock.now;
   }
 
   /** What work of a team may still take: its limit goes to its most urgent work first, unless the whole of it is asked for. */
@@ -369,7 +382,7 @@
   placeTasks(job: ScheduledJob, at: { index: number; host: string }[], attempt?: number): void {
     this.placementCount += at.length;
     const chunks = new Set(at.map((a) => chunkOf(job, a.index)));
-    for (const c of chunks) c.placedVersion = ++c.version;
+    for (const chunk of chunks) chunk.placedVersion = ++chunk.version;
     for (const a of at) {
       if (job.placements.has(a.index)) {
         this.log('error', 'placed already', { piece: taskKey(job.id, a.index) });
@@ -381,10 +394,10 @@
       const placement = this.addPlacement(job, chunk, own, true);
       if (this.settings.pool) this.unsentStarts.add(placement);
       // On its way: tasks that come later share the fetch.
-      const m = this.machines.get(a.host);
-      if (m) m.images.set(job.spec.image, imageFetchS(job.spec, m.type));
+      const machine = this.machines.get(a.host);
+      if (machine) machine.images.set(job.spec.image, imageFetchS(job.spec, machine.type));
     }
-    for (const c of chunks) this.taskWriter.queue(job, c);
+    for (const chunk of chunks) this.taskWriter.queue(job, chunk);
     if (waitingTaskCount(job) === 0) job.repairAttempt = null;
   }
 
@@ -392,24 +405,24 @@
    * The attempt is proven gone (or over): it counts no more, and its record is to be removed. `lost`: it did not end, it
    * went with its machine.
    */
-  removePlacement(p: Placement, why: string, outcome: 'done' | 'again' | 'lost' = 'again'): void {
-    const { job, chunk } = p;
-    if (job.placements.get(p.index) !== p) return;
-    job.placements.delete(p.index);
+  removePlacement(placement: Placement, why: string, outcome: 'done' | 'again' | 'lost' = 'again'): void {
+    const { job, chunk } = placement;
+    if (job.placements.get(placement.index) !== placement) return;
+    job.placements.delete(placement.index);
     if (job.placements.size === 0) job.fullyWaitingSince = this.clock.wall;
-    this.machines.get(p.host)?.placements.delete(taskKey(job.id, p.index));
-    this.countPlacement(p, -1);
+    this.machines.get(placement.host)?.placements.delete(taskKey(job.id, placement.index));
+    this.countPlacement(placement, -1);
     chunk.version++;
     this.taskWriter.noteEnd(job, chunk);
     this.log('debug', 'task gone', {
-      piece: taskKey(job.id, p.index),
-      attempt: p.attempt,
-      host: p.host,
+      piece: taskKey(job.id, placement.index),
+      attempt: placement.attempt,
+      host: placement.host,
       why,
     });
     if (outcome === 'done') {
-      if (!isCompleted(job, p.index)) {
-        chunk.completed.add(p.index - chunk.firstTask);
+      if (!isCompleted(job, placement.index)) {
+        chunk.completed.add(placement.index - chunk.firstTask);
         job.done++;
         if (job.completedCount++ === 0) this.listener.firstTaskCompleted(job);
       }
@@ -420,8 +433,8 @@
     } else if (!job.cancelled) {
       // Guards against handing a task out twice in one round: ahead of `fresh` it is found there, and after a
       // takeover `fresh` starts anew.
-      if (p.index < job.nextUnplaced) job.requeued.add(p.index);
-      if (job.spec.shape === 'gang') this.checkGang(job, p, outcome === 'lost');
+      if (placement.index < job.nextUnplaced) job.requeued.add(placement.index);
+      if (job.spec.shape === 'gang') this.checkGang(job, placement, outcome === 'lost');
     }
     this.checkCancelled(job);
   }
@@ -441,9 +454,10 @@
       job.repairAttempt = null;
       if (!job.tearingDown) this.log('info', 'gang broken', { job: job.id, lost: lost?.index });
       job.tearingDown = true;
-      for (const p of job.placements.values()) this.requestStop(p, 0);
-      for (const p of [...job.placements.values()])
-        if (p.placedByThisProcess && p.startSentWith === null) this.removePlacement(p, 'gang broken');
+      for (const placement of job.placements.values()) this.requestStop(placement, 0);
+      for (const placement of [...job.placements.values()])
+        if (placement.placedByThisProcess && placement.startSentWith === null)
+          this.removePlacement(placement, 'gang broken');
     }
     if (job.placements.size === 0) this.endTearDown(job);
   }
@@ -466,13 +480,13 @@
   stopGang(job: ScheduledJob): void {
     job.tearingDown = true;
     job.repairAttempt = null;
-    for (const p of job.placements.values()) this.requestStop(p, job.spec.saveS);
+    for (const placement of job.placements.values()) this.requestStop(placement, job.spec.saveS);
   }
 
   /** Wants a task off its machine, with time to save; one that is being stopped already stays as it is. */
-  requestStop(p: Placement, graceS: number): void {
-    if (p.stopRequest !== null || p.job.unreadable) return;
-    p.stopRequest = { graceS, since: this.clock.now };
-    this.unsentStops.add(p);
+  requestStop(placement: Placement, graceS: number): void {
+    if (placement.stopRequest !== null || placement.job.unreadable) return;
+    placement.stopRequest = { graceS, since: this.clock.now };
+    this.unsentStops.add(placement);
   }
 }
--- a/src/core/storage/chunk-state.ts
+++ b/src/core/storage/chunk-state.ts
@@ -8,6 +8,6 @@
   chunk.index === 0 && job.completedCount === 0 ? [...job.failedHosts].slice(0, maxStoredFailedHosts) : [];
 
 export function stateOf(job: ScheduledJob, chunk: TaskChunk): ChunkState {
-  const placed = [...job.placements.values()].filter((p) => p.chunk === chunk);
+  const placed = [...job.placements.values()].filter((placement) => placement.chunk === chunk);
   return { last: chunk.lastAttempt, done: chunk.completed, placed, failed: failedOn(job, chunk) };
 }
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -46,17 +46,17 @@
         }
         const stored = this.replica.jobsWithInlineTasks.has(job.id)
           ? []
-          : job.chunks.filter((c) => c.modRevision > 0);
+          : job.chunks.filter((chunk) => chunk.modRevision > 0);
         const drops = stored.slice(0, this.operationsPerTransaction - 1);
         return {
           when: [
             { key: shardKey(job.shard), stamp: grant.stamp },
             { key: jobKey(job.id), stamp: job.modRevision },
-            ...drops.map((c) => ({ key: chunkKey(job.id, c.index), stamp: c.modRevision })),
+            ...drops.map((chunk) => ({ key: chunkKey(job.id, chunk.index), stamp: chunk.modRevision })),
           ],
           apply: [
             { key: jobKey(job.id), data: jobDoneData(job.at, job.spec.tasks) },
-            ...drops.map((c) => ({ key: chunkKey(job.id, c.index), data: undefined })),
+            ...drops.map((chunk) => ({ key: chunkKey(job.id, chunk.index), data: undefined })),
           ],
         };
       },
@@ -69,7 +69,7 @@
   }
 
   private finished(job: ScheduledJob): void {
-    for (const c of job.chunks) c.durableVersion = c.version;
+    for (const chunk of job.chunks) chunk.durableVersion = chunk.version;
     this.owner.jobs.delete(job.id);
     const { finishedJobsByTeam: doneOf } = this.owner;
     doneOf.set(job.spec.team, (doneOf.get(job.spec.team) ?? 0) + 1);
@@ -80,8 +80,8 @@
   /** The job is over and nothing of it is left: its tasks' records go. */
   dropChunks(job: ScheduledJob): void {
     if (this.replica.jobsWithInlineTasks.has(job.id)) this.dropTasks(job.id);
-    for (const c of job.chunks)
-      if (this.replica.stampOf(chunkKey(job.id, c.index)) > 0) this.dropChunk(job.id, c.index);
+    for (const chunk of job.chunks)
+      if (this.replica.stampOf(chunkKey(job.id, chunk.index)) > 0) this.dropChunk(job.id, chunk.index);
   }
 
   /** A cancelled job of which nothing is left: the state of its tasks goes out of its record. */
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -221,14 +221,15 @@
   /** Chunks of which the task log, or a checkpoint of it, tells the state. */
   private revised(job: ScheduledJob): TaskChunk[] {
     const states = this.replica.chunks.get(job.id);
-    return job.chunks.filter((c) => (states?.get(c.index)?.revision ?? 0) > 0);
+    return job.chunks.filter((chunk) => (states?.get(chunk.index)?.revision ?? 0) > 0);
   }
 
   /** Writes a job's tasks once more as the level in force has it, unless that is about to happen; how many writes it takes. */
   rewrite(job: ScheduledJob): number {
     if (job.finalizing || job.unreadable) return 0;
     const revised = this.replica.levels.has('task-log') ? [] : this.revised(job);
-    const chunks = revised.length > 0 ? revised.filter((c) => !this.isCheckpointed(job, c)) : [job.chunks[0]];
+    const chunks =
+      revised.length > 0 ? revised.filter((chunk) => !this.isCheckpointed(job, chunk)) : [job.chunks[0]];
     let writes = 0;
     for (const chunk of chunks) if (this.checkpoint(job, chunk)) writes += 2;
     return writes;
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -28,19 +28,19 @@
 /** For operators: how the fleet is used and what waits. `looked`: machines that placement has looked at; `more`: of others. */
 export function summarize(shardState: ShardState, looked: number, more: object): void {
   const fleet: Record<string, { up: number; coming: number; idle: number; cpus: number; gpus: number }> = {};
-  for (const m of shardState.machines.values()) {
-    const f = (fleet[`${m.type.name}${m.spot ? ' spot' : ''}`] ??= {
+  for (const machine of shardState.machines.values()) {
+    const f = (fleet[`${machine.type.name}${machine.spot ? ' spot' : ''}`] ??= {
       up: 0,
       coming: 0,
       idle: 0,
       cpus: 0,
       gpus: 0,
     });
-    if (m.confirmedAt === 0) f.coming++;
+    if (machine.confirmedAt === 0) f.coming++;
     else f.up++;
-    if (m.confirmedAt > 0 && m.placements.size === 0) f.idle++;
-    f.cpus += m.used.cpus / m.type.cpus;
-    if (m.type.gpus > 0) f.gpus += m.used.gpus / m.type.gpus;
+    if (machine.confirmedAt > 0 && machine.placements.size === 0) f.idle++;
+    f.cpus += machine.used.cpus / machine.type.cpus;
+    if (machine.type.gpus > 0) f.gpus += machine.used.gpus / machine.type.gpus;
   }
   for (const f of Object.values(fleet)) {
     f.cpus = Math.round((100 * f.cpus) / (f.up + f.coming)) / 100;
@@ -60,12 +60,12 @@
     });
   };
   for (const name of shardState.finishedJobsByTeam.keys()) teamOf(name);
-  for (const j of shardState.jobs.values()) {
-    const team = teamOf(j.spec.team);
+  for (const job of shardState.jobs.values()) {
+    const team = teamOf(job.spec.team);
     team.open++;
-    team.waiting += waitingTaskCount(j);
-    team.active += j.placements.size;
-    const c = (jobs[j.spec.class] ??= {
+    team.waiting += waitingTaskCount(job);
+    team.active += job.placements.size;
+    const c = (jobs[job.spec.class] ??= {
       jobs: 0,
       waiting: 0,
       placed: 0,
@@ -74,15 +74,15 @@
       because: {},
     });
     c.jobs++;
-    const waiting = waitingTaskCount(j);
+    const waiting = waitingTaskCount(job);
     c.waiting += waiting;
     if (waiting > 0) {
-      const why = waitsFor(shardState, j);
+      const why = waitsFor(shardState, job);
       c.because[why] = (c.because[why] ?? 0) + waiting;
     }
-    for (const p of j.placements.values()) {
-      if (p.phase === 'running') c.running++;
-      else if (p.phase === 'placed') c.placed++;
+    for (const placement of job.placements.values()) {
+      if (placement.phase === 'running') c.running++;
+      else if (placement.phase === 'placed') c.placed++;
       else c.fetching++;
     }
   }
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -123,8 +123,9 @@
   const all = await agents(1000, port);
   const http = new HttpClient(`127.0.0.1:${port}`, 2);
   const machines = (): number =>
-    [...open.control.service.controller.shardManager.machines.values()].filter((m) => m.confirmedAt > 0)
-      .length;
+    [...open.control.service.controller.shardManager.machines.values()].filter(
+      (machine) => machine.confirmedAt > 0,
+    ).length;
   while (machines() < 1000) await pause(100);
   say(
     `memory of the service and 1,000 agents in one process: ${(((heapMb() - withJobs) * 1024) / 1000).toFixed(1)} KB for each agent`,
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -232,7 +232,9 @@
   ready(machines: number): Promise<void> {
     const all = () => [...this.service.service.controller.shardManager.machines.values()];
     return this.until(
-      async () => all().filter((m) => m.confirmedAt > 0 && m.record.state === 'use').length === machines,
+      async () =>
+        all().filter((machine) => machine.confirmedAt > 0 && machine.record.state === 'use').length ===
+        machines,
     );
   }
   /** Every attempt that began, as its command noted it: none may be there twice. */
