--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -1,118 +1,118 @@
-import type { Ad, Expr, Frame } from './expr.js';
-import { framesOf, rootOf } from './scopes.js';
-import { noSurroundings, type Evaluating, type Surroundings } from './evaluation-context.js';
+import type { Ad, Expr, Scope } from './expr.js';
+import { matchScopes, outermostScope } from './scopes.js';
+import { defaultContext, type Evaluator, type EvaluationContext } from './evaluation-context.js';
 import { functions } from './functions/index.js';
 import { binaryOp, unaryOp } from './operators.js';
 import { parseExpr } from './parse.js';
 import { Fault, RecordValue, truth, typeOf, type Value } from './values.js';
 
-export interface Limits {
+export interface EvaluationLimits {
   /** Evaluations of single expressions. */
-  steps: number;
+  maxSteps: number;
   /** How deep they may stand in each other. */
-  depth: number;
+  maxDepth: number;
 }
 
-export const usualLimits: Limits = { steps: 100_000, depth: 500 };
+export const defaultLimits: EvaluationLimits = { maxSteps: 100_000, maxDepth: 500 };
 
 /** Evaluates expressions, with bounds on what that may take. One for each question that is asked. */
-export class Evaluation implements Evaluating {
+export class Evaluation implements Evaluator {
   private steps = 0;
   private depth = 0;
   /** Attributes that are being evaluated. */
   private readonly active = new Map<Ad, Set<string>>();
 
   constructor(
-    readonly around: Surroundings = noSurroundings,
-    private readonly limits: Limits = usualLimits,
+    readonly context: EvaluationContext = defaultContext,
+    private readonly limits: EvaluationLimits = defaultLimits,
   ) {}
 
-  run(e: Expr, f: Frame): Value {
-    if (++this.steps > this.limits.steps) return new Fault(`more than ${this.limits.steps} steps`);
-    if (this.depth >= this.limits.depth) return new Fault(`more than ${this.limits.depth} deep`);
+  run(expr: Expr, scope: Scope): Value {
+    if (++this.steps > this.limits.maxSteps) return new Fault(`more than ${this.limits.maxSteps} steps`);
+    if (this.depth >= this.limits.maxDepth) return new Fault(`more than ${this.limits.maxDepth} deep`);
     this.depth++;
     try {
-      return this.step(e, f);
+      return this.evaluateExpr(expr, scope);
     } finally {
       this.depth--;
     }
   }
 
   /** Work that a function does besides: counted like steps. */
-  spend(n: number): boolean {
-    this.steps += n;
-    return this.steps <= this.limits.steps;
+  spend(steps: number): boolean {
+    this.steps += steps;
+    return this.steps <= this.limits.maxSteps;
   }
 
   /** Text that is evaluated as an expression here. */
-  text(text: string, f: Frame): Value {
+  evaluateText(text: string, scope: Scope): Value {
     try {
-      return this.run(parseExpr(text), f);
+      return this.run(parseExpr(text), scope);
     } catch (e) {
       return new Fault(String((e as Error).message));
     }
   }
 
   /** An attribute of this very record; undefined: there is none. */
-  attribute(name: string, f: Frame): Value {
-    const expr = f.ad.get(name);
+  attribute(name: string, scope: Scope): Value {
+    const expr = scope.ad.get(name);
     if (!expr) return undefined;
     if (expr.k === 'lit') return expr.v;
     const key = name.toLowerCase();
-    let active = this.active.get(f.ad);
-    if (!active) this.active.set(f.ad, (active = new Set()));
+    let active = this.active.get(scope.ad);
+    if (!active) this.active.set(scope.ad, (active = new Set()));
     if (active.has(key)) return new Fault(`${name} refers to itself`);
     active.add(key);
     try {
-      return this.run(expr, f);
+      return this.run(expr, scope);
     } finally {
       active.delete(key);
     }
   }
 
-  private step(e: Expr, f: Frame): Value {
-    switch (e.k) {
+  private evaluateExpr(expr: Expr, scope: Scope): Value {
+    switch (expr.k) {
       case 'lit':
-        return e.v;
+        return expr.v;
       case 'ref':
-        return this.ref(e.name, e.absolute ? rootOf(f) : f);
+        return this.resolveReference(expr.name, expr.absolute ? outermostScope(scope) : scope);
       case 'sel':
-        return this.select(this.run(e.of, f), e.name);
+        return this.selectAttribute(this.run(expr.of, scope), expr.name);
       case 'at':
-        return this.subscript(this.run(e.of, f), this.run(e.index, f));
+        return this.subscript(this.run(expr.of, scope), this.run(expr.index, scope));
       case 'un': {
-        const a = this.run(e.a, f);
-        if (e.op !== '!') return unaryOp(e.op, a);
+        const a = this.run(expr.a, scope);
+        if (expr.op !== '!') return unaryOp(expr.op, a);
         const t = truth(a);
         return typeof t === 'boolean' ? !t : t;
       }
       case 'bin':
-        if (e.op === '&&') return this.both(e.a, e.b, f, false);
-        if (e.op === '||') return this.both(e.a, e.b, f, true);
-        return binaryOp(e.op, this.run(e.a, f), this.run(e.b, f));
+        if (expr.op === '&&') return this.evaluateLogical(expr.a, expr.b, scope, false);
+        if (expr.op === '||') return this.evaluateLogical(expr.a, expr.b, scope, true);
+        return binaryOp(expr.op, this.run(expr.a, scope), this.run(expr.b, scope));
       case 'if': {
-        const c = this.run(e.c, f);
-        if (e.a === null) return c === undefined ? this.run(e.b, f) : c;
+        const c = this.run(expr.c, scope);
+        if (expr.a === null) return c === undefined ? this.run(expr.b, scope) : c;
         const t = truth(c);
-        return typeof t === 'boolean' ? this.run(t ? e.a : e.b, f) : t;
+        return typeof t === 'boolean' ? this.run(t ? expr.a : expr.b, scope) : t;
       }
       case 'call': {
-        const fn = functions.get(e.name.toLowerCase());
-        if (!fn) return new Fault(`no function ${e.name}`);
-        if (e.args.length < fn.least || e.args.length > fn.most)
-          return new Fault(`${e.name} takes ${fn.least} to ${fn.most} arguments`);
-        return fn.call(e.args, f, this);
+        const fn = functions.get(expr.name.toLowerCase());
+        if (!fn) return new Fault(`no function ${expr.name}`);
+        if (expr.args.length < fn.minArgs || expr.args.length > fn.maxArgs)
+          return new Fault(`${expr.name} takes ${fn.minArgs} to ${fn.maxArgs} arguments`);
+        return fn.call(expr.args, scope, this);
       }
       case 'list':
-        return e.items.map((i) => this.run(i, f));
+        return expr.items.map((i) => this.run(i, scope));
       case 'rec':
-        return new RecordValue(e.ad, { ad: e.ad, parent: f, target: null });
+        return new RecordValue(expr.ad, { ad: expr.ad, parent: scope, target: null });
     }
   }
 
   /** In its record, in those around it, then in the other side's. */
-  private ref(name: string, from: Frame): Value {
-    let at: Frame | null = from;
+  private resolveReference(name: string, from: Scope): Value {
+    let at: Scope | null = from;
     let root = from;
     for (; at; at = at.parent) {
       if (at.ad.has(name)) return this.attribute(name, at);
@@ -124,8 +124,8 @@
     return root.target ? this.attribute(name, root.target) : undefined;
   }
 
-  private select(of: Value, name: string): Value {
-    if (of instanceof RecordValue) return this.attribute(name, of.frame);
+  private selectAttribute(of: Value, name: string): Value {
+    if (of instanceof RecordValue) return this.attribute(name, of.scope);
     if (of === undefined || of instanceof Fault) return of;
     return new Fault(`a ${typeOf(of)} has no attribute ${name}`);
   }
@@ -136,20 +136,20 @@
     if (of === undefined || index === undefined) return undefined;
     if (Array.isArray(of) && typeof index === 'bigint')
       return index >= 0n && index < BigInt(of.length) ? of[Number(index)] : undefined;
-    if (of instanceof RecordValue && typeof index === 'string') return this.attribute(index, of.frame);
+    if (of instanceof RecordValue && typeof index === 'string') return this.attribute(index, of.scope);
     return new Fault(`a ${typeOf(of)} has no element by a ${typeOf(index)}`);
   }
 
   /** `&&` with `end` false, `||` with `end` true: what decides them needs no other side. */
-  private both(a: Expr, b: Expr, f: Frame, end: boolean): Value {
-    const left = truth(this.run(a, f));
-    if (left === end || left instanceof Fault) return left;
-    const right = truth(this.run(b, f));
-    if (right === end || right instanceof Fault) return right;
-    return left === undefined || right === undefined ? undefined : !end;
+  private evaluateLogical(a: Expr, b: Expr, scope: Scope, decisive: boolean): Value {
+    const left = truth(this.run(a, scope));
+    if (left === decisive || left instanceof Fault) return left;
+    const right = truth(this.run(b, scope));
+    if (right === decisive || right instanceof Fault) return right;
+    return left === undefined || right === undefined ? undefined : !decisive;
   }
 }
 
 /** The value of an expression between two records. */
-export const evaluate = (e: Expr, my: Ad, target: Ad | null = null, around = noSurroundings): Value =>
-  new Evaluation(around).run(e, framesOf(my, target));
+export const evaluate = (expr: Expr, my: Ad, target: Ad | null = null, context = defaultContext): Value =>
+  new Evaluation(context).run(expr, matchScopes(my, target));
--- a/src/classad/evaluation-context.ts
+++ b/src/classad/evaluation-context.ts
@@ -1,19 +1,19 @@
-import type { Expr, Frame, Value } from './expr.js';
+import type { Expr, Scope, Value } from './expr.js';
 
 /** What an evaluation takes from outside; the same gives the same. */
-export interface Surroundings {
+export interface EvaluationContext {
   /** Time of day, s. */
   nowS: number;
   random(): number;
 }
 
-export const noSurroundings: Surroundings = { nowS: 0, random: () => 0 };
+export const defaultContext: EvaluationContext = { nowS: 0, random: () => 0 };
 
 /** An evaluation under way, as functions see it. */
-export interface Evaluating {
-  readonly around: Surroundings;
-  run(e: Expr, f: Frame): Value;
-  text(text: string, f: Frame): Value;
+export interface Evaluator {
+  readonly context: EvaluationContext;
+  run(e: Expr, f: Scope): Value;
+  evaluateText(text: string, f: Scope): Value;
   /** False: that is more than may be spent. */
-  spend(n: number): boolean;
+  spend(steps: number): boolean;
 }
--- a/src/classad/expr.ts
+++ b/src/classad/expr.ts
@@ -118,25 +118,25 @@
 // ---- what expressions come to ----
 
 /** Where an expression stands: its record, those around it, and the record that it is matched with. */
-export interface Frame {
+export interface Scope {
   ad: Ad;
-  parent: Frame | null;
+  parent: Scope | null;
   /** The outermost record's other side. */
-  target: Frame | null;
+  target: Scope | null;
 }
 
 /** The value `error`, with why, for people. All of them are alike to the language. */
-export class Fault {
-  constructor(readonly why: string) {}
+export class ErrorValue {
+  constructor(readonly reason: string) {}
 }
 
 /** A record that was evaluated: where its attributes find theirs. */
 export class RecordValue {
   constructor(
     readonly ad: Ad,
-    readonly frame: Frame,
+    readonly scope: Scope,
   ) {}
 }
 
 /** What an expression can come to: `undefined`, `error`, booleans, integers (64 bits), reals, strings, lists, records. */
-export type Value = undefined | Fault | boolean | bigint | number | string | Value[] | RecordValue;
+export type Value = undefined | ErrorValue | boolean | bigint | number | string | Value[] | RecordValue;
--- a/src/classad/functions/define.ts
+++ b/src/classad/functions/define.ts
@@ -1,31 +1,31 @@
-import type { Evaluating } from '../evaluation-context.js';
-import type { Expr, Frame } from '../expr.js';
-import { strict } from '../operators.js';
+import type { Evaluator } from '../evaluation-context.js';
+import type { Expr, Scope } from '../expr.js';
+import { exceptional } from '../operators.js';
 import { Fault, typeOf, type Value } from '../values.js';
 
 export interface FunctionSpec {
-  least: number;
-  most: number;
-  call(args: readonly Expr[], f: Frame, ev: Evaluating): Value;
+  minArgs: number;
+  maxArgs: number;
+  call(args: readonly Expr[], f: Scope, ev: Evaluator): Value;
   /** Time or chance decide, too. */
-  varies?: boolean;
+  nonDeterministic?: boolean;
   /** Sees its arguments as they are written, or evaluates them elsewhere. */
-  writes?: boolean;
+  unevaluatedArgs?: boolean;
 }
 
-export type Named = [string, FunctionSpec];
+export type NamedFunction = [string, FunctionSpec];
 
 /** Its arguments are evaluated first, whatever they come to. */
-export const open = (
+export const lenientFunction = (
   name: string,
   least: number,
   most: number,
-  f: (args: Value[], ev: Evaluating) => Value,
-): Named => [
+  f: (args: Value[], ev: Evaluator) => Value,
+): NamedFunction => [
   name,
   {
-    least,
-    most,
+    minArgs: least,
+    maxArgs: most,
     call: (args, frame, ev) =>
       f(
         args.map((a) => ev.run(a, frame)),
@@ -35,28 +35,28 @@
 ];
 
 /** `error` and `undefined` among its arguments go through it. */
-export const closed = (
+export const strictFunction = (
   name: string,
   least: number,
   most: number,
-  f: (args: Exclude<Value, undefined | Fault>[], ev: Evaluating) => Value,
-): Named =>
-  open(name, least, most, (args, ev) => {
-    const odd = strict(...args);
+  f: (args: Exclude<Value, undefined | Fault>[], ev: Evaluator) => Value,
+): NamedFunction =>
+  lenientFunction(name, least, most, (args, ev) => {
+    const odd = exceptional(...args);
     if (odd) return odd === 'undefined' ? undefined : odd;
     return f(args as Exclude<Value, undefined | Fault>[], ev);
   });
 
-export const wrong = (name: string, v: Value): Fault => new Fault(`${name} does not take a ${typeOf(v)}`);
+export const typeError = (name: string, v: Value): Fault => new Fault(`${name} does not take a ${typeOf(v)}`);
 
 /** A function of strings alone; the optional ones are undefined where they are not given. */
-export const ofStrings = (
+export const stringFunction = (
   name: string,
   least: number,
   most: number,
-  f: (args: string[], ev: Evaluating) => Value,
-): Named =>
-  closed(name, least, most, (args, ev) => {
+  f: (args: string[], ev: Evaluator) => Value,
+): NamedFunction =>
+  strictFunction(name, least, most, (args, ev) => {
     const bad = args.find((a) => typeof a !== 'string');
-    return bad === undefined ? f(args as string[], ev) : wrong(name, bad);
+    return bad === undefined ? f(args as string[], ev) : typeError(name, bad);
   });
--- a/src/classad/functions/lists.ts
+++ b/src/classad/functions/lists.ts
@@ -1,8 +1,8 @@
 import type { BinaryOp } from '../expr.js';
 import { binaryOp, identical } from '../operators.js';
 import { Fault, type Value } from '../values.js';
-import { closed, ofStrings, open, wrong, type Named } from './define.js';
-import { greatest, least, total } from './numbers.js';
+import { strictFunction, stringFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
+import { maxOf, minOf, sumOf } from './numbers.js';
 import { splitBy } from './strings.js';
 import { toReal } from './types.js';
 
@@ -20,11 +20,14 @@
   '=!=': '=!=',
 };
 
-const each = (name: string, holds: (list: Value[], f: (v: Value) => boolean) => boolean): Named =>
-  closed(name, 3, 3, ([op, list, v]) => {
+const comparisonFunction = (
+  name: string,
+  holds: (list: Value[], f: (v: Value) => boolean) => boolean,
+): NamedFunction =>
+  strictFunction(name, 3, 3, ([op, list, v]) => {
     if (typeof op !== 'string' || !Object.hasOwn(comparisons, op))
       return new Fault(`${name}: no such comparison`);
-    if (!Array.isArray(list)) return wrong(name, list);
+    if (!Array.isArray(list)) return typeError(name, list);
     return holds(list, (x) => binaryOp(comparisons[op], x, v) === true);
   });
 
@@ -32,8 +35,12 @@
 const words = (s: string, delims: string | undefined): string[] =>
   splitBy(s, delims ?? ' ,').map((w) => w.trim());
 
-const ofNumbers = (name: string, empty: Value, f: (all: number[], whole: boolean) => Value): Named =>
-  ofStrings(name, 1, 2, ([s, delims]) => {
+const numberListFunction = (
+  name: string,
+  empty: Value,
+  f: (all: number[], whole: boolean) => Value,
+): NamedFunction =>
+  stringFunction(name, 1, 2, ([s, delims]) => {
     const all = words(s, delims);
     const read = all.map(toReal);
     if (read.some((n) => typeof n !== 'number')) return new Fault(`${name} takes a list of numbers`);
@@ -44,43 +51,43 @@
           all.every((w) => /^[-+]?\d+$/.test(w)),
         );
   });
-const asWhole = (n: Value, whole: boolean): Value =>
+const integerIfWhole = (n: Value, whole: boolean): Value =>
   whole && typeof n === 'number' && Number.isFinite(n) ? BigInt(n) : n;
 
-const among = (name: string, same: (s: string) => string): Named =>
-  ofStrings(name, 2, 3, ([one, list, delims]) => words(list, delims).map(same).includes(same(one)));
-const subset = (name: string, same: (s: string) => string): Named =>
-  ofStrings(name, 2, 3, ([some, all, delims]) => {
+const membershipFunction = (name: string, same: (s: string) => string): NamedFunction =>
+  stringFunction(name, 2, 3, ([one, list, delims]) => words(list, delims).map(same).includes(same(one)));
+const subsetFunction = (name: string, same: (s: string) => string): NamedFunction =>
+  stringFunction(name, 2, 3, ([some, all, delims]) => {
     const there = new Set(words(all, delims).map(same));
     return words(some, delims).every((w) => there.has(same(w)));
   });
-const asIs = (s: string): string => s;
-const lower = (s: string): string => s.toLowerCase();
+const identity = (s: string): string => s;
+const lowerCase = (s: string): string => s.toLowerCase();
 
-export const lists: Named[] = [
-  open('member', 2, 2, ([v, list]) => {
+export const lists: NamedFunction[] = [
+  lenientFunction('member', 2, 2, ([v, list]) => {
     if (list instanceof Fault || list === undefined) return list;
     if (v instanceof Fault || v === undefined) return v;
-    if (!Array.isArray(list)) return wrong('member', list);
+    if (!Array.isArray(list)) return typeError('member', list);
     return list.some((x) => binaryOp('==', x, v) === true);
   }),
-  open('identicalMember', 2, 2, ([v, list]) => {
+  lenientFunction('identicalMember', 2, 2, ([v, list]) => {
     if (list instanceof Fault || list === undefined) return list;
-    if (!Array.isArray(list)) return wrong('identicalMember', list);
+    if (!Array.isArray(list)) return typeError('identicalMember', list);
     return list.some((x) => identical(x, v));
   }),
-  each('anyCompare', (list, f) => list.some(f)),
-  each('allCompare', (list, f) => list.every(f)),
-  ofStrings('stringListSize', 1, 2, ([s, delims]) => BigInt(words(s, delims).length)),
-  ofNumbers('stringListSum', 0n, (all, whole) => asWhole(total(all), whole)),
-  ofNumbers('stringListAvg', 0, (all) => all.reduce((a, b) => a + b, 0) / all.length),
-  ofNumbers('stringListMin', undefined, (all, whole) => asWhole(least(all), whole)),
-  ofNumbers('stringListMax', undefined, (all, whole) => asWhole(greatest(all), whole)),
-  among('stringListMember', asIs),
-  among('stringListIMember', lower),
-  subset('stringListSubsetMatch', asIs),
-  subset('stringListISubsetMatch', lower),
-  ofStrings('stringListsIntersect', 2, 3, ([a, b, delims]) => {
+  comparisonFunction('anyCompare', (list, f) => list.some(f)),
+  comparisonFunction('allCompare', (list, f) => list.every(f)),
+  stringFunction('stringListSize', 1, 2, ([s, delims]) => BigInt(words(s, delims).length)),
+  numberListFunction('stringListSum', 0n, (all, whole) => integerIfWhole(sumOf(all), whole)),
+  numberListFunction('stringListAvg', 0, (all) => all.reduce((a, b) => a + b, 0) / all.length),
+  numberListFunction('stringListMin', undefined, (all, whole) => integerIfWhole(minOf(all), whole)),
+  numberListFunction('stringListMax', undefined, (all, whole) => integerIfWhole(maxOf(all), whole)),
+  membershipFunction('stringListMember', identity),
+  membershipFunction('stringListIMember', lowerCase),
+  subsetFunction('stringListSubsetMatch', identity),
+  subsetFunction('stringListISubsetMatch', lowerCase),
+  stringFunction('stringListsIntersect', 2, 3, ([a, b, delims]) => {
     const there = new Set(words(b, delims));
     return words(a, delims).some((w) => there.has(w));
   }),
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -1,10 +1,10 @@
-import { binaryOp, strict } from '../operators.js';
+import { binaryOp, exceptional } from '../operators.js';
 import { Fault, int, numeric, type Value } from '../values.js';
-import { closed, wrong, type Named } from './define.js';
+import { strictFunction, typeError, type NamedFunction } from './define.js';
 import { toReal } from './types.js';
 
-const rounding = (name: string, f: (n: number) => number): Named =>
-  closed(name, 1, 1, ([v]) => {
+const roundingFunction = (name: string, f: (n: number) => number): NamedFunction =>
+  strictFunction(name, 1, 1, ([v]) => {
     if (typeof v === 'bigint') return v;
     const n = toReal(v);
     if (typeof n !== 'number') return n;
@@ -12,7 +12,7 @@
   });
 
 /** Half away from even: to the even one, as the C library does by default. */
-function toNearest(n: number): number {
+function roundHalfToEven(n: number): number {
   const down = Math.floor(n);
   const part = n - down;
   if (part !== 0.5) return Math.round(n);
@@ -20,23 +20,23 @@
 }
 
 /** A function of a list of numbers; `undefined` among them makes it undefined. */
-const over = (name: string, empty: Value, f: (all: (bigint | number)[]) => Value): Named =>
-  closed(name, 1, 1, ([list]) => {
-    if (!Array.isArray(list)) return wrong(name, list);
-    const odd = strict(...list);
+const listFunction = (name: string, empty: Value, f: (all: (bigint | number)[]) => Value): NamedFunction =>
+  strictFunction(name, 1, 1, ([list]) => {
+    if (!Array.isArray(list)) return typeError(name, list);
+    const odd = exceptional(...list);
     if (odd) return odd === 'undefined' ? undefined : odd;
     const all = list.map(numeric);
     if (all.includes(null)) return new Fault(`${name} takes a list of numbers`);
     return all.length === 0 ? empty : f(all as (bigint | number)[]);
   });
 
-export const total = (all: readonly Value[]): Value => all.reduce((a: Value, b) => binaryOp('+', a, b), 0n);
-export const least = (all: readonly Value[]): Value =>
+export const sumOf = (all: readonly Value[]): Value => all.reduce((a: Value, b) => binaryOp('+', a, b), 0n);
+export const minOf = (all: readonly Value[]): Value =>
   all.reduce((a, b) => (binaryOp('<', b, a) === true ? b : a));
-export const greatest = (all: readonly Value[]): Value =>
+export const maxOf = (all: readonly Value[]): Value =>
   all.reduce((a, b) => (binaryOp('>', b, a) === true ? b : a));
 
-function quantized(a: bigint | number, b: bigint | number): Value {
+function quantize(a: bigint | number, b: bigint | number): Value {
   if (Number(b) === 0) return a;
   if (typeof a === 'bigint' && typeof b === 'bigint') {
     const times = a / b + (a % b !== 0n && a > 0n === b > 0n ? 1n : 0n);
@@ -45,49 +45,49 @@
   return Math.ceil(Number(a) / Number(b)) * Number(b);
 }
 
-export const numbers: Named[] = [
-  rounding('floor', Math.floor),
-  rounding('ceiling', Math.ceil),
-  rounding('round', toNearest),
-  closed('pow', 2, 2, ([a, b]) => {
+export const numbers: NamedFunction[] = [
+  roundingFunction('floor', Math.floor),
+  roundingFunction('ceiling', Math.ceil),
+  roundingFunction('round', roundHalfToEven),
+  strictFunction('pow', 2, 2, ([a, b]) => {
     const [x, y] = [numeric(a), numeric(b)];
-    if (x === null || y === null) return wrong('pow', x === null ? a : b);
+    if (x === null || y === null) return typeError('pow', x === null ? a : b);
     // Guards against a power that is a number of a million digits.
     if (typeof x === 'bigint' && typeof y === 'bigint' && y >= 0n && y <= 64n) return int(x ** y);
     return Number(x) ** Number(y);
   }),
-  closed('quantize', 2, 2, ([a, b]) => {
+  strictFunction('quantize', 2, 2, ([a, b]) => {
     const x = numeric(a);
-    if (x === null) return wrong('quantize', a);
+    if (x === null) return typeError('quantize', a);
     if (Array.isArray(b)) {
       for (const step of b) {
         const n = numeric(step);
-        if (n === null) return wrong('quantize', step);
+        if (n === null) return typeError('quantize', step);
         if (n >= x) return n;
       }
       const last = b.length > 0 ? numeric(b[b.length - 1]) : null;
-      return last === null ? new Fault('quantize by an empty list') : quantized(x, last);
+      return last === null ? new Fault('quantize by an empty list') : quantize(x, last);
     }
     const y = numeric(b);
-    return y === null ? wrong('quantize', b) : quantized(x, y);
+    return y === null ? typeError('quantize', b) : quantize(x, y);
   }),
   [
     'random',
     {
-      least: 0,
-      most: 1,
-      varies: true,
+      minArgs: 0,
+      maxArgs: 1,
+      nonDeterministic: true,
       call: (args, f, ev) => {
         const n = args.length === 0 ? 1 : ev.run(args[0], f);
         if (n === undefined || n instanceof Fault) return n;
         if (typeof n === 'bigint')
-          return n > 0n ? int(ev.around.random() * Number(n)) : new Fault('random of nothing');
-        return typeof n === 'number' ? ev.around.random() * n : wrong('random', n);
+          return n > 0n ? int(ev.context.random() * Number(n)) : new Fault('random of nothing');
+        return typeof n === 'number' ? ev.context.random() * n : typeError('random', n);
       },
     },
   ],
-  over('sum', 0n, total),
-  over('avg', 0, (all) => Number(total(all)) / all.length),
-  over('min', undefined, least),
-  over('max', undefined, greatest),
+  listFunction('sum', 0n, sumOf),
+  listFunction('avg', 0, (all) => Number(sumOf(all)) / all.length),
+  listFunction('min', undefined, minOf),
+  listFunction('max', undefined, maxOf),
 ];
--- a/src/classad/functions/patterns.ts
+++ b/src/classad/functions/patterns.ts
@@ -1,12 +1,12 @@
 import { RE2JS } from 're2js';
 import { Fault, type Value } from '../values.js';
-import { closed, ofStrings, wrong, type Named } from './define.js';
+import { strictFunction, stringFunction, typeError, type NamedFunction } from './define.js';
 import { splitBy } from './strings.js';
 
-const mostPattern = 2000;
-const mostText = 64 * 1024;
+const maxPatternChars = 2000;
+const maxTextChars = 64 * 1024;
 /** A long pattern over a long text: each character of the one may have to look at all of the other. */
-const workPerStep = 1000;
+const charsPerStep = 1000;
 
 interface Pattern {
   compiled: RE2JS;
@@ -18,7 +18,8 @@
 
 /** Patterns without backtracking: time in proportion to pattern and text, whatever they are. */
 function compile(pattern: string, options = ''): Pattern | Fault {
-  if (pattern.length > mostPattern) return new Fault(`a pattern of more than ${mostPattern} characters`);
+  if (pattern.length > maxPatternChars)
+    return new Fault(`a pattern of more than ${maxPatternChars} characters`);
   let flags = 0;
   let source = pattern;
   for (const o of options.toLowerCase())
@@ -37,15 +38,15 @@
 }
 
 /** `\1` and `$1` in a substitute stand for groups. */
-const filled = (substitute: string, group: (n: number) => string): string =>
+const expandGroups = (substitute: string, group: (n: number) => string): string =>
   substitute.replace(/\\(\d)|\\\\/g, (m, n: string | undefined) => (n === undefined ? m : group(Number(n))));
 
-function replaced(p: Pattern, text: string, substitute: string, all: boolean, whole: boolean): string {
+function replaceMatches(p: Pattern, text: string, substitute: string, all: boolean, whole: boolean): string {
   const m = p.compiled.matcher(text);
   let out = '';
   let from = 0;
   while (m.find()) {
-    const put = filled(substitute, (n) => (n <= m.groupCount() ? (m.group(n) ?? '') : ''));
+    const put = expandGroups(substitute, (n) => (n <= m.groupCount() ? (m.group(n) ?? '') : ''));
     out += (whole ? text.slice(from, m.start()) : '') + put;
     from = m.end();
     if (!all) break;
@@ -53,51 +54,51 @@
   return whole ? out + text.slice(from) : out;
 }
 
-const checked = (text: string, pattern: string, spend: (n: number) => boolean): Fault | null =>
-  text.length > mostText
-    ? new Fault(`a text of more than ${mostText} characters`)
-    : spend(Math.ceil((text.length * pattern.length) / workPerStep))
+const checkCost = (text: string, pattern: string, spend: (n: number) => boolean): Fault | null =>
+  text.length > maxTextChars
+    ? new Fault(`a text of more than ${maxTextChars} characters`)
+    : spend(Math.ceil((text.length * pattern.length) / charsPerStep))
       ? null
       : new Fault('too much work for patterns');
 
-const substitution = (name: string, whole: boolean, all: boolean): Named =>
-  ofStrings(name, 3, 4, ([pattern, text, substitute, options], ev): Value => {
+const substitutionFunction = (name: string, whole: boolean, all: boolean): NamedFunction =>
+  stringFunction(name, 3, 4, ([pattern, text, substitute, options], ev): Value => {
     const p = compile(pattern, options);
     if (p instanceof Fault) return p;
-    const bad = checked(text, pattern, (n) => ev.spend(n));
+    const bad = checkCost(text, pattern, (n) => ev.spend(n));
     if (bad) return bad;
     const full = whole || !p.part;
     if (!p.compiled.matcher(text).find()) return full ? text : '';
-    return replaced(p, text, substitute, all || p.all, full);
+    return replaceMatches(p, text, substitute, all || p.all, full);
   });
 
-export const patterns: Named[] = [
-  ofStrings('regexp', 2, 3, ([pattern, text, options], ev): Value => {
+export const patterns: NamedFunction[] = [
+  stringFunction('regexp', 2, 3, ([pattern, text, options], ev): Value => {
     const p = compile(pattern, options);
     if (p instanceof Fault) return p;
-    return checked(text, pattern, (n) => ev.spend(n)) ?? p.compiled.matcher(text).find();
+    return checkCost(text, pattern, (n) => ev.spend(n)) ?? p.compiled.matcher(text).find();
   }),
-  substitution('regexps', false, false),
-  substitution('replace', true, false),
-  substitution('replaceAll', true, true),
-  closed('regexpMember', 2, 3, ([pattern, list, options], ev): Value => {
-    if (typeof pattern !== 'string') return wrong('regexpMember', pattern);
-    if (!Array.isArray(list)) return wrong('regexpMember', list);
-    if (options !== undefined && typeof options !== 'string') return wrong('regexpMember', options);
+  substitutionFunction('regexps', false, false),
+  substitutionFunction('replace', true, false),
+  substitutionFunction('replaceAll', true, true),
+  strictFunction('regexpMember', 2, 3, ([pattern, list, options], ev): Value => {
+    if (typeof pattern !== 'string') return typeError('regexpMember', pattern);
+    if (!Array.isArray(list)) return typeError('regexpMember', list);
+    if (options !== undefined && typeof options !== 'string') return typeError('regexpMember', options);
     const p = compile(pattern, options);
     if (p instanceof Fault) return p;
     for (const v of list) {
       if (typeof v !== 'string') continue;
-      const bad = checked(v, pattern, (n) => ev.spend(n));
+      const bad = checkCost(v, pattern, (n) => ev.spend(n));
       if (bad) return bad;
       if (p.compiled.matcher(v).find()) return true;
     }
     return false;
   }),
-  ofStrings('stringList_regexpMember', 2, 4, ([pattern, list, delims, options], ev): Value => {
+  stringFunction('stringList_regexpMember', 2, 4, ([pattern, list, delims, options], ev): Value => {
     const p = compile(pattern, options);
     if (p instanceof Fault) return p;
-    const bad = checked(list, pattern, (n) => ev.spend(n));
+    const bad = checkCost(list, pattern, (n) => ev.spend(n));
     return bad ?? splitBy(list, delims ?? ' ,').some((w) => p.compiled.matcher(w.trim()).find());
   }),
 ];
--- a/src/classad/functions/strings.ts
+++ b/src/classad/functions/strings.ts
@@ -1,9 +1,9 @@
 import { Fault, RecordValue, type Value } from '../values.js';
-import { closed, ofStrings, open, wrong, type Named } from './define.js';
-import { strict } from '../operators.js';
+import { strictFunction, stringFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
+import { exceptional } from '../operators.js';
 import { toText } from './types.js';
 
-const order = (a: string, b: string): bigint => (a < b ? -1n : a > b ? 1n : 0n);
+const compareText = (a: string, b: string): bigint => (a < b ? -1n : a > b ? 1n : 0n);
 
 /** Versions: runs of digits by their number, everything else letter by letter. */
 export function versionOrder(a: string, b: string): number {
@@ -20,8 +20,8 @@
   return 0;
 }
 
-const version = (name: string, holds: (order: number) => boolean): Named =>
-  ofStrings(name, 2, 2, ([a, b]) => holds(versionOrder(a, b)));
+const versionFunction = (name: string, holds: (order: number) => boolean): NamedFunction =>
+  stringFunction(name, 2, 2, ([a, b]) => holds(versionOrder(a, b)));
 
 export const splitBy = (s: string, delims: string): string[] => {
   const out: string[] = [];
@@ -36,24 +36,24 @@
   return out;
 };
 
-const atSign = (name: string, alone: (s: string) => [string, string]): Named =>
-  ofStrings(name, 1, 1, ([s]) => {
+const splitAtSignFunction = (name: string, alone: (s: string) => [string, string]): NamedFunction =>
+  stringFunction(name, 1, 1, ([s]) => {
     const at = s.indexOf('@');
     return at < 0 ? alone(s) : [s.slice(0, at), s.slice(at + 1)];
   });
 
-export const strings: Named[] = [
-  open('strcat', 0, 1000, (args) => {
-    const odd = strict(...args);
+export const strings: NamedFunction[] = [
+  lenientFunction('strcat', 0, 1000, (args) => {
+    const odd = exceptional(...args);
     if (odd) return odd === 'undefined' ? undefined : odd;
     return args.map(toText).join('');
   }),
-  open('join', 1, 1000, ([separator, ...rest]) => {
+  lenientFunction('join', 1, 1000, ([separator, ...rest]) => {
     const items = rest.length === 1 && Array.isArray(rest[0]) ? rest[0] : rest;
     // One list alone is joined with nothing between.
     const [by, all] = Array.isArray(separator) && rest.length === 0 ? ['', separator] : [separator, items];
     if (by === undefined || by instanceof Fault) return by;
-    if (typeof by !== 'string') return wrong('join', by);
+    if (typeof by !== 'string') return typeError('join', by);
     const fault = all.find((v) => v instanceof Fault);
     if (fault) return fault;
     return all
@@ -61,44 +61,44 @@
       .map(toText)
       .join(by);
   }),
-  closed('substr', 2, 3, ([s, from, length]) => {
-    if (typeof s !== 'string') return wrong('substr', s);
-    if (typeof from !== 'bigint') return wrong('substr', from);
-    if (length !== undefined && typeof length !== 'bigint') return wrong('substr', length);
+  strictFunction('substr', 2, 3, ([s, from, length]) => {
+    if (typeof s !== 'string') return typeError('substr', s);
+    if (typeof from !== 'bigint') return typeError('substr', from);
+    if (length !== undefined && typeof length !== 'bigint') return typeError('substr', length);
     const n = s.length;
     const start = Math.min(n, Math.max(0, from < 0n ? n + Number(from) : Number(from)));
     const l = length === undefined ? n - start : Number(length);
     return s.slice(start, l < 0 ? Math.max(start, n + l) : start + l);
   }),
-  closed('strcmp', 2, 2, ([a, b]) => order(toText(a), toText(b))),
-  closed('stricmp', 2, 2, ([a, b]) => order(toText(a).toLowerCase(), toText(b).toLowerCase())),
-  closed('toUpper', 1, 1, ([s]) => toText(s).toUpperCase()),
-  closed('toLower', 1, 1, ([s]) => toText(s).toLowerCase()),
-  closed('size', 1, 1, ([v]): Value => {
+  strictFunction('strcmp', 2, 2, ([a, b]) => compareText(toText(a), toText(b))),
+  strictFunction('stricmp', 2, 2, ([a, b]) => compareText(toText(a).toLowerCase(), toText(b).toLowerCase())),
+  strictFunction('toUpper', 1, 1, ([s]) => toText(s).toUpperCase()),
+  strictFunction('toLower', 1, 1, ([s]) => toText(s).toLowerCase()),
+  strictFunction('size', 1, 1, ([v]): Value => {
     if (typeof v === 'string' || Array.isArray(v)) return BigInt(v.length);
-    return v instanceof RecordValue ? BigInt(v.ad.size) : wrong('size', v);
+    return v instanceof RecordValue ? BigInt(v.ad.size) : typeError('size', v);
   }),
-  ofStrings('split', 1, 2, ([s, delims]) => splitBy(s, delims ?? ', \t\r\n')),
-  atSign('splitUserName', (s) => [s, '']),
-  atSign('splitSlotName', (s) => ['', s]),
-  ofStrings('versioncmp', 2, 2, ([a, b]) => BigInt(versionOrder(a, b))),
-  version('versionGT', (o) => o > 0),
-  version('versionGE', (o) => o >= 0),
-  version('versionLT', (o) => o < 0),
-  version('versionLE', (o) => o <= 0),
-  version('versionEQ', (o) => o === 0),
-  version('version_gt', (o) => o > 0),
-  version('version_ge', (o) => o >= 0),
-  version('version_lt', (o) => o < 0),
-  version('version_le', (o) => o <= 0),
-  version('version_eq', (o) => o === 0),
-  ofStrings(
+  stringFunction('split', 1, 2, ([s, delims]) => splitBy(s, delims ?? ', \t\r\n')),
+  splitAtSignFunction('splitUserName', (s) => [s, '']),
+  splitAtSignFunction('splitSlotName', (s) => ['', s]),
+  stringFunction('versioncmp', 2, 2, ([a, b]) => BigInt(versionOrder(a, b))),
+  versionFunction('versionGT', (o) => o > 0),
+  versionFunction('versionGE', (o) => o >= 0),
+  versionFunction('versionLT', (o) => o < 0),
+  versionFunction('versionLE', (o) => o <= 0),
+  versionFunction('versionEQ', (o) => o === 0),
+  versionFunction('version_gt', (o) => o > 0),
+  versionFunction('version_ge', (o) => o >= 0),
+  versionFunction('version_lt', (o) => o < 0),
+  versionFunction('version_le', (o) => o <= 0),
+  versionFunction('version_eq', (o) => o === 0),
+  stringFunction(
     'version_in_range',
     3,
     3,
     ([v, from, to]) => versionOrder(v, from) >= 0 && versionOrder(v, to) <= 0,
   ),
-  ofStrings(
+  stringFunction(
     'versionInRange',
     3,
     3,
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -1,20 +1,21 @@
 import { printExpr, printValue } from '../print.js';
 import { Fault, RecordValue, truth, typeOf, type TypeName, type Value } from '../values.js';
-import { closed, open, wrong, type Named } from './define.js';
+import { strictFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
 
-const isOf = (name: string, type: TypeName): Named => open(name, 1, 1, ([v]) => typeOf(v) === type);
+const typeTestFunction = (name: string, type: TypeName): NamedFunction =>
+  lenientFunction(name, 1, 1, ([v]) => typeOf(v) === type);
 
 /** Digits, as `int` and `real` read them. */
-const number = /^\s*[-+]?(\d+\.?\d*|\.\d+)([eE][-+]?\d+)?\s*$/;
+const numberPattern = /^\s*[-+]?(\d+\.?\d*|\.\d+)([eE][-+]?\d+)?\s*$/;
 
 export function toReal(v: Value): Value {
   if (typeof v === 'number') return v;
   if (typeof v === 'bigint') return Number(v);
   if (typeof v === 'boolean') return v ? 1 : 0;
-  if (typeof v !== 'string') return wrong('real', v);
+  if (typeof v !== 'string') return typeError('real', v);
   if (/^[-+]?inf(inity)?$/i.test(v)) return v.startsWith('-') ? -Infinity : Infinity;
   if (/^nan$/i.test(v)) return NaN;
-  return number.test(v) ? Number(v) : new Fault(`${printValue(v)} is no number`);
+  return numberPattern.test(v) ? Number(v) : new Fault(`${printValue(v)} is no number`);
 }
 
 export function toInt(v: Value): Value {
@@ -28,34 +29,34 @@
 export const toText = (v: Value): string => (typeof v === 'string' ? v : printValue(v));
 
 /** An expression, evaluated in each record of a list. */
-const inEach = (name: string, f: (values: Value[]) => Value): Named => [
+const eachRecordFunction = (name: string, f: (values: Value[]) => Value): NamedFunction => [
   name,
   {
-    least: 2,
-    most: 2,
-    writes: true,
+    minArgs: 2,
+    maxArgs: 2,
+    unevaluatedArgs: true,
     call: ([e, list], frame, ev) => {
       const all = ev.run(list, frame);
       if (all === undefined || all instanceof Fault) return all;
-      if (!Array.isArray(all)) return wrong(name, all);
-      return f(all.map((r) => (r instanceof RecordValue ? ev.run(e, r.frame) : new Fault('not a record'))));
+      if (!Array.isArray(all)) return typeError(name, all);
+      return f(all.map((r) => (r instanceof RecordValue ? ev.run(e, r.scope) : new Fault('not a record'))));
     },
   },
 ];
 
-export const types: Named[] = [
-  isOf('isUndefined', 'undefined'),
-  isOf('isError', 'error'),
-  isOf('isString', 'string'),
-  isOf('isInteger', 'integer'),
-  isOf('isReal', 'real'),
-  isOf('isBoolean', 'boolean'),
-  isOf('isList', 'list'),
-  isOf('isClassAd', 'classad'),
-  closed('int', 1, 1, ([v]) => toInt(v)),
-  closed('real', 1, 1, ([v]) => toReal(v)),
-  closed('string', 1, 1, ([v]) => toText(v)),
-  closed('bool', 1, 1, ([v]) => {
+export const types: NamedFunction[] = [
+  typeTestFunction('isUndefined', 'undefined'),
+  typeTestFunction('isError', 'error'),
+  typeTestFunction('isString', 'string'),
+  typeTestFunction('isInteger', 'integer'),
+  typeTestFunction('isReal', 'real'),
+  typeTestFunction('isBoolean', 'boolean'),
+  typeTestFunction('isList', 'list'),
+  typeTestFunction('isClassAd', 'classad'),
+  strictFunction('int', 1, 1, ([v]) => toInt(v)),
+  strictFunction('real', 1, 1, ([v]) => toReal(v)),
+  strictFunction('string', 1, 1, ([v]) => toText(v)),
+  strictFunction('bool', 1, 1, ([v]) => {
     if (typeof v !== 'string') return truth(v);
     return /^true$/i.test(v)
       ? true
@@ -66,8 +67,8 @@
   [
     'ifThenElse',
     {
-      least: 3,
-      most: 3,
+      minArgs: 3,
+      maxArgs: 3,
       call: ([c, a, b], f, ev) => {
         const t = truth(ev.run(c, f));
         return typeof t === 'boolean' ? ev.run(t ? a : b, f) : t;
@@ -77,21 +78,21 @@
   [
     'eval',
     {
-      least: 1,
-      most: 1,
-      writes: true,
+      minArgs: 1,
+      maxArgs: 1,
+      unevaluatedArgs: true,
       call: ([a], f, ev) => {
         const text = ev.run(a, f);
-        return typeof text === 'string' ? ev.text(text, f) : text;
+        return typeof text === 'string' ? ev.evaluateText(text, f) : text;
       },
     },
   ],
   [
     'unparse',
     {
-      least: 1,
-      most: 1,
-      writes: true,
+      minArgs: 1,
+      maxArgs: 1,
+      unevaluatedArgs: true,
       // Of an attribute: how it is written; of anything else: itself.
       call: ([a], f) => {
         const own = a.k === 'ref' ? f.ad.get(a.name) : undefined;
@@ -99,6 +100,6 @@
       },
     },
   ],
-  inEach('evalInEachContext', (values) => values),
-  inEach('countMatches', (values) => BigInt(values.filter((v) => v === true).length)),
+  eachRecordFunction('evalInEachContext', (values) => values),
+  eachRecordFunction('countMatches', (values) => BigInt(values.filter((v) => v === true).length)),
 ];
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -3,29 +3,29 @@
 import { Fault, int, numeric, RecordValue, typeOf, type Value } from './values.js';
 
 /** `error` before `undefined`, and both before anything else. */
-export function strict(...args: Value[]): Fault | 'undefined' | null {
+export function exceptional(...args: Value[]): Fault | 'undefined' | null {
   for (const a of args) if (a instanceof Fault) return a;
   return args.some((a) => a === undefined) ? 'undefined' : null;
 }
 
 export function unaryOp(op: Exclude<UnaryOp, '!'>, a: Value): Value {
-  const odd = strict(a);
+  const odd = exceptional(a);
   if (odd) return odd === 'undefined' ? undefined : odd;
-  if (op === '~') return typeof a === 'bigint' ? ~a : wrong(op, a);
+  if (op === '~') return typeof a === 'bigint' ? ~a : typeError(op, a);
   const n = numeric(a);
-  if (n === null) return wrong(op, a);
+  if (n === null) return typeError(op, a);
   if (op === '+') return n;
   return typeof n === 'bigint' ? int(-n) : -n;
 }
 
-const wrong = (op: string, ...args: Value[]): Fault =>
+const typeError = (op: string, ...args: Value[]): Fault =>
   new Fault(`${op} does not take ${args.map((a) => `a ${typeOf(a)}`).join(' and ')}`);
 
 /** All operators that are the same for every operand: `error` and `undefined` go through them. */
 export function binaryOp(op: Exclude<BinaryOp, '&&' | '||'>, a: Value, b: Value): Value {
   if (op === '=?=') return identical(a, b);
   if (op === '=!=') return !identical(a, b);
-  const odd = strict(a, b);
+  const odd = exceptional(a, b);
   if (odd) return odd === 'undefined' ? undefined : odd;
   switch (op) {
     case '==':
@@ -35,7 +35,7 @@
     case '>':
     case '>=': {
       const order = compare(a, b);
-      return order === null ? wrong(op, a, b) : holds(op, order);
+      return order === null ? typeError(op, a, b) : comparisonHolds(op, order);
     }
     case '&':
     case '|':
@@ -43,7 +43,7 @@
     case '<<':
     case '>>':
     case '>>>':
-      return bits(op, a, b);
+      return bitwise(op, a, b);
     default:
       return arithmetic(op, a, b);
   }
@@ -71,7 +71,7 @@
   return x < y ? -1 : x > y ? 1 : x == y ? 0 : NaN;
 }
 
-function holds(op: '==' | '!=' | '<' | '<=' | '>' | '>=', order: number): boolean {
+function comparisonHolds(op: '==' | '!=' | '<' | '<=' | '>' | '>=', order: number): boolean {
   switch (op) {
     case '==':
       return order === 0;
@@ -88,10 +88,10 @@
   }
 }
 
-function bits(op: '&' | '|' | '^' | '<<' | '>>' | '>>>', a: Value, b: Value): Value {
+function bitwise(op: '&' | '|' | '^' | '<<' | '>>' | '>>>', a: Value, b: Value): Value {
   if (typeof a === 'boolean' && typeof b === 'boolean' && (op === '&' || op === '|' || op === '^'))
     return op === '&' ? a && b : op === '|' ? a || b : a !== b;
-  if (typeof a !== 'bigint' || typeof b !== 'bigint') return wrong(op, a, b);
+  if (typeof a !== 'bigint' || typeof b !== 'bigint') return typeError(op, a, b);
   if (op === '&') return a & b;
   if (op === '|') return a | b;
   if (op === '^') return a ^ b;
@@ -103,7 +103,7 @@
 
 function arithmetic(op: '+' | '-' | '*' | '/' | '%', a: Value, b: Value): Value {
   const [x, y] = [numeric(a), numeric(b)];
-  if (x === null || y === null) return wrong(op, a, b);
+  if (x === null || y === null) return typeError(op, a, b);
   if (typeof x === 'bigint' && typeof y === 'bigint') {
     if ((op === '/' || op === '%') && y === 0n) return new Fault('division by zero');
     switch (op) {
--- a/src/classad/parse.ts
+++ b/src/classad/parse.ts
@@ -5,23 +5,23 @@
 /** What is wrong with a text, and where. Lines and columns begin with 1. */
 export class ClassAdError extends Error {
   constructor(
-    readonly what: string,
+    readonly reason: string,
     readonly line: number,
     readonly column: number,
   ) {
-    super(`line ${line}, column ${column}: ${what}`);
+    super(`line ${line}, column ${column}: ${reason}`);
   }
 }
 
-const mostChars = 256 * 1024;
-const most = { maxDepth: 150, maxRow: 300 };
+const maxChars = 256 * 1024;
+const nestingLimits = { maxDepth: 150, maxRow: 300 };
 
-function run(text: string, startRule: GrammarOptions['startRule']): unknown {
-  if (text.length > mostChars) throw new ClassAdError(`longer than ${mostChars} characters`, 1, 1);
+function parseWith(text: string, startRule: GrammarOptions['startRule']): unknown {
+  if (text.length > maxChars) throw new ClassAdError(`longer than ${maxChars} characters`, 1, 1);
   try {
     return parse(text, {
       startRule,
-      ...most,
+      ...nestingLimits,
       literal,
       unary,
       fault: (why) => new Fault(why),
@@ -40,13 +40,13 @@
 }
 
 /** An expression. */
-export const parseExpr = (text: string): Expr => run(text, 'Expression') as Expr;
+export const parseExpr = (text: string): Expr => parseWith(text, 'Expression') as Expr;
 
 const attributeLine = /^\s*([A-Za-z_][A-Za-z0-9_]*|'[^']+')\s*=(?![=?!])/;
 
 /** A record: in brackets, or one `Attr = expression` a line, where lines that begin with # are comments. */
 export function parseAd(text: string): Ad {
-  if (/^\s*\[/.test(text)) return run(text, 'Record') as Ad;
+  if (/^\s*\[/.test(text)) return parseWith(text, 'Record') as Ad;
   const all: Attribute[] = [];
   text.split('\n').forEach((line, i) => {
     if (line.trim() === '' || line.trimStart().startsWith('#')) return;
@@ -56,7 +56,7 @@
       all.push({ name: m[1].replace(/^'|'$/g, ''), expr: parseExpr(line.slice(m[0].length)) });
     } catch (e) {
       if (!(e instanceof ClassAdError)) throw e;
-      throw new ClassAdError(e.what, i + 1, e.column + m[0].length);
+      throw new ClassAdError(e.reason, i + 1, e.column + m[0].length);
     }
   });
   return new Ad(all);
--- a/src/classad/partial.ts
+++ b/src/classad/partial.ts
@@ -1,25 +1,25 @@
 import { Evaluation } from './evaluate.js';
-import type { Surroundings } from './evaluation-context.js';
+import type { EvaluationContext } from './evaluation-context.js';
 import { literal, type Ad, type Expr } from './expr.js';
-import { framesOf } from './scopes.js';
+import { matchScopes } from './scopes.js';
 import { functions } from './functions/index.js';
-import { sideOf } from './refs.js';
+import { matchSideOf } from './refs.js';
 import { RecordValue, type Value } from './values.js';
 
 /**
  * What is left of an expression once one side is known: all of it that does not depend on the other side, the time or chance
  * is evaluated. Evaluated against any other side, what is left comes to the same as the whole.
  */
-export function partial(e: Expr, my: Ad, around?: Surroundings): Expr {
+export function partiallyEvaluate(e: Expr, my: Ad, around?: EvaluationContext): Expr {
   const active = new Set<string>();
-  const frame = framesOf(my);
+  const frame = matchScopes(my);
 
   const fold = (x: Expr): Expr => {
     const v = new Evaluation(around).run(x, frame);
-    return writable(v) ? literal(v) : x;
+    return isPrintable(v) ? literal(v) : x;
   };
   /** One of my own attributes; null: it stays as it is written. */
-  const own = (name: string): Expr | null => {
+  const ownAttribute = (name: string): Expr | null => {
     const key = name.toLowerCase();
     const expr = my.get(name);
     if (!expr || active.has(key)) return null;
@@ -34,26 +34,26 @@
       case 'rec':
         return x;
       case 'ref':
-        return (my.has(x.name) ? own(x.name) : null) ?? x;
+        return (my.has(x.name) ? ownAttribute(x.name) : null) ?? x;
       case 'sel': {
-        const side = sideOf(x.of);
+        const side = matchSideOf(x.of);
         if (side === 'target' || (side === 'my' && my.has('my'))) return x;
-        if (side === 'my') return my.has(x.name) ? (own(x.name) ?? x) : literal(undefined);
+        if (side === 'my') return my.has(x.name) ? (ownAttribute(x.name) ?? x) : literal(undefined);
         return { ...x, of: reduce(x.of) };
       }
       case 'at': {
         const y: Expr = { k: 'at', of: reduce(x.of), index: reduce(x.index) };
-        return constant(y.of) && constant(y.index) ? fold(y) : y;
+        return isConstant(y.of) && isConstant(y.index) ? fold(y) : y;
       }
       case 'un': {
         const y: Expr = { ...x, a: reduce(x.a) };
-        return constant(y.a) ? fold(y) : y;
+        return isConstant(y.a) ? fold(y) : y;
       }
       case 'bin': {
         const y: Expr = { ...x, a: reduce(x.a), b: reduce(x.b) };
-        if (constant(y.a) && constant(y.b)) return fold(y);
+        if (isConstant(y.a) && isConstant(y.b)) return fold(y);
         // Decided by its left side alone, whatever the right one is.
-        if ((x.op === '&&' || x.op === '||') && constant(y.a)) {
+        if ((x.op === '&&' || x.op === '||') && isConstant(y.a)) {
           const alone = fold({ k: 'bin', op: x.op, a: y.a, b: literal(undefined) });
           if (alone.k === 'lit' && alone.v !== undefined) return alone;
         }
@@ -63,7 +63,7 @@
         const c = reduce(x.c);
         const a = x.a && reduce(x.a);
         const b = reduce(x.b);
-        if (!constant(c)) return { k: 'if', c, a, b };
+        if (!isConstant(c)) return { k: 'if', c, a, b };
         if (a === null) return c.k === 'lit' && c.v === undefined ? b : c;
         const which = fold({ k: 'if', c, a: literal(true), b: literal(false) });
         return which.k === 'lit' && which.v === true ? a : which.k === 'lit' && which.v === false ? b : which;
@@ -73,8 +73,8 @@
         const fn = functions.get(x.name.toLowerCase());
         const y: Expr = { k: 'call', name: x.name, args };
         // Some see their arguments as they are written.
-        if (fn?.writes) return x;
-        return args.every(constant) && !fn?.varies ? fold(y) : y;
+        if (fn?.unevaluatedArgs) return x;
+        return args.every(isConstant) && !fn?.nonDeterministic ? fold(y) : y;
       }
       case 'list':
         return { k: 'list', items: x.items.map(reduce) };
@@ -83,6 +83,6 @@
   return reduce(e);
 }
 
-const constant = (e: Expr): boolean => e.k === 'lit' || (e.k === 'list' && e.items.every(constant));
-const writable = (v: Value): boolean =>
-  !(v instanceof RecordValue) && !(Array.isArray(v) && !v.every(writable));
+const isConstant = (e: Expr): boolean => e.k === 'lit' || (e.k === 'list' && e.items.every(isConstant));
+const isPrintable = (v: Value): boolean =>
+  !(v instanceof RecordValue) && !(Array.isArray(v) && !v.every(isPrintable));
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -2,7 +2,7 @@
 import { Fault, RecordValue, type Value } from './values.js';
 
 /** How tight an operator binds; what binds less is put in brackets. */
-const binding: Record<BinaryOp, number> = {
+const precedence: Record<BinaryOp, number> = {
   '||': 2,
   '&&': 3,
   '|': 4,
@@ -54,7 +54,7 @@
 export const printName = (n: string): string =>
   /^[A-Za-z_][A-Za-z0-9_]*$/.test(n) && !reserved.test(n) ? n : quoted(n, "'");
 
-function real(n: number): string {
+function printReal(n: number): string {
   if (Number.isNaN(n)) return 'real("NaN")';
   if (!Number.isFinite(n)) return n > 0 ? 'real("INF")' : 'real("-INF")';
   if (Object.is(n, -0)) return '-0.0';
@@ -69,7 +69,7 @@
   if (v instanceof RecordValue) return printAd(v.ad);
   if (Array.isArray(v)) return v.length === 0 ? '{ }' : `{ ${v.map(printValue).join(', ')} }`;
   if (typeof v === 'string') return quoted(v, '"');
-  return typeof v === 'number' ? real(v) : String(v);
+  return typeof v === 'number' ? printReal(v) : String(v);
 }
 
 export function printAd(ad: Ad): string {
@@ -81,9 +81,9 @@
   (typeof v === 'bigint' && v < 0n) || (typeof v === 'number' && (v < 0 || Object.is(v, -0)));
 
 /** An expression; what is read of it is the same again. */
-export function printExpr(e: Expr, least = 0): string {
+export function printExpr(e: Expr, minPrecedence = 0): string {
   const [text, level] = print(e);
-  return level < least ? `(${text})` : text;
+  return level < minPrecedence ? `(${text})` : text;
 }
 
 function print(e: Expr): [string, number] {
@@ -93,13 +93,13 @@
     case 'ref':
       return [`${e.absolute ? '.' : ''}${printName(e.name)}`, postfix];
     case 'sel':
-      return [`${base(e.of)}.${printName(e.name)}`, postfix];
+      return [`${printOperand(e.of)}.${printName(e.name)}`, postfix];
     case 'at':
-      return [`${base(e.of)}[${printExpr(e.index)}]`, postfix];
+      return [`${printOperand(e.of)}[${printExpr(e.index)}]`, postfix];
     case 'un':
       return [`${e.op}${printExpr(e.a, prefix)}`, prefix];
     case 'bin': {
-      const level = binding[e.op];
+      const level = precedence[e.op];
       return [`${printExpr(e.a, level)} ${e.op} ${printExpr(e.b, level + 1)}`, level];
     }
     case 'if': {
@@ -117,7 +117,7 @@
 }
 
 /** A number before a dot would be read as another number. */
-function base(e: Expr): string {
+function printOperand(e: Expr): string {
   const text = printExpr(e, postfix);
   return e.k === 'lit' && (typeof e.v === 'bigint' || typeof e.v === 'number') && !text.startsWith('(')
     ? `(${text})`
--- a/src/classad/refs.ts
+++ b/src/classad/refs.ts
@@ -2,7 +2,7 @@
 import { functions } from './functions/index.js';
 
 /** Whether a selection is of one of the two sides: `MY.x`, `TARGET.x`. */
-export function sideOf(e: Expr): 'my' | 'target' | null {
+export function matchSideOf(e: Expr): 'my' | 'target' | null {
   if (e.k !== 'ref' || e.absolute) return null;
   const name = e.name.toLowerCase();
   return name === 'my' || name === 'target' ? name : null;
@@ -12,10 +12,10 @@
  * The names that an expression of one record asks of the other, through its own attributes, in lower case. What is only known
  * when it is evaluated (`eval`, a subscript of TARGET) is told by '*': anything.
  */
-export function asked(e: Expr, my: Ad): Set<string> {
+export function referencedAttributes(e: Expr, my: Ad): Set<string> {
   const found = new Set<string>();
   const seen = new Set<string>();
-  const mine = (name: string): void => {
+  const visitOwnAttribute = (name: string): void => {
     const key = name.toLowerCase();
     if (seen.has(key)) return;
     seen.add(key);
@@ -24,15 +24,15 @@
   };
   const visit = (x: Expr): void => {
     if (x.k === 'sel') {
-      const side = sideOf(x.of);
+      const side = matchSideOf(x.of);
       if (side === 'target') return void found.add(x.name.toLowerCase());
-      if (side === 'my') return mine(x.name);
+      if (side === 'my') return visitOwnAttribute(x.name);
     }
     if (x.k === 'ref') {
-      const side = sideOf(x);
+      const side = matchSideOf(x);
       if (side === 'target') found.add('*');
       else if (side === null) {
-        if (my.has(x.name)) mine(x.name);
+        if (my.has(x.name)) visitOwnAttribute(x.name);
         else if (!x.absolute) found.add(x.name.toLowerCase());
       }
     }
@@ -45,7 +45,7 @@
 }
 
 /** Whether time or chance decide what it comes to, as far as it is written there. */
-export function varies(e: Expr): boolean {
-  if (e.k === 'call' && functions.get(e.name.toLowerCase())?.varies) return true;
-  return children(e).some(varies);
+export function isNonDeterministic(e: Expr): boolean {
+  if (e.k === 'call' && functions.get(e.name.toLowerCase())?.nonDeterministic) return true;
+  return children(e).some(isNonDeterministic);
 }
--- a/src/classad/scopes.ts
+++ b/src/classad/scopes.ts
@@ -1,14 +1,14 @@
-import type { Ad, Frame } from './expr.js';
+import type { Ad, Scope } from './expr.js';
 
 /** Two records that look at each other; without a second, one alone. */
-export function framesOf(my: Ad, target: Ad | null = null): Frame {
-  const mine: Frame = { ad: my, parent: null, target: null };
-  if (target) mine.target = { ad: target, parent: null, target: mine };
-  return mine;
+export function matchScopes(my: Ad, target: Ad | null = null): Scope {
+  const myScope: Scope = { ad: my, parent: null, target: null };
+  if (target) myScope.target = { ad: target, parent: null, target: myScope };
+  return myScope;
 }
 
-export function rootOf(f: Frame): Frame {
-  let at = f;
-  while (at.parent) at = at.parent;
-  return at;
+export function outermostScope(scope: Scope): Scope {
+  let current = scope;
+  while (current.parent) current = current.parent;
+  return current;
 }
--- a/src/classad/values.ts
+++ b/src/classad/values.ts
@@ -1,12 +1,12 @@
-import { Fault, RecordValue, type Value } from './expr.js';
+import { ErrorValue, RecordValue, type Value } from './expr.js';
 
-export { Fault, RecordValue, type Value };
+export { ErrorValue as Fault, RecordValue, type Value };
 
 export type TypeName = 'undefined' | 'error' | 'boolean' | 'integer' | 'real' | 'string' | 'list' | 'classad';
 
 export function typeOf(v: Value): TypeName {
   if (v === undefined) return 'undefined';
-  if (v instanceof Fault) return 'error';
+  if (v instanceof ErrorValue) return 'error';
   if (Array.isArray(v)) return 'list';
   if (v instanceof RecordValue) return 'classad';
   switch (typeof v) {
@@ -31,9 +31,9 @@
 }
 
 /** As `&&`, `!` and `?` see it: numbers other than zero are true. */
-export function truth(v: Value): boolean | undefined | Fault {
-  if (typeof v === 'boolean' || v === undefined || v instanceof Fault) return v;
+export function truth(v: Value): boolean | undefined | ErrorValue {
+  if (typeof v === 'boolean' || v === undefined || v instanceof ErrorValue) return v;
   if (typeof v === 'bigint') return v !== 0n;
   if (typeof v === 'number') return v !== 0;
-  return new Fault(`a ${typeOf(v)} is neither true nor false`);
+  return new ErrorValue(`a ${typeOf(v)} is neither true nor false`);
 }
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -32,7 +32,7 @@
     return parseAd(readInput(path, fail));
   } catch (error) {
     if (error instanceof ClassAdError)
-      return failAtPosition(`${path}:${error.line}: column ${error.column}: ${error.what}`);
+      return failAtPosition(`${path}:${error.line}: column ${error.column}: ${error.reason}`);
     throw error;
   }
 }
@@ -171,7 +171,7 @@
         printLine(printValue(evaluate(parseExpr(expr), my, target, evaluationContext())));
       } catch (e) {
         if (e instanceof ClassAdError)
-          return failAtPosition(`expression:${e.line}: column ${e.column}: ${e.what}`);
+          return failAtPosition(`expression:${e.line}: column ${e.column}: ${e.reason}`);
         throw e;
       }
     });
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -9,29 +9,30 @@
   textOf,
   type Expr,
 } from '../classad/index.js';
-import { SubmitError, type Place, type Warnings } from './errors.js';
-import type { Outside } from './submit-environment.js';
-import { joinVariables, newVariables, parseArguments, parseEnvironment } from './quoting.js';
+import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
+import type { SubmitEnvironment } from './submit-environment.js';
+import { joinVariables, parseNewSyntaxVariables, parseArguments, parseEnvironment } from './quoting.js';
 
 /** What a command is given to work with: the job's attributes so far, and where it stands. */
-export interface Making {
+export interface CommandContext {
   ad: Ad;
-  at: Place;
-  outside: Outside;
+  position: SourcePosition;
+  environment: SubmitEnvironment;
   warnings: Warnings;
 }
 
-type Handler = (value: string, m: Making, name: string) => void;
+type Handler = (value: string, m: CommandContext, name: string) => void;
 
-const text = (v: string): Expr => literal(v);
-const whole = (n: number): Expr => literal(BigInt(n));
+const textLiteral = (v: string): Expr => literal(v);
+const integerLiteral = (n: number): Expr => literal(BigInt(n));
 
 /** An expression of the language; it may be put in brackets in messages only. */
-export function expression(value: string, m: Making, name: string): Expr {
+export function parseExpression(value: string, context: CommandContext, name: string): Expr {
   try {
     return parseExpr(value);
   } catch (e) {
-    if (e instanceof ClassAdError) throw new SubmitError(m.at, `${name}: column ${e.column}: ${e.what}`);
+    if (e instanceof ClassAdError)
+      throw new SubmitError(context.position, `${name}: column ${e.column}: ${e.reason}`);
     throw e;
   }
 }
@@ -39,26 +40,27 @@
 const setText =
   (attr: string): Handler =>
   (value, m) =>
-    m.ad.set(attr, text(value));
+    m.ad.set(attr, textLiteral(value));
 const setExpr =
   (attr: string): Handler =>
   (value, m, name) =>
-    m.ad.set(attr, expression(value, m, name));
-const setWhole =
+    m.ad.set(attr, parseExpression(value, m, name));
+const setInteger =
   (attr: string): Handler =>
   (value, m, name) => {
-    if (!/^-?\d+$/.test(value)) throw new SubmitError(m.at, `${name}: ${value}: must be a whole number`);
-    m.ad.set(attr, whole(Number(value)));
+    if (!/^-?\d+$/.test(value))
+      throw new SubmitError(m.position, `${name}: ${value}: must be a whole number`);
+    m.ad.set(attr, integerLiteral(Number(value)));
   };
-function boolean(value: string, m: Making, name: string): boolean {
+function parseBoolean(value: string, context: CommandContext, name: string): boolean {
   if (/^(true|yes|1|t)$/i.test(value)) return true;
   if (/^(false|no|0|f)$/i.test(value)) return false;
-  throw new SubmitError(m.at, `${name}: ${value}: must be true or false`);
+  throw new SubmitError(context.position, `${name}: ${value}: must be true or false`);
 }
 const setBoolean =
   (attr: string): Handler =>
   (value, m, name) =>
-    m.ad.set(attr, literal(boolean(value, m, name)));
+    m.ad.set(attr, literal(parseBoolean(value, m, name)));
 
 const units: Record<string, number> = { b: 1, k: 2 ** 10, m: 2 ** 20, g: 2 ** 30, t: 2 ** 40 };
 
@@ -68,60 +70,62 @@
   (value, m, name) => {
     const n = /^(\d+(?:\.\d+)?)\s*([bkmgt]?)(?:i?b)?$/i.exec(value);
     const size = n && (n[2] === '' ? unit : units[n[2].toLowerCase()]);
-    if (n && size !== null) return m.ad.set(attr, whole(Math.ceil((Number(n[1]) * size) / unit)));
+    if (n && size !== null) return m.ad.set(attr, integerLiteral(Math.ceil((Number(n[1]) * size) / unit)));
     if (/^\d/.test(value) && /[a-z]$/i.test(value) && !/[()+*/-]/.test(value))
-      throw new SubmitError(m.at, `${name}: ${value}: no such unit (K, M, G or T)`);
-    m.ad.set(attr, counted(value, m, name));
+      throw new SubmitError(m.position, `${name}: ${value}: no such unit (K, M, G or T)`);
+    m.ad.set(attr, parseCount(value, m, name));
   };
 
 /** A number, or an expression that is left to be evaluated. */
-function counted(value: string, m: Making, name: string): Expr {
-  const e = expression(value, m, name);
-  const v = evaluate(e, new Ad());
-  if (typeof v === 'bigint' || typeof v === 'number') {
-    if (v < 0) throw new SubmitError(m.at, `${name}: ${value}: must not be below zero`);
-    return literal(v);
+function parseCount(value: string, context: CommandContext, name: string): Expr {
+  const expression = parseExpression(value, context, name);
+  const result = evaluate(expression, new Ad());
+  if (typeof result === 'bigint' || typeof result === 'number') {
+    if (result < 0) throw new SubmitError(context.position, `${name}: ${value}: must not be below zero`);
+    return literal(result);
   }
-  if (e.k === 'lit') throw new SubmitError(m.at, `${name}: ${value}: must be a number`);
-  return e;
+  if (expression.k === 'lit') throw new SubmitError(context.position, `${name}: ${value}: must be a number`);
+  return expression;
 }
 
 const setCount =
-  (attr: string, least: number): Handler =>
+  (attr: string, min: number): Handler =>
   (value, m, name) => {
-    const e = counted(value, m, name);
-    if (e.k === 'lit' && Number(e.v) < least)
-      throw new SubmitError(m.at, `${name}: ${value}: must be at least ${least}`);
+    const e = parseCount(value, m, name);
+    if (e.k === 'lit' && Number(e.v) < min)
+      throw new SubmitError(m.position, `${name}: ${value}: must be at least ${min}`);
     m.ad.set(attr, e);
   };
 
-const quoted = <T>(m: Making, name: string, f: () => T): T => {
+const withPosition = <T>(context: CommandContext, name: string, parse: () => T): T => {
   try {
-    return f();
+    return parse();
   } catch (e) {
-    throw new SubmitError(m.at, `${name}: ${String((e as Error).message)}`);
+    throw new SubmitError(context.position, `${name}: ${String((e as Error).message)}`);
   }
 };
 
-function setEnvironment(m: Making, value: string, isNew: boolean): void {
-  m.ad.set('Env', text(value));
-  if (isNew) m.ad.set('Environment', text(value));
+function setEnvironment(context: CommandContext, value: string, isNew: boolean): void {
+  context.ad.set('Env', textLiteral(value));
+  if (isNew) context.ad.set('Environment', textLiteral(value));
 }
 
 const universes: Record<string, number> = { vanilla: 5, '5': 5, local: 12, '12': 12, parallel: 11, '11': 11 };
 const notifications: Record<string, number> = { never: 0, always: 1, complete: 2, error: 3 };
 
 /** Whole environments or parts of it that are taken along. */
-function taken(value: string, m: Making): [string, string][] {
-  const all = Object.entries(m.outside.env).filter((e): e is [string, string] => e[1] !== undefined);
+function selectVariables(value: string, context: CommandContext): [string, string][] {
+  const all = Object.entries(context.environment.env).filter(
+    (e): e is [string, string] => e[1] !== undefined,
+  );
   if (/^(true|yes)$/i.test(value)) return all;
   if (/^(false|no)$/i.test(value)) return [];
   const patterns = value.split(/[\s,]+/).filter((p) => p !== '');
-  const form = (p: string): RegExp =>
+  const toRegExp = (p: string): RegExp =>
     new RegExp(`^${p.replace(/[.+?^${}()|[\]\\]/g, '\\$&').replaceAll('*', '.*')}$`);
-  const out = patterns.filter((p) => p.startsWith('!')).map((p) => form(p.slice(1)));
-  const into = patterns.filter((p) => !p.startsWith('!')).map(form);
-  return all.filter(([n]) => into.some((p) => p.test(n)) && !out.some((p) => p.test(n)));
+  const excluded = patterns.filter((p) => p.startsWith('!')).map((p) => toRegExp(p.slice(1)));
+  const included = patterns.filter((p) => !p.startsWith('!')).map(toRegExp);
+  return all.filter(([n]) => included.some((p) => p.test(n)) && !excluded.some((p) => p.test(n)));
 }
 
 /** In this order they are worked off, whatever the order in the file: later ones may need earlier ones. */
@@ -129,36 +133,37 @@
   universe: (value, m, name) => {
     const u = universes[value.toLowerCase()];
     if (u === undefined)
-      throw new SubmitError(m.at, `${name}: ${value}: not supported (vanilla, local and parallel are)`);
-    m.ad.set('JobUniverse', whole(u));
+      throw new SubmitError(m.position, `${name}: ${value}: not supported (vanilla, local and parallel are)`);
+    m.ad.set('JobUniverse', integerLiteral(u));
   },
-  initialdir: (value, m) => m.ad.set('Iwd', text(resolve(m.outside.cwd, value))),
+  initialdir: (value, m) => m.ad.set('Iwd', textLiteral(resolve(m.environment.cwd, value))),
   executable: (value, m, name) => {
-    if (value === '') throw new SubmitError(m.at, `${name}: must not be empty`);
-    m.ad.set('Cmd', text(resolve(m.outside.cwd, value)));
+    if (value === '') throw new SubmitError(m.position, `${name}: must not be empty`);
+    m.ad.set('Cmd', textLiteral(resolve(m.environment.cwd, value)));
   },
   arguments: (value, m, name) => {
-    const a = quoted(m, name, () => parseArguments(value));
-    m.ad.set('Args', text(a.text));
-    if (a.isNew) m.ad.set('Arguments', text(a.text));
+    const a = withPosition(m, name, () => parseArguments(value));
+    m.ad.set('Args', textLiteral(a.text));
+    if (a.isNew) m.ad.set('Arguments', textLiteral(a.text));
   },
   getenv: (value, m) => {
-    const vars = taken(value, m);
+    const vars = selectVariables(value, m);
     if (vars.length > 0) setEnvironment(m, joinVariables(vars), true);
   },
   environment: (value, m, name) => {
-    const e = quoted(m, name, () => parseEnvironment(value));
+    const e = withPosition(m, name, () => parseEnvironment(value));
     const before = textOf(m.ad.get('Environment'));
     if (before === null) return setEnvironment(m, e.text, e.isNew);
     // After getenv: what is named here wins.
     const names = new Set(e.vars.map(([n]) => n));
-    const kept = newVariables(before).filter(([n]) => !names.has(n));
+    const kept = parseNewSyntaxVariables(before).filter(([n]) => !names.has(n));
     setEnvironment(m, joinVariables([...kept, ...e.vars]), true);
   },
   input: setText('In'),
   output: setText('Out'),
   error: setText('Err'),
-  log: (value, m) => m.ad.set('UserLog', text(resolve(textOf(m.ad.get('Iwd')) ?? m.outside.cwd, value))),
+  log: (value, m) =>
+    m.ad.set('UserLog', textLiteral(resolve(textOf(m.ad.get('Iwd')) ?? m.environment.cwd, value))),
   request_cpus: setCount('RequestCpus', 1),
   request_memory: setAmount('RequestMemory', units['m']),
   request_disk: setAmount('RequestDisk', units['k']),
@@ -169,14 +174,14 @@
   },
   requirements: setExpr('Requirements'),
   rank: setExpr('Rank'),
-  priority: setWhole('JobPrio'),
-  max_retries: setWhole('JobMaxRetries'),
-  success_exit_code: setWhole('JobSuccessExitCode'),
+  priority: setInteger('JobPrio'),
+  max_retries: setInteger('JobMaxRetries'),
+  success_exit_code: setInteger('JobSuccessExitCode'),
   retry_until: (value, m, name) => {
-    const e = expression(value, m, name);
+    const e = parseExpression(value, m, name);
     m.ad.set(
       'RetryUntil',
-      e.k === 'lit' && typeof e.v === 'bigint' ? expression(`ExitCode =?= ${e.v}`, m, name) : e,
+      e.k === 'lit' && typeof e.v === 'bigint' ? parseExpression(`ExitCode =?= ${e.v}`, m, name) : e,
     );
   },
   periodic_hold: setExpr('PeriodicHold'),
@@ -189,10 +194,10 @@
   on_exit_hold_subcode: setExpr('OnExitHoldSubCode'),
   on_exit_remove: setExpr('OnExitRemove'),
   hold: (value, m, name) => {
-    if (!boolean(value, m, name)) return;
-    m.ad.set('JobStatus', whole(5));
-    m.ad.set('HoldReason', text("submitted on hold at user's request"));
-    m.ad.set('HoldReasonCode', whole(15));
+    if (!parseBoolean(value, m, name)) return;
+    m.ad.set('JobStatus', integerLiteral(5));
+    m.ad.set('HoldReason', textLiteral("submitted on hold at user's request"));
+    m.ad.set('HoldReasonCode', integerLiteral(15));
   },
   leave_in_queue: setExpr('LeaveJobInQueue'),
   deferral_time: setExpr('DeferralTime'),
@@ -202,15 +207,15 @@
   accounting_group_user: setText('AcctGroupUser'),
   batch_name: setText('JobBatchName'),
   description: setText('JobDescription'),
-  allowed_execute_duration: setWhole('AllowedExecuteDuration'),
-  allowed_job_duration: setWhole('AllowedJobDuration'),
+  allowed_execute_duration: setInteger('AllowedExecuteDuration'),
+  allowed_job_duration: setInteger('AllowedJobDuration'),
   nice_user: setBoolean('NiceUser'),
   notification: (value, m, name) => {
     const n = notifications[value.toLowerCase()];
     if (n === undefined)
-      throw new SubmitError(m.at, `${name}: ${value}: must be always, complete, error or never`);
-    m.ad.set('JobNotification', whole(n));
-    if (n !== 0) m.warnings.add(m.at, `${name}: accepted, but no mail is sent`);
+      throw new SubmitError(m.position, `${name}: ${value}: must be always, complete, error or never`);
+    m.ad.set('JobNotification', integerLiteral(n));
+    if (n !== 0) m.warnings.add(m.position, `${name}: accepted, but no mail is sent`);
   },
 };
 
@@ -242,7 +247,7 @@
 };
 
 /** Accepted, because the job is the same without it; what is different is said. */
-export const harmless: Record<string, string> = {
+export const ignoredCommands: Record<string, string> = {
   should_transfer_files: 'no files are transferred: jobs run in their initial directory',
   when_to_transfer_output: 'no files are transferred: jobs run in their initial directory',
   transfer_input_files: 'no files are transferred: jobs run in their initial directory',
@@ -282,7 +287,7 @@
 };
 
 /** Without these a job would be another one. */
-export const refused: Record<string, string> = {
+export const unsupportedCommands: Record<string, string> = {
   docker_image: 'containers are not supported',
   container_image: 'containers are not supported',
   container_target_dir: 'containers are not supported',
@@ -320,40 +325,40 @@
 };
 
 /** The attributes that follow from others, once all commands are done. */
-export function finish(m: Making): void {
-  const { ad } = m;
-  const given = (name: string): boolean => ad.has(name);
+export function addDerivedAttributes(context: CommandContext): void {
+  const { ad } = context;
+  const isSet = (name: string): boolean => ad.has(name);
   const retries = ad.get('JobMaxRetries');
-  if (!given('OnExitRemove') && (retries || given('RetryUntil') || given('JobSuccessExitCode'))) {
-    if (!retries) ad.set('JobMaxRetries', whole(2));
+  if (!isSet('OnExitRemove') && (retries || isSet('RetryUntil') || isSet('JobSuccessExitCode'))) {
+    if (!retries) ad.set('JobMaxRetries', integerLiteral(2));
     const code = ad.get('JobSuccessExitCode');
-    const ok = code ? `ExitCode =?= ${printExpr(code)}` : 'ExitCode =?= 0';
+    const succeeded = code ? `ExitCode =?= ${printExpr(code)}` : 'ExitCode =?= 0';
     const until = ad.get('RetryUntil');
-    const more = until ? ` || ${printExpr(until, 3)}` : '';
-    ad.set('OnExitRemove', parseExpr(`NumJobCompletions > JobMaxRetries || ${ok}${more}`));
+    const alternative = until ? ` || ${printExpr(until, 3)}` : '';
+    ad.set('OnExitRemove', parseExpr(`NumJobCompletions > JobMaxRetries || ${succeeded}${alternative}`));
   }
   const group = ad.get('AcctGroup');
   const user = ad.get('AcctGroupUser');
   if (group?.k === 'lit') {
-    const name = textOf(user) ?? m.outside.user;
-    ad.set('AccountingGroup', text(`${String(group.v)}.${name}`));
+    const name = textOf(user) ?? context.environment.user;
+    ad.set('AccountingGroup', textLiteral(`${String(group.v)}.${name}`));
   }
 }
 
 /** What every job has. */
-export function defaults(m: Making): void {
-  const { ad } = m;
-  ad.set('JobUniverse', whole(5));
-  ad.set('Owner', text(m.outside.user));
-  ad.set('JobStatus', whole(1));
-  ad.set('JobPrio', whole(0));
-  ad.set('Iwd', text(m.outside.cwd));
-  ad.set('In', text('/dev/null'));
-  ad.set('Out', text('/dev/null'));
-  ad.set('Err', text('/dev/null'));
-  ad.set('RequestCpus', whole(1));
-  ad.set('RequestMemory', whole(128));
-  ad.set('RequestDisk', whole(1024));
+export function addDefaultAttributes(context: CommandContext): void {
+  const { ad } = context;
+  ad.set('JobUniverse', integerLiteral(5));
+  ad.set('Owner', textLiteral(context.environment.user));
+  ad.set('JobStatus', integerLiteral(1));
+  ad.set('JobPrio', integerLiteral(0));
+  ad.set('Iwd', textLiteral(context.environment.cwd));
+  ad.set('In', textLiteral('/dev/null'));
+  ad.set('Out', textLiteral('/dev/null'));
+  ad.set('Err', textLiteral('/dev/null'));
+  ad.set('RequestCpus', integerLiteral(1));
+  ad.set('RequestMemory', integerLiteral(128));
+  ad.set('RequestDisk', integerLiteral(1024));
   ad.set('Requirements', literal(true));
   ad.set('Rank', literal(0));
   ad.set('LeaveJobInQueue', literal(false));
--- a/src/condor/errors.ts
+++ b/src/condor/errors.ts
@@ -1,5 +1,5 @@
 /** Where something stands: a file as it was named, and a line, from 1. */
-export interface Place {
+export interface SourcePosition {
   file: string;
   line: number;
 }
@@ -7,22 +7,22 @@
 /** What is wrong with a submit file, in the form that editors understand. */
 export class SubmitError extends Error {
   constructor(
-    readonly at: Place,
-    readonly what: string,
+    readonly position: SourcePosition,
+    readonly reason: string,
   ) {
-    super(`${at.file}:${at.line}: ${what}`);
+    super(`${position.file}:${position.line}: ${reason}`);
   }
 }
 
 /** Things that are worth a word, each once. */
 export class Warnings {
-  private readonly said = new Set<string>();
+  private readonly messages = new Set<string>();
 
-  add(at: Place, what: string): void {
-    this.said.add(`${at.file}:${at.line}: warning: ${what}`);
+  add(position: SourcePosition, text: string): void {
+    this.messages.add(`${position.file}:${position.line}: warning: ${text}`);
   }
 
   get all(): string[] {
-    return [...this.said];
+    return [...this.messages];
   }
 }
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -1,138 +1,170 @@
 import { basename, dirname, extname, resolve } from 'node:path';
 import { sprintf } from 'sprintf-js';
 import { Ad, ClassAdError, evaluate, parseExpr, printValue, type Value } from '../classad/index.js';
-import { SubmitError, type Place, type Warnings } from './errors.js';
-import type { Outside } from './submit-environment.js';
+import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
+import type { SubmitEnvironment } from './submit-environment.js';
 
 export interface Macro {
   name: string;
   value: string;
-  at: Place;
+  position: SourcePosition;
 }
 
 /** Values that differ from job to job, by name in lower case. */
-export type PerJob = ReadonlyMap<string, string>;
+export type PerJobValues = ReadonlyMap<string, string>;
 
-const none: PerJob = new Map();
-const mostChars = 1024 * 1024;
-const mostDeep = 50;
-const nameForm = /^[A-Za-z_][\w.]*$/;
+const noPerJobValues: PerJobValues = new Map();
+const maxExpandedChars = 1024 * 1024;
+const maxNesting = 50;
+const namePattern = /^[A-Za-z_][\w.]*$/;
 
 /** The names that a submit file has set, and the expansion of what refers to them. */
 export class Macros {
-  private set = new Map<string, Macro>();
+  private macros = new Map<string, Macro>();
   /** Names that something referred to, in lower case. */
   readonly used = new Set<string>();
   /** Whether the last expansion took anything that differs from job to job. */
-  varied = false;
+  dependsOnJob = false;
 
   constructor(
-    private readonly outside: Outside,
+    private readonly environment: SubmitEnvironment,
     private readonly warnings: Warnings,
-    private readonly fixed: ReadonlyMap<string, string>,
+    private readonly predefined: ReadonlyMap<string, string>,
   ) {}
 
   /** As it is now: what is set later does not change it. */
   snapshot(): Macros {
-    const copy = new Macros(this.outside, this.warnings, this.fixed);
-    copy.set = new Map(this.set);
+    const copy = new Macros(this.environment, this.warnings, this.predefined);
+    copy.macros = new Map(this.macros);
     for (const u of this.used) copy.used.add(u);
     return copy;
   }
 
   get(name: string): Macro | undefined {
-    return this.set.get(name.toLowerCase());
+    return this.macros.get(name.toLowerCase());
   }
 
   get all(): Iterable<Macro> {
-    return this.set.values();
+    return this.macros.values();
   }
 
   /** A value that names itself means what the name meant before. */
-  assign(name: string, value: string, at: Place): void {
+  assign(name: string, value: string, position: SourcePosition): void {
     const key = name.toLowerCase();
-    const before = this.set.get(key);
-    const own = new RegExp(`\\$\\(\\s*${key.replaceAll('.', '\\.')}\\s*(?::([^()]*))?\\)`, 'gi');
-    const text = value.replace(own, (_, fallback: string | undefined) => {
-      if (before) return before.value;
+    const previous = this.macros.get(key);
+    const selfReference = new RegExp(`\\$\\(\\s*${key.replaceAll('.', '\\.')}\\s*(?::([^()]*))?\\)`, 'gi');
+    const text = value.replace(selfReference, (_, fallback: string | undefined) => {
+      if (previous) return previous.value;
       if (fallback !== undefined) return fallback;
-      throw new SubmitError(at, `${name}: refers to itself, and had no value before`);
+      throw new SubmitError(position, `${name}: refers to itself, and had no value before`);
     });
-    this.set.set(key, { name, value: text, at });
+    this.macros.set(key, { name, value: text, position });
   }
 
-  expand(text: string, at: Place, perJob: PerJob = none): string {
-    this.varied = false;
-    return text.includes('$') ? this.fill(text, at, perJob, []) : text;
+  expand(text: string, position: SourcePosition, perJob: PerJobValues = noPerJobValues): string {
+    this.dependsOnJob = false;
+    return text.includes('$') ? this.expandReferences(text, position, perJob, []) : text;
   }
 
-  private fill(text: string, at: Place, perJob: PerJob, stack: readonly string[]): string {
-    let out = '';
+  private expandReferences(
+    text: string,
+    position: SourcePosition,
+    perJob: PerJobValues,
+    stack: readonly string[],
+  ): string {
+    let expanded = '';
     for (let i = 0; i < text.length;) {
       const dollar = text.indexOf('$', i);
-      if (dollar < 0) return out + text.slice(i);
-      out += text.slice(i, dollar);
+      if (dollar < 0) return expanded + text.slice(i);
+      expanded += text.slice(i, dollar);
       if (text.startsWith('$$(', dollar))
-        throw new SubmitError(at, `$$(): substitution from the matched machine is not supported`);
+        throw new SubmitError(position, `$$(): substitution from the matched machine is not supported`);
       const open = /^\$([A-Za-z_]*)\(/.exec(text.slice(dollar, dollar + 40));
       if (!open) {
-        out += '$';
+        expanded += '$';
         i = dollar + 1;
         continue;
       }
       const from = dollar + open[0].length;
-      const to = closing(text, from);
-      if (to < 0) throw new SubmitError(at, `${text.slice(dollar, dollar + 20)}: bracket not closed`);
+      const to = closingBracket(text, from);
+      if (to < 0) throw new SubmitError(position, `${text.slice(dollar, dollar + 20)}: bracket not closed`);
       const body = text.slice(from, to);
-      const inner = body.includes('$') ? this.fill(body, at, perJob, stack) : body;
-      out +=
-        open[1] === '' ? this.value(inner, at, perJob, stack) : this.call(open[1], inner, at, perJob, stack);
-      if (out.length > mostChars) throw new SubmitError(at, `expands to more than ${mostChars} characters`);
+      const inner = body.includes('$') ? this.expandReferences(body, position, perJob, stack) : body;
+      expanded +=
+        open[1] === ''
+          ? this.valueOf(inner, position, perJob, stack)
+          : this.callFunction(open[1], inner, position, perJob, stack);
+      if (expanded.length > maxExpandedChars)
+        throw new SubmitError(position, `expands to more than ${maxExpandedChars} characters`);
       i = to + 1;
     }
-    return out;
+    return expanded;
   }
 
-  private value(body: string, at: Place, perJob: PerJob, stack: readonly string[]): string {
+  private valueOf(
+    body: string,
+    position: SourcePosition,
+    perJob: PerJobValues,
+    stack: readonly string[],
+  ): string {
     const colon = body.indexOf(':');
     const name = (colon < 0 ? body : body.slice(0, colon)).trim();
-    if (!nameForm.test(name)) throw new SubmitError(at, `$(${body}): not a name`);
-    const found = this.lookup(name, at, perJob, stack);
+    if (!namePattern.test(name)) throw new SubmitError(position, `$(${body}): not a name`);
+    const found = this.lookup(name, position, perJob, stack);
     if (found !== null) return found;
     if (colon >= 0) return body.slice(colon + 1);
-    this.warnings.add(at, `$(${name}) has no value: taken as empty`);
+    this.warnings.add(position, `$(${name}) has no value: taken as empty`);
     return '';
   }
 
   /** null: nobody has set it. */
-  private lookup(name: string, at: Place, perJob: PerJob, stack: readonly string[]): string | null {
+  private lookup(
+    name: string,
+    position: SourcePosition,
+    perJob: PerJobValues,
+    stack: readonly string[],
+  ): string | null {
     const key = name.toLowerCase();
     this.used.add(key);
     if (key === 'dollar') return '$';
-    if (stack.includes(key)) throw new SubmitError(at, `${[...stack, key].join(' -> ')}: refers to itself`);
-    if (stack.length >= mostDeep) throw new SubmitError(at, `${name}: more than ${mostDeep} names deep`);
-    const own = perJob.get(key);
-    if (own !== undefined) {
-      this.varied = true;
-      return own.includes('$') ? this.fill(own, at, perJob, [...stack, key]) : own;
+    if (stack.includes(key))
+      throw new SubmitError(position, `${[...stack, key].join(' -> ')}: refers to itself`);
+    if (stack.length >= maxNesting)
+      throw new SubmitError(position, `${name}: more than ${maxNesting} names deep`);
+    const perJobValue = perJob.get(key);
+    if (perJobValue !== undefined) {
+      this.dependsOnJob = true;
+      return perJobValue.includes('$')
+        ? this.expandReferences(perJobValue, position, perJob, [...stack, key])
+        : perJobValue;
     }
-    const m = this.set.get(key);
-    if (m) return m.value.includes('$') ? this.fill(m.value, m.at, perJob, [...stack, key]) : m.value;
-    return this.fixed.get(key) ?? null;
+    const macro = this.macros.get(key);
+    if (macro)
+      return macro.value.includes('$')
+        ? this.expandReferences(macro.value, macro.position, perJob, [...stack, key])
+        : macro.value;
+    return this.predefined.get(key) ?? null;
   }
 
   // ---- functions ----
 
-  private call(name: string, body: string, at: Place, perJob: PerJob, stack: readonly string[]): string {
+  private callFunction(
+    name: string,
+    body: string,
+    position: SourcePosition,
+    perJob: PerJobValues,
+    stack: readonly string[],
+  ): string {
     const fail = (what: string): never => {
-      throw new SubmitError(at, `$${name}(${body}): ${what}`);
+      throw new SubmitError(position, `$${name}(${body}): ${what}`);
     };
     const args = body.split(',').map((a) => a.trim());
     /** An argument may name a macro, or stand for itself. */
-    const meant = (a: string): string => (nameForm.test(a) ? (this.lookup(a, at, perJob, stack) ?? a) : a);
+    const resolveArgument = (a: string): string =>
+      namePattern.test(a) ? (this.lookup(a, position, perJob, stack) ?? a) : a;
     const value = (a: string): Value => {
       try {
-        return evaluate(parseExpr(meant(a)), new Ad());
+        return evaluate(parseExpr(resolveArgument(a)), new Ad());
       } catch (e) {
         if (e instanceof ClassAdError) return fail(e.message);
         throw e;
@@ -153,7 +185,8 @@
         const colon = body.indexOf(':');
         const key = (colon < 0 ? body : body.slice(0, colon)).trim();
         return (
-          this.outside.env[key] ?? (colon < 0 ? fail('not set in the environment') : body.slice(colon + 1))
+          this.environment.env[key] ??
+          (colon < 0 ? fail('not set in the environment') : body.slice(colon + 1))
         );
       }
       case 'INT':
@@ -171,7 +204,7 @@
       case 'CHOICE': {
         const list =
           args.length === 2
-            ? meant(args[1])
+            ? resolveArgument(args[1])
                 .split(',')
                 .map((a) => a.trim())
             : args.slice(1);
@@ -179,58 +212,58 @@
         return list[i] ?? fail(`there is no choice ${i} of ${list.length}`);
       }
       case 'SUBSTR': {
-        const s = meant(args[0]);
+        const s = resolveArgument(args[0]);
         const start = number(args[1] ?? fail('a start is missing'));
         const from = start < 0 ? Math.max(0, s.length + start) : start;
         const length = args[2] === undefined ? s.length : number(args[2]);
         return length < 0 ? s.slice(from, length) : s.slice(from, from + length);
       }
       case 'RANDOM_CHOICE':
-        this.varied = true;
-        return args[Math.floor(this.outside.random() * args.length)];
+        this.dependsOnJob = true;
+        return args[Math.floor(this.environment.random() * args.length)];
       case 'RANDOM_INTEGER': {
-        this.varied = true;
-        const [least, most, step] = [
+        this.dependsOnJob = true;
+        const [min, max, step] = [
           number(args[0]),
           number(args[1] ?? fail('a limit is missing')),
           number(args[2] ?? '1'),
         ];
-        if (most < least || step < 1) return fail('an empty range');
-        return String(least + step * Math.floor((this.outside.random() * (most - least + step)) / step));
+        if (max < min || step < 1) return fail('an empty range');
+        return String(min + step * Math.floor((this.environment.random() * (max - min + step)) / step));
       }
       case 'BASENAME':
-        return basename(meant(args[0]));
+        return basename(resolveArgument(args[0]));
       case 'DIRNAME':
-        return dirname(meant(args[0]));
+        return dirname(resolveArgument(args[0]));
     }
     if (/^F[abdfnpquwx]*$/i.test(name))
-      return parts(name.slice(1).toLowerCase(), meant(args[0]), this.outside.cwd);
+      return fileNameParts(name.slice(1).toLowerCase(), resolveArgument(args[0]), this.environment.cwd);
     return fail('no such function');
   }
 }
 
 /** Parts of a file's name: `p` path, `d` last folder, `n` name, `x` ending; `f` from the root; `q` in quotes. */
-function parts(letters: string, file: string, cwd: string): string {
+function fileNameParts(letters: string, file: string, cwd: string): string {
   const path = letters.includes('f') ? resolve(cwd, file) : file;
   const has = (l: string): boolean => letters.includes(l);
   const slash = path.lastIndexOf('/');
   const folder = slash < 0 ? '' : path.slice(0, slash + 1);
   const ending = extname(path);
-  let out = '';
-  if (has('p')) out += folder;
-  else if (has('d')) out += folder === '' ? '' : `${basename(folder)}/`;
-  if (has('b') && !has('n') && !has('x')) out = out.replace(/\/$/, '');
-  if (has('n')) out += basename(path, ending);
-  if (has('x')) out += has('b') && !has('n') ? ending.slice(1) : ending;
-  if (!/[pdnx]/.test(letters)) out = path;
-  if (has('w')) out = out.replaceAll('/', '\\');
-  if (has('u')) out = out.replaceAll('\\', '/');
-  if (has('q')) return has('a') ? `'${out}'` : `"${out}"`;
-  return out;
+  let result = '';
+  if (has('p')) result += folder;
+  else if (has('d')) result += folder === '' ? '' : `${basename(folder)}/`;
+  if (has('b') && !has('n') && !has('x')) result = result.replace(/\/$/, '');
+  if (has('n')) result += basename(path, ending);
+  if (has('x')) result += has('b') && !has('n') ? ending.slice(1) : ending;
+  if (!/[pdnx]/.test(letters)) result = path;
+  if (has('w')) result = result.replaceAll('/', '\\');
+  if (has('u')) result = result.replaceAll('\\', '/');
+  if (has('q')) return has('a') ? `'${result}'` : `"${result}"`;
+  return result;
 }
 
 /** The bracket that closes the one before `from`; -1: none. */
-export function closing(text: string, from: number): number {
+export function closingBracket(text: string, from: number): number {
   let depth = 1;
   for (let i = from; i < text.length; i++)
     if (text[i] === '(') depth++;
--- a/src/condor/quoting.ts
+++ b/src/condor/quoting.ts
@@ -1,9 +1,9 @@
-/** Arguments and environments, in both syntaxes of the manual. Problems are thrown as text. */
+/** ParsedArguments and environments, in both syntaxes of the manual. Problems are thrown as text. */
 
-const isNew = (text: string): boolean => text.startsWith('"');
+const isNewSyntax = (text: string): boolean => text.startsWith('"');
 
 /** What stands between the double quotes of the new syntax, with `""` for one of them. */
-function unquoted(text: string): string {
+function unquote(text: string): string {
   if (text.length < 2 || !text.endsWith('"')) throw new Error('a double quote is not closed');
   const inside = text.slice(1, -1);
   if (/"/.test(inside.replaceAll('""', '')))
@@ -37,16 +37,16 @@
 const joinWords = (words: readonly string[]): string =>
   words.map((w) => (w === '' || /[\s']/.test(w) ? `'${w.replaceAll("'", "''")}'` : w)).join(' ');
 
-export interface Arguments {
-  /** As it goes into the job's record: `Args` in the old syntax, `Arguments` in the new one. */
+export interface ParsedArguments {
+  /** As it goes into the job's record: `Args` in the old syntax, `ParsedArguments` in the new one. */
   text: string;
   isNew: boolean;
   argv: string[];
 }
 
-export function parseArguments(value: string): Arguments {
-  if (isNew(value)) {
-    const text = unquoted(value);
+export function parseArguments(value: string): ParsedArguments {
+  if (isNewSyntax(value)) {
+    const text = unquote(value);
     return { text, isNew: true, argv: splitWords(text) };
   }
   if (/(^|[^\\])"/.test(value))
@@ -55,30 +55,31 @@
   return { text, isNew: false, argv: text.split(/\s+/).filter((w) => w !== '') };
 }
 
-export interface Environment {
+export interface ParsedEnvironment {
   text: string;
   isNew: boolean;
   vars: [string, string][];
 }
 
-export function parseEnvironment(value: string): Environment {
-  if (!isNew(value)) {
+export function parseEnvironment(value: string): ParsedEnvironment {
+  if (!isNewSyntax(value)) {
     const entries = value.split(';').filter((e) => e.trim() !== '');
-    return { text: value, isNew: false, vars: entries.map(variable) };
+    return { text: value, isNew: false, vars: entries.map(parseVariable) };
   }
-  const text = unquoted(value);
-  return { text, isNew: true, vars: newVariables(text) };
+  const text = unquote(value);
+  return { text, isNew: true, vars: parseNewSyntaxVariables(text) };
 }
 
 /** Of the new syntax, without its outer quotes. */
-export const newVariables = (text: string): [string, string][] => splitWords(text).map(variable);
+export const parseNewSyntaxVariables = (text: string): [string, string][] =>
+  splitWords(text).map(parseVariable);
 
 export const joinVariables = (vars: readonly [string, string][]): string =>
   joinWords(vars.map(([n, v]) => `${n}=${v}`));
 
-function variable(e: string): [string, string] {
-  const at = e.indexOf('=');
-  const name = e.slice(0, Math.max(at, 0)).trim();
-  if (!/^[A-Za-z_]\w*$/.test(name)) throw new Error(`${e}: expected NAME=VALUE`);
-  return [name, e.slice(at + 1)];
+function parseVariable(entry: string): [string, string] {
+  const separator = entry.indexOf('=');
+  const name = entry.slice(0, Math.max(separator, 0)).trim();
+  if (!/^[A-Za-z_]\w*$/.test(name)) throw new Error(`${entry}: expected NAME=VALUE`);
+  return [name, entry.slice(separator + 1)];
 }
--- a/src/condor/submit-environment.ts
+++ b/src/condor/submit-environment.ts
@@ -1,5 +1,5 @@
 /** What a submit file may see of the machine on which it is submitted. */
-export interface Outside {
+export interface SubmitEnvironment {
   cwd: string;
   env: Readonly<Record<string, string | undefined>>;
   user: string;
@@ -9,5 +9,5 @@
   /** null: it cannot be read. */
   read(path: string): string | null;
   /** Names that match, sorted, as the pattern was given: relative or not. */
-  glob(pattern: string, what: 'files' | 'dirs' | 'any'): string[];
+  glob(pattern: string, type: 'files' | 'dirs' | 'any'): string[];
 }
--- a/src/condor/submit-host.ts
+++ b/src/condor/submit-host.ts
@@ -1,10 +1,10 @@
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
 import { globSync } from 'tinyglobby';
-import type { Outside } from './submit-environment.js';
+import type { SubmitEnvironment } from './submit-environment.js';
 
 /** This machine, as submit files see it. */
-export function here(): Outside {
+export function submitHost(): SubmitEnvironment {
   const cwd = process.cwd();
   return {
     cwd,
@@ -27,7 +27,7 @@
         onlyDirectories: what === 'dirs',
         expandDirectories: false,
       })
-        .map((f) => f.replace(/\/$/, ''))
+        .map((path) => path.replace(/\/$/, ''))
         .sort(),
   };
 }
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -203,7 +203,7 @@
     const submission = new Submission(text, 'x.sub', outside);
     const groups = [...submission.groups()];
     assert.deepEqual(
-      groups.map((g) => [g.first, g.count, g.marked]),
+      groups.map((g) => [g.first, g.count, g.numbered]),
       [
         [0, 3, true],
         [3, 1, false],
