--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -2,7 +2,7 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { freePort } from '../src/net/port.js';
+import { findFreePort } from '../src/net/port.js';
 import { Latency, processFigures, sumOf, type CellFigures, type FaultFigures } from './figures.js';
 import {
   noWorkers,
@@ -188,8 +188,8 @@
     for (let i = 0; i < controllersInCell; i++)
       members.push({
         name: `picker-${i}`,
-        publicAddress: `127.0.0.1:${await freePort()}`,
-        peerAddress: `127.0.0.1:${await freePort()}`,
+        publicAddress: `127.0.0.1:${await findFreePort()}`,
+        peerAddress: `127.0.0.1:${await findFreePort()}`,
       });
     const root = fileURLToPath(new URL('../../../', import.meta.url));
     const program = fileURLToPath(new URL('../src/main.js', import.meta.url));
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -1,6 +1,6 @@
 /** The stand-in of the cloud: rents machines of one type, lists them late, gives them back when their workers are gone. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { readJson, replyJson } from '../src/net/json.js';
+import { readJson, sendJson } from '../src/net/json.js';
 import type { Random } from '../src/retry/index.js';
 import type { MachineSpec, PlatformStart } from './messages.js';
 import { TokenBucket } from './state-service.js';
@@ -71,7 +71,7 @@
     const answer = this.requests.take(1)
       ? await this.answer(`${req.method} ${url.pathname}`, url.searchParams, body)
       : { status: 429, body: { error: 'too many requests' } };
-    replyJson(res, answer.status, answer.body);
+    sendJson(res, answer.status, answer.body);
   }
 
   private async answer(route: string, query: URLSearchParams, body: unknown): Promise<Answer> {
--- a/scale/users.ts
+++ b/scale/users.ts
@@ -1,6 +1,6 @@
 /** The process of the hollow users: they submit, poll, retry and cancel as the protocol says. */
 import { Agent } from 'node:http';
-import { callOnce, type Reply } from '../src/net/client.js';
+import { requestJson, type JsonResponse } from '../src/net/client.js';
 import { seeded, type Random } from '../src/retry/index.js';
 import { jobPath, plainSubmission, withdrawEnd } from '../src/wire/user.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
@@ -35,17 +35,22 @@
     setInterval(() => void this.probe(), probeEveryMs);
   }
 
-  async call(method: string, path: string, body: object | null, patienceMs: number): Promise<Reply | null> {
+  async call(
+    method: string,
+    path: string,
+    body: object | null,
+    patienceMs: number,
+  ): Promise<JsonResponse | null> {
     const candidates = this.addresses.filter((_, i) => this.healthy[i]);
     const open = candidates.length > 0 ? candidates : this.addresses;
     const address = open[Math.floor(this.random() * open.length)];
-    return callOnce(this.agent, address, method, path, body, patienceMs);
+    return requestJson(this.agent, address, method, path, body, patienceMs);
   }
 
   private async probe(): Promise<void> {
     await Promise.all(
       this.addresses.map(async (address, i) => {
-        const reply = await callOnce(this.agent, address, 'GET', '/healthz', null, probeEveryMs);
+        const reply = await requestJson(this.agent, address, 'GET', '/healthz', null, probeEveryMs);
         this.healthy[i] = reply?.status === 200;
       }),
     );
@@ -179,7 +184,7 @@
     path: string,
     body: object | null,
     patienceMs: number,
-  ): Promise<Reply | null> {
+  ): Promise<JsonResponse | null> {
     this.counts.requests++;
     const reply = await this.balancer.call(method, path, body, patienceMs);
     if (reply === null || reply.status >= 429) this.counts.unavailable++;
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -2,7 +2,7 @@
 import { Agent } from 'node:http';
 import { taskKey } from '../src/model/job.js';
 import type { TaskOrder } from '../src/model/heartbeat.js';
-import { callOnce } from '../src/net/client.js';
+import { requestJson } from '../src/net/client.js';
 import type { Random } from '../src/retry/index.js';
 import {
   agentReportOut,
@@ -139,7 +139,7 @@
     const body = this.report();
     counts.reports++;
     const [, address] = options.controllers[this.controller];
-    const reply = await callOnce(this.connection, address, 'POST', '/checkin', body, answerPatienceMs);
+    const reply = await requestJson(this.connection, address, 'POST', '/checkin', body, answerPatienceMs);
     this.reporting = false;
     if (this.over) return;
     const accepted = reply?.status === 200 && this.accept(reply.body, session, sentAt);
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -1,7 +1,7 @@
 /** A process of hollow workers: thousands of them, each with its own address on loopback and its own connection. */
 import { createServer as createHttpServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { createServer, type AddressInfo, type Server } from 'node:net';
-import { readJson, replyJson } from '../src/net/json.js';
+import { readJson, sendJson } from '../src/net/json.js';
 import { seeded } from '../src/retry/index.js';
 import { parseOrders } from '../src/wire/agent-side.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
@@ -121,10 +121,10 @@
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const worker = this.byAddress.get(req.socket.localAddress ?? '');
     if (!worker) return void res.destroy();
-    if (req.url === '/show') return replyJson(res, 200, worker.report());
+    if (req.url === '/show') return sendJson(res, 200, worker.report());
     const body = parseOrders(await readJson(req, mostBody));
     const status = body ? worker.ordered(body.token, body.session, body.orders) : 400;
-    replyJson(res, status, worker.report());
+    sendJson(res, status, worker.report());
   }
 }
 
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -4,8 +4,8 @@
 import type { AddressInfo } from 'node:net';
 import { join } from 'node:path';
 import type { Log } from '../core/effects.js';
-import { HttpClient } from '../net/client.js';
-import { readJson, replyJson as reply } from '../net/json.js';
+import { JsonClient } from '../net/client.js';
+import { readJson, sendJson as reply } from '../net/json.js';
 import { pauseMs, type Random, type RetryPolicy } from '../retry/index.js';
 import {
   agentReportOut,
@@ -44,7 +44,7 @@
   private readonly runner: CommandRunner;
   private readonly simulatedTasks: SimulatedTasks;
   private readonly server: Server;
-  private readonly clients: HttpClient[];
+  private readonly clients: JsonClient[];
   private readonly bootId: string;
   private readonly lease: AgentLease;
   /** Descriptions of jobs that tasks here are of. */
@@ -83,7 +83,7 @@
     if (!known) this.directory.saveAgent(this.identity);
     this.bootId = readBootId();
     this.lease = new AgentLease(settings.directory, this.bootId, this.identity.id);
-    this.clients = settings.controls.map((addr) => new HttpClient(addr, 2));
+    this.clients = settings.controls.map((addr) => new JsonClient(addr, 2));
     const events = {
       ended: (task: HeldTask, result: TaskResult, saved: boolean) => this.onTaskEnded(task, result, saved),
     };
@@ -138,11 +138,11 @@
   private get retryPolicy(): RetryPolicy {
     const reportMs = (this.joinTerms?.reportS ?? 2) * 1000;
     return {
-      firstMs: reportMs / 4,
-      longestMs: reportMs * 8,
-      factor: 2,
+      initialDelayMs: reportMs / 4,
+      maxDelayMs: reportMs * 8,
+      multiplier: 2,
       jitter: 0.5,
-      deadlineMs: responseTimeoutMs,
+      timeoutMs: responseTimeoutMs,
     };
   }
 
--- a/src/cli/client.ts
+++ b/src/cli/client.ts
@@ -3,7 +3,7 @@
 import { request } from 'node:http';
 import type { Command } from 'commander';
 import { splitAddr } from '../config/settings.js';
-import { HttpClient, type Reply } from '../net/client.js';
+import { JsonClient, type JsonResponse } from '../net/client.js';
 import { jobPath, plainSubmission, withdrawEnd } from '../wire/user.js';
 
 const requestTimeoutMs = 5000;
@@ -37,17 +37,17 @@
 }
 
 export class ApiClient {
-  private readonly http: HttpClient;
+  private readonly http: JsonClient;
 
   constructor(
     private readonly node: string,
     private readonly fail: Fail,
   ) {
     if (!/^[^:]+:\d+$/.test(node)) fail(`--node: expected HOST:PORT, got ${node}`);
-    this.http = new HttpClient(node, 1);
+    this.http = new JsonClient(node, 1);
   }
 
-  async request(method: string, path: string, body: object | null): Promise<Reply> {
+  async request(method: string, path: string, body: object | null): Promise<JsonResponse> {
     const response = await this.http.call(method, path, body, requestTimeoutMs);
     if (response === null) this.fail(`no answer from ${this.node}`);
     return response;
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -10,7 +10,7 @@
   type Surroundings,
 } from '../classad/index.js';
 import { inWords, type Analysis } from '../matching/index.js';
-import { HttpClient } from '../net/client.js';
+import { JsonClient } from '../net/client.js';
 import { jobPath } from '../wire/user.js';
 import { here, jsonOf, nativeJob, Submission, SubmitError } from '../condor/index.js';
 import { ApiClient, exitCodes, newJobId, printLine } from './client.js';
@@ -97,7 +97,7 @@
     if (e instanceof SubmitError) return failAtPosition(e.message);
     throw e;
   }
-  const http = new HttpClient(node, 1);
+  const http = new JsonClient(node, 1);
   const submitted: { processes: string; nameId: string }[] = [];
   for (const { first, count, job } of submissions) {
     const nameId = newJobId();
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -3,8 +3,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { HttpClient } from '../net/client.js';
-import { freePort } from '../net/port.js';
+import { JsonClient } from '../net/client.js';
+import { findFreePort } from '../net/port.js';
 import { jobPath, plainSubmission } from '../wire/user.js';
 
 const mainProgram = fileURLToPath(new URL('../main.js', import.meta.url));
@@ -82,7 +82,7 @@
     children.push(spawn(process.execPath, [mainProgram, ...args], { stdio: ['ignore', log, log] }));
   };
   try {
-    const node = `127.0.0.1:${await freePort()}`;
+    const node = `127.0.0.1:${await findFreePort()}`;
     const settings = (name: string, text: string): string => {
       const path = join(dir, `${name}.scm`);
       writeFileSync(path, text);
@@ -105,7 +105,7 @@
         ),
       ]);
     printLine(`A control service at ${node} and two agents, all in ${dir}`);
-    const succeeded = await runBatch(new HttpClient(node, 2));
+    const succeeded = await runBatch(new JsonClient(node, 2));
     await terminateAll(children);
     printLine(succeeded ? 'All as it should be.' : `Not as it should be: the logs are in ${dir}`);
     if (succeeded) rmSync(dir, { recursive: true, force: true });
@@ -130,7 +130,7 @@
   clearTimeout(killTimer);
 }
 
-async function runBatch(http: HttpClient): Promise<boolean> {
+async function runBatch(http: JsonClient): Promise<boolean> {
   const deadline = Date.now() + timeoutS * 1000;
   const firstId = 100000 + (Date.now() % 800000);
   const jobs = [...demoJobs, await submitFileJob()].map((w, i) => ({ ...w, id: `req-${firstId + i}` }));
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -1,4 +1,4 @@
-import { HttpClient } from '../net/client.js';
+import { JsonClient } from '../net/client.js';
 import {
   deleteOut,
   parseList,
@@ -23,14 +23,14 @@
 
 /** The cloud as the core sees it. Its rate is kept by the core. */
 export class HttpCloudProvider implements CloudProvider {
-  private readonly client: HttpClient;
+  private readonly client: JsonClient;
 
   constructor(
     addr: string,
     /** How long an answer is waited for. */
     private readonly timeoutMs: number,
   ) {
-    this.client = new HttpClient(addr, 4);
+    this.client = new JsonClient(addr, 4);
   }
 
   async listMachineTypes(): Promise<MachineType[] | null> {
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -3,7 +3,7 @@
 import type { JobRecord } from '../core/storage/index.js';
 import { jobStatus } from '../wire/user.js';
 import { parseJoining } from '../wire/agent-side.js';
-import { readJson, replyJson as reply } from '../net/json.js';
+import { readJson, sendJson as reply } from '../net/json.js';
 import type { Service } from '../service.js';
 import type { AgentJob } from '../wire/agent-side.js';
 import type { AgentPool } from './agent-pool.js';
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -32,7 +32,7 @@
   const stateLeaseMs = settings.leaseS * 1000 * nodeLeaseRatio;
   const store = engine
     ? new EmbeddedStore(engine)
-    : new Store(platform.endpoints.state, retryPolicies({ ...platform, stateLeaseMs }).state.deadlineMs);
+    : new Store(platform.endpoints.state, retryPolicies({ ...platform, stateLeaseMs }).state.timeoutMs);
   const { directory } = settings;
   const snapshot = engine && directory !== null ? () => snapshotInto(engine, directory) : null;
   const control = new ControlService(settings, store, log, snapshot, await loadMatching(settings));
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -139,7 +139,7 @@
 
   /** A call may go out now: within the budget, and one at a time while the cloud does not answer. */
   private spend(): boolean {
-    if (this.budget < 1 || !this.calls.take(this.clock.now)) return false;
+    if (this.budget < 1 || !this.calls.tryAcquire(this.clock.now)) return false;
     this.budget--;
     return true;
   }
@@ -167,8 +167,8 @@
   }
 
   private answered(ok: boolean): void {
-    if (ok) this.calls.ok();
-    else this.calls.fail(this.clock.now);
+    if (ok) this.calls.onSuccess();
+    else this.calls.onFailure(this.clock.now);
   }
 
   handleRental(request: RentRequest, outcome: { hosts: string[] } | 'none' | 'refused' | 'unknown'): void {
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -13,14 +13,14 @@
 import type { Clock, Command, Effect, Log } from './effects.js';
 import { Autoscaler } from './autoscaler/autoscaler.js';
 import { Membership } from './membership.js';
-import { Neighbours } from './peers.js';
+import { Peers } from './peers.js';
 import { WriteBudget } from './write-budget.js';
 import type { RecoveryRecords } from './recovery-records.js';
 import { DataLossRecovery } from './data-loss-recovery.js';
 import { Replica } from './replica.js';
-import { Reports } from './heartbeat-router.js';
+import { HeartbeatRouter } from './heartbeat-router.js';
 import { Upgrade } from './feature-level-manager.js';
-import { View } from './replica-freshness.js';
+import { ReplicaFreshness } from './replica-freshness.js';
 
 /** Of the workers' lease: how long a controller that leaves gives answers and hands on. */
 const drainLeases = 0.3;
@@ -49,14 +49,14 @@
   readonly shardManager: ShardManager;
   readonly autoscaler: Autoscaler;
   readonly recovery: Recovery;
-  readonly view: View;
+  readonly freshness: ReplicaFreshness;
   readonly levels: Levels;
   private readonly upgrade: Upgrade;
   private readonly leaving: Leaving;
   private readonly committer: Committer;
   private readonly userRequests: UserRequests;
-  private readonly neighbours: Neighbours;
-  private readonly reports: Reports;
+  private readonly peers: Peers;
+  private readonly heartbeatRouter: HeartbeatRouter;
   private readonly clock: Clock = { now: 0, wall: 0 };
   private readAt = -Infinity;
   private wasLeading = false;
@@ -105,7 +105,7 @@
         },
         machineChanged: (host, now) => this.shardManager.shardState.machineChanged(host, now),
         shardChanged: () => (this.shardsChanged = true),
-        criticalChange: (change) => this.neighbours.noteDecisive(change),
+        criticalChange: (change) => this.peers.recordDecisiveChange(change),
         readabilityChanged: (key, why) =>
           why === null
             ? this.log('info', 'record can be read again', { key })
@@ -144,13 +144,13 @@
       random,
       log,
     );
-    this.neighbours = new Neighbours(settings, operators, run, replica, clock, ttlMs);
+    this.peers = new Peers(settings, operators, run, replica, clock, ttlMs);
     this.userRequests = new UserRequests(
       settings,
       replica,
       committer,
       clock,
-      limits.waiting,
+      limits.maxWaitingRequests,
       this.fair,
       random,
     );
@@ -168,13 +168,19 @@
     );
     this.autoscaler.hazardPerStep = () =>
       this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
-    this.view = new View(replica, clock, ttlMs, this.shardManager.shardState.maxReplicaAgeMs, log);
+    this.freshness = new ReplicaFreshness(
+      replica,
+      clock,
+      ttlMs,
+      this.shardManager.shardState.maxReplicaAgeMs,
+      log,
+    );
     this.planning = new WriteBudget(
       settings,
       replica,
       committer,
-      this.view,
-      this.neighbours,
+      this.freshness,
+      this.peers,
       this.membership,
       clock,
       log,
@@ -184,7 +190,7 @@
       run,
       replica,
       committer,
-      this.neighbours,
+      this.peers,
       clock,
       ttlMs,
       this.shardManager.shardState.maxReplicaAgeMs + leaseMs,
@@ -193,31 +199,32 @@
     );
     this.shardManager.shardState.onUnknownAttempt = (...what) => this.rebuilding.attemptReported(...what);
     this.autoscaler.mayScaleIn = () => this.rebuilding.canConfirmAbsence;
-    this.neighbours.jobs = () => this.rebuilding.jobCount;
-    this.shardManager.shardState.canPlaceTasks = () => !this.view.stale;
-    this.shardManager.shardState.mayStartTasks = () => this.rebuilding.canConfirmAbsence && this.view.current;
+    this.peers.ownJobCount = () => this.rebuilding.jobCount;
+    this.shardManager.shardState.canPlaceTasks = () => !this.freshness.isStale;
+    this.shardManager.shardState.mayStartTasks = () =>
+      this.rebuilding.canConfirmAbsence && this.freshness.isCurrent;
     this.userRequests.sureOfAbsence = () => this.rebuilding.canConfirmAbsence;
     committer.conflicted = (failed, epoch) => this.rebuilding.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new Recovery(settings.workers.lease_s * 1000 * operators['recovery-leases']);
-    this.reports = new Reports(
+    this.heartbeatRouter = new HeartbeatRouter(
       settings,
       replica,
       this.shardManager,
       this.autoscaler,
-      this.neighbours,
+      this.peers,
       clock,
       {
         member: settings.member,
         run,
-        seen: (token) => this.rebuilding.tokenReported(token),
-        fresh: () => this.view.answersWorkers && this.rebuilding.mayAct,
-        strained: () => this.committer.health < 1 || this.userRequests.crowded,
-        leading: () => this.membership.leading,
+        noteToken: (token) => this.rebuilding.tokenReported(token),
+        mayAnswerWorkers: () => this.freshness.mayAnswerWorkers && this.rebuilding.mayAct,
+        writesAreScarce: () => this.committer.health < 1 || this.userRequests.crowded,
+        isLeader: () => this.membership.isLeader,
         handOver: (shard, to, toRun) => this.membership.handOver(shard, to, toRun),
       },
-      { own: limits.sockets.own, relays: limits.relays },
+      { preferredConnections: limits.sockets.preferred, maxForwarded: limits.maxForwardedHeartbeats },
       log,
     );
   }
@@ -231,12 +238,14 @@
    */
   get healthy(): boolean {
     if (this.levels.standsBy || this.leaving.asked || !this.rebuilding.mayAct) return false;
-    const { told } = this.neighbours;
+    const { newestKnown: told } = this.peers;
     // Read by somebody else: they can be asked meanwhile.
-    if (this.replica.watchRevision < 0) return this.view.unreachable && told.epoch < 0;
-    if (!this.view.stale) return true;
-    const alone = this.settings.peers.length > 0 && this.clock.now - told.at > this.membership.ttlMs;
-    return !alone && !(told.epoch > this.replica.watchRevision && told.at > this.view.at);
+    if (this.replica.watchRevision < 0) return this.freshness.isStoreUnreachable && told.revision < 0;
+    if (!this.freshness.isStale) return true;
+    const alone = this.settings.peers.length > 0 && this.clock.now - told.at > this.membership.leaseTtlMs;
+    return (
+      !alone && !(told.revision > this.replica.watchRevision && told.at > this.freshness.confirmedByStoreAt)
+    );
   }
 
   step(commands: Command[], clock: Clock): Effect[] {
@@ -244,7 +253,7 @@
     const now = (this.clock.now = clock.now);
     this.clock.wall = clock.wall;
     this.userRequests.out = out;
-    this.view.wake();
+    this.freshness.detectStall();
     // It was told to begin anew: nothing that it does counts any more.
     if (this.ended) return out;
     for (const c of commands) this.handle(c, out);
@@ -257,27 +266,33 @@
     this.committer.held = !acting;
     this.settle();
     this.membership.tick(now, out, acting, this.rebuilding.essentialsRestored);
-    this.rebuilding.tick(this.membership.leading);
-    const leading = this.membership.leading;
+    this.rebuilding.tick(this.membership.isLeader);
+    const leading = this.membership.isLeader;
     if (leading !== this.wasLeading) {
       this.wasLeading = leading;
       this.log('info', leading ? 'leading' : 'no longer leading');
       this.autoscaler.reset();
     }
     // Guards against a leader that was cut off or stood still: what it would rent or return may be another's by now.
-    if (leading && acting && !this.view.stale && this.membership.holds(now) && !this.leaving.asked) {
+    if (
+      leading &&
+      acting &&
+      !this.freshness.isStale &&
+      this.membership.holdsValidLease(now) &&
+      !this.leaving.asked
+    ) {
       this.rebuilding.requestAudit(out);
       this.autoscaler.tick(out);
       this.upgrade.tick();
       if (this.fair) this.planning.proposeNext(this.demand);
     }
-    if (this.leaving.asked) this.membership.leave(out);
+    if (this.leaving.asked) this.membership.shutDown(out);
     this.shardManager.tick(out);
-    this.reports.tick(out);
+    this.heartbeatRouter.tick(out);
     if (this.fair) this.divide(out);
-    this.userRequests.pump(out, this.view.vouchedAt);
+    this.userRequests.pump(out, this.freshness.confirmedByPeersAt);
     this.committer.pump(now, out);
-    if (this.view.wantsVouching) this.neighbours.ask(out);
+    if (this.freshness.needsPeerConfirmation) this.peers.queryFreshness(out);
     this.tell(out, null);
     if (this.rebuilding.wantsRevisionRead) out.push({ type: 'read-revision' });
     this.read(leading, out);
@@ -295,8 +310,8 @@
   get phase(): Phase {
     return this.leaving.phase(this.clock.now, {
       owned: this.shardManager.ownedShards.size,
-      leading: this.membership.leading,
-      present: this.membership.present,
+      leading: this.membership.isLeader,
+      present: this.membership.isPresent,
       busy: this.committer.waiting > 0 || this.autoscaler.hasPendingChanges,
     });
   }
@@ -322,18 +337,18 @@
    */
   private read(leading: boolean, out: Effect[]): void {
     const { now } = this.clock;
-    const { ttlMs } = this.membership;
-    const everyMs = Math.min(this.view.freshLimitMs / 8, leading ? ttlMs / 4 : Infinity);
+    const { leaseTtlMs: ttlMs } = this.membership;
+    const everyMs = Math.min(this.freshness.maxAgeMs / 8, leading ? ttlMs / 4 : Infinity);
     if (now - this.readAt > everyMs && this.replica.watchRevision >= 0) out.push({ type: 'read-revision' });
     if (out.some((o) => o.type === 'read-revision')) this.readAt = now;
   }
 
   /** News goes out at once; a change of what we ask of the others is news. */
   private tell(out: Effect[], epoch: number | null): void {
-    const { front } = this.reports;
+    const { wantsForwarding: front } = this.heartbeatRouter;
     const news = front !== this.wasFront ? this.replica.watchRevision : epoch;
     this.wasFront = front;
-    this.neighbours.tell(out, this.reports.busy, front, () => this.demand, news);
+    this.peers.broadcastStatus(out, this.heartbeatRouter.utilization, front, () => this.demand, news);
   }
 
   /** What this controller wants, as it tells the others. */
@@ -368,7 +383,7 @@
     const picture = this.overloadMonitor.observe({
       writes: (tasks + users) / Math.max(1, this.committer.writesPerS),
       requests: this.requests.rate(now) / equal,
-      time: this.reports.busy,
+      time: this.heartbeatRouter.utilization,
       ...this.told,
     });
     this.userRequests.short = picture.admissionFactor < 1 ? picture.bottleneck : 'writes';
@@ -387,7 +402,7 @@
   }
 
   private settle(): void {
-    this.view.settle();
+    this.freshness.update();
     if (!this.shardsChanged) return;
     this.shardManager.reconcileShards();
     // A grant may be visible before the view has reached it: looked at again until it is taken up.
@@ -400,31 +415,29 @@
   /** Keeps the times of the recovery, for operators. */
   private follow(): void {
     const { now } = this.clock;
-    if (now - this.checkedAt < this.membership.ttlMs / 16) return;
+    if (now - this.checkedAt < this.membership.leaseTtlMs / 16) return;
     this.checkedAt = now;
     if (this.fair) this.look();
     this.tellAway();
     const { shardManager, recovery } = this;
     const { unconfirmedMachines: unproven } = shardManager;
-    const t = recovery.step(now, {
-      read: this.replica.watchRevision >= 0,
-      present: this.membership.present,
-      owned: shardManager.ownedShards.size,
-      unproven: unproven.length,
-      placed: shardManager.shardState.placementCount,
+    const t = recovery.update(now, {
+      isStateLoaded: this.replica.watchRevision >= 0,
+      isPresent: this.membership.isPresent,
+      ownedShards: shardManager.ownedShards.size,
+      unprovenMachines: unproven.length,
+      placementCount: shardManager.shardState.placementCount,
     });
     if (t) this.log('info', 'recovery', { ...t, keys: this.replica.keyCount });
-    if (recovery.overdue(now))
+    if (recovery.takeOverdue(now))
       this.log('warn', 'machines still to be proven', {
         machines: unproven.length,
-        some: unproven
-          .slice(0, mostNamed)
-          .map((machine) => ({
-            host: machine.host,
-            heardMs: machine.lastHeartbeatAt && now - machine.lastHeartbeatAt,
-          })),
+        some: unproven.slice(0, mostNamed).map((machine) => ({
+          host: machine.host,
+          heardMs: machine.lastHeartbeatAt && now - machine.lastHeartbeatAt,
+        })),
       });
-    const r = recovery.recovered(now);
+    const r = recovery.takeSummary(now);
     if (r) this.log(r.late ? 'warn' : 'info', r.late ? 'recovered late' : 'recovered', { ...r });
   }
 
@@ -469,13 +482,13 @@
         this.userRequests.withdraw(c.rid, c.id, out);
         break;
       case 'heartbeat':
-        this.reports.checkin(c.rid, c.report, c.from ?? null, out);
+        this.heartbeatRouter.route(c.rid, c.report, c.from ?? null, out);
         break;
       case 'forwarded-response':
-        this.reports.relayed(c.rid, c.status, c.body, out);
+        this.heartbeatRouter.onForwardedResponse(c.rid, c.status, c.body, out);
         break;
       case 'load':
-        this.reports.measured(c.busy, c.connections);
+        this.heartbeatRouter.onLoadMeasured(c.busy, c.connections);
         this.told = {
           sockets: c.connections / this.mostSockets,
           memory: c.memory ?? 0,
@@ -486,7 +499,7 @@
         // Most likely its process ended. Its lease is ended now rather than waited for; if it lives after all,
         // it gets a new one, and the stamps keep both right meanwhile.
         const node = this.replica.nodes.get(c.member);
-        if (node && !this.view.stale) {
+        if (node && !this.freshness.isStale) {
           this.log('info', 'peer lost', { member: c.member });
           out.push({ type: 'revoke-lease', hold: node.hold });
         }
@@ -496,15 +509,17 @@
         this.userRequests.told(c.list);
         break;
       case 'peer-status':
-        this.neighbours.pulse(c.from, c.pulse);
+        this.peers.onStatus(c.from, c.pulse);
         this.rebuilding.peerHeard(c.pulse);
         if (c.pulse.epoch > this.replica.watchRevision) out.push({ type: 'catch-up', epoch: c.pulse.epoch });
         break;
       case 'freshness-query':
-        this.neighbours.asked(c.from, c.question, out);
+        this.peers.onFreshnessQuery(c.from, c.question, out);
         break;
       case 'freshness-confirmed':
-        this.view.vouched(this.neighbours.vouched(c.from, c.run, c.question, c.known, this.view.completeAt));
+        this.freshness.onConfirmedByPeers(
+          this.peers.onFreshnessAnswer(c.from, c.run, c.question, c.known, this.freshness.completeUpTo),
+        );
         break;
       case 'snapshot-progress':
         this.log('info', 'reading state', { keys: c.keys });
@@ -512,7 +527,7 @@
       case 'snapshot-loaded':
         this.rebuilding.snapshotLoaded(c.items, c.epoch);
         this.replica.loadSnapshot(c.items, c.epoch);
-        this.neighbours.loaded(c.epoch);
+        this.peers.onStateLoaded(c.epoch);
         this.log('info', 'state loaded', { epoch: c.epoch, keys: c.items.length });
         this.shardsChanged = true;
         break;
@@ -527,24 +542,24 @@
         break;
       case 'revision-read':
         this.rebuilding.revisionRead(c.sentAt, c.epoch);
-        this.view.read(c.sentAt, c.epoch);
-        this.userRequests.epochRead(c.sentAt, c.epoch, out, this.view.vouchedFor);
+        this.freshness.onRevisionRead(c.sentAt, c.epoch);
+        this.userRequests.epochRead(c.sentAt, c.epoch, out, this.freshness.isConfirmedByPeers);
         break;
       case 'audit-result':
         this.rebuilding.auditPageRead(c.from, c.items, c.more, c.epoch);
         break;
       case 'lease-granted':
-        this.membership.leased(c.hold, this.clock.now);
+        this.membership.onLeaseGranted(c.hold, this.clock.now);
         break;
       case 'lease-renewal-result':
-        this.membership.renewed(c.hold, c.outcome, this.clock.now);
+        this.membership.onLeaseRenewed(c.hold, c.outcome, this.clock.now);
         break;
       case 'shut-down':
         if (this.leaving.asked) break;
         this.leaving.begin(this.clock.now);
         this.log('info', 'leaving', {
           shards: [...this.shardManager.ownedShards],
-          leading: this.membership.leading,
+          leading: this.membership.isLeader,
         });
         break;
       case 'stop-gang': {
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -14,7 +14,7 @@
 import { features } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
 import { type Committer, incData, incKey, levelKey, Rank, readKey } from './storage/index.js';
-import type { Clock, Effect, Log, Pulse } from './effects.js';
+import type { Clock, Effect, Log, PeerStatus } from './effects.js';
 import {
   leaderPlaceholder,
   storedRecordOf,
@@ -23,7 +23,7 @@
   collectRecoveryRecords,
   type RecoveryRecords,
 } from './recovery-records.js';
-import type { Neighbours } from './peers.js';
+import type { Peers } from './peers.js';
 import type { Replica } from './replica.js';
 
 /** So many records are on their way at a time. */
@@ -73,7 +73,7 @@
     private readonly run: string,
     private readonly replica: Replica,
     private readonly committer: Committer,
-    private readonly neighbours: Neighbours,
+    private readonly peers: Peers,
     private readonly clock: Clock,
     private readonly ttlMs: number,
     /** How long a controller may answer workers without having confirmed its view, and then a worker's lease, ms. */
@@ -152,7 +152,7 @@
   }
   private lastRead: { sentAt: number; epoch: number } | null = null;
 
-  peerHeard({ inc, epoch, jobs }: Pick<Pulse, 'inc' | 'epoch' | 'jobs'>): void {
+  peerHeard({ inc, epoch, jobs }: Pick<PeerStatus, 'inc' | 'epoch' | 'jobs'>): void {
     this.witness.peerReported(inc, epoch, jobs, this.clock.now);
   }
 
@@ -224,7 +224,7 @@
     }
     const { incarnation: inc } = replica;
     if (this.loadedAt < 0) this.loadedAt = this.clock.now;
-    if (this.allPeersHeardAt < 0 && this.neighbours.allHeard) this.allPeersHeardAt = this.clock.now;
+    if (this.allPeersHeardAt < 0 && this.peers.heardFromAll) this.allPeersHeardAt = this.clock.now;
     if (this.lastRead && replica.watchRevision >= this.lastRead.epoch) {
       const { sentAt, epoch } = this.lastRead;
       this.lastRead = null;
@@ -289,7 +289,7 @@
     const recoveryRecords = this.recoveryRecords!;
     const { now } = this.clock;
     this.incarnationSeen ??= { n: inc?.number ?? 0, at: now };
-    const rank = this.neighbours.knowMore(recoveryRecords.revision);
+    const rank = this.peers.countAhead(recoveryRecords.revision);
     if (now - this.incarnationSeen.at < rank * rankDelayLeases * this.ttlMs) return;
     const n = Math.max(inc?.number ?? 0, recoveryRecords.incarnation) + 1;
     // Whoever was there before has to come again; and programs from before must not act on an empty state.
@@ -381,7 +381,7 @@
     if (inc.stage === 'whole' || this.transitionInFlight) return;
     const { now } = this.clock;
     const mine = inc.openedBy === this.settings.member && inc.run === this.run;
-    if (mine || this.neighbours.runOf(inc.openedBy) === inc.run) this.openerHeardAt = now;
+    if (mine || this.peers.runOf(inc.openedBy) === inc.run) this.openerHeardAt = now;
     if (!mine) {
       if (this.openerHeardAt === 0) this.openerHeardAt = now;
       const gone = now - this.openerHeardAt > openerLostLeases * this.ttlMs;
@@ -398,7 +398,7 @@
     const members = [this.settings.member, ...this.settings.peers.map((p) => p.member)];
     const all = members.every((m) => this.replica.nodes.has(m));
     const patient = sinceMs > absentMemberLeases * this.settings.workers.lease_s * 1000;
-    const known = this.neighbours.mostJobs <= this.replica.jobCount;
+    const known = this.peers.maxJobCount <= this.replica.jobCount;
     if (this.pendingRecords === null && sinceMs > this.staleAnswerWindowMs && (patient || (all && known))) {
       if (!all)
         this.log('warn', 'not all members were there: what only they knew is lost until they come', {
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -9,14 +9,14 @@
 import type { Change, Txn } from '../wire/store.js';
 
 /** What a controller tells the others of itself. */
-export interface Pulse {
+export interface PeerStatus {
   /** The newest revision that it knows of. */
   epoch: number;
   run: string;
   /** How busy it is, in thousandths of what it has. */
-  busy: number;
+  utilizationPermille: number;
   /** Its workers may stay at whoever they reach: their reports are to be relayed. */
-  front: boolean;
+  wantsForwarding: boolean;
   /** What it wants of the state service's writes, a second; null: it is of a program that does not say. */
   wants: Demand | null;
   /** The incarnation that it follows; 0: none. */
@@ -33,7 +33,7 @@
   | { type: 'cancel'; rid: number; id: string }
   | { type: 'heartbeat'; rid: number; report: Heartbeat; from?: string }
   | { type: 'forwarded-response'; rid: number; status: number; body: object | string }
-  | { type: 'peer-status'; from: string; pulse: Pulse }
+  | { type: 'peer-status'; from: string; pulse: PeerStatus }
   /** Jobs that another controller has turned away. */
   | { type: 'rejected-jobs'; list: Turned[] }
   /** What a peer wants to know, and what another has answered us. */
@@ -92,7 +92,7 @@
   | { type: 'catch-up'; epoch: number }
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
   | { type: 'forward-heartbeat'; to: string; rid: number; report: Heartbeat }
-  | { type: 'peer-status'; pulse: Pulse }
+  | { type: 'peer-status'; pulse: PeerStatus }
   | { type: 'rejected-jobs'; list: Turned[] }
   | { type: 'query-freshness'; question: Question }
   | { type: 'confirm-freshness'; to: string; question: Question; known: Change[] }
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -146,7 +146,7 @@
     const is = level >= 2;
     if (was === is) return apply;
     const mine = { member: settings.member, run: membership.run };
-    const hold = membership.hold ?? undefined;
+    const hold = membership.leaseId ?? undefined;
     const types = replica.machineTypes.length > 0 ? typesData(replica.machineTypes) : undefined;
     if (is)
       apply.push(
@@ -175,9 +175,9 @@
       rank: Rank.membership,
       build: () => {
         // Looked at again: it may have waited.
-        const again = this.membership.leading ? textOf(this.decide()) : '';
+        const again = this.membership.isLeader ? textOf(this.decide()) : '';
         // Guards against a leadership without a lease, which nobody could ever take over.
-        if (again !== text || this.membership.hold === null) {
+        if (again !== text || this.membership.leaseId === null) {
           done();
           return null;
         }
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -14,8 +14,8 @@
 import type { ShardManager } from './shard-manager.js';
 import type { Clock, Effect, Log } from './effects.js';
 import type { Autoscaler } from './autoscaler/autoscaler.js';
-import { Holding, type Release } from './held-responses.js';
-import type { Neighbours } from './peers.js';
+import { HeldResponses, type ReleasedResponse } from './held-responses.js';
+import type { Peers } from './peers.js';
 import type { VersionedMachine, Replica } from './replica.js';
 
 /** Of the 4 s that workers wait for an answer. */
@@ -26,27 +26,27 @@
 const sentAwayShare = 0.1;
 
 /** What it needs of the controller. */
-export interface ReportsHost {
+export interface HeartbeatRouterHost {
   member: string;
   run: string;
   /** A worker has seen this token. */
-  seen(token: number): void;
+  noteToken(token: number): void;
   /** Whether the view is new enough for workers to be answered from it. */
-  fresh(): boolean;
+  mayAnswerWorkers(): boolean;
   /** Writes are short: the state service refuses some, or users wait for theirs. */
-  strained(): boolean;
-  leading(): boolean;
+  writesAreScarce(): boolean;
+  isLeader(): boolean;
   handOver(shard: number, to: string, run: string): void;
 }
 
 /** Where a worker's report goes: answered here, sent to its owner, or handed on to it. */
-export class Reports {
+export class HeartbeatRouter {
   /** Workers that were sent on to their owner, and when, ms. */
   private readonly redirected = new Map<string, number>();
-  /** Reports handed on to their owner, by request, and when, ms. */
+  /** HeartbeatRouter handed on to their owner, by request, and when, ms. */
   private readonly relays = new Map<number, number>();
   private load: ControllerLoad = { utilization: 0, connections: 0, machines: 0, forwardedShare: 0 };
-  /** Reports since the load was last measured, and how many of them came through others. */
+  /** HeartbeatRouter since the load was last measured, and how many of them came through others. */
   private count = 0;
   private relayedCount = 0;
   private helped = false;
@@ -55,41 +55,41 @@
   private direct = 0;
   private through = new Map<string, number>();
   private lookedAt = 0;
-  private readonly holding: Holding;
+  private readonly heldResponses: HeldResponses;
 
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
     private readonly shardManager: ShardManager,
     private readonly autoscaler: Autoscaler,
-    private readonly neighbours: Neighbours,
+    private readonly peers: Peers,
     private readonly clock: Clock,
-    private readonly host: ReportsHost,
-    private readonly limits: { own: number; relays: number },
+    private readonly host: HeartbeatRouterHost,
+    private readonly limits: { preferredConnections: number; maxForwarded: number },
     private readonly log: Log,
   ) {
-    this.holding = new Holding(settings, shardManager.heartbeatReconciler, clock);
+    this.heldResponses = new HeldResponses(settings, shardManager.heartbeatReconciler, clock);
   }
 
-  get busy(): number {
+  get utilization(): number {
     return this.load.utilization;
   }
 
   /** Others are asked to keep the workers that reach them. */
-  get front(): boolean {
+  get wantsForwarding(): boolean {
     return this.helped;
   }
 
-  checkin(rid: number, report: Heartbeat, from: string | null, out: Effect[]): void {
+  route(rid: number, report: Heartbeat, from: string | null, out: Effect[]): void {
     const answer = (status: number, body: object, retryAfterS?: number) =>
       void out.push({ type: 'respond', rid, status, body, retryAfterS });
     // Guards against acting on an old view: a cancellation seen by users could be missed here, and the
     // answer would keep the task alive.
-    this.host.seen(report.token);
-    if (!this.host.fresh() || this.replica.levels.standsBy) return answer(503, {}, 1);
+    this.host.noteToken(report.token);
+    if (!this.host.mayAnswerWorkers() || this.replica.levels.standsBy) return answer(503, {}, 1);
     const m = this.replica.machines.get(report.host);
     if (!m) {
-      if (this.host.leading()) {
+      if (this.host.isLeader()) {
         this.autoscaler.adoptReportingMachine(report);
         return answer(503, {}, 1);
       }
@@ -115,17 +115,17 @@
     this.autoscaler.recordHeartbeat(m.host);
     // A late copy is no newer report: the machine may still wait for the answer to the one that is held.
     const newer = isNewerHeartbeat(report, [run.agentEpoch, run.heartbeatSeq]);
-    const before = newer ? this.holding.superseded(m.host) : null;
+    const before = newer ? this.heldResponses.releaseSuperseded(m.host) : null;
     if (before) this.release(before, out);
     const orders = this.shardManager.heartbeatReconciler.reconcile(run, report, custodian.token);
     // Where time or writes are short, starts come late as it is.
-    const calm = this.load.utilization < offloadAbove && !this.host.strained();
+    const calm = this.load.utilization < offloadAbove && !this.host.writesAreScarce();
     const waits = newer && from === null && orders.length === 0 && calm;
-    if (waits && this.holding.takes(run, report, custodian.token, rid)) return;
+    if (waits && this.heldResponses.tryHold(run, report, custodian.token, rid)) return;
     answer(200, answerOut(custodian.token, orders));
   }
 
-  private release({ rid, token, orders }: Release, out: Effect[]): void {
+  private release({ rid, token, orders }: ReleasedResponse, out: Effect[]): void {
     if (orders === null) out.push({ type: 'respond', rid, status: 503, body: {}, retryAfterS: 1 });
     else out.push({ type: 'respond', rid, status: 200, body: answerOut(token, orders) });
   }
@@ -134,7 +134,7 @@
   private stands(run: ScheduledMachine, token: number): boolean {
     const m = this.replica.machines.get(run.host);
     const custodian = m && this.replica.responsibleController(m);
-    if (!this.host.fresh() || this.replica.levels.standsBy || !custodian) return false;
+    if (!this.host.mayAnswerWorkers() || this.replica.levels.standsBy || !custodian) return false;
     if (!this.isMine(custodian) || custodian.token !== token) return false;
     return this.shardManager.machines.get(run.host) === run;
   }
@@ -147,8 +147,8 @@
   private elseTo(): string | null {
     const most = Math.max(1, this.shardManager.machines.size * sentAwayShare);
     if (!this.helped || this.sentAway >= most) return null;
-    const to = leastBusyHelper(this.neighbours.helpers());
-    if (to === null || !shouldRedirect(this.load, this.limits.own, to.busy)) return null;
+    const to = leastBusyHelper(this.peers.livePeers());
+    if (to === null || !shouldRedirect(this.load, this.limits.preferredConnections, to.busy)) return null;
     this.sentAway++;
     return to.member;
   }
@@ -170,8 +170,8 @@
     // between two zones does not cost its lease. So does that of a worker whose owner has asked for help.
     const sentAt = this.redirected.get(report.host) ?? -Infinity;
     const back = now - sentAt < this.settings.workers.lease_s * 1000;
-    const relay = there && from === null && (back || this.neighbours.wantsFront(custodian.member));
-    if (relay && this.relays.size < this.limits.relays) {
+    const relay = there && from === null && (back || this.peers.wantsForwarding(custodian.member));
+    if (relay && this.relays.size < this.limits.maxForwarded) {
       if (back) this.redirected.set(report.host, now);
       this.relays.set(rid, now);
       out.push({ type: 'forward-heartbeat', to: custodian.member, rid, report });
@@ -181,12 +181,12 @@
     out.push({ type: 'respond', rid, status: 421, body: redirectOut(there ? custodian.member : null) });
   }
 
-  relayed(rid: number, status: number, body: object | string, out: Effect[]): void {
+  onForwardedResponse(rid: number, status: number, body: object | string, out: Effect[]): void {
     if (this.relays.delete(rid)) out.push({ type: 'respond', rid, status, body });
   }
 
   /** What the process has been doing lately. */
-  measured(busy: number, connections: number): void {
+  onLoadMeasured(busy: number, connections: number): void {
     const shared = this.count > 0 ? this.relayedCount / this.count : 0;
     this.load = {
       utilization: busy,
@@ -197,7 +197,8 @@
     this.count = this.relayedCount = 0;
     this.sentAway = 0;
     const helped =
-      this.shardManager.ownedShards.size > 0 && needsOffload(this.helped, this.load, this.limits.own);
+      this.shardManager.ownedShards.size > 0 &&
+      needsOffload(this.helped, this.load, this.limits.preferredConnections);
     if (helped === this.helped) return;
     this.helped = helped;
     this.log('info', helped ? 'others keep our workers' : 'our workers come back', { ...this.load });
@@ -211,7 +212,8 @@
       this.relays.delete(rid);
       out.push({ type: 'respond', rid, status: 503, body: {} });
     }
-    for (const r of this.holding.due((machine, token) => this.stands(machine, token))) this.release(r, out);
+    for (const r of this.heldResponses.releaseDue((machine, token) => this.stands(machine, token)))
+      this.release(r, out);
     if (now - this.lookedAt >= this.settings.workers.lease_s * 500) this.look();
   }
 
@@ -219,14 +221,19 @@
   private look(): void {
     const { now } = this.clock;
     this.lookedAt = now;
-    const standing = { direct: this.direct, through: this.through, helped: this.helped, busy: this.busy };
+    const standing = {
+      direct: this.direct,
+      through: this.through,
+      helped: this.helped,
+      busy: this.utilization,
+    };
     this.direct = 0;
     this.through = new Map();
     const settled =
       now - this.shardManager.lastAcquiredAt > this.settings.workers.lease_s * 1000 * settleLeases;
-    if (this.shardManager.ownedShards.size === 0 || !settled || !this.host.fresh()) return;
-    const to = handoverTarget(standing, [...this.neighbours.helpers()]);
-    const run = to === null ? undefined : this.neighbours.runOf(to);
+    if (this.shardManager.ownedShards.size === 0 || !settled || !this.host.mayAnswerWorkers()) return;
+    const to = handoverTarget(standing, [...this.peers.livePeers()]);
+    const run = to === null ? undefined : this.peers.runOf(to);
     if (to === null || run === undefined) return;
     const { direct, busy } = standing;
     const through = Object.fromEntries(standing.through);
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -5,7 +5,7 @@
 import type { Clock } from './effects.js';
 
 /** Workers wait for an answer for 4 s: of that, so much is left for the way and for a process that is late. */
-const heldMs = 4000 * 0.5;
+const holdTimeoutMs = 4000 * 0.5;
 
 interface Held {
   rid: number;
@@ -16,7 +16,7 @@
 }
 
 /** The answer to a report that was held; null: whoever asks is to come again. */
-export interface Release {
+export interface ReleasedResponse {
   rid: number;
   token: number;
   orders: TaskOrder[] | null;
@@ -27,7 +27,7 @@
  * just being made durable, waits a little for them: otherwise they would wait for the machine's next report. Nothing is given
  * to know or to keep by that: the worker's lease counts from when the report was sent, and it drops what comes after 4 s.
  */
-export class Holding {
+export class HeldResponses {
   private readonly held = new Map<string, Held>();
 
   constructor(
@@ -37,7 +37,7 @@
   ) {}
 
   /** Whether the answer to a report that asks for none at once may wait. */
-  takes(machine: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
+  tryHold(machine: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
     // Agents are asked for a report when there is something to start. What is to end soon must not wait for its report.
     if (this.settings.pool || report.token !== token || report.noticeS !== null || machine.quarantined)
       return false;
@@ -52,7 +52,7 @@
   }
 
   /** A newer report of the machine: the one before has been given up, and its answer may start nothing any more. */
-  superseded(host: string): Release | null {
+  releaseSuperseded(host: string): ReleasedResponse | null {
     const h = this.held.get(host);
     if (!h) return null;
     this.held.delete(host);
@@ -60,9 +60,9 @@
   }
 
   /** Those that have waited long enough, or whose tasks may start. `stands`: it is still this process that answers for it. */
-  *due(stands: (machine: ScheduledMachine, token: number) => boolean): Generator<Release> {
+  *releaseDue(stands: (machine: ScheduledMachine, token: number) => boolean): Generator<ReleasedResponse> {
     for (const [host, { rid, machine, report, token, since }] of this.held) {
-      const over = this.clock.now - since >= heldMs;
+      const over = this.clock.now - since >= holdTimeoutMs;
       if (!over && (machine.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(machine)))
         continue;
       this.held.delete(host);
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -25,13 +25,13 @@
  * stamp, so none of the clocks here matters for safety.
  */
 export class Membership {
-  hold: number | null = null;
+  leaseId: number | null = null;
   private asking = false;
   private readonly asks: Attempts;
   private readonly renewals: Attempts;
   private renewAt = 0;
   private renewing = false;
-  /** When what gave the lease its present time was asked for, ms: it lasts at least `ttlMs` from then. */
+  /** When what gave the lease its present time was asked for, ms: it lasts at least `leaseTtlMs` from then. */
   private askedAt = -Infinity;
   private heldFrom = -Infinity;
   private cleared = false;
@@ -45,7 +45,7 @@
     private readonly replica: Replica,
     private readonly committer: Committer,
     /** How long this process's state lease lasts without being renewed. */
-    readonly ttlMs: number,
+    readonly leaseTtlMs: number,
     retry: RetryPolicy,
     random: Random,
     private readonly log: Log,
@@ -55,12 +55,12 @@
   }
 
   /** The state service holds our presence. */
-  get present(): boolean {
+  get isPresent(): boolean {
     const mine = this.replica.nodes.get(this.settings.member);
-    return mine !== undefined && mine.run === this.run && mine.hold === this.hold;
+    return mine !== undefined && mine.run === this.run && mine.hold === this.leaseId;
   }
 
-  get leading(): boolean {
+  get isLeader(): boolean {
     return this.replica.leader?.member === this.settings.member && this.replica.leader.run === this.run;
   }
 
@@ -68,8 +68,8 @@
    * Whether the lease surely lasts. Guards against a leader that acts by a view that is new enough while its lease, which was
    * renewed before the view was last confirmed, has ended and another leads.
    */
-  holds(now: number): boolean {
-    return now - this.heldFrom < this.ttlMs;
+  holdsValidLease(now: number): boolean {
+    return now - this.heldFrom < this.leaseTtlMs;
   }
 
   /** Nobody is to give this process anything any more: it ends. */
@@ -77,7 +77,7 @@
   private left = false;
 
   /** Hands on what this process has, then goes: its shards to others, leadership and presence to nobody. */
-  leave(out: Effect[]): void {
+  shutDown(out: Effect[]): void {
     this.leaving = true;
     if (this.left || this.replica.watchRevision < 0) return;
     const { member } = this.settings;
@@ -91,15 +91,15 @@
       if (others.length > 0) this.handOver(shard, to.member, to.run);
     });
     if ((mine.length > 0 && others.length > 0) || this.busy.has('leave')) return;
-    if (!this.present && !this.leading) return this.goneFor(out);
+    if (!this.isPresent && !this.isLeader) return this.goneFor(out);
     this.busy.add('leave');
     const ended = () => void this.busy.delete('leave');
     this.committer.add({
       rank: Rank.membership,
       build: () => {
         const keys = [
-          ...(this.present ? [nodeKey(member)] : []),
-          ...(this.leading ? [this.replica.activeLeaderKey] : []),
+          ...(this.isPresent ? [nodeKey(member)] : []),
+          ...(this.isLeader ? [this.replica.activeLeaderKey] : []),
         ];
         if (keys.length === 0) {
           ended();
@@ -117,8 +117,8 @@
 
   private goneFor(out: Effect[]): void {
     this.left = true;
-    if (this.hold !== null) out.push({ type: 'revoke-lease', hold: this.hold });
-    this.hold = null;
+    if (this.leaseId !== null) out.push({ type: 'revoke-lease', hold: this.leaseId });
+    this.leaseId = null;
   }
 
   /** `acting`: while lost data is brought back nobody leads; `given`: this process has written what it knew of it. */
@@ -131,52 +131,52 @@
       // A presence from an earlier run of this very member: that process is over, so its lease may end now.
       if (mine && mine.run !== this.run) out.push({ type: 'revoke-lease', hold: mine.hold });
     }
-    if (this.hold === null) {
+    if (this.leaseId === null) {
       if (this.leaving) return;
-      if (!this.asking && this.asks.take(now)) {
+      if (!this.asking && this.asks.tryAcquire(now)) {
         this.asking = true;
         this.askedAt = now;
-        out.push({ type: 'grant-lease', ttlMs: this.ttlMs });
+        out.push({ type: 'grant-lease', ttlMs: this.leaseTtlMs });
       }
       return;
     }
     if (!this.renewing && now >= this.renewAt) {
       this.renewing = true;
       this.askedAt = now;
-      out.push({ type: 'renew-lease', hold: this.hold });
+      out.push({ type: 'renew-lease', hold: this.leaseId });
     }
     if (this.leaving) return;
-    if (!this.present)
-      this.put(nodeKey(this.settings.member), nodeData(this.run, this.hold, levels.mine), this.hold);
+    if (!this.isPresent)
+      this.put(nodeKey(this.settings.member), nodeData(this.run, this.leaseId, levels.mine), this.leaseId);
     else if (levels.standsBy || !acting) return;
     else if (this.replica.leader === null)
-      this.put(this.replica.activeLeaderKey, { member: this.settings.member, run: this.run }, this.hold);
-    if (this.leading && acting) this.lead(now);
+      this.put(this.replica.activeLeaderKey, { member: this.settings.member, run: this.run }, this.leaseId);
+    if (this.isLeader && acting) this.lead(now);
   }
 
-  leased(hold: number | null, now: number): void {
+  onLeaseGranted(hold: number | null, now: number): void {
     this.asking = false;
     if (this.left) return;
-    this.hold = hold;
-    this.renewAt = now + this.ttlMs / 3;
-    if (hold === null) this.asks.fail(now);
+    this.leaseId = hold;
+    this.renewAt = now + this.leaseTtlMs / 3;
+    if (hold === null) this.asks.onFailure(now);
     else {
-      this.asks.ok();
+      this.asks.onSuccess();
       this.heldFrom = this.askedAt;
     }
   }
 
-  renewed(hold: number, outcome: 'ok' | 'gone' | 'failed', now: number): void {
+  onLeaseRenewed(hold: number, outcome: 'ok' | 'gone' | 'failed', now: number): void {
     this.renewing = false;
-    if (hold !== this.hold) return;
+    if (hold !== this.leaseId) return;
     if (outcome === 'gone') {
       this.log('warn', 'state lease ended', { hold });
-      this.hold = null;
+      this.leaseId = null;
     }
-    if (outcome === 'failed') this.renewals.fail(now);
-    else this.renewals.ok();
+    if (outcome === 'failed') this.renewals.onFailure(now);
+    else this.renewals.onSuccess();
     if (outcome === 'ok') this.heldFrom = this.askedAt;
-    this.renewAt = outcome === 'ok' ? now + this.ttlMs / 3 : Math.max(now, this.renewals.notBefore);
+    this.renewAt = outcome === 'ok' ? now + this.leaseTtlMs / 3 : Math.max(now, this.renewals.notBefore);
   }
 
   private ledAt = -Infinity;
@@ -185,7 +185,7 @@
   /** The leader's upkeep of the team table and the grants. */
   private lead(now: number): void {
     // Every step comes here, and hardly any brings news.
-    if (this.replica.watchRevision === this.ledEpoch && now - this.ledAt < this.ttlMs * ledShare) return;
+    if (this.replica.watchRevision === this.ledEpoch && now - this.ledAt < this.leaseTtlMs * ledShare) return;
     this.ledAt = now;
     this.ledEpoch = this.replica.watchRevision;
     const shards = this.operators.shards > 0 ? this.operators.shards : 1 + this.settings.peers.length;
@@ -218,7 +218,7 @@
     // A settled node without a shard gets one from a node that has several.
     if (loose.length === 0) {
       const idle = alive.find(
-        (n) => load.get(n.member) === 0 && now - (this.seen.get(n.member)?.at ?? now) > 2 * this.ttlMs,
+        (n) => load.get(n.member) === 0 && now - (this.seen.get(n.member)?.at ?? now) > 2 * this.leaseTtlMs,
       );
       const laden = alive.find((n) => (load.get(n.member) ?? 0) > 1);
       if (idle && laden) {
@@ -255,13 +255,13 @@
     if (this.busy.has(key)) return;
     this.busy.add(key);
     const leads = hold !== undefined && data['member'] === this.settings.member;
-    const leadStamp = this.leading && hold === undefined ? this.replica.leader!.stamp : null;
+    const leadStamp = this.isLeader && hold === undefined ? this.replica.leader!.stamp : null;
     this.committer.add({
       rank: Rank.membership,
       build: () => {
         // Guards against a leadership that another has taken, or that has moved with the level, while this waited.
         const late = leads && (key !== this.replica.activeLeaderKey || this.replica.leader !== null);
-        if ((hold !== undefined && hold !== this.hold) || late || this.left) {
+        if ((hold !== undefined && hold !== this.leaseId) || late || this.left) {
           this.busy.delete(key);
           return null;
         }
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -5,7 +5,7 @@
 import { admits } from '../feature-levels/index.js';
 import { Recent, Vouching, type Question } from '../freshness/index.js';
 import type { Change } from '../wire/store.js';
-import type { Clock, Effect, Pulse } from './effects.js';
+import type { Clock, Effect, PeerStatus } from './effects.js';
 import type { Replica } from './replica.js';
 
 /** A pulse older than so many state leases says nothing any more. */
@@ -17,12 +17,12 @@
 const knowsGone = 0.5;
 
 interface Other {
-  pulse: Pulse;
+  pulse: PeerStatus;
   at: number;
 }
 
 /** What this controller knows of the others, and what it tells them. */
-export class Neighbours {
+export class Peers {
   private readonly others = new Map<string, Other>();
   private readonly recent = new Recent(mostRecent);
   /** When each was last seen to be present, ms. */
@@ -31,7 +31,7 @@
   private readonly members: readonly string[];
   private pulsedAt = -Infinity;
   /** The newest revision that a peer told of, and when, ms. */
-  told = { epoch: -1, at: -Infinity };
+  newestKnown = { revision: -1, at: -Infinity };
 
   constructor(
     settings: Settings,
@@ -46,45 +46,45 @@
     this.vouching = new Vouching(run, members, Math.min(ttlMs / 4, operators['grant-s'] * 50));
   }
 
-  noteDecisive(change: Change): void {
-    this.recent.note(change);
+  recordDecisiveChange(change: Change): void {
+    this.recent.record(change);
   }
 
-  loaded(epoch: number): void {
-    this.recent.readUpTo(epoch);
+  onStateLoaded(epoch: number): void {
+    this.recent.markCompleteUpTo(epoch);
   }
 
-  pulse(from: string, pulse: Pulse): void {
+  onStatus(from: string, pulse: PeerStatus): void {
     const { now } = this.clock;
-    this.vouching.heard(from, pulse.run, now);
+    this.vouching.notePeerProcess(from, pulse.run, now);
     // Whoever has just come waits to hear from everybody.
     if (this.others.get(from)?.pulse.run !== pulse.run) this.pulsedAt = -Infinity;
     this.others.set(from, { pulse, at: now });
-    this.told = { epoch: Math.max(this.told.epoch, pulse.epoch), at: now };
+    this.newestKnown = { revision: Math.max(this.newestKnown.revision, pulse.epoch), at: now };
   }
 
   /** Those that live, as far as is known, and how busy they are. */
-  *helpers(): Generator<{ member: string; busy: number }> {
+  *livePeers(): Generator<{ member: string; busy: number }> {
     for (const [member, o] of this.others)
       if (this.isFresh(o) && this.replica.isAlive(member, o.pulse.run))
-        yield { member, busy: o.pulse.busy / 1000 };
+        yield { member, busy: o.pulse.utilizationPermille / 1000 };
   }
 
   /** How many of the others have followed the state further than this. */
-  knowMore(epoch: number): number {
+  countAhead(epoch: number): number {
     return [...this.others.values()].filter((o) => this.isFresh(o) && o.pulse.epoch > epoch).length;
   }
 
   /** Jobs that this process knows. */
-  jobs: () => number = () => this.replica.jobCount;
+  ownJobCount: () => number = () => this.replica.jobCount;
 
   /** The most jobs that any other knows. */
-  get mostJobs(): number {
+  get maxJobCount(): number {
     return Math.max(0, ...[...this.others.values()].filter((o) => this.isFresh(o)).map((o) => o.pulse.jobs));
   }
 
   /** Whether all of the others have been heard since this process began. */
-  get allHeard(): boolean {
+  get heardFromAll(): boolean {
     return this.members.every((m) => this.others.has(m));
   }
 
@@ -93,9 +93,9 @@
   }
 
   /** Whether a member has asked the others to keep its workers. */
-  wantsFront(member: string): boolean {
+  wantsForwarding(member: string): boolean {
     const o = this.others.get(member);
-    return o !== undefined && o.pulse.front && this.isFresh(o);
+    return o !== undefined && o.pulse.wantsForwarding && this.isFresh(o);
   }
 
   private isFresh(o: Other): boolean {
@@ -103,7 +103,13 @@
   }
 
   /** Tells the others of us, at once when there is news and from time to time without. */
-  tell(out: Effect[], busy: number, front: boolean, wants: () => Demand, news: number | null): void {
+  broadcastStatus(
+    out: Effect[],
+    busy: number,
+    front: boolean,
+    wants: () => Demand,
+    news: number | null,
+  ): void {
     const { now } = this.clock;
     if (news === null && now - this.pulsedAt < this.ttlMs / pulsesPerLease) return;
     this.pulsedAt = now;
@@ -113,11 +119,11 @@
       pulse: {
         epoch,
         run: this.run,
-        busy: Math.round(busy * 1000),
-        front,
+        utilizationPermille: Math.round(busy * 1000),
+        wantsForwarding: front,
         wants: wants(),
         inc: this.inc,
-        jobs: this.jobs(),
+        jobs: this.ownJobCount(),
       },
     });
   }
@@ -142,26 +148,32 @@
     return this.replica.incarnation?.number ?? 0;
   }
 
-  ask(out: Effect[]): void {
-    const q = this.vouching.ask(this.clock.now, this.replica.watchRevision, this.inc);
+  queryFreshness(out: Effect[]): void {
+    const q = this.vouching.nextQuery(this.clock.now, this.replica.watchRevision, this.inc);
     if (q) out.push({ type: 'query-freshness', question: q });
   }
 
-  asked(from: string, question: Question, out: Effect[]): void {
+  onFreshnessQuery(from: string, question: Question, out: Effect[]): void {
     // Guards against a view of what was before a loss being confirmed, or changed, by what is known since.
-    if (question.inc !== this.inc) return;
-    const known = this.replica.watchRevision < 0 ? null : this.recent.since(question.epoch);
+    if (question.incarnation !== this.inc) return;
+    const known = this.replica.watchRevision < 0 ? null : this.recent.since(question.revision);
     if (known) out.push({ type: 'confirm-freshness', to: from, question, known });
   }
 
   /** The moment up to which the view is known to be complete by a peer's answer, ms, or null. */
-  vouched(from: string, run: string, to: Question, known: Change[], completeAt: number): number | null {
-    if (to.inc !== this.inc) return null;
+  onFreshnessAnswer(
+    from: string,
+    run: string,
+    to: Question,
+    known: Change[],
+    completeAt: number,
+  ): number | null {
+    if (to.incarnation !== this.inc) return null;
     for (const change of known) this.replica.apply(change);
     // Guards against a program that knows less than the level in force: it cannot hand over what it does not understand.
     const node = this.replica.nodes.get(from);
     if (this.replica.levels.standsBy || (node?.run === run && !admits(this.replica.levels.state, node.can)))
       return null;
-    return this.vouching.answered(from, run, to, completeAt);
+    return this.vouching.onAnswer(from, run, to, completeAt);
   }
 }
--- a/src/core/replica-freshness.ts
+++ b/src/core/replica-freshness.ts
@@ -9,13 +9,13 @@
 const mostReadings = 50;
 
 /** Up to which moment the view is known to hold whatever any controller had told anybody. Times in ms. */
-export class View {
+export class ReplicaFreshness {
   /** By a reading of the state's revision. */
-  at = -Infinity;
+  confirmedByStoreAt = -Infinity;
   /** By the others: they had handed over all that they knew then. */
-  vouchedAt = -Infinity;
+  confirmedByPeersAt = -Infinity;
   /** The latest of both ever. It stays true when the process stands still: only how new it is changes. */
-  completeAt = -Infinity;
+  completeUpTo = -Infinity;
   private readings: { sentAt: number; epoch: number }[] = [];
   private steppedAt = -Infinity;
   /** What was asked before this moment proves nothing for now. */
@@ -23,7 +23,7 @@
   private lost = false;
   private vouching = false;
   /** The last reading that was asked for got no answer. */
-  unreachable = false;
+  isStoreUnreachable = false;
 
   constructor(
     private readonly replica: Replica,
@@ -31,35 +31,35 @@
     /** How long this process's state lease lasts. */
     private readonly ttlMs: number,
     /** How old the view may be for workers to be answered from it. */
-    readonly freshLimitMs: number,
+    readonly maxAgeMs: number,
     private readonly log: Log,
   ) {}
 
   /** Too old to act for everybody: to rent, to return, to end a peer's lease. Vouching does not help here. */
-  get stale(): boolean {
+  get isStale(): boolean {
     return this.ageMs > this.ttlMs;
   }
 
   /** New enough for work to be started: whoever was cut off may not know of a cancellation. */
-  get current(): boolean {
-    return !this.stale || this.vouchedFor;
+  get isCurrent(): boolean {
+    return !this.isStale || this.isConfirmedByPeers;
   }
 
   get ageMs(): number {
-    return this.clock.now - this.at;
+    return this.clock.now - this.confirmedByStoreAt;
   }
 
-  get answersWorkers(): boolean {
-    return this.clock.now - Math.max(this.at, this.vouchedAt) <= this.freshLimitMs;
+  get mayAnswerWorkers(): boolean {
+    return this.clock.now - Math.max(this.confirmedByStoreAt, this.confirmedByPeersAt) <= this.maxAgeMs;
   }
 
   /** The others have confirmed the view lately. */
-  get vouchedFor(): boolean {
-    return this.clock.now - this.vouchedAt < this.ttlMs;
+  get isConfirmedByPeers(): boolean {
+    return this.clock.now - this.confirmedByPeersAt < this.ttlMs;
   }
 
-  get wantsVouching(): boolean {
-    return Number.isFinite(this.completeAt) && this.ageMs > this.freshLimitMs * vouchShare;
+  get needsPeerConfirmation(): boolean {
+    return Number.isFinite(this.completeUpTo) && this.ageMs > this.maxAgeMs * vouchShare;
   }
 
   /**
@@ -67,46 +67,46 @@
    * by what was asked for since: no worker is answered, nothing is rented or returned until then. Its writes need no such
    * guard, their conditions tell.
    */
-  wake(): void {
+  detectStall(): void {
     const { now } = this.clock;
     const gapMs = now - this.steppedAt;
     this.steppedAt = now;
     if (gapMs <= this.ttlMs * standstillShare || !Number.isFinite(gapMs)) return;
     this.log('warn', 'stood still', { ms: Math.round(gapMs) });
     this.wokeAt = now;
-    this.at = -Infinity;
-    this.vouchedAt = -Infinity;
+    this.confirmedByStoreAt = -Infinity;
+    this.confirmedByPeersAt = -Infinity;
   }
 
   /** A reading of the state's revision that was asked for at `sentAt`; null: it got no answer. */
-  read(sentAt: number, epoch: number | null): void {
-    this.unreachable = epoch === null;
-    if (epoch !== null) this.readings.push({ sentAt, epoch });
+  onRevisionRead(sentAt: number, revision: number | null): void {
+    this.isStoreUnreachable = revision === null;
+    if (revision !== null) this.readings.push({ sentAt, epoch: revision });
   }
 
   /** The others know nothing of that moment or before that the view lacks. */
-  vouched(askedAt: number | null): void {
+  onConfirmedByPeers(askedAt: number | null): void {
     if (askedAt === null) return;
-    this.completeAt = Math.max(this.completeAt, askedAt);
+    this.completeUpTo = Math.max(this.completeUpTo, askedAt);
     if (askedAt < this.wokeAt) return;
-    this.vouchedAt = Math.max(this.vouchedAt, askedAt);
+    this.confirmedByPeersAt = Math.max(this.confirmedByPeersAt, askedAt);
   }
 
-  settle(): void {
+  update(): void {
     this.readings = this.readings.filter((r) => {
       if (r.epoch > this.replica.watchRevision) return true;
-      this.completeAt = Math.max(this.completeAt, r.sentAt);
-      if (r.sentAt >= this.wokeAt) this.at = Math.max(this.at, r.sentAt);
+      this.completeUpTo = Math.max(this.completeUpTo, r.sentAt);
+      if (r.sentAt >= this.wokeAt) this.confirmedByStoreAt = Math.max(this.confirmedByStoreAt, r.sentAt);
       return false;
     });
     if (this.readings.length > mostReadings) this.readings.splice(0, mostReadings / 2);
-    const lost = Number.isFinite(this.ageMs) && this.ageMs > this.freshLimitMs / 2;
+    const lost = Number.isFinite(this.ageMs) && this.ageMs > this.maxAgeMs / 2;
     if (lost !== this.lost) {
       this.lost = lost;
       if (lost) this.log('warn', 'state service not reached', { forMs: Math.round(this.ageMs) });
       else this.log('info', 'state service reached again');
     }
-    const vouching = this.lost && this.vouchedAt > this.at && this.answersWorkers;
+    const vouching = this.lost && this.confirmedByPeersAt > this.confirmedByStoreAt && this.mayAnswerWorkers;
     if (vouching !== this.vouching) {
       this.vouching = vouching;
       this.log('info', vouching ? 'others vouch for our view' : 'nobody vouches for our view');
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -282,7 +282,7 @@
   outcome(o: CommitOutcome, now: number, out: Effect[]): void {
     const flight = this.flight;
     if (!flight) return;
-    if (o.type !== 'rejected' && o.type !== 'unknown' && o.type !== 'rate-limited') this.attempts.ok();
+    if (o.type !== 'rejected' && o.type !== 'unknown' && o.type !== 'rate-limited') this.attempts.onSuccess();
     switch (o.type) {
       case 'ok':
         this.flight = null;
@@ -366,7 +366,7 @@
   }
 
   private back(now: number): void {
-    this.attempts.fail(now);
+    this.attempts.onFailure(now);
     this.resendAt = this.attempts.notBefore;
   }
 
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -405,7 +405,7 @@
     }
   }
 
-  /** `vouchedAt`: the view holds all ends of jobs that anybody had been told of by then. */
+  /** `confirmedByPeersAt`: the view holds all ends of jobs that anybody had been told of by then. */
   pump(out: Effect[], vouchedAt: number): void {
     const now = this.clock.now;
     if (this.waiters.length > 0) {
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -14,9 +14,9 @@
 import { type Committer, allocationData, allocationKey, Rank } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
 import type { Membership } from './membership.js';
-import type { Neighbours } from './peers.js';
+import type { Peers } from './peers.js';
 import type { Replica } from './replica.js';
-import type { View } from './replica-freshness.js';
+import type { ReplicaFreshness } from './replica-freshness.js';
 
 /** Looks, and plans at most, in a state lease. */
 const looksPerLease = 4;
@@ -50,8 +50,8 @@
     private readonly settings: Settings,
     private readonly replica: Replica,
     private readonly committer: Committer,
-    private readonly view: View,
-    private readonly neighbours: Neighbours,
+    private readonly freshness: ReplicaFreshness,
+    private readonly peers: Peers,
     private readonly membership: Membership,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -76,7 +76,7 @@
   observe(): void {
     const number = this.replica.writeAllocation?.version ?? 0;
     if (number !== this.known.number) this.known = { number, at: this.clock.now };
-    this.neighbours.demands();
+    this.peers.demands();
   }
 
   /** This controller's share. Without a plan that is in force all work it out from the same pulses; knowing nothing, it is equal. */
@@ -86,7 +86,7 @@
     const n = members.length;
     if (!this.inForce) {
       const alone = alonePart(writes, n);
-      const heard = [...this.neighbours.demands().values()].map(
+      const heard = [...this.peers.demands().values()].map(
         (m) => m.demand ?? { tasks: m.here ? alone.total : 0, users: 0, behindS: 0 },
       );
       const parts = partsOf(writes, [mine, ...heard]);
@@ -94,7 +94,7 @@
     }
     const { writeAllocation: plan } = this.replica;
     const part = plan?.members.get(this.settings.member);
-    const fresh = !this.view.stale && this.membership.present;
+    const fresh = !this.freshness.isStale && this.membership.isPresent;
     if (plan && part && fresh)
       return { ...part, totalUsers: [...plan.members.values()].reduce((sum, p) => sum + p.users, 0) };
     // Guards against following a plan that was replaced while nothing was heard of it, or one that counts this controller as
@@ -108,7 +108,7 @@
   proposeNext(mine: Demand): void {
     const { now } = this.clock;
     const { writeAllocation: plan } = this.replica;
-    const { ttlMs } = this.membership;
+    const { leaseTtlMs: ttlMs } = this.membership;
     if (!this.inForce || this.busy || now - this.lookedAt < ttlMs / looksPerLease) return;
     this.lookedAt = now;
     if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.unreadableRecords.has(allocationKey))
@@ -123,7 +123,7 @@
       build: () => {
         const { leader: lead } = this.replica;
         // Guards against a leader of before, which knows neither who follows what nor the newest plan.
-        if (!lead || !this.membership.leading || !this.inForce) {
+        if (!lead || !this.membership.isLeader || !this.inForce) {
           done();
           return null;
         }
@@ -150,13 +150,13 @@
 
   private next(mine: Demand): Plan {
     const { writeAllocation: plan } = this.replica;
-    const others = this.neighbours.demands();
+    const others = this.peers.demands();
     const members = this.members.map((name) =>
       name === this.settings.member
         ? { name, here: true, fallen: false, demand: { ...mine, follows: this.followedVersion } }
         : { name, ...others.get(name)! },
     );
-    const settled = this.clock.now - this.known.at > settledLeases * this.membership.ttlMs;
+    const settled = this.clock.now - this.known.at > settledLeases * this.membership.leaseTtlMs;
     return nextPlan(plan, this.settings.state.write_rps, members, settled, this.weightOf);
   }
 }
--- a/src/freshness/index.ts
+++ b/src/freshness/index.ts
@@ -1,2 +1,2 @@
-export { Recent } from './recent-changes.js';
-export { Vouching, type Question } from './freshness-quorum.js';
+export { RecentChanges as Recent } from './recent-changes.js';
+export { FreshnessQuorum as Vouching, type FreshnessQuery as Question } from './freshness-quorum.js';
--- a/src/freshness/recent-changes.ts
+++ b/src/freshness/recent-changes.ts
@@ -4,27 +4,27 @@
  * The newest changes that others must not miss: cancellations, ends of jobs, grants, leadership. Complete for every
  * revision above `floor`: whatever of that kind this process has learned, and so may have told or acted on, is here.
  */
-export class Recent {
-  private kept: Change[] = [];
-  private floor = Infinity;
+export class RecentChanges {
+  private changes: Change[] = [];
+  private completeAbove = Infinity;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxChanges: number) {}
 
-  note(change: Change): void {
-    this.kept.push(change);
-    if (this.kept.length <= this.most) return;
-    const gone = this.kept.splice(0, this.kept.length - Math.ceil(this.most / 2));
+  record(change: Change): void {
+    this.changes.push(change);
+    if (this.changes.length <= this.maxChanges) return;
+    const gone = this.changes.splice(0, this.changes.length - Math.ceil(this.maxChanges / 2));
     // Own writes are noted ahead of older ones of others: the newest that left decides.
-    for (const c of gone) this.floor = Math.max(this.floor, c.stamp);
+    for (const c of gone) this.completeAbove = Math.max(this.completeAbove, c.stamp);
   }
 
   /** Everything up to this revision was read at once, not noted. */
-  readUpTo(epoch: number): void {
-    this.floor = Number.isFinite(this.floor) ? Math.max(this.floor, epoch) : epoch;
+  markCompleteUpTo(epoch: number): void {
+    this.completeAbove = Number.isFinite(this.completeAbove) ? Math.max(this.completeAbove, epoch) : epoch;
   }
 
   /** All that is known above a revision; null: that cannot be told. */
   since(epoch: number): Change[] | null {
-    return epoch < this.floor ? null : this.kept.filter((c) => c.stamp > epoch);
+    return epoch < this.completeAbove ? null : this.changes.filter((c) => c.stamp > epoch);
   }
 }
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -12,45 +12,48 @@
     /** Above so many, those that are needed least are closed. */
     comfortable: number;
     /** Above so many, workers are asked to report through another controller. */
-    own: number;
+    preferred: number;
     /** Orders under way to workers. */
-    orders: number;
+    outgoingOrders: number;
     /** Connections from other controllers. */
     peers: number;
   };
   /** Requests of users that wait for a reading of the state. */
-  waiting: number;
+  maxWaitingRequests: number;
   /** Reports under way to the owner of their machine. */
-  relays: number;
+  maxForwardedHeartbeats: number;
   memory: {
     /** Above so much held, MB, garbage is collected at once. */
-    collectMb: number;
+    collectGarbageAboveMb: number;
     /** Above so much still held after that, MB, only what is needed most is taken in. */
-    tightMb: number;
+    shedLoadAboveMb: number;
   };
 }
 
-const mostShare = 0.8;
-const comfortableShare = 2 / 3;
-const ownShare = 0.5;
+const maxShare = 0.8;
+const closeIdleShare = 2 / 3;
+const preferredShare = 0.5;
 const ordersShare = 1 / 16;
 const collectShare = 0.75;
-const tightShare = 0.85;
+const shedLoadShare = 0.85;
 /** A request that waits holds some 10 kB: so many for each MB let them use a tenth of it. */
-const waitingPerMb = 10;
+const waitingRequestsPerMb = 10;
 
 export function limitsOf({ quota, peers }: LimitSettings): Limits {
   const at = (share: number): number => Math.max(1, Math.floor(quota.fd_limit * share));
   return {
     sockets: {
-      most: at(mostShare),
-      comfortable: at(comfortableShare),
-      own: at(ownShare),
-      orders: at(ordersShare),
+      most: at(maxShare),
+      comfortable: at(closeIdleShare),
+      preferred: at(preferredShare),
+      outgoingOrders: at(ordersShare),
       peers: 8 * Math.max(1, peers.length),
     },
-    waiting: Math.ceil(quota.mem_mb * waitingPerMb),
-    relays: at(ownShare),
-    memory: { collectMb: quota.mem_mb * collectShare, tightMb: quota.mem_mb * tightShare },
+    maxWaitingRequests: Math.ceil(quota.mem_mb * waitingRequestsPerMb),
+    maxForwardedHeartbeats: at(preferredShare),
+    memory: {
+      collectGarbageAboveMb: quota.mem_mb * collectShare,
+      shedLoadAboveMb: quota.mem_mb * shedLoadShare,
+    },
   };
 }
--- a/src/memory-usage.ts
+++ b/src/memory-usage.ts
@@ -28,15 +28,15 @@
   /** Whether only what is needed most should be taken in now. */
   look(now: number): boolean {
     let held = this.heldMb();
-    if (held > this.limits.collectMb && now - this.collectedAt > restMs) {
+    if (held > this.limits.collectGarbageAboveMb && now - this.collectedAt > restMs) {
       this.collectedAt = now;
       this.collector()();
       const before = held;
       held = this.heldMb();
       this.log('info', 'memory collected', { before: Math.round(before), after: Math.round(held) });
     }
-    this.share = held / this.limits.tightMb;
-    const tight = held > this.limits.tightMb;
+    this.share = held / this.limits.shedLoadAboveMb;
+    const tight = held > this.limits.shedLoadAboveMb;
     if (tight !== this.tight)
       this.log('warn', tight ? 'memory is short' : 'memory is enough again', { held: Math.round(held) });
     this.tight = tight;
--- a/src/net/client.ts
+++ b/src/net/client.ts
@@ -1,29 +1,29 @@
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { splitAddr } from '../config/settings.js';
 
-export interface Reply {
+export interface JsonResponse {
   status: number;
   body: unknown;
 }
 
-const mostBytes = 64 * 1024 * 1024;
+const maxResponseBytes = 64 * 1024 * 1024;
 
 /**
  * One JSON request with a time limit on everything. null: no usable answer came; whether the request was
  * carried out is unknown.
  */
-export function callOnce(
+export function requestJson(
   agent: Agent,
   addr: string,
   method: string,
   path: string,
   body: object | null,
   timeoutMs: number,
-): Promise<Reply | null> {
+): Promise<JsonResponse | null> {
   const { host, port } = splitAddr(addr);
   return new Promise((resolve) => {
     let settled = false;
-    const settle = (reply: Reply | null) => {
+    const settle = (reply: JsonResponse | null) => {
       if (settled) return;
       settled = true;
       clearTimeout(timer);
@@ -37,7 +37,7 @@
       let size = 0;
       res.on('data', (d: Buffer) => {
         size += d.length;
-        if (size > mostBytes) req.destroy();
+        if (size > maxResponseBytes) req.destroy();
         else parts.push(d);
       });
       res.on('end', () => {
@@ -64,22 +64,22 @@
 }
 
 /** A small JSON client for one server: connections are kept open. */
-export class HttpClient {
+export class JsonClient {
   private readonly agent: Agent;
 
   constructor(
     private readonly addr: string,
-    sockets: number,
+    maxSockets: number,
   ) {
     this.agent = new Agent({
       keepAlive: true,
-      maxSockets: sockets,
-      maxFreeSockets: sockets,
+      maxSockets: maxSockets,
+      maxFreeSockets: maxSockets,
       scheduling: 'fifo',
     });
   }
 
-  call(method: string, path: string, body: object | null, timeoutMs: number): Promise<Reply | null> {
-    return callOnce(this.agent, this.addr, method, path, body, timeoutMs);
+  call(method: string, path: string, body: object | null, timeoutMs: number): Promise<JsonResponse | null> {
+    return requestJson(this.agent, this.addr, method, path, body, timeoutMs);
   }
 }
--- a/src/net/json.ts
+++ b/src/net/json.ts
@@ -1,12 +1,12 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /** The body of a request as JSON; undefined: too long, or not JSON. */
-export async function readJson(req: IncomingMessage, mostBytes: number): Promise<unknown> {
+export async function readJson(req: IncomingMessage, maxBytes: number): Promise<unknown> {
   const parts: Buffer[] = [];
   let size = 0;
   for await (const part of req as AsyncIterable<Buffer>) {
     size += part.length;
-    if (size > mostBytes) return undefined;
+    if (size > maxBytes) return undefined;
     parts.push(part);
   }
   try {
@@ -17,7 +17,7 @@
 }
 
 /** Answers with JSON, once; a body that is text already goes out as it is. */
-export function replyJson(
+export function sendJson(
   res: ServerResponse,
   status: number,
   body: object | string,
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,7 +1,7 @@
 /** What controllers tell each other: one protobuf message a frame, behind its length as a 32-bit number. */
 import type { Demand, Turned } from '../admission/index.js';
 import type { Speaks } from '../formats/index.js';
-import type { Pulse } from '../core/effects.js';
+import type { PeerStatus } from '../core/effects.js';
 import type { ExitReason, Heartbeat, TaskPhase } from '../model/heartbeat.js';
 import type { Question } from '../freshness/index.js';
 import {
@@ -31,7 +31,7 @@
   | { hello: { member: string; run: string; speaks: Speaks } }
   | { relay: { id: number; report: Heartbeat } }
   | { relayed: { id: number; status: number; body: string } }
-  | { pulse: Pulse }
+  | { pulse: PeerStatus }
   | { ask: Question }
   | { turned: { list: Turned[] } }
   | { vouch: { ask: Question; run: string; known: string } };
@@ -81,8 +81,15 @@
   };
 }
 
-function pulseOut(p: Pulse): Partial<WirePulse> {
-  const status = { epoch: p.epoch, run: p.run, busy: p.busy, front: p.front, inc: p.inc, jobs: p.jobs };
+function pulseOut(p: PeerStatus): Partial<WirePulse> {
+  const status = {
+    epoch: p.epoch,
+    run: p.run,
+    busy: p.utilizationPermille,
+    front: p.wantsForwarding,
+    inc: p.inc,
+    jobs: p.jobs,
+  };
   const d = p.wants;
   if (d === null) return { ...status, says: false, behind: 0 };
   return {
@@ -106,12 +113,12 @@
   };
 }
 
-function pulseIn(p: WirePulse): Pulse {
+function pulseIn(p: WirePulse): PeerStatus {
   return {
     epoch: p.epoch,
     run: p.run,
-    busy: p.busy,
-    front: p.front,
+    utilizationPermille: p.busy,
+    wantsForwarding: p.front,
     wants: p.says ? demandIn(p) : null,
     inc: p.inc,
     jobs: p.jobs,
@@ -131,8 +138,18 @@
 const turnedOut = (t: Turned): WireAway => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
 const turnedIn = (t: WireAway): Turned => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
 
-const questionOut = (q: Question): WireAsk => ({ nonce: q.nonce, epoch: q.epoch, run: q.run, inc: q.inc });
-const questionIn = (q: WireAsk): Question => ({ run: q.run, nonce: q.nonce, epoch: q.epoch, inc: q.inc });
+const questionOut = (q: Question): WireAsk => ({
+  nonce: q.nonce,
+  epoch: q.revision,
+  run: q.run,
+  inc: q.incarnation,
+});
+const questionIn = (q: WireAsk): Question => ({
+  run: q.run,
+  nonce: q.nonce,
+  revision: q.epoch,
+  incarnation: q.inc,
+});
 
 function wireOf(frame: Frame): object {
   if ('hello' in frame) return { hello: helloOut(frame.hello.member, frame.hello.run, frame.hello.speaks) };
@@ -181,7 +198,7 @@
   return null;
 }
 
-const mostFrame = 256 * 1024;
+const maxFrameBytes = 256 * 1024;
 
 /** Cuts a stream of bytes into frames. Throws on garbage: the connection is then closed. */
 export class FrameReader {
@@ -193,7 +210,7 @@
     let at = 0;
     while (this.rest.length - at >= 4) {
       const length = this.rest.readUInt32BE(at);
-      if (length > mostFrame) throw new Error(`frame of ${length} bytes`);
+      if (length > maxFrameBytes) throw new Error(`frame of ${length} bytes`);
       if (this.rest.length - at < 4 + length) break;
       const frame = decodeFrame(this.rest.subarray(at + 4, at + 4 + length));
       at += 4 + length;
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -5,7 +5,7 @@
 import { pauseMs, type Random, type RetryPolicy } from '../retry/index.js';
 import { encodeFrame, FrameReader, type Frame } from './frames.js';
 
-const mostQueued = 1024 * 1024;
+const maxQueuedBytes = 1024 * 1024;
 
 /**
  * Connections between the controllers: each dials every other one and sends on its own connection. What
@@ -21,13 +21,13 @@
     private readonly run: string,
     private readonly retry: RetryPolicy,
     private readonly random: Random,
-    mostInbound: number,
+    maxInboundConnections: number,
     private readonly log: Log,
-    private readonly got: (from: string, frame: Frame) => void,
-    private readonly lost: (member: string) => void,
+    private readonly onFrame: (from: string, frame: Frame) => void,
+    private readonly onPeerLost: (member: string) => void,
   ) {
     this.server = createServer((socket) => this.inbound(socket));
-    this.server.maxConnections = mostInbound;
+    this.server.maxConnections = maxInboundConnections;
   }
 
   async start(): Promise<void> {
@@ -41,7 +41,7 @@
 
   send(to: string, frame: Frame): boolean {
     const link = this.out.get(to);
-    if (!link?.ready || !link.socket || link.socket.writableLength > mostQueued) return false;
+    if (!link?.ready || !link.socket || link.socket.writableLength > maxQueuedBytes) return false;
     // What one step sends goes out together.
     if (link.socket.writableCorked === 0) {
       const { socket } = link;
@@ -67,7 +67,7 @@
       const socket = connect(splitAddr(addr));
       link.socket = socket;
       socket.setNoDelay(true);
-      socket.setTimeout(this.retry.deadlineMs, () => {
+      socket.setTimeout(this.retry.timeoutMs, () => {
         if (!link.ready) socket.destroy();
       });
       socket.on('connect', () => {
@@ -80,7 +80,7 @@
       socket.on('data', () => undefined);
       socket.on('error', (e: NodeJS.ErrnoException) => {
         // A connection that stood a moment ago broke, and nobody listens any more.
-        if (broken && e.code === 'ECONNREFUSED') this.lost(member);
+        if (broken && e.code === 'ECONNREFUSED') this.onPeerLost(member);
       });
       socket.on('close', () => {
         const stood = link.ready;
@@ -118,7 +118,7 @@
             return void socket.destroy();
           }
           from = f.hello.member;
-        } else if (from !== null) this.got(from, f);
+        } else if (from !== null) this.onFrame(from, f);
       }
     });
   }
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -1,1 +1,8 @@
-export { phaseOf, Recovery, type Facts, type Phase, type Recovered, type Transition } from './recovery.js';
+export {
+  phaseOf,
+  RecoveryTracker as Recovery,
+  type RecoveryFacts as Facts,
+  type RecoveryPhase as Phase,
+  type RecoverySummary as Recovered,
+  type PhaseTransition as Transition,
+} from './recovery.js';
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -9,32 +9,32 @@
  *
  * It goes back from any phase to an earlier one when what that rests on is lost.
  */
-export type Phase = 'reading' | 'joining' | 'standby' | 'proving' | 'serving';
+export type RecoveryPhase = 'reading' | 'joining' | 'standby' | 'proving' | 'serving';
 
 /** What is the case now. */
-export interface Facts {
+export interface RecoveryFacts {
   /** The view has been read whole. */
-  read: boolean;
+  isStateLoaded: boolean;
   /** The state service holds our presence. */
-  present: boolean;
+  isPresent: boolean;
   /** Shards of ours. */
-  owned: number;
+  ownedShards: number;
   /** Machines that held tasks when their shard was taken up and have neither reported nor gone since. */
-  unproven: number;
+  unprovenMachines: number;
   /** Placements that this process has decided so far. */
-  placed: number;
+  placementCount: number;
 }
 
-export interface Transition {
-  from: Phase;
-  to: Phase;
+export interface PhaseTransition {
+  from: RecoveryPhase;
+  to: RecoveryPhase;
   /** Since the process began, ms. */
   atMs: number;
   /** How long the phase that ends has lasted, ms. */
   lastedMs: number;
 }
 
-export interface Recovered {
+export interface RecoverySummary {
   /** From owning a shard to all of its machines proven, ms, and to all but a few of them: the dead take longest. */
   provenMs: number;
   mostProvenMs: number;
@@ -43,19 +43,19 @@
   late: boolean;
 }
 
-export const phaseOf = (f: Facts): Phase => {
-  if (!f.read) return 'reading';
-  if (!f.present) return 'joining';
-  if (f.owned === 0) return 'standby';
-  return f.unproven > 0 ? 'proving' : 'serving';
+export const phaseOf = (f: RecoveryFacts): RecoveryPhase => {
+  if (!f.isStateLoaded) return 'reading';
+  if (!f.isPresent) return 'joining';
+  if (f.ownedShards === 0) return 'standby';
+  return f.unprovenMachines > 0 ? 'proving' : 'serving';
 };
 
 /** Of the machines of a shard, so many may be gone or cut off without the start counting as late. */
 const fewShare = 0.05;
 
 /** Follows a process through the phases and keeps the times. Times are since the process began, ms. */
-export class Recovery {
-  phase: Phase = 'reading';
+export class RecoveryTracker {
+  phase: RecoveryPhase = 'reading';
   private since = 0;
   private ownedAt: number | null = null;
   private firstPlacementMs: number | null = null;
@@ -67,36 +67,36 @@
   /** `boundMs`: so long after it began to own a shard, all machines should be proven. */
   constructor(private readonly boundMs: number) {}
 
-  step(now: number, facts: Facts): Transition | null {
-    if (facts.owned === 0) {
+  update(now: number, facts: RecoveryFacts): PhaseTransition | null {
+    if (facts.ownedShards === 0) {
       this.ownedAt = null;
       this.reported = false;
       this.overdueTold = false;
       this.mostProvenMs = null;
     } else if (this.ownedAt === null) {
       this.ownedAt = now;
-      this.toProve = facts.unproven;
+      this.toProve = facts.unprovenMachines;
     }
-    if (this.ownedAt !== null && facts.unproven <= this.toProve * fewShare)
+    if (this.ownedAt !== null && facts.unprovenMachines <= this.toProve * fewShare)
       this.mostProvenMs ??= now - this.ownedAt;
-    if (this.firstPlacementMs === null && facts.placed > 0) this.firstPlacementMs = now;
+    if (this.firstPlacementMs === null && facts.placementCount > 0) this.firstPlacementMs = now;
     const to = phaseOf(facts);
     if (to === this.phase) return null;
-    const t: Transition = { from: this.phase, to, atMs: now, lastedMs: now - this.since };
+    const t: PhaseTransition = { from: this.phase, to, atMs: now, lastedMs: now - this.since };
     this.phase = to;
     this.since = now;
     return t;
   }
 
   /** Once for each time that a shard was taken up and not all of it was proven within the bound. */
-  overdue(now: number): boolean {
+  takeOverdue(now: number): boolean {
     if (this.phase !== 'proving' || this.overdueTold || this.ownedAt === null) return false;
     this.overdueTold = now - this.ownedAt > this.boundMs;
     return this.overdueTold;
   }
 
   /** Once for each time that a shard was taken up and all of it is proven. */
-  recovered(now: number): Recovered | null {
+  takeSummary(now: number): RecoverySummary | null {
     if (this.phase !== 'serving' || this.reported || this.ownedAt === null) return null;
     this.reported = true;
     const provenMs = now - this.ownedAt;
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -33,7 +33,7 @@
     private readonly random: Random,
   ) {
     const { most } = limits.sockets;
-    const { waiting } = limits;
+    const { maxWaitingRequests: waiting } = limits;
     // In order of need. How long senders wait is what the protocol says.
     this.lanes = new Lanes(
       {
--- a/src/retry/policies.ts
+++ b/src/retry/policies.ts
@@ -18,7 +18,7 @@
   workers: RetryPolicy;
 }
 
-const factor = 2;
+const multiplier = 2;
 const jitter = 0.3;
 
 /** One policy for every outgoing call; all times are ratios to settings. */
@@ -27,9 +27,9 @@
   const report = s.workers.report_s * 1000;
   const lag = Math.max(s.cloud.list_lag_s, s.workers.report_s) * 1000;
   return {
-    state: { firstMs: lease / 24, longestMs: lease / 4, factor, jitter, deadlineMs: lease / 2 },
-    cloud: { firstMs: lag / 20, longestMs: lag / 4, factor, jitter, deadlineMs: lag },
-    peers: { firstMs: report / 10, longestMs: report, factor, jitter, deadlineMs: report * 2 },
-    workers: { firstMs: report, longestMs: report, factor: 1, jitter, deadlineMs: report * 0.8 },
+    state: { initialDelayMs: lease / 24, maxDelayMs: lease / 4, multiplier, jitter, timeoutMs: lease / 2 },
+    cloud: { initialDelayMs: lag / 20, maxDelayMs: lag / 4, multiplier, jitter, timeoutMs: lag },
+    peers: { initialDelayMs: report / 10, maxDelayMs: report, multiplier, jitter, timeoutMs: report * 2 },
+    workers: { initialDelayMs: report, maxDelayMs: report, multiplier: 1, jitter, timeoutMs: report * 0.8 },
   };
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -74,9 +74,9 @@
     this.retry = retryPolicies({ ...settings, stateLeaseMs });
     this.limits = limitsOf(settings);
     this.controller = this.make(null);
-    this.store = parts.state ?? new Store(settings.endpoints.state, this.retry.state.deadlineMs);
-    this.cloud = parts.cloud ?? new HttpCloudProvider(settings.endpoints.cloud, this.retry.cloud.deadlineMs);
-    this.workerClient = new WorkerClient(this.retry.workers.deadlineMs, this.limits.sockets.orders);
+    this.store = parts.state ?? new Store(settings.endpoints.state, this.retry.state.timeoutMs);
+    this.cloud = parts.cloud ?? new HttpCloudProvider(settings.endpoints.cloud, this.retry.cloud.timeoutMs);
+    this.workerClient = new WorkerClient(this.retry.workers.timeoutMs, this.limits.sockets.outgoingOrders);
     this.memory = new Memory(this.limits.memory, log);
     this.requestQueue = new RequestQueue(settings, this.limits, this.random);
     const share = settings.state.rps / (1 + settings.peers.length);
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -55,7 +55,7 @@
   /** Somebody waits for a view that is as new as now. */
   ask(): void {
     // Guards against a request of every user in an outage: those who ask between two tries are told so at once.
-    if (this.attempts.failures > 0 && this.now() < this.attempts.notBefore)
+    if (this.attempts.failureCount > 0 && this.now() < this.attempts.notBefore)
       return this.events.read(this.now(), null);
     this.asked = true;
     this.wake?.();
@@ -99,13 +99,13 @@
       const page = await this.source.page(from);
       if (restarts !== this.restarts) return;
       if (page === null || page === 'busy') {
-        this.attempts.fail(this.now());
+        this.attempts.onFailure(this.now());
         if (page === null) this.events.read(this.now(), null);
         this.asked = false;
         await this.pause(Math.max(this.pace.everyMs, this.attempts.notBefore - this.now()));
         continue;
       }
-      this.attempts.ok();
+      this.attempts.onSuccess();
       // Changes made since the first page are read behind it.
       if (epoch < 0) epoch = page.epoch;
       for (const i of page.items) items.push(i);
@@ -148,10 +148,10 @@
     if (r === 'old') this.from = -1;
     else if (r === 'busy') this.asked = true;
     else if (r === null) {
-      this.attempts.fail(this.now());
+      this.attempts.onFailure(this.now());
       if (blockMs === 0) this.events.read(sentAt, null);
     } else {
-      this.attempts.ok();
+      this.attempts.onSuccess();
       if (this.from >= 0) this.from = Math.max(this.from, r.epoch);
       this.events.changed(r.changes, r.epoch);
       this.events.read(sentAt, r.epoch);
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,7 +1,7 @@
 /** The client of the state service. */
 import type { CommitOutcome } from '../core/effects.js';
 import { prefix } from '../core/storage/index.js';
-import { HttpClient } from '../net/client.js';
+import { JsonClient } from '../net/client.js';
 import type { Changes, Page, StateService } from './service.js';
 import {
   leaseOut,
@@ -21,16 +21,16 @@
 
 /** The state service as the core sees it. */
 export class Store implements StateService {
-  private readonly calls: HttpClient;
-  private readonly watches: HttpClient;
+  private readonly calls: JsonClient;
+  private readonly watches: JsonClient;
 
   constructor(
     addr: string,
     /** How long an answer is waited for. */
     private readonly timeoutMs: number,
   ) {
-    this.calls = new HttpClient(addr, 6);
-    this.watches = new HttpClient(addr, 3);
+    this.calls = new JsonClient(addr, 6);
+    this.watches = new JsonClient(addr, 3);
   }
 
   async commit(txn: Txn): Promise<CommitOutcome> {
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -194,7 +194,7 @@
       const group = this.waiting;
       this.waiting = [];
       // Taken now: what is committed during the write is not durable with it.
-      const view = this.space.view();
+      const freshness = this.space.view();
       const deltas = group.flatMap((w) => (w.delta ? [w.delta] : []));
       try {
         if (deltas.length > 0) await this.disk.write(deltas);
@@ -202,7 +202,7 @@
         this.fail(e as StoreError, group);
         return;
       }
-      this.seen = view;
+      this.seen = freshness;
       for (const w of group) w.done(true);
       for (const w of [...this.watchers]) w.wake();
     }
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -11,7 +11,7 @@
   parseTtl,
   parseTxn,
 } from '../wire/store-side.js';
-import { readJson, replyJson as reply } from '../net/json.js';
+import { readJson, sendJson as reply } from '../net/json.js';
 import type { Txn } from '../wire/store.js';
 import type { Engine } from './engine.js';
 import { snapshotInto } from './snapshot.js';
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Command } from '../core/effects.js';
-import { replyJson } from '../net/json.js';
+import { sendJson } from '../net/json.js';
 import type { Limits } from '../limits/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { Heartbeat } from '../model/heartbeat.js';
@@ -184,5 +184,5 @@
 
 function reply(res: ServerResponse, status: number, body: object | string, retryAfterS?: number): void {
   const after = retryAfterS ?? (status === 503 || status === 429 ? 1 : undefined);
-  replyJson(res, status, body, after === undefined ? {} : { 'Retry-After': after });
+  sendJson(res, status, body, after === undefined ? {} : { 'Retry-After': after });
 }
--- a/src/workers/workers.ts
+++ b/src/workers/workers.ts
@@ -1,5 +1,5 @@
 import { Agent } from 'node:http';
-import { callOnce } from '../net/client.js';
+import { requestJson } from '../net/client.js';
 import type { TaskOrder } from '../model/heartbeat.js';
 import { ordersOut } from '../wire/worker.js';
 
@@ -19,7 +19,7 @@
   }
 
   async sendOrders(endpoint: string, token: number, session: number, orders: TaskOrder[]): Promise<boolean> {
-    const r = await callOnce(
+    const r = await requestJson(
       this.agent,
       endpoint,
       'POST',
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -102,7 +102,7 @@
 const ways: Record<string, (w: World, way: Way) => () => boolean> = {
   'from a fresh view'(_, { owner, by }) {
     by();
-    return () => !owner.controller.view.stale;
+    return () => !owner.controller.freshness.isStale;
   },
   'from a view that the others vouch for'(w, { owner, by }) {
     owner.cut = true;
@@ -111,7 +111,7 @@
     w.play(w.chance());
     w.state.down = true;
     let vouched = false;
-    w.playUntil(() => (vouched ||= owner.controller.view.vouchedFor), 20);
+    w.playUntil(() => (vouched ||= owner.controller.freshness.isConfirmedByPeers), 20);
     w.after(50_000, () => (w.state.down = owner.cut = false));
     return () => vouched;
   },
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -81,13 +81,13 @@
     w.play(offset * 0.09);
     const leader = leaderOf(w)!;
     const { membership } = leader.controller;
-    assert.ok(membership.holds(w.now), 'it leads');
+    assert.ok(membership.holdsValidLease(w.now), 'it leads');
     leader.cut = true;
     while (w.state.keys.has('dp/chief') && w.now < 60_000) {
       w.play(0.01);
-      const another = w.nodes.some((n) => n !== leader && n.controller.membership.leading);
-      assert.ok(!membership.holds(w.now) || !another);
+      const another = w.nodes.some((n) => n !== leader && n.controller.membership.isLeader);
+      assert.ok(!membership.holdsValidLease(w.now) || !another);
     }
-    assert.ok(!membership.holds(w.now), `cut ${offset * 90} ms later`);
+    assert.ok(!membership.holdsValidLease(w.now), `cut ${offset * 90} ms later`);
   }
 });
--- a/test/level-cli.test.ts
+++ b/test/level-cli.test.ts
@@ -9,8 +9,8 @@
 import { fileURLToPath } from 'node:url';
 import { levelData, membersData, nodeData } from '../src/core/storage/index.js';
 import { abilityOf, newestLevel, unaware } from '../src/feature-levels/index.js';
-import { HttpClient } from '../src/net/client.js';
-import { freePort } from '../src/net/port.js';
+import { JsonClient } from '../src/net/client.js';
+import { findFreePort } from '../src/net/port.js';
 import { Engine, LevelDisk, storeServer } from '../src/store/index.js';
 import { settingsText } from './support/world.js';
 
@@ -79,7 +79,7 @@
     assert.match(late.err, /not lowered yet/);
     // Refused by the leader, for this very wish.
     const waits = level('lower', '1', '--within', '20');
-    const http = new HttpClient(addr, 1);
+    const http = new JsonClient(addr, 1);
     for (let stamp = 0; stamp === 0;) {
       const r = await http.call('GET', '/kv/dp/wish', null, 2000);
       const wish = r?.body as { data: { lower: boolean }; stamp: number };
@@ -105,7 +105,7 @@
       [['hold', 'high', '--state', addr], /expected a whole number/],
       [['show'], /expected --settings FILE or --state ADDRESS/],
       [['show', '--state', 'nowhere'], /--state: expected IPv4:PORT/],
-      [['show', '--state', `127.0.0.1:${await freePort()}`], /no answer from the state service/],
+      [['show', '--state', `127.0.0.1:${await findFreePort()}`], /no answer from the state service/],
     ] as const) {
       const r = await run('level', ...args);
       assert.equal(r.code, 1);
@@ -115,7 +115,7 @@
 
 test('SIGTERM: unhealthy at once, then the end, with 0', () =>
   withStore(async (addr, _, dir) => {
-    const at = `127.0.0.1:${await freePort()}`;
+    const at = `127.0.0.1:${await findFreePort()}`;
     const file = join(dir, 'n0.toml');
     const text = settingsText('n0', 1)
       .replace('127.0.0.1:8080', at)
@@ -125,7 +125,7 @@
     const child = spawn(process.execPath, [main, '--config', file], { stdio: 'ignore' });
     const exit = once(child, 'exit');
     try {
-      const http = new HttpClient(at, 2);
+      const http = new JsonClient(at, 2);
       const health = async (): Promise<number> =>
         (await http.call('GET', '/healthz', null, 1000))?.status ?? 0;
       for (let i = 0; (await health()) !== 200; i++) {
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -9,8 +9,8 @@
 import { fileURLToPath } from 'node:url';
 import { Agent, parseAgentSettings } from '../src/agent/index.js';
 import { openControl, parseControlSettings } from '../src/control/index.js';
-import { HttpClient } from '../src/net/client.js';
-import { freePort } from '../src/net/port.js';
+import { JsonClient } from '../src/net/client.js';
+import { findFreePort } from '../src/net/port.js';
 import { seeded } from '../src/retry/index.js';
 import { plainSubmission } from '../src/wire/user.js';
 import { Engine, LevelDisk } from '../src/store/index.js';
@@ -105,7 +105,7 @@
 }
 
 async function restart(): Promise<void> {
-  const port = await freePort();
+  const port = await findFreePort();
   const settings = parseControlSettings(controlText(port));
   const empty = await openControl({ ...settings, directory: join(dir, 'empty') }, quiet, fatal);
   await empty.control.start();
@@ -121,7 +121,7 @@
   const withJobs = heapMb();
   say(`memory of the service: ${(((withJobs - before) / jobs) * 1024).toFixed(2)} KB for each finished job`);
   const all = await agents(1000, port);
-  const http = new HttpClient(`127.0.0.1:${port}`, 2);
+  const http = new JsonClient(`127.0.0.1:${port}`, 2);
   const machines = (): number =>
     [...open.control.service.controller.shardManager.machines.values()].filter(
       (machine) => machine.confirmedAt > 0,
@@ -154,7 +154,7 @@
 }
 
 async function batch(killEveryS: number | null): Promise<void> {
-  const port = await freePort();
+  const port = await findFreePort();
   const path = join(dir, 'control.scm');
   writeFileSync(path, controlText(port));
   const main = fileURLToPath(new URL('../src/main.js', import.meta.url));
@@ -163,7 +163,7 @@
     spawn(process.execPath, [main, 'control', path], { stdio: ['ignore', log, log] });
   let control = start();
   const all = await agents(200, port);
-  const http = new HttpClient(`127.0.0.1:${port}`, 2);
+  const http = new JsonClient(`127.0.0.1:${port}`, 2);
   const seen = async (): Promise<{ done: number; status: string; failed: number } | null> => {
     const r = await http.call('GET', '/work?limit=1', null, 2000);
     return r?.status === 200
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -62,32 +62,32 @@
 
 test('vouching: every peer, the same process as before, and all it knows', () => {
   const v = new Vouching('a1', ['b', 'c'], 100);
-  const q = (nonce: number, run = 'a1') => ({ run, nonce, epoch: 7, inc: 0 });
-  v.heard('b', 'b1', 10);
-  v.heard('c', 'c1', 10);
-  assert.deepEqual(v.ask(1000, 7), { run: 'a1', nonce: 1, epoch: 7, inc: 0 });
-  assert.equal(v.ask(1050, 7), null);
-  assert.equal(v.answered('b', 'b1', q(1), 500), null);
-  assert.equal(v.answered('c', 'c1', q(1), 500), 1000);
+  const q = (nonce: number, run = 'a1') => ({ run, nonce, revision: 7, incarnation: 0 });
+  v.notePeerProcess('b', 'b1', 10);
+  v.notePeerProcess('c', 'c1', 10);
+  assert.deepEqual(v.nextQuery(1000, 7), { run: 'a1', nonce: 1, revision: 7, incarnation: 0 });
+  assert.equal(v.nextQuery(1050, 7), null);
+  assert.equal(v.onAnswer('b', 'b1', q(1), 500), null);
+  assert.equal(v.onAnswer('c', 'c1', q(1), 500), 1000);
   // Answers to questions that this process did not ask count for nothing.
-  v.ask(1100, 7);
-  for (const n of [q(2, 'a0'), q(9)]) assert.equal(v.answered('b', 'b1', n, 1000), null);
-  assert.equal(v.answered('c', 'c1', q(2), 1000), 1000);
-  v.heard('c', 'c2', 1200);
-  v.ask(1300, 7);
-  assert.equal(v.answered('c', 'c2', q(3), 1000), null);
-  assert.equal(v.answered('b', 'b1', q(3), 1000), null);
+  v.nextQuery(1100, 7);
+  for (const n of [q(2, 'a0'), q(9)]) assert.equal(v.onAnswer('b', 'b1', n, 1000), null);
+  assert.equal(v.onAnswer('c', 'c1', q(2), 1000), 1000);
+  v.notePeerProcess('c', 'c2', 1200);
+  v.nextQuery(1300, 7);
+  assert.equal(v.onAnswer('c', 'c2', q(3), 1000), null);
+  assert.equal(v.onAnswer('b', 'b1', q(3), 1000), null);
   // Once the view was complete after the new process was heard, it counts.
-  assert.equal(v.answered('c', 'c2', q(3), 1250), 1300);
+  assert.equal(v.onAnswer('c', 'c2', q(3), 1250), 1300);
   const r = new Recent(4);
   assert.equal(r.since(5), null);
-  r.readUpTo(5);
-  for (const stamp of [9, 6, 7, 8]) r.note({ key: `k${stamp}`, data: {}, stamp });
+  r.markCompleteUpTo(5);
+  for (const stamp of [9, 6, 7, 8]) r.record({ key: `k${stamp}`, data: {}, stamp });
   assert.deepEqual(
     r.since(6)?.map((c) => c.stamp),
     [9, 7, 8],
   );
-  r.note({ key: 'k10', data: {}, stamp: 10 });
+  r.record({ key: 'k10', data: {}, stamp: 10 });
   // The one with stamp 9 left with the oldest: up to there it cannot tell any more.
   assert.equal(r.since(8), null);
   assert.deepEqual(
@@ -106,7 +106,7 @@
   for (const n of w.nodes) n.boot();
   w.play(3);
   // Whoever comes finds somebody: nobody else has the state either.
-  assert.ok(w.nodes.some((n) => n.controller.view.unreachable || !n.controller.healthy));
+  assert.ok(w.nodes.some((n) => n.controller.freshness.isStoreUnreachable || !n.controller.healthy));
   w.state.down = false;
   w.play(1);
   for (const n of w.nodes) n.alive = false;
@@ -145,7 +145,7 @@
     w.nodes[0].push({ type: 'submit', rid: 1, spec: spec('req-1', { team: 'blue', tasks: 8, cpus: 4 }) });
     w.playUntil(() => w.rentals.length > 0, 5);
     assert.ok(w.rentals.length > 0);
-    const leader = w.nodes.find((n) => n.controller.membership.leading)!;
+    const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
     // Within the 60 ms that answer, record and its answer take, in steps of the world's clock.
     w.play((seed % 7) / 100);
     leader.alive = false;
@@ -314,29 +314,38 @@
 test('the phases of a start, forward and back, and how long they took', () => {
   const r = new Recovery(1000);
   const at = (over: Partial<Facts>): Facts => ({
-    read: false,
-    present: false,
-    owned: 0,
-    unproven: 0,
-    placed: 0,
+    isStateLoaded: false,
+    isPresent: false,
+    ownedShards: 0,
+    unprovenMachines: 0,
+    placementCount: 0,
     ...over,
   });
-  assert.equal(r.step(10, at({})), null);
-  assert.equal(r.step(500, at({ read: true }))?.to, 'joining');
-  assert.equal(r.step(600, at({ read: true, present: true }))?.to, 'standby');
-  assert.equal(r.step(700, at({ read: true, present: true, owned: 1, unproven: 3 }))?.to, 'proving');
-  assert.equal(r.recovered(800), null);
-  assert.equal(r.step(2000, at({ read: true, present: true, owned: 1, placed: 1 }))?.lastedMs, 1300);
-  assert.deepEqual(r.recovered(2000), {
+  assert.equal(r.update(10, at({})), null);
+  assert.equal(r.update(500, at({ isStateLoaded: true }))?.to, 'joining');
+  assert.equal(r.update(600, at({ isStateLoaded: true, isPresent: true }))?.to, 'standby');
+  assert.equal(
+    r.update(700, at({ isStateLoaded: true, isPresent: true, ownedShards: 1, unprovenMachines: 3 }))?.to,
+    'proving',
+  );
+  assert.equal(r.takeSummary(800), null);
+  assert.equal(
+    r.update(2000, at({ isStateLoaded: true, isPresent: true, ownedShards: 1, placementCount: 1 }))?.lastedMs,
+    1300,
+  );
+  assert.deepEqual(r.takeSummary(2000), {
     provenMs: 1300,
     mostProvenMs: 1300,
     firstPlacementMs: 2000,
     late: true,
   });
-  assert.equal(r.recovered(2000), null);
-  assert.equal(r.step(3000, at({ read: true, placed: 1 }))?.to, 'joining');
-  assert.equal(r.step(4000, at({ read: true, present: true, owned: 1, placed: 1 }))?.to, 'serving');
-  assert.equal(r.recovered(4000)?.late, false);
+  assert.equal(r.takeSummary(2000), null);
+  assert.equal(r.update(3000, at({ isStateLoaded: true, placementCount: 1 }))?.to, 'joining');
+  assert.equal(
+    r.update(4000, at({ isStateLoaded: true, isPresent: true, ownedShards: 1, placementCount: 1 }))?.to,
+    'serving',
+  );
+  assert.equal(r.takeSummary(4000)?.late, false);
 });
 
 // Guards against a fleet that is given back because nothing could be placed on it while the state service was away.
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -67,28 +67,28 @@
     const a = new Attempts(state, seeded(seed));
     const at: number[] = [];
     for (let now = 0; now < 60_000; now += 10)
-      if (a.take(now)) {
+      if (a.tryAcquire(now)) {
         at.push(now);
-        a.fail(now);
+        a.onFailure(now);
       }
     return at;
   };
-  assert.ok(calls(1).length < 60_000 / (state.longestMs * (1 - state.jitter)) + 8);
+  assert.ok(calls(1).length < 60_000 / (state.maxDelayMs * (1 - state.jitter)) + 8);
   assert.deepEqual(calls(1), calls(1));
   assert.notDeepEqual(calls(1), calls(2));
   const a = new Attempts(cloud, seeded(1));
-  a.fail(0);
+  a.onFailure(0);
   const first = a.notBefore;
   // Those that went out together fail together: once is enough.
-  for (let i = 0; i < 20; i++) a.fail(1);
+  for (let i = 0; i < 20; i++) a.onFailure(1);
   assert.equal(a.notBefore, first);
-  assert.equal(a.take(first), true);
-  assert.equal(a.take(first + 1), false);
+  assert.equal(a.tryAcquire(first), true);
+  assert.equal(a.tryAcquire(first + 1), false);
   // The probe got no answer at all.
-  assert.equal(a.take(first + cloud.deadlineMs), true);
-  a.ok();
-  assert.equal(a.take(first), true);
-  assert.ok(pauseMs(cloud, 1e9, () => 0) === cloud.longestMs);
+  assert.equal(a.tryAcquire(first + cloud.timeoutMs), true);
+  a.onSuccess();
+  assert.equal(a.tryAcquire(first), true);
+  assert.ok(pauseMs(cloud, 1e9, () => 0) === cloud.maxDelayMs);
 });
 
 test('first reading: pages that do not come are asked for again, what was read stays, an outage is told at once', async () => {
@@ -104,7 +104,7 @@
       epoch: 100 + n,
     });
   };
-  const policy = { firstMs: 1, longestMs: 4, factor: 2, jitter: 0, deadlineMs: 10 };
+  const policy = { initialDelayMs: 1, maxDelayMs: 4, multiplier: 2, jitter: 0, timeoutMs: 10 };
   const attempts = new Attempts(policy, seeded(1));
   let nulls = 0;
   const loaded = new Promise<{ keys: string[]; epoch: number }>((resolve) => {
@@ -126,7 +126,7 @@
   const said: string[] = [];
   let held = 60;
   const m = new Memory(
-    { collectMb: 75, tightMb: 85 },
+    { collectGarbageAboveMb: 75, shedLoadAboveMb: 85 },
     (_, what) => said.push(what),
     () => held,
   );
@@ -151,9 +151,9 @@
   ]) {
     const l = limitsOf({ quota: { mem_mb, fd_limit }, peers: [1, 2] });
     const { sockets } = l;
-    assert.ok(sockets.own < sockets.comfortable && sockets.comfortable < sockets.most);
-    assert.ok(sockets.most + sockets.orders + sockets.peers + 20 < fd_limit);
-    assert.ok(l.memory.collectMb < l.memory.tightMb && l.memory.tightMb < mem_mb);
+    assert.ok(sockets.preferred < sockets.comfortable && sockets.comfortable < sockets.most);
+    assert.ok(sockets.most + sockets.outgoingOrders + sockets.peers + 20 < fd_limit);
+    assert.ok(l.memory.collectGarbageAboveMb < l.memory.shedLoadAboveMb && l.memory.shedLoadAboveMb < mem_mb);
   }
   const c = new Connections(10);
   const there: Socket[] = [];
--- a/test/roll-processes.ts
+++ b/test/roll-processes.ts
@@ -9,9 +9,9 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { newestLevel } from '../src/feature-levels/index.js';
-import { HttpClient } from '../src/net/client.js';
-import { readJson, replyJson } from '../src/net/json.js';
-import { freePort } from '../src/net/port.js';
+import { JsonClient } from '../src/net/client.js';
+import { readJson, sendJson } from '../src/net/json.js';
+import { findFreePort } from '../src/net/port.js';
 import { plainSubmission } from '../src/wire/user.js';
 
 const reportMs = 400;
@@ -26,7 +26,7 @@
   const server = createServer((req: IncomingMessage, res: ServerResponse) => {
     void readJson(req, 1 << 16).then((body) => {
       const a = handle(req.method ?? '', (req.url ?? '').split('?')[0], body);
-      replyJson(res, a.status, a.body);
+      sendJson(res, a.status, a.body);
     });
   });
   await new Promise<void>((r) => server.listen(0, '127.0.0.1', () => r()));
@@ -53,7 +53,7 @@
   constructor(
     readonly host: string,
     private readonly cloud: LoopbackCloud,
-    private readonly nodes: Map<string, HttpClient>,
+    private readonly nodes: Map<string, JsonClient>,
   ) {
     void this.run();
   }
@@ -133,7 +133,7 @@
   readonly finished = new Set<string>();
   readonly broken: string[] = [];
   private readonly hires = new Map<string, string[]>();
-  constructor(readonly nodes: Map<string, HttpClient>) {}
+  constructor(readonly nodes: Map<string, JsonClient>) {}
 
   started(piece: string, on: LoopbackWorker): void {
     for (const w of this.workers.values())
@@ -236,7 +236,7 @@
   private n = 100;
   on = true;
   constructor(
-    private readonly nodes: HttpClient[],
+    private readonly nodes: JsonClient[],
     private readonly broken: string[],
   ) {}
 
@@ -295,15 +295,15 @@
     say(`${ok ? 'ok    ' : 'FAILED'} ${what}`);
     if (!ok) failed++;
   };
-  const state = `127.0.0.1:${await freePort()}`;
+  const state = `127.0.0.1:${await findFreePort()}`;
   const members = new Map<string, [string, string]>();
   for (const m of ['n0', 'n1', 'n2'])
-    members.set(m, [`127.0.0.1:${await freePort()}`, `127.0.0.1:${await freePort()}`]);
-  const nodes = new Map([...members].map(([m, [addr]]) => [m, new HttpClient(addr, 64)]));
+    members.set(m, [`127.0.0.1:${await findFreePort()}`, `127.0.0.1:${await findFreePort()}`]);
+  const nodes = new Map([...members].map(([m, [addr]]) => [m, new JsonClient(addr, 64)]));
   const cloud = new LoopbackCloud(nodes);
   const { server, addr } = await serve(cloud.handle);
   cloud.addr = addr;
-  const store = new HttpClient(state, 2);
+  const store = new JsonClient(state, 2);
   const level = async (): Promise<number> => {
     const r = await store.call('GET', '/kv/dp/level', null, 2000);
     return r?.status === 200 ? (r.body as { data: { level: number } }).data.level : 1;
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -244,7 +244,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1'));
   w.play(30);
-  const leader = w.nodes.find((n) => n.controller.membership.leading)!;
+  const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
   leader.alive = false;
   w.play(30);
   leader.boot();
@@ -468,8 +468,8 @@
   const pulse = {
     epoch: 2 ** 40,
     run: 'a',
-    busy: 7,
-    front: true,
+    utilizationPermille: 7,
+    wantsForwarding: true,
     inc: 3,
     jobs: 12,
     wants: {
@@ -484,7 +484,15 @@
   assert.deepEqual(got, [{ relayed: { id: 7, status: 200, body: '{"x":"ä"}' } }, { pulse }]);
   // Guards against zeros, which are not sent: who wants nothing was taken for one that does not say what it wants.
   for (const wants of [{ tasks: 0, users: 0, behindS: 0, follows: 0, kinds: [] }, null]) {
-    const pulse = { epoch: 1, run: 'a', busy: 0, front: false, wants, inc: 0, jobs: 0 };
+    const pulse = {
+      epoch: 1,
+      run: 'a',
+      utilizationPermille: 0,
+      wantsForwarding: false,
+      wants,
+      inc: 0,
+      jobs: 0,
+    };
     assert.deepEqual(new FrameReader().push(encodeFrame({ pulse })), [{ pulse }]);
   }
   assert.throws(() => reader.push(Buffer.from('ffffffff00', 'hex')));
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -267,7 +267,7 @@
     const from = w.now;
     assert.ok(
       w.playUntil(
-        () => n.controller.shardManager.ownedShards.size === 0 && !n.controller.membership.leading,
+        () => n.controller.shardManager.ownedShards.size === 0 && !n.controller.membership.isLeader,
         2,
       ),
     );
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -28,7 +28,7 @@
 export const ownerOf = (w: World): Node | undefined =>
   w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.size > 0);
 export const leaderOf = (w: World): Node | undefined =>
-  w.nodes.find((n) => n.alive && n.controller.membership.leading);
+  w.nodes.find((n) => n.alive && n.controller.membership.isLeader);
 
 export function restart(w: World, n: Node, as: (n: Node) => void, downS = 2): void {
   n.alive = false;
@@ -249,7 +249,7 @@
       const n = w.nodes[which];
       restart(w, n, cast.earlier);
       w.play(20);
-      assert.equal(n.controller.membership.leading, false);
+      assert.equal(n.controller.membership.isLeader, false);
       assert.equal(n.controller.shardManager.ownedShards.size, 0);
       if (cast.knowsLevels) {
         assert.equal(n.controller.healthy, false);
@@ -261,7 +261,7 @@
       const others = w.nodes.filter((x) => x !== n);
       for (const x of others) x.alive = false;
       w.play(25);
-      assert.equal(n.controller.membership.leading, false);
+      assert.equal(n.controller.membership.isLeader, false);
       assert.equal(n.controller.shardManager.ownedShards.size, 0);
       for (const x of others) x.boot();
       w.play(20);
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -8,8 +8,8 @@
 import { processesWithMark, sendSignal } from '../../src/agent/processes.js';
 import { Agent, parseAgentSettings } from '../../src/agent/index.js';
 import { openControl, parseControlSettings, type OpenControl } from '../../src/control/index.js';
-import { HttpClient } from '../../src/net/client.js';
-import { freePort } from '../../src/net/port.js';
+import { JsonClient } from '../../src/net/client.js';
+import { findFreePort } from '../../src/net/port.js';
 import { seeded } from '../../src/retry/index.js';
 import { plainSubmission } from '../../src/wire/user.js';
 
@@ -84,7 +84,7 @@
   storePort = 0;
   /** Where each control service listens; asked in turn. */
   readonly controls = new Map<string, number>();
-  private readonly https: HttpClient[] = [];
+  private readonly https: JsonClient[] = [];
   private door: Door | null = null;
 
   /** `names`: with more than one control service, the store is a program of its own. */
@@ -94,10 +94,10 @@
   ) {}
 
   async begin(): Promise<this> {
-    for (const name of this.names) this.controls.set(name, await freePort());
-    for (const port of this.controls.values()) this.https.push(new HttpClient(`127.0.0.1:${port}`, 4));
+    for (const name of this.names) this.controls.set(name, await findFreePort());
+    for (const port of this.controls.values()) this.https.push(new JsonClient(`127.0.0.1:${port}`, 4));
     this.port = this.controls.get(this.names[0])!;
-    this.storePort = await freePort();
+    this.storePort = await findFreePort();
     writeFileSync(this.ran, '');
     return this;
   }
