--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -1,7 +1,7 @@
 /** The process of the platform's stand-ins: a state service and a cloud on loopback. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { chiefKey, leadKey, shardKey } from '../src/core/storage/index.js';
+import { leaderKey, legacyLeaderKey, shardKey } from '../src/core/storage/index.js';
 import { seeded } from '../src/retry/index.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import { StandInCloud } from './cloud.js';
@@ -62,7 +62,7 @@
           kind: 'status',
           counts: this.state.counts,
           owner: this.state.read(shardKey(0), 'owner'),
-          leader: this.state.read(chiefKey, 'member') ?? this.state.read(leadKey, 'member'),
+          leader: this.state.read(leaderKey, 'member') ?? this.state.read(legacyLeaderKey, 'member'),
           lag: this.lag(),
         });
         break;
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -2,7 +2,7 @@
 import type { Server } from 'node:http';
 import { seeded, type Random } from '../src/retry/index.js';
 import { Engine, storeServer, type Disk, type Refusal, type RequestGate } from '../src/store/index.js';
-import type { Txn, Write } from '../src/wire/store.js';
+import type { Transaction, Write } from '../src/wire/store.js';
 import { isUrgentJob } from './jobs.js';
 import { now, type PlatformCounts, type PlatformStart } from './messages.js';
 import { purposeOf, StoredTasks } from './write-kinds.js';
@@ -80,22 +80,22 @@
     return { status: 429, error: 'too many requests' };
   }
 
-  transaction(txn: Txn): Refusal | null {
+  transaction(txn: Transaction): Refusal | null {
     const { txnOps, valueKb } = this.limits;
     this.counts.transactions++;
-    if (txn.apply.length > txnOps || txn.when.length > txnOps * conditionsPerOperation)
+    if (txn.writes.length > txnOps || txn.conditions.length > txnOps * conditionsPerOperation)
       return { status: 400, error: 'transaction too large' };
-    const sizes = txn.apply.map((w) =>
+    const sizes = txn.writes.map((w) =>
       w.data === undefined ? 0 : Buffer.byteLength(JSON.stringify(w.data)),
     );
     if (sizes.some((size) => size > valueKb * 1024)) return { status: 400, error: 'value too large' };
-    if (!this.writes.take(txn.apply.length)) {
-      this.counts.refusedWrites += txn.apply.length;
+    if (!this.writes.take(txn.writes.length)) {
+      this.counts.refusedWrites += txn.writes.length;
       return { status: 429, error: 'too many writes' };
     }
-    this.counts.writes += txn.apply.length;
+    this.counts.writes += txn.writes.length;
     this.counts.bytesWritten += sizes.reduce((sum, size) => sum + size, 0);
-    for (const write of txn.apply) this.note(write);
+    for (const write of txn.writes) this.note(write);
     return null;
   }
 
--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -1,5 +1,5 @@
 /** What a write to the state service is for, by its key and by what was stored there before. */
-import { readKey, readLog } from '../src/core/storage/index.js';
+import { parseKey, readLog } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 
 export type WriteKind =
@@ -42,7 +42,7 @@
 }
 
 export function purposeOf(write: Write, stored: StoredTasks): WritePurpose {
-  const ref = readKey(write.key);
+  const ref = parseKey(write.key);
   if (write.data === undefined) {
     stored.forget(write.key);
     return { kind: 'drop', placed: [] };
@@ -59,7 +59,7 @@
 }
 
 const placedByLog = (data: unknown): string[] =>
-  readLog(data).flatMap((entry) => (entry.placed.length > 0 ? [entry.job] : []));
+  readLog(data).flatMap((entry) => (entry.placements.length > 0 ? [entry.job] : []));
 
 function kindOfJobWrite(key: string, data: StoredJob, stored: StoredTasks): WriteKind {
   if (data.s === 'done') {
--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -5,10 +5,10 @@
   levelKey,
   membersKey,
   readMembers,
-  readNode,
-  readWish,
-  wishData,
-  wishKey,
+  readPresence,
+  readRequestedLevel,
+  requestedLevelData,
+  requestedLevelKey,
 } from '../core/storage/index.js';
 import { firstLevel, noWish, type Ability, type LevelState, type Wish } from '../feature-levels/index.js';
 import { Store } from '../state/store.js';
@@ -50,8 +50,8 @@
   }
 
   async requestedLevel(): Promise<Wish> {
-    const c = await this.readKey(wishKey);
-    return c ? readWish(c.data, c.stamp) : noWish;
+    const c = await this.readKey(requestedLevelKey);
+    return c ? readRequestedLevel(c.data, c.stamp) : noWish;
   }
 
   async members(): Promise<ReturnType<typeof readMembers>> {
@@ -61,15 +61,17 @@
 
   async presentMembers(): Promise<Map<string, Ability>> {
     const nodes = await this.listKeys('dp/node/');
-    return new Map(nodes.map((c) => [c.key.slice(8), readNode(c.key.slice(8), c.data, c.stamp).can]));
+    return new Map(
+      nodes.map((c) => [c.key.slice(8), readPresence(c.key.slice(8), c.data, c.stamp).capabilities]),
+    );
   }
 
   /** Changes what is wanted; the revision of it. */
   async updateRequest(to: (now: Wish) => Partial<Wish>): Promise<number> {
     const now = await this.requestedLevel();
     const outcome = await this.store.commit({
-      when: [{ key: wishKey, stamp: now.stamp }],
-      apply: [{ key: wishKey, data: wishData({ ...now, ...to(now) }) }],
+      conditions: [{ key: requestedLevelKey, stamp: now.stamp }],
+      writes: [{ key: requestedLevelKey, data: requestedLevelData({ ...now, ...to(now) }) }],
     });
     if (outcome.type === 'ok') return outcome.epoch;
     return this.fail(
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -172,7 +172,7 @@
     const jobs: object[] = [];
     let hasMore = false;
     // The newest first.
-    for (const job of [...replica.jobs.values()].sort((a, b) => b.at - a.at)) {
+    for (const job of [...replica.jobs.values()].sort((a, b) => b.acceptedAt - a.acceptedAt)) {
       const summary = this.summarize(job);
       if (wantedStatus !== null && summary.status !== wantedStatus) continue;
       if (jobs.length >= limit) {
@@ -191,13 +191,13 @@
     return {
       nameId: job.id,
       status: jobStatus(job.state, counts.running),
-      pieces: job.tasks,
-      done: job.state === 'done' ? job.tasks : counts.done,
+      pieces: job.taskCount,
+      done: job.state === 'done' ? job.taskCount : counts.done,
       running: job.state === 'open' ? counts.running : 0,
       failed,
       jobclass: job.spec?.class ?? null,
       owner: job.spec?.team ?? null,
-      acceptedAt: new Date(job.at).toISOString(),
+      acceptedAt: new Date(job.acceptedAt).toISOString(),
     };
   }
 
@@ -207,10 +207,10 @@
     if (!job) return reply(res, 404, { error: 'no such job' });
     const placements = new Map<number, { attempt: number; host: string }>();
     for (const c of replica.chunks.get(id)?.values() ?? [])
-      for (const placement of c.placed)
+      for (const placement of c.placements)
         placements.set(placement.index, { attempt: placement.attempt, host: placement.host });
     const tasks: object[] = [];
-    for (let index = 0; index < job.tasks; index++) {
+    for (let index = 0; index < job.taskCount; index++) {
       const result = this.control.results.get(id, index);
       const p = placements.get(index);
       const state = result?.final
@@ -238,7 +238,7 @@
     const result = results.get(id, index);
     let location: { host: string; attempt: number } | undefined = result;
     for (const c of service.controller.replica.chunks.get(id)?.values() ?? [])
-      for (const p of c.placed) if (p.index === index && !result?.final) location = p;
+      for (const p of c.placements) if (p.index === index && !result?.final) location = p;
     if (!location)
       return reply(res, 404, { error: `${id}/${index}: has not run yet, or there is no such task` });
     const endpoint = pool.get(location.host)?.endpoint;
--- a/src/control/control-store.ts
+++ b/src/control/control-store.ts
@@ -1,9 +1,9 @@
 import type { CommitOutcome } from '../core/effects.js';
-import type { Change, Txn } from '../wire/store.js';
+import type { Change, Transaction } from '../wire/store.js';
 
 /** What the control service keeps beside the core's records, wherever the store is. */
 export interface ControlStore {
-  commit(txn: Txn): Promise<CommitOutcome>;
+  commit(txn: Transaction): Promise<CommitOutcome>;
   /** All keys under a prefix; null: no answer. */
   list(prefix: string): Promise<Change[] | null>;
 }
@@ -28,8 +28,8 @@
 ): Promise<void> {
   for (let i = 0; i < maxAttempts; i++) {
     const outcome = await store.commit({
-      when: preconditions,
-      apply: entries.map(([key, data]) => ({ key, data })),
+      conditions: preconditions,
+      writes: entries.map(([key, data]) => ({ key, data })),
     });
     if (outcome.type === 'ok') return;
     if (outcome.type === 'malformed' || outcome.type === 'conflict') break;
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -153,7 +153,7 @@
    * owner writes later than that fails at its grant.
    */
   private async ensureResultsOfGrant(): Promise<Precondition[]> {
-    const stamp = this.service.controller.replica.shards.get(0)?.stamp ?? 0;
+    const stamp = this.service.controller.replica.shards.get(0)?.modRevision ?? 0;
     if (this.resultsGrantStamp !== stamp) {
       this.resultsLoading ??= this.results
         .load()
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -15,7 +15,7 @@
   machineData,
   machineKey,
   Rank,
-  typesData,
+  machineTypesData,
 } from '../storage/index.js';
 import { DemandCalculator, emptyHeadroom, poolOf, isEligible, offerKey, type UnmetDemand } from './demand.js';
 import type { Clock, Effect, Log } from '../effects.js';
@@ -75,7 +75,7 @@
     private readonly settings: Settings,
     private readonly operators: Operators,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
     private readonly clock: Clock,
     retry: RetryPolicy,
     random: Random,
@@ -163,7 +163,7 @@
         );
       });
     if (same) return;
-    this.change('types', () => [{ key: this.replica.activeTypesKey, data: typesData(types) }]);
+    this.change('types', () => [{ key: this.replica.activeTypesKey, data: machineTypesData(types) }]);
   }
 
   private answered(ok: boolean): void {
@@ -364,8 +364,8 @@
       this.writing.delete(name);
       ended?.();
     };
-    this.committer.add({
-      rank: Rank.fleet,
+    this.batcher.enqueue({
+      priority: Rank.provisioning,
       build: () => {
         const lead = this.replica.leader;
         const apply = lead?.member === this.settings.member ? build() : null;
@@ -374,15 +374,15 @@
           return null;
         }
         return {
-          when: [
+          conditions: [
             ...apply.map((w) => ({ key: w.key, stamp: this.replica.stampOf(w.key) })),
             { key: this.replica.activeLeaderKey, stamp: lead.stamp },
           ],
-          apply,
+          writes: apply,
         };
       },
-      ok: done,
-      conflict: done,
+      onCommitted: done,
+      onConflict: done,
     });
   }
 
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -111,14 +111,14 @@
   takePlaced(): void {
     for (const [id, chunks] of this.replica.chunks) {
       const job = this.replica.jobs.get(id);
-      const need = job?.spec ?? job?.use;
+      const need = job?.spec ?? job?.usage;
       if (!need) continue;
       const team = this.teamUse(need.team);
       const runS = job?.spec ? (job.spec.shape === 'service' ? Infinity : job.spec.estimateS) : 0;
       for (const c of chunks.values()) {
-        team.cpus += c.placed.length * need.cpus;
-        team.gpus += c.placed.length * need.gpus;
-        for (const p of c.placed) {
+        team.cpus += c.placements.length * need.cpus;
+        team.gpus += c.placements.length * need.gpus;
+        for (const p of c.placements) {
           const room = this.byHost.get(p.host);
           if (!room) continue;
           take(room, need, 1);
@@ -142,7 +142,7 @@
     for (const id of this.replica.openJobs) {
       const job = this.replica.jobs.get(id)!;
       const c = this.replica.taskCounts(id);
-      const waiting = job.tasks - c.done - c.running;
+      const waiting = job.taskCount - c.done - c.running;
       if (waiting > 0 && job.spec) jobs.push({ ...job, spec: job.spec, waiting });
     }
     const unmet: UnmetDemand[] = [];
@@ -198,7 +198,7 @@
    * one that is suspected of a mistake waits for those that others need. null: it counts like any.
    */
   private afterFailures(job: WaitingJob, want: number, here: MachinePool[]): 'wait' | 'another' | null {
-    const failed = this.replica.chunks.get(job.id)?.get(0)?.failed ?? [];
+    const failed = this.replica.chunks.get(job.id)?.get(0)?.failedHosts ?? [];
     if (failed.length === 0 || this.replica.taskCounts(job.id).done > 0) return null;
     const bad = new Set(failed.map((host) => this.byHost.get(host)));
     let room = 0;
@@ -245,7 +245,7 @@
     const { zones } = this.settings;
     const placed = new Map<string, number>();
     for (const c of this.replica.chunks.get(job.id)?.values() ?? [])
-      for (const p of c.placed) {
+      for (const p of c.placements) {
         const zone = this.replica.machines.get(p.host)?.zone;
         if (zone !== undefined) placed.set(zone, (placed.get(zone) ?? 0) + 1);
       }
@@ -296,7 +296,7 @@
   private slack(job: WaitingJob): number {
     const { spec } = job;
     const limits = timeLimitsOf(spec, this.settings.objectives);
-    const left = slackS(limits, (this.wall - job.at) / 1000, spec.estimateS);
+    const left = slackS(limits, (this.wall - job.acceptedAt) / 1000, spec.estimateS);
     if (limits.completionS.length + limits.startS.length === 0) return Math.max(spec.estimateS, 1);
     let reach = Infinity;
     for (const t of this.replica.machineTypes)
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -53,7 +53,7 @@
   readonly levels: Levels;
   private readonly upgrade: Upgrade;
   private readonly leaving: Leaving;
-  private readonly committer: Committer;
+  private readonly batcher: Committer;
   private readonly userRequests: UserRequests;
   private readonly peers: Peers;
   private readonly heartbeatRouter: HeartbeatRouter;
@@ -117,28 +117,28 @@
     );
     const { replica } = this;
     const s = settings.state;
-    this.committer = new Committer(
+    this.batcher = new Committer(
       run,
       {
-        ops: s.txn_ops,
-        conditions: s.txn_ops * conditionsPerOperation,
+        maxOperations: s.txn_ops,
+        maxConditions: s.txn_ops * conditionsPerOperation,
         // Room for the frame around the values, and for the reading of non-ASCII text.
-        bytes: 48 * 1024,
+        maxBytes: 48 * 1024,
         writesPerS: s.write_rps,
-        nodes: 1 + settings.peers.length,
+        controllers: 1 + settings.peers.length,
       },
       replica,
       retry.state,
       random,
       log,
     );
-    const { committer } = this;
+    const { batcher } = this;
     this.membership = new Membership(
       settings,
       operators,
       run,
       replica,
-      committer,
+      batcher,
       ttlMs,
       retry.state,
       random,
@@ -148,24 +148,15 @@
     this.userRequests = new UserRequests(
       settings,
       replica,
-      committer,
+      batcher,
       clock,
       limits.maxWaitingRequests,
       this.fair,
       random,
     );
-    this.shardManager = new ShardManager(settings, operators, run, replica, committer, clock, log, matcher);
-    this.upgrade = new Upgrade(settings, replica, committer, this.membership, clock, ttlMs, log);
-    this.autoscaler = new Autoscaler(
-      settings,
-      operators,
-      replica,
-      committer,
-      clock,
-      retry.cloud,
-      random,
-      log,
-    );
+    this.shardManager = new ShardManager(settings, operators, run, replica, batcher, clock, log, matcher);
+    this.upgrade = new Upgrade(settings, replica, batcher, this.membership, clock, ttlMs, log);
+    this.autoscaler = new Autoscaler(settings, operators, replica, batcher, clock, retry.cloud, random, log);
     this.autoscaler.hazardPerStep = () =>
       this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
     this.freshness = new ReplicaFreshness(
@@ -178,7 +169,7 @@
     this.planning = new WriteBudget(
       settings,
       replica,
-      committer,
+      batcher,
       this.freshness,
       this.peers,
       this.membership,
@@ -189,7 +180,7 @@
       settings,
       run,
       replica,
-      committer,
+      batcher,
       this.peers,
       clock,
       ttlMs,
@@ -204,7 +195,7 @@
     this.shardManager.shardState.mayStartTasks = () =>
       this.rebuilding.canConfirmAbsence && this.freshness.isCurrent;
     this.userRequests.sureOfAbsence = () => this.rebuilding.canConfirmAbsence;
-    committer.conflicted = (failed, epoch) => this.rebuilding.conditionsFailed(failed, epoch);
+    batcher.onConditionsFailed = (failed, epoch) => this.rebuilding.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new Recovery(settings.workers.lease_s * 1000 * operators['recovery-leases']);
@@ -220,7 +211,7 @@
         run,
         noteToken: (token) => this.rebuilding.tokenReported(token),
         mayAnswerWorkers: () => this.freshness.mayAnswerWorkers && this.rebuilding.mayAct,
-        writesAreScarce: () => this.committer.health < 1 || this.userRequests.crowded,
+        writesAreScarce: () => this.batcher.health < 1 || this.userRequests.crowded,
         isLeader: () => this.membership.isLeader,
         handOver: (shard, to, toRun) => this.membership.handOver(shard, to, toRun),
       },
@@ -263,7 +254,7 @@
       return out;
     }
     const { mayAct: acting } = this.rebuilding;
-    this.committer.held = !acting;
+    this.batcher.suspended = !acting;
     this.settle();
     this.membership.tick(now, out, acting, this.rebuilding.essentialsRestored);
     this.rebuilding.tick(this.membership.isLeader);
@@ -291,7 +282,7 @@
     this.heartbeatRouter.tick(out);
     if (this.fair) this.divide(out);
     this.userRequests.pump(out, this.freshness.confirmedByPeersAt);
-    this.committer.pump(now, out);
+    this.batcher.tick(now, out);
     if (this.freshness.needsPeerConfirmation) this.peers.queryFreshness(out);
     this.tell(out, null);
     if (this.rebuilding.wantsRevisionRead) out.push({ type: 'read-revision' });
@@ -312,7 +303,7 @@
       owned: this.shardManager.ownedShards.size,
       leading: this.membership.isLeader,
       present: this.membership.isPresent,
-      busy: this.committer.waiting > 0 || this.autoscaler.hasPendingChanges,
+      busy: this.batcher.pendingCount > 0 || this.autoscaler.hasPendingChanges,
     });
   }
 
@@ -355,9 +346,9 @@
   private get demand(): Demand {
     const { now } = this.clock;
     return {
-      tasks: Math.round(this.committer.tasksWanted(now)),
+      tasks: Math.round(this.batcher.taskWriteDemand(now)),
       users: Math.round(this.userRequests.usersWanted()),
-      behindS: this.committer.behindS,
+      behindS: this.batcher.backlogS,
       kinds: this.fair ? this.userRequests.kindsWanted() : [],
       follows: this.planning.followedVersion,
     };
@@ -367,9 +358,9 @@
   private divide(out: Effect[]): void {
     this.planning.observe();
     const share = this.planning.localShare(this.demand);
-    this.committer.allow(share.total);
+    this.batcher.setAllocation(share.total);
     // The state service may take less than it is said to.
-    const { health } = this.committer;
+    const { health } = this.batcher;
     const { admissionFactor: factor } = this.overloadMonitor.snapshot;
     this.userRequests.admit(share, factor * health, out);
   }
@@ -381,7 +372,7 @@
     const { rps } = this.settings.state;
     const equal = rps / (1 + this.settings.peers.length);
     const picture = this.overloadMonitor.observe({
-      writes: (tasks + users) / Math.max(1, this.committer.writesPerS),
+      writes: (tasks + users) / Math.max(1, this.batcher.writesPerS),
       requests: this.requests.rate(now) / equal,
       time: this.heartbeatRouter.utilization,
       ...this.told,
@@ -408,7 +399,9 @@
     // A grant may be visible before the view has reached it: looked at again until it is taken up.
     this.shardsChanged = [...this.replica.shards].some(
       ([k, g]) =>
-        g.owner === this.settings.member && g.run === this.run && !this.shardManager.ownedShards.has(k),
+        g.owner === this.settings.member &&
+        g.instanceId === this.run &&
+        !this.shardManager.ownedShards.has(k),
     );
   }
 
@@ -501,7 +494,7 @@
         const node = this.replica.nodes.get(c.member);
         if (node && !this.freshness.isStale) {
           this.log('info', 'peer lost', { member: c.member });
-          out.push({ type: 'revoke-lease', hold: node.hold });
+          out.push({ type: 'revoke-lease', hold: node.leaseId });
         }
         break;
       }
@@ -536,7 +529,7 @@
         break;
       case 'commit-result':
         if (c.outcome.type === 'ok') this.rebuilding.revisionReached(c.outcome.epoch);
-        this.committer.outcome(c.outcome, this.clock.now, out);
+        this.batcher.handleOutcome(c.outcome, this.clock.now, out);
         // The others need not wait for their next watch.
         if (c.outcome.type === 'ok') this.tell(out, c.outcome.epoch);
         break;
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -13,7 +13,14 @@
 } from '../data-loss/index.js';
 import { features } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
-import { type Committer, incData, incKey, levelKey, Rank, readKey } from './storage/index.js';
+import {
+  type Committer,
+  incarnationData,
+  incarnationKey,
+  levelKey,
+  Rank,
+  parseKey,
+} from './storage/index.js';
 import type { Clock, Effect, Log, PeerStatus } from './effects.js';
 import {
   leaderPlaceholder,
@@ -72,7 +79,7 @@
     private readonly settings: Settings,
     private readonly run: string,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
     private readonly peers: Peers,
     private readonly clock: Clock,
     private readonly ttlMs: number,
@@ -307,7 +314,7 @@
             {
               key,
               data: merge(
-                recordKindOf(readKey(key)!),
+                recordKindOf(parseKey(key)!),
                 key === 'dp/lead' ? undefined : storedRecordOf(this.replica, key),
                 data,
               ),
@@ -347,7 +354,7 @@
 
   private missingPart(key: string, data: Data): Data | null {
     const there = storedRecordOf(this.replica, key);
-    const merged = merge(recordKindOf(readKey(key)!), there, data);
+    const merged = merge(recordKindOf(parseKey(key)!), there, data);
     return there !== undefined && same(there, merged) ? null : merged;
   }
 
@@ -357,8 +364,8 @@
       this.writesInFlight--;
       this.pendingRecords?.unshift([key, data]);
     };
-    this.committer.add({
-      rank: isFinishedJob(key, data) ? Rank.cleanup : Rank.membership,
+    this.batcher.enqueue({
+      priority: isFinishedJob(key, data) ? Rank.cleanup : Rank.membership,
       build: () => {
         // Looked at again: others give, too.
         const now = this.pendingRecords === null ? null : this.missingPart(key, data);
@@ -366,13 +373,13 @@
           this.writesInFlight--;
           return null;
         }
-        return { when: [{ key, stamp: this.replica.stampOf(key) }], apply: [{ key, data: now }] };
+        return { conditions: [{ key, stamp: this.replica.stampOf(key) }], writes: [{ key, data: now }] };
       },
-      ok: () => {
+      onCommitted: () => {
         this.writesInFlight--;
         this.restoredCount++;
       },
-      conflict: again,
+      onConflict: again,
     });
   }
 
@@ -419,21 +426,27 @@
     this.transitionInFlight = true;
     const done = (): void => void (this.transitionInFlight = false);
     const stamp = inc?.stamp ?? 0;
-    this.committer.add({
-      rank: Rank.membership,
+    this.batcher.enqueue({
+      priority: Rank.membership,
       build: () => {
         if ((this.replica.incarnation?.stamp ?? 0) !== stamp) {
           done();
           return null;
         }
-        const apply = [...more, { key: incKey(n), data: incData(this.settings.member, this.run, stage) }];
-        return { when: apply.map((w) => ({ key: w.key, stamp: this.replica.stampOf(w.key) })), apply };
+        const apply = [
+          ...more,
+          { key: incarnationKey(n), data: incarnationData(this.settings.member, this.run, stage) },
+        ];
+        return {
+          conditions: apply.map((w) => ({ key: w.key, stamp: this.replica.stampOf(w.key) })),
+          writes: apply,
+        };
       },
-      ok: () => {
+      onCommitted: () => {
         done();
         this.log('info', what, { incarnation: n, stage });
       },
-      conflict: done,
+      onConflict: done,
     });
   }
 }
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -6,7 +6,7 @@
 import type { MachineAttributes } from '../policy/matching.js';
 import type { Question } from '../freshness/index.js';
 import type { ListedMachine, RentRequest } from '../wire/cloud.js';
-import type { Change, Txn } from '../wire/store.js';
+import type { Change, Transaction } from '../wire/store.js';
 
 /** What a controller tells the others of itself. */
 export interface PeerStatus {
@@ -87,7 +87,7 @@
 export type Effect =
   /** A body that is text already goes out as it is. */
   | { type: 'respond'; rid: number; status: number; body: object | string; retryAfterS?: number }
-  | { type: 'commit'; txn: Txn }
+  | { type: 'commit'; txn: Transaction }
   | { type: 'read-revision' }
   | { type: 'catch-up'; epoch: number }
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -10,20 +10,20 @@
 } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
 import {
-  chiefKey,
+  leaderKey,
   type Committer,
-  kindsKey,
-  leadKey,
+  machineTypesKey,
+  legacyLeaderKey,
   levelData,
   levelKey,
   type LevelNote,
   membersData,
   membersKey,
-  nodeKey,
+  presenceKey,
   Rank,
-  typesData,
-  typesKey,
-  wishKey,
+  machineTypesData,
+  legacyMachineTypesKey,
+  requestedLevelKey,
 } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
 import { leaderPlaceholder } from './recovery-records.js';
@@ -48,7 +48,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
     private readonly membership: Membership,
     private readonly clock: Clock,
     private readonly ttlMs: number,
@@ -147,20 +147,20 @@
     if (was === is) return apply;
     const mine = { member: settings.member, run: membership.run };
     const hold = membership.leaseId ?? undefined;
-    const types = replica.machineTypes.length > 0 ? typesData(replica.machineTypes) : undefined;
+    const types = replica.machineTypes.length > 0 ? machineTypesData(replica.machineTypes) : undefined;
     if (is)
       apply.push(
-        { key: leadKey, data: { ...leaderPlaceholder } },
-        { key: chiefKey, data: mine, hold },
-        { key: typesKey, data: undefined },
-        { key: kindsKey, data: types },
+        { key: legacyLeaderKey, data: { ...leaderPlaceholder } },
+        { key: leaderKey, data: mine, hold },
+        { key: legacyMachineTypesKey, data: undefined },
+        { key: machineTypesKey, data: types },
       );
     else
       apply.push(
-        { key: leadKey, data: mine, hold },
-        { key: chiefKey, data: undefined },
-        { key: typesKey, data: types },
-        { key: kindsKey, data: undefined },
+        { key: legacyLeaderKey, data: mine, hold },
+        { key: leaderKey, data: undefined },
+        { key: legacyMachineTypesKey, data: types },
+        { key: machineTypesKey, data: undefined },
       );
     // A key that is not there cannot be dropped.
     return apply.filter((w) => w.data !== undefined || replica.stampOf(w.key) > 0);
@@ -171,8 +171,8 @@
     const text = textOf(decision);
     this.busy = true;
     const done = (): void => void (this.busy = false);
-    this.committer.add({
-      rank: Rank.membership,
+    this.batcher.enqueue({
+      priority: Rank.membership,
       build: () => {
         // Looked at again: it may have waited.
         const again = this.membership.isLeader ? textOf(this.decide()) : '';
@@ -186,13 +186,13 @@
           replica.activeLeaderKey,
           levelKey,
           membersKey,
-          wishKey,
-          ...this.counted().map(nodeKey),
+          requestedLevelKey,
+          ...this.counted().map(presenceKey),
         ]);
         for (const w of apply) keys.add(w.key);
-        return { when: [...keys].map((key) => ({ key, stamp: replica.stampOf(key) })), apply };
+        return { conditions: [...keys].map((key) => ({ key, stamp: replica.stampOf(key) })), writes: apply };
       },
-      ok: () => {
+      onCommitted: () => {
         done();
         this.said = '';
         this.log('info', what, {
@@ -200,7 +200,7 @@
           can: Object.fromEntries([...replica.members.capabilities].map(([m, c]) => [m, c.most])),
         });
       },
-      conflict: done,
+      onConflict: done,
     });
   }
 }
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -251,7 +251,7 @@
       });
       this.reassessFailedHosts(job);
       job.chunks[0].version++;
-      this.shardState.taskWriter.noteEnd(job, job.chunks[0]);
+      this.shardState.taskWriter.noteTermination(job, job.chunks[0]);
     }
   }
 
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -8,7 +8,7 @@
 export class MachineLifecycle {
   constructor(
     private readonly shardState: ShardState,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
   ) {}
 
   /** Machines that fell silent, never came up, stand idle or are given up. */
@@ -82,8 +82,8 @@
     machine.releasing = true;
     this.shardState.log('info', 'releasing machine', { host: machine.host, standing, why });
     const key = machineKey(machine.host);
-    this.committer.add({
-      rank: Rank.fleet,
+    this.batcher.enqueue({
+      priority: Rank.provisioning,
       build: () => {
         const grant = this.shardState.replica.shards.get(machine.record.shard);
         const usable =
@@ -96,15 +96,15 @@
         }
         const shard = standing === 'free' ? -1 : machine.record.shard;
         return {
-          when: [
+          conditions: [
             { key, stamp: this.shardState.replica.stampOf(key) },
-            { key: shardKey(machine.record.shard), stamp: grant.stamp },
+            { key: shardKey(machine.record.shard), stamp: grant.modRevision },
           ],
-          apply: [{ key, data: machineData({ ...machine.record, shard, state: standing }) }],
+          writes: [{ key, data: machineData({ ...machine.record, shard, state: standing }) }],
         };
       },
-      ok: () => undefined,
-      conflict: () => {
+      onCommitted: () => undefined,
+      onConflict: () => {
         machine.releasing = false;
       },
     });
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -4,13 +4,13 @@
 import { Attempts, type Random, type RetryPolicy } from '../retry/index.js';
 import {
   type Committer,
-  nodeData,
-  nodeKey,
+  presenceData,
+  presenceKey,
   Rank,
-  shardData,
+  shardGrantData,
   shardKey,
-  teamsData,
-  teamsKey,
+  teamShardsData,
+  teamShardsKey,
 } from './storage/index.js';
 import type { Effect, Log } from './effects.js';
 import { admits } from '../feature-levels/index.js';
@@ -43,7 +43,7 @@
     private readonly operators: Operators,
     readonly run: string,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
     /** How long this process's state lease lasts without being renewed. */
     readonly leaseTtlMs: number,
     retry: RetryPolicy,
@@ -57,7 +57,7 @@
   /** The state service holds our presence. */
   get isPresent(): boolean {
     const mine = this.replica.nodes.get(this.settings.member);
-    return mine !== undefined && mine.run === this.run && mine.hold === this.leaseId;
+    return mine !== undefined && mine.instanceId === this.run && mine.leaseId === this.leaseId;
   }
 
   get isLeader(): boolean {
@@ -83,22 +83,22 @@
     const { member } = this.settings;
     const { state } = this.replica.levels;
     const others = [...this.replica.nodes.values()].filter(
-      (n) => n.member !== member && admits(state, n.can),
+      (n) => n.member !== member && admits(state, n.capabilities),
     );
-    const mine = [...this.replica.shards].filter(([, g]) => g.owner === member && g.run === this.run);
+    const mine = [...this.replica.shards].filter(([, g]) => g.owner === member && g.instanceId === this.run);
     mine.forEach(([shard], i) => {
       const to = others[i % others.length];
-      if (others.length > 0) this.handOver(shard, to.member, to.run);
+      if (others.length > 0) this.handOver(shard, to.member, to.instanceId);
     });
     if ((mine.length > 0 && others.length > 0) || this.busy.has('leave')) return;
     if (!this.isPresent && !this.isLeader) return this.goneFor(out);
     this.busy.add('leave');
     const ended = () => void this.busy.delete('leave');
-    this.committer.add({
-      rank: Rank.membership,
+    this.batcher.enqueue({
+      priority: Rank.membership,
       build: () => {
         const keys = [
-          ...(this.isPresent ? [nodeKey(member)] : []),
+          ...(this.isPresent ? [presenceKey(member)] : []),
           ...(this.isLeader ? [this.replica.activeLeaderKey] : []),
         ];
         if (keys.length === 0) {
@@ -106,12 +106,12 @@
           return null;
         }
         return {
-          when: keys.map((key) => ({ key, stamp: this.replica.stampOf(key) })),
-          apply: keys.map((key) => ({ key, data: undefined })),
+          conditions: keys.map((key) => ({ key, stamp: this.replica.stampOf(key) })),
+          writes: keys.map((key) => ({ key, data: undefined })),
         };
       },
-      ok: ended,
-      conflict: ended,
+      onCommitted: ended,
+      onConflict: ended,
     });
   }
 
@@ -129,7 +129,7 @@
     if (!this.cleared) {
       this.cleared = true;
       // A presence from an earlier run of this very member: that process is over, so its lease may end now.
-      if (mine && mine.run !== this.run) out.push({ type: 'revoke-lease', hold: mine.hold });
+      if (mine && mine.instanceId !== this.run) out.push({ type: 'revoke-lease', hold: mine.leaseId });
     }
     if (this.leaseId === null) {
       if (this.leaving) return;
@@ -147,7 +147,11 @@
     }
     if (this.leaving) return;
     if (!this.isPresent)
-      this.put(nodeKey(this.settings.member), nodeData(this.run, this.leaseId, levels.mine), this.leaseId);
+      this.put(
+        presenceKey(this.settings.member),
+        presenceData(this.run, this.leaseId, levels.mine),
+        this.leaseId,
+      );
     else if (levels.standsBy || !acting) return;
     else if (this.replica.leader === null)
       this.put(this.replica.activeLeaderKey, { member: this.settings.member, run: this.run }, this.leaseId);
@@ -197,21 +201,21 @@
       while (table.length < Math.min(shards, teams.length)) table.push([]);
       for (const team of teams)
         if (!known.has(team)) table.reduce((a, b) => (b.length < a.length ? b : a)).push(team);
-      this.put(teamsKey, teamsData(table));
+      this.put(teamShardsKey, teamShardsData(table));
       return;
     }
     const alive = [...this.replica.nodes.values()]
-      .filter((n) => admits(this.replica.levels.state, n.can))
+      .filter((n) => admits(this.replica.levels.state, n.capabilities))
       .sort((a, b) => (a.member < b.member ? -1 : 1));
     for (const node of alive)
-      if (this.seen.get(node.member)?.run !== node.run)
-        this.seen.set(node.member, { run: node.run, at: now });
+      if (this.seen.get(node.member)?.run !== node.instanceId)
+        this.seen.set(node.member, { run: node.instanceId, at: now });
     if (alive.length === 0) return;
     const load = new Map(alive.map((n) => [n.member, 0]));
     const loose: number[] = [];
     this.replica.teamsByShard.forEach((_, shard) => {
       const grant = this.replica.shards.get(shard);
-      if (grant && this.replica.isAlive(grant.owner, grant.run))
+      if (grant && this.replica.isAlive(grant.owner, grant.instanceId))
         load.set(grant.owner, (load.get(grant.owner) ?? 0) + 1);
       else loose.push(shard);
     });
@@ -223,7 +227,7 @@
       const laden = alive.find((n) => (load.get(n.member) ?? 0) > 1);
       if (idle && laden) {
         const shard = [...this.replica.shards].find(([, g]) => g.owner === laden.member)?.[0];
-        if (shard !== undefined) this.put(shardKey(shard), shardData(idle.member, idle.run));
+        if (shard !== undefined) this.put(shardKey(shard), shardGrantData(idle.member, idle.instanceId));
       }
     }
     for (const shard of loose) {
@@ -231,23 +235,26 @@
       const to = alive.reduce((a, b) => (load.get(b.member)! < load.get(a.member)! ? b : a), home);
       load.set(to.member, load.get(to.member)! + 1);
       this.log('info', 'granting shard', { shard, to: to.member });
-      this.put(shardKey(shard), shardData(to.member, to.run));
+      this.put(shardKey(shard), shardGrantData(to.member, to.instanceId));
     }
   }
 
   /** As its owner: another process is to have a shard from now on. What we still have to write for it will fail. */
   handOver(shard: number, to: string, run: string): void {
     const grant = this.replica.shards.get(shard);
-    if (grant?.owner !== this.settings.member || grant.run !== this.run) return;
+    if (grant?.owner !== this.settings.member || grant.instanceId !== this.run) return;
     const key = shardKey(shard);
     if (this.busy.has(key)) return;
     this.busy.add(key);
     const done = () => void this.busy.delete(key);
-    this.committer.add({
-      rank: Rank.membership,
-      build: () => ({ when: [{ key, stamp: grant.stamp }], apply: [{ key, data: shardData(to, run) }] }),
-      ok: done,
-      conflict: done,
+    this.batcher.enqueue({
+      priority: Rank.membership,
+      build: () => ({
+        conditions: [{ key, stamp: grant.modRevision }],
+        writes: [{ key, data: shardGrantData(to, run) }],
+      }),
+      onCommitted: done,
+      onConflict: done,
     });
   }
 
@@ -256,8 +263,8 @@
     this.busy.add(key);
     const leads = hold !== undefined && data['member'] === this.settings.member;
     const leadStamp = this.isLeader && hold === undefined ? this.replica.leader!.stamp : null;
-    this.committer.add({
-      rank: Rank.membership,
+    this.batcher.enqueue({
+      priority: Rank.membership,
       build: () => {
         // Guards against a leadership that another has taken, or that has moved with the level, while this waited.
         const late = leads && (key !== this.replica.activeLeaderKey || this.replica.leader !== null);
@@ -267,10 +274,10 @@
         }
         const when = [{ key, stamp: this.replica.stampOf(key) }];
         if (leadStamp !== null) when.push({ key: this.replica.activeLeaderKey, stamp: leadStamp });
-        return { when, apply: [{ key, data, hold }] };
+        return { conditions: when, writes: [{ key, data, hold }] };
       },
-      ok: () => this.busy.delete(key),
-      conflict: () => this.busy.delete(key),
+      onCommitted: () => this.busy.delete(key),
+      onConflict: () => this.busy.delete(key),
     });
   }
 }
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -172,7 +172,10 @@
     for (const change of known) this.replica.apply(change);
     // Guards against a program that knows less than the level in force: it cannot hand over what it does not understand.
     const node = this.replica.nodes.get(from);
-    if (this.replica.levels.standsBy || (node?.run === run && !admits(this.replica.levels.state, node.can)))
+    if (
+      this.replica.levels.standsBy ||
+      (node?.instanceId === run && !admits(this.replica.levels.state, node.capabilities))
+    )
       return null;
     return this.vouching.onAnswer(from, run, to, completeAt);
   }
--- a/src/core/recovery-records.ts
+++ b/src/core/recovery-records.ts
@@ -3,21 +3,21 @@
 import { merge } from '../data-loss/index.js';
 import {
   blockData,
-  cancelledData,
+  cancelledJobData,
   chunkData,
   chunkKey,
-  jobData,
-  jobDoneData,
+  openJobData,
+  doneJobData,
   type JobRecord,
-  type KeyRef,
+  type ParsedKey,
   levelData,
   machineData,
   membersData,
-  readKey,
-  teamsData,
-  typesData,
-  wholeJobData,
-  wishData,
+  parseKey,
+  teamShardsData,
+  machineTypesData,
+  inlineJobData,
+  requestedLevelData,
 } from './storage/index.js';
 import type { Replica } from './replica.js';
 
@@ -35,7 +35,7 @@
 /** Leadership as programs that know no levels see it from level 2 on: taken, for ever, by nobody. */
 export const leaderPlaceholder = { member: 'level-2', run: 'barred' };
 
-export const recordKindOf = (ref: KeyRef): Kind =>
+export const recordKindOf = (ref: ParsedKey): Kind =>
   ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
 
 /** Needed before anybody can act; then what the fleet does; what is over comes last. */
@@ -44,7 +44,7 @@
 
 /** A record as it is stored, or undefined; leases' keys, grants and the plan are not restored: they are made anew. */
 export function storedRecordOf(replica: Replica, key: string): Data | undefined {
-  const ref = readKey(key);
+  const ref = parseKey(key);
   if (ref === null || replica.unreadableRecords.has(key)) return undefined;
   // The state of a chunk's tasks may be in the task log only.
   if (ref.kind !== 'chunk' && replica.stampOf(key) === 0) return undefined;
@@ -52,19 +52,19 @@
   return data && { ...replica.unknownFieldsOf(key), ...data };
 }
 
-function recordFields(replica: Replica, ref: KeyRef): Data | undefined {
+function recordFields(replica: Replica, ref: ParsedKey): Data | undefined {
   switch (ref.kind) {
     case 'level':
       return levelData(replica.levels.state.level, replica.levels.state.write);
     case 'members':
       return membersData(replica.members.capabilities, null);
     case 'wish':
-      return wishData(replica.wish);
+      return requestedLevelData(replica.wish);
     case 'types':
     case 'kinds':
-      return replica.machineTypes.length > 0 ? typesData(replica.machineTypes) : undefined;
+      return replica.machineTypes.length > 0 ? machineTypesData(replica.machineTypes) : undefined;
     case 'teams':
-      return teamsData(replica.teamsByShard);
+      return teamShardsData(replica.teamsByShard);
     case 'lead':
       return replica.levels.state.level >= 2 ? { ...leaderPlaceholder } : undefined;
     case 'block': {
@@ -83,18 +83,21 @@
       const c = replica.jobsWithInlineTasks.has(ref.id)
         ? undefined
         : replica.chunks.get(ref.id)?.get(ref.chunk);
-      return c && chunkData(c, c.revision);
+      return c && chunkData(c, c.version);
     }
     default:
       return undefined;
   }
 }
 
-function storedJob(replica: Replica, { id, state, spec, at, tasks, use, whole }: JobRecord): Data {
+function storedJob(
+  replica: Replica,
+  { id, state, spec, acceptedAt: at, taskCount: tasks, usage: use, tasksInline: whole }: JobRecord,
+): Data {
   const own = whole ? replica.chunks.get(id)?.get(0) : undefined;
-  if (state === 'done') return jobDoneData(at, tasks);
-  if (state === 'open' && spec) return own ? wholeJobData(spec, at, chunkData(own)) : jobData(spec, at);
-  const data = cancelledData(at, tasks, use ?? { team: '', cpus: 0, gpus: 0, memGb: 0 });
+  if (state === 'done') return doneJobData(at, tasks);
+  if (state === 'open' && spec) return own ? inlineJobData(spec, at, chunkData(own)) : openJobData(spec, at);
+  const data = cancelledJobData(at, tasks, use ?? { team: '', cpus: 0, gpus: 0, memGb: 0 });
   return own ? { ...data, v: 2, t: chunkData(own) } : data;
 }
 
@@ -115,7 +118,7 @@
 /** Keys of the states that the task log tells, also of those that have no record of their own. */
 function* loggedChunkKeys(replica: Replica): Generator<string> {
   for (const [id, chunks] of replica.chunks)
-    for (const [number, { revision }] of chunks) if (revision > 0) yield chunkKey(id, number);
+    for (const [number, { version: revision }] of chunks) if (revision > 0) yield chunkKey(id, number);
 }
 
 /** Everything that a controller knows, put together with what it still had to write of an earlier loss. */
@@ -135,9 +138,9 @@
     if (data) records.set(key, data);
   }
   for (const [key, data] of earlier?.records ?? [])
-    records.set(key, merge(recordKindOf(readKey(key)!), records.get(key), data));
+    records.set(key, merge(recordKindOf(parseKey(key)!), records.get(key), data));
   const rank = ([key, data]: [string, Data]): number =>
-    restoreOrder.indexOf(readKey(key)!.kind) + (isFinishedJob(key, data) ? restoreOrder.length : 0);
+    restoreOrder.indexOf(parseKey(key)!.kind) + (isFinishedJob(key, data) ? restoreOrder.length : 0);
   const sorted = [...records].sort((a, b) => rank(a) - rank(b));
   return {
     incarnation,
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -7,35 +7,35 @@
 import type { Change } from '../wire/store.js';
 import {
   type BlockRecord,
-  chiefKey,
+  leaderKey,
   chunkKey,
   type ChunkRecord,
   jobKey,
   type JobRecord,
-  type KeyRef,
-  kindsKey,
-  leadKey,
+  type ParsedKey,
+  machineTypesKey,
+  legacyLeaderKey,
   levelKey,
   type LevelNote,
   LogReader,
   machineKey,
-  type NodeRecord,
-  prefix,
+  type PresenceRecord,
+  keyPrefix,
   readBlock,
   readChunk,
-  readInc,
+  readIncarnation,
   readJob,
-  readKey,
+  parseKey,
   readMachine,
   readMembers,
-  readNode,
+  readPresence,
   readAllocation,
-  readTeams,
-  readTypes,
-  readWish,
-  type ShardRecord,
-  type Stored,
-  typesKey,
+  readTeamShards,
+  readMachineTypes,
+  readRequestedLevel,
+  type ShardGrantRecord,
+  type StoredValue,
+  legacyMachineTypesKey,
 } from './storage/index.js';
 
 export type VersionedMachine = MachineRecord & { stamp: number };
@@ -59,7 +59,7 @@
   stamp: number;
 }
 
-const recordKindOf = (ref: KeyRef): Kind =>
+const recordKindOf = (ref: ParsedKey): Kind =>
   ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
 
 /** Without these nobody could join, lead or be told the level: damaged ones are written anew. */
@@ -97,10 +97,10 @@
   writeAllocation: Plan | null = null;
   teamsByShard: string[][] = [];
   teamsStamp = 0;
-  readonly nodes = new Map<string, NodeRecord>();
+  readonly nodes = new Map<string, PresenceRecord>();
   /** What members could do when they were last here, as far as this process has seen it. */
   readonly observedCapabilities = new Map<string, Ability>();
-  readonly shards = new Map<number, ShardRecord>();
+  readonly shards = new Map<number, ShardGrantRecord>();
   /** Every machine: by its own record, or else as its block says. */
   readonly machines = new Map<string, VersionedMachine>();
   readonly blocks = new Map<string, BlockRecord>();
@@ -126,8 +126,8 @@
   readonly taskLog = new LogReader({
     get: (job, chunk) => this.chunks.get(job)?.get(chunk),
     set: (job, chunk, state) => this.setLoggedChunk(job, chunk, state),
-    end: (job, chunk) => this.setChunk(job, chunk, null),
-    standing: (job) => this.taskLogStatus(job),
+    remove: (job, chunk) => this.setChunk(job, chunk, null),
+    jobStatus: (job) => this.taskLogStatus(job),
   });
   /** Records of the task log that cannot be read: nobody knows what they placed. */
   private readonly unreadableLogs = new Set<string>();
@@ -145,13 +145,13 @@
   }
 
   /** The revision of a chunk's state that its own record holds; null: nothing is known of its tasks. */
-  checkpointRevision(id: string, chunk: number): number | null {
-    return this.chunks.get(id)?.get(chunk)?.checkpoint ?? null;
+  checkpointVersionOf(id: string, chunk: number): number | null {
+    return this.chunks.get(id)?.get(chunk)?.checkpointVersion ?? null;
   }
 
   /** The state of some tasks as the task log has it. Of a cancelled job nothing is kept once nothing of it is placed. */
   private setLoggedChunk(id: string, chunk: number, state: ChunkRecord): void {
-    const isOver = this.jobs.get(id)?.state === 'cancelled' && state.placed.length === 0;
+    const isOver = this.jobs.get(id)?.state === 'cancelled' && state.placements.length === 0;
     this.setChunk(id, chunk, isOver ? null : state);
   }
 
@@ -173,7 +173,8 @@
   /** How many chunks' own records are checkpoints of a task log. */
   get checkpointCount(): number {
     let count = 0;
-    for (const chunks of this.chunks.values()) for (const c of chunks.values()) if (c.checkpoint > 0) count++;
+    for (const chunks of this.chunks.values())
+      for (const c of chunks.values()) if (c.checkpointVersion > 0) count++;
     return count;
   }
 
@@ -183,11 +184,11 @@
   }
 
   get activeLeaderKey(): string {
-    return this.levels.has('barred-lead') ? chiefKey : leadKey;
+    return this.levels.has('barred-lead') ? leaderKey : legacyLeaderKey;
   }
 
   get activeTypesKey(): string {
-    return this.levels.has('barred-lead') ? kindsKey : typesKey;
+    return this.levels.has('barred-lead') ? machineTypesKey : legacyMachineTypesKey;
   }
 
   get leader(): LeaderRecord | null {
@@ -211,7 +212,7 @@
   mayHaveMachine(host: string): boolean {
     if (this.unreadableRecords.size === 0) return false;
     if (this.unreadableRecords.has(machineKey(host))) return true;
-    for (const key of this.unreadableRecords.keys()) if (readKey(key)?.kind === 'block') return true;
+    for (const key of this.unreadableRecords.keys()) if (parseKey(key)?.kind === 'block') return true;
     return false;
   }
 
@@ -265,9 +266,9 @@
   }
 
   apply({ key, data, stamp }: Change): void {
-    if (!key.startsWith(prefix)) return;
+    if (!key.startsWith(keyPrefix)) return;
     if ((this.stamps.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
-    const ref = readKey(key);
+    const ref = parseKey(key);
     if (ref === null) return;
     const had = this.stamps.has(key);
     if (data === undefined || data === null) {
@@ -280,7 +281,7 @@
     } else {
       if (!had && ref.kind === 'job') this.jobCount++;
       this.stamps.set(key, stamp);
-      const w = (data as Stored).w;
+      const w = (data as StoredValue).w;
       if (typeof w === 'string') this.writers.set(key, w);
       else this.writers.delete(key);
     }
@@ -298,7 +299,7 @@
       }
       case 'types':
       case 'kinds':
-        if (here) this.machineTypesByKey.set(key, readTypes(data));
+        if (here) this.machineTypesByKey.set(key, readMachineTypes(data));
         else this.machineTypesByKey.delete(key);
         this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
         break;
@@ -314,10 +315,10 @@
         this.members = here ? readMembers(data) : { capabilities: new Map(), note: null };
         break;
       case 'wish':
-        this.wish = here ? readWish(data, stamp) : noWish;
+        this.wish = here ? readRequestedLevel(data, stamp) : noWish;
         break;
       case 'inc':
-        if (here) this.incarnations.set(ref.n, readInc(ref.n, data, stamp));
+        if (here) this.incarnations.set(ref.n, readIncarnation(ref.n, data, stamp));
         else this.incarnations.delete(ref.n);
         this.listener.incarnationChanged();
         break;
@@ -325,18 +326,18 @@
         this.writeAllocation = here ? readAllocation(data) : null;
         break;
       case 'teams':
-        this.teamsByShard = here ? readTeams(data) : [];
+        this.teamsByShard = here ? readTeamShards(data) : [];
         this.teamsStamp = here ? stamp : 0;
         break;
       case 'node': {
-        if (here) this.nodes.set(ref.member, readNode(ref.member, data, stamp));
+        if (here) this.nodes.set(ref.member, readPresence(ref.member, data, stamp));
         else this.nodes.delete(ref.member);
-        if (here) this.observedCapabilities.set(ref.member, this.nodes.get(ref.member)!.can);
+        if (here) this.observedCapabilities.set(ref.member, this.nodes.get(ref.member)!.capabilities);
         break;
       }
       case 'shard': {
         const d = data as { owner: string; run: string };
-        if (here) this.shards.set(ref.shard, { owner: d.owner, run: d.run, stamp });
+        if (here) this.shards.set(ref.shard, { owner: d.owner, instanceId: d.run, modRevision: stamp });
         else this.shards.delete(ref.shard);
         this.listener.shardChanged(ref.shard);
         break;
@@ -356,11 +357,11 @@
         if (here) this.jobs.set(ref.id, readJob(ref.id, data, stamp));
         else this.jobs.delete(ref.id);
         const job = this.jobs.get(ref.id);
-        this.applyInlineTasks(ref.id, job?.whole === true ? (data as { t: unknown }).t : null, stamp);
+        this.applyInlineTasks(ref.id, job?.tasksInline === true ? (data as { t: unknown }).t : null, stamp);
         if (job?.state === 'open') this.openJobs.add(ref.id);
         else this.openJobs.delete(ref.id);
         this.dropLoggedChunks(ref.id, job);
-        this.taskLog.connect(ref.id);
+        this.taskLog.applyWaiting(ref.id);
         this.listener.jobChanged(ref.id, job);
         break;
       }
@@ -368,7 +369,7 @@
         // Guards against the order within a transaction: a job that took its tasks' state in has it there.
         if (this.jobsWithInlineTasks.has(ref.id) && ref.chunk === 0) break;
         this.setChunk(ref.id, ref.chunk, here ? this.mergeCheckpoint(ref, readChunk(data, stamp)) : null);
-        this.taskLog.connect(ref.id);
+        this.taskLog.applyWaiting(ref.id);
         break;
       }
       case 'log':
@@ -376,7 +377,7 @@
         else this.unreadableLogs.delete(key);
         this.updateLevelReadability();
         if (here) this.taskLog.put(key, ref.shard, data, stamp);
-        else this.taskLog.drop(key);
+        else this.taskLog.delete(key);
         break;
     }
   }
@@ -389,15 +390,17 @@
   /** A chunk's own record, unless the task log has led beyond it. */
   private mergeCheckpoint(ref: { id: string; chunk: number }, record: ChunkRecord): ChunkRecord {
     const logged = this.chunks.get(ref.id)?.get(ref.chunk);
-    const isBehind = logged !== undefined && record.revision > 0 && record.revision < logged.revision;
-    return isBehind ? { ...logged, stamp: record.stamp, checkpoint: record.revision } : record;
+    const isBehind = logged !== undefined && record.version > 0 && record.version < logged.version;
+    return isBehind
+      ? { ...logged, modRevision: record.modRevision, checkpointVersion: record.version }
+      : record;
   }
 
   /** What the task log said of a job that is over is not needed any more. */
   private dropLoggedChunks(id: string, job: JobRecord | undefined): void {
     const chunks = this.chunks.get(id);
     if (!chunks || !job || job.state === 'open' || this.jobsWithInlineTasks.has(id)) return;
-    for (const [number, { revision, placed }] of [...chunks])
+    for (const [number, { version: revision, placements: placed }] of [...chunks])
       if (revision > 0 && (job.state === 'done' || placed.length === 0)) this.setChunk(id, number, null);
   }
 
@@ -422,7 +425,7 @@
   }
 
   /** Whether a record can be acted on; what it has that this program does not know is kept. */
-  private checkReadable(ref: KeyRef, key: string, data: unknown): boolean {
+  private checkReadable(ref: ParsedKey, key: string, data: unknown): boolean {
     const verdict = inspect(recordKindOf(ref), data);
     if (verdict.ok) {
       if (verdict.extras) this.unknownFields.set(key, verdict.extras);
@@ -447,7 +450,7 @@
     return false;
   }
 
-  private markReadable(ref: KeyRef, key: string): void {
+  private markReadable(ref: ParsedKey, key: string): void {
     if (!this.unreadableRecords.delete(key)) return;
     if (ref.kind === 'chunk') {
       const chunks = this.unreadableChunks.get(ref.id);
@@ -497,14 +500,14 @@
   }
 
   isAlive(member: string, run: string): boolean {
-    return this.nodes.get(member)?.run === run;
+    return this.nodes.get(member)?.instanceId === run;
   }
 
   /** The member that answers for a machine, with the token that its answers carry. */
   responsibleController(m: VersionedMachine): { member: string; run: string; token: number } | null {
     const holder = m.shard >= 0 ? this.shards.get(m.shard) : undefined;
     const of = (stamp: number): number => this.tokenBase + Math.max(m.stamp, stamp);
-    if (holder) return { member: holder.owner, run: holder.run, token: of(holder.stamp) };
+    if (holder) return { member: holder.owner, run: holder.instanceId, token: of(holder.modRevision) };
     if (m.shard < 0 && this.leader)
       return { member: this.leader.member, run: this.leader.run, token: of(this.leader.stamp) };
     return null;
@@ -515,7 +518,7 @@
     let running = 0;
     for (const c of this.chunks.get(id)?.values() ?? []) {
       done += c.doneCount;
-      running += c.placed.length;
+      running += c.placements.length;
     }
     return { done, running };
   }
--- a/src/core/scheduling/feasibility.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -33,7 +33,7 @@
   for (const t of shardState.replica.machineTypes)
     if (t.gpus <= 0 && typeAllowed(spec, t))
       soonestStartS = Math.min(soonestStartS, t.bootS + imageFetchS(spec, t));
-  const slack = slackS(limits, (shardState.clock.wall - job.at) / 1000, spec.estimateS);
+  const slack = slackS(limits, (shardState.clock.wall - job.acceptedAt) / 1000, spec.estimateS);
   // Guards against urgent work that is late already being worse off than what may yet be.
   return slack < soonestStartS || (!hasNoTimeLimits(limits) && !Number.isFinite(slack));
 }
--- a/src/core/scheduling/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -171,7 +171,7 @@
 const pressedFactor = 2;
 
 /** Whether a gang is short of time, or late. */
-function isPressed({ spec, at }: ScheduledJob, { settings, clock }: ShardState): boolean {
+function isPressed({ spec, acceptedAt: at }: ScheduledJob, { settings, clock }: ShardState): boolean {
   const slack = slackS(timeLimitsOf(spec, settings.objectives), (clock.wall - at) / 1000, spec.estimateS);
   return !Number.isFinite(slack) || slack <= pressedFactor * criticalSlackS(settings);
 }
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -42,7 +42,7 @@
   }
   for (const owed of shardState.minimumShares.findDeficits(shardState.clock.now, [...kinds.values()])) {
     let left = owed.share;
-    for (const job of kinds.get(owed.kind)!.jobs.sort((a, b) => a.at - b.at)) {
+    for (const job of kinds.get(owed.kind)!.jobs.sort((a, b) => a.acceptedAt - b.acceptedAt)) {
       if (left <= 0) break;
       const each = shareOf(job);
       // A gang whole or not at all, and something in any case: a floor may be less than a task.
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -41,7 +41,7 @@
   const lower = [...shardState.placementsByUrgency].some(([u, n]) => n > 0 && u < urgencyRank[spec.urgency]);
   if (!withinGuarantee && !lower) return false;
   const limits = timeLimitsOf(spec, shardState.settings.objectives);
-  const ageS = (shardState.clock.wall - job.at) / 1000;
+  const ageS = (shardState.clock.wall - job.acceptedAt) / 1000;
   const slack = slackS(limits, ageS, spec.estimateS);
   let needed = waitingTaskCount(job);
   if (spec.shape !== 'gang') needed = Math.min(needed, 1);
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -49,7 +49,7 @@
     private readonly operators: Operators,
     private readonly run: string,
     private readonly replica: Replica,
-    committer: Committer,
+    batcher: Committer,
     private readonly clock: Clock,
     private readonly log: Log,
     matcher: Matcher | null = null,
@@ -57,9 +57,9 @@
     const listener = {
       firstTaskCompleted: (job: ScheduledJob) => this.heartbeatReconciler.reassessFailedHosts(job),
     };
-    this.shardState = new ShardState(settings, operators, replica, committer, clock, log, listener, matcher);
+    this.shardState = new ShardState(settings, operators, replica, batcher, clock, log, listener, matcher);
     this.heartbeatReconciler = new HeartbeatReconciler(this.shardState);
-    this.machineLifecycle = new MachineLifecycle(this.shardState, committer);
+    this.machineLifecycle = new MachineLifecycle(this.shardState, batcher);
     const { write_rps } = settings.state;
     this.recordMigration = new Sweep(write_rps, operators['sweep-share'], settings.workers.lease_s * 500);
   }
@@ -77,10 +77,10 @@
     let allowed = this.recordMigration.allowed(now);
     let left = 0;
     for (const job of this.shardState.jobs.values()) {
-      if (!writer.astray(job)) continue;
+      if (!writer.needsMigration(job)) continue;
       left++;
       if (allowed <= 0) continue;
-      const writes = writer.rewrite(job);
+      const writes = writer.migrate(job);
       this.recordMigration.wrote(writes);
       allowed -= writes;
     }
@@ -116,7 +116,7 @@
       if (
         !shardState.ownedShards.has(shard) &&
         this.isAssignedHere(shard) &&
-        this.replica.watchRevision >= grant.stamp
+        this.replica.watchRevision >= grant.modRevision
       ) {
         shardState.acquireShard(shard);
         this.migrationPending = true;
@@ -125,7 +125,7 @@
           if (machine.placements.size > 0) this.awaitingConfirmation.add(machine);
         this.log('info', 'shard taken up', {
           shard,
-          grant: grant.stamp,
+          grant: grant.modRevision,
           jobs: shardState.jobs.size,
           machines: shardState.machines.size,
         });
@@ -147,7 +147,7 @@
   private isAssignedHere(shard: number): boolean {
     const g = this.replica.shards.get(shard);
     if (this.replica.levels.standsBy) return false;
-    return g?.owner === this.settings.member && g.run === this.run;
+    return g?.owner === this.settings.member && g.instanceId === this.run;
   }
 
   tick(out: Effect[]): void {
@@ -157,7 +157,7 @@
       if (this.lastMaintenanceAt >= 0) this.runMaintenance((now - this.lastMaintenanceAt) / 1000);
       this.lastMaintenanceAt = now;
     }
-    this.shardState.taskWriter.flushEnds();
+    this.shardState.taskWriter.flushTerminations();
     if (this.cycle === null && now - this.lastCycleAt >= this.operators['round-s'] * 1000) {
       this.lastCycleAt = now;
       this.cycle = schedulingCycle(this.shardState);
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -1,6 +1,6 @@
 /** A job as it is scheduled: made from its records, and which of its tasks waits next. */
 import type { JobSpec } from '../../model/job.js';
-import { Bits, type ChunkRecord, type JobRecord, type JobUse } from '../storage/index.js';
+import { BitSet, type ChunkRecord, type JobRecord, type JobUsage } from '../storage/index.js';
 import type { TaskChunk, ScheduledJob } from './types.js';
 
 /** A job as its records tell it; what is placed is entered by the books. */
@@ -17,8 +17,8 @@
     id: record.id,
     spec,
     shard,
-    at: record.at,
-    modRevision: record.stamp,
+    acceptedAt: record.acceptedAt,
+    modRevision: record.modRevision,
     cancelled: record.state !== 'open',
     chunks: [],
     tasksPerChunk,
@@ -32,24 +32,24 @@
     unreadable: false,
     tearingDown: false,
     repairAttempt: null,
-    failedHosts: new Set(stored?.get(0)?.failed),
+    failedHosts: new Set(stored?.get(0)?.failedHosts),
     failedProbes: 0,
     anyHostAllowed: false,
     completedCount: 0,
     retryNotBefore: 0,
-    fullyWaitingSince: record.at,
+    fullyWaitingSince: record.acceptedAt,
     match: null,
   };
-  for (let base = 0, n = 0; base < record.tasks; base += tasksPerChunk, n++) {
+  for (let base = 0, n = 0; base < record.taskCount; base += tasksPerChunk, n++) {
     const c = stored?.get(n);
-    const revision = c?.revision ?? 0;
+    const revision = c?.version ?? 0;
     job.chunks.push({
       index: n,
       firstTask: base,
-      size: Math.min(tasksPerChunk, record.tasks - base),
-      modRevision: c?.stamp ?? 0,
-      lastAttempt: Math.max(c?.last ?? 0, attemptBase),
-      completed: c?.done.copy() ?? new Bits(),
+      size: Math.min(tasksPerChunk, record.taskCount - base),
+      modRevision: c?.modRevision ?? 0,
+      lastAttempt: Math.max(c?.lastAttempt ?? 0, attemptBase),
+      completed: c?.done.copy() ?? new BitSet(),
       version: revision,
       placedVersion: revision,
       durableVersion: revision,
@@ -91,12 +91,12 @@
   Math.max(...job.chunks.map((chunk) => chunk.lastAttempt)) + 1;
 
 /** Stands in for the description of a cancelled job: only what its last tasks take matters now. */
-export const cancelledJobSpec = (record: JobRecord, use: JobUse): JobSpec => ({
+export const cancelledJobSpec = (record: JobRecord, use: JobUsage): JobSpec => ({
   id: record.id,
   class: '',
   shape: 'array',
   urgency: 'low',
-  tasks: record.tasks,
+  tasks: record.taskCount,
   image: '',
   imageGb: 0,
   types: null,
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -9,7 +9,7 @@
 import { zoneAllows } from '../../policy/guardrails.js';
 import { SpotHazardEstimate } from '../../policy/hazard.js';
 import { imageFetchS } from '../../policy/pricing.js';
-import { type Committer, type JobRecord, type Placed, TaskWriter } from '../storage/index.js';
+import { type Committer, type JobRecord, type PlacementRecord, TaskWriter } from '../storage/index.js';
 import type { Clock, Log } from '../effects.js';
 import type { VersionedMachine, Replica } from '../replica.js';
 import { Reservations } from './reservations.js';
@@ -88,7 +88,7 @@
     readonly settings: Settings,
     readonly operators: Operators,
     readonly replica: Replica,
-    committer: Committer,
+    batcher: Committer,
     readonly clock: Clock,
     readonly log: Log,
     private readonly listener: ShardStateListener,
@@ -103,9 +103,9 @@
     this.reservations = new Reservations(clock, settings.workers.lease_s);
     this.hazard = new SpotHazardEstimate(operators['hazard-prior']);
     const wholeTasks = Math.max(1, Math.floor(this.tasksPerChunk * maxInlineShare));
-    const mostAgeMs = settings.workers.lease_s * 1000 * operators['task-log-leases'];
-    const taskLog = { wanted: operators['task-log'] > 0, mostAgeMs };
-    this.taskWriter = new TaskWriter(settings, replica, committer, clock, log, this, wholeTasks, taskLog);
+    const maxAgeMs = settings.workers.lease_s * 1000 * operators['task-log-leases'];
+    const taskLog = { enabled: operators['task-log'] > 0, maxAgeMs };
+    this.taskWriter = new TaskWriter(settings, replica, batcher, clock, log, this, wholeTasks, taskLog);
   }
 
   /** How old a view may be, ms, for workers to be answered from it. */
@@ -145,7 +145,7 @@
 
   releaseShard(shard: number): void {
     this.ownedShards.delete(shard);
-    this.taskWriter.close(shard);
+    this.taskWriter.closeShard(shard);
     for (const [id, job] of this.jobs) if (job.shard === shard) this.removeJob(id);
     for (const [id, spec] of this.unreadableJobs)
       if (this.replica.shardOfTeam(spec.team) === shard) this.forgetUnreadable(id);
@@ -183,7 +183,7 @@
     if (this.jobs.has(record.id)) return;
     if (this.replica.isJobUnreadable(record.id)) return this.countUnreadable(record);
     const stored = this.replica.chunks.get(record.id);
-    const spec = record.spec ?? (record.use && stored ? cancelledJobSpec(record, record.use) : null);
+    const spec = record.spec ?? (record.usage && stored ? cancelledJobSpec(record, record.usage) : null);
     if (spec === null) return;
     const shard = this.replica.shardOfTeam(spec.team);
     if (!this.ownedShards.has(shard)) return;
@@ -191,7 +191,7 @@
     job.match = this.matcher?.matchFor(spec) ?? null;
     this.jobs.set(job.id, job);
     for (const [n, c] of stored ?? [])
-      for (const p of c.placed) {
+      for (const p of c.placements) {
         const placement = this.addPlacement(job, job.chunks[n], p, false);
         if (job.cancelled) this.requestStop(placement, 0);
         // Guards against a machine whose record was lost: one that has none was given back, as a rule, but that proves nothing.
@@ -199,7 +199,8 @@
           this.expiringPlacements.set(placement, this.clock.now + this.maxRemainingLeaseMs);
       }
     if (spec.shape === 'gang' && job.placements.size > 0) this.checkGang(job);
-    if (job.done >= spec.tasks && !job.cancelled && spec.shape !== 'service') this.taskWriter.finish(job);
+    if (job.done >= spec.tasks && !job.cancelled && spec.shape !== 'service')
+      this.taskWriter.finalizeJob(job);
     this.checkCancelled(job);
   }
 
@@ -262,9 +263,9 @@
       if (record.state === 'open') this.addJob(record);
       return;
     }
-    job.modRevision = record.stamp;
+    job.modRevision = record.modRevision;
     // Whoever wrote it left what it says of its tasks as it was, or it was us.
-    if (record.whole) job.chunks[0].modRevision = record.stamp;
+    if (record.tasksInline) job.chunks[0].modRevision = record.modRevision;
     if (record.state === 'cancelled' && !job.cancelled) {
       job.cancelled = true;
       for (const placement of [...job.placements.values()]) {
@@ -302,7 +303,7 @@
 
   // ---- placements ----
 
-  private addPlacement(job: ScheduledJob, chunk: TaskChunk, p: Placed, own: boolean): Placement {
+  private addPlacement(job: ScheduledJob, chunk: TaskChunk, p: PlacementRecord, own: boolean): Placement {
     const placement: Placement = {
       job,
       index: p.index,
@@ -397,7 +398,7 @@
       const machine = this.machines.get(a.host);
       if (machine) machine.images.set(job.spec.image, imageFetchS(job.spec, machine.type));
     }
-    for (const chunk of chunks) this.taskWriter.queue(job, chunk);
+    for (const chunk of chunks) this.taskWriter.enqueue(job, chunk);
     if (waitingTaskCount(job) === 0) job.repairAttempt = null;
   }
 
@@ -413,7 +414,7 @@
     this.machines.get(placement.host)?.placements.delete(taskKey(job.id, placement.index));
     this.countPlacement(placement, -1);
     chunk.version++;
-    this.taskWriter.noteEnd(job, chunk);
+    this.taskWriter.noteTermination(job, chunk);
     this.log('debug', 'task gone', {
       piece: taskKey(job.id, placement.index),
       attempt: placement.attempt,
@@ -427,7 +428,7 @@
         if (job.completedCount++ === 0) this.listener.firstTaskCompleted(job);
       }
       if (job.done >= job.spec.tasks && job.spec.shape !== 'service' && !job.cancelled)
-        this.taskWriter.finish(job);
+        this.taskWriter.finalizeJob(job);
       // Guards against a gang that was being taken down when its last task completed: the rest of it would never be placed again.
       if (job.placements.size === 0) this.endTearDown(job);
     } else if (!job.cancelled) {
@@ -471,7 +472,7 @@
   private checkCancelled(job: ScheduledJob): void {
     if (!job.cancelled || job.placements.size > 0 || this.jobs.get(job.id) !== job) return;
     this.jobs.delete(job.id);
-    this.taskWriter.dropChunks(job);
+    this.taskWriter.deleteTaskRecords(job);
   }
 
   // ---- stops ----
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -3,7 +3,7 @@
 import type { Resources, MachineType } from '../../model/machine.js';
 import type { MachineMatch } from '../../policy/matching.js';
 import type { TaskPhase } from '../../model/heartbeat.js';
-import type { Bits, Rank } from '../storage/index.js';
+import type { BitSet, Rank } from '../storage/index.js';
 import type { VersionedMachine } from '../replica.js';
 
 /** A task's present attempt. It exists from the decision to place until it is proven gone. */
@@ -37,7 +37,7 @@
   size: number;
   modRevision: number;
   lastAttempt: number;
-  completed: Bits;
+  completed: BitSet;
   /** Version in memory, and the newest version known to be durable. */
   version: number;
   /** The version that holds the newest placement. */
@@ -53,7 +53,7 @@
   id: string;
   spec: JobSpec;
   shard: number;
-  at: number;
+  acceptedAt: number;
   modRevision: number;
   cancelled: boolean;
   chunks: TaskChunk[];
--- a/src/core/storage/chunk-state.ts
+++ b/src/core/storage/chunk-state.ts
@@ -4,10 +4,15 @@
 import type { ChunkState } from './records.js';
 
 /** What the leader and the next owner must know of a job's failures; kept with its first tasks. */
-const failedOn = (job: ScheduledJob, chunk: TaskChunk): string[] =>
+const failedHostsOf = (job: ScheduledJob, chunk: TaskChunk): string[] =>
   chunk.index === 0 && job.completedCount === 0 ? [...job.failedHosts].slice(0, maxStoredFailedHosts) : [];
 
-export function stateOf(job: ScheduledJob, chunk: TaskChunk): ChunkState {
-  const placed = [...job.placements.values()].filter((placement) => placement.chunk === chunk);
-  return { last: chunk.lastAttempt, done: chunk.completed, placed, failed: failedOn(job, chunk) };
+export function chunkStateOf(job: ScheduledJob, chunk: TaskChunk): ChunkState {
+  const placements = [...job.placements.values()].filter((placement) => placement.chunk === chunk);
+  return {
+    lastAttempt: chunk.lastAttempt,
+    done: chunk.completed,
+    placements,
+    failedHosts: failedHostsOf(job, chunk),
+  };
 }
--- a/src/core/storage/index.ts
+++ b/src/core/storage/index.ts
@@ -5,11 +5,11 @@
 export * from './keys.js';
 export * from './records.js';
 export {
-  Committer,
+  TransactionBatcher as Committer,
   conditionsPerOperation,
-  Rank,
-  type CommitLimits,
-  type Intent,
+  WritePriority as Rank,
+  type BatchLimits as CommitLimits,
+  type PendingWrite as Intent,
 } from './transaction-batcher.js';
 export { TaskWriter, type TaskOwner } from './task-writer.js';
 export * from './task-log/index.js';
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -10,23 +10,23 @@
  * The durable records and their stored form. `w` in a stored value names the write that made it, so that
  * a writer who got no answer can tell later whether its write took effect.
  */
-export interface Stored {
+export interface StoredValue {
   w?: string;
 }
 
-export interface NodeRecord {
+export interface PresenceRecord {
   member: string;
   /** Which start of the process this is. */
-  run: string;
-  hold: number;
-  can: Ability;
-  stamp: number;
+  instanceId: string;
+  leaseId: number;
+  capabilities: Ability;
+  modRevision: number;
 }
 
-export interface ShardRecord {
+export interface ShardGrantRecord {
   owner: string;
-  run: string;
-  stamp: number;
+  instanceId: string;
+  modRevision: number;
 }
 
 export interface JobRecord {
@@ -35,23 +35,23 @@
   /** null once the job is over: only the outcome is kept. */
   spec: JobSpec | null;
   /** Time of day of acceptance, ms. */
-  at: number;
-  tasks: number;
+  acceptedAt: number;
+  taskCount: number;
   /** Of a cancelled job: what its tasks take while they are not proven gone. */
-  use: JobUse | null;
+  usage: JobUsage | null;
   /** The state of its tasks is in this very record (format 2), not in one of its own. */
-  whole: boolean;
-  stamp: number;
+  tasksInline: boolean;
+  modRevision: number;
 }
 
-export interface JobUse {
+export interface JobUsage {
   team: string;
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-export interface Placed {
+export interface PlacementRecord {
   index: number;
   attempt: number;
   host: string;
@@ -60,11 +60,11 @@
 /** The state of some of a job's tasks: what of a chunk's record its owner decides. */
 export interface ChunkState {
   /** The highest attempt number ever used in this chunk. */
-  last: number;
-  done: Bits;
-  placed: Placed[];
+  lastAttempt: number;
+  done: BitSet;
+  placements: PlacementRecord[];
   /** Of a job's first chunk, while none of its tasks has completed: some of the machines on which it failed. */
-  failed: string[];
+  failedHosts: string[];
 }
 
 /** The durable state of some of a job's tasks. */
@@ -72,82 +72,90 @@
   /** How many are done. */
   doneCount: number;
   /** The revision of its own record; 0: it has none. */
-  stamp: number;
+  modRevision: number;
   /** Rises with each change of the state that the task log or a checkpoint tells; 0: neither ever did. */
-  revision: number;
+  version: number;
   /** The revision of the state that its own record holds. */
-  checkpoint: number;
+  checkpointVersion: number;
 }
 
-export class Bits {
+export class BitSet {
   constructor(private bytes: Uint8Array = new Uint8Array(0)) {}
-  static from(text: string): Bits {
-    return new Bits(new Uint8Array(Buffer.from(text, 'base64')));
+  static decode(text: string): BitSet {
+    return new BitSet(new Uint8Array(Buffer.from(text, 'base64')));
   }
-  has(i: number): boolean {
-    return ((this.bytes[i >> 3] ?? 0) & (1 << (i & 7))) !== 0;
+  has(index: number): boolean {
+    return ((this.bytes[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
-  add(i: number): void {
-    if (i >> 3 >= this.bytes.length) {
-      const wider = new Uint8Array((i >> 3) + 1);
-      wider.set(this.bytes);
-      this.bytes = wider;
+  add(index: number): void {
+    if (index >> 3 >= this.bytes.length) {
+      const grown = new Uint8Array((index >> 3) + 1);
+      grown.set(this.bytes);
+      this.bytes = grown;
     }
-    this.bytes[i >> 3] |= 1 << (i & 7);
+    this.bytes[index >> 3] |= 1 << (index & 7);
   }
   count(): number {
-    let n = 0;
-    for (let b of this.bytes) for (; b !== 0; b &= b - 1) n++;
-    return n;
+    let count = 0;
+    for (let b of this.bytes) for (; b !== 0; b &= b - 1) count++;
+    return count;
   }
-  copy(): Bits {
-    return new Bits(this.bytes.slice());
+  copy(): BitSet {
+    return new BitSet(this.bytes.slice());
   }
   toString(): string {
     return Buffer.from(this.bytes).toString('base64');
   }
 }
 
-export const nodeData = (run: string, hold: number, can: Ability): Data => ({ run, hold, can });
-export const shardData = (owner: string, run: string): Data => ({ owner, run });
+export const presenceData = (instanceId: string, leaseId: number, capabilities: Ability): Data => ({
+  run: instanceId,
+  hold: leaseId,
+  can: capabilities,
+});
+export const shardGrantData = (owner: string, instanceId: string): Data => ({ owner, run: instanceId });
 
-export const jobData = (spec: JobSpec, at: number): Data => ({ s: 'open', at, spec });
-export const jobDoneData = (at: number, tasks: number): Data => ({ s: 'done', at, n: tasks });
-export const cancelledData = (at: number, tasks: number, u: JobUse): Data => ({
+export const openJobData = (spec: JobSpec, acceptedAt: number): Data => ({ s: 'open', at: acceptedAt, spec });
+export const doneJobData = (acceptedAt: number, taskCount: number): Data => ({
+  s: 'done',
+  at: acceptedAt,
+  n: taskCount,
+});
+export const cancelledJobData = (acceptedAt: number, taskCount: number, usage: JobUsage): Data => ({
   s: 'cancelled',
-  at,
-  n: tasks,
-  u,
+  at: acceptedAt,
+  n: taskCount,
+  u: usage,
 });
-export const jobCancelledData = (at: number, { tasks, team, cpus, gpus, memGb }: JobSpec): Data =>
-  cancelledData(at, tasks, { team, cpus, gpus, memGb });
+export const cancelledJobDataOf = (acceptedAt: number, { tasks, team, cpus, gpus, memGb }: JobSpec): Data =>
+  cancelledJobData(acceptedAt, tasks, { team, cpus, gpus, memGb });
 
 /**
  * Format 2: with the state of the job's tasks in it. The description has another name than in format 1: a program that knows
  * only that could otherwise cancel the job, and would drop what is placed. As it is, it cannot.
  */
-export const wholeJobData = (spec: JobSpec, at: number, tasks: Data): Data => ({
+export const inlineJobData = (spec: JobSpec, acceptedAt: number, tasks: Data): Data => ({
   v: 2,
   s: 'open',
-  at,
+  at: acceptedAt,
   n: spec.tasks,
   job: spec,
   t: tasks,
 });
-export const wholeCancelledData = (at: number, spec: JobSpec, tasks: Data): Data => ({
-  ...jobCancelledData(at, spec),
+export const inlineCancelledJobData = (acceptedAt: number, spec: JobSpec, tasks: Data): Data => ({
+  ...cancelledJobDataOf(acceptedAt, spec),
   v: 2,
   t: tasks,
 });
 
-export function readJob(id: string, data: unknown, stamp: number): JobRecord {
+export function readJob(id: string, data: unknown, modRevision: number): JobRecord {
   const d = data as {
     s: JobState;
     at: number;
     n?: number;
     spec?: JobSpec;
     job?: JobSpec;
-    u?: JobUse;
+    u?: JobUsage;
     t?: unknown;
   };
   const spec = d.spec ?? d.job ?? null;
@@ -155,46 +163,46 @@
     id,
     state: d.s,
     spec,
-    at: d.at,
-    tasks: spec?.tasks ?? d.n ?? 0,
-    use: d.u ?? null,
-    whole: d.t !== undefined,
-    stamp,
+    acceptedAt: d.at,
+    taskCount: spec?.tasks ?? d.n ?? 0,
+    usage: d.u ?? null,
+    tasksInline: d.t !== undefined,
+    modRevision,
   };
 }
 
 /** `revision` 0: what the record says is all there is, no task log follows it. */
-export const chunkData = (c: ChunkState, revision = 0): Data => ({
-  n: c.last,
-  d: c.done.toString(),
-  p: c.placed.map((p) => [p.index, p.attempt, p.host]),
-  ...(c.failed.length > 0 ? { f: c.failed } : {}),
-  ...(revision > 0 ? { r: revision } : {}),
+export const chunkData = (chunk: ChunkState, version = 0): Data => ({
+  n: chunk.lastAttempt,
+  d: chunk.done.toString(),
+  p: chunk.placements.map((p) => [p.index, p.attempt, p.host]),
+  ...(chunk.failedHosts.length > 0 ? { f: chunk.failedHosts } : {}),
+  ...(version > 0 ? { r: version } : {}),
 });
 
-export function readChunk(data: unknown, stamp: number): ChunkRecord {
+export function readChunk(data: unknown, modRevision: number): ChunkRecord {
   const d = data as { n: number; d: string; p: [number, number, string][]; f?: string[]; r?: number };
-  const done = Bits.from(d.d);
-  const revision = d.r ?? 0;
+  const done = BitSet.decode(d.d);
+  const version = d.r ?? 0;
   return {
-    last: d.n,
+    lastAttempt: d.n,
     done,
     doneCount: done.count(),
-    placed: d.p.map(([index, attempt, host]) => ({ index, attempt, host })),
-    failed: d.f ?? [],
-    stamp,
-    revision,
-    checkpoint: revision,
+    placements: d.p.map(([index, attempt, host]) => ({ index, attempt, host })),
+    failedHosts: d.f ?? [],
+    modRevision,
+    version,
+    checkpointVersion: version,
   };
 }
 
-export const machineData = (m: MachineRecord): Data => ({
-  f: m.type,
-  y: m.zone,
-  l: m.spot,
-  s: m.shard,
-  st: m.state,
-  at: m.since,
+export const machineData = (machine: MachineRecord): Data => ({
+  f: machine.type,
+  y: machine.zone,
+  l: machine.spot,
+  s: machine.shard,
+  st: machine.state,
+  at: machine.since,
 });
 
 export function readMachine(host: string, data: unknown): MachineRecord {
@@ -219,13 +227,13 @@
   hosts: string[];
 }
 
-export const blockData = (b: BlockRecord): Data => ({
-  f: b.type,
-  y: b.zone,
-  l: b.spot,
-  s: b.shard,
-  at: b.since,
-  h: b.hosts,
+export const blockData = (block: BlockRecord): Data => ({
+  f: block.type,
+  y: block.zone,
+  l: block.spot,
+  s: block.shard,
+  at: block.since,
+  h: block.hosts,
 });
 
 export function readBlock(data: unknown): BlockRecord {
@@ -233,12 +241,12 @@
   return { type: d.f, zone: d.y, spot: d.l, shard: d.s, since: d.at, hosts: d.h };
 }
 
-export const typesData = (types: MachineType[]): Data => ({ types });
-export const readTypes = (data: unknown): MachineType[] => (data as { types: MachineType[] }).types;
+export const machineTypesData = (types: MachineType[]): Data => ({ types });
+export const readMachineTypes = (data: unknown): MachineType[] => (data as { types: MachineType[] }).types;
 
-export const readNode = (member: string, data: unknown, stamp: number): NodeRecord => {
+export const readPresence = (member: string, data: unknown, modRevision: number): PresenceRecord => {
   const d = data as { run: string; hold: number; can?: Ability };
-  return { member, run: d.run, hold: d.hold, can: d.can ?? unaware, stamp };
+  return { member, instanceId: d.run, leaseId: d.hold, capabilities: d.can ?? unaware, modRevision };
 };
 
 /** The level in force, what is written at it, and what members were last seen with. */
@@ -260,15 +268,15 @@
   return { capabilities: new Map(Object.entries(d.seen)), note: d.note ?? null };
 }
 
-export const wishData = (w: Omit<Wish, 'stamp'>): Data => ({
-  ...(w.most === null ? {} : { most: w.most }),
-  lower: w.lower,
-  gone: w.gone,
+export const requestedLevelData = (requested: Omit<Wish, 'stamp'>): Data => ({
+  ...(requested.most === null ? {} : { most: requested.most }),
+  lower: requested.lower,
+  gone: requested.gone,
 });
 
-export function readWish(data: unknown, stamp: number): Wish {
+export function readRequestedLevel(data: unknown, modRevision: number): Wish {
   const d = data as { most?: number; lower?: boolean; gone?: string[] };
-  return { most: d.most ?? null, lower: d.lower ?? false, gone: d.gone ?? [], stamp };
+  return { most: d.most ?? null, lower: d.lower ?? false, gone: d.gone ?? [], stamp: modRevision };
 }
 
 /** How much of what a value may hold a plan takes; kinds that do not fit are left out, smallest first. */
@@ -313,12 +321,16 @@
   return { version: d.n, members: new Map(parts) };
 }
 
-export const incData = (by: string, run: string, stage: Stage): Data => ({ by, run, stage });
-export const readInc = (n: number, data: unknown, stamp: number): Incarnation => {
+export const incarnationData = (by: string, instanceId: string, stage: Stage): Data => ({
+  by,
+  run: instanceId,
+  stage,
+});
+export const readIncarnation = (n: number, data: unknown, modRevision: number): Incarnation => {
   const { by, run, stage } = data as { by: string; run: string; stage: Stage };
-  return { number: n, openedBy: by, run, stage, stamp };
+  return { number: n, openedBy: by, run, stage, stamp: modRevision };
 };
 
 /** Which teams are at home in which shard. */
-export const teamsData = (shards: string[][]): Data => ({ shards });
-export const readTeams = (data: unknown): string[][] => (data as { shards: string[][] }).shards;
+export const teamShardsData = (shards: string[][]): Data => ({ shards });
+export const readTeamShards = (data: unknown): string[][] => (data as { shards: string[][] }).shards;
--- a/src/core/storage/task-log/entry.ts
+++ b/src/core/storage/task-log/entry.ts
@@ -3,27 +3,27 @@
  * many jobs, share a record, so that one write makes the placements and ends of a whole round durable.
  */
 import type { Data } from '../../../formats/index.js';
-import { Bits, type ChunkRecord, type ChunkState, type Placed } from '../records.js';
+import { BitSet, type ChunkRecord, type ChunkState, type PlacementRecord } from '../records.js';
 
 /** What leads from one state of a chunk to another. */
-export interface Difference {
+export interface ChunkDelta {
   /** The highest attempt number ever used. */
-  last: number;
-  placed: Placed[];
+  lastAttempt: number;
+  placements: PlacementRecord[];
   /** Tasks that are done, counted within the chunk. */
   done: number[];
   /** Tasks that have left their machines, done or not, by their index in the job. */
-  freed: number[];
+  removed: number[];
   /** Machines on which the job failed; null: as before. */
-  failed: string[] | null;
+  failedHosts: string[] | null;
 }
 
-export interface LogEntry extends Difference {
+export interface LogEntry extends ChunkDelta {
   job: string;
   chunk: number;
   /** It leads from this revision of the chunk's state to that one, and applies to no other. */
-  from: number;
-  to: number;
+  fromVersion: number;
+  toVersion: number;
 }
 
 type StoredPlacement = [index: number, attempt: number, host: string];
@@ -39,87 +39,99 @@
   failed: string[] | null,
 ];
 
-const stored = (e: LogEntry): StoredEntry => [
-  e.job,
-  e.chunk,
-  e.from,
-  e.to,
-  e.last,
-  e.placed.map((p): StoredPlacement => [p.index, p.attempt, p.host]),
-  e.done,
-  e.freed,
-  e.failed,
+const encodeEntry = (entry: LogEntry): StoredEntry => [
+  entry.job,
+  entry.chunk,
+  entry.fromVersion,
+  entry.toVersion,
+  entry.lastAttempt,
+  entry.placements.map((p): StoredPlacement => [p.index, p.attempt, p.host]),
+  entry.done,
+  entry.removed,
+  entry.failedHosts,
 ];
 
-function read([job, chunk, from, to, last, placed, done, freed, failed]: StoredEntry): LogEntry {
-  const places = placed.map(([index, attempt, host]): Placed => ({ index, attempt, host }));
-  return { job, chunk, from, to, last, placed: places, done, freed, failed };
+function decodeEntry([job, chunk, from, to, last, placed, done, freed, failed]: StoredEntry): LogEntry {
+  const places = placed.map(([index, attempt, host]): PlacementRecord => ({ index, attempt, host }));
+  return {
+    job,
+    chunk,
+    fromVersion: from,
+    toVersion: to,
+    lastAttempt: last,
+    placements: places,
+    done,
+    removed: freed,
+    failedHosts: failed,
+  };
 }
 
 /** A record of the log as it is stored. */
-export const logData = (entries: readonly LogEntry[]): Data => ({ e: entries.map(stored) });
+export const encodeLogRecord = (entries: readonly LogEntry[]): Data => ({ e: entries.map(encodeEntry) });
 
-export const readLog = (data: unknown): LogEntry[] => (data as { e: StoredEntry[] }).e.map(read);
+export const decodeLogRecord = (data: unknown): LogEntry[] =>
+  (data as { e: StoredEntry[] }).e.map(decodeEntry);
 
 /** How many bytes an entry takes of its record's value. */
-export const sizeOf = (entry: LogEntry): number => Buffer.byteLength(JSON.stringify(stored(entry))) + 1;
+export const encodedSize = (entry: LogEntry): number =>
+  Buffer.byteLength(JSON.stringify(encodeEntry(entry))) + 1;
 
 export const emptyChunk: ChunkRecord = {
-  last: 0,
-  done: new Bits(),
+  lastAttempt: 0,
+  done: new BitSet(),
   doneCount: 0,
-  placed: [],
-  failed: [],
-  stamp: 0,
-  revision: 0,
-  checkpoint: 0,
+  placements: [],
+  failedHosts: [],
+  modRevision: 0,
+  version: 0,
+  checkpointVersion: 0,
 };
 
 /** The state of a chunk's tasks after an entry. */
 export function applyEntry(before: ChunkRecord, entry: LogEntry): ChunkRecord {
   const done = before.done.copy();
   for (const i of entry.done) done.add(i);
-  const left = new Set(entry.freed);
+  const removed = new Set(entry.removed);
   return {
-    last: Math.max(before.last, entry.last),
+    lastAttempt: Math.max(before.lastAttempt, entry.lastAttempt),
     done,
     doneCount: done.count(),
-    placed: [...before.placed.filter((p) => !left.has(p.index)), ...entry.placed],
-    failed: entry.failed ?? before.failed,
-    stamp: before.stamp,
-    revision: entry.to,
-    checkpoint: before.checkpoint,
+    placements: [...before.placements.filter((p) => !removed.has(p.index)), ...entry.placements],
+    failedHosts: entry.failedHosts ?? before.failedHosts,
+    modRevision: before.modRevision,
+    version: entry.toVersion,
+    checkpointVersion: before.checkpointVersion,
   };
 }
 
 /** What a chunk's tasks are to be, as its owner has it. */
-export interface WantedState extends ChunkState {
+export interface TargetState extends ChunkState {
   /** How many tasks the chunk has. */
   size: number;
 }
 
-const samePlace = (a: Placed, b: Placed): boolean =>
+const isSamePlacement = (a: PlacementRecord, b: PlacementRecord): boolean =>
   a.index === b.index && a.attempt === b.attempt && a.host === b.host;
 
-export function difference(before: ChunkRecord, after: WantedState): Difference {
-  const was = new Map(before.placed.map((p) => [p.index, p]));
-  const is = new Map(after.placed.map((p) => [p.index, p]));
-  const stays = (p: Placed): boolean => {
-    const now = is.get(p.index);
-    return now !== undefined && samePlace(p, now);
+export function deltaBetween(before: ChunkRecord, after: TargetState): ChunkDelta {
+  const placementsBefore = new Map(before.placements.map((p) => [p.index, p]));
+  const placementsAfter = new Map(after.placements.map((p) => [p.index, p]));
+  const isUnchanged = (p: PlacementRecord): boolean => {
+    const now = placementsAfter.get(p.index);
+    return now !== undefined && isSamePlacement(p, now);
   };
-  const isNew = (p: Placed): boolean => {
-    const before = was.get(p.index);
-    return before === undefined || !samePlace(p, before);
+  const isNew = (p: PlacementRecord): boolean => {
+    const before = placementsBefore.get(p.index);
+    return before === undefined || !isSamePlacement(p, before);
   };
   const done: number[] = [];
   for (let i = 0; i < after.size; i++) if (after.done.has(i) && !before.done.has(i)) done.push(i);
-  const failedBefore = JSON.stringify(before.failed);
+  const failedBefore = JSON.stringify(before.failedHosts);
   return {
-    last: after.last,
-    placed: after.placed.filter(isNew),
+    lastAttempt: after.lastAttempt,
+    placements: after.placements.filter(isNew),
     done,
-    freed: before.placed.filter((p) => !stays(p)).map((p) => p.index),
-    failed: JSON.stringify(after.failed) === failedBefore ? null : after.failed,
+    removed: before.placements.filter((p) => !isUnchanged(p)).map((p) => p.index),
+    failedHosts: JSON.stringify(after.failedHosts) === failedBefore ? null : after.failedHosts,
   };
 }
--- a/src/core/storage/task-log/reader.ts
+++ b/src/core/storage/task-log/reader.ts
@@ -3,30 +3,30 @@
  * An entry whose predecessor has not been seen waits for it, or for a checkpoint that includes it.
  */
 import type { ChunkRecord } from '../records.js';
-import { applyEntry, emptyChunk, readLog, type LogEntry } from './entry.js';
+import { applyEntry, emptyChunk, decodeLogRecord, type LogEntry } from './entry.js';
 
 /** Where the states of tasks are kept. */
-export interface TaskStates {
+export interface ChunkStates {
   get(job: string, chunk: number): ChunkRecord | undefined;
   set(job: string, chunk: number, state: ChunkRecord): void;
   /** Nothing is placed of these tasks, and nothing will be: their job is over. */
-  end(job: string, chunk: number): void;
+  remove(job: string, chunk: number): void;
   /** Whether a job's tasks are followed: not known yet, followed, or over (or kept in the job's own record). */
-  standing(job: string): 'unknown' | 'followed' | 'over';
+  jobStatus(job: string): 'unknown' | 'followed' | 'over';
 }
 
 /** Which revision of which chunk a record of the log leads to. */
-export interface LogItem {
+export interface EntryRef {
   job: string;
   chunk: number;
-  to: number;
+  toVersion: number;
 }
 
 export interface LogRecord {
   key: string;
   shard: number;
-  stamp: number;
-  items: LogItem[];
+  modRevision: number;
+  entries: EntryRef[];
 }
 
 export class LogReader {
@@ -34,7 +34,7 @@
   /** Entries that cannot be applied yet, by job. */
   private readonly waiting = new Map<string, LogEntry[]>();
 
-  constructor(private readonly states: TaskStates) {}
+  constructor(private readonly states: ChunkStates) {}
 
   /** How many records there are. */
   get size(): number {
@@ -42,7 +42,7 @@
   }
 
   /** How many entries wait for others. */
-  get unconnected(): number {
+  get waitingCount(): number {
     let count = 0;
     for (const entries of this.waiting.values()) count += entries.length;
     return count;
@@ -50,59 +50,59 @@
 
   /** All records, oldest first. */
   get records(): LogRecord[] {
-    return [...this.byKey.values()].sort((a, b) => a.stamp - b.stamp);
+    return [...this.byKey.values()].sort((a, b) => a.modRevision - b.modRevision);
   }
 
   /** A record was written. */
-  put(key: string, shard: number, data: unknown, stamp: number): void {
-    const entries = readLog(data);
-    const items = entries.map(({ job, chunk, to }): LogItem => ({ job, chunk, to }));
-    this.byKey.set(key, { key, shard, stamp, items });
-    for (const entry of entries) this.take(entry);
+  put(key: string, shard: number, data: unknown, modRevision: number): void {
+    const entries = decodeLogRecord(data);
+    const refs = entries.map(({ job, chunk, toVersion: to }): EntryRef => ({ job, chunk, toVersion: to }));
+    this.byKey.set(key, { key, shard, modRevision, entries: refs });
+    for (const entry of entries) this.applyOrWait(entry);
   }
 
   /** A record was dropped: checkpoints include it, or its jobs are over. */
-  drop(key: string): void {
+  delete(key: string): void {
     const record = this.byKey.get(key);
     if (!record) return;
     this.byKey.delete(key);
-    for (const item of record.items) this.discard(item);
-    for (const item of record.items) this.endUnlessCheckpointed(item);
+    for (const item of record.entries) this.discardWaiting(item);
+    for (const item of record.entries) this.removeUnlessCheckpointed(item);
   }
 
   /** The newest state is dropped without a checkpoint only if its job is over. */
-  private endUnlessCheckpointed({ job, chunk, to }: LogItem): void {
+  private removeUnlessCheckpointed({ job, chunk, toVersion: to }: EntryRef): void {
     const state = this.states.get(job, chunk);
-    if (state?.revision === to && state.checkpoint < to) this.states.end(job, chunk);
+    if (state?.version === to && state.checkpointVersion < to) this.states.remove(job, chunk);
   }
 
   /** A job became known, or the state of some of its tasks was stored: entries that waited for that may follow. */
-  connect(job: string): void {
+  applyWaiting(job: string): void {
     const entries = this.waiting.get(job);
     if (!entries) return;
     this.waiting.delete(job);
-    entries.sort((a, b) => a.to - b.to);
-    for (const entry of entries) this.take(entry);
+    entries.sort((a, b) => a.toVersion - b.toVersion);
+    for (const entry of entries) this.applyOrWait(entry);
   }
 
-  private take(entry: LogEntry): void {
+  private applyOrWait(entry: LogEntry): void {
     const { job, chunk } = entry;
-    const standing = this.states.standing(job);
-    if (standing === 'over') return;
+    const status = this.states.jobStatus(job);
+    if (status === 'over') return;
     const state = this.states.get(job, chunk) ?? emptyChunk;
-    if (standing === 'followed' && entry.to <= state.revision) return;
-    if (standing === 'unknown' || entry.from !== state.revision) {
+    if (status === 'followed' && entry.toVersion <= state.version) return;
+    if (status === 'unknown' || entry.fromVersion !== state.version) {
       this.waiting.set(job, [...(this.waiting.get(job) ?? []), entry]);
       return;
     }
     this.states.set(job, chunk, applyEntry(state, entry));
-    this.connect(job);
+    this.applyWaiting(job);
   }
 
-  private discard({ job, chunk, to }: LogItem): void {
-    const left = this.waiting.get(job)?.filter((e) => e.chunk !== chunk || e.to !== to);
-    if (!left) return;
-    if (left.length > 0) this.waiting.set(job, left);
+  private discardWaiting({ job, chunk, toVersion: to }: EntryRef): void {
+    const remaining = this.waiting.get(job)?.filter((e) => e.chunk !== chunk || e.toVersion !== to);
+    if (!remaining) return;
+    if (remaining.length > 0) this.waiting.set(job, remaining);
     else this.waiting.delete(job);
   }
 }
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -2,16 +2,16 @@
 import type { TaskChunk, ScheduledJob } from '../../shard-state/types.js';
 import type { Clock } from '../../effects.js';
 import type { Replica } from '../../replica.js';
-import { Rank, type Committer } from '../transaction-batcher.js';
+import { WritePriority, type TransactionBatcher } from '../transaction-batcher.js';
 import { shardKey } from '../keys.js';
-import type { LogItem, LogRecord } from './reader.js';
-import { Truncation, type Checkpoints } from './truncation.js';
+import type { EntryRef, LogRecord } from './reader.js';
+import { TruncationPlanner, type Checkpoints } from './truncation.js';
 
-const truncateEveryMs = 1000;
+const truncateIntervalMs = 1000;
 /** Of the operations of a transaction, so many drop records at a time. */
-const dropShare = 0.5;
+const deletionShare = 0.5;
 /** So many records are looked at for checkpoints at a time. */
-const checkpointedAtOnce = 4;
+const maxCheckpointedRecords = 4;
 
 export interface OwnedJobs {
   jobs: ReadonlyMap<string, ScheduledJob>;
@@ -19,23 +19,23 @@
 }
 
 export class LogTruncator {
-  private readonly truncation: Truncation;
-  private lookedAt = -Infinity;
-  private dropping = false;
+  private readonly planner: TruncationPlanner;
+  private lastPlannedAt = -Infinity;
+  private isDeleting = false;
   private readonly known: Checkpoints;
 
   constructor(
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: TransactionBatcher,
     private readonly clock: Clock,
     private readonly owner: OwnedJobs,
-    private readonly limits: { mostAgeMs: number; operations: number },
+    private readonly limits: { maxAgeMs: number; maxOperations: number },
     private readonly checkpoint: (job: ScheduledJob, chunk: TaskChunk) => void,
   ) {
-    this.truncation = new Truncation(limits.mostAgeMs, checkpointedAtOnce);
+    this.planner = new TruncationPlanner(limits.maxAgeMs, maxCheckpointedRecords);
     this.known = {
-      standing: (job) => this.standing(job),
-      checkpointOf: (job, chunk) => replica.checkpointRevision(job, chunk),
+      jobStatus: (job) => this.standing(job),
+      checkpointVersionOf: (job, chunk) => replica.checkpointVersionOf(job, chunk),
     };
   }
 
@@ -43,18 +43,19 @@
   tick(): void {
     const { now } = this.clock;
     const { taskLog } = this.replica;
-    if (this.dropping || taskLog.size === 0 || now - this.lookedAt < truncateEveryMs) return;
-    this.lookedAt = now;
+    if (this.isDeleting || taskLog.size === 0 || now - this.lastPlannedAt < truncateIntervalMs) return;
+    this.lastPlannedAt = now;
     for (const shard of this.owner.ownedShards) {
       const records = taskLog.records.filter((record) => record.shard === shard);
-      const plan = this.truncation.plan(records, this.known, now);
-      for (const item of plan.checkpoint) this.checkpointItem(item);
-      if (plan.drop.length > 0) this.drop(shard, plan.drop.slice(0, this.droppedAtOnce));
+      const plan = this.planner.plan(records, this.known, now);
+      for (const item of plan.toCheckpoint) this.checkpointEntry(item);
+      if (plan.deletable.length > 0)
+        this.deleteRecords(shard, plan.deletable.slice(0, this.maxDeletedRecords));
     }
   }
 
-  private get droppedAtOnce(): number {
-    return Math.max(1, Math.floor(this.limits.operations * dropShare));
+  private get maxDeletedRecords(): number {
+    return Math.max(1, Math.floor(this.limits.maxOperations * deletionShare));
   }
 
   /** A cancelled job of which nothing is on any machine any more is over. */
@@ -63,28 +64,28 @@
     return isCancelled && !this.owner.jobs.has(id) ? 'over' : this.replica.taskLogStatus(id);
   }
 
-  private checkpointItem({ job: id, chunk }: LogItem): void {
+  private checkpointEntry({ job: id, chunk }: EntryRef): void {
     const job = this.owner.jobs.get(id);
     if (job) this.checkpoint(job, job.chunks[chunk]);
   }
 
-  private drop(shard: number, records: readonly LogRecord[]): void {
-    this.dropping = true;
-    const end = (): void => void (this.dropping = false);
-    this.committer.add({
-      rank: Rank.cleanup,
+  private deleteRecords(shard: number, records: readonly LogRecord[]): void {
+    this.isDeleting = true;
+    const onSettled = (): void => void (this.isDeleting = false);
+    this.batcher.enqueue({
+      priority: WritePriority.cleanup,
       build: () => {
         const grant = this.replica.shards.get(shard);
         if (!grant || !this.owner.ownedShards.has(shard)) {
-          end();
+          onSettled();
           return null;
         }
-        const when = [{ key: shardKey(shard), stamp: grant.stamp }];
-        for (const { key, stamp } of records) when.push({ key, stamp });
-        return { when, apply: records.map(({ key }) => ({ key, data: undefined })) };
+        const when = [{ key: shardKey(shard), stamp: grant.modRevision }];
+        for (const { key, modRevision: stamp } of records) when.push({ key, stamp });
+        return { conditions: when, writes: records.map(({ key }) => ({ key, data: undefined })) };
       },
-      ok: end,
-      conflict: end,
+      onCommitted: onSettled,
+      onConflict: onSettled,
     });
   }
 }
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -1,23 +1,29 @@
 /** Makes the states of tasks durable. */
 import type { Settings } from '../../config/settings.js';
 import { urgencyRank } from '../../model/job.js';
-import type { Txn, Write } from '../../wire/store.js';
-import { conditionsPerOperation, Rank, type Committer } from './transaction-batcher.js';
+import type { Transaction, Write } from '../../wire/store.js';
+import { conditionsPerOperation, WritePriority, type TransactionBatcher } from './transaction-batcher.js';
 import type { Clock, Log } from '../effects.js';
 import { chunkKey, jobKey, shardKey } from './keys.js';
-import { chunkData, jobCancelledData, jobData, wholeCancelledData, wholeJobData } from './records.js';
+import {
+  chunkData,
+  cancelledJobDataOf,
+  openJobData,
+  inlineCancelledJobData,
+  inlineJobData,
+} from './records.js';
 import type { Replica } from '../replica.js';
-import { stateOf } from './chunk-state.js';
-import { JobFinisher } from './job-finalizer.js';
+import { chunkStateOf } from './chunk-state.js';
+import { JobFinalizer } from './job-finalizer.js';
 import { LogTruncator, LogWriter } from './task-log/index.js';
 import type { TaskChunk, ScheduledJob } from '../shard-state/types.js';
 
 /** Ends of tasks gather for this share of a report interval before they are written. */
-const endPatience = 0.5;
+const terminationDelayShare = 0.5;
 
 /** Urgent work does not queue behind the placements of all others. */
-const placementRank = ({ spec }: ScheduledJob): Rank =>
-  urgencyRank[spec.urgency] > urgencyRank.normal ? Rank.urgent : Rank.task;
+const placementPriority = ({ spec }: ScheduledJob): WritePriority =>
+  urgencyRank[spec.urgency] > urgencyRank.normal ? WritePriority.urgent : WritePriority.task;
 
 /** The process's jobs and shards, as the write path needs them. */
 export interface TaskOwner {
@@ -35,91 +41,91 @@
  * their job's, or in the task log, as the level in force has it.
  */
 export class TaskWriter {
-  private readonly ended = new Map<TaskChunk, { job: ScheduledJob; since: number }>();
-  private blocked: { job: ScheduledJob; chunk: TaskChunk }[] = [];
-  private readonly finisher: JobFinisher;
+  private readonly terminated = new Map<TaskChunk, { job: ScheduledJob; since: number }>();
+  private blockedChunks: { job: ScheduledJob; chunk: TaskChunk }[] = [];
+  private readonly finalizer: JobFinalizer;
   /** The task logs of this process's shards. */
-  private readonly logs = new Map<number, LogWriter>();
+  private readonly logWriters = new Map<number, LogWriter>();
   private readonly truncator: LogTruncator;
 
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: TransactionBatcher,
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly owner: TaskOwner,
     /** Jobs of so many tasks may have their state in their own record. */
-    private readonly wholeTasks: number,
+    private readonly maxInlineTasks: number,
     /** Whether the task log is used where the level in force allows it, and how long a record stays in it, ms. */
-    private readonly taskLog: { wanted: boolean; mostAgeMs: number },
+    private readonly taskLog: { enabled: boolean; maxAgeMs: number },
   ) {
-    const limits = { mostAgeMs: taskLog.mostAgeMs, operations: settings.state.txn_ops };
-    this.truncator = new LogTruncator(replica, committer, clock, owner, limits, (job, chunk) =>
+    const limits = { maxAgeMs: taskLog.maxAgeMs, maxOperations: settings.state.txn_ops };
+    this.truncator = new LogTruncator(replica, batcher, clock, owner, limits, (job, chunk) =>
       this.checkpoint(job, chunk),
     );
-    this.finisher = new JobFinisher(settings.state.txn_ops, replica, committer, log, owner);
+    this.finalizer = new JobFinalizer(settings.state.txn_ops, replica, batcher, log, owner);
   }
 
   /** To be called every step: ends that have gathered long enough, and writes that conflicted. */
   tick(): void {
-    this.unblock();
-    this.finisher.tick();
-    for (const log of this.logs.values()) log.tick(this.clock.now);
+    this.retryBlocked();
+    this.finalizer.tick();
+    for (const logWriter of this.logWriters.values()) logWriter.tick(this.clock.now);
     this.truncator.tick();
   }
 
   /** Every task of a job is done. */
-  finish(job: ScheduledJob): void {
-    this.finisher.finish(job);
+  finalizeJob(job: ScheduledJob): void {
+    this.finalizer.finalize(job);
   }
 
   /** A cancelled job is over and nothing of it is left: its tasks' records go. */
-  dropChunks(job: ScheduledJob): void {
-    if (this.isLogged(job) && this.revised(job).length > 0)
-      this.logOf(job.shard).clear(job.id, this.clock.now);
-    this.finisher.dropChunks(job);
+  deleteTaskRecords(job: ScheduledJob): void {
+    if (this.usesTaskLog(job) && this.loggedChunks(job).length > 0)
+      this.logWriterOf(job.shard).clearJob(job.id, this.clock.now);
+    this.finalizer.deleteTaskRecords(job);
   }
 
   /** A shard is not this process's any more. */
-  close(shard: number): void {
-    this.logs.delete(shard);
+  closeShard(shard: number): void {
+    this.logWriters.delete(shard);
   }
 
   /** Has a chunk's changes written, with those of other jobs where the task log is used. */
-  queue(job: ScheduledJob, chunk: TaskChunk, rank = placementRank(job)): void {
-    if (chunk.queuedWrite !== null && chunk.queuedWrite.rank <= rank) return;
+  enqueue(job: ScheduledJob, chunk: TaskChunk, priority = placementPriority(job)): void {
+    if (chunk.queuedWrite !== null && chunk.queuedWrite.rank <= priority) return;
     // Placements overtake ends: the intent queued for those finds nothing left to do.
-    const ticket = { rank };
+    const ticket = { rank: priority };
     chunk.queuedWrite = ticket;
-    this.ended.delete(chunk);
-    if (this.isLogged(job)) this.logOf(job.shard).mark(job, chunk, ticket, this.clock.now);
+    this.terminated.delete(chunk);
+    if (this.usesTaskLog(job)) this.logWriterOf(job.shard).markChanged(job, chunk, ticket, this.clock.now);
     else this.writeChunk(job, chunk, ticket);
   }
 
-  private isLogged(job: ScheduledJob): boolean {
+  private usesTaskLog(job: ScheduledJob): boolean {
     const { replica } = this;
-    return this.taskLog.wanted && replica.levels.has('task-log') && !replica.jobsWithInlineTasks.has(job.id);
+    return this.taskLog.enabled && replica.levels.has('task-log') && !replica.jobsWithInlineTasks.has(job.id);
   }
 
-  private logOf(shard: number): LogWriter {
-    let log = this.logs.get(shard);
-    if (!log) this.logs.set(shard, (log = this.openLog(shard)));
-    return log;
+  private logWriterOf(shard: number): LogWriter {
+    let logWriter = this.logWriters.get(shard);
+    if (!logWriter) this.logWriters.set(shard, (logWriter = this.openLogWriter(shard)));
+    return logWriter;
   }
 
-  private openLog(shard: number): LogWriter {
+  private openLogWriter(shard: number): LogWriter {
     const { state, workers } = this.settings;
     const limits = {
       valueKb: state.value_kb,
-      conditions: state.txn_ops * conditionsPerOperation,
-      reportS: workers.report_s,
+      maxConditions: state.txn_ops * conditionsPerOperation,
+      heartbeatS: workers.report_s,
     };
-    return new LogWriter(shard, limits, this.replica, this.committer, {
-      owned: (shard) => this.owner.ownedShards.has(shard),
-      writable: (job) => this.isWritable(job),
-      durable: (job, chunk, version) => this.noteDurable(job, chunk, version),
-      blocked: (job, chunk, epoch) => this.block(job, chunk, epoch),
+    return new LogWriter(shard, limits, this.replica, this.batcher, {
+      isOwned: (shard) => this.owner.ownedShards.has(shard),
+      isWritable: (job) => this.isWritable(job),
+      onDurable: (job, chunk, version) => this.onDurable(job, chunk, version),
+      onBlocked: (job, chunk, epoch) => this.blockUntil(job, chunk, epoch),
     });
   }
 
@@ -128,22 +134,22 @@
     return jobs.get(job.id) === job && owned.has(job.shard) && !job.finalizing && !job.unreadable;
   }
 
-  private noteDurable(job: ScheduledJob, chunk: TaskChunk, version: number): void {
+  private onDurable(job: ScheduledJob, chunk: TaskChunk, version: number): void {
     chunk.durableVersion = version;
-    if (chunk.placedVersion > version) this.queue(job, chunk);
-    else if (chunk.version > version) this.noteEnd(job, chunk);
+    if (chunk.placedVersion > version) this.enqueue(job, chunk);
+    else if (chunk.version > version) this.noteTermination(job, chunk);
   }
 
-  private block(job: ScheduledJob, chunk: TaskChunk, epoch: number): void {
-    chunk.writeBlockedUntilRevision = epoch;
-    this.blocked.push({ job, chunk });
+  private blockUntil(job: ScheduledJob, chunk: TaskChunk, revision: number): void {
+    chunk.writeBlockedUntilRevision = revision;
+    this.blockedChunks.push({ job, chunk });
   }
 
   /** Has a chunk's whole state written in a record of its own: where no task log is used, and as a checkpoint of it. */
-  private writeChunk(job: ScheduledJob, chunk: TaskChunk, ticket: { rank: Rank }): void {
-    let building = 0;
-    this.committer.add({
-      rank: ticket.rank,
+  private writeChunk(job: ScheduledJob, chunk: TaskChunk, ticket: { rank: WritePriority }): void {
+    let builtVersion = 0;
+    this.batcher.enqueue({
+      priority: ticket.rank,
       build: () => {
         if (chunk.queuedWrite !== ticket) return null;
         const grant = this.replica.shards.get(job.shard);
@@ -154,82 +160,86 @@
         if (this.replica.watchRevision < chunk.writeBlockedUntilRevision) {
           // Tried again when the view has caught up.
           chunk.queuedWrite = null;
-          this.blocked.push({ job, chunk });
+          this.blockedChunks.push({ job, chunk });
           return null;
         }
-        building = chunk.version;
-        return this.tasksTxn(job, chunk, grant.stamp);
+        builtVersion = chunk.version;
+        return this.buildTransaction(job, chunk, grant.modRevision);
       },
-      ok: (epoch) => {
+      onCommitted: (epoch) => {
         if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
         chunk.modRevision = epoch;
-        this.noteDurable(job, chunk, building);
+        this.onDurable(job, chunk, builtVersion);
       },
-      conflict: (failed, epoch) => {
+      onConflict: (failed, epoch) => {
         if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
         this.log('info', 'task commit refused', { job: job.id, failed });
-        this.block(job, chunk, epoch);
+        this.blockUntil(job, chunk, epoch);
       },
     });
   }
 
   /** Where the state of a job's tasks goes: into the job's own record if it is small and the level in force lets it. */
-  private tasksTxn(job: ScheduledJob, chunk: TaskChunk, grant: number): Txn {
+  private buildTransaction(job: ScheduledJob, chunk: TaskChunk, shardRevision: number): Transaction {
     const { replica } = this;
-    const was = replica.jobsWithInlineTasks.has(job.id);
-    const tasks = chunkData(stateOf(job, chunk), was || !this.keepsRevisions ? 0 : chunk.version);
+    const isInline = replica.jobsWithInlineTasks.has(job.id);
+    const tasks = chunkData(chunkStateOf(job, chunk), isInline || !this.recordsVersions ? 0 : chunk.version);
     const key = chunkKey(job.id, chunk.index);
-    const jobAt = { key: jobKey(job.id), stamp: job.modRevision };
-    const when = [{ key: shardKey(job.shard), stamp: grant }, jobAt];
-    const whole = replica.levels.has('small-jobs') && (was || (!this.isLogged(job) && this.fitsWhole(job)));
-    if (!whole && !was)
-      return { when: [...when, { key, stamp: chunk.modRevision }], apply: [{ key, data: tasks }] };
-    const apply: Write[] = [];
-    const { spec, at } = job;
-    if (whole) {
-      const data = job.cancelled ? wholeCancelledData(at, spec, tasks) : wholeJobData(spec, at, tasks);
-      apply.push({ key: jobAt.key, data });
-      if (!was && chunk.modRevision > 0) apply.push({ key, data: undefined });
+    const jobCondition = { key: jobKey(job.id), stamp: job.modRevision };
+    const conditions = [{ key: shardKey(job.shard), stamp: shardRevision }, jobCondition];
+    const becomesInline =
+      replica.levels.has('small-jobs') && (isInline || (!this.usesTaskLog(job) && this.fitsInline(job)));
+    if (!becomesInline && !isInline)
+      return {
+        conditions: [...conditions, { key, stamp: chunk.modRevision }],
+        writes: [{ key, data: tasks }],
+      };
+    const writes: Write[] = [];
+    const { spec, acceptedAt: at } = job;
+    if (becomesInline) {
+      const data = job.cancelled ? inlineCancelledJobData(at, spec, tasks) : inlineJobData(spec, at, tasks);
+      writes.push({ key: jobCondition.key, data });
+      if (!isInline && chunk.modRevision > 0) writes.push({ key, data: undefined });
     } else {
-      const data = job.cancelled ? jobCancelledData(at, spec) : jobData(spec, at);
-      apply.push({ key: jobAt.key, data }, { key, data: tasks });
+      const data = job.cancelled ? cancelledJobDataOf(at, spec) : openJobData(spec, at);
+      writes.push({ key: jobCondition.key, data }, { key, data: tasks });
     }
-    return { when: [...when, { key, stamp: was ? 0 : chunk.modRevision }], apply };
+    return { conditions: [...conditions, { key, stamp: isInline ? 0 : chunk.modRevision }], writes };
   }
 
   /** Whether records of tasks say which revision of their state they hold: while any task log may speak of them. */
-  private get keepsRevisions(): boolean {
+  private get recordsVersions(): boolean {
     const { levels, taskLog } = this.replica;
-    return (this.taskLog.wanted && levels.has('task-log')) || taskLog.size > 0;
+    return (this.taskLog.enabled && levels.has('task-log')) || taskLog.size > 0;
   }
 
   /** Whether a job's tasks may be kept in its own record. One that is over, but for its last tasks, stays as it is. */
-  fitsWhole(job: ScheduledJob): boolean {
-    return !job.cancelled && job.chunks.length === 1 && job.spec.tasks <= this.wholeTasks;
+  fitsInline(job: ScheduledJob): boolean {
+    return !job.cancelled && job.chunks.length === 1 && job.spec.tasks <= this.maxInlineTasks;
   }
 
   /** Whether a job's tasks are kept in another way than the level in force has it. */
-  astray(job: ScheduledJob): boolean {
+  needsMigration(job: ScheduledJob): boolean {
     const { replica } = this;
-    const whole = replica.jobsWithInlineTasks.has(job.id);
-    if (!replica.levels.has('task-log') && this.revised(job).length > 0) return true;
+    const isInline = replica.jobsWithInlineTasks.has(job.id);
+    if (!replica.levels.has('task-log') && this.loggedChunks(job).length > 0) return true;
     if (replica.levels.has('small-jobs'))
-      return !whole && !this.isLogged(job) && job.chunks[0].modRevision > 0 && this.fitsWhole(job);
-    return whole;
+      return !isInline && !this.usesTaskLog(job) && job.chunks[0].modRevision > 0 && this.fitsInline(job);
+    return isInline;
   }
 
   /** Chunks of which the task log, or a checkpoint of it, tells the state. */
-  private revised(job: ScheduledJob): TaskChunk[] {
+  private loggedChunks(job: ScheduledJob): TaskChunk[] {
     const states = this.replica.chunks.get(job.id);
-    return job.chunks.filter((chunk) => (states?.get(chunk.index)?.revision ?? 0) > 0);
+    return job.chunks.filter((chunk) => (states?.get(chunk.index)?.version ?? 0) > 0);
   }
 
   /** Writes a job's tasks once more as the level in force has it, unless that is about to happen; how many writes it takes. */
-  rewrite(job: ScheduledJob): number {
+  migrate(job: ScheduledJob): number {
     if (job.finalizing || job.unreadable) return 0;
-    const revised = this.replica.levels.has('task-log') ? [] : this.revised(job);
+    const logged = this.replica.levels.has('task-log') ? [] : this.loggedChunks(job);
     const chunks =
-      revised.length > 0 ? revised.filter((chunk) => !this.isCheckpointed(job, chunk)) : [job.chunks[0]];
+      logged.length > 0 ? logged.filter((chunk) => !this.isCheckpointed(job, chunk)) : [job.chunks[0]];
     let writes = 0;
     for (const chunk of chunks) if (this.checkpoint(job, chunk)) writes += 2;
     return writes;
@@ -238,58 +248,59 @@
   /** Nothing more can be done about a checkpoint while the log that it follows is there. */
   private isCheckpointed(job: ScheduledJob, chunk: TaskChunk): boolean {
     const state = this.replica.chunks.get(job.id)?.get(chunk.index);
-    return state !== undefined && state.checkpoint === state.revision && this.replica.taskLog.size > 0;
+    return state !== undefined && state.checkpointVersion === state.version && this.replica.taskLog.size > 0;
   }
 
   /** Has a chunk's state written in its own record, unless it is about to be written. */
   private checkpoint(job: ScheduledJob, chunk: TaskChunk): boolean {
     if (chunk.queuedWrite !== null) return false;
-    const ticket = { rank: Rank.cleanup };
+    const ticket = { rank: WritePriority.cleanup };
     chunk.queuedWrite = ticket;
-    this.ended.delete(chunk);
+    this.terminated.delete(chunk);
     this.writeChunk(job, chunk, ticket);
     return true;
   }
 
   /** An end is written with the chunk's next placement, or after a while with the others of its chunk. */
-  noteEnd(job: ScheduledJob, chunk: TaskChunk): void {
-    if (!chunk.queuedWrite && !this.ended.has(chunk)) this.ended.set(chunk, { job, since: this.clock.now });
+  noteTermination(job: ScheduledJob, chunk: TaskChunk): void {
+    if (!chunk.queuedWrite && !this.terminated.has(chunk))
+      this.terminated.set(chunk, { job, since: this.clock.now });
   }
 
-  flushEnds(): void {
-    const patience = this.settings.workers.report_s * 1000 * endPatience;
-    for (const [chunk, e] of this.ended) {
+  flushTerminations(): void {
+    const delayMs = this.settings.workers.report_s * 1000 * terminationDelayShare;
+    for (const [chunk, e] of this.terminated) {
       // In order of age.
-      if (this.clock.now - e.since < patience) break;
-      this.ended.delete(chunk);
+      if (this.clock.now - e.since < delayMs) break;
+      this.terminated.delete(chunk);
       if (this.owner.jobs.get(e.job.id) === e.job && chunk.durableVersion < chunk.version)
-        this.queue(e.job, chunk, Rank.cleanup);
+        this.enqueue(e.job, chunk, WritePriority.cleanup);
     }
   }
 
   /** Chunks whose write conflicted: once the view has caught up, go on from what is durable. */
-  private unblock(): void {
-    if (this.blocked.length === 0) return;
-    const blocked = this.blocked;
-    this.blocked = [];
+  private retryBlocked(): void {
+    if (this.blockedChunks.length === 0) return;
+    const blocked = this.blockedChunks;
+    this.blockedChunks = [];
     for (const b of blocked) {
       if (this.owner.jobs.get(b.job.id) !== b.job) continue;
       if (this.replica.watchRevision < b.chunk.writeBlockedUntilRevision) {
-        this.blocked.push(b);
+        this.blockedChunks.push(b);
         continue;
       }
-      if (this.changedElsewhere(b.job, b.chunk)) {
+      if (this.wasChangedElsewhere(b.job, b.chunk)) {
         this.log('warn', 'chunk changed by another writer, reading it again', { job: b.job.id });
         this.owner.reloadJob(b.job.id);
-      } else this.queue(b.job, b.chunk);
+      } else this.enqueue(b.job, b.chunk);
     }
   }
 
   /** Whether another than this process has written a chunk's state since. */
-  private changedElsewhere(job: ScheduledJob, chunk: TaskChunk): boolean {
+  private wasChangedElsewhere(job: ScheduledJob, chunk: TaskChunk): boolean {
     const { replica } = this;
     if (replica.taskStateStamp(job.id, chunk.index) !== chunk.modRevision) return true;
-    const revision = replica.chunks.get(job.id)?.get(chunk.index)?.revision ?? 0;
+    const revision = replica.chunks.get(job.id)?.get(chunk.index)?.version ?? 0;
     return revision > chunk.durableVersion;
   }
 }
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -1,66 +1,66 @@
 /** The write budget: groups changes into transactions by rank, and finds out what became of each. */
 import { Meter } from '../../admission/index.js';
-import type { Condition, Txn, Write } from '../../wire/store.js';
+import type { Condition, Transaction, Write } from '../../wire/store.js';
 import { txnOut } from '../../wire/store.js';
 import { Attempts, pauseMs, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { CommitOutcome, Effect, Log } from '../effects.js';
-import { incKey, incPrefix, levelKey } from './keys.js';
+import { incarnationKey, incarnationPrefix, levelKey } from './keys.js';
 import type { Replica } from '../replica.js';
 
 /** What waits first when the state service's budget is short. */
-export const enum Rank {
+export const enum WritePriority {
   membership,
   user,
   /** Placements of urgent work. */
   urgent,
   task,
-  fleet,
+  provisioning,
   cleanup,
 }
 
 /** A wish to change some keys together. Intents share transactions; each learns its own outcome. */
-export interface Intent {
-  rank: Rank;
-  /** Built as late as possible; null: no longer wanted. */
-  build(): Txn | null;
-  ok(epoch: number): void;
+export interface PendingWrite {
+  priority: WritePriority;
+  /** BuiltWrite as late as possible; null: no longer wanted. */
+  build(): Transaction | null;
+  onCommitted(revision: number): void;
   /** Some of its conditions did not hold; the state was newer than `epoch` then. */
-  conflict(failed: string[], epoch: number): void;
+  onConflict(failedKeys: string[], revision: number): void;
   /** Certainly not executed. True: give it up; otherwise it is tried again. */
-  refused?(): boolean;
+  onUnavailable?(): boolean;
 }
 
 /** Conditions that a transaction may have for each operation (PROTOCOL). */
 export const conditionsPerOperation = 4;
 
-interface Built {
-  intent: Intent;
-  txn: Txn;
+interface BuiltWrite {
+  pending: PendingWrite;
+  transaction: Transaction;
 }
 
-export interface CommitLimits {
-  ops: number;
-  conditions: number;
-  bytes: number;
+export interface BatchLimits {
+  maxOperations: number;
+  maxConditions: number;
+  maxBytes: number;
   /** Puts and deletes per second that the state service takes from all controllers together. */
   writesPerS: number;
   /** Controllers that share them. */
-  nodes: number;
+  controllers: number;
 }
 
 /** How the share of the common budget, or of its part of it, that a controller takes rises, and falls when refused. */
-const rise = 0.02;
-const fall = 0.7;
-const largestShare = 0.9;
-const leastHealth = 0.3;
+const additiveIncrease = 0.02;
+const multiplicativeDecrease = 0.7;
+const maxBudgetShare = 0.9;
+const minHealth = 0.3;
 /** What the ranks get of the budget while all of them wait; what one does not use goes to the others, by rank. */
-const rankShares: Record<Rank, number> = {
-  [Rank.membership]: 20,
-  [Rank.user]: 12,
-  [Rank.urgent]: 4,
-  [Rank.task]: 4,
-  [Rank.fleet]: 3,
-  [Rank.cleanup]: 1,
+const priorityWeights: Record<WritePriority, number> = {
+  [WritePriority.membership]: 20,
+  [WritePriority.user]: 12,
+  [WritePriority.urgent]: 4,
+  [WritePriority.task]: 4,
+  [WritePriority.provisioning]: 3,
+  [WritePriority.cleanup]: 1,
 };
 
 /**
@@ -71,89 +71,93 @@
  * Each is on condition that the level in force is the one it was built at: nobody writes an old format after a switch or a
  * new one before it, however late a transaction is carried out.
  */
-export class Committer {
+export class TransactionBatcher {
   /** Intents that wait, by rank, each in order of arrival. */
-  private readonly queues: Intent[][] = Array.from({ length: Rank.cleanup + 1 }, () => []);
-  private flight: { built: Built[]; txn: Txn; mark: string; unsure: boolean } | null = null;
-  private waitFor: { epoch: number; failed: string[] } | null = null;
+  private readonly queues: PendingWrite[][] = Array.from({ length: WritePriority.cleanup + 1 }, () => []);
+  private inFlight: { built: BuiltWrite[]; txn: Transaction; mark: string; unsure: boolean } | null = null;
+  private unresolvedConflict: { epoch: number; failed: string[] } | null = null;
   /** Only presence and what brings back lost data is written. */
-  held = false;
+  suspended = false;
   /** Told of conditions of ours that failed. */
-  conflicted: (failed: Condition[], epoch: number) => void = () => undefined;
+  onConditionsFailed: (failed: Condition[], epoch: number) => void = () => undefined;
   /** Nothing is built before the view has reached this revision: it brought another level. */
-  private blockedUntil = -1;
-  private sent = true;
+  private blockedUntilRevision = -1;
+  private isSent = true;
   private resendAt = 0;
-  private readonly attempts: Attempts;
+  private readonly retries: Attempts;
   private tokens: number;
   private refilledAt = -1;
-  private count = 0;
-  private lastAt = -Infinity;
-  private bulkOff = false;
-  private readonly others = new Meter(3000);
+  private sequence = 0;
+  private lastSentAt = -Infinity;
+  private sendsSingly = false;
+  private readonly taskWrites = new Meter(3000);
   /** Its part of the writes, if they are divided; and the share of it that the state service let it have of late. */
-  private part: number | null = null;
+  private allocatedWritesPerS: number | null = null;
   health = 1;
   /** Writes per second found by trying, where nothing is divided. */
-  private found: number;
+  private probedWritesPerS: number;
   /** What each rank has coming from transactions in which it got less than its share. */
-  private readonly credit: number[] = this.queues.map(() => 0);
+  private readonly deficits: number[] = this.queues.map(() => 0);
 
   constructor(
-    private readonly run: string,
-    private readonly limits: CommitLimits,
+    private readonly instanceId: string,
+    private readonly limits: BatchLimits,
     private readonly replica: Replica,
-    private readonly retry: RetryPolicy,
+    private readonly retryPolicy: RetryPolicy,
     private readonly random: Random,
     private readonly log: Log,
   ) {
-    this.attempts = new Attempts(retry, random);
+    this.retries = new Attempts(retryPolicy, random);
     // Not knowing what the others need, each begins with more than an equal share.
-    this.found = limits.nodes > 1 ? limits.writesPerS / 2 : limits.writesPerS * largestShare;
+    this.probedWritesPerS =
+      limits.controllers > 1 ? limits.writesPerS / 2 : limits.writesPerS * maxBudgetShare;
     this.tokens = this.writesPerS;
   }
 
-  add(intent: Intent): void {
-    this.queues[intent.rank].push(intent);
+  enqueue(pending: PendingWrite): void {
+    this.queues[pending.priority].push(pending);
   }
 
   /** Submissions that may be handed over now: few, so that who goes next is decided as late as possible. */
-  get userRoom(): number {
+  get userCapacity(): number {
     // Guards against a crowd that is handed over while a commit is under way: whoever comes meanwhile would wait behind it.
-    if (this.flight) return 0;
-    return Math.max(0, Math.min(this.limits.ops, Math.floor(this.tokens)) - this.queues[Rank.user].length);
+    if (this.inFlight) return 0;
+    return Math.max(
+      0,
+      Math.min(this.limits.maxOperations, Math.floor(this.tokens)) - this.queues[WritePriority.user].length,
+    );
   }
 
   /** What waits of all but users. */
-  private get waitingTasks(): number {
-    return this.queues.reduce((n, q, rank) => (rank === Rank.user ? n : n + q.length), 0);
+  private get queuedTaskWrites(): number {
+    return this.queues.reduce((n, q, rank) => (rank === WritePriority.user ? n : n + q.length), 0);
   }
 
   /** Writes a second for all but users: those of late, and those that wait. */
-  tasksWanted(now: number): number {
-    return this.others.rate(now) + this.waitingTasks / 2;
+  taskWriteDemand(now: number): number {
+    return this.taskWrites.rate(now) + this.queuedTaskWrites / 2;
   }
 
   /** Less than half a second's worth of writes is left. */
-  get isShort(): boolean {
+  get isBudgetLow(): boolean {
     return this.tokens < this.writesPerS / 2;
   }
 
   /** How long what waits to be written for accepted work will take, s. */
-  get behindS(): number {
-    return this.waitingTasks / Math.max(1, this.writesPerS);
+  get backlogS(): number {
+    return this.queuedTaskWrites / Math.max(1, this.writesPerS);
   }
 
   /** What this controller may write, a second, as the division among all has it. */
-  allow(writesPerS: number): void {
-    this.part = writesPerS;
+  setAllocation(writesPerS: number): void {
+    this.allocatedWritesPerS = writesPerS;
   }
 
-  get waiting(): number {
-    return this.queues.reduce((n, q) => n + q.length, this.flight?.built.length ?? 0);
+  get pendingCount(): number {
+    return this.queues.reduce((n, q) => n + q.length, this.inFlight?.built.length ?? 0);
   }
 
-  pump(now: number, out: Effect[]): void {
+  tick(now: number, effects: Effect[]): void {
     if (this.refilledAt < 0) this.refilledAt = now;
     // Guards against a part of less than one write a second, with which there would never be a whole one.
     this.tokens = Math.min(
@@ -161,233 +165,251 @@
       this.tokens + ((now - this.refilledAt) / 1000) * this.writesPerS,
     );
     this.refilledAt = now;
-    if (this.flight) {
-      if (this.waitFor) {
-        if (this.replica.watchRevision >= this.waitFor.epoch)
-          this.judge(this.waitFor.failed, this.waitFor.epoch);
-      } else if (!this.sent && now >= this.resendAt) this.send(now, out);
+    if (this.inFlight) {
+      if (this.unresolvedConflict) {
+        if (this.replica.watchRevision >= this.unresolvedConflict.epoch)
+          this.resolveConflict(this.unresolvedConflict.failed, this.unresolvedConflict.epoch);
+      } else if (!this.isSent && now >= this.resendAt) this.send(now, effects);
     }
-    if (this.flight || now < this.resendAt || this.tokens < 1) return;
-    if (this.replica.watchRevision < this.blockedUntil) return;
-    if (this.replica.levels.standsBy || this.held) this.standBy();
+    if (this.inFlight || now < this.resendAt || this.tokens < 1) return;
+    if (this.replica.watchRevision < this.blockedUntilRevision) return;
+    if (this.replica.levels.standsBy || this.suspended) this.rejectUserWrites();
     const first = this.queues.findIndex((q) => q.length > 0);
     if (first < 0) return;
     // Nothing that users wait for: let a few changes gather.
-    if (first >= Rank.task && now - this.lastAt < 100) return;
-    this.assemble(now, out);
+    if (first >= WritePriority.task && now - this.lastSentAt < 100) return;
+    this.buildTransaction(now, effects);
   }
 
   /** Older than what is in force: users are told to come later, and nothing but our presence is written. */
-  private standBy(): void {
-    for (const intent of this.queues[Rank.user].splice(0))
-      if (!(intent.refused?.() ?? false)) this.add(intent);
+  private rejectUserWrites(): void {
+    for (const pending of this.queues[WritePriority.user].splice(0))
+      if (!(pending.onUnavailable?.() ?? false)) this.enqueue(pending);
   }
 
-  private assemble(now: number, out: Effect[]): void {
-    const built: Built[] = [];
+  private buildTransaction(now: number, effects: Effect[]): void {
+    const built: BuiltWrite[] = [];
     const fence = { key: levelKey, stamp: this.replica.stampOf(levelKey) };
-    const when = new Map<string, Condition>([[fence.key, fence]]);
+    const conditions = new Map<string, Condition>([[fence.key, fence]]);
     const { incarnation: inc } = this.replica;
-    if (inc) when.set(incKey(inc.number), { key: incKey(inc.number), stamp: inc.stamp });
-    const apply: Write[] = [];
+    if (inc)
+      conditions.set(incarnationKey(inc.number), { key: incarnationKey(inc.number), stamp: inc.stamp });
+    const writes: Write[] = [];
     const touched = new Set<string>();
-    const most = Math.min(this.limits.ops, Math.floor(this.tokens));
+    const maxWrites = Math.min(this.limits.maxOperations, Math.floor(this.tokens));
     let bytes = 0;
     // What was built and did not fit; a few are enough, or every commit would build the whole queue.
-    let left = 0;
-    const full = (): boolean =>
-      apply.length >= most || left >= this.limits.ops || (this.bulkOff && built.length > 0);
-    const take = (rank: Rank, allowed: number): void => {
-      const queue = this.queues[rank];
-      const rest: Intent[] = [];
-      const before = apply.length;
+    let skipped = 0;
+    const isFull = (): boolean =>
+      writes.length >= maxWrites ||
+      skipped >= this.limits.maxOperations ||
+      (this.sendsSingly && built.length > 0);
+    const takeFrom = (priority: WritePriority, maxTaken: number): void => {
+      const queue = this.queues[priority];
+      const remaining: PendingWrite[] = [];
+      const before = writes.length;
       let i = 0;
-      for (; i < queue.length && apply.length - before < allowed && !full(); i++) {
-        const intent = queue[i];
-        const txn = intent.build();
-        if (txn === null) continue;
+      for (; i < queue.length && writes.length - before < maxTaken && !isFull(); i++) {
+        const pending = queue[i];
+        const transaction = pending.build();
+        if (transaction === null) continue;
         // Guards against writing over what a newer program wrote, or what is damaged: somebody may need it.
-        const shut = txn.apply.filter((w) => this.replica.unreadableRecords.has(w.key)).map((w) => w.key);
-        if (shut.length > 0) {
-          intent.conflict(shut, this.replica.watchRevision);
+        const unreadableKeys = transaction.writes
+          .filter((w) => this.replica.unreadableRecords.has(w.key))
+          .map((w) => w.key);
+        if (unreadableKeys.length > 0) {
+          pending.onConflict(unreadableKeys, this.replica.watchRevision);
           continue;
         }
-        const size = JSON.stringify(txnOut(txn)).length;
-        const clash =
-          txn.apply.some((w) => touched.has(w.key)) ||
-          txn.when.some((c) => when.has(c.key) && when.get(c.key)!.stamp !== c.stamp);
-        const conditions = txn.when.filter((c) => !when.has(c.key)).length;
+        const size = JSON.stringify(txnOut(transaction)).length;
+        const clashes =
+          transaction.writes.some((w) => touched.has(w.key)) ||
+          transaction.conditions.some(
+            (c) => conditions.has(c.key) && conditions.get(c.key)!.stamp !== c.stamp,
+          );
+        const newConditions = transaction.conditions.filter((c) => !conditions.has(c.key)).length;
         if (
-          clash ||
+          clashes ||
           (built.length > 0 &&
-            (apply.length + txn.apply.length > most ||
-              when.size + conditions > this.limits.conditions ||
-              bytes + size > this.limits.bytes))
+            (writes.length + transaction.writes.length > maxWrites ||
+              conditions.size + newConditions > this.limits.maxConditions ||
+              bytes + size > this.limits.maxBytes))
         ) {
-          rest.push(intent);
-          left++;
+          remaining.push(pending);
+          skipped++;
           continue;
         }
         bytes += size;
-        built.push({ intent, txn });
-        for (const c of txn.when) when.set(c.key, c);
-        for (const w of txn.apply) touched.add(w.key);
-        apply.push(...txn.apply);
+        built.push({ pending, transaction });
+        for (const c of transaction.conditions) conditions.set(c.key, c);
+        for (const w of transaction.writes) touched.add(w.key);
+        writes.push(...transaction.writes);
       }
       // Builds may have added to the queue meanwhile: only what was looked at is replaced.
-      queue.splice(0, i, ...rest);
-      this.credit[rank] -= apply.length - before;
+      queue.splice(0, i, ...remaining);
+      this.deficits[priority] -= writes.length - before;
     };
     // Guards against a flood of one kind, of submissions or of ends, that starves the others.
-    const turns = this.turns(most);
-    for (const { rank, allowed } of turns) take(rank, allowed);
-    for (const { rank } of turns) if (!full()) take(rank, Infinity);
+    const quotas = this.quotas(maxWrites);
+    for (const { rank, allowed } of quotas) takeFrom(rank, allowed);
+    for (const { rank } of quotas) if (!isFull()) takeFrom(rank, Infinity);
     if (built.length === 0) return;
-    for (const b of built) if (b.intent.rank !== Rank.user) this.others.add(b.txn.apply.length, now);
-    const mark = `${this.run}.${++this.count}`;
-    for (const w of apply)
+    for (const b of built)
+      if (b.pending.priority !== WritePriority.user) this.taskWrites.add(b.transaction.writes.length, now);
+    const mark = `${this.instanceId}.${++this.sequence}`;
+    for (const w of writes)
       if (w.data !== undefined) w.data = { ...this.replica.unknownFieldsOf(w.key), ...w.data, w: mark };
-    this.flight = { built, txn: { when: [...when.values()], apply }, mark, unsure: false };
-    this.waitFor = null;
-    this.send(now, out);
+    this.inFlight = { built, txn: { conditions: [...conditions.values()], writes }, mark, unsure: false };
+    this.unresolvedConflict = null;
+    this.send(now, effects);
   }
 
   /** The ranks that wait, and what each may take before the others had their turn. */
-  private turns(most: number): { rank: Rank; allowed: number }[] {
-    const last = this.replica.levels.standsBy || this.held ? Rank.membership : Rank.cleanup;
-    const waiting = this.queues.flatMap((q, rank) => (q.length > 0 && rank <= last ? [rank as Rank] : []));
-    const all = waiting.reduce((sum, rank) => sum + rankShares[rank], 0);
+  private quotas(maxWrites: number): { rank: WritePriority; allowed: number }[] {
+    const lastPriority =
+      this.replica.levels.standsBy || this.suspended ? WritePriority.membership : WritePriority.cleanup;
+    const waiting = this.queues.flatMap((q, rank) =>
+      q.length > 0 && rank <= lastPriority ? [rank as WritePriority] : [],
+    );
+    const totalWeight = waiting.reduce((sum, rank) => sum + priorityWeights[rank], 0);
     this.queues.forEach((q, rank) => {
-      if (q.length === 0) this.credit[rank] = 0;
+      if (q.length === 0) this.deficits[rank] = 0;
     });
     return waiting.map((rank) => {
-      const earned = Math.max(0, this.credit[rank]) + (most * rankShares[rank]) / all;
-      this.credit[rank] = Math.min(most, earned);
-      return { rank, allowed: Math.floor(this.credit[rank]) };
+      const earned = Math.max(0, this.deficits[rank]) + (maxWrites * priorityWeights[rank]) / totalWeight;
+      this.deficits[rank] = Math.min(maxWrites, earned);
+      return { rank, allowed: Math.floor(this.deficits[rank]) };
     });
   }
 
   /** Writes per second that this controller allows itself now. */
   get writesPerS(): number {
-    return this.part === null ? this.found : this.part * this.health;
+    return this.allocatedWritesPerS === null ? this.probedWritesPerS : this.allocatedWritesPerS * this.health;
   }
 
-  private send(now: number, out: Effect[]): void {
-    this.sent = true;
-    this.lastAt = now;
-    this.tokens -= this.flight!.txn.apply.length;
-    out.push({ type: 'commit', txn: this.flight!.txn });
+  private send(now: number, effects: Effect[]): void {
+    this.isSent = true;
+    this.lastSentAt = now;
+    this.tokens -= this.inFlight!.txn.writes.length;
+    effects.push({ type: 'commit', txn: this.inFlight!.txn });
   }
 
-  outcome(o: CommitOutcome, now: number, out: Effect[]): void {
-    const flight = this.flight;
-    if (!flight) return;
-    if (o.type !== 'rejected' && o.type !== 'unknown' && o.type !== 'rate-limited') this.attempts.onSuccess();
-    switch (o.type) {
+  handleOutcome(outcome: CommitOutcome, now: number, effects: Effect[]): void {
+    const inFlight = this.inFlight;
+    if (!inFlight) return;
+    if (outcome.type !== 'rejected' && outcome.type !== 'unknown' && outcome.type !== 'rate-limited')
+      this.retries.onSuccess();
+    switch (outcome.type) {
       case 'ok':
-        this.flight = null;
-        this.bulkOff = false;
-        this.health = Math.min(1, this.health + rise);
-        if (this.tokens < 1 && this.waiting > 0)
-          this.found = Math.min(
-            this.limits.writesPerS * largestShare,
-            this.found + this.limits.writesPerS * rise,
+        this.inFlight = null;
+        this.sendsSingly = false;
+        this.health = Math.min(1, this.health + additiveIncrease);
+        if (this.tokens < 1 && this.pendingCount > 0)
+          this.probedWritesPerS = Math.min(
+            this.limits.writesPerS * maxBudgetShare,
+            this.probedWritesPerS + this.limits.writesPerS * additiveIncrease,
           );
         // Our own writes are seen at once, not only when the watch delivers them.
-        for (const w of flight.txn.apply) this.replica.apply({ key: w.key, data: w.data, stamp: o.epoch });
-        for (const b of flight.built) b.intent.ok(o.epoch);
+        for (const w of inFlight.txn.writes)
+          this.replica.apply({ key: w.key, data: w.data, stamp: outcome.epoch });
+        for (const b of inFlight.built) b.pending.onCommitted(outcome.epoch);
         break;
       case 'conflict':
-        if (o.failed.some((key) => key === levelKey || key.startsWith(incPrefix))) {
-          this.blockedUntil = o.epoch;
-          out.push({ type: 'catch-up', epoch: o.epoch });
+        if (outcome.failed.some((key) => key === levelKey || key.startsWith(incarnationPrefix))) {
+          this.blockedUntilRevision = outcome.epoch;
+          effects.push({ type: 'catch-up', epoch: outcome.epoch });
         }
-        if (flight.unsure) {
+        if (inFlight.unsure) {
           // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
-          this.waitFor = { epoch: o.epoch, failed: o.failed };
-          out.push({ type: 'catch-up', epoch: o.epoch });
-          if (this.replica.watchRevision >= o.epoch) this.judge(o.failed, o.epoch);
+          this.unresolvedConflict = { epoch: outcome.epoch, failed: outcome.failed };
+          effects.push({ type: 'catch-up', epoch: outcome.epoch });
+          if (this.replica.watchRevision >= outcome.epoch)
+            this.resolveConflict(outcome.failed, outcome.epoch);
         } else {
-          this.flight = null;
-          const failed = new Set(o.failed);
-          this.conflicted(
-            flight.txn.when.filter((c) => failed.has(c.key)),
-            o.epoch,
+          this.inFlight = null;
+          const failed = new Set(outcome.failed);
+          this.onConditionsFailed(
+            inFlight.txn.conditions.filter((c) => failed.has(c.key)),
+            outcome.epoch,
           );
-          for (const b of flight.built) {
-            const mine = b.txn.when.filter((c) => failed.has(c.key)).map((c) => c.key);
-            if (mine.length > 0) b.intent.conflict(mine, o.epoch);
-            else this.add(b.intent);
+          for (const b of inFlight.built) {
+            const mine = b.transaction.conditions.filter((c) => failed.has(c.key)).map((c) => c.key);
+            if (mine.length > 0) b.pending.onConflict(mine, outcome.epoch);
+            else this.enqueue(b.pending);
           }
         }
         break;
       case 'rate-limited':
-        this.health = Math.max(leastHealth, this.health * fall);
-        this.found = Math.max((this.limits.writesPerS / this.limits.nodes) * fall, this.found * fall);
+        this.health = Math.max(minHealth, this.health * multiplicativeDecrease);
+        this.probedWritesPerS = Math.max(
+          (this.limits.writesPerS / this.limits.controllers) * multiplicativeDecrease,
+          this.probedWritesPerS * multiplicativeDecrease,
+        );
         this.tokens = Math.min(this.tokens, 0);
-        this.resendAt = now + pauseMs(this.retry, 1, this.random);
-        if (flight.unsure) this.sent = false;
+        this.resendAt = now + pauseMs(this.retryPolicy, 1, this.random);
+        if (inFlight.unsure) this.isSent = false;
         else {
-          this.flight = null;
+          this.inFlight = null;
           // Guards against turning users away for a moment's crowd: only an outage does that.
-          for (const b of flight.built) this.add(b.intent);
+          for (const b of inFlight.built) this.enqueue(b.pending);
         }
         break;
       case 'rejected':
-        this.back(now);
-        if (flight.unsure) {
-          this.sent = false;
+        this.backOff(now);
+        if (inFlight.unsure) {
+          this.isSent = false;
         } else {
-          this.flight = null;
-          for (const b of flight.built) if (!(b.intent.refused?.() ?? false)) this.add(b.intent);
+          this.inFlight = null;
+          for (const b of inFlight.built)
+            if (!(b.pending.onUnavailable?.() ?? false)) this.enqueue(b.pending);
         }
         break;
       case 'unknown':
-        this.back(now);
-        flight.unsure = true;
-        this.sent = false;
+        this.backOff(now);
+        inFlight.unsure = true;
+        this.isSent = false;
         break;
       case 'lease-expired':
       case 'malformed':
-        this.flight = null;
-        if (flight.built.length > 1) {
+        this.inFlight = null;
+        if (inFlight.built.length > 1) {
           // One of them spoils the others: send them one by one.
-          this.bulkOff = true;
-          for (const b of flight.built) this.add(b.intent);
+          this.sendsSingly = true;
+          for (const b of inFlight.built) this.enqueue(b.pending);
         } else {
-          this.bulkOff = false;
-          if (o.type === 'malformed')
-            this.log('error', 'transaction malformed', { keys: flight.txn.apply.map((w) => w.key) });
-          const keys = flight.txn.when.map((c) => c.key);
-          for (const b of flight.built) b.intent.conflict(keys, this.replica.watchRevision);
+          this.sendsSingly = false;
+          if (outcome.type === 'malformed')
+            this.log('error', 'transaction malformed', { keys: inFlight.txn.writes.map((w) => w.key) });
+          const keys = inFlight.txn.conditions.map((c) => c.key);
+          for (const b of inFlight.built) b.pending.onConflict(keys, this.replica.watchRevision);
         }
         break;
     }
   }
 
-  private back(now: number): void {
-    this.attempts.onFailure(now);
-    this.resendAt = this.attempts.notBefore;
+  private backOff(now: number): void {
+    this.retries.onFailure(now);
+    this.resendAt = this.retries.notBefore;
   }
 
   /** After a lost answer and a conflict: the marks tell which intents an earlier sending carried out. */
-  private judge(failed: string[], epoch: number): void {
-    const flight = this.flight!;
-    this.flight = null;
-    this.waitFor = null;
-    const applied = flight.txn.apply.some(
-      (w) => w.data !== undefined && this.replica.writerOf(w.key) === flight.mark,
+  private resolveConflict(failedKeys: string[], revision: number): void {
+    const inFlight = this.inFlight!;
+    this.inFlight = null;
+    this.unresolvedConflict = null;
+    const applied = inFlight.txn.writes.some(
+      (w) => w.data !== undefined && this.replica.writerOf(w.key) === inFlight.mark,
     );
-    const failing = new Set(failed);
-    for (const b of flight.built) {
-      const put = b.txn.apply.find((w) => w.data !== undefined);
-      const here = put && this.replica.writerOf(put.key) === flight.mark;
-      if (here) b.intent.ok(this.replica.stampOf(put.key));
-      else if (applied && !put) b.intent.ok(epoch);
+    const failedKeySet = new Set(failedKeys);
+    for (const b of inFlight.built) {
+      const put = b.transaction.writes.find((w) => w.data !== undefined);
+      const here = put && this.replica.writerOf(put.key) === inFlight.mark;
+      if (here) b.pending.onCommitted(this.replica.stampOf(put.key));
+      else if (applied && !put) b.pending.onCommitted(revision);
       else {
-        const mine = b.txn.when.filter((c) => failing.has(c.key)).map((c) => c.key);
-        if (mine.length > 0 || applied) b.intent.conflict(mine, epoch);
-        else this.add(b.intent);
+        const mine = b.transaction.conditions.filter((c) => failedKeySet.has(c.key)).map((c) => c.key);
+        if (mine.length > 0 || applied) b.pending.onConflict(mine, revision);
+        else this.enqueue(b.pending);
       }
     }
   }
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -20,17 +20,17 @@
   chunkData,
   chunkKey,
   type Committer,
-  jobCancelledData,
-  jobData,
+  cancelledJobDataOf,
+  openJobData,
   jobKey,
   type JobRecord,
   Rank,
-  wholeCancelledData,
+  inlineCancelledJobData,
 } from './storage/index.js';
 import type { Clock, Effect } from './effects.js';
 import type { LocalWriteShare } from './write-budget.js';
 import type { Replica } from './replica.js';
-import type { Condition, Write } from '../wire/store.js';
+import type { Transaction } from '../wire/store.js';
 
 /** What to do with a request once the view is known to be as new as the request. */
 interface Waiter {
@@ -96,7 +96,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
     private readonly clock: Clock,
     /** How many requests may wait. */
     private readonly mostWaiting: number,
@@ -217,7 +217,7 @@
       this.kinds = share.kinds;
       this.bestRate = Math.max(0.01, ...share.kinds.values());
     }
-    let room = Math.min(this.bucket.refill(this.admission.rate, now), this.committer.userRoom);
+    let room = Math.min(this.bucket.refill(this.admission.rate, now), this.batcher.userCapacity);
     for (; room > 0; room--) {
       const e = this.admission.dequeue();
       if (!e) break;
@@ -247,13 +247,13 @@
       this.submits.delete(spec.id);
       mine.rids.forEach(f);
     };
-    this.committer.add({
-      rank: Rank.user,
+    this.batcher.enqueue({
+      priority: Rank.user,
       build: () => ({
-        when: [{ key: jobKey(spec.id), stamp: 0 }],
-        apply: [{ key: jobKey(spec.id), data: jobData(spec, this.clock.wall) }],
+        conditions: [{ key: jobKey(spec.id), stamp: 0 }],
+        writes: [{ key: jobKey(spec.id), data: openJobData(spec, this.clock.wall) }],
       }),
-      ok: () => {
+      onCommitted: () => {
         this.admission.tickets.remove(spec.id);
         answer((r) =>
           this.out.push({
@@ -264,8 +264,8 @@
           }),
         );
       },
-      conflict: () => answer((r) => this.query(r, spec.id, this.out)),
-      refused: () => {
+      onConflict: () => answer((r) => this.query(r, spec.id, this.out)),
+      onUnavailable: () => {
         answer((r) => this.later(r, this.out));
         return true;
       },
@@ -300,8 +300,8 @@
       this.withdrawals.delete(id);
       mine.rids.forEach(f);
     };
-    this.committer.add({
-      rank: Rank.user,
+    this.batcher.enqueue({
+      priority: Rank.user,
       build: () => {
         const now = this.replica.jobs.get(id);
         if (now?.state !== 'open') {
@@ -310,10 +310,10 @@
         }
         return this.cancelled(now);
       },
-      ok: () => answer((r) => this.withdraw(r, id, this.out)),
+      onCommitted: () => answer((r) => this.withdraw(r, id, this.out)),
       // The job came to its end meanwhile: say which once the watch has shown it.
-      conflict: () => answer((r) => this.wait(r, id, 'withdraw', this.out)),
-      refused: () => {
+      onConflict: () => answer((r) => this.wait(r, id, 'withdraw', this.out)),
+      onUnavailable: () => {
         answer((r) => this.later(r, this.out));
         return true;
       },
@@ -332,19 +332,28 @@
   }
 
   /** A job's cancellation. Where its tasks may be stays with it until they are proven gone. */
-  private cancelled({ id, at, spec, stamp, whole }: JobRecord): { when: Condition[]; apply: Write[] } {
+  private cancelled({
+    id,
+    acceptedAt: at,
+    spec,
+    modRevision: stamp,
+    tasksInline: whole,
+  }: JobRecord): Transaction {
     const key = jobKey(id);
     const when = [{ key, stamp }];
     const tasks = whole ? this.replica.chunks.get(id)?.get(0) : undefined;
-    if (!tasks || tasks.placed.length === 0)
-      return { when, apply: [{ key, data: jobCancelledData(at, spec!) }] };
+    if (!tasks || tasks.placements.length === 0)
+      return { conditions: when, writes: [{ key, data: cancelledJobDataOf(at, spec!) }] };
     if (this.replica.levels.has('small-jobs'))
-      return { when, apply: [{ key, data: wholeCancelledData(at, spec!, chunkData(tasks)) }] };
+      return {
+        conditions: when,
+        writes: [{ key, data: inlineCancelledJobData(at, spec!, chunkData(tasks)) }],
+      };
     const apart = chunkKey(id, 0);
     return {
-      when: [...when, { key: apart, stamp: 0 }],
-      apply: [
-        { key, data: jobCancelledData(at, spec!) },
+      conditions: [...when, { key: apart, stamp: 0 }],
+      writes: [
+        { key, data: cancelledJobDataOf(at, spec!) },
         { key: apart, data: chunkData(tasks) },
       ],
     };
@@ -369,7 +378,7 @@
 
   private answerJob(rid: number, id: string, out: Effect[]): void {
     const job = this.replica.jobs.get(id)!;
-    const c = job.state === 'done' ? { done: job.tasks, running: 0 } : this.replica.taskCounts(id);
+    const c = job.state === 'done' ? { done: job.taskCount, running: 0 } : this.replica.taskCounts(id);
     const running = job.state === 'open' ? c.running : 0;
     out.push({
       type: 'respond',
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -49,7 +49,7 @@
   constructor(
     private readonly settings: Settings,
     private readonly replica: Replica,
-    private readonly committer: Committer,
+    private readonly batcher: Committer,
     private readonly freshness: ReplicaFreshness,
     private readonly peers: Peers,
     private readonly membership: Membership,
@@ -118,8 +118,8 @@
     this.busy = true;
     this.wroteAt = now;
     const done = (): void => void (this.busy = false);
-    this.committer.add({
-      rank: Rank.membership,
+    this.batcher.enqueue({
+      priority: Rank.membership,
       build: () => {
         const { leader: lead } = this.replica;
         // Guards against a leader of before, which knows neither who follows what nor the newest plan.
@@ -128,14 +128,14 @@
           return null;
         }
         return {
-          when: [
+          conditions: [
             { key: allocationKey, stamp: this.replica.stampOf(allocationKey) },
             { key: this.replica.activeLeaderKey, stamp: lead.stamp },
           ],
-          apply: [{ key: allocationKey, data: allocationData(next(), this.settings.state.value_kb) }],
+          writes: [{ key: allocationKey, data: allocationData(next(), this.settings.state.value_kb) }],
         };
       },
-      ok: () => {
+      onCommitted: () => {
         done();
         const p = this.replica.writeAllocation;
         if (p)
@@ -144,7 +144,7 @@
             ...allocationData(p, this.settings.state.value_kb),
           });
       },
-      conflict: done,
+      onConflict: done,
     });
   }
 
--- a/src/policy/admission.ts
+++ b/src/policy/admission.ts
@@ -35,7 +35,7 @@
  * The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs: these need not wait
  * for other teams.
  */
-export function jobsWithinGuarantee<T extends { spec: JobSpec; at: number; done: number }>(
+export function jobsWithinGuarantee<T extends { spec: JobSpec; acceptedAt: number; done: number }>(
   jobs: Iterable<T>,
   settings: Settings,
 ): Set<T> {
@@ -44,7 +44,9 @@
     if (t.cpus > 0 || t.gpus > 0) remaining.set(t.name, { cpus: t.cpus, gpus: t.gpus });
   const within = new Set<T>();
   if (remaining.size === 0) return within;
-  const byAge = [...jobs].filter((j) => remaining.has(j.spec.team)).sort((a, b) => a.at - b.at);
+  const byAge = [...jobs]
+    .filter((j) => remaining.has(j.spec.team))
+    .sort((a, b) => a.acceptedAt - b.acceptedAt);
   for (const job of byAge) {
     const guarantee = remaining.get(job.spec.team)!;
     const tasks = job.spec.tasks - job.done;
--- a/src/policy/order.ts
+++ b/src/policy/order.ts
@@ -6,7 +6,7 @@
 /** What the placement order looks at. */
 export interface QueuedJob {
   spec: JobSpec;
-  at: number;
+  acceptedAt: number;
 }
 
 /** CPUs that differ by less than a factor of two count as alike, so that the limits decide between them. */
@@ -29,7 +29,7 @@
 ): T[] {
   const keyed = jobs.map((job) => {
     const limits = timeLimitsOf(job.spec, objectives);
-    const ageS = (wallMs - job.at) / 1000;
+    const ageS = (wallMs - job.acceptedAt) / 1000;
     const runS = job.spec.estimateS * optimisticEstimateShare;
     const slack = slackS(limits, ageS, runS);
     return {
@@ -56,7 +56,7 @@
       ((a.allMissed && b.allMissed) || (a.critical && b.critical) ? b.responseRatio - a.responseRatio : 0) ||
       a.missed - b.missed ||
       a.slack - b.slack ||
-      a.job.at - b.job.at ||
+      a.job.acceptedAt - b.job.acceptedAt ||
       0,
   );
   return keyed.map((k) => k.job);
--- a/src/state/service.ts
+++ b/src/state/service.ts
@@ -1,5 +1,5 @@
 import type { CommitOutcome } from '../core/effects.js';
-import type { Change, Txn } from '../wire/store.js';
+import type { Change, Transaction } from '../wire/store.js';
 
 export interface Page {
   items: Change[];
@@ -22,7 +22,7 @@
 export interface StateService extends Source {
   /** So many keys behind this one; null: no answer. */
   part(from: string, keys: number): Promise<Page | null>;
-  commit(txn: Txn): Promise<CommitOutcome>;
+  commit(txn: Transaction): Promise<CommitOutcome>;
   /** null: no answer. */
   lease(ttlMs: number): Promise<number | null>;
   renew(hold: number): Promise<'ok' | 'gone' | 'failed'>;
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,6 +1,6 @@
 /** The client of the state service. */
 import type { CommitOutcome } from '../core/effects.js';
-import { prefix } from '../core/storage/index.js';
+import { keyPrefix } from '../core/storage/index.js';
 import { JsonClient } from '../net/client.js';
 import type { Changes, Page, StateService } from './service.js';
 import {
@@ -14,7 +14,7 @@
   txnOut,
   watchPath,
   type Change,
-  type Txn,
+  type Transaction,
 } from '../wire/store.js';
 
 const pageItems = 1000;
@@ -33,7 +33,7 @@
     this.watches = new JsonClient(addr, 3);
   }
 
-  async commit(txn: Txn): Promise<CommitOutcome> {
+  async commit(txn: Transaction): Promise<CommitOutcome> {
     const r = await this.calls.call('POST', '/commit', txnOut(txn), this.timeoutMs);
     if (r === null) return { type: 'unknown' };
     if (r.status === 200) {
@@ -68,13 +68,13 @@
 
   /** One page of what is under our prefix, in order of keys, beginning after `from`; null: no answer. */
   async page(from: string): Promise<Page | 'busy' | null> {
-    const r = await this.calls.call('GET', scanPath(prefix, from, pageItems), null, this.timeoutMs * 2);
+    const r = await this.calls.call('GET', scanPath(keyPrefix, from, pageItems), null, this.timeoutMs * 2);
     if (r?.status === 429) return 'busy';
     return r?.status === 200 ? parseItems(r.body) : null;
   }
 
   async part(from: string, keys: number): Promise<Page | null> {
-    const r = await this.calls.call('GET', scanPath(prefix, from, keys), null, this.timeoutMs);
+    const r = await this.calls.call('GET', scanPath(keyPrefix, from, keys), null, this.timeoutMs);
     return r?.status === 200 ? parseItems(r.body) : null;
   }
 
@@ -96,7 +96,7 @@
    * if it gave none.
    */
   async changes(from: number, blockMs: number): Promise<Changes | 'old' | 'busy' | null> {
-    const path = watchPath(prefix, from, blockMs);
+    const path = watchPath(keyPrefix, from, blockMs);
     const r = await this.watches.call('GET', path, null, blockMs + this.timeoutMs);
     if (r?.status === 410) return 'old';
     if (r?.status === 429) return 'busy';
--- a/src/store/embedded.ts
+++ b/src/store/embedded.ts
@@ -1,8 +1,8 @@
 /** The store in this process, as the core's state service. */
 import type { CommitOutcome } from '../core/effects.js';
-import { prefix } from '../core/storage/index.js';
+import { keyPrefix } from '../core/storage/index.js';
 import type { Changes, Page, StateService } from '../state/service.js';
-import type { Change, Txn } from '../wire/store.js';
+import type { Change, Transaction } from '../wire/store.js';
 import type { Engine } from './engine.js';
 
 const pageItems = 1000;
@@ -11,7 +11,7 @@
 export class EmbeddedStore implements StateService {
   constructor(private readonly engine: Engine) {}
 
-  async commit(txn: Txn): Promise<CommitOutcome> {
+  async commit(txn: Transaction): Promise<CommitOutcome> {
     return this.engine.commit(txn);
   }
 
@@ -29,11 +29,11 @@
   }
 
   async page(from: string): Promise<Page | 'busy' | null> {
-    return this.engine.broken ? null : this.engine.scan(prefix, from, pageItems);
+    return this.engine.broken ? null : this.engine.scan(keyPrefix, from, pageItems);
   }
 
   async part(from: string, keys: number): Promise<Page | null> {
-    return this.engine.broken ? null : this.engine.scan(prefix, from, keys);
+    return this.engine.broken ? null : this.engine.scan(keyPrefix, from, keys);
   }
 
   /** All keys under a prefix of somebody else's. */
@@ -49,6 +49,6 @@
   }
 
   async changes(from: number, blockMs: number): Promise<Changes | 'old' | 'busy' | null> {
-    return this.engine.broken ? null : this.engine.changes(prefix, from, blockMs);
+    return this.engine.broken ? null : this.engine.changes(keyPrefix, from, blockMs);
   }
 }
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -1,6 +1,6 @@
 /** The store: commits made durable in groups, leases, watches. */
 import type { Log } from '../core/effects.js';
-import type { Change, Txn } from '../wire/store.js';
+import type { Change, Transaction } from '../wire/store.js';
 import type { Disk } from './disk.js';
 import type { StoreError } from './errors.js';
 import { Keyspace, scan, type Delta, type Entry, type View } from './keyspace.js';
@@ -78,7 +78,7 @@
     return this.seen.epoch;
   }
 
-  commit(txn: Txn): Promise<Outcome> {
+  commit(txn: Transaction): Promise<Outcome> {
     if (this.stopped) return Promise.resolve({ type: 'unknown' });
     const v = this.space.commit(txn, this.now());
     if (v.type === 'lease-expired') return Promise.resolve(v);
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -12,7 +12,7 @@
   parseTxn,
 } from '../wire/store-side.js';
 import { readJson, sendJson as reply } from '../net/json.js';
-import type { Txn } from '../wire/store.js';
+import type { Transaction } from '../wire/store.js';
 import type { Engine } from './engine.js';
 import { snapshotInto } from './snapshot.js';
 
@@ -30,7 +30,7 @@
   /** Resolves when the request may go on, with a refusal if it may not. */
   request(): Promise<Refusal | null>;
   /** Asked once more for a transaction, when its size is known. */
-  transaction(txn: Txn): Refusal | null;
+  transaction(txn: Transaction): Refusal | null;
 }
 
 const openGate: RequestGate = { request: () => Promise.resolve(null), transaction: () => null };
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -1,6 +1,6 @@
 /** Keys, leases and remembered changes of the store, by the rules of the protocol. */
 import BTreeModule from 'sorted-btree';
-import type { Change, Txn } from '../wire/store.js';
+import type { Change, Transaction } from '../wire/store.js';
 
 // The package is CommonJS: its class is the default of what is imported.
 const BTree = BTreeModule.default;
@@ -77,14 +77,16 @@
     return { epoch: this.epoch, keys: this.keys.clone() };
   }
 
-  commit(txn: Txn, now: number): Verdict {
-    for (const w of txn.apply)
+  commit(txn: Transaction, now: number): Verdict {
+    for (const w of txn.writes)
       if (w.hold !== undefined && !this.lives(w.hold, now)) return { type: 'lease-expired' };
-    const failed = txn.when.filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key);
+    const failed = txn.conditions
+      .filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp)
+      .map((c) => c.key);
     if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
-    if (txn.apply.length === 0) return { type: 'ok', epoch: this.epoch, delta: null };
+    if (txn.writes.length === 0) return { type: 'ok', epoch: this.epoch, delta: null };
     const delta = this.begin();
-    for (const w of txn.apply)
+    for (const w of txn.writes)
       if (w.data === undefined) this.drop(w.key, delta);
       else
         this.put(
--- a/src/wire/store-side.ts
+++ b/src/wire/store-side.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import type { Change, Txn } from './store.js';
+import type { Change, Transaction } from './store.js';
 
 /** The state service's side of its protocol: requests in, answers out. */
 
@@ -25,18 +25,18 @@
 const mostKeyBytes = 200;
 
 /** The transaction asked for, or what is wrong with the request. */
-export function parseTxn(body: unknown): Txn | string {
+export function parseTxn(body: unknown): Transaction | string {
   const r = v.safeParse(txn, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
-  const t: Txn = {
-    when: (r.output.when ?? []).map((c) => ({ key: c.key, stamp: c.stamp })),
-    apply: (r.output.apply ?? []).map((w) =>
+  const t: Transaction = {
+    conditions: (r.output.when ?? []).map((c) => ({ key: c.key, stamp: c.stamp })),
+    writes: (r.output.apply ?? []).map((w) =>
       'put' in w
         ? { key: w.put, data: w.data, ...(w.hold === null ? {} : { hold: w.hold }) }
         : { key: w.drop, data: undefined },
     ),
   };
-  for (const { key: k } of [...t.when, ...t.apply])
+  for (const { key: k } of [...t.conditions, ...t.writes])
     if (Buffer.byteLength(k) > mostKeyBytes)
       return `key ${k.slice(0, 40)}...: longer than ${mostKeyBytes} bytes`;
   return t;
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -20,9 +20,9 @@
   hold?: number;
 }
 
-export interface Txn {
-  when: Condition[];
-  apply: Write[];
+export interface Transaction {
+  conditions: Condition[];
+  writes: Write[];
 }
 
 const epoch = v.pipe(v.number(), v.integer(), v.minValue(0));
@@ -74,9 +74,9 @@
   return { changes, epoch: r.epoch };
 }
 
-export const txnOut = (txn: Txn): object => ({
-  when: txn.when.map((c) => ({ key: c.key, stamp: c.stamp })),
-  apply: txn.apply.map((w) =>
+export const txnOut = (txn: Transaction): object => ({
+  when: txn.conditions.map((c) => ({ key: c.key, stamp: c.stamp })),
+  apply: txn.writes.map((w) =>
     w.data === undefined
       ? { drop: w.key }
       : w.hold === undefined
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -216,9 +216,9 @@
     old.frozen = false;
     w.play(0.05);
     // It acts on what it had: within its floor, and no plan of it gets through.
-    assert.ok(old.controller['committer'].writesPerS <= floorOf(30, 3) + 1e-9);
+    assert.ok(old.controller['batcher'].writesPerS <= floorOf(30, 3) + 1e-9);
     w.play(10);
-    const plans = w.commits.slice(mark).filter((c) => c.txn.apply.some((a) => a.key === 'dp/plan'));
+    const plans = w.commits.slice(mark).filter((c) => c.txn.writes.some((a) => a.key === 'dp/plan'));
     assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
     assert.ok(planOf(w).stamp >= stamp);
     assert.equal(
@@ -253,7 +253,7 @@
 test('plans are written seldom, and hardly at all when nothing changes', tired, () => {
   const { w } = floodWorld();
   const written = () =>
-    w.commits.filter((c) => c.outcome.type === 'ok' && c.txn.apply.some((a) => a.key === 'dp/plan')).length;
+    w.commits.filter((c) => c.outcome.type === 'ok' && c.txn.writes.some((a) => a.key === 'dp/plan')).length;
   const before = written();
   w.play(60);
   // Two a state lease (3.2 s) at most.
@@ -301,11 +301,11 @@
   () => {
     const { w } = floodWorld();
     const { data } = planOf(w);
-    w.state.commit({ when: [], apply: [{ key: 'dp/plan', data: { v: 9, x: 1 } }] });
+    w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: { v: 9, x: 1 } }] });
     w.play(2);
-    for (const n of w.nodes) assert.ok(n.controller['committer'].writesPerS <= floorOf(30, 3) + 1e-9);
+    for (const n of w.nodes) assert.ok(n.controller['batcher'].writesPerS <= floorOf(30, 3) + 1e-9);
     assert.equal((planOf(w).data as { v: number }).v, 9);
-    w.state.commit({ when: [], apply: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
+    w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
     w.play(4);
     for (const n of w.nodes) assert.ok(n.controller['planning'].followedVersion > 0);
   },
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -9,11 +9,11 @@
 import {
   blockData,
   blockKey,
-  leadKey,
+  legacyLeaderKey,
   machineData,
   machineKey,
-  typesData,
-  typesKey,
+  machineTypesData,
+  legacyMachineTypesKey,
   type Committer,
   type Intent,
 } from '../src/core/storage/index.js';
@@ -43,8 +43,8 @@
   const blocks = Array.from({ length: 80 }, (_, i) => hosts.slice(i * 50, (i + 1) * 50));
   replica.loadSnapshot(
     [
-      { key: leadKey, data: { member: settings.member, run: 'run' }, stamp: 1 },
-      { key: typesKey, data: typesData([box]), stamp: 1 },
+      { key: legacyLeaderKey, data: { member: settings.member, run: 'run' }, stamp: 1 },
+      { key: legacyMachineTypesKey, data: machineTypesData([box]), stamp: 1 },
       ...blocks.map((b, i) => ({
         key: blockKey(`b-${i}`),
         data: blockData({ ...record, hosts: b }),
@@ -60,13 +60,13 @@
   );
   assert.equal(replica.machines.size, 4000);
   let stamp = 1;
-  const committer = {
+  const batcher = {
     add(intent: Intent): void {
       const txn = intent.build();
       if (!txn) return;
       stamp++;
-      for (const w of txn.apply) replica.apply({ ...w, stamp });
-      intent.ok(stamp);
+      for (const w of txn.writes) replica.apply({ ...w, stamp });
+      intent.onCommitted(stamp);
     },
   } as unknown as Committer;
   const unexpected: unknown[] = [];
@@ -75,7 +75,7 @@
     settings,
     defaults,
     replica,
-    committer,
+    batcher,
     clock,
     retryPolicies({ ...settings, stateLeaseMs: 3200 }).cloud,
     seeded(1),
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -3,11 +3,11 @@
 import { attemptBase, audit, incarnationOf, merge, tokenBase, Witness } from '../src/data-loss/index.js';
 import {
   chunkData,
-  jobCancelledData,
-  jobData,
-  jobDoneData,
-  wholeJobData,
-  Bits,
+  cancelledJobDataOf,
+  openJobData,
+  doneJobData,
+  inlineJobData,
+  BitSet,
   machineData,
 } from '../src/core/storage/index.js';
 import { ownerOf } from './support/rolls.js';
@@ -68,21 +68,21 @@
 test('what several know of a record is put together so that no rule can be broken', () => {
   const job = spec('req-1', { tasks: 3 });
   const tasks = (last: number, done: number[], placed: [number, number, string][]) => {
-    const bits = new Bits();
+    const bits = new BitSet();
     done.forEach((i) => bits.add(i));
     const p = placed.map(([index, attempt, host]) => ({ index, attempt, host }));
-    return chunkData({ last, done: bits, placed: p, failed: [] });
+    return chunkData({ lastAttempt: last, done: bits, placements: p, failedHosts: [] });
   };
-  const open = jobData(job, 5);
-  const done = jobDoneData(5, 3);
-  const cancelled = jobCancelledData(5, job);
+  const open = openJobData(job, 5);
+  const done = doneJobData(5, 3);
+  const cancelled = cancelledJobDataOf(5, job);
   assert.deepEqual(
     [merge('job', undefined, open), merge('job', open, done), merge('job', done, open)],
     [open, done, done],
   );
   assert.deepEqual([merge('job', cancelled, open), merge('job', open, cancelled)], [cancelled, cancelled]);
   // A cancelled job goes on telling what may run of it.
-  const whole = wholeJobData(job, 5, tasks(2, [0], [[1, 2, 'm1']]));
+  const whole = inlineJobData(job, 5, tasks(2, [0], [[1, 2, 'm1']]));
   assert.deepEqual(merge('job', whole, cancelled)['t'], whole['t']);
   assert.equal(merge('job', whole, cancelled)['s'], 'cancelled');
   const both = merge('job', open, whole);
@@ -273,7 +273,7 @@
 
 test('no loss, no doubt: outages, cuts, leases that end, lost answers and restarts are none', () => {
   const { w, users } = served(8);
-  w.state.loses = (txn) => txn.apply.length % 5 === 0;
+  w.state.loses = (txn) => txn.writes.length % 5 === 0;
   w.after(5000, () => (w.state.down = true));
   w.after(25_000, () => (w.state.down = false));
   w.after(40_000, () => (w.nodes[0].cut = true));
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -14,7 +14,7 @@
   type Ability,
   type Standing,
 } from '../src/feature-levels/index.js';
-import { jobData, wholeJobData } from '../src/core/storage/index.js';
+import { openJobData, inlineJobData } from '../src/core/storage/index.js';
 import { spec } from './support/world.js';
 
 const can = (most: number): Ability => ({ program: `p${most}`, least: 1, most, features: [], formats: {} });
@@ -32,14 +32,14 @@
 const all = (most: number) => new Map(['a', 'b', 'c'].map((m) => [m, can(most)]));
 
 test('formats: what is known is read, what is not survives, what is newer, damaged or too old is not acted on', () => {
-  const job = jobData(spec('req-1'), 5);
+  const job = openJobData(spec('req-1'), 5);
   assert.deepEqual(inspect('job', job), { ok: true, format: 1, extras: null });
   assert.deepEqual(inspect('job', { ...job, w: 'x', more: [1] }), {
     ok: true,
     format: 1,
     extras: { more: [1] },
   });
-  const whole = wholeJobData(spec('req-1'), 5, { n: 1, d: '', p: [[0, 1, 'n-1']] });
+  const whole = inlineJobData(spec('req-1'), 5, { n: 1, d: '', p: [[0, 1, 'n-1']] });
   assert.deepEqual(inspect('job', whole), { ok: true, format: 2, extras: null });
   const why = (kind: Parameters<typeof inspect>[0], data: unknown): string => {
     const v = inspect(kind, data);
--- a/test/level-cli.test.ts
+++ b/test/level-cli.test.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { levelData, membersData, nodeData } from '../src/core/storage/index.js';
+import { levelData, membersData, presenceData } from '../src/core/storage/index.js';
 import { abilityOf, newestLevel, unaware } from '../src/feature-levels/index.js';
 import { JsonClient } from '../src/net/client.js';
 import { findFreePort } from '../src/net/port.js';
@@ -45,7 +45,7 @@
 test('operators see the level, hold it, lower it and name who is gone', () =>
   withStore(async (addr, engine) => {
     const put = (key: string, data: Record<string, unknown>) =>
-      engine.commit({ when: [], apply: [{ key, data }] });
+      engine.commit({ conditions: [], writes: [{ key, data }] });
     const level = (...args: string[]) => run('level', ...args, '--state', addr);
     assert.match((await level('show')).out, /^level 1\n$/);
     await put('dp/level', levelData(2, 2));
@@ -59,7 +59,7 @@
         null,
       ),
     );
-    await put('dp/node/n0', nodeData('r', 1, abilityOf('0.2.0')));
+    await put('dp/node/n0', presenceData('r', 1, abilityOf('0.2.0')));
     assert.match((await level('hold', '2')).out, /held at 2/);
     await level('gone', 'n1');
     const shown = (await level('show')).out;
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -27,7 +27,7 @@
     const written = w.commits
       .slice(commits)
       .filter((c) => c.outcome.type === 'ok')
-      .reduce((n, c) => n + c.txn.apply.length, 0);
+      .reduce((n, c) => n + c.txn.writes.length, 0);
     // Against what max-min owes each of what was accepted altogether.
     const shares = flooding.map(
       (s, i) => during.filter((j) => j.stream === s).length / 60 / owed(during.length / 60)[i],
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -1,7 +1,7 @@
 /**
  * What levels and rolls cost and bring, on the scripted world: `npm run measure -- levels`. Figures are simulated.
  */
-import type { Txn } from '../src/wire/store.js';
+import type { Transaction } from '../src/wire/store.js';
 import { leaderOf, levelOf, ownerOf, restart } from './support/rolls.js';
 import { found, manyTasks, withWorkers } from './support/stored-state.js';
 import { Traffic } from './support/traffic.js';
@@ -23,8 +23,8 @@
   return w;
 }
 
-const writesOf = (w: World, what: (txn: Txn) => boolean = () => true): number =>
-  w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.apply.length : n), 0);
+const writesOf = (w: World, what: (txn: Transaction) => boolean = () => true): number =>
+  w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.writes.length : n), 0);
 
 /** One-task jobs at a rate: how many are accepted within a second and done, and what each writes. */
 function rate(most: number, perS: number): string {
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -68,7 +68,7 @@
     const whole = when('rebuilt');
     const writes = w.commits
       .slice(commits)
-      .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.apply.length : 0), 0);
+      .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.writes.length : 0), 0);
     const first = w.starts.length;
     w.playUntil(() => w.starts.length > first, 60);
     say(
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -1,5 +1,5 @@
 /** What a start costs in writes, by the tasks of a job, on the scripted world: `npm run measure -- writes`. Figures are scripted. */
-import { readKey } from '../src/core/storage/index.js';
+import { parseKey } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 import { spec, World } from './support/world.js';
 
@@ -15,7 +15,7 @@
 
 function kindOf({ key, data }: Write): WriteKind {
   if (data === undefined) return /^dp\/(t|log)\//.test(key) ? 'drop' : 'other';
-  const ref = readKey(key);
+  const ref = parseKey(key);
   if (ref?.kind === 'log' || ref?.kind === 'chunk') return 'tasks';
   if (ref?.kind !== 'job') return 'other';
   if (data['s'] === 'done') return 'final';
@@ -46,7 +46,7 @@
   w.play(10);
   const writes: Record<WriteKind, number> = { accept: 0, tasks: 0, final: 0, drop: 0, other: 0 };
   for (const { txn, outcome } of w.commits.slice(from))
-    if (outcome.type === 'ok') for (const write of txn.apply) writes[kindOf(write)]++;
+    if (outcome.type === 'ok') for (const write of txn.writes) writes[kindOf(write)]++;
   return { starts: w.starts.length, writes, tookS, broken: w.broken.length };
 }
 
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -47,8 +47,8 @@
         for (let i = 0; performance.now() < until; i++) {
           const at = performance.now();
           await engine.commit({
-            when: [],
-            apply: [{ key: `k/${w}/${i % 100}`, data: { i, text: 'x'.repeat(100) } }],
+            conditions: [],
+            writes: [{ key: `k/${w}/${i % 100}`, data: { i, text: 'x'.repeat(100) } }],
           });
           took.push(performance.now() - at);
         }
@@ -95,8 +95,8 @@
   const engine = await Engine.open(await LevelDisk.open(join(dir, 'store')), quiet, fatal);
   for (let i = 0; i < jobs; i += 500)
     await engine.commit({
-      when: [],
-      apply: Array.from({ length: 500 }, (_, j) => ({
+      conditions: [],
+      writes: Array.from({ length: 500 }, (_, j) => ({
         key: `dp/j/req-${1e6 + i + j}`,
         data: { s: 'done', at: 1, n: 1 },
       })),
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -184,7 +184,7 @@
 test('outage: an owner that does not know yet that it is one no more records nothing', () =>
   withStore(async (kv) => {
     const grant = async (owner: string): Promise<number> => {
-      const o = await kv.commit({ when: [], apply: [{ key: 'dp/shard/0', data: { owner } }] });
+      const o = await kv.commit({ conditions: [], writes: [{ key: 'dp/shard/0', data: { owner } }] });
       return o.type === 'ok' ? o.epoch : assert.fail(o.type);
     };
     const job = { id: 'req-1', retries: 0, gang: false };
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -130,7 +130,11 @@
 
 test('a job is within the guarantee together with the earlier unfinished ones of its team, not beside them', () => {
   const settings = parseSettings(settingsText('n0', 1));
-  const job = (id: string, at: number, over = {}) => ({ spec: spec(id, { cpus: 4, ...over }), at, done: 0 });
+  const job = (id: string, at: number, over = {}) => ({
+    spec: spec(id, { cpus: 4, ...over }),
+    acceptedAt: at,
+    done: 0,
+  });
   const first = job('req-1', 1, { tasks: 1 });
   const large = job('req-2', 2, { tasks: 2 });
   const later = job('req-3', 3, { tasks: 1 });
@@ -159,7 +163,7 @@
   const objectives = [{ kind: 'wait', class: 'c', within_s: 10, times: 1 }];
   const gang = (id: string, tasks: number, ageS: number) => ({
     spec: spec(id, { shape: 'gang', tasks, cpus: 4 }),
-    at: 1e6 - ageS * 1000,
+    acceptedAt: 1e6 - ageS * 1000,
   });
   const jobs = [gang('large', 8, 100), gang('small', 1, 40), gang('older', 8, 400), gang('fresh', 8, 5)];
   const ordered = inPlacementOrder(jobs, objectives, 1e6, 1).map((j) => j.spec.id);
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -63,7 +63,7 @@
       const share = 0.25 + 0.35 * w.chance();
       w.state.loses = (txn) => {
         if (w.chance() >= share) return false;
-        for (const k of kindsOf(txn.apply.map((a) => a.key))) lostKinds.set(k, (lostKinds.get(k) ?? 0) + 1);
+        for (const k of kindsOf(txn.writes.map((a) => a.key))) lostKinds.set(k, (lostKinds.get(k) ?? 0) + 1);
         return true;
       };
       w.lostMs = () => (w.chance() < 0.5 ? 20 : 1500 * w.chance());
@@ -81,7 +81,7 @@
       at(s, () => {
         const owner = ownerOf(w);
         const to = pick(w, w.nodes);
-        const run = owner?.controller.replica.nodes.get(to.member)?.run;
+        const run = owner?.controller.replica.nodes.get(to.member)?.instanceId;
         if (w.chance() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
         else if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
       });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -199,7 +199,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 3 }));
   const placed = () =>
-    w.commits.some((c) => c.txn.apply.some((a) => a.key.startsWith('dp/t/') || a.data?.['t'] !== undefined));
+    w.commits.some((c) => c.txn.writes.some((a) => a.key.startsWith('dp/t/') || a.data?.['t'] !== undefined));
   assert.ok(w.playUntil(placed, 60));
   assert.equal(w.starts.length, 0);
   w.nodes[0].alive = false;
@@ -295,7 +295,7 @@
   // Three jobs, a try in 2.5 leases of 16 s each.
   assert.ok(late.length >= 9 && late.length <= 30, String(late.length));
   // Idle ones may be returned; none is given up.
-  const writes = w.commits.flatMap((c) => c.txn.apply);
+  const writes = w.commits.flatMap((c) => c.txn.writes);
   assert.ok(writes.every((a) => a.data?.['st'] !== 'dead'));
   assert.equal(w.rentals.length, rented);
   assert.equal(w.running('req-1').length, 3);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -95,7 +95,7 @@
   const perRound = (shardManager.machinesExamined - before) / 5;
   assert.ok(perRound < 12 * 1000, `${perRound} machines looked at in a round`);
   // A rental is one record, ends are written together: far fewer writes than machines and tasks.
-  const writes = w.commits.reduce((n, c) => n + c.txn.apply.length, 0);
+  const writes = w.commits.reduce((n, c) => n + c.txn.writes.length, 0);
   assert.ok(writes < 1200, `${writes} writes`);
   assert.deepEqual(w.broken, []);
 });
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -79,23 +79,31 @@
   test(`store ${form}: conditions, stamps, one revision for a transaction, what never happens is told`, () =>
     withStore(async (s) => {
       assert.deepEqual(
-        await s.commit({ when: [{ key: 'dp/a', stamp: 0 }], apply: [put('dp/a', 1), put('dp/b', 1)] }),
+        await s.commit({ conditions: [{ key: 'dp/a', stamp: 0 }], writes: [put('dp/a', 1), put('dp/b', 1)] }),
         { type: 'ok', epoch: 1 },
       );
-      assert.deepEqual(await s.commit({ when: [{ key: 'dp/a', stamp: 0 }], apply: [put('dp/a', 2)] }), {
-        type: 'conflict',
-        failed: ['dp/a'],
-        epoch: 1,
-      });
       assert.deepEqual(
-        await s.commit({ when: [{ key: 'dp/a', stamp: 1 }], apply: [{ key: 'dp/b', data: undefined }] }),
+        await s.commit({ conditions: [{ key: 'dp/a', stamp: 0 }], writes: [put('dp/a', 2)] }),
+        {
+          type: 'conflict',
+          failed: ['dp/a'],
+          epoch: 1,
+        },
+      );
+      assert.deepEqual(
+        await s.commit({
+          conditions: [{ key: 'dp/a', stamp: 1 }],
+          writes: [{ key: 'dp/b', data: undefined }],
+        }),
         { type: 'ok', epoch: 2 },
       );
-      assert.deepEqual(await s.commit({ when: [{ key: 'dp/a', stamp: 1 }], apply: [] }), {
+      assert.deepEqual(await s.commit({ conditions: [{ key: 'dp/a', stamp: 1 }], writes: [] }), {
         type: 'ok',
         epoch: 2,
       });
-      assert.deepEqual(await s.commit({ when: [], apply: [put('dp/c', 1, 99)] }), { type: 'lease-expired' });
+      assert.deepEqual(await s.commit({ conditions: [], writes: [put('dp/c', 1, 99)] }), {
+        type: 'lease-expired',
+      });
       const page = await s.page('');
       assert.deepEqual(page, { items: [{ key: 'dp/a', data: { n: 1 }, stamp: 1 }], more: false, epoch: 2 });
       assert.deepEqual(await s.changes(1, 0), {
@@ -108,7 +116,7 @@
     withStore(async (s) => {
       // Long enough for a machine whose disk is busy with other tests: a commit may take more than a second there.
       const [a, b] = [(await s.lease(3000))!, (await s.lease(1200))!];
-      await s.commit({ when: [], apply: [put('dp/a', 1, a), put('dp/b', 1, b)] });
+      await s.commit({ conditions: [], writes: [put('dp/a', 1, a), put('dp/b', 1, b)] });
       for (let i = 0; i < 5; i++) {
         await pause(700);
         assert.equal(await s.renew(a), 'ok');
@@ -122,8 +130,8 @@
       assert.deepEqual(((await s.page('')) as { items: unknown[] }).items, []);
       // A key that was put again without its lease stays.
       const c = (await s.lease(100))!;
-      await s.commit({ when: [], apply: [put('dp/c', 1, c)] });
-      await s.commit({ when: [], apply: [put('dp/c', 2)] });
+      await s.commit({ conditions: [], writes: [put('dp/c', 1, c)] });
+      await s.commit({ conditions: [], writes: [put('dp/c', 2)] });
       await pause(300);
       assert.equal(((await s.page('')) as { items: unknown[] }).items.length, 1);
     }));
@@ -132,8 +140,8 @@
     withStore(async (s, engine) => {
       for (let i = 0; i < 12; i++)
         await s.commit({
-          when: [],
-          apply: Array.from({ length: 100 }, (_, j) => put(`dp/${String(i * 100 + j).padStart(5, '0')}`, j)),
+          conditions: [],
+          writes: Array.from({ length: 100 }, (_, j) => put(`dp/${String(i * 100 + j).padStart(5, '0')}`, j)),
         });
       const first = await s.page('');
       assert.ok(first && first !== 'busy' && first.more && first.items.length === 1000);
@@ -142,8 +150,8 @@
       assert.ok(second.items[0].key > first.items[999].key);
       const waited = s.changes(12, 5000);
       await pause(50);
-      await s.commit({ when: [], apply: [put('other/x', 1)] });
-      await s.commit({ when: [], apply: [put('dp/z', 1)] });
+      await s.commit({ conditions: [], writes: [put('other/x', 1)] });
+      await s.commit({ conditions: [], writes: [put('dp/z', 1)] });
       const woken = await waited;
       assert.ok(woken && typeof woken === 'object');
       assert.deepEqual(
@@ -152,10 +160,10 @@
       );
       for (let i = 0; i < 200; i++)
         void engine.commit({
-          when: [],
-          apply: Array.from({ length: 100 }, (_, j) => put(`dp/n${i}.${j}`, j)),
+          conditions: [],
+          writes: Array.from({ length: 100 }, (_, j) => put(`dp/n${i}.${j}`, j)),
         });
-      await engine.commit({ when: [], apply: [put('dp/last', 1)] });
+      await engine.commit({ conditions: [], writes: [put('dp/last', 1)] });
       assert.equal(await s.changes(3, 0), 'old');
     }));
 }
@@ -221,23 +229,23 @@
   let broken: StoreError | null = null;
   const engine = await Engine.open(disk, quiet, (e) => (broken = e));
   const good = await Promise.all(
-    Array.from({ length: 50 }, (_, i) => engine.commit({ when: [], apply: [put(`a${i}`, i)] })),
+    Array.from({ length: 50 }, (_, i) => engine.commit({ conditions: [], writes: [put(`a${i}`, i)] })),
   );
   assert.ok(good.every((r) => r.type === 'ok'));
   assert.ok(disk.writes <= 3, `${disk.writes} writes for 50 commits at once`);
   disk.failing = true;
   const bad = await Promise.all([
-    engine.commit({ when: [], apply: [put('b', 1)] }),
-    engine.commit({ when: [], apply: [put('c', 1)] }),
+    engine.commit({ conditions: [], writes: [put('b', 1)] }),
+    engine.commit({ conditions: [], writes: [put('c', 1)] }),
   ]);
   assert.deepEqual(bad, [{ type: 'unknown' }, { type: 'unknown' }]);
   assert.equal((broken as StoreError | null)?.kind, 'full');
   assert.equal(engine.get('b').entry, undefined);
-  assert.deepEqual(await engine.commit({ when: [], apply: [put('d', 1)] }), { type: 'unknown' });
+  assert.deepEqual(await engine.commit({ conditions: [], writes: [put('d', 1)] }), { type: 'unknown' });
   disk.failing = false;
   const again = await Engine.open(disk, quiet, never);
   assert.equal(again.get('a49').entry?.stamp, 50);
-  assert.deepEqual(await again.commit({ when: [{ key: 'b', stamp: 0 }], apply: [put('b', 1)] }), {
+  assert.deepEqual(await again.commit({ conditions: [{ key: 'b', stamp: 0 }], writes: [put('b', 1)] }), {
     type: 'ok',
     epoch: 51,
   });
@@ -246,8 +254,8 @@
 test('store: readers and refusals see only what is durable', async () => {
   const disk = new FlakyDisk();
   const engine = await Engine.open(disk, quiet, never);
-  const first = engine.commit({ when: [], apply: [put('a', 1)] });
-  const refused = engine.commit({ when: [{ key: 'a', stamp: 0 }], apply: [put('a', 2)] });
+  const first = engine.commit({ conditions: [], writes: [put('a', 1)] });
+  const refused = engine.commit({ conditions: [{ key: 'a', stamp: 0 }], writes: [put('a', 2)] });
   assert.equal(engine.get('a').entry, undefined);
   assert.equal((await first).type, 'ok');
   assert.deepEqual(await refused, { type: 'conflict', failed: ['a'], epoch: 1 });
@@ -259,7 +267,7 @@
     const at = join(dir, 's');
     const engine = await openAt(at);
     await assert.rejects(openAt(at), failsWith('locked'));
-    for (let i = 0; i < 300; i++) await engine.commit({ when: [], apply: [put(`k${i}`, i)] });
+    for (let i = 0; i < 300; i++) await engine.commit({ conditions: [], writes: [put(`k${i}`, i)] });
     await engine.close();
     const db = join(at, 'db');
     const halve = (ending: RegExp): void => {
@@ -274,7 +282,7 @@
     await assert.rejects(openAt(at), failsWith('damaged'));
     const other = join(dir, 'o');
     const once = await openAt(other);
-    for (let i = 0; i < 300; i++) await once.commit({ when: [], apply: [put(`k${i}`, i)] });
+    for (let i = 0; i < 300; i++) await once.commit({ conditions: [], writes: [put(`k${i}`, i)] });
     await once.close();
     const again = await openAt(other);
     assert.equal(again.epoch, 300);
@@ -290,10 +298,10 @@
 test('store: a snapshot is one moment, restores whole, and is refused when it is cut short or changed', () =>
   inDir(async (dir) => {
     const engine = await openAt(join(dir, 'a'));
-    for (let i = 0; i < 1200; i++) void engine.commit({ when: [], apply: [put(`k${i}`, i)] });
-    await engine.commit({ when: [], apply: [put('z', 1)] });
+    for (let i = 0; i < 1200; i++) void engine.commit({ conditions: [], writes: [put(`k${i}`, i)] });
+    await engine.commit({ conditions: [], writes: [put('z', 1)] });
     const writing = snapshotInto(engine, join(dir, 'a'));
-    await engine.commit({ when: [], apply: [put('later', 1)] });
+    await engine.commit({ conditions: [], writes: [put('later', 1)] });
     const snap = await writing;
     assert.equal(snap.keys, 1201);
     await engine.close();
