--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { chunkData, jobCancelledData, jobData, wholeJobData } from '../src/core/storage/index.js';
+import { chunkData, cancelledJobDataOf, openJobData, inlineJobData } from '../src/core/storage/index.js';
 import { empty, found, manyTasks, put, withWorkers, type Key, type Placing } from './support/stored-state.js';
 import { newestLevel } from '../src/feature-levels/index.js';
 import { laterLevel, leaderOf, levelOf, ownerOf } from './support/rolls.js';
@@ -95,7 +95,7 @@
   const bad: [string, Record<string, unknown>][] = [
     ['dp/j/req-1', { v: 9, s: 'split', parts: [] }],
     ['dp/t/req-2/0', { ...chunk, p: 'burnt' }],
-    ['dp/j/req-7', { ...jobData(spec('req-7'), 1), s: 'lost' }],
+    ['dp/j/req-7', { ...openJobData(spec('req-7'), 1), s: 'lost' }],
     ['dp/m/n-000099', { v: 2, f: 'box' }],
   ];
   const block = [...w.state.keys.values()].find((k) => k.key.startsWith('dp/b/'))!;
@@ -154,7 +154,7 @@
   assert.equal(n.submit(spec('req-3'))?.status, 503);
   assert.equal(n.withdraw('req-2')?.status, 503);
   w.play(20);
-  assert.equal(w.state.epoch, epoch, `${w.commits.slice(writes).map((c) => JSON.stringify(c.txn.apply))}`);
+  assert.equal(w.state.epoch, epoch, `${w.commits.slice(writes).map((c) => JSON.stringify(c.txn.writes))}`);
   for (const x of w.nodes) {
     assert.ok(x.alive && !x.controller.healthy);
     assert.equal(x.logged.filter(([, what]) => what.startsWith('standing by')).length, 1);
@@ -212,7 +212,7 @@
   const w = new World(2);
   w.play(5);
   assert.equal(levelOf(w).level, newestLevel);
-  put(w, 'dp/j/req-5', { ...jobData(spec('req-5', { types: ['none'] }), 1), later: 1 });
+  put(w, 'dp/j/req-5', { ...openJobData(spec('req-5', { types: ['none'] }), 1), later: 1 });
   put(w, 'dp/wish', { most: 1, lower: true });
   w.play(10);
   assert.equal(levelOf(w).level, newestLevel);
@@ -247,11 +247,11 @@
   assert.ok((dataOf(w, 'dp/j/req-1')?.['t'] as { p: unknown[] }).p.length === 2);
   assert.ok(w.playUntil(() => w.running('req-2').length === 1, 120));
   assert.ok(w.playUntil(() => dataOf(w, 'dp/j/req-1')?.['t'] === undefined, 30));
-  assert.deepEqual(dataOf(w, 'dp/j/req-1')?.['u'], jobCancelledData(0, spec('req-1', { cpus: 8 }))['u']);
+  assert.deepEqual(dataOf(w, 'dp/j/req-1')?.['u'], cancelledJobDataOf(0, spec('req-1', { cpus: 8 }))['u']);
 });
 
 test('wholeJobData keeps the description where a program that knows only format 1 does not find it', () => {
-  const data = wholeJobData(spec('req-1'), 1, chunkData(empty));
+  const data = inlineJobData(spec('req-1'), 1, chunkData(empty));
   assert.ok(!('spec' in data) && 'job' in data);
 });
 
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { defaults, type Operators } from '../../src/config/operators.js';
-import { levelData, levelKey, wishData } from '../../src/core/storage/index.js';
+import { levelData, levelKey, requestedLevelData } from '../../src/core/storage/index.js';
 import { newestLevel, noWish, type Wish } from '../../src/feature-levels/index.js';
 import { Traffic } from './traffic.js';
 import { spec, thisProgram, type Node, World } from './world.js';
@@ -40,8 +40,8 @@
 /** What operators say, as the command line writes it. */
 export function wish(w: World, over: Partial<Wish>): void {
   const key = 'dp/wish';
-  const data = wishData({ ...noWish, ...over });
-  const o = w.state.commit({ when: [], apply: [{ key, data }] });
+  const data = requestedLevelData({ ...noWish, ...over });
+  const o = w.state.commit({ conditions: [], writes: [{ key, data }] });
   assert.equal(o.type, 'ok');
 }
 
@@ -193,7 +193,7 @@
     cast.fresh(w.nodes[2]);
     w.nodes[2].boot();
     let lost = 0;
-    w.state.loses = (txn) => txn.apply.some((a) => a.key === levelKey) && ++lost <= 3;
+    w.state.loses = (txn) => txn.writes.some((a) => a.key === levelKey) && ++lost <= 3;
     assert.ok(
       w.playUntil(() => atNewLevel(w), 25),
       'raised',
@@ -230,8 +230,8 @@
       // Without a condition on the level, a program that knows none can still add a job that was not there: format 1.
       assert.ok(!cast.knowsLevels, 'carried out');
       assert.ok(
-        txn.apply.every((a) => /^dp\/(j|node)\//.test(a.key)),
-        txn.apply.map((a) => a.key).join(),
+        txn.writes.every((a) => /^dp\/(j|node)\//.test(a.key)),
+        txn.writes.map((a) => a.key).join(),
       );
     }
     w.play(5);
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -1,4 +1,4 @@
-import { Bits, chunkData, jobData } from '../../src/core/storage/index.js';
+import { BitSet, chunkData, openJobData } from '../../src/core/storage/index.js';
 import { spec, World } from './world.js';
 
 export interface Key {
@@ -9,7 +9,7 @@
 export type Placing = [string, number, number, string];
 
 export const put = (w: World, key: string, data: Record<string, unknown> | undefined): void =>
-  void w.state.commit({ when: [], apply: [{ key, data }] });
+  void w.state.commit({ conditions: [], writes: [{ key, data }] });
 
 /** A world whose controllers find this state when they start. */
 export function found(keys: Key[], nodes = 3): World {
@@ -31,7 +31,7 @@
     });
 }
 
-export const empty = { last: 0, done: new Bits(), placed: [], failed: [] };
+export const empty = { lastAttempt: 0, done: new BitSet(), placements: [], failedHosts: [] };
 
 /** State of the old format with 100,000 tasks: 400 small services that run, and large arrays that wait. */
 export function manyTasks(): { keys: Key[]; placed: Placing[] } {
@@ -44,14 +44,14 @@
     const id = `req-${1000 + i}`;
     const p = Array.from({ length: 8 }, (_, k) => ({ index: k, attempt: k + 1, host: hosts[(i + k) % 20] }));
     for (const x of p) placed.push([id, x.index, x.attempt, x.host]);
-    keys.push({ key: `dp/j/${id}`, data: jobData(spec(id, small), 1e12) });
-    keys.push({ key: `dp/t/${id}/0`, data: chunkData({ ...empty, last: 8, placed: p }) });
+    keys.push({ key: `dp/j/${id}`, data: openJobData(spec(id, small), 1e12) });
+    keys.push({ key: `dp/t/${id}/0`, data: chunkData({ ...empty, lastAttempt: 8, placements: p }) });
   }
   // They wait for a kind of machine that is not to be had.
   for (let i = 0; i < 968; i++)
     keys.push({
       key: `dp/j/req-${5000 + i}`,
-      data: jobData(
+      data: openJobData(
         spec(`req-${5000 + i}`, { tasks: 100, team: 'red', types: ['box'], zone: 'south', cpus: 8 }),
         1e12,
       ),
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -1,5 +1,5 @@
 /** What the transactions of a world must say of the task log, whatever happened in it. */
-import { readKey, readLog } from '../../src/core/storage/index.js';
+import { parseKey, readLog } from '../../src/core/storage/index.js';
 import { taskKey } from '../../src/model/job.js';
 import type { Write } from '../../src/wire/store.js';
 import type { World } from './world.js';
@@ -13,10 +13,10 @@
 }
 
 function placementsOf({ key, data }: Write): Placing[] {
-  const ref = readKey(key);
+  const ref = parseKey(key);
   if (!data || !ref) return [];
   if (ref.kind === 'log')
-    return readLog(data).flatMap(({ job, placed }) =>
+    return readLog(data).flatMap(({ job, placements: placed }) =>
       placed.map(({ index, host }) => ({ job, index, host })),
     );
   if (ref.kind !== 'chunk' && ref.kind !== 'job') return [];
@@ -32,8 +32,8 @@
   const placedAt = new Map<string, number>();
   for (const { txn, outcome, at } of w.commits) {
     if (outcome.type !== 'ok') continue;
-    for (const write of txn.apply) {
-      const ref = readKey(write.key);
+    for (const write of txn.writes) {
+      const ref = parseKey(write.key);
       if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.epoch);
       const log = /^dp\/log\/(\d+)\/(\d+)-/.exec(write.key);
       if (log && write.data && grants.get(log[1]) !== Number(log[2]))
@@ -45,8 +45,8 @@
       }
     }
     // A cancellation and a placement of one transaction are the owner's own: it starts nothing of it.
-    for (const { key, data } of txn.apply) {
-      const ref = readKey(key);
+    for (const { key, data } of txn.writes) {
+      const ref = parseKey(key);
       if (ref?.kind === 'job' && data?.['s'] === 'cancelled') cancelled.add(ref.id);
     }
   }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -6,14 +6,14 @@
 import { parseSettings, type Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/core/controller.js';
 import type { Command, CommitOutcome, Effect } from '../../src/core/effects.js';
-import { prefix } from '../../src/core/storage/index.js';
+import { keyPrefix } from '../../src/core/storage/index.js';
 import type { RecoveryRecords } from '../../src/core/recovery-records.js';
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 import type { TaskOrder, Heartbeat, TaskStatus } from '../../src/model/heartbeat.js';
 import { seeded } from '../../src/retry/index.js';
 import type { RentRequest } from '../../src/wire/cloud.js';
-import type { Change, Txn } from '../../src/wire/store.js';
+import type { Change, Transaction } from '../../src/wire/store.js';
 
 export const settingsText = (member: string, nodes: number): string => `
 member = "${member}"
@@ -100,7 +100,7 @@
   /** Executed, but the answer to a commit gets lost. */
   loseAnswers = false;
   /** The same, for some. */
-  loses: (txn: Txn) => boolean = () => false;
+  loses: (txn: Transaction) => boolean = () => false;
   /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
   lateShare = 0;
   readonly keys = new Map<string, Change & { hold?: number }>();
@@ -111,19 +111,21 @@
   constructor(private readonly world: World) {}
 
   /** Called with each transaction just before it is carried out. */
-  before: (txn: Txn) => void = () => undefined;
+  before: (txn: Transaction) => void = () => undefined;
 
-  commit(txn: Txn): CommitOutcome {
+  commit(txn: Transaction): CommitOutcome {
     this.before(txn);
     if (this.down) return { type: 'rejected' };
-    if (this.busy || !this.spend(txn.apply.length)) return { type: 'rate-limited' };
+    if (this.busy || !this.spend(txn.writes.length)) return { type: 'rate-limited' };
     this.expire();
-    if (txn.apply.some((w) => w.hold !== undefined && !this.holds.has(w.hold)))
+    if (txn.writes.some((w) => w.hold !== undefined && !this.holds.has(w.hold)))
       return { type: 'lease-expired' };
-    const failed = txn.when.filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key);
+    const failed = txn.conditions
+      .filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp)
+      .map((c) => c.key);
     if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
-    if (txn.apply.length > 0) this.epoch++;
-    for (const w of txn.apply) {
+    if (txn.writes.length > 0) this.epoch++;
+    for (const w of txn.writes) {
       const change = { key: w.key, data: w.data && JSON.parse(JSON.stringify(w.data)), stamp: this.epoch };
       if (w.data === undefined) this.keys.delete(w.key);
       else this.keys.set(w.key, { ...change, hold: w.hold });
@@ -199,7 +201,7 @@
 
   items(): Change[] {
     return [...this.keys.values()]
-      .filter((k) => k.key.startsWith(prefix))
+      .filter((k) => k.key.startsWith(keyPrefix))
       .map(({ key, data, stamp }) => ({ key, data, stamp }));
   }
 }
@@ -781,7 +783,7 @@
   readonly state = new StateService(this);
   readonly nodes: Node[] = [];
   readonly workers = new Map<string, Worker>();
-  readonly commits: { member: string; txn: Txn; outcome: CommitOutcome; at: number }[] = [];
+  readonly commits: { member: string; txn: Transaction; outcome: CommitOutcome; at: number }[] = [];
   readonly rentals: RentRequest[] = [];
   readonly deleted: string[] = [];
   readonly finished: string[] = [];
@@ -809,7 +811,7 @@
   capacity = 10;
   cloudDown = false;
   /** Commits that are still on their way. */
-  readonly heldBack: Txn[] = [];
+  readonly heldBack: Transaction[] = [];
   /** Controllers reach each other. */
   talk = true;
   /** An error in a controller ends its process, not the test. */
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -4,27 +4,27 @@
 import fc from 'fast-check';
 import {
   applyEntry,
-  Bits,
+  BitSet,
   chunkData,
   type ChunkRecord,
   type Committer,
   difference,
   emptyChunk,
   type Intent,
-  jobCancelledData,
-  jobData,
+  cancelledJobDataOf,
+  openJobData,
   logData,
   type LogEntry,
   type LogItem,
   LogReader,
   LogWriter,
-  type Placed,
+  type PlacementRecord,
   Rank,
   readChunk,
   readLog,
   Truncation,
 } from '../src/core/storage/index.js';
-import type { Txn, Write } from '../src/wire/store.js';
+import type { Transaction, Write } from '../src/wire/store.js';
 import { Replica } from '../src/core/replica.js';
 import { abilityOf, Levels, newestLevel } from '../src/feature-levels/index.js';
 import type { JobSpec } from '../src/model/job.js';
@@ -40,10 +40,10 @@
 
 /** A chunk's state with its placements and ends as lists, to compare. */
 const plain = (c: ChunkRecord): object => ({
-  last: c.last,
+  last: c.lastAttempt,
   done: Array.from({ length: size }, (_, i) => c.done.has(i)),
-  placed: [...c.placed].sort((a, b) => a.index - b.index),
-  revision: c.revision,
+  placed: [...c.placements].sort((a, b) => a.index - b.index),
+  revision: c.version,
 });
 
 interface History {
@@ -60,13 +60,25 @@
     const before = history.states.at(-1)!;
     const index = step % size;
     const done = before.done.copy();
-    let placed: Placed[] = before.placed.filter((p) => p.index !== index);
-    if (placed.length < before.placed.length) {
+    let placed: PlacementRecord[] = before.placements.filter((p) => p.index !== index);
+    if (placed.length < before.placements.length) {
       if (step % 3 === 0) done.add(index);
     } else if (!done.has(index)) placed = [...placed, { index, attempt: ++last, host: `n-${step % 5}` }];
-    const revision = before.revision + 1 + (step % 2);
-    const changes = difference(before, { last, done, placed, failed: [], size });
-    history.entries.push({ job: 'req-1', chunk: 0, from: before.revision, to: revision, ...changes });
+    const revision = before.version + 1 + (step % 2);
+    const changes = difference(before, {
+      lastAttempt: last,
+      done,
+      placements: placed,
+      failedHosts: [],
+      size,
+    });
+    history.entries.push({
+      job: 'req-1',
+      chunk: 0,
+      fromVersion: before.version,
+      toVersion: revision,
+      ...changes,
+    });
     const state = { ...before, last, done, placed, revision, doneCount: done.count() };
     history.states.push(state);
   }
@@ -80,14 +92,14 @@
   readonly reader = new LogReader({
     get: () => this.state,
     set: (_job, _chunk, state) => (this.state = state),
-    end: () => (this.state = undefined),
-    standing: () => (this.known ? 'followed' : 'unknown'),
+    remove: () => (this.state = undefined),
+    jobStatus: () => (this.known ? 'followed' : 'unknown'),
   });
 
   checkpoint(state: ChunkRecord): void {
-    const record = readChunk(JSON.parse(JSON.stringify(chunkData(state, state.revision))), 1);
-    if (!this.state || record.revision >= this.state.revision) this.state = record;
-    this.reader.connect('req-1');
+    const record = readChunk(JSON.parse(JSON.stringify(chunkData(state, state.version))), 1);
+    if (!this.state || record.version >= this.state.version) this.state = record;
+    this.reader.applyWaiting('req-1');
   }
 
   put(n: number, entry: LogEntry): void {
@@ -108,7 +120,7 @@
         follower.known = false;
         arrivals.push(() => {
           follower.known = true;
-          follower.reader.connect('req-1');
+          follower.reader.applyWaiting('req-1');
         });
       }
       let seed = order;
@@ -129,7 +141,7 @@
       entries.forEach((entry, n) => follower.put(n, entry));
       follower.put(entries.length, entries[which % entries.length]);
       assert.deepEqual(plain(follower.state!), plain(states.at(-1)!));
-      assert.equal(follower.reader.unconnected, 0);
+      assert.equal(follower.reader.waitingCount, 0);
     }),
   );
 });
@@ -138,36 +150,41 @@
   const { entries } = historyOf([1, 2, 3]);
   const follower = new Follower();
   follower.put(2, entries[2]);
-  follower.reader.drop('dp/log/0/1-2');
+  follower.reader.delete('dp/log/0/1-2');
   follower.put(0, entries[0]);
   follower.put(1, entries[1]);
-  assert.equal(follower.state!.revision, entries[1].to);
+  assert.equal(follower.state!.version, entries[1].toVersion);
   assert.equal(follower.reader.size, 2);
 });
 
 test('an entry survives being stored', () => {
   const { entries, states } = historyOf([1, 2, 1, 3, 3]);
   const read = readLog(JSON.parse(JSON.stringify(logData(entries))));
-  const state = read.reduce(applyEntry, { ...emptyChunk, done: new Bits() });
+  const state = read.reduce(applyEntry, { ...emptyChunk, done: new BitSet() });
   assert.deepEqual(plain(state), plain(states.at(-1)!));
 });
 
 test('a log is truncated from its oldest end; what keeps an old record there is checkpointed', () => {
-  const item = (job: string, to: number): LogItem => ({ job, chunk: 0, to });
-  const record = (n: number, items: LogItem[]) => ({ key: `k${n}`, shard: 0, stamp: n, items });
+  const item = (job: string, to: number): LogItem => ({ job, chunk: 0, toVersion: to });
+  const record = (n: number, items: LogItem[]) => ({
+    key: `k${n}`,
+    shard: 0,
+    modRevision: n,
+    entries: items,
+  });
   const records = [record(1, [item('a', 1)]), record(2, [item('b', 1)]), record(3, [item('a', 2)])];
   const over = new Set(['a']);
   let checkpoint = 0;
   const known = {
-    standing: (job: string) => (over.has(job) ? ('over' as const) : ('followed' as const)),
-    checkpointOf: () => checkpoint,
+    jobStatus: (job: string) => (over.has(job) ? ('over' as const) : ('followed' as const)),
+    checkpointVersionOf: () => checkpoint,
   };
   const truncation = new Truncation(10_000, 4);
-  const keys = (now: number): string[] => truncation.plan(records, known, now).drop.map((r) => r.key);
+  const keys = (now: number): string[] => truncation.plan(records, known, now).deletable.map((r) => r.key);
   // The third is over as well, but the second stays.
   assert.deepEqual(keys(0), ['k1']);
-  assert.deepEqual(truncation.plan(records, known, 9000).checkpoint, []);
-  assert.deepEqual(truncation.plan(records, known, 11_000).checkpoint, [item('b', 1)]);
+  assert.deepEqual(truncation.plan(records, known, 9000).toCheckpoint, []);
+  assert.deepEqual(truncation.plan(records, known, 11_000).toCheckpoint, [item('b', 1)]);
   checkpoint = 1;
   assert.deepEqual(keys(12_000), ['k1', 'k2', 'k3']);
 });
@@ -178,16 +195,16 @@
   const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
   const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
   const { entries, states } = historyOf([1, 2, 1, 3]);
-  const job = jobData(spec('req-1', { tasks: size }), 1);
+  const job = openJobData(spec('req-1', { tasks: size }), 1);
   replica.apply({ key: 'dp/j/req-1', data: job, stamp: 1 });
   entries.forEach((entry, n) =>
     replica.apply({ key: `dp/log/0/1-${n}`, data: logData([entry]), stamp: n + 2 }),
   );
   const [, , old] = states;
-  replica.apply({ key: 'dp/t/req-1/0', data: chunkData(old, old.revision), stamp: 20 });
+  replica.apply({ key: 'dp/t/req-1/0', data: chunkData(old, old.version), stamp: 20 });
   const state = replica.chunks.get('req-1')!.get(0)!;
   assert.deepEqual(plain(state), plain(states.at(-1)!));
-  assert.equal(state.checkpoint, old.revision);
+  assert.equal(state.checkpointVersion, old.version);
 });
 
 // ---- with controllers ----
@@ -210,7 +227,10 @@
   const told = (n: Node): string =>
     JSON.stringify(
       [...n.controller.replica.chunks]
-        .map(([id, chunks]) => [id, [...chunks].map(([k, c]) => [k, c.placed, c.done.toString(), c.last])])
+        .map(([id, chunks]) => [
+          id,
+          [...chunks].map(([k, c]) => [k, c.placements, c.done.toString(), c.lastAttempt]),
+        ])
         .sort(),
     );
   const [first, ...others] = w.nodes.filter((n) => n.alive).map(told);
@@ -237,7 +257,7 @@
       });
     assert.ok(w.playUntil(() => w.finished.length === jobs * tasks, 300));
     w.play(5);
-    const written = w.commits.flatMap((c) => (c.outcome.type === 'ok' ? c.txn.apply : []));
+    const written = w.commits.flatMap((c) => (c.outcome.type === 'ok' ? c.txn.writes : []));
     return { writesAStart: written.filter(isTaskWrite).length / w.starts.length, broken: w.broken };
   };
   const [without, logged] = [play({}), play(withLog)];
@@ -268,28 +288,28 @@
   const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const intents: Intent[] = [];
-  const committer = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
+  const batcher = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
   const valueKb = 1;
-  const writer = new LogWriter(0, { valueKb, conditions: 96, reportS: 2 }, replica, committer, {
-    owned: () => true,
-    writable: () => true,
-    durable: quiet,
-    blocked: quiet,
+  const writer = new LogWriter(0, { valueKb, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
+    isOwned: () => true,
+    isWritable: () => true,
+    onDurable: quiet,
+    onBlocked: quiet,
   });
   const jobs = Array.from({ length: 60 }, (_, i) => `req-${i + 1}`);
   for (const id of jobs) {
-    replica.apply({ key: `dp/j/${id}`, data: jobData(spec(id, { tasks: 2 }), 1), stamp: 6 });
+    replica.apply({ key: `dp/j/${id}`, data: openJobData(spec(id, { tasks: 2 }), 1), stamp: 6 });
     const p = [[0, 1, 'n-1']];
     replica.apply({ key: `dp/t/${id}/0`, data: { n: 1, d: '', p, r: 1 }, stamp: 7 });
-    writer.clear(id, 0);
+    writer.clearJob(id, 0);
   }
   const cleared: string[] = [];
   for (let now = 10_000; cleared.length < jobs.length && now < 20_000; now += 1000) {
     writer.tick(now);
-    const { data } = intents.at(-1)!.build()!.apply[0];
+    const { data } = intents.at(-1)!.build()!.writes[0];
     assert.ok(JSON.stringify(data).length <= valueKb * 1024);
     cleared.push(...readLog(data).map((e) => e.job));
-    intents.at(-1)!.ok(8);
+    intents.at(-1)!.onCommitted(8);
   }
   assert.deepEqual(cleared, jobs);
 });
@@ -301,41 +321,49 @@
   const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const intents: Intent[] = [];
-  const committer = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
+  const batcher = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
   const blocked: string[] = [];
   let owned = true;
-  const writer = new LogWriter(0, { valueKb: 32, conditions: 96, reportS: 2 }, replica, committer, {
-    owned: () => owned,
-    writable: () => true,
-    durable: quiet,
-    blocked: (job) => blocked.push(job.id),
+  const writer = new LogWriter(0, { valueKb: 32, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
+    isOwned: () => owned,
+    isWritable: () => true,
+    onDurable: quiet,
+    onBlocked: (job) => blocked.push(job.id),
   });
   for (const id of ['req-1', 'req-2', 'req-3']) {
-    replica.apply({ key: `dp/j/${id}`, data: jobData(spec(id, { tasks: 2 }), 1), stamp: 6 });
+    replica.apply({ key: `dp/j/${id}`, data: openJobData(spec(id, { tasks: 2 }), 1), stamp: 6 });
     const job = createScheduledJob(replica.jobs.get(id)!, spec(id, { tasks: 2 }), 0, undefined, 16);
     const [chunk] = job.chunks;
     chunk.queuedWrite = { rank: Rank.task };
     chunk.version = 1;
     job.placements.set(0, { index: 0, attempt: 1, host: 'n-1', chunk } as Placement);
-    writer.mark(job, chunk, chunk.queuedWrite, 0);
+    writer.markChanged(job, chunk, chunk.queuedWrite, 0);
   }
   replica.applyWatch([], 6);
-  const jobsOf = (txn: Txn | null): string[] => readLog(txn!.apply[0].data).map((e) => e.job);
+  const jobsOf = (txn: Transaction | null): string[] => readLog(txn!.writes[0].data).map((e) => e.job);
   writer.tick(0);
   assert.deepEqual(jobsOf(intents[0].build()), ['req-1', 'req-2', 'req-3']);
-  intents[0].conflict(['dp/j/req-2'], 99);
+  intents[0].onConflict(['dp/j/req-2'], 99);
   writer.tick(0);
   assert.deepEqual(jobsOf(intents[1].build()), ['req-1', 'req-3']);
   assert.deepEqual(blocked, ['req-2']);
   // Cancelled jobs are cleared by the shard's owner only, also where the writer was asked before it lost the shard.
   const placed = [{ index: 0, attempt: 1, host: 'n-1' }];
-  const nothing = { done: [], freed: [], failed: null };
-  const entry = { job: 'req-1', chunk: 0, from: 0, to: 1, last: 1, placed, ...nothing };
+  const nothing = { done: [], removed: [], failedHosts: null };
+  const entry = {
+    job: 'req-1',
+    chunk: 0,
+    fromVersion: 0,
+    toVersion: 1,
+    lastAttempt: 1,
+    placements: placed,
+    ...nothing,
+  };
   replica.apply({ key: 'dp/log/0/5-9', data: logData([entry]), stamp: 7 });
-  intents[1].conflict(['dp/shard/0'], 100);
-  writer.clear('req-1', 0);
+  intents[1].onConflict(['dp/shard/0'], 100);
+  writer.clearJob('req-1', 0);
   writer.tick(10_000);
-  assert.deepEqual(readLog(intents[2].build()!.apply[0].data)[0].freed, [0]);
+  assert.deepEqual(readLog(intents[2].build()!.writes[0].data)[0].removed, [0]);
   owned = false;
   assert.equal(intents[2].build(), null);
 });
@@ -353,13 +381,16 @@
   // Somebody cancels one of them just before the owner's write comes to the state service.
   let hit = '';
   w.state.before = (txn) => {
-    const record = txn.apply.find((a) => a.key.startsWith('dp/log/') && a.data);
+    const record = txn.writes.find((a) => a.key.startsWith('dp/log/') && a.data);
     if (!record || hit !== '') return;
-    const { job } = readLog(record.data).find((e) => e.placed.length > 0)!;
+    const { job } = readLog(record.data).find((e) => e.placements.length > 0)!;
     hit = job;
     const { data } = w.state.keys.get(`dp/j/${job}`)!;
     const { spec: s, at } = data as { spec: JobSpec; at: number };
-    const cancellation = { when: [], apply: [{ key: `dp/j/${job}`, data: jobCancelledData(at, s) }] };
+    const cancellation = {
+      conditions: [],
+      writes: [{ key: `dp/j/${job}`, data: cancelledJobDataOf(at, s) }],
+    };
     w.commits.push({ member: 'user', txn: cancellation, outcome: w.state.commit(cancellation), at: w.now });
   };
   assert.ok(w.playUntil(() => hit !== '', 60));
@@ -415,7 +446,7 @@
     w.runS = 8;
     const users = new Traffic(w, 400, (n) => ({ tasks: 1 + (n % 5), cpus: 1 }));
     const touchesLog = (keys: string[]): boolean => keys.some((key) => key.startsWith('dp/log/'));
-    w.state.loses = (txn) => touchesLog(txn.apply.map((a) => a.key)) && w.chance() < 0.3;
+    w.state.loses = (txn) => touchesLog(txn.writes.map((a) => a.key)) && w.chance() < 0.3;
     w.state.lateShare = 0.1;
     for (let i = 0; i < 4; i++) {
       w.play(8);
@@ -444,7 +475,7 @@
   w.endless.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
-  const late = w.commits.find((c) => c.txn.apply.some((a) => a.key.startsWith('dp/log/')))!.txn;
+  const late = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
   // Checkpointed and dropped, then one task is placed anew elsewhere.
   assert.ok(
     w.playUntil(() => logKeys(w).length === 0, 60),
@@ -457,7 +488,7 @@
   assert.equal(w.state.commit(late).type, 'ok');
   w.play(5);
   for (const n of w.nodes) {
-    const placed = [...n.controller.replica.chunks.get('req-1')!.values()].flatMap((c) => c.placed);
+    const placed = [...n.controller.replica.chunks.get('req-1')!.values()].flatMap((c) => c.placements);
     assert.deepEqual(
       placed.filter((p) => p.host === host),
       [],
@@ -496,7 +527,7 @@
   assert.ok(w.playUntil(() => w.running('req-3').length === 2, 60));
   const on = w.running('req-1').map((r) => r.host);
   const wish = (data: Record<string, unknown>): void =>
-    void w.state.commit({ when: [], apply: [{ key: 'dp/wish', data }] });
+    void w.state.commit({ conditions: [], writes: [{ key: 'dp/wish', data }] });
   wish({ most: newestLevel - 1, lower: true });
   // What is cancelled meanwhile cannot be said in the log any more.
   assert.ok(w.playUntil(() => w.nodes[0].controller.replica.levels.state.write === newestLevel - 1, 60));
@@ -538,10 +569,10 @@
 
 test('a record of the log that cannot be read: nobody acts on a part of what is placed', () => {
   const w = logWorld(5);
-  w.state.commit({ when: [], apply: [{ key: 'dp/log/0/1-0', data: { e: [['req-9', 0]] } }] });
+  w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: { e: [['req-9', 0]] } }] });
   w.play(3);
   for (const n of w.nodes) assert.ok(n.controller.replica.levels.standsBy);
-  w.state.commit({ when: [], apply: [{ key: 'dp/log/0/1-0', data: undefined }] });
+  w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: undefined }] });
   w.nodes[0].submit(spec('req-1', { tasks: 2, team: 'blue' }));
   w.play(3);
   for (const n of w.nodes) assert.ok(!n.controller.replica.levels.standsBy);
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -6,7 +6,7 @@
 import { Replica } from '../src/core/replica.js';
 import { abilityOf, Levels } from '../src/feature-levels/index.js';
 import { retryPolicies, seeded } from '../src/retry/index.js';
-import type { Txn } from '../src/wire/store.js';
+import type { Transaction } from '../src/wire/store.js';
 
 const quiet = (): void => undefined;
 
@@ -24,12 +24,12 @@
 class AnsweredCommitter {
   readonly written: string[] = [];
   private epoch = 1;
-  private readonly committer: Committer;
+  private readonly batcher: Committer;
 
   constructor(writesPerS: number) {
     const replica = new Replica(listener, new Levels(abilityOf('test')));
     replica.loadSnapshot([], 1);
-    const limits = { ops: 24, conditions: 96, bytes: 48 * 1024, writesPerS, nodes: 1 };
+    const limits = { maxOperations: 24, maxConditions: 96, maxBytes: 48 * 1024, writesPerS, controllers: 1 };
     const retry = retryPolicies({
       peers: [],
       state: { rps: 100, write_rps: writesPerS, value_kb: 32, txn_ops: 24 },
@@ -37,22 +37,22 @@
       workers: { report_s: 2.5, lease_s: 18, gang_wait_s: 30, gang_peer_s: 5, cancel_s: 38 },
       stateLeaseMs: 3600,
     } as unknown as Parameters<typeof retryPolicies>[0]);
-    this.committer = new Committer('run', limits, replica, retry.state, seeded(1), quiet);
+    this.batcher = new Committer('run', limits, replica, retry.state, seeded(1), quiet);
   }
 
   add(key: string, rank: Rank): void {
-    const txn: Txn = { when: [], apply: [{ key, data: {} }] };
-    this.committer.add({ rank, build: () => txn, ok: quiet, conflict: quiet });
+    const txn: Transaction = { conditions: [], writes: [{ key, data: {} }] };
+    this.batcher.enqueue({ priority: rank, build: () => txn, onCommitted: quiet, onConflict: quiet });
   }
 
   playUntil(now: number): void {
     for (let at = 0; at <= now; at += 20) {
       const out: Effect[] = [];
-      this.committer.pump(at, out);
+      this.batcher.tick(at, out);
       for (const effect of out)
         if (effect.type === 'commit') {
-          this.written.push(...effect.txn.apply.map((w) => w.key));
-          this.committer.outcome({ type: 'ok', epoch: ++this.epoch }, at, []);
+          this.written.push(...effect.txn.writes.map((w) => w.key));
+          this.batcher.handleOutcome({ type: 'ok', epoch: ++this.epoch }, at, []);
         }
     }
   }
