--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -230,7 +230,7 @@
           result,
           preconditions,
         );
-        task.why = disposition === 'done' ? 'done' : 'stopped';
+        task.exitReason = disposition === 'done' ? 'done' : 'stopped';
       }),
     );
   }
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -32,13 +32,13 @@
       machine.confirmedAt = 0;
     }
     // Under our token no earlier owner can renew the lease any more.
-    const proof = report.token === token;
+    const proof = report.fencingToken === token;
     const leaseEnd = now + this.shardState.settings.workers.lease_s * 1000;
     machine.earliestLeaseExpiry = proof ? leaseEnd : Math.max(machine.earliestLeaseExpiry, leaseEnd);
     // Guards against the late report: its list is as old as itself, and its answer will be dropped.
     if (!isNewerHeartbeat(report, [machine.agentEpoch, machine.heartbeatSeq])) return [];
-    machine.agentEpoch = report.session;
-    machine.heartbeatSeq = report.seq;
+    machine.agentEpoch = report.agentEpoch;
+    machine.heartbeatSeq = report.sequence;
     if (proof) {
       // Guards against returning a machine for having been idle while it booted.
       if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
@@ -53,7 +53,7 @@
       const t = listed.get(piece);
       // Guards against the old copy that a new owner hears first: a gang that was mended has the same attempt there again.
       // That a task was completed stays true; that it ended otherwise counts only under our token.
-      const ended = t?.phase === 'exited' && t.why !== 'done';
+      const ended = t?.phase === 'exited' && t.exitReason !== 'done';
       if (t?.attempt === placement.attempt) {
         if (proof || !ended) this.applyTaskStatus(machine, placement, t);
       } else if (
@@ -121,7 +121,7 @@
         !this.mayStart(placement)
       )
         continue;
-      placement.startSentWith = [report.session, report.seq];
+      placement.startSentWith = [report.agentEpoch, report.sequence];
       orders.push({ op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt });
     }
   }
@@ -179,20 +179,21 @@
       return;
     }
     const { job } = placement;
-    if (t.why === 'done') {
+    if (t.exitReason === 'done') {
       machine.failuresByJob.clear();
       this.shardState.removePlacement(placement, 'done', 'done');
     } else {
       this.shardState.log('debug', 'task ended', {
         piece: taskKey(job.id, placement.index),
         host: machine.host,
-        why: t.why,
+        why: t.exitReason,
       });
-      if (t.why === 'error') this.handleTaskError(machine, job);
-      if (t.why === 'full' || t.why === 'busy')
+      if (t.exitReason === 'error') this.handleTaskError(machine, job);
+      if (t.exitReason === 'full' || t.exitReason === 'busy')
         machine.cooldownUntil = now + this.shardState.settings.workers.report_s * 2000;
-      if (t.why === 'unknown') job.retryNotBefore = now + this.shardState.settings.workers.report_s * 1000;
-      this.shardState.removePlacement(placement, t.why ?? 'exited');
+      if (t.exitReason === 'unknown')
+        job.retryNotBefore = now + this.shardState.settings.workers.report_s * 1000;
+      this.shardState.removePlacement(placement, t.exitReason ?? 'exited');
     }
     this.pendingForget.set(forgetKey(machine.host, taskKey(job.id, placement.index), placement.attempt), {
       chunk: placement.chunk,
@@ -360,6 +361,6 @@
 
 /** Whether a report is newer than what was seen up to this session and number. */
 export const isNewerHeartbeat = (r: Heartbeat, [session, seq]: [number, number]): boolean =>
-  r.session > session || (r.session === session && r.seq > seq);
+  r.agentEpoch > session || (r.agentEpoch === session && r.sequence > seq);
 
 const forgetKey = (host: string, piece: string, attempt: number): string => `${host} ${piece} ${attempt}`;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -85,7 +85,7 @@
       void out.push({ type: 'respond', rid, status, body, retryAfterS });
     // Guards against acting on an old view: a cancellation seen by users could be missed here, and the
     // answer would keep the task alive.
-    this.host.noteToken(report.token);
+    this.host.noteToken(report.fencingToken);
     if (!this.host.mayAnswerWorkers() || this.replica.levels.standsBy) return answer(503, {}, 1);
     const m = this.replica.machines.get(report.host);
     if (!m) {
@@ -99,7 +99,7 @@
     if (!custodian || !this.isMine(custodian)) return this.elsewhere(rid, report, m, from, out);
     this.redirected.delete(report.host);
     // Somebody came under a newer token: we are the stale owner and do not know it yet.
-    if (report.token > custodian.token) return answer(421, redirectOut(null));
+    if (report.fencingToken > custodian.token) return answer(421, redirectOut(null));
     this.count++;
     if (from !== null) this.relayedCount++;
     if (from === null) this.direct++;
@@ -110,7 +110,7 @@
     }
     const run = this.shardManager.machines.get(m.host);
     if (!run) return answer(503, {}, 1);
-    const to = from === null && report.token === custodian.token ? this.elseTo() : null;
+    const to = from === null && report.fencingToken === custodian.token ? this.elseTo() : null;
     if (to !== null) return answer(421, redirectOut(to));
     this.autoscaler.recordHeartbeat(m.host);
     // A late copy is no newer report: the machine may still wait for the answer to the one that is held.
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -39,7 +39,7 @@
   /** Whether the answer to a report that asks for none at once may wait. */
   tryHold(machine: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
     // Agents are asked for a report when there is something to start. What is to end soon must not wait for its report.
-    if (this.settings.pool || report.token !== token || report.noticeS !== null || machine.quarantined)
+    if (this.settings.pool || report.fencingToken !== token || report.noticeS !== null || machine.quarantined)
       return false;
     if (machine.record.state !== 'use' || machine.releasing) return false;
     const running = [...machine.placements.values()].some(
--- a/src/model/heartbeat.ts
+++ b/src/model/heartbeat.ts
@@ -6,7 +6,7 @@
   index: number;
   attempt: number;
   phase: TaskPhase;
-  why: ExitReason | null;
+  exitReason: ExitReason | null;
   saved: boolean;
 }
 
@@ -16,9 +16,9 @@
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
   noticeS: number | null;
   tasks: TaskStatus[];
 }
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -43,16 +43,16 @@
     type: r.type,
     zone: r.zone,
     spot: r.spot,
-    session: r.session,
-    seq: r.seq,
-    token: r.token,
+    session: r.agentEpoch,
+    seq: r.sequence,
+    token: r.fencingToken,
     noticeS: r.noticeS ?? -1,
     tasks: r.tasks.map((t) => ({
       job: t.job,
       index: t.index,
       attempt: t.attempt,
       phase: phases.indexOf(t.phase),
-      why: whys.indexOf(t.why),
+      why: whys.indexOf(t.exitReason),
       saved: t.saved,
     })),
   };
@@ -65,9 +65,9 @@
     type: r.type,
     zone: r.zone,
     spot: r.spot,
-    session: r.session,
-    seq: r.seq,
-    token: r.token,
+    agentEpoch: r.session,
+    sequence: r.seq,
+    fencingToken: r.token,
     noticeS: r.noticeS < 0 ? null : r.noticeS,
     tasks: r.tasks.map((t) => ({
       job: t.job,
@@ -75,7 +75,7 @@
       attempt: t.attempt,
       // A state that this version does not know still means that the task is on the machine.
       phase: phases[t.phase] ?? 'running',
-      why: t.why < whys.length ? whys[t.why] : 'error',
+      exitReason: t.why < whys.length ? whys[t.why] : 'error',
       saved: t.saved,
     })),
   };
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -56,7 +56,7 @@
       index: id.index,
       attempt: p.try,
       phase: phases[p.status] ?? 'running',
-      why: p.cause === null ? null : (whys[p.cause] ?? 'error'),
+      exitReason: p.cause === null ? null : (whys[p.cause] ?? 'error'),
       saved: p.stored === true,
     });
   }
@@ -66,9 +66,9 @@
     type: b.flavour,
     zone: b.yard,
     spot: b.loaners,
-    session: b.tenure,
-    seq: b.tick,
-    token: b.baton,
+    agentEpoch: b.tenure,
+    sequence: b.tick,
+    fencingToken: b.baton,
     noticeS: b.recallS,
     tasks,
   };
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -26,7 +26,7 @@
     w.addWorker('box', n % 2 ? 'north' : 'south', false);
   for (const [job, index, attempt, host] of placed)
     w.workers.get(host)!.tasks.set(`${job}/${index}`, {
-      report: { job, index, attempt, phase: 'running', why: null, saved: false },
+      report: { job, index, attempt, phase: 'running', exitReason: null, saved: false },
       since: w.now,
     });
 }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -571,9 +571,9 @@
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
-      seq: this.seq,
-      token: this.token,
+      agentEpoch: this.session,
+      sequence: this.seq,
+      fencingToken: this.token,
       noticeS: this.noticeS,
       tasks: [...this.tasks.values()].map((t) => ({ ...t.report })),
     };
@@ -630,7 +630,7 @@
         w.now - t.since > (w.runOf(`${t.report.job}/${t.report.index}`) ?? this.runS) * 1000
       ) {
         t.report.phase = 'exited';
-        t.report.why = 'done';
+        t.report.exitReason = 'done';
         w.finished.push(`${t.report.job}/${t.report.index}`);
       }
   }
@@ -746,7 +746,7 @@
           index: o.index,
           attempt: o.attempt,
           phase: this.world.fetchS > 0 ? 'fetching' : 'running',
-          why: null,
+          exitReason: null,
           saved: false,
         };
         if (this.sick || this.world.mistaken.has(o.job))
