--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -165,11 +165,11 @@
 
 const through = (i: number) => flooding.map((s) => ({ ...s, through: [i] }));
 const killed = (pick: (w: World) => { alive: boolean; boot(): void } | undefined) => (w: World) =>
-  w.after(15_000, () => {
+  w.schedule(15_000, () => {
     const n = pick(w);
     if (!n) return;
     n.alive = false;
-    w.after(4000, () => n.boot());
+    w.schedule(4000, () => n.boot());
   });
 
 const cases: Case[] = [
@@ -197,19 +197,19 @@
     what: 'the owner cut off for 10 s',
     quick: 0.8,
     during: (w) =>
-      w.after(15_000, () => {
+      w.schedule(15_000, () => {
         const n = ownerOf(w)!;
-        n.cut = true;
-        w.after(10_000, () => (n.cut = false));
+        n.cutFromState = true;
+        w.schedule(10_000, () => (n.cutFromState = false));
       }),
   },
   {
     what: 'all restarted',
     quick: 0.8,
     during: (w) =>
-      w.after(20_000, () => {
+      w.schedule(20_000, () => {
         for (const n of w.nodes) n.alive = false;
-        w.after(4000, () => w.nodes.forEach((n) => n.boot()));
+        w.schedule(4000, () => w.nodes.forEach((n) => n.boot()));
       }),
   },
   {
@@ -238,10 +238,10 @@
       const storm = (): void => {
         for (const n of w.nodes)
           for (let i = 0; i < 3; i++) {
-            n.answers.delete(rid - 3000);
+            n.responses.delete(rid - 3000);
             n.push({ type: 'query', rid: ++rid, id: `req-${100_001 + ((rid * 7) % 2000)}` });
           }
-        if (w.now < 70_000) w.after(10, storm);
+        if (w.now < 70_000) w.schedule(10, storm);
       };
       storm();
     },
@@ -249,7 +249,7 @@
   {
     what: 'a state service that takes half',
     quick: 0.75,
-    during: (w) => w.after(10_000, () => (w.state.writesPerS = 15)),
+    during: (w) => w.schedule(10_000, () => (w.state.writesPerS = 15)),
   },
 ];
 
@@ -260,9 +260,9 @@
     for (const j of users.jobs) w.gangs.set(j.spec.id, 1);
     c.during?.(w);
     for (let i = 0; i < 13; i++) {
-      for (const x of w.workers.values()) x.runS = 5;
+      for (const x of w.workers.values()) x.taskDurationS = 5;
       for (const j of users.jobs) if (j.spec.shape === 'gang') w.gangs.set(j.spec.id, 1);
-      w.play(10);
+      w.advance(10);
     }
     for (const name of ['team', 'class']) {
       const f = users.of(name);
@@ -270,19 +270,19 @@
       assert.ok(f.quick >= (c.quick ?? 0.98), text);
       assert.ok(f.accepted >= 0.98 && f.run >= 0.95, text);
     }
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   });
 
 test('a flood that ends: a few seconds later everybody is taken in at once', () => {
   const w = new World(3, { 'idle-boots': 1000, 'fair-admission': 1 });
   w.state.writesPerS = 30;
   w.capacity = 10;
-  w.play(6);
+  w.advance(6);
   const users = new Flood(w, [
     { name: 'flood', perS: 40, fromMs: 0, forMs: 20_000, job: { team: 'blue', class: 'flood' } },
     { name: 'after', perS: 3, fromMs: 85_000, forMs: 15_000, job: { team: 'blue', class: 'flood' } },
   ]);
-  w.play(105);
+  w.advance(105);
   const f = users.of('after');
   assert.ok(f.jobs > 30 && f.quick === 1, JSON.stringify(f));
 });
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -188,7 +188,7 @@
   return { w, users: new Flood(w, flooding) };
 }
 
-const planOf = (w: World) => w.state.keys.get('dp/plan')!;
+const planOf = (w: World) => w.state.entries.get('dp/plan')!;
 const served = (users: Flood, quick: number): void => {
   for (const name of ['team', 'class']) {
     const f = users.of(name);
@@ -201,23 +201,23 @@
   tired,
   () => {
     const { w, users } = floodWorld();
-    w.play(15);
+    w.advance(15);
     const old = leaderOf(w)!;
     const { version: number } = old.controller.replica.writeAllocation!;
     assert.ok(number >= 2);
-    old.frozen = true;
-    w.play(20);
+    old.paused = true;
+    w.advance(20);
     const by = w.nodes.find(
-      (n) => n.member === (w.state.keys.get('dp/chief')!.data as { member: string }).member,
+      (n) => n.member === (w.state.entries.get('dp/chief')!.data as { member: string }).member,
     )!;
     assert.notEqual(by, old);
     const stamp = planOf(w).stamp;
     const mark = w.commits.length;
-    old.frozen = false;
-    w.play(0.05);
+    old.paused = false;
+    w.advance(0.05);
     // It acts on what it had: within its floor, and no plan of it gets through.
     assert.ok(old.controller['batcher'].writesPerS <= floorOf(30, 3) + 1e-9);
-    w.play(10);
+    w.advance(10);
     const plans = w.commits.slice(mark).filter((c) => c.txn.writes.some((a) => a.key === 'dp/plan'));
     assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
     assert.ok(planOf(w).stamp >= stamp);
@@ -225,9 +225,9 @@
       old.controller.replica.writeAllocation!.version,
       by.controller.replica.writeAllocation!.version,
     );
-    w.play(90);
+    w.advance(90);
     served(users, 0.8);
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   },
 );
 
@@ -236,17 +236,17 @@
   tired,
   () => {
     const { w, users } = floodWorld();
-    w.talk = false;
+    w.peersConnected = false;
     const follower = w.nodes.find((n) => n !== leaderOf(w) && n !== ownerOf(w))!;
-    const refused = w.state.refused;
+    const refused = w.state.rateLimitedCount;
     const commits = w.commits.length;
-    w.after(10_000, () => (follower.cut = true));
-    w.after(14_000, () => (follower.cut = false));
-    w.play(130);
-    const share = (w.state.refused - refused) / (w.commits.length - commits);
+    w.schedule(10_000, () => (follower.cutFromState = true));
+    w.schedule(14_000, () => (follower.cutFromState = false));
+    w.advance(130);
+    const share = (w.state.rateLimitedCount - refused) / (w.commits.length - commits);
     assert.ok(share < 0.02, String(share));
     served(users, 0.8);
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   },
 );
 
@@ -255,22 +255,22 @@
   const written = () =>
     w.commits.filter((c) => c.outcome.type === 'ok' && c.txn.writes.some((a) => a.key === 'dp/plan')).length;
   const before = written();
-  w.play(60);
+  w.advance(60);
   // Two a state lease (3.2 s) at most.
   assert.ok(written() - before <= 60 / 1.6, String(written() - before));
-  w.play(90);
+  w.advance(90);
   const quiet = written();
-  w.play(60);
+  w.advance(60);
   assert.ok(written() - quiet <= 10, String(written() - quiet));
 });
 
 test('clocks apart by the most that they may be: parts hold, nobody starves', tired, () => {
   const { w, users } = floodWorld();
   w.nodes.forEach((n, i) => (n.clockRate = 1 + (i - 1) * 0.0005));
-  const refused = w.state.refused;
+  const refused = w.state.rateLimitedCount;
   const commits = w.commits.length;
-  w.play(130);
-  assert.ok((w.state.refused - refused) / (w.commits.length - commits) < 0.02);
+  w.advance(130);
+  assert.ok((w.state.rateLimitedCount - refused) / (w.commits.length - commits) < 0.02);
   served(users, 0.98);
 });
 
@@ -279,19 +279,19 @@
   tired,
   () => {
     const { w, users } = floodWorld();
-    w.play(10);
+    w.advance(10);
     wish(w, { most: 2, lower: true });
-    assert.ok(w.playUntil(() => levelOf(w).level === 2, 20));
-    w.play(5);
+    assert.ok(w.advanceUntil(() => levelOf(w).level === 2, 20));
+    w.advance(5);
     assert.ok(w.nodes.every((n) => n.controller['planning'].followedVersion === 0));
     wish(w, {});
-    assert.ok(w.playUntil(() => levelOf(w).level === newestLevel, 20));
-    w.play(100);
+    assert.ok(w.advanceUntil(() => levelOf(w).level === newestLevel, 20));
+    w.advance(100);
     assert.ok(
       w.nodes.every((n) => n.controller['planning'].followedVersion === (planOf(w).data as { n: number }).n),
     );
     served(users, 0.9);
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   },
 );
 
@@ -302,11 +302,11 @@
     const { w } = floodWorld();
     const { data } = planOf(w);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: { v: 9, x: 1 } }] });
-    w.play(2);
+    w.advance(2);
     for (const n of w.nodes) assert.ok(n.controller['batcher'].writesPerS <= floorOf(30, 3) + 1e-9);
     assert.equal((planOf(w).data as { v: number }).v, 9);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
-    w.play(4);
+    w.advance(4);
     for (const n of w.nodes) assert.ok(n.controller['planning'].followedVersion > 0);
   },
 );
@@ -345,7 +345,7 @@
 function crowdedFleet(floorShare: number, over: Partial<JobSpec> = {}) {
   const w = new World(3, { 'idle-boots': 1000, 'floor-share': floorShare });
   w.capacity = 4;
-  w.play(6);
+  w.advance(6);
   const users = new Flood(w, [
     {
       name: 'urgent',
@@ -357,8 +357,8 @@
   ]);
   const run = (s: number): void => {
     for (let i = 0; i < s; i++) {
-      for (const x of w.workers.values()) x.runS = 10;
-      w.play(1);
+      for (const x of w.workers.values()) x.taskDurationS = 10;
+      w.advance(1);
     }
   };
   run(40);
@@ -387,11 +387,11 @@
     }
     assert.ok(most >= 3 && most <= 4, String(most));
     assert.equal(
-      w.nodes.flatMap((n) => n.logged).filter((l) => l[1] === 'preempting' || l[1] === 'others give way')
+      w.nodes.flatMap((n) => n.logLines).filter((l) => l[1] === 'preempting' || l[1] === 'others give way')
         .length,
       0,
     );
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   },
 );
 
@@ -403,6 +403,6 @@
     w.gangs.set('req-1', 2);
     run(80);
     assert.equal(new Set(lowStarts(w).map((s) => s.piece)).size, 2);
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   },
 );
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -123,24 +123,24 @@
   assert.deepEqual(merge('machine', machineData({ ...machine, state: 'use' }), dead), dead);
 });
 
-type Kept = ReturnType<World['state']['copy']>;
+type Kept = ReturnType<World['state']['snapshot']>;
 
 /** How the state comes back, from a copy of what it was some time ago. */
 const losses: Record<string, (w: World, ago: Kept) => void> = {
-  wiped: (w) => w.state.lose([], 1),
-  'wiped, at a higher revision': (w) => w.state.lose([], w.state.epoch + 1000),
-  'an older copy': (w, ago) => w.state.lose(ago.keys, ago.epoch),
-  'an older copy, at a higher revision': (w, ago) => w.state.lose(ago.keys, w.state.epoch + 500),
+  wiped: (w) => w.state.loseData([], 1),
+  'wiped, at a higher revision': (w) => w.state.loseData([], w.state.epoch + 1000),
+  'an older copy': (w, ago) => w.state.loseData(ago.keys, ago.epoch),
+  'an older copy, at a higher revision': (w, ago) => w.state.loseData(ago.keys, w.state.epoch + 500),
   'every second record gone': (w) =>
-    w.state.lose(
-      [...w.state.keys].filter((_, i) => i % 2 === 0),
+    w.state.loseData(
+      [...w.state.entries].filter((_, i) => i % 2 === 0),
       w.state.epoch,
     ),
 };
 for (const kind of ['node', 'shard', 'teams', 'kinds', 'b', 'm', 'j', 't', 'level', 'inc'])
   losses[`all records of ${kind} gone`] = (w) =>
-    w.state.lose(
-      [...w.state.keys].filter(([key]) => key.split('/')[1] !== kind),
+    w.state.loseData(
+      [...w.state.entries].filter(([key]) => key.split('/')[1] !== kind),
       w.state.epoch,
     );
 
@@ -154,11 +154,11 @@
 function served(seed: number): { w: World; users: Traffic } {
   const w = new World(3, {}, seed);
   w.capacity = 30;
-  w.play(6);
+  w.advance(6);
   const users = new Traffic(w, 900, (n) =>
     n % 5 === 0 ? { tasks: 3, shape: 'gang', cpus: 2 } : n % 4 === 0 ? { tasks: 18 } : { tasks: 2 },
   );
-  w.play(25);
+  w.advance(25);
   return { w, users };
 }
 
@@ -171,20 +171,20 @@
   agoS = 4,
   lost = /^nothing$/,
 ): void {
-  const broken = (): string[] => w.broken.filter((b) => !lost.test(b));
-  const ago = w.state.copy();
-  w.play(agoS);
+  const broken = (): string[] => w.violations.filter((b) => !lost.test(b));
+  const ago = w.state.snapshot();
+  w.advance(agoS);
   const restarted = who(w);
-  w.state.down = true;
+  w.state.unavailable = true;
   for (const n of restarted) n.alive = false;
-  w.play(3);
+  w.advance(3);
   lose(w, ago);
-  w.state.down = false;
+  w.state.unavailable = false;
   for (const n of restarted) n.boot();
-  w.play(60);
+  w.advance(60);
   assert.deepEqual(broken(), []);
   users.stop();
-  const over = w.playUntil(() => users.over, 300);
+  const over = w.advanceUntil(() => users.over, 300);
   assert.deepEqual(broken(), []);
   const open = [...users.jobs.keys()].filter((id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''));
   assert.ok(over, `not over: ${open.map((id) => `${id} ${users.told.get(id)}`).join(', ')}`);
@@ -207,19 +207,19 @@
 
 test('rebuild: two losses, the second in mid-rebuild; the one that rebuilds is killed', () => {
   const { w, users } = served(5);
-  w.after(9000, () =>
-    w.state.lose(
-      [...w.state.keys].filter((_, i) => i % 3 > 0),
+  w.schedule(9000, () =>
+    w.state.loseData(
+      [...w.state.entries].filter((_, i) => i % 3 > 0),
       w.state.epoch,
     ),
   );
-  w.after(12_000, () => {
-    const by = [...w.state.keys.values()].find((k) => k.key.startsWith('dp/inc/'))?.data as
+  w.schedule(12_000, () => {
+    const by = [...w.state.entries.values()].find((k) => k.key.startsWith('dp/inc/'))?.data as
       { by: string } | undefined;
     const n = w.nodes.find((x) => x.member === by?.by);
     if (!n) return;
     n.alive = false;
-    w.after(5000, () => n.boot());
+    w.schedule(5000, () => n.boot());
   });
   loses(w, users, losses['wiped'], restarts['nobody']);
 });
@@ -227,18 +227,20 @@
 test('rebuild: a controller that stood still with the old memory wakes after a minute, and late transactions come', () => {
   const { w, users } = served(6);
   const still = w.nodes.find((n) => n !== ownerOf(w))!;
-  still.holdBack = true;
-  w.play(2);
-  still.frozen = true;
+  still.holdsCommits = true;
+  w.advance(2);
+  still.paused = true;
   loses(
     w,
     users,
     (x, ago) => {
       losses['an older copy'](x, ago);
-      x.after(20_000, () => x.heldBack.forEach((txn) => assert.notEqual(x.state.commit(txn).type, 'ok')));
-      x.after(55_000, () => {
-        still.holdBack = false;
-        still.frozen = false;
+      x.schedule(20_000, () =>
+        x.heldCommits.forEach((txn) => assert.notEqual(x.state.commit(txn).type, 'ok')),
+      );
+      x.schedule(55_000, () => {
+        still.holdsCommits = false;
+        still.paused = false;
       });
     },
     restarts['nobody'],
@@ -252,14 +254,14 @@
   w.state.epoch += 5000;
   const n1 = ownerOf(w)!;
   n1.alive = false;
-  w.play(5);
+  w.advance(5);
   n1.boot();
-  w.play(15);
+  w.advance(15);
   const before = Math.max(...[...w.workers.values()].map((x) => x.token));
   loses(
     w,
     new Traffic(w, 1e9),
-    (x) => losses['wiped'](x, x.state.copy()),
+    (x) => losses['wiped'](x, x.state.snapshot()),
     (x) => x.nodes,
     4,
     /^forgotten/,
@@ -267,43 +269,43 @@
   // What nobody knows any more gets 404 after the stated time; nothing else is broken.
   const n = w.nodes[0];
   assert.equal(n.submit(spec('req-7', { team: 'blue' }))?.status, 201);
-  assert.ok(w.playUntil(() => n.controller.replica.jobs.get('req-7')?.state === 'done', 120));
+  assert.ok(w.advanceUntil(() => n.controller.replica.jobs.get('req-7')?.state === 'done', 120));
   assert.ok([...w.workers.values()].some((x) => x.token > before + 2 ** 30));
 });
 
 test('no loss, no doubt: outages, cuts, leases that end, lost answers and restarts are none', () => {
   const { w, users } = served(8);
-  w.state.loses = (txn) => txn.writes.length % 5 === 0;
-  w.after(5000, () => (w.state.down = true));
-  w.after(25_000, () => (w.state.down = false));
-  w.after(40_000, () => (w.nodes[0].cut = true));
-  w.after(55_000, () => (w.nodes[0].cut = false));
-  w.after(60_000, () => (w.nodes[1].frozen = true));
-  w.after(72_000, () => (w.nodes[1].frozen = false));
-  w.after(80_000, () => {
+  w.state.dropsResponseTo = (txn) => txn.writes.length % 5 === 0;
+  w.schedule(5000, () => (w.state.unavailable = true));
+  w.schedule(25_000, () => (w.state.unavailable = false));
+  w.schedule(40_000, () => (w.nodes[0].cutFromState = true));
+  w.schedule(55_000, () => (w.nodes[0].cutFromState = false));
+  w.schedule(60_000, () => (w.nodes[1].paused = true));
+  w.schedule(72_000, () => (w.nodes[1].paused = false));
+  w.schedule(80_000, () => {
     w.nodes[2].alive = false;
-    w.after(3000, () => w.nodes[2].boot());
+    w.schedule(3000, () => w.nodes[2].boot());
   });
-  w.play(110);
-  w.state.loses = () => false;
+  w.advance(110);
+  w.state.dropsResponseTo = () => false;
   users.stop();
-  assert.ok(w.playUntil(() => users.over, 200));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => users.over, 200));
+  assert.deepEqual(w.violations, []);
   assert.deepEqual(
-    w.nodes.map((n) => n.reborn),
+    w.nodes.map((n) => n.recoveryRestarts),
     [0, 0, 0],
   );
 });
 
 test('a worker that makes its token up raises no doubt: no incarnation could go above it', () => {
   const w = new World(3);
-  w.play(6);
+  w.advance(6);
   w.nodes[0].submit(spec('req-1', { team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length > 0, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length > 0, 60));
   for (const x of w.workers.values()) x.token = 2 ** 53 - 1;
-  w.play(30);
+  w.advance(30);
   assert.deepEqual(
-    w.nodes.map((n) => n.reborn),
+    w.nodes.map((n) => n.recoveryRestarts),
     [0, 0, 0],
   );
 });
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -6,10 +6,10 @@
 // Found by seed 4 of "jobs bound to one zone" with the task log: the gang was never placed again.
 test('a gang that is being taken down when its last task completes may be placed again', () => {
   const w = new World(1);
-  w.endless.add('req-1');
-  w.play(5);
+  w.serviceJobs.add('req-1');
+  w.advance(5);
   w.nodes[0].submit(spec('req-1', { shape: 'gang', tasks: 2, cpus: 4, team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   const { shardState } = w.nodes[0].controller.shardManager;
   const job = shardState.jobs.get('req-1')!;
   const [first, last] = [...job.placements.values()];
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -25,17 +25,17 @@
   'new machines are up at once and get work while writes lag, and the leader ends',
   { beforeS: 2, users: burst, world: (seed) => longWorld(seed, { runS: 25, capacity: 60 }) },
   (w, at) => {
-    w.commitMs = () => 300 + 2500 * w.chance();
-    w.cloudMs = () => 3000 * w.chance();
-    const before = w.early;
-    for (let s = 1 + 3 * w.chance(); s < 50; s += 5 + 9 * w.chance())
+    w.commitDelayMs = () => 300 + 2500 * w.random();
+    w.cloudDelayMs = () => 3000 * w.random();
+    const before = w.heartbeatsBeforeRecord;
+    for (let s = 1 + 3 * w.random(); s < 50; s += 5 + 9 * w.random())
       at(s, () => bounce(w, pick(w, [leaderOf(w), leaderOf(w), ownerOf(w)]), 0.2, 5));
-    at(20 * w.chance(), () => (w.cloudLate = 0.3));
-    at(45, () => (w.cloudLate = 0));
+    at(20 * w.random(), () => (w.delayedCloudCallShare = 0.3));
+    at(45, () => (w.delayedCloudCallShare = 0));
     at(58, () => {
-      w.commitMs = w.cloudMs = () => 0;
+      w.commitDelayMs = w.cloudDelayMs = () => 0;
     });
-    return { lastsS: 70, came: () => w.early - before };
+    return { lastsS: 70, came: () => w.heartbeatsBeforeRecord - before };
   },
 );
 
@@ -44,30 +44,30 @@
     `old reports reach every controller just as a new leader begins${slow ? ', before it has read the records' : ''}`,
     { beforeS: 25 },
     (w, at) => {
-      w.keptForNext = 0.3;
-      w.lateReports = 0.1;
+      w.heldHeartbeatShare = 0.3;
+      w.duplicatedHeartbeatShare = 0.1;
       if (slow) {
-        w.readMs = 900;
-        w.commitMs = () => 700 * w.chance();
+        w.snapshotMs = 900;
+        w.commitDelayMs = () => 700 * w.random();
       }
-      for (let s = 3; s < 70; s += 8 + 9 * w.chance()) {
+      for (let s = 3; s < 70; s += 8 + 9 * w.random()) {
         at(s, () => {
           const n = pick(w, [ownerOf(w), leaderOf(w)]);
           const to = pick(w, w.nodes);
           const run = n?.controller.replica.nodes.get(to.member)?.instanceId;
-          if (w.chance() < 0.7) bounce(w, n, 0.2, 6);
+          if (w.random() < 0.7) bounce(w, n, 0.2, 6);
           else if (n && run && to !== n) n.controller.membership.handOver(0, to.member, run);
         });
         // Sessions end, too: what was reported in them must count for nothing.
         const hit = some(w, 0.15);
         at(s - 2, () => hit.forEach((m) => (m.silent = true)));
-        at(s + 22 * w.chance(), () => hit.forEach((m) => (m.silent = false)));
+        at(s + 22 * w.random(), () => hit.forEach((m) => (m.silent = false)));
       }
       at(85, () => {
-        w.keptForNext = w.lateReports = w.readMs = 0;
-        w.commitMs = () => 0;
+        w.heldHeartbeatShare = w.duplicatedHeartbeatShare = w.snapshotMs = 0;
+        w.commitDelayMs = () => 0;
       });
-      return { lastsS: 105, came: () => w.oldCame };
+      return { lastsS: 105, came: () => w.deliveredHeldHeartbeats };
     },
   );
 
@@ -75,20 +75,20 @@
   'a zone with workers and a controller is cut off for longer than a lease',
   { beforeS: 35 },
   (w, at, users) => {
-    const forS = 10 + 45 * w.chance();
+    const forS = 10 + 45 * w.random();
     const zone = pick(w, ['north', 'south']);
     const inside = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)])!;
     const outside = w.nodes.filter((n) => n !== inside);
     let met = 0;
     const cut = (on: boolean): void => {
-      inside.cut = inside.apart = on;
+      inside.cutFromState = inside.isolatedFromPeers = on;
       for (const m of w.workers.values())
         for (const n of w.nodes)
-          if (on && (m.zone === zone) !== (n === inside)) m.cutFrom.add(n.member);
-          else m.cutFrom.delete(n.member);
+          if (on && (m.zone === zone) !== (n === inside)) m.unreachableNodes.add(n.member);
+          else m.unreachableNodes.delete(n.member);
     };
     at(1, () => cut(true));
-    for (let s = 2; s < forS; s += 3 + 5 * w.chance())
+    for (let s = 2; s < forS; s += 3 + 5 * w.random())
       at(s, () => {
         for (const id of users.going.slice(0, 2)) {
           met += w.running(id).filter((r) => w.workers.get(r.host)!.zone === zone).length;
@@ -97,7 +97,7 @@
         // What was rented meanwhile is inside or outside, too.
         if (w.now > 0) cut(true);
       });
-    if (w.chance() < 0.4) at(forS * w.chance(), () => bounce(w, pick(w, outside), 0.5, 6));
+    if (w.random() < 0.4) at(forS * w.random(), () => bounce(w, pick(w, outside), 0.5, 6));
     at(1 + forS, () => cut(false));
     return { lastsS: forS + 20, came: () => met };
   },
@@ -106,23 +106,23 @@
 meeting('all controllers are away for longer than a lease', { beforeS: 30 }, (w, at, users) => {
   let away = 0;
   const how = pick(w, ['killed', 'frozen', 'mixed'] as const);
-  const forS = 18 + 25 * w.chance();
+  const forS = 18 + 25 * w.random();
   at(1, () => users.going.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
-  at(1 + 0.5 * w.chance(), () => {
+  at(1 + 0.5 * w.random(), () => {
     for (const n of w.nodes)
-      if (how === 'killed' || (how === 'mixed' && w.chance() < 0.5)) kill(w, n);
-      else n.frozen = true;
+      if (how === 'killed' || (how === 'mixed' && w.random() < 0.5)) kill(w, n);
+      else n.paused = true;
   });
-  at(forS - 1, () => (away = w.nodes.every((n) => !n.alive || n.frozen) ? 1 : 0));
+  at(forS - 1, () => (away = w.nodes.every((n) => !n.alive || n.paused) ? 1 : 0));
   w.nodes.forEach((n) =>
-    at(forS + 6 * w.chance(), () => {
-      n.frozen = false;
+    at(forS + 6 * w.random(), () => {
+      n.paused = false;
       if (!n.alive) n.boot();
     }),
   );
-  if (w.chance() < 0.4) {
-    at(forS - 2, () => (w.state.down = true));
-    at(forS + 15 * w.chance(), () => (w.state.down = false));
+  if (w.random() < 0.4) {
+    at(forS - 2, () => (w.state.unavailable = true));
+    at(forS + 15 * w.random(), () => (w.state.unavailable = false));
   }
   return { lastsS: forS + 25, came: () => away };
 });
@@ -130,12 +130,12 @@
 meeting('leaders change ten times in two minutes, also inside an outage', { beforeS: 25 }, (w, at, users) => {
   const leaders: string[] = [];
   for (let i = 0; i < 10; i++) {
-    at(2 + 11.5 * i + 3 * w.chance(), () => bounce(w, leaderOf(w) ?? ownerOf(w), 0.3, 6));
-    if (w.chance() < 0.4) at(4 + 11.5 * i, () => users.cancel(pick(w, users.going), pick(w, w.nodes)));
+    at(2 + 11.5 * i + 3 * w.random(), () => bounce(w, leaderOf(w) ?? ownerOf(w), 0.3, 6));
+    if (w.random() < 0.4) at(4 + 11.5 * i, () => users.cancel(pick(w, users.going), pick(w, w.nodes)));
   }
-  const out = 20 + 60 * w.chance();
-  at(out, () => (w.state.down = true));
-  at(out + 8 + 30 * w.chance(), () => (w.state.down = false));
+  const out = 20 + 60 * w.random();
+  at(out, () => (w.state.unavailable = true));
+  at(out + 8 + 30 * w.random(), () => (w.state.unavailable = false));
   for (let s = 0; s < 125; s++)
     at(s, () => {
       const n = leaderOf(w)?.controller.membership.run;
@@ -159,18 +159,18 @@
   },
   (w, at) => {
     let lost = 0;
-    for (let s = 1; s < 60; s += 6 + 6 * w.chance()) {
+    for (let s = 1; s < 60; s += 6 + 6 * w.random()) {
       at(s, () => {
         for (const m of some(w, 0.2)) {
           lost += [...m.tasks.values()].filter((t) => w.specs.get(t.report.job)?.zone != null).length;
-          w.die(m);
+          w.loseMachine(m);
         }
         const mute = some(w, 0.2);
         mute.forEach((m) => (m.silent = true));
-        w.after(4000 + 24_000 * w.chance(), () => mute.forEach((m) => (m.silent = false)));
+        w.schedule(4000 + 24_000 * w.random(), () => mute.forEach((m) => (m.silent = false)));
       });
-      if (w.chance() < 0.3)
-        at(s + 2 * w.chance(), () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.3, 4));
+      if (w.random() < 0.3)
+        at(s + 2 * w.random(), () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.3, 4));
     }
     return { lastsS: 80 + cancelS, came: () => lost };
   },
@@ -184,7 +184,7 @@
     shown: [142],
     world: (seed) => longWorld(seed, { capacity: 6 }),
     users: (w) => {
-      w.runOf = () => 12;
+      w.taskDurationOf = () => 12;
       return new Traffic(
         w,
         1300,
@@ -204,14 +204,14 @@
   (w, at, users) => {
     let short = 0;
     w.fetchS = 3;
-    w.heldMs = () => 300 + 900 * w.chance();
-    w.orderMs = () => 300 + 2500 * w.chance();
-    w.answerMs = 60;
-    for (const n of w.nodes) n.heldMs = 200 + 300 * w.chance();
+    w.responseDelayMs = () => 300 + 900 * w.random();
+    w.directCommandDelayMs = () => 300 + 2500 * w.random();
+    w.responseMs = 60;
+    for (const n of w.nodes) n.peerDelayMs = 200 + 300 * w.random();
     for (let s = 5; s < 70; s += 5) at(s, () => (short += users.going.length > 15 ? 1 : 0));
-    at(30 + 10 * w.chance(), () => bounce(w, pick(w, [leaderOf(w), ownerOf(w)]), 0.3, 4));
+    at(30 + 10 * w.random(), () => bounce(w, pick(w, [leaderOf(w), ownerOf(w)]), 0.3, 4));
     at(70, () => {
-      w.heldMs = w.orderMs = () => 0;
+      w.responseDelayMs = w.directCommandDelayMs = () => 0;
     });
     return { lastsS: 75, came: () => short };
   },
--- a/test/malformed-requests.test.ts
+++ b/test/malformed-requests.test.ts
@@ -88,7 +88,7 @@
 test('a job that can never run gets 422 from every controller, at once and after a restart, 503 until the types are read', () => {
   const w = new World(3, {}, 5);
   w.cloudDown = true;
-  w.play(5);
+  w.advance(5);
   let id = 0;
   const refused = (status: number): void => {
     for (const [why, over] of Object.entries(never))
@@ -99,29 +99,33 @@
   };
   refused(503);
   w.cloudDown = false;
-  assert.ok(w.playUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes.length > 0), 20));
-  w.play(10);
+  assert.ok(w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes.length > 0), 20));
+  w.advance(10);
   refused(422);
   for (const n of w.nodes) n.boot();
-  w.play(0.5);
+  w.advance(0.5);
   for (const n of w.nodes) {
     const a = n.submit(spec(`req-${++id}`, { team: 'green' }));
     assert.ok(a?.status === 422 || a?.status === 503, String(a?.status));
   }
-  w.play(30);
+  w.advance(30);
   refused(422);
-  assert.equal([...w.state.keys.keys()].filter((k) => k.startsWith('dp/j/')).length, 0, 'none was taken in');
+  assert.equal(
+    [...w.state.entries.keys()].filter((k) => k.startsWith('dp/j/')).length,
+    0,
+    'none was taken in',
+  );
 });
 
 test('an array may be larger than its team is allowed at one time; what was accepted is never refused after', () => {
   const w = longWorld(6);
   const job = spec('req-1', { tasks: 40, cpus: 1 });
   assert.equal(w.nodes[0].submit(job)?.status, 201);
-  w.play(5);
+  w.advance(5);
   // The cloud does not offer the type any more.
   w.types = [{ ...w.types[0], name: 'other' }];
   assert.ok(
-    w.playUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes[0]?.name === 'other'), 120),
+    w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes[0]?.name === 'other'), 120),
   );
   for (const n of w.nodes) assert.equal(n.submit({ ...job, types: ['box'] })?.status, 200);
 });
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -19,10 +19,10 @@
 export function flood(say: (text: string) => void): void {
   for (const [name, operators] of ways) {
     const w = floodable(operators);
-    const refused = w.state.refused;
+    const refused = w.state.rateLimitedCount;
     const commits = w.commits.length;
     const users = new Flood(w, flooding);
-    w.play(60);
+    w.advance(60);
     const during = users.jobs.filter((j) => j.acceptedAt > 0);
     const written = w.commits
       .slice(commits)
@@ -32,7 +32,7 @@
     const shares = flooding.map(
       (s, i) => during.filter((j) => j.stream === s).length / 60 / owed(during.length / 60)[i],
     );
-    w.play(70);
+    w.advance(70);
     say(`${name}: 40 jobs a second of one class for 60 s, 30 writes a second (simulated)`);
     for (const { name: of } of flooding) {
       const f = users.of(of);
@@ -41,7 +41,7 @@
       );
     }
     const all = w.commits.length - commits;
-    const bad = w.state.refused - refused;
+    const bad = w.state.rateLimitedCount - refused;
     say(
       `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written a second; ${bad} of ${all} commits refused (${((100 * bad) / all).toFixed(1)}%)`,
     );
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -16,10 +16,10 @@
   const w = new World(3, { 'level-most': most, 'idle-boots': 1000 });
   w.state.writesPerS = 40;
   w.capacity = machines;
-  w.play(6);
+  w.advance(6);
   w.nodes[0].submit(spec('req-999999', { tasks: machines * 8, team: 'blue' }));
-  w.playUntil(() => w.finished.length === machines * 8, 240);
-  w.play(5);
+  w.advanceUntil(() => w.finished.length === machines * 8, 240);
+  w.advance(5);
   return w;
 }
 
@@ -29,7 +29,7 @@
 /** One-task jobs at a rate: how many are accepted within a second and done, and what each writes. */
 function rate(most: number, perS: number): string {
   const w = world(most);
-  for (const x of w.workers.values()) x.runS = 8;
+  for (const x of w.workers.values()) x.taskDurationS = 8;
   const before = writesOf(w);
   const took: number[] = [];
   const open = new Map<number, { at: number; n: Node }>();
@@ -42,7 +42,7 @@
   const look = (): void => {
     for (const id of submitted.keys()) {
       if (doneAt.has(id)) continue;
-      if ((w.state.keys.get(`dp/j/${id}`)?.data as { s?: string } | undefined)?.s === 'done')
+      if ((w.state.entries.get(`dp/j/${id}`)?.data as { s?: string } | undefined)?.s === 'done')
         doneAt.set(id, w.now);
     }
   };
@@ -55,9 +55,9 @@
       open.set(sent, { at: w.now, n });
       submitted.set(id, w.now);
     }
-    w.play(0.01);
+    w.advance(0.01);
     for (const [rid, o] of open) {
-      const a = o.n.answers.get(rid);
+      const a = o.n.responses.get(rid);
       if (!a && w.now - o.at < 10_000) continue;
       open.delete(rid);
       if (a?.status === 201) took.push(w.now - o.at);
@@ -66,7 +66,7 @@
   }
   for (let i = 0; i < 600; i++) {
     look();
-    w.play(0.1);
+    w.advance(0.1);
   }
   const perJob = (writesOf(w) - before) / Math.max(1, doneAt.size);
   const lag = [...doneAt].map(([id, at]) => (at - submitted.get(id)!) / 1000);
@@ -74,7 +74,7 @@
   return (
     `level ${levelOf(w).level}, ${perS} a second: ${((100 * quick) / sent).toFixed(0)}% accepted within 1 s, ${late} refused; ` +
     `done after p50 ${quantile(lag, 0.5)} s, p95 ${quantile(lag, 0.95)} s (tasks run 8 s), ${doneAt.size} of ${sent}; ` +
-    `${perJob.toFixed(2)} writes a job, ${w.state.refused} commits refused`
+    `${perJob.toFixed(2)} writes a job, ${w.state.rateLimitedCount} commits refused`
   );
 }
 
@@ -82,8 +82,8 @@
 function replace(who: 'owner' | 'leader' | 'neither', orderly: boolean, machines: number): string {
   const w = world(0, machines);
   const users = new Traffic(w, 100, () => ({ cpus: 0.5 }), 1e9);
-  for (const x of w.workers.values()) x.runS = 10;
-  w.play(20);
+  for (const x of w.workers.values()) x.taskDurationS = 10;
+  w.advance(20);
   const owner = ownerOf(w)!;
   const leader = leaderOf(w)!;
   const n =
@@ -93,16 +93,16 @@
   const at = w.now;
   if (orderly) {
     n.push({ type: 'shut-down' });
-    w.playUntil(() => n.controller.phase === 'gone', 20);
+    w.advanceUntil(() => n.controller.phase === 'gone', 20);
   }
   const left = w.now - at;
   restart(w, n, () => undefined, 4);
-  w.play(25);
+  w.advance(25);
   const times = [at, ...w.starts.slice(starts).map((s) => s.at)];
   const gap = Math.max(...times.slice(1).map((t, i) => t - times[i]));
   return (
     `${who}${owner === leader ? ' (one and the same)' : ''}, ${orderly ? `orderly (gone after ${left} ms)` : 'by kill'}: ` +
-    `at most ${gap} ms without a placement, ${users.failed - failed} requests failed, ${w.broken.length} rules broken`
+    `at most ${gap} ms without a placement, ${users.failed - failed} requests failed, ${w.violations.length} rules broken`
   );
 }
 
@@ -113,19 +113,19 @@
   w.state.writesPerS = 40;
   w.capacity = 2;
   withWorkers(w, placed);
-  for (const [id] of placed) w.endless.add(id);
-  w.playUntil(() => levelOf(w).level >= 2, 30);
-  const left = () => [...w.state.keys.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
+  for (const [id] of placed) w.serviceJobs.add(id);
+  w.advanceUntil(() => levelOf(w).level >= 2, 30);
+  const left = () => [...w.state.entries.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
   const waits: number[][] = [];
   const began = w.now;
   let took = 0;
   for (const phase of ['while', 'after']) {
     const users = new Traffic(w, 200, () => ({ cpus: 0.01 }), 1e9, phase === 'while' ? 20_000 : 40_000);
     const from = w.now;
-    w.playUntil(() => (phase === 'while' ? left() === 0 : w.now - from > 60_000), 600);
+    w.advanceUntil(() => (phase === 'while' ? left() === 0 : w.now - from > 60_000), 600);
     if (phase === 'while') took = (w.now - began) / 1000;
     users.stop();
-    w.play(10);
+    w.advance(10);
     waits.push(users.acceptedAfter);
   }
   const p = (list: number[]) =>
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -2,10 +2,10 @@
 import { spec, World } from './support/world.js';
 
 const losses: Record<string, (w: World) => void> = {
-  wiped: (w) => w.state.lose([], 1),
+  wiped: (w) => w.state.loseData([], 1),
   'every second record gone': (w) =>
-    w.state.lose(
-      [...w.state.keys].filter((_, i) => i % 2 === 0),
+    w.state.loseData(
+      [...w.state.entries].filter((_, i) => i % 2 === 0),
       w.state.epoch,
     ),
 };
@@ -20,8 +20,8 @@
       Object.assign(n.settings.workers, { lease_s: 24, report_s: 5, cancel_s: 49 });
       n.boot();
     }
-    w.reportMs = 5000;
-    w.play(8);
+    w.heartbeatMs = 5000;
+    w.advance(8);
     let rid = 0;
     // Some that are over, and some that run for long.
     for (let i = 0; i < 700; i++)
@@ -31,8 +31,8 @@
         spec: spec(`req-${1000 + i}`, { team: 'blue', tasks: 1, cpus: 0.1 }),
       });
     for (let i = 0; i < 60; i++) {
-      for (const x of w.workers.values()) x.runS = 2;
-      w.play(1);
+      for (const x of w.workers.values()) x.taskDurationS = 2;
+      w.advance(1);
     }
     w.state.writesPerS = 35;
     for (const n of w.nodes) n.settings.state.write_rps = 35;
@@ -43,10 +43,10 @@
         spec: spec(`req-${3000 + i}`, { team: 'blue', tasks: 100, cpus: 1, estimateS: 1000 }),
       });
     for (let i = 0; i < 90; i++) {
-      for (const x of w.workers.values()) x.runS = 1000;
-      w.play(1);
+      for (const x of w.workers.values()) x.taskDurationS = 1000;
+      w.advance(1);
     }
-    const keys = w.state.keys.size;
+    const keys = w.state.entries.size;
     const running = () =>
       [...w.workers.values()].reduce(
         (n, x) => n + [...x.tasks.values()].filter((t) => t.report.phase === 'running').length,
@@ -59,7 +59,7 @@
     const commits = w.commits.length;
     lose(w);
     const when = (line: string): string => {
-      w.playUntil(() => w.nodes.some((n) => n.logged.some((l) => l[1] === line)), 150);
+      w.advanceUntil(() => w.nodes.some((n) => n.logLines.some((l) => l[1] === line)), 150);
       return ((w.now - at) / 1000).toFixed(1);
     };
     const noticed = when('state service has lost data');
@@ -70,7 +70,7 @@
       .slice(commits)
       .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.writes.length : 0), 0);
     const first = w.starts.length;
-    w.playUntil(() => w.starts.length > first, 60);
+    w.advanceUntil(() => w.starts.length > first, 60);
     say(
       `${what}: 900 machines, ${keys} keys, ${jobs} jobs, ${before} tasks running, 35 writes a second (simulated)`,
     );
@@ -78,7 +78,7 @@
       `  noticed after ${noticed} s, work goes on after ${goes} s, rebuilt after ${whole} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
     );
     say(
-      `  ${writes} writes; ${done()} jobs known; ${least} tasks ran when work went on, ${running()} now; ${w.broken.length} rules broken`,
+      `  ${writes} writes; ${done()} jobs known; ${least} tasks ran when work went on, ${running()} now; ${w.violations.length} rules broken`,
     );
   }
 }
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -32,8 +32,8 @@
 function costOf(tasksPerJob: number, operators: Record<string, number>): Cost {
   const w = new World(3, operators, 1);
   w.capacity = machines;
-  w.runS = runS;
-  w.play(10);
+  w.taskDurationS = runS;
+  w.advance(10);
   const jobs = Math.max(jobsAtLeast, Math.ceil(startsAtLeast / tasksPerJob));
   const from = w.commits.length;
   const beganAt = w.now;
@@ -41,13 +41,13 @@
     const job = spec(`req-${i + 1}`, { tasks: tasksPerJob, team: 'blue', cpus: 0.2 });
     w.nodes[i % w.nodes.length].push({ type: 'submit', rid: firstRequest + i, spec: job });
   }
-  w.playUntil(() => w.finished.length >= jobs * tasksPerJob, 600);
+  w.advanceUntil(() => w.finished.length >= jobs * tasksPerJob, 600);
   const tookS = (w.now - beganAt) / 1000;
-  w.play(10);
+  w.advance(10);
   const writes: Record<WriteKind, number> = { accept: 0, tasks: 0, final: 0, drop: 0, other: 0 };
   for (const { txn, outcome } of w.commits.slice(from))
     if (outcome.type === 'ok') for (const write of txn.writes) writes[kindOf(write)]++;
-  return { starts: w.starts.length, writes, tookS, broken: w.broken.length };
+  return { starts: w.starts.length, writes, tookS, broken: w.violations.length };
 }
 
 export async function writes(say: Say): Promise<void> {
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -8,32 +8,32 @@
 
 /** Answers of the state service are under way for some time, so that what one node knows the others do not know yet. */
 function slowly(w: World): void {
-  w.commitMs = () => (w.chance() < 0.5 ? 60 * w.chance() : 0);
-  w.answerMs = 5 + Math.floor(60 * w.chance());
-  for (const n of w.nodes) n.heldMs = w.chance() < 0.4 ? 400 * w.chance() : 0;
+  w.commitDelayMs = () => (w.random() < 0.5 ? 60 * w.random() : 0);
+  w.responseMs = 5 + Math.floor(60 * w.random());
+  for (const n of w.nodes) n.peerDelayMs = w.random() < 0.4 ? 400 * w.random() : 0;
 }
 
 meeting('close looks at all nodes after a job was accepted, ended or cancelled', {}, (w, at, users) => {
   users.closely(0.7, 0.2, 0.3);
   slowly(w);
-  for (let s = 5; s < 60; s += 6 + 8 * w.chance())
+  for (let s = 5; s < 60; s += 6 + 8 * w.random())
     at(s, () => {
-      const how = w.chance();
+      const how = w.random();
       const n = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
       if (how < 0.25) bounce(w, n, 0.3, 5);
       else if (how < 0.5 && n) {
-        n.cut = true;
-        w.after(12_000 * w.chance(), () => (n.cut = false));
+        n.cutFromState = true;
+        w.schedule(12_000 * w.random(), () => (n.cutFromState = false));
       } else if (how < 0.65 && n) {
-        n.frozen = true;
-        w.after(4000 * w.chance(), () => (n.frozen = false));
+        n.paused = true;
+        w.schedule(4000 * w.random(), () => (n.paused = false));
       } else if (how < 0.8) {
-        w.state.down = true;
-        w.after(8000 * w.chance(), () => (w.state.down = false));
+        w.state.unavailable = true;
+        w.schedule(8000 * w.random(), () => (w.state.unavailable = false));
       }
-      for (const x of w.nodes) x.apart = w.chance() < 0.15;
+      for (const x of w.nodes) x.isolatedFromPeers = w.random() < 0.15;
     });
-  at(75, () => w.nodes.forEach((n) => (n.apart = n.cut = n.frozen = false)));
+  at(75, () => w.nodes.forEach((n) => (n.isolatedFromPeers = n.cutFromState = n.paused = false)));
   return {
     lastsS: 80,
     came: () => Math.min(users.looks.accepted, users.looks.done, users.looks.aborted),
@@ -45,8 +45,8 @@
   {},
   (w, _, users) => {
     users.closely(0.6, 0, 0.9);
-    w.answerMs = 5 + Math.floor(80 * w.chance());
-    w.commitMs = () => 500 * w.chance();
+    w.responseMs = 5 + Math.floor(80 * w.random());
+    w.commitDelayMs = () => 500 * w.random();
     return { lastsS: 60, came: () => users.looks.atEnd };
   },
 );
@@ -60,13 +60,13 @@
 function lossyWorld(seed: number): World {
   return longWorld(seed, {
     prepare: (w) => {
-      const share = 0.25 + 0.35 * w.chance();
-      w.state.loses = (txn) => {
-        if (w.chance() >= share) return false;
+      const share = 0.25 + 0.35 * w.random();
+      w.state.dropsResponseTo = (txn) => {
+        if (w.random() >= share) return false;
         for (const k of kindsOf(txn.writes.map((a) => a.key))) lostKinds.set(k, (lostKinds.get(k) ?? 0) + 1);
         return true;
       };
-      w.lostMs = () => (w.chance() < 0.5 ? 20 : 1500 * w.chance());
+      w.lostResponseNoticedMs = () => (w.random() < 0.5 ? 20 : 1500 * w.random());
     },
   });
 }
@@ -77,15 +77,15 @@
   (w, at, users) => {
     users.closely(0.4, 0.2, 0.3);
     const before = [...lostKinds.values()].reduce((a, b) => a + b, 0);
-    for (let s = 3; s < 60; s += 9 + 9 * w.chance())
+    for (let s = 3; s < 60; s += 9 + 9 * w.random())
       at(s, () => {
         const owner = ownerOf(w);
         const to = pick(w, w.nodes);
         const run = owner?.controller.replica.nodes.get(to.member)?.instanceId;
-        if (w.chance() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
+        if (w.random() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
         else if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
       });
-    at(68, () => (w.state.loses = () => false));
+    at(68, () => (w.state.dropsResponseTo = () => false));
     return { lastsS: 70, came: () => [...lostKinds.values()].reduce((a, b) => a + b, 0) - before };
   },
 );
@@ -115,14 +115,14 @@
     users.closely(0.1, 0.05, 0.08);
     w.state.writesPerS = 80;
     const leaders = new Set<string>();
-    for (let s = 20; s < 110; s += 25 + 20 * w.chance())
+    for (let s = 20; s < 110; s += 25 + 20 * w.random())
       at(s, () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.5, 4));
     for (let s = 1; s < 120; s++) at(s, () => void leaders.add(leaderOf(w)?.member ?? '-'));
     return {
       lastsS: 120,
       came: () => leaders.size - 1,
       over: () => {
-        w.play(60);
+        w.advance(60);
         const jobs = users.jobs.size;
         assert.ok(jobs > 400, `${jobs} jobs`);
         for (const n of w.nodes)
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -7,11 +7,11 @@
 
 const upWith = (nodes: number, tasks: number, cpus = 1): World => {
   const w = new World(nodes);
-  assert.ok(w.playUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20));
-  w.play(2);
+  assert.ok(w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20));
+  w.advance(2);
   if (tasks === 0) return w;
   w.nodes[0].submit(spec('req-1', { team: 'blue', shape: 'service', tasks, cpus }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === tasks, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === tasks, 60));
   return w;
 };
 const ownerOf = (w: World): Node =>
@@ -20,44 +20,44 @@
 
 test('an outage longer than the view stays fresh: the others vouch, no task loses its lease', () => {
   const w = upWith(3, 6);
-  w.state.down = true;
-  w.play(90);
+  w.state.unavailable = true;
+  w.advance(90);
   assert.deepEqual(new Set(sessions(w)), new Set([1]));
   const known = w.nodes[1].status('req-1');
   assert.equal(known?.status, 200);
   assert.equal(w.nodes[1].status('req-2')?.status, 503);
-  w.state.down = false;
-  w.play(10);
+  w.state.unavailable = false;
+  w.advance(10);
   assert.equal(w.running('req-1').length, 6);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('nobody vouches for what a process that is gone may have told', () => {
   const w = upWith(3, 6);
   const other = w.nodes.find((n) => n !== ownerOf(w))!;
-  w.state.down = true;
-  w.play(1);
+  w.state.unavailable = true;
+  w.advance(1);
   other.alive = false;
-  w.play(4);
+  w.advance(4);
   other.boot();
-  w.play(60);
+  w.advance(60);
   // Workers were let go when the view was too old.
   assert.ok(sessions(w).every((s) => s > 1));
-  w.state.down = false;
-  assert.ok(w.playUntil(() => w.running('req-1').length === 6, 90));
-  assert.deepEqual(w.broken, []);
+  w.state.unavailable = false;
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 6, 90));
+  assert.deepEqual(w.violations, []);
 });
 
 test('an owner cut off alone learns a cancellation from the others before it answers on', () => {
   const w = upWith(3, 4);
   const owner = ownerOf(w);
   const other = w.nodes.find((n) => n !== owner)!;
-  owner.cut = true;
-  assert.equal(other.withdraw('req-1')?.body['status'], 'aborted');
+  owner.cutFromState = true;
+  assert.equal(other.cancel('req-1')?.body['status'], 'aborted');
   w.cancelledAt.set('req-1', w.now);
-  w.play(60);
+  w.advance(60);
   assert.equal(w.running('req-1').length, 0);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('vouching: every peer, the same process as before, and all it knows', () => {
@@ -98,24 +98,24 @@
 
 test('all controllers are killed in an outage of the state service, and again while they read', () => {
   const w = upWith(3, 5);
-  w.readMs = 1500;
-  w.state.down = true;
-  w.play(3);
+  w.snapshotMs = 1500;
+  w.state.unavailable = true;
+  w.advance(3);
   for (const n of w.nodes) n.alive = false;
-  w.play(4);
+  w.advance(4);
   for (const n of w.nodes) n.boot();
-  w.play(3);
+  w.advance(3);
   // Whoever comes finds somebody: nobody else has the state either.
   assert.ok(w.nodes.some((n) => n.controller.freshness.isStoreUnreachable || !n.controller.healthy));
-  w.state.down = false;
-  w.play(1);
+  w.state.unavailable = false;
+  w.advance(1);
   for (const n of w.nodes) n.alive = false;
-  w.play(4);
+  w.advance(4);
   for (const n of w.nodes) n.boot();
-  assert.ok(w.playUntil(() => w.nodes[1].status('req-1')?.status === 200, 10));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 5, 60));
-  w.play(20);
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.nodes[1].status('req-1')?.status === 200, 10));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 5, 60));
+  w.advance(20);
+  assert.deepEqual(w.violations, []);
 });
 
 test('controllers killed in turn every few seconds: work goes on, nothing runs twice', () => {
@@ -126,38 +126,38 @@
     for (let i = 0; i < 16; i++) {
       const n = w.nodes[i % 3];
       n.alive = false;
-      w.after(4000, () => n.boot());
-      w.play(everyS);
+      w.schedule(4000, () => n.boot());
+      w.advance(everyS);
     }
     assert.ok(
-      w.playUntil(() => w.finished.length === 24, 200),
+      w.advanceUntil(() => w.finished.length === 24, 200),
       `every ${everyS} s: ${w.finished.length}`,
     );
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   }
 });
 
 test('a leader that dies between a rental and its record, at many moments: no machine is forgotten, no name used again', () => {
   for (let seed = 0; seed < 1000; seed++) {
     const w = new World(2, {}, seed);
-    w.reportMs = 1000;
-    w.play(1.2);
+    w.heartbeatMs = 1000;
+    w.advance(1.2);
     w.nodes[0].push({ type: 'submit', rid: 1, spec: spec('req-1', { team: 'blue', tasks: 8, cpus: 4 }) });
-    w.playUntil(() => w.rentals.length > 0, 5);
+    w.advanceUntil(() => w.rentals.length > 0, 5);
     assert.ok(w.rentals.length > 0);
     const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
     // Within the 60 ms that answer, record and its answer take, in steps of the world's clock.
-    w.play((seed % 7) / 100);
+    w.advance((seed % 7) / 100);
     leader.alive = false;
-    if (seed % 3 === 0) w.after(2000 + seed, () => leader.boot());
-    w.play(4.5 + (seed % 5) / 10);
+    if (seed % 3 === 0) w.schedule(2000 + seed, () => leader.boot());
+    w.advance(4.5 + (seed % 5) / 10);
     assert.equal(new Set(w.rentals.map((r) => r.name)).size, w.rentals.length);
     // Whoever leads now has every machine in its books, or learns of it from its worker's next reports.
     const other = w.nodes.find((n) => n !== leader)!;
     const known = (): boolean =>
       [...w.workers.keys()].every((h) => other.controller.replica.machines.has(h) || w.deleted.includes(h));
-    assert.ok(w.playUntil(known, 20), `seed ${seed}`);
-    assert.deepEqual(w.broken, []);
+    assert.ok(w.advanceUntil(known, 20), `seed ${seed}`);
+    assert.deepEqual(w.violations, []);
   }
 });
 
@@ -165,20 +165,20 @@
   for (const hungS of [8, 25]) {
     const w = new World(3, {});
     w.capacity = 650;
-    w.play(3);
+    w.advance(3);
     for (let i = 0; i < 3; i++)
       w.nodes[i].submit(spec(`req-${i + 1}`, { team: 'blue', shape: 'service', tasks: 100, cpus: 8 }));
     const all = (): number => [1, 2, 3].reduce((n, i) => n + w.running(`req-${i}`).length, 0);
-    assert.ok(w.playUntil(() => all() === 300, 60));
+    assert.ok(w.advanceUntil(() => all() === 300, 60));
     const hung = [...w.workers.values()];
     for (const x of hung) x.hung = true;
-    w.play(hungS);
+    w.advance(hungS);
     for (const x of hung) x.hung = false;
-    w.play(3);
+    w.advance(3);
     const kept = hung.filter((x) => w.workers.get(x.host) === x && x.session === 1).length;
     assert.equal(kept, hungS < 16 ? 300 : 0);
-    assert.ok(w.playUntil(() => all() === 300, 60));
-    assert.deepEqual(w.broken, []);
+    assert.ok(w.advanceUntil(() => all() === 300, 60));
+    assert.deepEqual(w.violations, []);
   }
 });
 
@@ -186,71 +186,71 @@
   const w = upWith(3, 8);
   const first = ownerOf(w);
   first.alive = false;
-  assert.ok(w.playUntil(() => ownerOf(w) !== undefined && ownerOf(w) !== first, 20));
+  assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined && ownerOf(w) !== first, 20));
   const owner = ownerOf(w);
   const inside = [...w.workers.values()].filter((x) => x.zone === 'south');
-  for (const x of inside) for (const n of w.nodes) x.cutFrom.add(n.member);
-  w.play(60);
+  for (const x of inside) for (const n of w.nodes) x.unreachableNodes.add(n.member);
+  w.advance(60);
   assert.equal(ownerOf(w), owner);
   assert.equal(w.running('req-1').length, 8);
-  for (const x of inside) x.cutFrom.clear();
-  w.play(30);
-  assert.deepEqual(w.broken, []);
+  for (const x of inside) x.unreachableNodes.clear();
+  w.advance(30);
+  assert.deepEqual(w.violations, []);
 });
 
 test('the state service answers thirty times slower: an owner stays, work starts and ends', () => {
   const w = upWith(3, 0);
-  w.answerMs = 300;
+  w.responseMs = 300;
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 6 }));
-  assert.ok(w.playUntil(() => w.finished.length === 6, 120));
-  assert.ok(w.playUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 30));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.finished.length === 6, 120));
+  assert.ok(w.advanceUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 30));
+  assert.deepEqual(w.violations, []);
 });
 
 test('429 for all but one controller: that one serves, the others send workers to it', () => {
   const w = upWith(3, 4);
   const free = w.nodes.find((n) => n !== ownerOf(w))!;
-  for (const n of w.nodes) n.throttled = n !== free;
-  w.play(30);
+  for (const n of w.nodes) n.rateLimited = n !== free;
+  w.advance(30);
   assert.equal(ownerOf(w), free);
   free.submit(spec('req-2', { team: 'blue', tasks: 3 }));
-  assert.ok(w.playUntil(() => w.finished.length === 3, 90));
+  assert.ok(w.advanceUntil(() => w.finished.length === 3, 90));
   assert.equal(w.running('req-1').length, 4);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('an owner cut off from workers hands its shard over: no task is lost, no worker goes without an answer', () => {
   const w = upWith(3, 12, 4);
   const owner = ownerOf(w);
-  w.play(70);
+  w.advance(70);
   for (const x of w.workers.values()) {
-    x.cutFrom.add(owner.member);
-    x.gapMs = 0;
+    x.unreachableNodes.add(owner.member);
+    x.longestGapMs = 0;
   }
-  assert.ok(w.playUntil(() => ownerOf(w) !== owner, 40));
-  w.play(10);
+  assert.ok(w.advanceUntil(() => ownerOf(w) !== owner, 40));
+  w.advance(10);
   assert.deepEqual(new Set(sessions(w)), new Set([1]));
-  for (const x of w.workers.values()) assert.ok(x.gapMs < w.leaseMs / 2, `${x.gapMs} ms`);
+  for (const x of w.workers.values()) assert.ok(x.longestGapMs < w.leaseMs / 2, `${x.longestGapMs} ms`);
   assert.equal(w.running('req-1').length, 12);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('an owner short of time has others keep its workers: their reports reach it all the same', () => {
   const w = upWith(3, 16);
   const owner = ownerOf(w);
-  const direct = (): number => [...w.workers.values()].filter((x) => x.node === owner).length;
+  const direct = (): number => [...w.workers.values()].filter((x) => x.currentNode === owner).length;
   assert.equal(direct(), w.workers.size);
   for (let i = 0; i < 40; i++) {
     owner.push({ type: 'load', busy: 0.9, connections: 100 });
-    w.play(0.5);
+    w.advance(0.5);
   }
   assert.ok(direct() < w.workers.size / 2, `${direct()} of ${w.workers.size}`);
   w.nodes[0].submit(spec('req-2', { team: 'blue', tasks: 4 }));
-  assert.ok(w.playUntil(() => w.finished.length === 4, 90));
+  assert.ok(w.advanceUntil(() => w.finished.length === 4, 90));
   assert.deepEqual(new Set(sessions(w)), new Set([1]));
   for (let i = 0; i < 20; i++) {
     owner.push({ type: 'load', busy: 0.1, connections: 10 });
-    w.play(0.5);
+    w.advance(0.5);
   }
   assert.equal(direct(), w.workers.size);
 });
@@ -298,17 +298,17 @@
   const w = upWith(1, 0);
   w.fetchS = 25;
   w.nodes[0].submit(spec('req-1', { team: 'blue', shape: 'gang', tasks: 3, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 3, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
   const attempts = () =>
     new Set([...w.workers.values()].flatMap((x) => [...x.tasks.values()].map((t) => t.report.attempt)));
   const lost = w.running('req-1')[0].host;
   // A worker that lost its session tells so at once: nothing has to be waited for.
-  w.workers.get(lost)!.forget();
-  assert.ok(w.playUntil(() => w.running('req-1').length === 3, 20));
+  w.workers.get(lost)!.expireLease();
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 20));
   assert.deepEqual(attempts(), new Set([1]));
-  assert.ok(w.playUntil(() => w.finished.length === 3, 90));
+  assert.ok(w.advanceUntil(() => w.finished.length === 3, 90));
   assert.equal(w.starts.length, 4);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('the phases of a start, forward and back, and how long they took', () => {
@@ -351,16 +351,16 @@
 // Guards against a fleet that is given back because nothing could be placed on it while the state service was away.
 test('an outage longer than machines may stand idle: they are there for the work that comes after it', () => {
   const w = new World(3);
-  w.runS = 10;
-  assert.ok(w.playUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20));
-  w.play(2);
+  w.taskDurationS = 10;
+  assert.ok(w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20));
+  w.advance(2);
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 4, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 4, 60));
-  w.state.down = true;
-  w.play(60);
-  w.state.down = false;
-  w.play(3);
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 4, 60));
+  w.state.unavailable = true;
+  w.advance(60);
+  w.state.unavailable = false;
+  w.advance(3);
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 4, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.running('req-2').length === 4, 8));
-  assert.deepEqual([w.deleted, w.broken], [[], []]);
+  assert.ok(w.advanceUntil(() => w.running('req-2').length === 4, 8));
+  assert.deepEqual([w.deleted, w.violations], [[], []]);
 });
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -14,12 +14,12 @@
 ): void {
   const w = longWorld(1, { capacity, prepare });
   const users = new Traffic(w, 1000, (n) => ({ tasks: 1, ...jobs[n - 100] }), 1e9);
-  w.play(jobs.length + 0.5);
+  w.advance(jobs.length + 0.5);
   users.stop();
   const waiting = new Waiting(w, users);
-  w.play((3 * mostWaitMs) / 1000);
+  w.advance((3 * mostWaitMs) / 1000);
   waiting.stop();
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
   if (process.env['MEETING_TELL'])
     console.log(
       waiting.mostMs,
@@ -52,11 +52,11 @@
     1,
     Array.from({ length: 6 }, () => ({ team: 'blue', cpus: 1 })),
     (w) => {
-      const sick = (is: boolean): void => w.workers.forEach((m) => (m.sick = is));
-      w.after(7000, () => sick(true));
-      w.after(20_000, () => sick(false));
-      w.after(20_000, () => {
-        failed = w.nodes.some((n) => n.logged.some((l) => l[2]?.['why'] === 'error'));
+      const sick = (is: boolean): void => w.workers.forEach((m) => (m.failsTasks = is));
+      w.schedule(7000, () => sick(true));
+      w.schedule(20_000, () => sick(false));
+      w.schedule(20_000, () => {
+        failed = w.nodes.some((n) => n.logLines.some((l) => l[2]?.['why'] === 'error'));
         assert.ok(w.running('req-100').length > 0);
       });
     },
@@ -93,6 +93,6 @@
   for (const over of [{ types: ['gpu-box'] }, { memGb: 64 }])
     stage(1, [{ team: 'blue', cpus: 2, estimateS: 5000, ...over }], (w) => {
       w.types = [box, { ...gpuBox, memGb: 128 }];
-      w.after(120_000, () => assert.equal(w.running('req-100').length, 1));
+      w.schedule(120_000, () => assert.equal(w.running('req-100').length, 1));
     });
 });
--- a/test/roll.ts
+++ b/test/roll.ts
@@ -62,18 +62,18 @@
     n.program = program;
     n.boot();
   }
-  w.play(5);
+  w.advance(5);
   const [n] = w.nodes;
   n.submit(spec('req-1', { tasks: 1, team: 'blue' }));
   n.submit(spec('req-2', { tasks: 3, team: 'blue', shape: 'gang', cpus: 4 }));
   n.submit(spec('req-3', { tasks: 200, team: 'red' }));
   n.submit(spec('req-4', { tasks: 2, team: 'blue', shape: 'service' }));
-  w.playUntil(() => n.status('req-1')?.body['status'] === 'done', 120);
+  w.advanceUntil(() => n.status('req-1')?.body['status'] === 'done', 120);
   n.submit(spec('req-5', { tasks: 2, team: 'blue' }));
   n.submit(spec('req-6', { tasks: 1, team: 'blue', cpus: 8 }));
-  w.playUntil(() => w.running('req-5').length === 2, 60);
-  n.withdraw('req-5');
-  const keys = [...w.state.keys.values()].map(({ key, data, stamp }) => ({ key, data, stamp }));
+  w.advanceUntil(() => w.running('req-5').length === 2, 60);
+  n.cancel('req-5');
+  const keys = [...w.state.entries.values()].map(({ key, data, stamp }) => ({ key, data, stamp }));
   const text = JSON.stringify({ program: revision, epoch: w.state.epoch, keys }, null, 1);
   mkdirSync('test/fixtures', { recursive: true });
   writeFileSync('test/fixtures/before-levels.json', `${text}\n`);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -6,7 +6,7 @@
 
 const up = (w: World): void =>
   assert.ok(
-    w.playUntil(
+    w.advanceUntil(
       () =>
         w.nodes.every(
           (n) =>
@@ -23,14 +23,14 @@
   up(w);
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
   assert.equal(w.nodes[1].submit(spec('req-1'))?.status, 200);
-  assert.ok(w.playUntil(() => w.nodes[2].status('req-1')?.body['status'] === 'done', 120));
+  assert.ok(w.advanceUntil(() => w.nodes[2].status('req-1')?.body['status'] === 'done', 120));
   for (const n of w.nodes) {
     assert.equal(n.status('req-1')?.body['status'], 'done');
-    assert.equal(n.withdraw('req-1')?.body['status'], 'done');
+    assert.equal(n.cancel('req-1')?.body['status'], 'done');
     assert.equal(n.submit(spec('req-1'))?.status, 200);
   }
   assert.equal(w.finished.length, 2);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('not_done: the end is told only after every task is done and durable', () => {
@@ -38,7 +38,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 12, team: 'blue' }));
   let toldAt = -1;
-  w.playUntil(() => {
+  w.advanceUntil(() => {
     if (w.nodes[0].status('req-1')?.body['status'] === 'done') toldAt = w.finished.length;
     return toldAt >= 0;
   }, 200);
@@ -49,25 +49,25 @@
   const w = new World(3);
   up(w);
   assert.equal(w.nodes[0].status('req-77')?.status, 404);
-  assert.equal(w.nodes[0].withdraw('req-77')?.status, 404);
+  assert.equal(w.nodes[0].cancel('req-77')?.status, 404);
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
   for (const n of w.nodes) n.alive = false;
-  w.play(4);
+  w.advance(4);
   for (const n of w.nodes) n.boot();
-  w.play(1);
+  w.advance(1);
   for (const n of w.nodes) assert.equal(n.status('req-1')?.status, 200);
-  assert.ok(w.playUntil(() => w.nodes[1].status('req-1')?.body['status'] === 'done', 120));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.nodes[1].status('req-1')?.body['status'] === 'done', 120));
+  assert.deepEqual(w.violations, []);
 });
 
 test('forgotten: a view that lags behind makes no 404 and no 422 of an accepted job', () => {
   const w = new World(2);
   up(w);
-  w.nodes[1].cut = true;
+  w.nodes[1].cutFromState = true;
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
   assert.equal(w.nodes[1].status('req-1')?.status, 503);
   assert.equal(w.nodes[1].submit(spec('req-1', { team: 'nobody' }))?.status, 503);
-  w.nodes[1].cut = false;
+  w.nodes[1].cutFromState = false;
   assert.equal(w.nodes[1].status('req-1')?.status, 200);
 });
 
@@ -79,7 +79,7 @@
   assert.equal(n.submit(spec('req-2', { cpus: 9 }))?.status, 422);
   assert.equal(n.submit(spec('req-3', { shape: 'gang', tasks: 17 }))?.status, 422);
   assert.equal(n.submit(spec('req-4', { tasks: 17 }))?.status, 201);
-  w.state.down = true;
+  w.state.unavailable = true;
   const before = w.now;
   const a = n.submit(spec('req-5'));
   assert.equal(a?.status, 503);
@@ -92,7 +92,7 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 30, cpus: 1 }));
   let most = 0;
-  w.playUntil(() => {
+  w.advanceUntil(() => {
     most = Math.max(most, w.running('req-1').length);
     return w.now > 100_000;
   }, 100);
@@ -110,7 +110,10 @@
   n.submit(spec('req-3', { team: 'blue', shape: 'gang', oneZone: true, tasks: 3, cpus: 8 }));
   n.submit(spec('req-4', { team: 'blue', shape: 'service', tasks: 2, spot: true }));
   assert.ok(
-    w.playUntil(() => [1, 2, 3, 4].every((i) => w.starts.some((s) => s.piece.startsWith(`req-${i}/`))), 120),
+    w.advanceUntil(
+      () => [1, 2, 3, 4].every((i) => w.starts.some((s) => s.piece.startsWith(`req-${i}/`))),
+      120,
+    ),
   );
   const where = (job: string) =>
     new Map(
@@ -127,15 +130,15 @@
   const w = new World(3);
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 3 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 3, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
   const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
   owner.alive = false;
   const other = w.nodes.find((n) => n !== owner)!;
-  assert.equal(other.withdraw('req-1')?.body['status'], 'aborted');
+  assert.equal(other.cancel('req-1')?.body['status'], 'aborted');
   w.cancelledAt.set('req-1', w.now);
-  assert.ok(w.playUntil(() => w.running('req-1').length === 0, 36));
-  w.play(20);
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 0, 36));
+  w.advance(20);
+  assert.deepEqual(w.violations, []);
   for (const n of w.nodes.filter((x) => x.alive)) assert.equal(n.status('req-1')?.body['status'], 'aborted');
 });
 
@@ -144,9 +147,9 @@
   up(w);
   w.nodes[0].submit(spec('req-1'));
   // The owner does not see the cancellation before it commits its placement.
-  w.nodes[1].withdraw('req-1');
+  w.nodes[1].cancel('req-1');
   const cancelled = w.now;
-  w.play(60);
+  w.advance(60);
   assert.ok(w.starts.every((s) => !s.piece.startsWith('req-1/') || s.at <= cancelled));
 });
 
@@ -154,24 +157,24 @@
   const w = new World(2, { shards: 1 });
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 4 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 4, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 4, 60));
   const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
-  owner.cut = true;
-  w.play(60);
-  owner.cut = false;
-  assert.ok(w.playUntil(() => w.finished.length >= 4, 120));
-  assert.deepEqual(w.broken, []);
+  owner.cutFromState = true;
+  w.advance(60);
+  owner.cutFromState = false;
+  assert.ok(w.advanceUntil(() => w.finished.length >= 4, 120));
+  assert.deepEqual(w.violations, []);
 });
 
 test('ran_twice: silence frees a task only when its lease has surely ended', () => {
   const w = new World(1);
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1, shape: 'service' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 1, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 1, 60));
   const host = w.running('req-1')[0].host;
   w.workers.get(host)!.silent = true;
-  assert.ok(w.playUntil(() => w.running('req-1').some((r) => r.host !== host), 90));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.running('req-1').some((r) => r.host !== host), 90));
+  assert.deepEqual(w.violations, []);
 });
 
 test('a late report proves nothing: its tasks list is as old as itself', () => {
@@ -179,17 +182,17 @@
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1, shape: 'service' }));
   const host = () => w.running('req-1')[0]?.host;
-  w.playUntil(() => [...w.workers.values()].some((x) => x.token > 0), 30);
+  w.advanceUntil(() => [...w.workers.values()].some((x) => x.token > 0), 30);
   const worker = [...w.workers.values()].find((x) => x.token > 0)!;
   const old = worker.report();
-  assert.ok(w.playUntil(() => host() !== undefined, 60));
-  w.play(5);
+  assert.ok(w.advanceUntil(() => host() !== undefined, 60));
+  w.advance(5);
   w.nodes[0].push({
     type: 'heartbeat',
     rid: 5,
     report: { ...old, host: host()!, fencingToken: w.workers.get(host()!)!.token },
   });
-  w.play(30);
+  w.advance(30);
   assert.equal(w.running('req-1').length, 1);
   assert.equal(w.starts.filter((s) => s.piece === 'req-1/0').length, 1);
 });
@@ -200,34 +203,34 @@
   w.nodes[0].submit(spec('req-1', { tasks: 3 }));
   const placed = () =>
     w.commits.some((c) => c.txn.writes.some((a) => a.key.startsWith('dp/t/') || a.data?.['t'] !== undefined));
-  assert.ok(w.playUntil(placed, 60));
+  assert.ok(w.advanceUntil(placed, 60));
   assert.equal(w.starts.length, 0);
   w.nodes[0].alive = false;
-  w.play(4);
+  w.advance(4);
   w.nodes[0].boot();
-  assert.ok(w.playUntil(() => w.finished.length === 3, 90));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.finished.length === 3, 90));
+  assert.deepEqual(w.violations, []);
 });
 
 test('a lost commit answer: the submission is accepted once and its task placed once', () => {
   const w = new World(1);
   up(w);
-  w.state.loseAnswers = true;
-  w.after(2500, () => (w.state.loseAnswers = false));
+  w.state.dropsResponses = true;
+  w.schedule(2500, () => (w.state.dropsResponses = false));
   const a = w.nodes[0].submit(spec('req-1'));
   assert.ok(a?.status === 201 || a?.status === 200 || a?.status === 503);
-  assert.ok(w.playUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 120));
+  assert.ok(w.advanceUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 120));
   assert.equal(w.finished.length, 2);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('went_back: cancelled stays cancelled though its tasks finish at the same moment', () => {
   const w = new World(2);
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1 }));
-  assert.ok(w.playUntil(() => w.finished.length === 1, 90));
-  const first = w.nodes[1].withdraw('req-1')?.body['status'];
-  w.play(10);
+  assert.ok(w.advanceUntil(() => w.finished.length === 1, 90));
+  const first = w.nodes[1].cancel('req-1')?.body['status'];
+  w.advance(10);
   for (const n of w.nodes) assert.equal(n.status('req-1')?.body['status'], first);
 });
 
@@ -235,7 +238,7 @@
   const w = new World(1);
   up(w);
   const stray = w.addWorker('box', 'north', false);
-  assert.ok(w.playUntil(() => w.deleted.includes(stray.host), 60));
+  assert.ok(w.advanceUntil(() => w.deleted.includes(stray.host), 60));
 });
 
 test('hire names are never used again, also by later leaders', () => {
@@ -243,12 +246,12 @@
   w.capacity = 0;
   up(w);
   w.nodes[0].submit(spec('req-1'));
-  w.play(30);
+  w.advance(30);
   const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
   leader.alive = false;
-  w.play(30);
+  w.advance(30);
   leader.boot();
-  w.play(30);
+  w.advance(30);
   assert.ok(w.rentals.length > 2);
   assert.equal(new Set(w.rentals.map((r) => r.name)).size, w.rentals.length);
 });
@@ -257,21 +260,21 @@
   const w = new World(1);
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'gang', tasks: 2, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   const lost = w.workers.get(w.running('req-1')[0].host)!;
   lost.silent = true;
-  assert.ok(w.playUntil(() => w.running('req-1').filter((r) => r.host !== lost.host).length === 2, 120));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.running('req-1').filter((r) => r.host !== lost.host).length === 2, 120));
+  assert.deepEqual(w.violations, []);
 });
 
 test('a machine that fails its tasks is given up and the job is done elsewhere', () => {
   const w = new World(1);
   up(w);
   w.nodes[0].submit(spec('req-1', { tasks: 2 }));
-  w.playUntil(() => w.workers.size > 0, 30);
+  w.advanceUntil(() => w.workers.size > 0, 30);
   const sick = [...w.workers.values()][0];
-  sick.sick = true;
-  assert.ok(w.playUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 200));
+  sick.failsTasks = true;
+  assert.ok(w.advanceUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 200));
   assert.ok(w.deleted.includes(sick.host));
 });
 
@@ -280,18 +283,18 @@
   w.capacity = 4;
   up(w);
   w.nodes[0].submit(spec('req-1', { team: 'blue', shape: 'service', tasks: 3, cpus: 7 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 3, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
   for (const id of ['req-2', 'req-3', 'req-4']) {
-    w.mistaken.add(id);
+    w.failingJobs.add(id);
     w.nodes[0].submit(spec(id, { team: 'blue', tasks: 6 }));
   }
-  w.play(20);
+  w.advance(20);
   const rented = w.rentals.length;
   const early = w.starts.length;
-  w.play(60);
+  w.advance(60);
   const first = w.starts.length - early;
-  w.play(300);
-  const late = w.starts.slice(early + first).filter((s) => w.mistaken.has(s.piece.split('/')[0]));
+  w.advance(300);
+  const late = w.starts.slice(early + first).filter((s) => w.failingJobs.has(s.piece.split('/')[0]));
   // Three jobs, a try in 2.5 leases of 16 s each.
   assert.ok(late.length >= 9 && late.length <= 30, String(late.length));
   // Idle ones may be returned; none is given up.
@@ -299,7 +302,7 @@
   assert.ok(writes.every((a) => a.data?.['st'] !== 'dead'));
   assert.equal(w.rentals.length, rented);
   assert.equal(w.running('req-1').length, 3);
-  assert.equal(w.nodes[0].withdraw('req-2')?.body['status'], 'aborted');
+  assert.equal(w.nodes[0].cancel('req-2')?.body['status'], 'aborted');
 });
 
 test('a faulty machine among jobs with a mistake is still found', () => {
@@ -326,18 +329,18 @@
     const w = new World(1);
     w.capacity = 2;
     up(w);
-    w.endless.add('req-1');
+    w.serviceJobs.add('req-1');
     w.nodes[0].submit(
       spec('req-1', { team: 'blue', urgency: 'low', tasks: 40, checkpointS: 5, saveS: 1, estimateS: 300 }),
     );
-    assert.ok(w.playUntil(() => w.running('req-1').length === 16, 60));
+    assert.ok(w.advanceUntil(() => w.running('req-1').length === 16, 60));
     w.nodes[0].submit(spec('req-2', { team, urgency, tasks: 6 }));
     assert.ok(
-      w.playUntil(() => w.running('req-2').length === 6, 15),
+      w.advanceUntil(() => w.running('req-2').length === 6, 15),
       team,
     );
     assert.equal(w.running('req-1').length, 10);
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   }
 });
 
@@ -345,10 +348,10 @@
   const w = new World(2, { shards: 1 });
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 2 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
-  w.play(60);
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
+  w.advance(60);
   w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!.alive = false;
-  w.play(30);
+  w.advance(30);
   assert.deepEqual(w.deleted, []);
   assert.equal(w.running('req-1').length, 2);
 });
@@ -358,15 +361,15 @@
   w.capacity = 2;
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 5, team: 'blue', cpus: 4 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 4, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 4, 60));
   w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!.alive = false;
-  w.play(20);
+  w.advance(20);
   // One task lost and one that never had a place: both find one on the same machine in the same round.
   const lost = w.running('req-1')[3];
   Object.assign(w.workers.get(lost.host)!.tasks.get(lost.piece)!.report, { phase: 'exited', why: 'error' });
   w.capacity = 1;
-  w.play(60);
-  assert.deepEqual(w.broken, []);
+  w.advance(60);
+  assert.deepEqual(w.violations, []);
   assert.equal(new Set(w.running('req-1').map((r) => r.piece)).size, 5);
 });
 
@@ -374,11 +377,11 @@
   const w = new World(3, { shards: 1 });
   up(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 1 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 1, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 1, 60));
   const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
   const worker = w.workers.get(w.running('req-1')[0].host)!;
-  worker.cutFrom.add(owner.member);
-  w.play(60);
+  worker.unreachableNodes.add(owner.member);
+  w.advance(60);
   assert.equal(worker.session, 1);
   assert.equal(w.running('req-1').length, 1);
 });
@@ -393,20 +396,20 @@
       other.submit(spec('req-1', { tasks: 4 }));
       other.submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 }));
       other.submit(spec('req-3', { team: 'blue', tasks: 3 }));
-      w.play(at);
-      owner.frozen = true;
-      w.play(0.3);
-      const told = other.withdraw('req-3')?.body['status'];
+      w.advance(at);
+      owner.paused = true;
+      w.advance(0.3);
+      const told = other.cancel('req-3')?.body['status'];
       if (told === 'aborted') w.cancelledAt.set('req-3', w.now);
-      w.play(frozenS);
-      owner.frozen = false;
+      w.advance(frozenS);
+      owner.paused = false;
       const over = (id: string) => other.status(id)?.body['status'] === 'done';
       assert.ok(
-        w.playUntil(() => over('req-1') && over('req-2'), 150),
+        w.advanceUntil(() => over('req-1') && over('req-2'), 150),
         `frozen for ${frozenS} s at ${at}`,
       );
-      w.play(20);
-      assert.deepEqual(w.broken, [], `frozen for ${frozenS} s at ${at}`);
+      w.advance(20);
+      assert.deepEqual(w.violations, [], `frozen for ${frozenS} s at ${at}`);
       for (const n of w.nodes) assert.equal(n.status('req-3')?.body['status'], told);
     }
 });
@@ -414,7 +417,7 @@
 test('a lost peer: its lease is ended at once, and its shard is taken up long before it would have expired', () => {
   const w = new World(3, { shards: 3 });
   up(w);
-  w.play(20);
+  w.advance(20);
   const [owner, ...others] = [...w.nodes].sort(
     (a, b) => b.controller.shardManager.ownedShards.size - a.controller.shardManager.ownedShards.size,
   );
@@ -422,23 +425,23 @@
   assert.ok(shards.length > 0);
   owner.alive = false;
   for (const n of others) n.push({ type: 'peer-lost', member: owner.member });
-  w.play(1);
+  w.advance(1);
   for (const k of shards) assert.ok(others.some((n) => n.controller.shardManager.ownedShards.has(k)));
 });
 
 test('a node cut off alone from the state service sends its users away; in a common outage all stay', () => {
   const w = new World(2);
   up(w);
-  w.play(5);
-  w.nodes[1].cut = true;
+  w.advance(5);
+  w.nodes[1].cutFromState = true;
   w.nodes[0].submit(spec('req-1'));
-  w.play(6);
+  w.advance(6);
   assert.equal(w.nodes[1].controller.healthy, false);
-  w.nodes[1].cut = false;
-  w.play(10);
+  w.nodes[1].cutFromState = false;
+  w.advance(10);
   assert.equal(w.nodes[1].controller.healthy, true);
-  w.state.down = true;
-  w.play(20);
+  w.state.unavailable = true;
+  w.advance(20);
   assert.ok(w.nodes.every((n) => n.controller.healthy));
 });
 
@@ -447,17 +450,17 @@
 test('a node cut off from the state service and from all others sends its users away, and has them back after it', () => {
   const w = new World(3);
   up(w);
-  w.play(5);
+  w.advance(5);
   const [one, ...others] = w.nodes;
-  one.apart = true;
-  w.play(20);
+  one.isolatedFromPeers = true;
+  w.advance(20);
   assert.ok(one.controller.healthy, 'who reaches the state service serves');
-  one.cut = true;
-  w.play(6);
+  one.cutFromState = true;
+  w.advance(6);
   assert.equal(one.controller.healthy, false);
   assert.ok(others.every((n) => n.controller.healthy));
-  one.cut = one.apart = false;
-  w.play(3);
+  one.cutFromState = one.isolatedFromPeers = false;
+  w.advance(3);
   assert.ok(one.controller.healthy);
 });
 
@@ -502,23 +505,23 @@
 test('moves: tasks leave overpriced spot after their residency, a few per window, and only to a free place', () => {
   const w = new World(1);
   up(w);
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { team: 'blue', spot: true, tasks: 3, checkpointS: 5, saveS: 1 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 3, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
   const onSpot = (): number => w.running('req-1').filter((r) => w.workers.get(r.host)!.spot).length;
   assert.equal(onSpot(), 3);
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'service', tasks: 1 }));
-  assert.ok(w.playUntil(() => w.running('req-2').length === 1, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-2').length === 1, 60));
   for (let i = 0; i < 200; i++) w.nodes[0].controller.shardManager.shardState.hazard.recordInterruption();
-  w.play(20);
+  w.advance(20);
   assert.equal(onSpot(), 3);
-  assert.ok(w.playUntil(() => onSpot() === 0 && w.running('req-1').length === 3, 200));
+  assert.ok(w.advanceUntil(() => onSpot() === 0 && w.running('req-1').length === 3, 200));
   const moves = w.starts
     .filter((s) => s.piece.startsWith('req-1/') && !w.workers.get(s.host)?.spot)
     .map((s) => s.at);
   // One move a window: ceil(0.05 x 4 tasks).
   for (let i = 1; i < moves.length; i++) assert.ok(moves[i] - moves[i - 1] > 7000);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('a gang too big for its block: the leader enlarges it with idle machines of another, and it starts whole', () => {
@@ -526,11 +529,11 @@
   w.capacity = 4;
   up(w);
   w.nodes[0].submit(spec('req-1', { team: 'red', tasks: 2, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 4, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.starts.some((s) => s.piece.startsWith('req-2/')), 120));
-  w.play(5);
+  assert.ok(w.advanceUntil(() => w.starts.some((s) => s.piece.startsWith('req-2/')), 120));
+  w.advance(5);
   assert.equal(new Set(w.starts.filter((s) => s.piece.startsWith('req-2/')).map((s) => s.host)).size, 4);
   assert.equal(w.rentals.length > 0 && w.deleted.length, 0);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -77,9 +77,9 @@
 test('work of a round follows what changes, not jobs times machines', () => {
   const w = new World(1);
   w.capacity = 1000;
-  w.reportMs = 5000;
+  w.heartbeatMs = 5000;
   w.types = [{ ...box, cpus: 16, memGb: 64, bootS: 5 }];
-  w.play(3);
+  w.advance(3);
   const { shardManager } = w.nodes[0].controller;
   for (let i = 0; i < 150; i++)
     w.nodes[0].push({
@@ -87,29 +87,29 @@
       rid: 900_000 + i,
       spec: spec(`req-${1000 + i}`, { team: 'blue', tasks: 200, cpus: 1 + (i % 5) / 10 }),
     });
-  w.play(30);
+  w.advance(30);
   assert.ok(w.starts.length > 10_000, `${w.starts.length} started`);
   // Everything is full, and over 100 jobs of five sizes wait: each size looks at each machine twice at most.
   const before = shardManager.machinesExamined;
-  w.play(5);
+  w.advance(5);
   const perRound = (shardManager.machinesExamined - before) / 5;
   assert.ok(perRound < 12 * 1000, `${perRound} machines looked at in a round`);
   // A rental is one record, ends are written together: far fewer writes than machines and tasks.
   const writes = w.commits.reduce((n, c) => n + c.txn.writes.length, 0);
   assert.ok(writes < 1200, `${writes} writes`);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('machines whose record is still on its way are not rented again', () => {
   const w = new World(1);
   w.capacity = 100;
-  w.play(3);
+  w.advance(3);
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 8, cpus: 8 }));
-  w.playUntil(() => w.rentals.length > 0, 10);
-  w.state.busy = true;
-  w.play(5);
-  w.state.busy = false;
-  w.play(5);
+  w.advanceUntil(() => w.rentals.length > 0, 10);
+  w.state.rateLimited = true;
+  w.advance(5);
+  w.state.rateLimited = false;
+  w.advance(5);
   assert.equal(
     w.rentals.reduce((n, r) => n + r.count, 0),
     8,
@@ -118,22 +118,22 @@
 
 test('a crowd at the state service turns no user away', () => {
   const w = new World(1);
-  w.play(3);
-  w.state.busy = true;
-  w.after(800, () => (w.state.busy = false));
+  w.advance(3);
+  w.state.rateLimited = true;
+  w.schedule(800, () => (w.state.rateLimited = false));
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
 });
 
 test('a flood of submissions does not keep tasks from starting, nor rentals from being recorded', () => {
   const w = new World(1);
-  w.play(3);
+  w.advance(3);
   const n = w.nodes[0];
   for (let i = 0; i < 400; i++)
     n.push({ type: 'submit', rid: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
-  w.play(1);
+  w.advance(1);
   // 400 writes take the budget of some 11 s.
-  assert.ok(w.playUntil(() => w.starts.length > 0, 9));
-  assert.ok([...w.nodes[0].answers.values()].filter((a) => a.status === 201).length < 380);
+  assert.ok(w.advanceUntil(() => w.starts.length > 0, 9));
+  assert.ok([...w.nodes[0].responses.values()].filter((a) => a.status === 201).length < 380);
 });
 
 const replica = (): Replica =>
@@ -186,25 +186,25 @@
 test('machines stay kept for a gang that found no room until it is placed', () => {
   const w = new World(1);
   w.capacity = 3;
-  w.play(3);
+  w.advance(3);
   const n = w.nodes[0];
   n.submit(spec('req-1', { team: 'blue', tasks: 24, cpus: 1 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 24, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 24, 60));
   n.submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 }));
   // A stream of small tasks that would fill every gap.
   for (let i = 0; i < 6; i++)
     n.submit(spec(`req-${10 + i}`, { team: 'blue', tasks: 12, cpus: 1, estimateS: 60 }));
-  assert.ok(w.playUntil(() => w.running('req-2').length === 2, 60));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.running('req-2').length === 2, 60));
+  assert.deepEqual(w.violations, []);
 });
 
 test('idle GPU machines are returned, not handed to gangs that the placement does not put there', () => {
   const w = new World(1);
   w.types = [box, { ...box, name: 'gpu', gpus: 2, price: 9, spotPrice: 9 }];
   w.capacity = 1;
-  w.play(3);
+  w.advance(3);
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 2, gpus: 1 }));
-  assert.ok(w.playUntil(() => w.finished.length === 2, 90));
+  assert.ok(w.advanceUntil(() => w.finished.length === 2, 90));
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 1, cpus: 8 }));
-  assert.ok(w.playUntil(() => w.deleted.length === 1, 60));
+  assert.ok(w.advanceUntil(() => w.deleted.length === 1, 60));
 });
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -14,7 +14,7 @@
 ) as { keys: Key[] };
 
 const dataOf = (w: World, key: string): Record<string, unknown> | undefined =>
-  w.state.keys.get(key)?.data as Record<string, unknown> | undefined;
+  w.state.entries.get(key)?.data as Record<string, unknown> | undefined;
 
 test('state of the program before levels: every job goes on and ends once, cancelled ones are gone', () => {
   const w = found(beforeLevels.keys);
@@ -25,13 +25,13 @@
     return kind === 't' ? p.map((x): Placing => [job, ...x]) : [];
   });
   withWorkers(w, placed);
-  w.endless.add('req-4');
+  w.serviceJobs.add('req-4');
   const cancelled = () => w.running('req-5').length;
   assert.equal(cancelled(), 2);
-  assert.ok(w.playUntil(() => levelOf(w).level === newestLevel, 20));
-  assert.ok(w.playUntil(() => cancelled() === 0, 40));
-  assert.ok(w.playUntil(() => w.nodes[0].status('req-6')?.body['status'] === 'done', 90));
-  assert.ok(w.playUntil(() => w.nodes[1].status('req-3')?.body['status'] === 'done', 400));
+  assert.ok(w.advanceUntil(() => levelOf(w).level === newestLevel, 20));
+  assert.ok(w.advanceUntil(() => cancelled() === 0, 40));
+  assert.ok(w.advanceUntil(() => w.nodes[0].status('req-6')?.body['status'] === 'done', 90));
+  assert.ok(w.advanceUntil(() => w.nodes[1].status('req-3')?.body['status'] === 'done', 400));
   for (const [id, status] of [
     ['req-1', 'done'],
     ['req-5', 'aborted'],
@@ -42,55 +42,55 @@
   // What is left is in the formats of the level: the small service in its own record, the cancelled one without tasks.
   assert.equal(dataOf(w, 'dp/j/req-4')?.['v'], 2);
   assert.ok(dataOf(w, 'dp/t/req-4/0') === undefined && dataOf(w, 'dp/t/req-5/0') === undefined);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 // Guards against a newer program's fields that were gone after our next write.
 test('fields that this program does not know survive its writes', () => {
   const w = new World(1);
-  w.play(5);
+  w.advance(5);
   const [n] = w.nodes;
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   n.submit(spec('req-1', { tasks: 1, shape: 'service', team: 'blue' }));
   n.submit(spec('req-2', { tasks: 100, team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 1 && w.running('req-2').length > 0, 60));
-  const block = [...w.state.keys.keys()].find((k) => k.startsWith('dp/b/'))!;
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 1 && w.running('req-2').length > 0, 60));
+  const block = [...w.state.entries.keys()].find((k) => k.startsWith('dp/b/'))!;
   const keys = ['dp/j/req-1', 'dp/t/req-2/0', 'dp/teams', 'dp/kinds', block];
   for (const key of keys) put(w, key, { ...dataOf(w, key), later: { is: key } });
-  w.play(1);
-  const stamps = new Map(keys.map((k) => [k, w.state.keys.get(k)!.stamp]));
+  w.advance(1);
+  const stamps = new Map(keys.map((k) => [k, w.state.entries.get(k)!.stamp]));
   w.workers.get(w.running('req-1')[0].host)!.silent = true;
   w.types = [{ ...w.types[0], price: 2 }];
   const rewritten = new Set<string>();
   const look = (): void => {
     for (const key of keys) {
-      const now = w.state.keys.get(key);
+      const now = w.state.entries.get(key);
       if (!now) continue;
       assert.deepEqual(dataOf(w, key)?.['later'], { is: key }, key);
       if (now.stamp > stamps.get(key)!) rewritten.add(key);
     }
   };
   for (let i = 0; i < 90; i++) {
-    w.play(1);
+    w.advance(1);
     look();
   }
-  n.withdraw('req-1');
-  w.play(5);
+  n.cancel('req-1');
+  w.advance(5);
   look();
   for (const key of ['dp/j/req-1', 'dp/t/req-2/0', 'dp/kinds']) assert.ok(rewritten.has(key), key);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('records that are damaged or of a later format are not acted on, not written over and not denied', () => {
   const w = new World(3);
   w.capacity = 4;
-  w.play(5);
+  w.advance(5);
   const [n] = w.nodes;
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   n.submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   n.submit(spec('req-2', { tasks: 60, team: 'blue', estimateS: 100 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2 && w.running('req-2').length >= 20, 60));
-  for (const x of w.workers.values()) x.runS = 100;
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2 && w.running('req-2').length >= 20, 60));
+  for (const x of w.workers.values()) x.taskDurationS = 100;
   const chunk = dataOf(w, 'dp/t/req-2/0')!;
   const bad: [string, Record<string, unknown>][] = [
     ['dp/j/req-1', { v: 9, s: 'split', parts: [] }],
@@ -98,74 +98,74 @@
     ['dp/j/req-7', { ...openJobData(spec('req-7'), 1), s: 'lost' }],
     ['dp/m/n-000099', { v: 2, f: 'box' }],
   ];
-  const block = [...w.state.keys.values()].find((k) => k.key.startsWith('dp/b/'))!;
+  const block = [...w.state.entries.values()].find((k) => k.key.startsWith('dp/b/'))!;
   const good = block.data as Record<string, unknown>;
   const hosts = w.workers.size;
   for (const [key, data] of bad) put(w, key, data);
-  w.play(2);
+  w.advance(2);
   const running = w.running('req-1').length + w.running('req-2').length;
   // Also for those who read everything anew, and for users.
   for (const x of w.nodes) {
     for (const id of ['req-1', 'req-7']) {
       assert.equal(x.status(id)?.status, 503);
-      assert.equal(x.withdraw(id)?.status, 503);
+      assert.equal(x.cancel(id)?.status, 503);
       assert.equal(x.submit(spec(id))?.status, 503);
     }
     x.alive = false;
-    w.play(3);
+    w.advance(3);
     x.boot();
-    w.play(8);
+    w.advance(8);
   }
   for (const [key, data] of bad) assert.deepEqual(dataOf(w, key), data, key);
   // Nothing of theirs was stopped, forgotten or started again, and the others are served.
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   assert.equal(n.submit(spec('req-8', { team: 'red', tasks: 1 }))?.status, 201);
-  const told = n.logged.filter(([, what]) => what === 'record not acted on').map(([, , f]) => f?.['key']);
+  const told = n.logLines.filter(([, what]) => what === 'record not acted on').map(([, , f]) => f?.['key']);
   assert.ok(
     bad.every(([key]) => told.includes(key)),
     told.join(),
   );
   // No machine is taken for gone because its rental cannot be read.
   put(w, block.key, { ...good, h: 7 });
-  w.play(20);
+  w.advance(20);
   assert.equal(w.workers.size, hosts);
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   // Put right again, it goes on.
   put(w, block.key, good);
   put(w, 'dp/t/req-2/0', chunk);
-  assert.ok(w.playUntil(() => n.status('req-2')?.body['status'] === 'done', 400));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => n.status('req-2')?.body['status'] === 'done', 400));
+  assert.deepEqual(w.violations, []);
 });
 
 test('a level that nobody here knows: all stand by, tell so once, write nothing, and go on when it is taken back', () => {
   const w = new World(3);
-  w.play(5);
+  w.advance(5);
   const [n] = w.nodes;
   n.submit(spec('req-1', { tasks: 1, team: 'blue' }));
-  assert.ok(w.playUntil(() => n.status('req-1')?.body['status'] === 'done', 90));
+  assert.ok(w.advanceUntil(() => n.status('req-1')?.body['status'] === 'done', 90));
   n.submit(spec('req-2', { tasks: 1, team: 'blue' }));
   const before = dataOf(w, 'dp/level')!;
   put(w, 'dp/level', laterLevel);
-  w.play(2);
+  w.advance(2);
   const writes = w.commits.length;
   const { epoch } = w.state;
   assert.equal(n.status('req-1')?.body['status'], 'done');
   assert.equal(n.status('req-3')?.status, 503);
   assert.equal(n.submit(spec('req-3'))?.status, 503);
-  assert.equal(n.withdraw('req-2')?.status, 503);
-  w.play(20);
+  assert.equal(n.cancel('req-2')?.status, 503);
+  w.advance(20);
   assert.equal(w.state.epoch, epoch, `${w.commits.slice(writes).map((c) => JSON.stringify(c.txn.writes))}`);
   for (const x of w.nodes) {
     assert.ok(x.alive && !x.controller.healthy);
-    assert.equal(x.logged.filter(([, what]) => what.startsWith('standing by')).length, 1);
+    assert.equal(x.logLines.filter(([, what]) => what.startsWith('standing by')).length, 1);
   }
   put(w, 'dp/level', before);
-  assert.ok(w.playUntil(() => n.status('req-2')?.body['status'] === 'done', 90));
+  assert.ok(w.advanceUntil(() => n.status('req-2')?.body['status'] === 'done', 90));
   // A level that cannot be read is nobody's to act under.
   put(w, 'dp/level', { level: 'high' });
-  w.play(1);
+  w.advance(1);
   assert.equal(n.submit(spec('req-4'))?.status, 503);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('100,000 tasks in the old format: rewritten within the share, by one owner after the other, while others are served', () => {
@@ -173,21 +173,21 @@
   const w = found(keys);
   w.capacity = 2;
   withWorkers(w, placed);
-  for (let i = 0; i < 400; i++) w.endless.add(`req-${1000 + i}`);
-  assert.ok(w.playUntil(() => levelOf(w).level === newestLevel, 30));
+  for (let i = 0; i < 400; i++) w.serviceJobs.add(`req-${1000 + i}`);
+  assert.ok(w.advanceUntil(() => levelOf(w).level === newestLevel, 30));
   const from = w.now;
   const users = new Traffic(w, 500, () => ({ cpus: 0.1 }), 1e9);
-  const left = () => [...w.state.keys.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
+  const left = () => [...w.state.entries.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
   assert.ok(
-    w.playUntil(() => left() < 250, 180),
+    w.advanceUntil(() => left() < 250, 180),
     `${left()} left`,
   );
   const owner = ownerOf(w)!;
   owner.alive = false;
-  w.play(4);
+  w.advance(4);
   owner.boot();
   assert.ok(
-    w.playUntil(() => left() === 0, 240),
+    w.advanceUntil(() => left() === 0, 240),
     `${left()} left`,
   );
   const seconds = (w.now - from) / 1000;
@@ -195,26 +195,26 @@
   // A tenth of 40 writes a second, less the time without an owner.
   assert.ok(writes / seconds > 2 && writes / seconds <= 4.2, `${writes / seconds} writes a second`);
   const said = w.nodes
-    .flatMap((n) => n.logged)
+    .flatMap((n) => n.logLines)
     .filter(([, what]) => /records? rewritten|rewriting/.test(what));
   assert.ok(said.length >= 4);
   assert.equal(
-    placed.every(([job, index, , h]) => w.workers.get(h)!.holds(`${job}/${index}`)),
+    placed.every(([job, index, , h]) => w.workers.get(h)!.hasTask(`${job}/${index}`)),
     true,
   );
   users.stop();
-  assert.ok(w.playUntil(() => users.over, 60));
+  assert.ok(w.advanceUntil(() => users.over, 60));
   assert.ok(users.failed < users.jobs.size / 10, `${users.failed} of ${users.answered}`);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('lowering is refused while something stored needs the level, with what to do', () => {
   const w = new World(2);
-  w.play(5);
+  w.advance(5);
   assert.equal(levelOf(w).level, newestLevel);
   put(w, 'dp/j/req-5', { ...openJobData(spec('req-5', { types: ['none'] }), 1), later: 1 });
   put(w, 'dp/wish', { most: 1, lower: true });
-  w.play(10);
+  w.advance(10);
   assert.equal(levelOf(w).level, newestLevel);
   const note = dataOf(w, 'dp/members')?.['note'] as { text: string };
   assert.match(
@@ -224,29 +224,29 @@
     ),
   );
   put(w, 'dp/j/req-5', undefined);
-  assert.ok(w.playUntil(() => levelOf(w).level === 1, 20));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => levelOf(w).level === 1, 20));
+  assert.deepEqual(w.violations, []);
 });
 
 test('cancelled while its tasks are in its own record: what may run stays counted until it is proven gone', () => {
   const w = new World(3);
-  w.play(5);
+  w.advance(5);
   const [n] = w.nodes;
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   n.submit(spec('req-1', { tasks: 2, team: 'red', cpus: 8, shape: 'service' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   for (const { host } of w.running('req-1')) w.workers.get(host)!.silent = true;
   const owner = ownerOf(w)!;
   const other = w.nodes.find((x) => x !== owner)!;
-  assert.equal(other.withdraw('req-1')?.body['status'], 'aborted');
+  assert.equal(other.cancel('req-1')?.body['status'], 'aborted');
   // Its team's limit is 16: with both still there, nothing else may start, also under a new owner.
   owner.alive = false;
   assert.equal(other.submit(spec('req-2', { tasks: 1, team: 'red', cpus: 8 }))?.status, 201);
-  w.play(14);
+  w.advance(14);
   assert.equal(w.running('req-2').length, 0);
   assert.ok((dataOf(w, 'dp/j/req-1')?.['t'] as { p: unknown[] }).p.length === 2);
-  assert.ok(w.playUntil(() => w.running('req-2').length === 1, 120));
-  assert.ok(w.playUntil(() => dataOf(w, 'dp/j/req-1')?.['t'] === undefined, 30));
+  assert.ok(w.advanceUntil(() => w.running('req-2').length === 1, 120));
+  assert.ok(w.advanceUntil(() => dataOf(w, 'dp/j/req-1')?.['t'] === undefined, 30));
   assert.deepEqual(dataOf(w, 'dp/j/req-1')?.['u'], cancelledJobDataOf(0, spec('req-1', { cpus: 8 }))['u']);
 });
 
@@ -258,56 +258,56 @@
 test('leaving in order: handed on at once, nobody is turned away, and nothing is lost', () => {
   for (const who of [ownerOf, leaderOf]) {
     const w = new World(3);
-    w.play(5);
+    w.advance(5);
     const users = new Traffic(w, 250);
-    w.play(20);
+    w.advance(20);
     const n = who(w)!;
     const failed = users.failed;
     n.push({ type: 'shut-down' });
     const from = w.now;
     assert.ok(
-      w.playUntil(
+      w.advanceUntil(
         () => n.controller.shardManager.ownedShards.size === 0 && !n.controller.membership.isLeader,
         2,
       ),
     );
-    assert.ok(w.playUntil(() => ownerOf(w) !== undefined && leaderOf(w) !== undefined, 2));
+    assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined && leaderOf(w) !== undefined, 2));
     assert.ok(w.now - from < 1500, `${w.now - from} ms`);
     assert.equal(n.controller.healthy, false);
-    assert.ok(w.playUntil(() => n.controller.phase === 'gone', 15));
+    assert.ok(w.advanceUntil(() => n.controller.phase === 'gone', 15));
     n.alive = false;
-    w.play(10);
+    w.advance(10);
     assert.equal(users.failed - failed, 0);
     users.stop();
-    assert.ok(w.playUntil(() => users.over, 120));
-    assert.deepEqual(w.broken, []);
+    assert.ok(w.advanceUntil(() => users.over, 120));
+    assert.deepEqual(w.violations, []);
   }
 });
 
 test('a limit counts what nobody can read: a job whose tasks are not known takes all that it could', () => {
   const w = new World(2);
-  w.play(5);
+  w.advance(5);
   const [n] = w.nodes;
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   n.submit(spec('req-1', { tasks: 2, team: 'red', cpus: 6, shape: 'service' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   put(w, 'dp/wish', { most: 1, lower: true });
-  assert.ok(w.playUntil(() => levelOf(w).level === 1 && dataOf(w, 'dp/t/req-1/0') !== undefined, 60));
+  assert.ok(w.advanceUntil(() => levelOf(w).level === 1 && dataOf(w, 'dp/t/req-1/0') !== undefined, 60));
   const chunk = dataOf(w, 'dp/t/req-1/0')!;
   put(w, 'dp/t/req-1/0', { ...chunk, v: 7 });
   for (const x of w.nodes) {
     x.alive = false;
     x.boot();
   }
-  w.play(6);
+  w.advance(6);
   assert.equal(n.submit(spec('req-2', { tasks: 1, team: 'red', cpus: 6 }))?.status, 201);
-  w.play(40);
+  w.advance(40);
   // 12 of 16 CPUs are taken by what was there.
   assert.equal(w.running('req-1').length, 2);
   assert.equal(w.starts.filter((s) => s.piece.startsWith('req-2/')).length, 0);
   put(w, 'dp/t/req-1/0', chunk);
-  w.play(3);
-  assert.equal(n.withdraw('req-1')?.body['status'], 'aborted');
-  assert.ok(w.playUntil(() => w.running('req-2').length === 1, 60));
-  assert.deepEqual(w.broken, []);
+  w.advance(3);
+  assert.equal(n.cancel('req-1')?.body['status'], 'aborted');
+  assert.ok(w.advanceUntil(() => w.running('req-2').length === 1, 60));
+  assert.deepEqual(w.violations, []);
 });
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -23,20 +23,20 @@
 export function longWorld(seed: number, setting: Setting = {}): World {
   const w = new World(3, operators, seed, setting.settingsOf);
   w.capacity = setting.capacity ?? 80;
-  w.runS = setting.runS ?? 600;
+  w.taskDurationS = setting.runS ?? 600;
   setting.prepare?.(w);
   const ready = (n: Node): boolean =>
     n.controller.replica.machineTypes.length > 0 &&
     n.controller.replica.shards.size > 0 &&
     n.controller.sureOfAbsence;
   assert.ok(
-    w.playUntil(() => w.nodes.every(ready), 60),
+    w.advanceUntil(() => w.nodes.every(ready), 60),
     'up',
   );
   return w;
 }
 
-export const pick = <T>(w: World, list: readonly T[]): T => list[Math.floor(w.chance() * list.length)];
+export const pick = <T>(w: World, list: readonly T[]): T => list[Math.floor(w.random() * list.length)];
 
 /** Of each kind two jobs, one of which is to be cancelled; the first array has a machine for itself, others share. */
 export function longJobs(w: World): { cancel: string[]; keep: string[] } {
@@ -55,8 +55,8 @@
     }),
   );
   const all = (): boolean => ids.every((job) => w.running(job.id).length === job.tasks);
-  assert.ok(w.playUntil(all, 120), 'all run');
-  w.play(3);
+  assert.ok(w.advanceUntil(all, 120), 'all run');
+  w.advance(3);
   return {
     cancel: ids.filter((j) => j.id.startsWith('req-1')).map((j) => j.id),
     keep: ids.filter((j) => j.id.startsWith('req-2')).map((j) => j.id),
@@ -68,12 +68,12 @@
   const until = w.now + withinS * 1000;
   while (w.now < until)
     for (const n of through) {
-      if (!n.alive || n.frozen) continue;
-      if (n.withdraw(id)?.body['status'] === 'aborted') {
+      if (!n.alive || n.paused) continue;
+      if (n.cancel(id)?.body['status'] === 'aborted') {
         w.cancelledAt.set(id, w.now);
         return n;
       }
-      w.play(0.2);
+      w.advance(0.2);
     }
   return assert.fail(`${id} not cancelled`);
 }
@@ -84,14 +84,14 @@
     w.nodes.filter((n) => n.alive).every((n) => n.status(id)?.status === 200);
   for (const id of [...jobs.cancel, ...jobs.keep])
     assert.ok(
-      w.playUntil(() => answered(id), withinS),
+      w.advanceUntil(() => answered(id), withinS),
       `${id} is forgotten`,
     );
   for (const id of jobs.cancel)
     assert.equal(w.nodes.find((n) => n.alive)!.status(id)?.body['status'], 'aborted');
   const runs = (id: string): boolean => w.running(id).length === w.specs.get(id)!.tasks;
   assert.ok(
-    w.playUntil(() => jobs.keep.every(runs), 150),
+    w.advanceUntil(() => jobs.keep.every(runs), 150),
     `not run at ${w.now}: ${jobs.keep
       .filter((id) => !runs(id))
       .map(
@@ -100,21 +100,21 @@
       )
       .join(' ')}`,
   );
-  assert.deepEqual(w.broken.slice(0, 3), []);
+  assert.deepEqual(w.violations.slice(0, 3), []);
 }
 
 /** Ends a controller's process; its peers notice the broken connections, mostly. */
 export function kill(w: World, n: Node): void {
   n.alive = false;
   for (const x of w.nodes)
-    if (x !== n && w.chance() < 0.8) w.after(20, () => x.push({ type: 'peer-lost', member: n.member }));
+    if (x !== n && w.random() < 0.8) w.schedule(20, () => x.push({ type: 'peer-lost', member: n.member }));
 }
 
 const lengths = [3, 8, 20, 45, 80];
 
 /** Users of a busy fleet: jobs of all shapes, of which many have two or three tasks that end far apart. */
 export function mixedTraffic(w: World, everyMs = 2000): Traffic {
-  w.runOf = (piece) => {
+  w.taskDurationOf = (piece) => {
     const [job, index] = piece.split('/');
     // A gang's tasks complete together.
     const n = Number(job.slice(4));
@@ -138,12 +138,12 @@
   const silent = (): string[] =>
     [...users.told.keys()].filter((id) => (users.heardAt.get(id) ?? -Infinity) < since);
   assert.ok(
-    w.playUntil(() => silent().length === 0, 75),
+    w.advanceUntil(() => silent().length === 0, 75),
     `forgotten: ${silent().slice(0, 5).join(' ')}`,
   );
-  const over = w.playUntil(() => users.over, withinS);
+  const over = w.advanceUntil(() => users.over, withinS);
   waiting.stop();
-  assert.deepEqual(w.broken.slice(0, 3), []);
+  assert.deepEqual(w.violations.slice(0, 3), []);
   const open = [...users.jobs.keys()].filter((id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''));
   const tell = (id: string): string => {
     const { shape, team, tasks, cpus, urgency } = w.specs.get(id)!;
@@ -153,7 +153,7 @@
 }
 
 export const some = (w: World, share: number): Worker[] =>
-  [...w.workers.values()].filter(() => w.chance() < share);
+  [...w.workers.values()].filter(() => w.random() < share);
 
 /** What a meeting brings about: how long its troubles last, and whether they met. */
 export interface Course {
@@ -199,14 +199,14 @@
       const w = world(seed);
       const users = usersOf(w);
       try {
-        w.play(beforeS);
-        const course = troubles(w, (s, f) => w.after(s * 1000, f), users);
-        w.play(course.lastsS);
+        w.advance(beforeS);
+        const course = troubles(w, (s, f) => w.schedule(s * 1000, f), users);
+        w.advance(course.lastsS);
         for (const n of w.nodes) if (!n.alive) n.boot();
         finish(w, users, withinS);
         course.over?.();
         if (process.env['MEETING_TELL'])
-          console.log(`${name}: seed ${seed} came ${course.came()}`, w.startsLate.length);
+          console.log(`${name}: seed ${seed} came ${course.came()}`, w.startsAfterCancellation.length);
         return course.came() > 0;
       } catch (e) {
         throw new Error(`seed ${seed}: ${(e as Error).message}`, { cause: e });
@@ -225,5 +225,5 @@
 export function bounce(w: World, n: Node | undefined, leastS: number, mostS: number): void {
   if (!n?.alive) return;
   kill(w, n);
-  w.after(1000 * (leastS + (mostS - leastS) * w.chance()), () => n.alive || n.boot());
+  w.schedule(1000 * (leastS + (mostS - leastS) * w.random()), () => n.alive || n.boot());
 }
--- a/test/support/flood.ts
+++ b/test/support/flood.ts
@@ -52,7 +52,7 @@
 
   private beat(): void {
     const { w } = this;
-    w.after(10, () => {
+    w.schedule(10, () => {
       const t = w.now - this.from;
       this.streams.forEach((s, i) => {
         const due = Math.floor((Math.min(s.forMs, t - s.fromMs) / 1000) * s.perS);
@@ -79,7 +79,7 @@
   private send(job: Job): void {
     const { w } = this;
     const reach = job.stream.through ?? w.nodes.map((_, i) => i);
-    const alive = reach.map((i) => w.nodes[i]).filter((n) => n.alive && !n.frozen && n.controller.healthy);
+    const alive = reach.map((i) => w.nodes[i]).filter((n) => n.alive && !n.paused && n.controller.healthy);
     job.tries++;
     if (alive.length === 0) return this.again(job, 1000);
     const node = alive[this.turn++ % alive.length];
@@ -91,19 +91,19 @@
   private again(job: Job, ms: number): void {
     const { w } = this;
     const pause = job.stream.deaf ? 1000 : Math.max(1000, ms);
-    if (w.now + pause - job.firstAt <= 60_000) w.after(pause, () => this.send(job));
+    if (w.now + pause - job.firstAt <= 60_000) w.schedule(pause, () => this.send(job));
   }
 
   private look(): void {
     const { w } = this;
     const left: Asked[] = [];
     for (const a of this.open) {
-      const answer = a.node.answers.get(a.rid);
+      const answer = a.node.responses.get(a.rid);
       if (!answer && w.now - a.at < 5000 && a.node.alive) {
         left.push(a);
         continue;
       }
-      a.node.answers.delete(a.rid);
+      a.node.responses.delete(a.rid);
       const status = answer?.status ?? 0;
       this.answers.set(status, (this.answers.get(status) ?? 0) + 1);
       if (status === 200 || status === 201) a.job.acceptedAt = w.now;
@@ -148,7 +148,7 @@
   }
   w.state.writesPerS = 30;
   w.capacity = 10;
-  w.play(8);
-  for (const x of w.workers.values()) x.runS = 5;
+  w.advance(8);
+  for (const x of w.workers.values()) x.taskDurationS = 5;
   return w;
 }
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -20,7 +20,7 @@
 export const held = heldAt(1);
 
 export const levelOf = (w: World): { level: number; write: number } =>
-  (w.state.keys.get(levelKey)?.data as { level: number; write: number } | undefined) ?? {
+  (w.state.entries.get(levelKey)?.data as { level: number; write: number } | undefined) ?? {
     level: 1,
     write: 1,
   };
@@ -32,7 +32,7 @@
 
 export function restart(w: World, n: Node, as: (n: Node) => void, downS = 2): void {
   n.alive = false;
-  w.play(downS);
+  w.advance(downS);
   as(n);
   n.boot();
 }
@@ -48,24 +48,24 @@
 /** Three controllers of the old program that serve. */
 export function oldWorld(cast: Cast, everyMs = 1000): { w: World; users: Traffic } {
   const w = new World(3);
-  w.mayDie = true;
+  w.crashesAllowed = true;
   w.capacity = 20;
   for (const n of w.nodes) {
     cast.earlier(n);
     n.boot();
   }
   assert.ok(
-    w.playUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes.length > 0), 20),
+    w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.machineTypes.length > 0), 20),
     'up',
   );
   assert.ok(
-    w.playUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20),
+    w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20),
     'granted',
   );
   const users = new Traffic(w, everyMs, (n) =>
     n % 5 === 0 ? { tasks: 3, shape: 'gang', cpus: 2 } : n % 4 === 0 ? { tasks: 40 } : {},
   );
-  w.play(12);
+  w.advance(12);
   return { w, users };
 }
 
@@ -74,8 +74,8 @@
 /** Plays until everybody has their answer; then no rule may be broken. */
 export function finish(w: World, users: Traffic, withinS = 240): void {
   users.stop();
-  const over = w.playUntil(() => users.over, withinS);
-  assert.deepEqual(w.broken, []);
+  const over = w.advanceUntil(() => users.over, withinS);
+  assert.deepEqual(w.violations, []);
   const open = [...users.jobs.keys()].filter((id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''));
   assert.ok(over, `not over: ${open.join(' ')}`);
 }
@@ -85,7 +85,7 @@
   for (const i of order) {
     assert.equal(levelOf(w).level, cast.level, 'raised before all have it');
     restart(w, w.nodes[i], cast.fresh);
-    w.play(pauseS);
+    w.advance(pauseS);
   }
 }
 
@@ -102,10 +102,10 @@
       const { w, users } = oldWorld(cast);
       rollAll(w, cast, order);
       assert.ok(
-        w.playUntil(() => atNewLevel(w), 10),
+        w.advanceUntil(() => atNewLevel(w), 10),
         'raised',
       );
-      w.play(10);
+      w.advance(10);
       finish(w, users);
     }
   },
@@ -118,10 +118,10 @@
         const next = n && !replaced.has(n) ? n : w.nodes.find((x) => !replaced.has(x))!;
         replaced.add(next);
         restart(w, next, cast.fresh);
-        w.play(6);
+        w.advance(6);
       }
       assert.ok(
-        w.playUntil(() => atNewLevel(w), 10),
+        w.advanceUntil(() => atNewLevel(w), 10),
         'raised',
       );
       finish(w, users);
@@ -130,56 +130,56 @@
   'replaced while another is cut from the state service, from its peers, or stands still over the switch'(
     cast,
   ) {
-    for (const trouble of ['cut', 'apart', 'frozen', 'throttled'] as const)
+    for (const trouble of ['cutFromState', 'isolatedFromPeers', 'paused', 'rateLimited'] as const)
       for (const hit of [1, 2]) {
         const { w, users } = oldWorld(cast);
         restart(w, w.nodes[1], cast.fresh);
-        w.play(6);
+        w.advance(6);
         restart(w, w.nodes[2], cast.fresh);
-        w.play(6);
+        w.advance(6);
         w.nodes[hit][trouble] = true;
-        w.play(1);
+        w.advance(1);
         restart(w, w.nodes[0], cast.fresh);
         // Both were seen with it: nobody waits for the one in trouble.
         assert.ok(
-          w.playUntil(() => atNewLevel(w), 25),
+          w.advanceUntil(() => atNewLevel(w), 25),
           `raised, ${trouble}`,
         );
-        w.play(4);
+        w.advance(4);
         w.nodes[hit][trouble] = false;
-        w.play(10);
+        w.advance(10);
         finish(w, users);
       }
   },
   'all are killed in mid-migration, and go on'(cast) {
     const { w, users } = oldWorld(cast, 500);
-    w.endless.add('req-1');
+    w.serviceJobs.add('req-1');
     for (const id of ['req-1', 'req-2', 'req-3']) {
-      w.endless.add(id);
+      w.serviceJobs.add(id);
       w.nodes[0].push({
         type: 'submit',
         rid: 1,
         spec: spec(id, { tasks: 1, team: 'blue', shape: 'service' }),
       });
     }
-    w.play(15);
+    w.advance(15);
     for (const n of w.nodes) n.alive = false;
-    w.play(3);
+    w.advance(3);
     for (const n of w.nodes) {
       cast.fresh(n);
       n.boot();
     }
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 20),
+      w.advanceUntil(() => atNewLevel(w), 20),
       'raised',
     );
-    w.play(0.3);
+    w.advance(0.3);
     for (const n of w.nodes) n.alive = false;
-    w.play(3);
+    w.advance(3);
     for (const n of w.nodes) n.boot();
-    const whole = (id: string) => (w.state.keys.get(`dp/j/${id}`)?.data as { v?: number })?.v === 2;
+    const whole = (id: string) => (w.state.entries.get(`dp/j/${id}`)?.data as { v?: number })?.v === 2;
     assert.ok(
-      w.playUntil(() => ['req-1', 'req-2', 'req-3'].every(whole), 60),
+      w.advanceUntil(() => ['req-1', 'req-2', 'req-3'].every(whole), 60),
       'rewritten',
     );
     assert.equal(w.running('req-1').length, 1);
@@ -189,16 +189,16 @@
     const { w, users } = oldWorld(cast);
     rollAll(w, cast, [0, 1], 6);
     w.nodes[2].alive = false;
-    w.play(2);
+    w.advance(2);
     cast.fresh(w.nodes[2]);
     w.nodes[2].boot();
     let lost = 0;
-    w.state.loses = (txn) => txn.writes.some((a) => a.key === levelKey) && ++lost <= 3;
+    w.state.dropsResponseTo = (txn) => txn.writes.some((a) => a.key === levelKey) && ++lost <= 3;
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 25),
+      w.advanceUntil(() => atNewLevel(w), 25),
       'raised',
     );
-    w.play(10);
+    w.advance(10);
     assert.ok(lost >= 1, 'lost');
     assert.ok(w.nodes.every((n) => n.controller.replica.levels.state.level >= 2));
     finish(w, users);
@@ -206,24 +206,24 @@
   'transactions of the old level that are carried out after the switch change nothing'(cast) {
     const { w, users } = oldWorld(cast, 300);
     restart(w, w.nodes[1], cast.fresh);
-    w.play(6);
+    w.advance(6);
     restart(w, w.nodes[2], cast.fresh);
-    w.play(6);
+    w.advance(6);
     // The last of the old ones writes on, late.
-    w.nodes[0].holdBack = true;
-    w.play(3);
-    const late = [...w.heldBack];
+    w.nodes[0].holdsCommits = true;
+    w.advance(3);
+    const late = [...w.heldCommits];
     assert.ok(late.length > 0);
     w.nodes[0].alive = false;
-    w.nodes[0].holdBack = false;
-    w.play(5);
+    w.nodes[0].holdsCommits = false;
+    w.advance(5);
     cast.fresh(w.nodes[0]);
     w.nodes[0].boot();
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 25),
+      w.advanceUntil(() => atNewLevel(w), 25),
       'raised',
     );
-    w.play(3);
+    w.advance(3);
     for (const txn of late) {
       const o = w.state.commit(txn);
       if (o.type !== 'ok') continue;
@@ -234,7 +234,7 @@
         txn.writes.map((a) => a.key).join(),
       );
     }
-    w.play(5);
+    w.advance(5);
     finish(w, users);
   },
   'an old program that comes back after the switch does no harm'(cast) {
@@ -242,32 +242,32 @@
       const { w, users } = oldWorld(cast);
       rollAll(w, cast, [0, 1, 2]);
       assert.ok(
-        w.playUntil(() => atNewLevel(w), 10),
+        w.advanceUntil(() => atNewLevel(w), 10),
         'raised',
       );
-      w.play(5);
+      w.advance(5);
       const n = w.nodes[which];
       restart(w, n, cast.earlier);
-      w.play(20);
+      w.advance(20);
       assert.equal(n.controller.membership.isLeader, false);
       assert.equal(n.controller.shardManager.ownedShards.size, 0);
       if (cast.knowsLevels) {
         assert.equal(n.controller.healthy, false);
-        assert.equal(n.logged.filter(([, what]) => what.startsWith('standing by')).length, 1);
+        assert.equal(n.logLines.filter(([, what]) => what.startsWith('standing by')).length, 1);
         assert.equal(n.submit(spec('req-9'))?.status, 503);
         assert.equal(n.status('req-8')?.status, 503);
       }
       // All the new ones go for a while: it must not take over.
       const others = w.nodes.filter((x) => x !== n);
       for (const x of others) x.alive = false;
-      w.play(25);
+      w.advance(25);
       assert.equal(n.controller.membership.isLeader, false);
       assert.equal(n.controller.shardManager.ownedShards.size, 0);
       for (const x of others) x.boot();
-      w.play(20);
+      w.advance(20);
       // It is replaced at last.
       restart(w, n, cast.fresh);
-      w.play(5);
+      w.advance(5);
       finish(w, users);
     }
   },
@@ -276,13 +276,13 @@
     wish(w, { most: cast.level });
     for (const i of [0, 1, 2]) {
       restart(w, w.nodes[i], cast.fresh);
-      w.play(6);
+      w.advance(6);
     }
-    w.play(10);
+    w.advance(10);
     assert.equal(levelOf(w).level, cast.level);
     for (const i of [2, 0, 1]) {
       restart(w, w.nodes[i], cast.earlier);
-      w.play(6);
+      w.advance(6);
     }
     assert.equal(levelOf(w).level, cast.level);
     finish(w, users);
@@ -291,37 +291,37 @@
     const { w, users } = oldWorld(cast);
     rollAll(w, cast, [0, 1, 2]);
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 10),
+      w.advanceUntil(() => atNewLevel(w), 10),
       'raised',
     );
-    w.play(10);
+    w.advance(10);
     wish(w, { most: cast.level, lower: true });
     assert.ok(
-      w.playUntil(() => levelOf(w).level === cast.level, 60),
+      w.advanceUntil(() => levelOf(w).level === cast.level, 60),
       'lowered',
     );
-    const keys = cast.level > 1 ? [] : [...w.state.keys.values()];
+    const keys = cast.level > 1 ? [] : [...w.state.entries.values()];
     assert.deepEqual(
       keys.filter((k) => (k.data as { v?: number }).v === 2 || ['dp/chief', 'dp/kinds'].includes(k.key)),
       [],
     );
-    w.play(5);
+    w.advance(5);
     for (const i of [1, 0, 2]) {
       restart(w, w.nodes[i], cast.earlier);
-      w.play(6);
+      w.advance(6);
     }
     finish(w, users);
   },
   'a new program that crashes on its first try'(cast) {
     const { w, users } = oldWorld(cast);
     restart(w, w.nodes[0], cast.fresh);
-    w.play(0.2);
+    w.advance(0.2);
     restart(w, w.nodes[0], cast.earlier);
-    w.play(8);
+    w.advance(8);
     assert.equal(levelOf(w).level, cast.level);
     rollAll(w, cast, [0, 1, 2]);
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 10),
+      w.advanceUntil(() => atNewLevel(w), 10),
       'raised',
     );
     finish(w, users);
@@ -332,22 +332,22 @@
     const between = (n: Node): void =>
       void Object.assign(n, { program: thisProgram, operators: heldAt(cast.level) });
     restart(w, w.nodes[0], between);
-    w.play(6);
+    w.advance(6);
     restart(w, w.nodes[1], cast.fresh);
-    w.play(8);
+    w.advance(8);
     restart(w, w.nodes[2], cast.fresh);
-    w.play(8);
+    w.advance(8);
     assert.equal(levelOf(w).level, cast.level);
     restart(w, w.nodes[0], cast.fresh);
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 10),
+      w.advanceUntil(() => atNewLevel(w), 10),
       'raised',
     );
     restart(w, w.nodes[2], between);
-    w.play(10);
+    w.advance(10);
     assert.equal(w.nodes[2].controller.healthy, false);
     restart(w, w.nodes[2], cast.fresh);
-    w.play(5);
+    w.advance(5);
     finish(w, users);
   },
   'a member that never comes back is named gone'(cast) {
@@ -355,13 +355,13 @@
     w.nodes[2].alive = false;
     for (const i of [0, 1]) {
       restart(w, w.nodes[i], cast.fresh);
-      w.play(6);
+      w.advance(6);
     }
-    w.play(20);
+    w.advance(20);
     assert.equal(levelOf(w).level, cast.level);
     wish(w, { gone: ['n2'] });
     assert.ok(
-      w.playUntil(() => atNewLevel(w), 10),
+      w.advanceUntil(() => atNewLevel(w), 10),
       'raised',
     );
     finish(w, users);
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -70,23 +70,23 @@
     const beat = (): void => {
       this.look();
       this.watchEnds();
-      this.w.after(10, beat);
+      this.w.schedule(10, beat);
     };
     beat();
   }
 
   private lookClosely(id: string, told: Told): void {
     const { w } = this;
-    if (w.chance() >= this.closeShare) return;
+    if (w.random() >= this.closeShare) return;
     this.looks[told]++;
     for (const n of w.nodes) {
       this.ask('query', id, n);
-      w.after(40 * w.chance(), () => this.ask('query', id, n));
-      if (w.chance() < 0.5) w.after(20 * w.chance(), () => this.ask('submit', id, n));
-      if (w.chance() < 0.1) w.after(20 * w.chance(), () => this.ask('query', `req-9${id.slice(4)}9`, n));
+      w.schedule(40 * w.random(), () => this.ask('query', id, n));
+      if (w.random() < 0.5) w.schedule(20 * w.random(), () => this.ask('submit', id, n));
+      if (w.random() < 0.1) w.schedule(20 * w.random(), () => this.ask('query', `req-9${id.slice(4)}9`, n));
     }
-    if (told === 'accepted' && w.chance() < this.atOnceShare)
-      w.after(30 * w.chance(), () => this.cancel(id, w.nodes[Math.floor(w.chance() * w.nodes.length)]));
+    if (told === 'accepted' && w.random() < this.atOnceShare)
+      w.schedule(30 * w.random(), () => this.cancel(id, w.nodes[Math.floor(w.random() * w.nodes.length)]));
   }
 
   /** Its user calls a job off, through this controller first. */
@@ -108,14 +108,14 @@
       const job = this.jobs.get(id);
       const ended = (this.endOf.get(id) ?? 0) + 1;
       this.endOf.set(id, ended);
-      if (!job || ended !== job.tasks || w.chance() >= this.atEndShare) continue;
-      w.after(w.chance() < 0.3 ? 0 : 3000 * w.chance(), () => {
+      if (!job || ended !== job.tasks || w.random() >= this.atEndShare) continue;
+      w.schedule(w.random() < 0.3 ? 0 : 3000 * w.random(), () => {
         if (this.told.get(id) !== 'accepted') return;
         this.looks.atEnd++;
-        const [a, b, c] = [...w.nodes].sort(() => w.chance() - 0.5);
-        if (w.chance() < 0.7) this.cancel(id, a);
+        const [a, b, c] = [...w.nodes].sort(() => w.random() - 0.5);
+        if (w.random() < 0.7) this.cancel(id, a);
         this.ask('submit', id, b);
-        for (let i = 0; i < 6; i++) w.after(120 * i, () => this.ask('query', id, i % 2 === 0 ? c : b));
+        for (let i = 0; i < 6; i++) w.schedule(120 * i, () => this.ask('query', id, i % 2 === 0 ? c : b));
       });
     }
   }
@@ -135,14 +135,14 @@
     const { nodes } = this.w;
     for (let i = 0; i < nodes.length; i++) {
       const n = nodes[this.turn++ % nodes.length];
-      if (n.alive && !n.frozen && n.controller.healthy) return n;
+      if (n.alive && !n.paused && n.controller.healthy) return n;
     }
     return null;
   }
 
   private beat(): void {
     const { w } = this;
-    w.after(this.everyMs, () => {
+    w.schedule(this.everyMs, () => {
       if (this.on) this.submitNew();
       this.look();
       const due = this.again.filter((a) => a.at <= w.now);
@@ -163,7 +163,7 @@
 
   private ask(what: Asked['what'], id: string, through?: Node): void {
     const node = through ?? this.node();
-    if (node && (!node.alive || node.frozen)) return;
+    if (node && (!node.alive || node.paused)) return;
     if (!node) {
       if (what === 'submit') this.again.push({ at: this.w.now + 1000, id });
       return;
@@ -176,7 +176,7 @@
       return;
     }
     if (job.shape === 'gang') this.w.gangs.set(id, job.tasks);
-    if (job.shape === 'service') this.w.endless.add(id);
+    if (job.shape === 'service') this.w.serviceJobs.add(id);
     this.w.specs.set(id, job);
     node.push(what === 'submit' ? { type: 'submit', rid, spec: job } : { type: what, rid, id });
     this.open.push({ id, node, rid, at: this.w.now, what });
@@ -204,8 +204,8 @@
     const { w } = this;
     const left: Asked[] = [];
     for (const a of this.open) {
-      const answer = a.node.answers.get(a.rid);
-      if (answer) a.node.answers.delete(a.rid);
+      const answer = a.node.responses.get(a.rid);
+      if (answer) a.node.responses.delete(a.rid);
       else if (w.now - a.at < 5000 && a.node.alive) {
         left.push(a);
         continue;
@@ -215,8 +215,8 @@
       else if (!this.jobs.has(a.id)) continue;
       else if (status === 404 || status === 422 || status === 400) {
         if (this.told.has(a.id))
-          w.broken.push(`forgotten ${a.id}: ${status} to ${a.what} by ${a.node.member}`);
-        else if (a.what === 'submit') w.broken.push(`refused ${a.id}: ${status} by ${a.node.member}`);
+          w.violations.push(`forgotten ${a.id}: ${status} to ${a.what} by ${a.node.member}`);
+        else if (a.what === 'submit') w.violations.push(`refused ${a.id}: ${status} by ${a.node.member}`);
       } else {
         this.failed++;
         if (a.what === 'submit' && !this.told.has(a.id)) this.again.push({ at: w.now + 1000, id: a.id });
@@ -227,7 +227,7 @@
 
   private hear(a: Asked, status: string): void {
     if (!this.jobs.has(a.id)) {
-      this.w.broken.push(`invented ${a.id}: ${status} by ${a.node.member}`);
+      this.w.violations.push(`invented ${a.id}: ${status} by ${a.node.member}`);
       return;
     }
     this.answered++;
@@ -238,15 +238,15 @@
     if (before === 'done' || before === 'aborted') {
       // Asked for before it was told, an answer may be older.
       if (now !== before && (now !== 'accepted' || a.at >= this.overAt.get(a.id)!))
-        this.w.broken.push(`went_back ${a.id}: ${before}, then ${now} by ${a.node.member}`);
+        this.w.violations.push(`went_back ${a.id}: ${before}, then ${now} by ${a.node.member}`);
       return;
     }
     if (now === 'aborted' && !this.wantsEnd.has(a.id))
-      this.w.broken.push(`went_back ${a.id}: nobody cancelled it`);
+      this.w.violations.push(`went_back ${a.id}: nobody cancelled it`);
     if (now === 'done') {
       const tasks = this.jobs.get(a.id)!.tasks;
       const ended = new Set(this.w.finished.filter((p) => p.startsWith(`${a.id}/`))).size;
-      if (ended < tasks) this.w.broken.push(`not_done ${a.id}: ${ended} of ${tasks}`);
+      if (ended < tasks) this.w.violations.push(`not_done ${a.id}: ${ended} of ${tasks}`);
     }
     if (now !== 'accepted') this.overAt.set(a.id, this.w.now);
     if (now === 'aborted') this.w.cancelledAt.set(a.id, this.w.now);
--- a/test/support/waiting.ts
+++ b/test/support/waiting.ts
@@ -19,7 +19,7 @@
     const beat = (): void => {
       if (!this.on) return;
       this.look();
-      w.after(1000, beat);
+      w.schedule(1000, beat);
     };
     beat();
   }
@@ -35,7 +35,7 @@
       if (!this.couldStart(spec)) this.since.delete(id);
       else if (!this.since.has(id)) this.since.set(id, w.now);
       const ms = w.now - (this.since.get(id) ?? w.now);
-      if (ms > mostWaitMs && this.mostMs <= mostWaitMs) w.broken.push(`waits ${id}: ${ms} ms with room`);
+      if (ms > mostWaitMs && this.mostMs <= mostWaitMs) w.violations.push(`waits ${id}: ${ms} ms with room`);
       this.mostMs = Math.max(this.mostMs, ms);
     }
     for (const id of this.since.keys()) if (this.users.told.get(id) !== 'accepted') this.since.delete(id);
@@ -61,7 +61,7 @@
   }
 
   private fits(spec: JobSpec, m: Worker): boolean {
-    if (m.silent || m.hung || m.deaf || m.sick || m.noticeS !== null) return false;
+    if (m.silent || m.hung || m.losesResponses || m.failsTasks || m.spotNoticeS !== null) return false;
     if (spec.zone !== null && spec.zone !== m.zone) return false;
     if (spec.types && !spec.types.includes(m.type)) return false;
     if (m.spot && (!spec.spot || spec.shape !== 'array')) return false;
@@ -75,14 +75,14 @@
     for (const m of this.w.workers.values())
       for (const [piece, t] of m.tasks) {
         const spec = this.w.specs.get(t.report.job);
-        if (spec?.team === team && m.holds(piece)) cpus += spec.cpus;
+        if (spec?.team === team && m.hasTask(piece)) cpus += spec.cpus;
       }
     return cpus;
   }
 
   private room(m: Worker): number {
     let cpus = this.w.types.find((t) => t.name === m.type)!.cpus;
-    for (const [piece, t] of m.tasks) if (m.holds(piece)) cpus -= this.w.specs.get(t.report.job)?.cpus ?? 0;
+    for (const [piece, t] of m.tasks) if (m.hasTask(piece)) cpus -= this.w.specs.get(t.report.job)?.cpus ?? 0;
     return cpus;
   }
 }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -94,41 +94,41 @@
 
 export class StateService {
   epoch = 1;
-  down = false;
+  unavailable = false;
   /** More is asked of it than it takes: commits get 429. */
-  busy = false;
+  rateLimited = false;
   /** Executed, but the answer to a commit gets lost. */
-  loseAnswers = false;
+  dropsResponses = false;
   /** The same, for some. */
-  loses: (txn: Transaction) => boolean = () => false;
+  dropsResponseTo: (txn: Transaction) => boolean = () => false;
   /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
-  lateShare = 0;
-  readonly keys = new Map<string, Change & { hold?: number }>();
+  delayedCommitShare = 0;
+  readonly entries = new Map<string, Change & { hold?: number }>();
   readonly log: Change[] = [];
-  private holds = new Map<number, number>();
-  private nextHold = 1;
+  private leases = new Map<number, number>();
+  private nextLeaseId = 1;
 
   constructor(private readonly world: World) {}
 
   /** Called with each transaction just before it is carried out. */
-  before: (txn: Transaction) => void = () => undefined;
+  beforeCommit: (txn: Transaction) => void = () => undefined;
 
   commit(txn: Transaction): CommitOutcome {
-    this.before(txn);
-    if (this.down) return { type: 'rejected' };
-    if (this.busy || !this.spend(txn.writes.length)) return { type: 'rate-limited' };
-    this.expire();
-    if (txn.writes.some((w) => w.hold !== undefined && !this.holds.has(w.hold)))
+    this.beforeCommit(txn);
+    if (this.unavailable) return { type: 'rejected' };
+    if (this.rateLimited || !this.takeWriteBudget(txn.writes.length)) return { type: 'rate-limited' };
+    this.expireLeases();
+    if (txn.writes.some((w) => w.hold !== undefined && !this.leases.has(w.hold)))
       return { type: 'lease-expired' };
     const failed = txn.conditions
-      .filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp)
+      .filter((c) => (this.entries.get(c.key)?.stamp ?? 0) !== c.stamp)
       .map((c) => c.key);
     if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
     if (txn.writes.length > 0) this.epoch++;
     for (const w of txn.writes) {
       const change = { key: w.key, data: w.data && JSON.parse(JSON.stringify(w.data)), stamp: this.epoch };
-      if (w.data === undefined) this.keys.delete(w.key);
-      else this.keys.set(w.key, { ...change, hold: w.hold });
+      if (w.data === undefined) this.entries.delete(w.key);
+      else this.entries.set(w.key, { ...change, hold: w.hold });
       this.log.push(change);
     }
     return { type: 'ok', epoch: this.epoch };
@@ -138,69 +138,70 @@
   writesPerS = Infinity;
   private budget = 0;
   private budgetAt = 0;
-  refused = 0;
-  private spend(writes: number): boolean {
+  rateLimitedCount = 0;
+  private takeWriteBudget(writes: number): boolean {
     if (!Number.isFinite(this.writesPerS)) return true;
     const { now } = this.world;
     this.budget = Math.min(this.writesPerS, this.budget + ((now - this.budgetAt) / 1000) * this.writesPerS);
     this.budgetAt = now;
     if (this.budget < writes) {
-      this.refused++;
+      this.rateLimitedCount++;
       return false;
     }
     this.budget -= writes;
     return true;
   }
 
-  lease(ttlMs: number): number | null {
-    if (this.down) return null;
-    const hold = this.nextHold++;
-    this.holds.set(hold, this.world.now + ttlMs);
-    this.ttl.set(hold, ttlMs);
+  grantLease(ttlMs: number): number | null {
+    if (this.unavailable) return null;
+    const hold = this.nextLeaseId++;
+    this.leases.set(hold, this.world.now + ttlMs);
+    this.leaseTtlMs.set(hold, ttlMs);
     return hold;
   }
-  private ttl = new Map<number, number>();
+  private leaseTtlMs = new Map<number, number>();
 
-  renew(hold: number): 'ok' | 'gone' | 'failed' {
-    if (this.down) return 'failed';
-    this.expire();
-    if (!this.holds.has(hold)) return 'gone';
-    this.holds.set(hold, this.world.now + this.ttl.get(hold)!);
+  renewLease(hold: number): 'ok' | 'gone' | 'failed' {
+    if (this.unavailable) return 'failed';
+    this.expireLeases();
+    if (!this.leases.has(hold)) return 'gone';
+    this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
     return 'ok';
   }
 
-  end(hold: number): void {
-    this.holds.delete(hold);
-    const gone = [...this.keys.values()].filter((k) => k.hold === hold);
+  revokeLease(hold: number): void {
+    this.leases.delete(hold);
+    const gone = [...this.entries.values()].filter((k) => k.hold === hold);
     if (gone.length > 0) this.epoch++;
     for (const k of gone) {
-      this.keys.delete(k.key);
+      this.entries.delete(k.key);
       this.log.push({ key: k.key, data: undefined, stamp: this.epoch });
     }
   }
 
-  expire(): void {
-    if (this.down)
-      for (const hold of this.holds.keys()) this.holds.set(hold, this.world.now + this.ttl.get(hold)!);
-    for (const [hold, until] of [...this.holds]) if (until < this.world.now) this.end(hold);
+  expireLeases(): void {
+    if (this.unavailable)
+      for (const hold of this.leases.keys())
+        this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
+    for (const [hold, until] of [...this.leases]) if (until < this.world.now) this.revokeLease(hold);
   }
 
   /** A copy of what there is, to come back to. */
-  copy(): { epoch: number; keys: [string, Change & { hold?: number }][] } {
-    return { epoch: this.epoch, keys: [...this.keys] };
+  snapshot(): { epoch: number; keys: [string, Change & { hold?: number }][] } {
+    return { epoch: this.epoch, keys: [...this.entries] };
   }
 
   /** It has lost data: what is left, at which revision. Nothing tells of it; leases are gone, too. */
-  lose(left: [string, Change & { hold?: number }][], epoch: number): void {
-    this.keys.clear();
-    for (const [key, k] of left) this.keys.set(key, k);
+  loseData(left: [string, Change & { hold?: number }][], epoch: number): void {
+    this.entries.clear();
+    for (const [key, k] of left) this.entries.set(key, k);
     this.epoch = epoch;
     this.log.length = 0;
-    this.holds.clear();
+    this.leases.clear();
   }
 
   items(): Change[] {
-    return [...this.keys.values()]
+    return [...this.entries.values()]
       .filter((k) => k.key.startsWith(keyPrefix))
       .map(({ key, data, stamp }) => ({ key, data, stamp }));
   }
@@ -219,32 +220,32 @@
   private queue: Command[] = [];
   alive = true;
   /** Cut off from the state service: it gets no answers and sees no changes. */
-  cut = false;
+  cutFromState = false;
   /** It gets 429 from the state service. */
-  throttled = false;
+  rateLimited = false;
   /** It and the other controllers do not reach each other. */
-  apart = false;
+  isolatedFromPeers = false;
   /** Its commits are on their way for long, and it gets no answer to them. */
-  holdBack = false;
+  holdsCommits = false;
   /** What it tells the others comes so much later. */
-  heldMs = 0;
+  peerDelayMs = 0;
   /** It stands still while its clock runs on: what arrives waits. */
-  frozen = false;
+  paused = false;
   /** How fast its steady clock runs. */
   clockRate = 1;
   /** Changes of the state reach it again only some time after it woke: first comes what had waited. */
-  private newsAt = 0;
-  private followed = -1;
-  private readFrom = 0;
-  answers = new Map<number, { status: number; body: Record<string, unknown>; retryAfterS?: number }>();
-  private runs = 0;
+  private watchResumesAt = 0;
+  private watchedRevision = -1;
+  private snapshotStartedAt = 0;
+  responses = new Map<number, { status: number; body: Record<string, unknown>; retryAfterS?: number }>();
+  private processStarts = 0;
   /** The program that it runs from its next start on. */
   program: Program = thisProgram;
   operators: Operators;
   /** What it has logged: level, message, fields. */
-  readonly logged: [string, string, Record<string, unknown>?][] = [];
+  readonly logLines: [string, string, Record<string, unknown>?][] = [];
   /** What its process died of, if it did. */
-  died: Error | null = null;
+  crashError: Error | null = null;
   /** Called instead of handing on a commit's outcome, if set. */
   constructor(
     readonly world: World,
@@ -259,22 +260,22 @@
   boot(): void {
     this.alive = true;
     this.queue = [];
-    this.died = null;
+    this.crashError = null;
     this.start(null);
   }
 
   /** How often it began anew with what it knew. */
-  reborn = 0;
+  recoveryRestarts = 0;
 
   private start(recoveryRecords: RecoveryRecords | null): void {
-    this.readFrom = this.world.now;
-    this.followed = -1;
+    this.snapshotStartedAt = this.world.now;
+    this.watchedRevision = -1;
     this.controller = new this.program.Controller(
       this.settings,
       this.operators,
-      `${this.member}r${++this.runs}`,
-      seeded(this.world.seed + this.runs),
-      (...line) => void this.logged.push(line),
+      `${this.member}r${++this.processStarts}`,
+      seeded(this.world.seed + this.processStarts),
+      (...line) => void this.logLines.push(line),
       null,
       this.program.name,
       recoveryRecords,
@@ -288,19 +289,24 @@
   step(): void {
     if (!this.alive) return;
     const s = this.world.state;
-    if (this.frozen) {
-      this.newsAt = this.world.now + 300;
+    if (this.paused) {
+      this.watchResumesAt = this.world.now + 300;
       return;
     }
     // Reading takes its time and begins anew when it is interrupted; what is watched goes on.
-    const off = this.cut || s.down || (this.throttled && this.followed < 0);
-    if (off && this.followed < 0) this.readFrom = this.world.now;
-    const read = this.followed >= 0 || this.world.now >= this.readFrom + this.world.readMs;
-    if (!off && read && this.world.now >= this.newsAt) {
-      if (this.followed < 0) this.push({ type: 'snapshot-loaded', items: s.items(), epoch: s.epoch });
-      else if (this.followed < s.epoch)
-        this.push({ type: 'changes', changes: s.log.filter((c) => c.stamp > this.followed), epoch: s.epoch });
-      this.followed = s.epoch;
+    const off = this.cutFromState || s.unavailable || (this.rateLimited && this.watchedRevision < 0);
+    if (off && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
+    const read =
+      this.watchedRevision >= 0 || this.world.now >= this.snapshotStartedAt + this.world.snapshotMs;
+    if (!off && read && this.world.now >= this.watchResumesAt) {
+      if (this.watchedRevision < 0) this.push({ type: 'snapshot-loaded', items: s.items(), epoch: s.epoch });
+      else if (this.watchedRevision < s.epoch)
+        this.push({
+          type: 'changes',
+          changes: s.log.filter((c) => c.stamp > this.watchedRevision),
+          epoch: s.epoch,
+        });
+      this.watchedRevision = s.epoch;
     }
     const commands = this.queue;
     this.queue = [];
@@ -313,13 +319,13 @@
       });
     } catch (e) {
       // As a process: it ends.
-      if (!this.world.mayDie) throw e;
+      if (!this.world.crashesAllowed) throw e;
       this.alive = false;
-      this.died = e as Error;
+      this.crashError = e as Error;
     }
     for (const e of effects) {
       const reply = (c: Command | null) =>
-        this.world.after(this.world.answerMs, () => {
+        this.world.schedule(this.world.responseMs, () => {
           if (c && this.alive && this.controller === controller) this.queue.push(c);
         });
       this.carryOut(e, reply);
@@ -328,38 +334,40 @@
 
   private carryOut(e: Effect, reply: (c: Command | null) => void): void {
     const w = this.world;
-    const off = this.cut || w.state.down || this.throttled;
+    const off = this.cutFromState || w.state.unavailable || this.rateLimited;
     switch (e.type) {
       case 'respond':
-        this.answers.set(e.rid, {
+        this.responses.set(e.rid, {
           status: e.status,
           body: e.body as Record<string, unknown>,
           retryAfterS: e.retryAfterS,
         });
         break;
       case 'commit': {
-        if (this.cut) return reply({ type: 'commit-result', outcome: { type: 'rejected' } });
-        if (this.throttled) return reply({ type: 'commit-result', outcome: { type: 'rate-limited' } });
-        if (this.holdBack) {
-          w.heldBack.push(e.txn);
+        if (this.cutFromState) return reply({ type: 'commit-result', outcome: { type: 'rejected' } });
+        if (this.rateLimited) return reply({ type: 'commit-result', outcome: { type: 'rate-limited' } });
+        if (this.holdsCommits) {
+          w.heldCommits.push(e.txn);
           return reply({ type: 'commit-result', outcome: { type: 'unknown' } });
         }
-        if (w.chance() < w.state.lateShare && !w.state.down) {
+        if (w.random() < w.state.delayedCommitShare && !w.state.unavailable) {
           const { txn } = e;
-          w.after(2000 + 10_000 * w.chance(), () => {
+          w.schedule(2000 + 10_000 * w.random(), () => {
             w.commits.push({ member: this.member, txn, outcome: w.state.commit(txn), at: w.now });
           });
-          return void w.after(w.lostAnswerMs, () =>
+          return void w.schedule(w.lostResponseMs, () =>
             reply({ type: 'commit-result', outcome: { type: 'unknown' } }),
           );
         }
         const { txn } = e;
-        w.sometime(w.commitMs(), () => {
+        w.scheduleOrRun(w.commitDelayMs(), () => {
           const outcome = w.state.commit(txn);
           w.commits.push({ member: this.member, txn, outcome, at: w.now });
-          const lost = w.state.loseAnswers || w.state.loses(txn);
+          const lost = w.state.dropsResponses || w.state.dropsResponseTo(txn);
           if (lost)
-            w.sometime(w.lostMs(), () => reply({ type: 'commit-result', outcome: { type: 'unknown' } }));
+            w.scheduleOrRun(w.lostResponseNoticedMs(), () =>
+              reply({ type: 'commit-result', outcome: { type: 'unknown' } }),
+            );
           else reply({ type: 'commit-result', outcome });
         });
         break;
@@ -368,40 +376,40 @@
         reply({ type: 'revision-read', sentAt: w.now * this.clockRate, epoch: off ? null : w.state.epoch });
         break;
       case 'grant-lease':
-        reply({ type: 'lease-granted', hold: off ? null : w.state.lease(e.ttlMs) });
+        reply({ type: 'lease-granted', hold: off ? null : w.state.grantLease(e.ttlMs) });
         break;
       case 'renew-lease':
         reply({
           type: 'lease-renewal-result',
           hold: e.hold,
-          outcome: off ? 'failed' : w.state.renew(e.hold),
+          outcome: off ? 'failed' : w.state.renewLease(e.hold),
         });
         break;
       case 'revoke-lease':
-        if (!off) w.state.end(e.hold);
+        if (!off) w.state.revokeLease(e.hold);
         break;
       case 'list-machine-types':
         reply({ type: 'machine-types', types: w.cloudDown ? null : w.types });
         break;
       case 'rent-machines': {
-        this.actsAsLeader('rent');
+        this.checkLeadership('rent');
         w.rentals.push(e.request);
         if (w.cloudDown) return reply({ type: 'rental-result', request: e.request, outcome: 'refused' });
         const { request } = e;
-        if (w.chance() < w.cloudLate) {
-          w.after(2000 + 10_000 * w.chance(), () => w.rent(request));
+        if (w.random() < w.delayedCloudCallShare) {
+          w.schedule(2000 + 10_000 * w.random(), () => w.rent(request));
           return reply({ type: 'rental-result', request, outcome: 'unknown' });
         }
         const outcome = w.rent(request);
-        w.sometime(w.cloudMs(), () => reply({ type: 'rental-result', request, outcome }));
+        w.scheduleOrRun(w.cloudDelayMs(), () => reply({ type: 'rental-result', request, outcome }));
         break;
       }
       case 'delete-machines':
-        this.actsAsLeader('return');
+        this.checkLeadership('return');
         if (w.cloudDown) return reply({ type: 'deletion-result', hosts: e.hosts, ok: false });
-        if (w.chance() < w.cloudLate) {
+        if (w.random() < w.delayedCloudCallShare) {
           const { hosts } = e;
-          w.after(2000 + 10_000 * w.chance(), () => w.remove(hosts));
+          w.schedule(2000 + 10_000 * w.random(), () => w.remove(hosts));
           return reply({ type: 'deletion-result', hosts, ok: false });
         }
         w.remove(e.hosts);
@@ -420,36 +428,36 @@
                 zone: x.zone,
                 spot: x.spot,
                 status: 'running' as const,
-                ageS: (w.now - x.bornAt) / 1000,
+                ageS: (w.now - x.createdAt) / 1000,
               })),
         });
         break;
       case 'send-task-commands':
-        w.sometime(w.orderMs(), () => {
+        w.scheduleOrRun(w.directCommandDelayMs(), () => {
           const to = w.workers.get(e.host);
-          if (!to?.cutFrom.has(this.member)) to?.straight(e.orders, e.token, e.session);
+          if (!to?.unreachableNodes.has(this.member)) to?.receiveDirectCommands(e.orders, e.token, e.session);
         });
         break;
       case 'forward-heartbeat': {
         const to = w.nodes.find((n) => n.member === e.to);
-        const id = ++w.rids;
-        if (!to?.alive || this.apart || to.apart)
+        const id = ++w.nextRequestId;
+        if (!to?.alive || this.isolatedFromPeers || to.isolatedFromPeers)
           return reply({ type: 'forwarded-response', rid: e.rid, status: 503, body: {} });
         to.push({ type: 'heartbeat', rid: id, report: e.report, from: this.member });
-        w.after(30, () => {
-          const a = to.answers.get(id);
+        w.schedule(30, () => {
+          const a = to.responses.get(id);
           if (a) this.push({ type: 'forwarded-response', rid: e.rid, status: a.status, body: a.body });
         });
         break;
       }
       case 'peer-status':
-        this.tellPeers((to) => to.push({ type: 'peer-status', from: this.member, pulse: e.pulse }));
+        this.broadcast((to) => to.push({ type: 'peer-status', from: this.member, pulse: e.pulse }));
         break;
       case 'rejected-jobs':
-        this.tellPeers((to) => to.push({ type: 'rejected-jobs', list: e.list }));
+        this.broadcast((to) => to.push({ type: 'rejected-jobs', list: e.list }));
         break;
       case 'query-freshness':
-        this.tellPeers((to) => to.push({ type: 'freshness-query', from: this.member, question: e.question }));
+        this.broadcast((to) => to.push({ type: 'freshness-query', from: this.member, question: e.question }));
         break;
       case 'confirm-freshness': {
         const { question, known } = e;
@@ -460,7 +468,7 @@
           question,
           known,
         } as const;
-        this.tellPeers((to) => to.member === e.to && to.push(vouched));
+        this.broadcast((to) => to.member === e.to && to.push(vouched));
         break;
       }
       case 'catch-up':
@@ -475,7 +483,7 @@
         break;
       }
       case 'restart':
-        this.reborn++;
+        this.recoveryRestarts++;
         // What was asked for before counts no more; requests wait on.
         this.queue = this.queue.filter((c) => ['submit', 'query', 'cancel', 'heartbeat'].includes(c.type));
         this.start(e.recoveryRecords);
@@ -484,38 +492,39 @@
   }
 
   private get run(): string {
-    return `${this.member}r${this.runs}`;
+    return `${this.member}r${this.processStarts}`;
   }
 
-  private tellPeers(tell: (to: Node) => void): void {
-    if (!this.world.talk || this.apart) return;
+  private broadcast(tell: (to: Node) => void): void {
+    if (!this.world.peersConnected || this.isolatedFromPeers) return;
     for (const n of this.world.nodes)
-      if (n !== this && !n.apart) this.world.after(5 + this.heldMs, () => n.alive && tell(n));
+      if (n !== this && !n.isolatedFromPeers)
+        this.world.schedule(5 + this.peerDelayMs, () => n.alive && tell(n));
   }
 
-  private actsAsLeader(what: string): void {
-    const { keys } = this.world.state;
+  private checkLeadership(what: string): void {
+    const { entries: keys } = this.world.state;
     const lead = (keys.get('dp/chief') ?? keys.get('dp/lead'))?.data as { member: string } | undefined;
-    if (lead?.member !== this.member) this.world.broken.push(`stale ${what} by ${this.member}`);
+    if (lead?.member !== this.member) this.world.violations.push(`stale ${what} by ${this.member}`);
   }
 
-  private rid = 1000;
+  private nextRequestId = 1000;
   /** Sends a request and plays until it is answered. */
-  ask(c: (rid: number) => Command, withinMs = 6000) {
-    const rid = ++this.rid;
+  request(c: (rid: number) => Command, withinMs = 6000) {
+    const rid = ++this.nextRequestId;
     this.push(c(rid));
     const until = this.world.now + withinMs;
-    while (!this.answers.has(rid) && this.world.now < until) this.world.play(0.01);
-    return this.answers.get(rid);
+    while (!this.responses.has(rid) && this.world.now < until) this.world.advance(0.01);
+    return this.responses.get(rid);
   }
   submit = (job: JobSpec) => {
-    if (job.shape === 'service') this.world.endless.add(job.id);
+    if (job.shape === 'service') this.world.serviceJobs.add(job.id);
     if (job.shape === 'gang') this.world.gangs.set(job.id, job.tasks);
     this.world.specs.set(job.id, job);
-    return this.ask((rid) => ({ type: 'submit', rid, spec: job }));
+    return this.request((rid) => ({ type: 'submit', rid, spec: job }));
   };
-  status = (id: string) => this.ask((rid) => ({ type: 'query', rid, id }));
-  withdraw = (id: string) => this.ask((rid) => ({ type: 'cancel', rid, id }));
+  status = (id: string) => this.request((rid) => ({ type: 'query', rid, id }));
+  cancel = (id: string) => this.request((rid) => ({ type: 'cancel', rid, id }));
 }
 
 interface Running {
@@ -531,26 +540,26 @@
   seq = 0;
   token = 0;
   tasks = new Map<string, Running>();
-  noticeS: number | null = null;
+  spotNoticeS: number | null = null;
   silent = false;
   /** The machine hangs: nothing goes on, and what is due is done when it does again. */
   hung = false;
   /** Its reports arrive; answers and direct commands to it are lost. */
-  deaf = false;
+  losesResponses = false;
   /** Direct commands that have come while it hung. */
-  private readonly waiting: { orders: TaskOrder[]; token: number; session: number }[] = [];
+  private readonly delayedCommands: { orders: TaskOrder[]; token: number; session: number }[] = [];
   /** Controllers that it cannot reach. */
-  readonly cutFrom = new Set<string>();
-  sick = false;
-  runS: number;
-  private leaseFrom: number;
-  private at: number;
+  readonly unreachableNodes = new Set<string>();
+  failsTasks = false;
+  taskDurationS: number;
+  private leaseStartedAt: number;
+  private nextHeartbeatAt: number;
   private inFlight = false;
-  private target = 0;
-  readonly bornAt: number;
+  private targetIndex = 0;
+  readonly createdAt: number;
   /** When it last got an answer it could use, and the longest time without, ms. */
-  answeredAt: number;
-  gapMs = 0;
+  leaseRenewedAt: number;
+  longestGapMs = 0;
   constructor(
     readonly world: World,
     readonly host: string,
@@ -558,9 +567,9 @@
     readonly zone: string,
     readonly spot: boolean,
   ) {
-    this.bornAt = this.leaseFrom = this.answeredAt = world.now;
-    this.at = world.now + 1000;
-    this.runS = world.runS;
+    this.createdAt = this.leaseStartedAt = this.leaseRenewedAt = world.now;
+    this.nextHeartbeatAt = world.now + 1000;
+    this.taskDurationS = world.taskDurationS;
   }
 
   report(): Heartbeat {
@@ -574,13 +583,13 @@
       agentEpoch: this.session,
       sequence: this.seq,
       fencingToken: this.token,
-      noticeS: this.noticeS,
+      noticeS: this.spotNoticeS,
       tasks: [...this.tasks.values()].map((t) => ({ ...t.report })),
     };
   }
 
   /** A task gets its image; one of a gang then waits for the others of its attempt. */
-  private wait(t: Running): void {
+  private advanceImageFetch(t: Running): void {
     const { report } = t;
     const w = this.world;
     const gang = w.gangs.get(report.job);
@@ -598,36 +607,36 @@
   }
 
   /** Its lease has ended: all that it had is gone. */
-  forget(): void {
+  expireLease(): void {
     this.tasks.clear();
     this.session++;
-    this.leaseFrom = this.world.now;
-    this.at = this.world.now;
+    this.leaseStartedAt = this.world.now;
+    this.nextHeartbeatAt = this.world.now;
   }
 
   /** Whom it reports to. */
-  get node(): Node {
-    return this.world.nodes[this.target % this.world.nodes.length];
+  get currentNode(): Node {
+    return this.world.nodes[this.targetIndex % this.world.nodes.length];
   }
 
   /** Things that go on without any controller. */
-  live(): void {
+  advanceTasks(): void {
     const w = this.world;
-    if (w.now - this.leaseFrom > w.leaseMs) {
-      const { at } = this;
-      this.forget();
-      this.at = at;
+    if (w.now - this.leaseStartedAt > w.leaseMs) {
+      const { nextHeartbeatAt: at } = this;
+      this.expireLease();
+      this.nextHeartbeatAt = at;
     }
-    for (const d of this.waiting.splice(0)) this.straight(d.orders, d.token, d.session);
-    for (const t of this.tasks.values()) this.wait(t);
+    for (const d of this.delayedCommands.splice(0)) this.receiveDirectCommands(d.orders, d.token, d.session);
+    for (const t of this.tasks.values()) this.advanceImageFetch(t);
     for (const t of this.tasks.values())
       if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
         Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: true });
     for (const t of this.tasks.values())
       if (
         t.report.phase === 'running' &&
-        !w.endless.has(t.report.job) &&
-        w.now - t.since > (w.runOf(`${t.report.job}/${t.report.index}`) ?? this.runS) * 1000
+        !w.serviceJobs.has(t.report.job) &&
+        w.now - t.since > (w.taskDurationOf(`${t.report.job}/${t.report.index}`) ?? this.taskDurationS) * 1000
       ) {
         t.report.phase = 'exited';
         t.report.exitReason = 'done';
@@ -638,57 +647,58 @@
   step(): void {
     const w = this.world;
     if (this.hung) return;
-    this.live();
-    if (this.silent || this.inFlight || w.now < this.at) return;
-    this.at = w.now + w.reportMs;
-    const { node } = this;
-    if (!node.alive || this.cutFrom.has(node.member)) {
-      this.target++;
-      this.at = w.now + 1000;
+    this.advanceTasks();
+    if (this.silent || this.inFlight || w.now < this.nextHeartbeatAt) return;
+    this.nextHeartbeatAt = w.now + w.heartbeatMs;
+    const { currentNode: node } = this;
+    if (!node.alive || this.unreachableNodes.has(node.member)) {
+      this.targetIndex++;
+      this.nextHeartbeatAt = w.now + 1000;
       return;
     }
     const sentAt = w.now;
     const session = this.session;
-    const rid = ++w.rids;
+    const rid = ++w.nextRequestId;
     const report = this.report();
-    if (!node.controller.replica.machines.has(this.host)) w.early++;
+    if (!node.controller.replica.machines.has(this.host)) w.heartbeatsBeforeRecord++;
     node.push({ type: 'heartbeat', rid, report });
-    if (w.chance() < w.keptForNext) w.old.push(report);
-    if (w.chance() < w.lateReports) {
-      const to = w.nodes[Math.floor(w.chance() * w.nodes.length)];
-      w.after(2000 + 1.5 * w.leaseMs * w.chance(), () =>
-        to.push({ type: 'heartbeat', rid: ++w.rids, report }),
+    if (w.random() < w.heldHeartbeatShare) w.heldHeartbeats.push(report);
+    if (w.random() < w.duplicatedHeartbeatShare) {
+      const to = w.nodes[Math.floor(w.random() * w.nodes.length)];
+      w.schedule(2000 + 1.5 * w.leaseMs * w.random(), () =>
+        to.push({ type: 'heartbeat', rid: ++w.nextRequestId, report }),
       );
     }
-    if (this.deaf) {
-      this.target++;
-      this.at = w.now + 5000;
+    if (this.losesResponses) {
+      this.targetIndex++;
+      this.nextHeartbeatAt = w.now + 5000;
       return;
     }
     this.inFlight = true;
-    const heldMs = w.heldMs();
-    if (heldMs > 0) this.at = Math.max(this.at, w.now + heldMs + 200);
-    w.after(100 + heldMs, () => this.answered(node, rid, sentAt, session));
+    const heldMs = w.responseDelayMs();
+    if (heldMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + heldMs + 200);
+    w.schedule(100 + heldMs, () => this.receiveResponse(node, rid, sentAt, session));
   }
 
-  private answered(node: Node, rid: number, sentAt: number, session: number): void {
+  private receiveResponse(node: Node, rid: number, sentAt: number, session: number): void {
     const w = this.world;
     // A machine that goes on takes what came meanwhile, unless that is too old.
     if (this.hung && w.now - sentAt < 4000)
-      return w.after(50, () => this.answered(node, rid, sentAt, session));
+      return w.schedule(50, () => this.receiveResponse(node, rid, sentAt, session));
     // One report at a time; an answer is waited for as long as its controller lives.
-    const waits = !this.silent && !this.deaf && node.alive && !this.cutFrom.has(node.member);
-    if (!node.answers.has(rid) && waits && w.now - sentAt < 4000)
-      return w.after(10, () => this.answered(node, rid, sentAt, session));
-    const a = node.answers.get(rid);
-    node.answers.delete(rid);
+    const waits =
+      !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
+    if (!node.responses.has(rid) && waits && w.now - sentAt < 4000)
+      return w.schedule(10, () => this.receiveResponse(node, rid, sentAt, session));
+    const a = node.responses.get(rid);
+    node.responses.delete(rid);
     this.inFlight = false;
-    if (this.silent || this.hung || this.deaf || session !== this.session) return;
-    this.gapMs = Math.max(this.gapMs, w.now - this.answeredAt);
+    if (this.silent || this.hung || this.losesResponses || session !== this.session) return;
+    this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
     if (a?.status !== 200) {
       const boss = w.nodes.findIndex((n) => n.member === a?.body['boss']);
-      this.target = boss >= 0 && w.nodes[boss] !== node ? boss : this.target + 1;
-      this.at = w.now + (boss >= 0 ? 50 : 1000);
+      this.targetIndex = boss >= 0 && w.nodes[boss] !== node ? boss : this.targetIndex + 1;
+      this.nextHeartbeatAt = w.now + (boss >= 0 ? 50 : 1000);
       return;
     }
     const body = a.body as {
@@ -696,11 +706,15 @@
       orders: { verb: string; piece: string; try: number; windDownS?: number }[];
     };
     if (body.baton < this.token) return;
-    if (body.baton > this.token) this.at = Math.min(this.at, w.now + 500);
+    if (body.baton > this.token) this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, w.now + 500);
     this.token = body.baton;
-    this.leaseFrom = sentAt;
-    this.answeredAt = w.now;
-    this.noteKept(node, sentAt, new Set(body.orders.flatMap((o) => (o.verb === 'kill' ? [o.piece] : []))));
+    this.leaseStartedAt = sentAt;
+    this.leaseRenewedAt = w.now;
+    this.checkKeptTasks(
+      node,
+      sentAt,
+      new Set(body.orders.flatMap((o) => (o.verb === 'kill' ? [o.piece] : []))),
+    );
     this.execute(
       body.orders.map((o) => {
         const [job, index] = o.piece.split('/');
@@ -714,21 +728,22 @@
   }
 
   /** An answer has kept its tasks alive. Of a cancelled job it may only for so long that the lease still ends in time. */
-  private noteKept(node: Node, sentAt: number, killed: ReadonlySet<string>): void {
+  private checkKeptTasks(node: Node, sentAt: number, killed: ReadonlySet<string>): void {
     const w = this.world;
-    w.kept.answers.set(node.member, (w.kept.answers.get(node.member) ?? 0) + 1);
+    w.leaseRenewals.answers.set(node.member, (w.leaseRenewals.answers.get(node.member) ?? 0) + 1);
     for (const [piece, t] of this.tasks) {
       const since = w.cancelledAt.get(t.report.job);
       if (since === undefined || t.report.phase === 'exited' || killed.has(piece)) continue;
-      w.kept.mostMs = Math.max(w.kept.mostMs, sentAt - since);
-      if (sentAt - since > w.keepMs) w.broken.push(`kept ${piece} ${sentAt - since} ms by ${node.member}`);
+      w.leaseRenewals.mostMs = Math.max(w.leaseRenewals.mostMs, sentAt - since);
+      if (sentAt - since > w.maxKeepMs)
+        w.violations.push(`kept ${piece} ${sentAt - since} ms by ${node.member}`);
     }
   }
 
   /** Commands sent straight to it: carried out late, too, as long as token and session are right. */
-  straight(orders: TaskOrder[], token: number, session: number): void {
-    if (this.deaf) return;
-    if (this.hung) this.waiting.push({ orders, token, session });
+  receiveDirectCommands(orders: TaskOrder[], token: number, session: number): void {
+    if (this.losesResponses) return;
+    if (this.hung) this.delayedCommands.push({ orders, token, session });
     else if (session === this.session) this.execute(orders, token);
   }
 
@@ -739,7 +754,7 @@
       const piece = `${o.job}/${o.index}`;
       const t = this.tasks.get(piece);
       if (o.op === 'start') {
-        this.world.noteStart(this, o.job, o.index, t !== undefined);
+        this.world.recordStart(this, o.job, o.index, t !== undefined);
         if (t) continue;
         const report: TaskStatus = {
           job: o.job,
@@ -749,19 +764,19 @@
           exitReason: null,
           saved: false,
         };
-        if (this.sick || this.world.mistaken.has(o.job))
+        if (this.failsTasks || this.world.failingJobs.has(o.job))
           Object.assign(report, { phase: 'exited', why: 'error' });
         this.tasks.set(piece, { report, since: this.world.now });
       } else if (t?.report.attempt === o.attempt) {
         if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(piece);
-        if (o.op === 'stop' && t.report.phase !== 'exited') this.stop(t, o.graceS);
+        if (o.op === 'stop' && t.report.phase !== 'exited') this.stopTask(t, o.graceS);
       }
-      this.at = Math.min(this.at, this.world.now + 500);
+      this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.world.now + 500);
     }
   }
 
   /** One that saves goes on doing so unless it is told to end at once. */
-  private stop(t: Running, graceS: number): void {
+  private stopTask(t: Running, graceS: number): void {
     const saveS = this.world.specs.get(t.report.job)?.saveS ?? 0;
     const saves = t.report.phase === 'running' && saveS > 0 && graceS >= saveS;
     if (saves) Object.assign(t, { since: this.world.now, saveS });
@@ -771,8 +786,8 @@
   }
 
   /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
-  holds(piece: string): boolean {
-    if (this.hung && this.world.now - this.leaseFrom > this.world.leaseMs) return false;
+  hasTask(piece: string): boolean {
+    if (this.hung && this.world.now - this.leaseStartedAt > this.world.leaseMs) return false;
     const t = this.tasks.get(piece);
     return t !== undefined && t.report.phase !== 'exited';
   }
@@ -794,67 +809,67 @@
   /** How long a task waits for its image. */
   fetchS = 0;
   /** Services: their tasks never complete. */
-  readonly endless = new Set<string>();
+  readonly serviceJobs = new Set<string>();
   /** Jobs submitted with a mistake: their tasks fail on every machine. */
-  readonly mistaken = new Set<string>();
+  readonly failingJobs = new Set<string>();
   readonly starts: { piece: string; host: string; at: number }[] = [];
   /** Broken rules, as a referee who sees everything finds them. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   readonly cancelledAt = new Map<string, number>();
   /**
    * Answers that have renewed a lease, by controller, and the longest time after its cancellation for which a task was kept
    * by one. It may be `cancel_s` - `lease_s`, less what clocks differ by.
    */
-  readonly kept = { answers: new Map<string, number>(), mostMs: 0 };
-  keepMs = 20_000 * (1 - 0.001);
+  readonly leaseRenewals = { answers: new Map<string, number>(), mostMs: 0 };
+  maxKeepMs = 20_000 * (1 - 0.001);
   types: MachineType[] = [box];
   capacity = 10;
   cloudDown = false;
   /** Commits that are still on their way. */
-  readonly heldBack: Transaction[] = [];
+  readonly heldCommits: Transaction[] = [];
   /** Controllers reach each other. */
-  talk = true;
+  peersConnected = true;
   /** An error in a controller ends its process, not the test. */
-  mayDie = false;
+  crashesAllowed = false;
   /** What the controllers' random numbers come from. */
   readonly seed: number;
-  rids = 1_000_000;
+  nextRequestId = 1_000_000;
   /** How long an answer of the state service or the cloud takes, and the first reading of the state. */
-  answerMs = 5;
-  readMs = 0;
+  responseMs = 5;
+  snapshotMs = 0;
   /** After so long a controller gives up waiting for the answer to a commit. */
-  lostAnswerMs = 1000;
+  lostResponseMs = 1000;
   /** Of this share of the workers' reports a copy arrives again, up to one and a half leases later, at whichever controller. */
-  lateReports = 0;
+  duplicatedHeartbeatShare = 0;
   /** How long tasks run on machines that come from now on; for some tasks, wherever they run. */
-  runS = 20;
-  runOf: (piece: string) => number | undefined = () => undefined;
+  taskDurationS = 20;
+  taskDurationOf: (piece: string) => number | undefined = () => undefined;
   /** This share of rentals and returns gets no answer and is carried out 2 to 12 s later. */
-  cloudLate = 0;
+  delayedCloudCallShare = 0;
   /** How long transactions are on their way, and answers to rentals; after how long a lost answer is noticed, ms. */
-  commitMs: () => number = () => 0;
-  cloudMs: () => number = () => 0;
-  lostMs: () => number = () => 0;
+  commitDelayMs: () => number = () => 0;
+  cloudDelayMs: () => number = () => 0;
+  lostResponseNoticedMs: () => number = () => 0;
   /** Reports of machines that the controller they came to had no record of. */
-  early = 0;
+  heartbeatsBeforeRecord = 0;
   /** Of this share of the reports a copy is kept until somebody else leads or owns, and then reaches every controller. */
-  keptForNext = 0;
-  readonly old: Heartbeat[] = [];
+  heldHeartbeatShare = 0;
+  readonly heldHeartbeats: Heartbeat[] = [];
   /** How many such copies came just as somebody else had begun. */
-  oldCame = 0;
-  private readonly begun = new Map<string, number>();
+  deliveredHeldHeartbeats = 0;
+  private readonly ownershipStamps = new Map<string, number>();
   /** Starts after a confirmed cancellation: of which tasks, and how long after. */
-  readonly startsLate: { piece: string; afterMs: number }[] = [];
+  readonly startsAfterCancellation: { piece: string; afterMs: number }[] = [];
   /** How long direct commands, and answers to reports, are held up, ms. */
-  orderMs: () => number = () => 0;
-  heldMs: () => number = () => 0;
+  directCommandDelayMs: () => number = () => 0;
+  responseDelayMs: () => number = () => 0;
   leaseMs = 16_000;
-  reportMs = 2000;
-  private later: { at: number; fn: () => void }[] = [];
-  private hosts = 0;
+  heartbeatMs = 2000;
+  private timers: { at: number; fn: () => void }[] = [];
+  private machineCount = 0;
 
   /** The world's own chance, apart from the controllers'. */
-  readonly chance: () => number;
+  readonly random: () => number;
 
   constructor(
     nodes = 1,
@@ -863,26 +878,26 @@
     settingsOf: (text: string) => string = (text) => text,
   ) {
     this.seed = seed;
-    this.chance = seeded(seed * 7919 + 13);
+    this.random = seeded(seed * 7919 + 13);
     for (let i = 0; i < nodes; i++) {
       const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodes)));
       this.nodes.push(new Node(this, `n${i}`, settings, { ...defaults, ...operators }));
     }
   }
 
-  after(ms: number, fn: () => void): void {
-    this.later.push({ at: this.now + ms, fn });
+  schedule(ms: number, fn: () => void): void {
+    this.timers.push({ at: this.now + ms, fn });
   }
 
-  sometime(ms: number, fn: () => void): void {
-    if (ms > 0) this.after(ms, fn);
+  scheduleOrRun(ms: number, fn: () => void): void {
+    if (ms > 0) this.schedule(ms, fn);
     else fn();
   }
 
-  private readonly hires = new Map<string, string[]>();
+  private readonly rentalResponses = new Map<string, string[]>();
   /** A request name that was carried out once gets the same answer for ever. */
   rent(request: RentRequest): { hosts: string[] } | 'none' {
-    const before = this.hires.get(request.name);
+    const before = this.rentalResponses.get(request.name);
     if (before) return { hosts: before };
     if (this.capacity <= 0) return 'none';
     const hosts: string[] = [];
@@ -890,7 +905,7 @@
       this.capacity--;
       hosts.push(this.addWorker(request.type, request.zone, request.spot).host);
     }
-    this.hires.set(request.name, hosts);
+    this.rentalResponses.set(request.name, hosts);
     return { hosts };
   }
 
@@ -902,34 +917,35 @@
   }
 
   addWorker(type: string, zone: string, spot: boolean): Worker {
-    const host = `n-${String(++this.hosts).padStart(6, '0')}`;
+    const host = `n-${String(++this.machineCount).padStart(6, '0')}`;
     const w = new Worker(this, host, type, zone, spot);
     this.workers.set(host, w);
     return w;
   }
 
-  noteStart(w: Worker, job: string, index: number, held: boolean): void {
+  recordStart(w: Worker, job: string, index: number, held: boolean): void {
     const piece = `${job}/${index}`;
     this.starts.push({ piece, host: w.host, at: this.now });
     if (held) return;
     for (const other of this.workers.values())
-      if (other !== w && other.holds(piece))
-        this.broken.push(`ran_twice ${piece} on ${w.host} and ${other.host}`);
+      if (other !== w && other.hasTask(piece))
+        this.violations.push(`ran_twice ${piece} on ${w.host} and ${other.host}`);
     const since = this.cancelledAt.get(job);
-    if (since !== undefined && this.now > since + 36_000) this.broken.push(`ran_cancelled ${piece}`);
-    if (since !== undefined && this.now > since) this.startsLate.push({ piece, afterMs: this.now - since });
-    this.judgePlace(w, job, piece);
+    if (since !== undefined && this.now > since + 36_000) this.violations.push(`ran_cancelled ${piece}`);
+    if (since !== undefined && this.now > since)
+      this.startsAfterCancellation.push({ piece, afterMs: this.now - since });
+    this.checkPlacement(w, job, piece);
   }
 
   /** Type, zone, kind of machine and the team's limit, with all that is on machines now. */
-  private judgePlace(w: Worker, job: string, piece: string): void {
+  private checkPlacement(w: Worker, job: string, piece: string): void {
     const spec = this.specs.get(job);
     if (!spec) return;
     const zones = new Map<string, number>([[w.zone, 1]]);
     let cpus = spec.cpus;
     for (const x of this.workers.values())
       for (const [held, t] of x.tasks) {
-        if (!x.holds(held) || held === piece) continue;
+        if (!x.hasTask(held) || held === piece) continue;
         const s = this.specs.get(t.report.job);
         if (s?.team === spec.team) cpus += s.cpus;
         if (t.report.job === job) zones.set(x.zone, (zones.get(x.zone) ?? 0) + 1);
@@ -940,59 +956,60 @@
       (w.spot && (!spec.spot || spec.shape !== 'array')) ||
       (spec.oneZone && zones.size > 1) ||
       (spec.apart && Math.max(...zones.values()) > Math.ceil(spec.tasks / 2));
-    if (wrong) this.broken.push(`wrong_place ${piece} on ${w.host}`);
+    if (wrong) this.violations.push(`wrong_place ${piece} on ${w.host}`);
     const cap = this.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
-    if (cap > 0 && cpus > cap + 1e-9) this.broken.push(`quota ${spec.team}: ${cpus} with ${piece}`);
+    if (cap > 0 && cpus > cap + 1e-9) this.violations.push(`quota ${spec.team}: ${cpus} with ${piece}`);
   }
 
   /** Somebody else leads or owns: what was kept for that moment comes now, or a little later. */
-  private bringOld(): void {
+  private deliverHeldHeartbeats(): void {
     let changed = false;
-    for (const [key, { stamp }] of this.state.keys)
-      if (/^dp\/(chief|lead|shard\/)/.test(key) && this.begun.get(key) !== stamp) {
-        changed ||= this.begun.has(key);
-        this.begun.set(key, stamp);
+    for (const [key, { stamp }] of this.state.entries)
+      if (/^dp\/(chief|lead|shard\/)/.test(key) && this.ownershipStamps.get(key) !== stamp) {
+        changed ||= this.ownershipStamps.has(key);
+        this.ownershipStamps.set(key, stamp);
       }
     if (!changed) return;
-    for (const report of this.old.splice(0)) {
-      const ms = this.chance() < 0.5 ? 100 * this.chance() : 4000 * this.chance();
-      this.after(ms, () => {
-        for (const n of this.nodes) if (n.alive) n.push({ type: 'heartbeat', rid: ++this.rids, report });
-        this.oldCame++;
+    for (const report of this.heldHeartbeats.splice(0)) {
+      const ms = this.random() < 0.5 ? 100 * this.random() : 4000 * this.random();
+      this.schedule(ms, () => {
+        for (const n of this.nodes)
+          if (n.alive) n.push({ type: 'heartbeat', rid: ++this.nextRequestId, report });
+        this.deliveredHeldHeartbeats++;
       });
     }
   }
 
   /** A machine dies: the cloud has room for another. */
-  die(m: Worker): void {
+  loseMachine(m: Worker): void {
     if (this.workers.delete(m.host)) this.capacity++;
   }
 
   /** Plays so many seconds, in steps of 10 ms. */
-  play(seconds: number): void {
+  advance(seconds: number): void {
     const until = this.now + seconds * 1000;
     while (this.now < until) {
       this.now += 10;
-      const due = this.later.filter((l) => l.at <= this.now);
-      this.later = this.later.filter((l) => l.at > this.now);
+      const due = this.timers.filter((l) => l.at <= this.now);
+      this.timers = this.timers.filter((l) => l.at > this.now);
       for (const l of due) l.fn();
-      if (!this.state.down) this.state.expire();
-      else this.state.expire();
-      if (this.keptForNext > 0 || this.old.length > 0) this.bringOld();
+      if (!this.state.unavailable) this.state.expireLeases();
+      else this.state.expireLeases();
+      if (this.heldHeartbeatShare > 0 || this.heldHeartbeats.length > 0) this.deliverHeldHeartbeats();
       for (const w of this.workers.values()) w.step();
       for (const n of this.nodes) n.step();
       for (const [job, at] of this.cancelledAt)
         if (this.now > at + 36_000)
           for (const w of this.workers.values())
             for (const piece of w.tasks.keys())
-              if (piece.startsWith(`${job}/`) && w.holds(piece))
-                this.broken.push(`ran_cancelled ${piece} stays`);
+              if (piece.startsWith(`${job}/`) && w.hasTask(piece))
+                this.violations.push(`ran_cancelled ${piece} stays`);
     }
   }
 
-  playUntil(what: () => boolean, withinS: number): boolean {
+  advanceUntil(what: () => boolean, withinS: number): boolean {
     const until = this.now + withinS * 1000;
-    while (!what() && this.now < until) this.play(0.1);
+    while (!what() && this.now < until) this.advance(0.1);
     return what();
   }
 
@@ -1000,7 +1017,7 @@
     const list: { host: string; piece: string }[] = [];
     for (const w of this.workers.values())
       for (const piece of w.tasks.keys())
-        if (piece.startsWith(`${job}/`) && w.holds(piece)) list.push({ host: w.host, piece });
+        if (piece.startsWith(`${job}/`) && w.hasTask(piece)) list.push({ host: w.host, piece });
     return list;
   }
 }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -211,14 +211,15 @@
 
 const withLog = { 'task-log': 1 };
 
-const logKeys = (w: World): string[] => [...w.state.keys.keys()].filter((key) => key.startsWith('dp/log/'));
+const logKeys = (w: World): string[] =>
+  [...w.state.entries.keys()].filter((key) => key.startsWith('dp/log/'));
 
 function logWorld(seed = 1, over: Record<string, number> = {}): World {
   const w = new World(3, { ...withLog, ...over }, seed);
   w.capacity = 20;
   const ready = (): boolean =>
     levelOf(w).level === newestLevel && w.nodes.every((n) => n.controller.replica.machineTypes.length > 0);
-  assert.ok(w.playUntil(ready, 60));
+  assert.ok(w.advanceUntil(ready, 60));
   return w;
 }
 
@@ -247,18 +248,18 @@
   const play = (over: Record<string, number>): { writesAStart: number; broken: string[] } => {
     const w = new World(3, over, 1);
     w.capacity = 60;
-    w.runS = 20;
-    w.play(10);
+    w.taskDurationS = 20;
+    w.advance(10);
     for (let i = 0; i < jobs; i++)
       w.nodes[i % 3].push({
         type: 'submit',
         rid: 9000 + i,
         spec: spec(`req-${i + 1}`, { tasks, team: 'blue', cpus: 0.2 }),
       });
-    assert.ok(w.playUntil(() => w.finished.length === jobs * tasks, 300));
-    w.play(5);
+    assert.ok(w.advanceUntil(() => w.finished.length === jobs * tasks, 300));
+    w.advance(5);
     const written = w.commits.flatMap((c) => (c.outcome.type === 'ok' ? c.txn.writes : []));
-    return { writesAStart: written.filter(isTaskWrite).length / w.starts.length, broken: w.broken };
+    return { writesAStart: written.filter(isTaskWrite).length / w.starts.length, broken: w.violations };
   };
   const [without, logged] = [play({}), play(withLog)];
   assert.deepEqual([...without.broken, ...logged.broken], []);
@@ -270,13 +271,13 @@
   for (const seed of [1, 2, 3]) {
     const w = logWorld(seed);
     w.nodes[0].submit(spec('req-1', { tasks: 6, team: 'blue' }));
-    assert.ok(w.playUntil(() => logKeys(w).length > 0, 60));
+    assert.ok(w.advanceUntil(() => logKeys(w).length > 0, 60));
     const owner = ownerOf(w)!;
     owner.alive = false;
-    w.play(6);
+    w.advance(6);
     owner.boot();
-    assert.ok(w.playUntil(() => w.finished.length === 6, 120));
-    assert.deepEqual([...w.broken, ...wrongInHistory(w)], []);
+    assert.ok(w.advanceUntil(() => w.finished.length === 6, 120));
+    assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
     sameEverywhere(w);
   }
 });
@@ -370,7 +371,7 @@
 
 test('when a job of a write was cancelled meanwhile, the others are written again before the view has caught up', () => {
   const w = logWorld(6);
-  w.runS = 60;
+  w.taskDurationS = 60;
   w.state.writesPerS = 40;
   for (let i = 1; i <= 12; i++)
     w.nodes[i % 3].push({
@@ -380,12 +381,12 @@
     });
   // Somebody cancels one of them just before the owner's write comes to the state service.
   let hit = '';
-  w.state.before = (txn) => {
+  w.state.beforeCommit = (txn) => {
     const record = txn.writes.find((a) => a.key.startsWith('dp/log/') && a.data);
     if (!record || hit !== '') return;
     const { job } = readLog(record.data).find((e) => e.placements.length > 0)!;
     hit = job;
-    const { data } = w.state.keys.get(`dp/j/${job}`)!;
+    const { data } = w.state.entries.get(`dp/j/${job}`)!;
     const { spec: s, at } = data as { spec: JobSpec; at: number };
     const cancellation = {
       conditions: [],
@@ -393,47 +394,47 @@
     };
     w.commits.push({ member: 'user', txn: cancellation, outcome: w.state.commit(cancellation), at: w.now });
   };
-  assert.ok(w.playUntil(() => hit !== '', 60));
+  assert.ok(w.advanceUntil(() => hit !== '', 60));
   const from = w.now;
   const isPlaced = (id: string): boolean =>
     w.nodes.every((n) => n.controller.replica.taskCounts(id).running === 2);
   const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== hit);
   assert.ok(
-    w.playUntil(() => others.every(isPlaced), 30),
+    w.advanceUntil(() => others.every(isPlaced), 30),
     'the others are placed',
   );
   assert.ok(w.now - from < 2000, `after ${w.now - from} ms`);
-  w.play(10);
+  w.advance(10);
   assert.equal(w.running(hit).length, 0);
-  assert.deepEqual([...w.broken, ...wrongInHistory(w)], []);
+  assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
 });
 
 test('a storm of cancellations: cancelled jobs are left out, the others of the same writes start', () => {
   for (const seed of [1, 2, 3, 4]) {
     const w = logWorld(seed);
-    w.runS = 30;
+    w.taskDurationS = 30;
     const jobs = Array.from({ length: 40 }, (_, i) => `req-${i + 1}`);
     for (const [i, id] of jobs.entries())
       w.nodes[i % 3].submit(spec(id, { tasks: 2, team: 'blue', cpus: 1 }));
     const cancelled = jobs.filter((_, i) => i % 2 === 0);
     for (const [i, id] of cancelled.entries())
-      w.after(Math.round(w.chance() * 3000), () =>
+      w.schedule(Math.round(w.random() * 3000), () =>
         w.nodes[i % 3].push({ type: 'cancel', rid: 7000 + i, id }),
       );
-    w.play(15);
+    w.advance(15);
     for (const [i, id] of cancelled.entries())
-      if (w.nodes[i % 3].answers.get(7000 + i)?.body['status'] === 'aborted') w.cancelledAt.set(id, w.now);
+      if (w.nodes[i % 3].responses.get(7000 + i)?.body['status'] === 'aborted') w.cancelledAt.set(id, w.now);
     assert.ok(w.cancelledAt.size > 10, String(w.cancelledAt.size));
     const kept = jobs.filter((id) => !w.cancelledAt.has(id));
     const done = (id: string): boolean => w.nodes[0].status(id)?.body['status'] === 'done';
     assert.ok(
-      w.playUntil(() => kept.every(done), 240),
+      w.advanceUntil(() => kept.every(done), 240),
       'all others are done',
     );
     for (const id of w.cancelledAt.keys()) assert.equal(w.nodes[1].status(id)?.body['status'], 'aborted');
-    assert.deepEqual([...w.broken, ...wrongInHistory(w)], []);
+    assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
     assert.ok(
-      w.playUntil(() => logKeys(w).length === 0, 60),
+      w.advanceUntil(() => logKeys(w).length === 0, 60),
       'the log is truncated',
     );
     sameEverywhere(w);
@@ -443,50 +444,50 @@
 test('answers to writes of the log get lost, transactions are carried out late, owners die: no rule is broken', () => {
   for (const seed of [1, 2, 3, 4]) {
     const w = logWorld(seed);
-    w.runS = 8;
+    w.taskDurationS = 8;
     const users = new Traffic(w, 400, (n) => ({ tasks: 1 + (n % 5), cpus: 1 }));
     const touchesLog = (keys: string[]): boolean => keys.some((key) => key.startsWith('dp/log/'));
-    w.state.loses = (txn) => touchesLog(txn.writes.map((a) => a.key)) && w.chance() < 0.3;
-    w.state.lateShare = 0.1;
+    w.state.dropsResponseTo = (txn) => touchesLog(txn.writes.map((a) => a.key)) && w.random() < 0.3;
+    w.state.delayedCommitShare = 0.1;
     for (let i = 0; i < 4; i++) {
-      w.play(8);
+      w.advance(8);
       const owner = ownerOf(w);
       if (!owner) continue;
-      if (i % 2 === 0) owner.frozen = true;
+      if (i % 2 === 0) owner.paused = true;
       else owner.alive = false;
-      w.play(6);
-      owner.frozen = false;
+      w.advance(6);
+      owner.paused = false;
       if (!owner.alive) owner.boot();
     }
-    w.state.loses = () => false;
-    w.state.lateShare = 0;
-    w.play(20);
+    w.state.dropsResponseTo = () => false;
+    w.state.delayedCommitShare = 0;
+    w.advance(20);
     users.stop();
     assert.ok(
-      w.playUntil(() => users.over, 240),
+      w.advanceUntil(() => users.over, 240),
       `seed ${seed}: not over`,
     );
-    assert.deepEqual([...w.broken, ...wrongInHistory(w)], [], `seed ${seed}`);
+    assert.deepEqual([...w.violations, ...wrongInHistory(w)], [], `seed ${seed}`);
   }
 });
 
 test('a write of the log that is carried out long after its record was dropped brings nothing back', () => {
   const w = logWorld(1, { 'task-log-leases': 0.5 });
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   const late = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
   // Checkpointed and dropped, then one task is placed anew elsewhere.
   assert.ok(
-    w.playUntil(() => logKeys(w).length === 0, 60),
+    w.advanceUntil(() => logKeys(w).length === 0, 60),
     'dropped',
   );
   const [{ host }] = w.running('req-1');
   w.workers.get(host)!.silent = true;
-  assert.ok(w.playUntil(() => w.running('req-1').filter((r) => r.host !== host).length === 2, 200));
-  w.play(15);
+  assert.ok(w.advanceUntil(() => w.running('req-1').filter((r) => r.host !== host).length === 2, 200));
+  w.advance(15);
   assert.equal(w.state.commit(late).type, 'ok');
-  w.play(5);
+  w.advance(5);
   for (const n of w.nodes) {
     const placed = [...n.controller.replica.chunks.get('req-1')!.values()].flatMap((c) => c.placements);
     assert.deepEqual(
@@ -494,73 +495,73 @@
       [],
     );
   }
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('a log that services keep is checkpointed: it does not grow with what came and went', () => {
   const w = logWorld(2, { 'task-log-leases': 1 });
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
-  w.runS = 3;
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
+  w.taskDurationS = 3;
   const users = new Traffic(w, 500, () => ({ tasks: 2, cpus: 1 }));
   let most = 0;
   for (let i = 0; i < 150; i++) {
-    w.play(1);
+    w.advance(1);
     most = Math.max(most, logKeys(w).length);
   }
   users.stop();
   const lastOnes = logKeys(w).length;
   assert.ok(most < 120 && lastOnes < 120, `${most} records at most, ${lastOnes} at the end`);
   assert.equal(w.running('req-1').length, 2);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('the level is lowered with work in the log, and raised again: nothing is lost, no record of the log stays', () => {
   const w = logWorld(3);
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   w.nodes[1].submit(spec('req-2', { tasks: 30, team: 'blue', cpus: 1 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2 && logKeys(w).length > 0, 60));
-  w.endless.add('req-3');
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2 && logKeys(w).length > 0, 60));
+  w.serviceJobs.add('req-3');
   w.nodes[2].submit(spec('req-3', { tasks: 2, shape: 'service', team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-3').length === 2, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-3').length === 2, 60));
   const on = w.running('req-1').map((r) => r.host);
   const wish = (data: Record<string, unknown>): void =>
     void w.state.commit({ conditions: [], writes: [{ key: 'dp/wish', data }] });
   wish({ most: newestLevel - 1, lower: true });
   // What is cancelled meanwhile cannot be said in the log any more.
-  assert.ok(w.playUntil(() => w.nodes[0].controller.replica.levels.state.write === newestLevel - 1, 60));
-  assert.equal(w.nodes[0].withdraw('req-3')?.body['status'], 'aborted');
+  assert.ok(w.advanceUntil(() => w.nodes[0].controller.replica.levels.state.write === newestLevel - 1, 60));
+  assert.equal(w.nodes[0].cancel('req-3')?.body['status'], 'aborted');
   assert.ok(
-    w.playUntil(() => levelOf(w).level === newestLevel - 1, 90),
+    w.advanceUntil(() => levelOf(w).level === newestLevel - 1, 90),
     'lowered',
   );
   assert.deepEqual(logKeys(w), []);
   // Nothing that is stored names a revision of the log any more.
-  for (const { key, data } of w.state.keys.values())
+  for (const { key, data } of w.state.entries.values())
     if (key.startsWith('dp/t/')) assert.equal((data as Record<string, unknown>)['r'], undefined, key);
   restart(w, ownerOf(w)!, () => undefined);
-  w.play(20);
+  w.advance(20);
   wish({});
   assert.ok(
-    w.playUntil(() => levelOf(w).level === newestLevel, 60),
+    w.advanceUntil(() => levelOf(w).level === newestLevel, 60),
     'raised',
   );
-  assert.ok(w.playUntil(() => w.nodes[0].status('req-2')?.body['status'] === 'done', 300));
+  assert.ok(w.advanceUntil(() => w.nodes[0].status('req-2')?.body['status'] === 'done', 300));
   assert.deepEqual(
     w.running('req-1').map((r) => r.host),
     on,
   );
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 test('what only the log says is among what a controller brings back after a loss', () => {
   const w = logWorld(4);
-  w.endless.add('req-1');
+  w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 2, 60));
-  assert.equal(w.state.keys.has('dp/t/req-1/0'), false);
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
+  assert.equal(w.state.entries.has('dp/t/req-1/0'), false);
   const { records } = collectRecoveryRecords(w.nodes[1].controller.replica, null, 1, 'test');
   const told = records.get('dp/t/req-1/0') as { p: unknown[]; r: number };
   assert.equal(told.p.length, 2);
@@ -570,10 +571,10 @@
 test('a record of the log that cannot be read: nobody acts on a part of what is placed', () => {
   const w = logWorld(5);
   w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: { e: [['req-9', 0]] } }] });
-  w.play(3);
+  w.advance(3);
   for (const n of w.nodes) assert.ok(n.controller.replica.levels.standsBy);
   w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: undefined }] });
   w.nodes[0].submit(spec('req-1', { tasks: 2, team: 'blue' }));
-  w.play(3);
+  w.advance(3);
   for (const n of w.nodes) assert.ok(!n.controller.replica.levels.standsBy);
 });
