--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -13,7 +13,7 @@
 const lengths = [5, 10, 20, 40];
 
 function crowd(w: World): Traffic {
-  w.runOf = (piece) => lengths[Number(piece.split('/')[0].slice(4)) % lengths.length];
+  w.taskDurationOf = (piece) => lengths[Number(piece.split('/')[0].slice(4)) % lengths.length];
   return new Traffic(
     w,
     2000,
@@ -34,33 +34,33 @@
   for (const m of w.workers.values())
     for (const [piece, t] of m.tasks) {
       const spec = w.specs.get(t.report.job);
-      if (spec?.team === team && m.holds(piece)) cpus += spec.cpus;
+      if (spec?.team === team && m.hasTask(piece)) cpus += spec.cpus;
     }
   return cpus / cap;
 }
 
-type How = 'hung' | 'silent' | 'deaf' | 'cut';
+type How = 'hung' | 'silent' | 'losesResponses' | 'cut';
 
 function trouble(w: World, m: Worker, how: How, on: boolean): void {
   if (how !== 'cut') m[how] = on;
-  else if (on) for (const n of w.nodes) m.cutFrom.add(n.member);
-  else m.cutFrom.clear();
+  else if (on) for (const n of w.nodes) m.unreachableNodes.add(n.member);
+  else m.unreachableNodes.clear();
 }
 
 /** Of the machines of some jobs, and of some others, nothing can be had for a while; the jobs are cancelled just then. */
 function cancelOutOfReach(w: World, users: Traffic, most: number): number {
-  const ids = users.going.filter((id) => w.running(id).length > 0).filter(() => w.chance() < 0.4);
+  const ids = users.going.filter((id) => w.running(id).length > 0).filter(() => w.random() < 0.4);
   const chosen = ids.slice(0, most);
   const hit = new Set(some(w, 0.15));
   for (const id of chosen)
-    for (const { host } of w.running(id)) if (w.chance() < 0.8) hit.add(w.workers.get(host)!);
-  const how = pick(w, ['hung', 'silent', 'deaf', 'cut'] as const);
-  const forMs = 1000 * (3 + 50 * w.chance());
+    for (const { host } of w.running(id)) if (w.random() < 0.8) hit.add(w.workers.get(host)!);
+  const how = pick(w, ['hung', 'silent', 'losesResponses', 'cut'] as const);
+  const forMs = 1000 * (3 + 50 * w.random());
   for (const m of hit) {
-    w.after(800 * w.chance(), () => trouble(w, m, how, true));
-    w.after(900 + forMs, () => trouble(w, m, how, false));
+    w.schedule(800 * w.random(), () => trouble(w, m, how, true));
+    w.schedule(900 + forMs, () => trouble(w, m, how, false));
   }
-  for (const id of chosen) w.after(1500 * w.chance(), () => users.cancel(id, pick(w, w.nodes)));
+  for (const id of chosen) w.schedule(1500 * w.random(), () => users.cancel(id, pick(w, w.nodes)));
   return chosen.length;
 }
 
@@ -71,32 +71,32 @@
     (w, at, users) => {
       let met = 0;
       // Old reports lack what was started since.
-      if (w.chance() < 0.6) w.keptForNext = 0.5;
-      const slow = w.chance() < 0.4;
-      if (slow) w.commitMs = () => 1500 * w.chance();
-      for (let s = 1; s < 90; s += 14 + 12 * w.chance()) {
+      if (w.random() < 0.6) w.heldHeartbeatShare = 0.5;
+      const slow = w.random() < 0.4;
+      if (slow) w.commitDelayMs = () => 1500 * w.random();
+      for (let s = 1; s < 90; s += 14 + 12 * w.random()) {
         at(s, () => {
           const full = Math.min(fill(w, 'red'), fill(w, 'blue')) > 0.7;
           const chosen = cancelOutOfReach(w, users, 5);
           if (full) met += chosen;
         });
-        at(s + 4 * w.chance(), () => {
+        at(s + 4 * w.random(), () => {
           const n = who === 'leader' ? leaderOf(w) : ownerOf(w);
-          const how = w.chance();
+          const how = w.random();
           if (how < 0.5) bounce(w, n, 0.2, 6);
           else if (n && how < 0.75) {
-            n.cut = true;
-            n.apart = w.chance() < 0.5;
-            w.after(25_000 * w.chance(), () => (n.cut = n.apart = false));
+            n.cutFromState = true;
+            n.isolatedFromPeers = w.random() < 0.5;
+            w.schedule(25_000 * w.random(), () => (n.cutFromState = n.isolatedFromPeers = false));
           } else if (n) {
-            n.frozen = true;
-            w.after(12_000 * w.chance(), () => (n.frozen = false));
+            n.paused = true;
+            w.schedule(12_000 * w.random(), () => (n.paused = false));
           }
         });
       }
       at(118, () => {
-        w.keptForNext = 0;
-        w.commitMs = () => 0;
+        w.heldHeartbeatShare = 0;
+        w.commitDelayMs = () => 0;
       });
       return { lastsS: 150, came: () => met };
     },
@@ -107,31 +107,31 @@
   { users: (w) => crowd(w), world: limited, beforeS: 25, withinS: 700 },
   (w, at, users) => {
     let met = 0;
-    const slowMs = w.chance() < 0.5 ? 400 : 1800;
-    w.commitMs = () => slowMs * w.chance();
-    w.answerMs = 5 + Math.floor(60 * w.chance());
-    const grant = (): number => w.state.keys.get('dp/shard/0')?.stamp ?? 0;
+    const slowMs = w.random() < 0.5 ? 400 : 1800;
+    w.commitDelayMs = () => slowMs * w.random();
+    w.responseMs = 5 + Math.floor(60 * w.random());
+    const grant = (): number => w.state.entries.get('dp/shard/0')?.stamp ?? 0;
     const cancelSome = (): void => {
       // Those that run, and those whose tasks are just being placed.
       const placed = users.going.filter((id) => w.running(id).length > 0);
-      const ids = w.chance() < 0.5 ? placed : users.going.slice(-5);
+      const ids = w.random() < 0.5 ? placed : users.going.slice(-5);
       if (ids.length === 0) return;
       const stamp = grant();
       const id = pick(w, ids);
       users.cancel(id, pick(w, w.nodes));
-      w.after(1200, () => (met += grant() !== stamp && users.told.get(id) === 'aborted' ? 1 : 0));
+      w.schedule(1200, () => (met += grant() !== stamp && users.told.get(id) === 'aborted' ? 1 : 0));
     };
-    for (let s = 2; s < 75; s += 4 + 5 * w.chance()) {
+    for (let s = 2; s < 75; s += 4 + 5 * w.random()) {
       at(s, () => {
         const owner = w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.has(0));
         const to: Node = pick(w, w.nodes);
         const run = owner?.controller.replica.nodes.get(to.member)?.instanceId;
         if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
-        if (w.chance() < 0.2) w.after(400 * w.chance(), () => bounce(w, pick(w, [owner, to]), 0.3, 4));
+        if (w.random() < 0.2) w.schedule(400 * w.random(), () => bounce(w, pick(w, [owner, to]), 0.3, 4));
       });
-      for (let i = 0; i < 5; i++) at(s - 0.4 + 1.2 * w.chance(), cancelSome);
+      for (let i = 0; i < 5; i++) at(s - 0.4 + 1.2 * w.random(), cancelSome);
     }
-    at(80, () => (w.commitMs = () => 0));
+    at(80, () => (w.commitDelayMs = () => 0));
     return { lastsS: 84, came: () => met };
   },
 );
--- a/test/urgent-work.test.ts
+++ b/test/urgent-work.test.ts
@@ -10,16 +10,16 @@
   w.capacity = 6;
   // Few would be stopped for them before the limit is near.
   w.types = [{ ...box, bootS: 3 }];
-  w.playUntil(
+  w.advanceUntil(
     () => w.nodes[0].controller.replica.machineTypes.length > 0 && w.nodes[0].controller.sureOfAbsence,
     20,
   );
   w.nodes[0].submit(spec('req-1', { team: 'blue', urgency: 'low', tasks: 600 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 48, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 48, 60));
   // They end one after the other, so no machine runs empty by itself.
   let n = 0;
   for (const x of w.workers.values()) {
-    x.runS = 40;
+    x.taskDurationS = 40;
     for (const t of x.tasks.values()) t.since = w.now - 800 * n++;
   }
   for (let i = 0; i < 5; i++)
@@ -27,16 +27,16 @@
       spec(`req-2${i}`, { class: 'photo', team: 'blue', urgency: 'high', shape: 'gang', tasks: 1, cpus: 8 }),
     );
   const { shardState } = w.nodes[0].controller.shardManager;
-  assert.ok(w.playUntil(() => shardState.withheldHosts.size >= 3, 30));
+  assert.ok(w.advanceUntil(() => shardState.withheldHosts.size >= 3, 30));
   const kept = [...shardState.withheldHosts.keys()];
   // What had been placed by then starts with the next report.
-  w.play(4);
+  w.advance(4);
   const from = w.starts.length;
-  w.play(15);
+  w.advance(15);
   const low = w.starts.slice(from).filter((s) => s.piece.startsWith('req-1/') && kept.includes(s.host));
   assert.deepEqual(low, []);
-  assert.ok(w.playUntil(() => w.finished.filter((p) => p.startsWith('req-2')).length === 5, 120));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.finished.filter((p) => p.startsWith('req-2')).length === 5, 120));
+  assert.deepEqual(w.violations, []);
 });
 
 // Guards against urgent gangs that never start because small tasks of their own team take its limit up again and again.
@@ -44,17 +44,17 @@
   const w = new World(1);
   w.nodes[0].settings.objectives.push({ kind: 'wait', class: 'photo', within_s: 60, times: 1 });
   w.capacity = 6;
-  w.playUntil(
+  w.advanceUntil(
     () => w.nodes[0].controller.replica.machineTypes.length > 0 && w.nodes[0].controller.sureOfAbsence,
     20,
   );
   w.nodes[0].submit(spec('req-1', { team: 'red', urgency: 'low', tasks: 600 }));
-  assert.ok(w.playUntil(() => w.running('req-1').length === 16, 60));
+  assert.ok(w.advanceUntil(() => w.running('req-1').length === 16, 60));
   let n = 0;
   for (const x of w.workers.values()) for (const t of x.tasks.values()) t.since = w.now - 1200 * n++;
   w.nodes[0].submit(
     spec('req-2', { class: 'photo', team: 'red', urgency: 'high', shape: 'gang', tasks: 1, cpus: 8 }),
   );
-  assert.ok(w.playUntil(() => w.running('req-2').length === 1, 80));
-  assert.deepEqual(w.broken, []);
+  assert.ok(w.advanceUntil(() => w.running('req-2').length === 1, 80));
+  assert.deepEqual(w.violations, []);
 });
