--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -208,7 +208,7 @@
     if (this.stopped) return false;
     const terms = response?.status === 200 ? parseJoined(response.body) : null;
     if (!terms) {
-      if (response) this.log('warn', 'not let in', { status: response.status, body: response.body });
+      if (response) this.log('warn', 'membership refused', { status: response.status, body: response.body });
       this.controlIndex = (this.controlIndex + 1) % this.clients.length;
       return false;
     }
@@ -312,7 +312,7 @@
   }
 
   private endMembership(why: string): void {
-    this.log('warn', 'let go', { why });
+    this.log('warn', 'membership ended', { why });
     this.applyEffects(this.worker!.startEpoch(performance.now()));
     this.identity.host = null;
     this.directory.saveAgent(this.identity);
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -4,7 +4,7 @@
 import { functions } from './functions/index.js';
 import { binaryOp, unaryOp } from './operators.js';
 import { parseExpr } from './parse.js';
-import { Fault, RecordValue, truth, typeOf, type Value } from './values.js';
+import { ErrorValue, RecordValue, truth, typeOf, type Value } from './values.js';
 
 export interface EvaluationLimits {
   /** Evaluations of single expressions. */
@@ -28,8 +28,8 @@
   ) {}
 
   run(expr: Expr, scope: Scope): Value {
-    if (++this.steps > this.limits.maxSteps) return new Fault(`more than ${this.limits.maxSteps} steps`);
-    if (this.depth >= this.limits.maxDepth) return new Fault(`more than ${this.limits.maxDepth} deep`);
+    if (++this.steps > this.limits.maxSteps) return new ErrorValue(`more than ${this.limits.maxSteps} steps`);
+    if (this.depth >= this.limits.maxDepth) return new ErrorValue(`more than ${this.limits.maxDepth} deep`);
     this.depth++;
     try {
       return this.evaluateExpr(expr, scope);
@@ -49,7 +49,7 @@
     try {
       return this.run(parseExpr(text), scope);
     } catch (e) {
-      return new Fault(String((e as Error).message));
+      return new ErrorValue(String((e as Error).message));
     }
   }
 
@@ -61,7 +61,7 @@
     const key = name.toLowerCase();
     let active = this.active.get(scope.ad);
     if (!active) this.active.set(scope.ad, (active = new Set()));
-    if (active.has(key)) return new Fault(`${name} refers to itself`);
+    if (active.has(key)) return new ErrorValue(`${name} refers to itself`);
     active.add(key);
     try {
       return this.run(expr, scope);
@@ -98,9 +98,9 @@
       }
       case 'call': {
         const fn = functions.get(expr.name.toLowerCase());
-        if (!fn) return new Fault(`no function ${expr.name}`);
+        if (!fn) return new ErrorValue(`no function ${expr.name}`);
         if (expr.args.length < fn.minArgs || expr.args.length > fn.maxArgs)
-          return new Fault(`${expr.name} takes ${fn.minArgs} to ${fn.maxArgs} arguments`);
+          return new ErrorValue(`${expr.name} takes ${fn.minArgs} to ${fn.maxArgs} arguments`);
         return fn.call(expr.args, scope, this);
       }
       case 'list':
@@ -126,26 +126,26 @@
 
   private selectAttribute(of: Value, name: string): Value {
     if (of instanceof RecordValue) return this.attribute(name, of.scope);
-    if (of === undefined || of instanceof Fault) return of;
-    return new Fault(`a ${typeOf(of)} has no attribute ${name}`);
+    if (of === undefined || of instanceof ErrorValue) return of;
+    return new ErrorValue(`a ${typeOf(of)} has no attribute ${name}`);
   }
 
   private subscript(of: Value, index: Value): Value {
-    if (of instanceof Fault) return of;
-    if (index instanceof Fault) return index;
+    if (of instanceof ErrorValue) return of;
+    if (index instanceof ErrorValue) return index;
     if (of === undefined || index === undefined) return undefined;
     if (Array.isArray(of) && typeof index === 'bigint')
       return index >= 0n && index < BigInt(of.length) ? of[Number(index)] : undefined;
     if (of instanceof RecordValue && typeof index === 'string') return this.attribute(index, of.scope);
-    return new Fault(`a ${typeOf(of)} has no element by a ${typeOf(index)}`);
+    return new ErrorValue(`a ${typeOf(of)} has no element by a ${typeOf(index)}`);
   }
 
   /** `&&` with `end` false, `||` with `end` true: what decides them needs no other side. */
   private evaluateLogical(a: Expr, b: Expr, scope: Scope, decisive: boolean): Value {
     const left = truth(this.run(a, scope));
-    if (left === decisive || left instanceof Fault) return left;
+    if (left === decisive || left instanceof ErrorValue) return left;
     const right = truth(this.run(b, scope));
-    if (right === decisive || right instanceof Fault) return right;
+    if (right === decisive || right instanceof ErrorValue) return right;
     return left === undefined || right === undefined ? undefined : !decisive;
   }
 }
--- a/src/classad/functions/define.ts
+++ b/src/classad/functions/define.ts
@@ -1,7 +1,7 @@
 import type { Evaluator } from '../evaluation-context.js';
 import type { Expr, Scope } from '../expr.js';
 import { exceptional } from '../operators.js';
-import { Fault, typeOf, type Value } from '../values.js';
+import { ErrorValue, typeOf, type Value } from '../values.js';
 
 export interface FunctionSpec {
   minArgs: number;
@@ -39,15 +39,16 @@
   name: string,
   least: number,
   most: number,
-  f: (args: Exclude<Value, undefined | Fault>[], ev: Evaluator) => Value,
+  f: (args: Exclude<Value, undefined | ErrorValue>[], ev: Evaluator) => Value,
 ): NamedFunction =>
   lenientFunction(name, least, most, (args, ev) => {
     const odd = exceptional(...args);
     if (odd) return odd === 'undefined' ? undefined : odd;
-    return f(args as Exclude<Value, undefined | Fault>[], ev);
+    return f(args as Exclude<Value, undefined | ErrorValue>[], ev);
   });
 
-export const typeError = (name: string, v: Value): Fault => new Fault(`${name} does not take a ${typeOf(v)}`);
+export const typeError = (name: string, v: Value): ErrorValue =>
+  new ErrorValue(`${name} does not take a ${typeOf(v)}`);
 
 /** A function of strings alone; the optional ones are undefined where they are not given. */
 export const stringFunction = (
--- a/src/classad/functions/lists.ts
+++ b/src/classad/functions/lists.ts
@@ -1,6 +1,6 @@
 import type { BinaryOp } from '../expr.js';
 import { binaryOp, identical } from '../operators.js';
-import { Fault, type Value } from '../values.js';
+import { ErrorValue, type Value } from '../values.js';
 import { strictFunction, stringFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
 import { maxOf, minOf, sumOf } from './numbers.js';
 import { splitBy } from './strings.js';
@@ -26,7 +26,7 @@
 ): NamedFunction =>
   strictFunction(name, 3, 3, ([op, list, v]) => {
     if (typeof op !== 'string' || !Object.hasOwn(comparisons, op))
-      return new Fault(`${name}: no such comparison`);
+      return new ErrorValue(`${name}: no such comparison`);
     if (!Array.isArray(list)) return typeError(name, list);
     return holds(list, (x) => binaryOp(comparisons[op], x, v) === true);
   });
@@ -43,7 +43,7 @@
   stringFunction(name, 1, 2, ([s, delims]) => {
     const all = words(s, delims);
     const read = all.map(toReal);
-    if (read.some((n) => typeof n !== 'number')) return new Fault(`${name} takes a list of numbers`);
+    if (read.some((n) => typeof n !== 'number')) return new ErrorValue(`${name} takes a list of numbers`);
     return all.length === 0
       ? empty
       : f(
@@ -66,13 +66,13 @@
 
 export const lists: NamedFunction[] = [
   lenientFunction('member', 2, 2, ([v, list]) => {
-    if (list instanceof Fault || list === undefined) return list;
-    if (v instanceof Fault || v === undefined) return v;
+    if (list instanceof ErrorValue || list === undefined) return list;
+    if (v instanceof ErrorValue || v === undefined) return v;
     if (!Array.isArray(list)) return typeError('member', list);
     return list.some((x) => binaryOp('==', x, v) === true);
   }),
   lenientFunction('identicalMember', 2, 2, ([v, list]) => {
-    if (list instanceof Fault || list === undefined) return list;
+    if (list instanceof ErrorValue || list === undefined) return list;
     if (!Array.isArray(list)) return typeError('identicalMember', list);
     return list.some((x) => identical(x, v));
   }),
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -1,5 +1,5 @@
 import { binaryOp, exceptional } from '../operators.js';
-import { Fault, int, numeric, type Value } from '../values.js';
+import { ErrorValue, int, numeric, type Value } from '../values.js';
 import { strictFunction, typeError, type NamedFunction } from './define.js';
 import { toReal } from './types.js';
 
@@ -8,7 +8,7 @@
     if (typeof v === 'bigint') return v;
     const n = toReal(v);
     if (typeof n !== 'number') return n;
-    return Number.isFinite(n) ? int(f(n)) : new Fault(`${name} of a number that is not finite`);
+    return Number.isFinite(n) ? int(f(n)) : new ErrorValue(`${name} of a number that is not finite`);
   });
 
 /** Half away from even: to the even one, as the C library does by default. */
@@ -26,7 +26,7 @@
     const odd = exceptional(...list);
     if (odd) return odd === 'undefined' ? undefined : odd;
     const all = list.map(numeric);
-    if (all.includes(null)) return new Fault(`${name} takes a list of numbers`);
+    if (all.includes(null)) return new ErrorValue(`${name} takes a list of numbers`);
     return all.length === 0 ? empty : f(all as (bigint | number)[]);
   });
 
@@ -66,7 +66,7 @@
         if (n >= x) return n;
       }
       const last = b.length > 0 ? numeric(b[b.length - 1]) : null;
-      return last === null ? new Fault('quantize by an empty list') : quantize(x, last);
+      return last === null ? new ErrorValue('quantize by an empty list') : quantize(x, last);
     }
     const y = numeric(b);
     return y === null ? typeError('quantize', b) : quantize(x, y);
@@ -79,9 +79,9 @@
       nonDeterministic: true,
       call: (args, f, ev) => {
         const n = args.length === 0 ? 1 : ev.run(args[0], f);
-        if (n === undefined || n instanceof Fault) return n;
+        if (n === undefined || n instanceof ErrorValue) return n;
         if (typeof n === 'bigint')
-          return n > 0n ? int(ev.context.random() * Number(n)) : new Fault('random of nothing');
+          return n > 0n ? int(ev.context.random() * Number(n)) : new ErrorValue('random of nothing');
         return typeof n === 'number' ? ev.context.random() * n : typeError('random', n);
       },
     },
--- a/src/classad/functions/patterns.ts
+++ b/src/classad/functions/patterns.ts
@@ -1,5 +1,5 @@
 import { RE2JS } from 're2js';
-import { Fault, type Value } from '../values.js';
+import { ErrorValue, type Value } from '../values.js';
 import { strictFunction, stringFunction, typeError, type NamedFunction } from './define.js';
 import { splitBy } from './strings.js';
 
@@ -17,9 +17,9 @@
 }
 
 /** Patterns without backtracking: time in proportion to pattern and text, whatever they are. */
-function compile(pattern: string, options = ''): Pattern | Fault {
+function compile(pattern: string, options = ''): Pattern | ErrorValue {
   if (pattern.length > maxPatternChars)
-    return new Fault(`a pattern of more than ${maxPatternChars} characters`);
+    return new ErrorValue(`a pattern of more than ${maxPatternChars} characters`);
   let flags = 0;
   let source = pattern;
   for (const o of options.toLowerCase())
@@ -28,12 +28,12 @@
     else if (o === 's') flags |= RE2JS.DOTALL;
     else if (o === 'x')
       source = source.replace(/\\#|\\\s|#[^\n]*|\s+/g, (m) => (m.startsWith('\\') ? m : ''));
-    else if (o !== 'g' && o !== 'f') return new Fault(`no option ${o} of patterns`);
+    else if (o !== 'g' && o !== 'f') return new ErrorValue(`no option ${o} of patterns`);
   try {
     const part = !options.toLowerCase().includes('f');
     return { compiled: RE2JS.compile(source, flags), all: options.toLowerCase().includes('g'), part };
   } catch (e) {
-    return new Fault(`pattern: ${String((e as Error).message)}`);
+    return new ErrorValue(`pattern: ${String((e as Error).message)}`);
   }
 }
 
@@ -54,17 +54,17 @@
   return whole ? out + text.slice(from) : out;
 }
 
-const checkCost = (text: string, pattern: string, spend: (n: number) => boolean): Fault | null =>
+const checkCost = (text: string, pattern: string, spend: (n: number) => boolean): ErrorValue | null =>
   text.length > maxTextChars
-    ? new Fault(`a text of more than ${maxTextChars} characters`)
+    ? new ErrorValue(`a text of more than ${maxTextChars} characters`)
     : spend(Math.ceil((text.length * pattern.length) / charsPerStep))
       ? null
-      : new Fault('too much work for patterns');
+      : new ErrorValue('too much work for patterns');
 
 const substitutionFunction = (name: string, whole: boolean, all: boolean): NamedFunction =>
   stringFunction(name, 3, 4, ([pattern, text, substitute, options], ev): Value => {
     const p = compile(pattern, options);
-    if (p instanceof Fault) return p;
+    if (p instanceof ErrorValue) return p;
     const bad = checkCost(text, pattern, (n) => ev.spend(n));
     if (bad) return bad;
     const full = whole || !p.part;
@@ -75,7 +75,7 @@
 export const patterns: NamedFunction[] = [
   stringFunction('regexp', 2, 3, ([pattern, text, options], ev): Value => {
     const p = compile(pattern, options);
-    if (p instanceof Fault) return p;
+    if (p instanceof ErrorValue) return p;
     return checkCost(text, pattern, (n) => ev.spend(n)) ?? p.compiled.matcher(text).find();
   }),
   substitutionFunction('regexps', false, false),
@@ -86,7 +86,7 @@
     if (!Array.isArray(list)) return typeError('regexpMember', list);
     if (options !== undefined && typeof options !== 'string') return typeError('regexpMember', options);
     const p = compile(pattern, options);
-    if (p instanceof Fault) return p;
+    if (p instanceof ErrorValue) return p;
     for (const v of list) {
       if (typeof v !== 'string') continue;
       const bad = checkCost(v, pattern, (n) => ev.spend(n));
@@ -97,7 +97,7 @@
   }),
   stringFunction('stringList_regexpMember', 2, 4, ([pattern, list, delims, options], ev): Value => {
     const p = compile(pattern, options);
-    if (p instanceof Fault) return p;
+    if (p instanceof ErrorValue) return p;
     const bad = checkCost(list, pattern, (n) => ev.spend(n));
     return bad ?? splitBy(list, delims ?? ' ,').some((w) => p.compiled.matcher(w.trim()).find());
   }),
--- a/src/classad/functions/strings.ts
+++ b/src/classad/functions/strings.ts
@@ -1,4 +1,4 @@
-import { Fault, RecordValue, type Value } from '../values.js';
+import { ErrorValue, RecordValue, type Value } from '../values.js';
 import { strictFunction, stringFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
 import { exceptional } from '../operators.js';
 import { toText } from './types.js';
@@ -52,9 +52,9 @@
     const items = rest.length === 1 && Array.isArray(rest[0]) ? rest[0] : rest;
     // One list alone is joined with nothing between.
     const [by, all] = Array.isArray(separator) && rest.length === 0 ? ['', separator] : [separator, items];
-    if (by === undefined || by instanceof Fault) return by;
+    if (by === undefined || by instanceof ErrorValue) return by;
     if (typeof by !== 'string') return typeError('join', by);
-    const fault = all.find((v) => v instanceof Fault);
+    const fault = all.find((v) => v instanceof ErrorValue);
     if (fault) return fault;
     return all
       .filter((v) => v !== undefined)
--- a/src/classad/functions/time.ts
+++ b/src/classad/functions/time.ts
@@ -1,5 +1,5 @@
 import strftime from 'strftime';
-import { Fault, int, numeric } from '../values.js';
+import { ErrorValue, int, numeric } from '../values.js';
 import { strictFunction, typeError, type FunctionSpec, type NamedFunction } from './define.js';
 
 const formatDuration = (total: bigint): string => {
@@ -28,13 +28,13 @@
       call: (args, f, ev) => {
         const at = args.length > 0 ? ev.run(args[0], f) : int(ev.context.nowS);
         const format = args.length > 1 ? ev.run(args[1], f) : '%c';
-        if (at === undefined || at instanceof Fault) return at;
-        if (format === undefined || format instanceof Fault) return format;
+        if (at === undefined || at instanceof ErrorValue) return at;
+        if (format === undefined || format instanceof ErrorValue) return format;
         const s = numeric(at);
         if (s === null) return typeError('formatTime', at);
         if (typeof format !== 'string') return typeError('formatTime', format);
         const date = new Date(Number(s) * 1000);
-        return Number.isNaN(date.getTime()) ? new Fault('no such time') : strftime(format, date);
+        return Number.isNaN(date.getTime()) ? new ErrorValue('no such time') : strftime(format, date);
       },
     },
   ],
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -1,5 +1,5 @@
 import { printExpr, printValue } from '../print.js';
-import { Fault, RecordValue, truth, typeOf, type TypeName, type Value } from '../values.js';
+import { ErrorValue, RecordValue, truth, typeOf, type TypeName, type Value } from '../values.js';
 import { strictFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
 
 const typeTestFunction = (name: string, type: TypeName): NamedFunction =>
@@ -15,7 +15,7 @@
   if (typeof v !== 'string') return typeError('real', v);
   if (/^[-+]?inf(inity)?$/i.test(v)) return v.startsWith('-') ? -Infinity : Infinity;
   if (/^nan$/i.test(v)) return NaN;
-  return numberPattern.test(v) ? Number(v) : new Fault(`${printValue(v)} is no number`);
+  return numberPattern.test(v) ? Number(v) : new ErrorValue(`${printValue(v)} is no number`);
 }
 
 export function toInt(v: Value): Value {
@@ -23,7 +23,9 @@
   if (typeof v === 'string' && /^\s*[-+]?\d+\s*$/.test(v)) return BigInt.asIntN(64, BigInt(v.trim()));
   const r = toReal(v);
   if (typeof r !== 'number') return r;
-  return Number.isFinite(r) ? BigInt.asIntN(64, BigInt(Math.trunc(r))) : new Fault('not a finite number');
+  return Number.isFinite(r)
+    ? BigInt.asIntN(64, BigInt(Math.trunc(r)))
+    : new ErrorValue('not a finite number');
 }
 
 export const toText = (v: Value): string => (typeof v === 'string' ? v : printValue(v));
@@ -37,9 +39,11 @@
     unevaluatedArgs: true,
     call: ([e, list], frame, ev) => {
       const all = ev.run(list, frame);
-      if (all === undefined || all instanceof Fault) return all;
+      if (all === undefined || all instanceof ErrorValue) return all;
       if (!Array.isArray(all)) return typeError(name, all);
-      return f(all.map((r) => (r instanceof RecordValue ? ev.run(e, r.scope) : new Fault('not a record'))));
+      return f(
+        all.map((r) => (r instanceof RecordValue ? ev.run(e, r.scope) : new ErrorValue('not a record'))),
+      );
     },
   },
 ];
@@ -62,7 +66,7 @@
       ? true
       : /^false$/i.test(v)
         ? false
-        : new Fault(`${printValue(v)} is no boolean`);
+        : new ErrorValue(`${printValue(v)} is no boolean`);
   }),
   [
     'ifThenElse',
--- a/src/classad/grammar.d.ts
+++ b/src/classad/grammar.d.ts
@@ -1,5 +1,5 @@
 import type { Ad, Attribute, Expr, UnaryOp } from './expr.js';
-import type { Fault, Value } from './values.js';
+import type { ErrorValue, Value } from './values.js';
 
 /** Made of grammar.peggy by the build. */
 export interface GrammarOptions {
@@ -8,7 +8,7 @@
   maxRow: number;
   literal(v: Value): Expr;
   unary(op: UnaryOp, a: Expr): Expr;
-  fault(why: string): Fault;
+  fault(why: string): ErrorValue;
   record(all: Attribute[]): Ad;
 }
 export function parse(text: string, options: GrammarOptions): unknown;
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -1,10 +1,10 @@
 import type { BinaryOp, UnaryOp } from './expr.js';
 import { printAd } from './print.js';
-import { Fault, int, numeric, RecordValue, typeOf, type Value } from './values.js';
+import { ErrorValue, int, numeric, RecordValue, typeOf, type Value } from './values.js';
 
 /** `error` before `undefined`, and both before anything else. */
-export function exceptional(...args: Value[]): Fault | 'undefined' | null {
-  for (const a of args) if (a instanceof Fault) return a;
+export function exceptional(...args: Value[]): ErrorValue | 'undefined' | null {
+  for (const a of args) if (a instanceof ErrorValue) return a;
   return args.some((a) => a === undefined) ? 'undefined' : null;
 }
 
@@ -18,8 +18,8 @@
   return typeof n === 'bigint' ? int(-n) : -n;
 }
 
-const typeError = (op: string, ...args: Value[]): Fault =>
-  new Fault(`${op} does not take ${args.map((a) => `a ${typeOf(a)}`).join(' and ')}`);
+const typeError = (op: string, ...args: Value[]): ErrorValue =>
+  new ErrorValue(`${op} does not take ${args.map((a) => `a ${typeOf(a)}`).join(' and ')}`);
 
 /** All operators that are the same for every operand: `error` and `undefined` go through them. */
 export function binaryOp(op: Exclude<BinaryOp, '&&' | '||'>, a: Value, b: Value): Value {
@@ -52,7 +52,7 @@
 /** Same type and same value; strings by case. */
 export function identical(a: Value, b: Value): boolean {
   if (typeOf(a) !== typeOf(b)) return false;
-  if (a instanceof Fault) return true;
+  if (a instanceof ErrorValue) return true;
   if (Array.isArray(a) && Array.isArray(b))
     return a.length === b.length && a.every((x, i) => identical(x, b[i]));
   if (a instanceof RecordValue && b instanceof RecordValue)
@@ -96,7 +96,7 @@
   if (op === '|') return a | b;
   if (op === '^') return a ^ b;
   // Guards against a shift that makes a number of as many digits.
-  if (b < 0n || b > 63n) return new Fault(`${op}: a shift by ${b}`);
+  if (b < 0n || b > 63n) return new ErrorValue(`${op}: a shift by ${b}`);
   if (op === '<<') return int(a << b);
   return op === '>>' ? a >> b : int(BigInt.asUintN(64, a) >> b);
 }
@@ -105,7 +105,7 @@
   const [x, y] = [numeric(a), numeric(b)];
   if (x === null || y === null) return typeError(op, a, b);
   if (typeof x === 'bigint' && typeof y === 'bigint') {
-    if ((op === '/' || op === '%') && y === 0n) return new Fault('division by zero');
+    if ((op === '/' || op === '%') && y === 0n) return new ErrorValue('division by zero');
     switch (op) {
       case '+':
         return int(x + y);
@@ -128,8 +128,8 @@
     case '*':
       return p * q;
     case '/':
-      return q === 0 ? new Fault('division by zero') : p / q;
+      return q === 0 ? new ErrorValue('division by zero') : p / q;
     case '%':
-      return q === 0 ? new Fault('division by zero') : p % q;
+      return q === 0 ? new ErrorValue('division by zero') : p % q;
   }
 }
--- a/src/classad/parse.ts
+++ b/src/classad/parse.ts
@@ -1,6 +1,6 @@
 import { Ad, literal, unary, type Attribute, type Expr } from './expr.js';
 import { parse, SyntaxError as GrammarError, type GrammarOptions } from './grammar.js';
-import { Fault } from './values.js';
+import { ErrorValue } from './values.js';
 
 /** What is wrong with a text, and where. Lines and columns begin with 1. */
 export class ClassAdError extends Error {
@@ -24,7 +24,7 @@
       ...nestingLimits,
       literal,
       unary,
-      fault: (why) => new Fault(why),
+      fault: (why) => new ErrorValue(why),
       record: (all) => new Ad(all),
     });
   } catch (e) {
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -1,5 +1,5 @@
 import type { Ad, BinaryOp, Expr } from './expr.js';
-import { Fault, RecordValue, type Value } from './values.js';
+import { ErrorValue, RecordValue, type Value } from './values.js';
 
 /** How tight an operator binds; what binds less is put in brackets. */
 const precedence: Record<BinaryOp, number> = {
@@ -65,7 +65,7 @@
 /** A value in the language's own syntax. */
 export function printValue(v: Value): string {
   if (v === undefined) return 'undefined';
-  if (v instanceof Fault) return 'error';
+  if (v instanceof ErrorValue) return 'error';
   if (v instanceof RecordValue) return printAd(v.ad);
   if (Array.isArray(v)) return v.length === 0 ? '{ }' : `{ ${v.map(printValue).join(', ')} }`;
   if (typeof v === 'string') return quoted(v, '"');
--- a/src/classad/values.ts
+++ b/src/classad/values.ts
@@ -1,6 +1,6 @@
 import { ErrorValue, RecordValue, type Value } from './expr.js';
 
-export { ErrorValue as Fault, RecordValue, type Value };
+export { ErrorValue, RecordValue, type Value };
 
 export type TypeName = 'undefined' | 'error' | 'boolean' | 'integer' | 'real' | 'string' | 'list' | 'classad';
 
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -7,17 +7,17 @@
   parseExpr,
   printValue,
   type Ad,
-  type Surroundings,
+  type EvaluationContext,
 } from '../classad/index.js';
-import { inWords, type Analysis } from '../matching/index.js';
+import { describeAnalysis, type Analysis } from '../matching/index.js';
 import { JsonClient } from '../net/client.js';
 import { jobPath } from '../wire/user.js';
-import { here, jsonOf, nativeJob, Submission, SubmitError } from '../condor/index.js';
+import { submitHost, adToJson, nativeSubmission, Submission, SubmitError } from '../condor/index.js';
 import { ApiClient, exitCodes, newJobId, printLine } from './client.js';
 
 type Fail = (message: string) => never;
 
-const evaluationContext = (): Surroundings => ({ nowS: Date.now() / 1000, random: Math.random });
+const evaluationContext = (): EvaluationContext => ({ nowS: Date.now() / 1000, random: Math.random });
 
 function readInput(path: string, fail: Fail): string {
   try {
@@ -47,7 +47,7 @@
 function* jsonChunks(ads: Iterable<Ad>): Generator<string> {
   let first = true;
   for (const ad of ads) {
-    yield `${first ? '[\n' : ',\n'}${JSON.stringify(jsonOf(ad))}`;
+    yield `${first ? '[\n' : ',\n'}${JSON.stringify(adToJson(ad))}`;
     first = false;
   }
   yield first ? '[]\n' : '\n]\n';
@@ -56,7 +56,7 @@
 async function dryRun(file: string, json: boolean, fail: Fail): Promise<void> {
   const text = readInput(file, fail);
   try {
-    const submission = new Submission(text, file, here());
+    const submission = new Submission(text, file, submitHost());
     // Nothing is printed of a file that has a mistake further on.
     const ads = [...submission.jobs()];
     for (const w of submission.warnings) process.stderr.write(`${w}\n`);
@@ -76,7 +76,7 @@
 }
 
 function jobLine(ad: Ad): string {
-  const job = jsonOf(ad) as Record<string, string | number>;
+  const job = adToJson(ad) as Record<string, string | number>;
   return `${job['ClusterId']}.${job['ProcId']}  ${job['Cmd']} ${job['Args'] ?? ''}`.trimEnd();
 }
 
@@ -85,12 +85,12 @@
   const text = readInput(file, fail);
   const submissions: { first: number; count: number; job: Record<string, unknown> }[] = [];
   try {
-    const submission = new Submission(text, file, here());
+    const submission = new Submission(text, file, submitHost());
     for (const group of submission.groups())
       submissions.push({
         first: group.first,
         count: group.count,
-        job: nativeJob(group, team, submission.file.warnings),
+        job: nativeSubmission(group, team, submission.file.warnings),
       });
     for (const w of submission.warnings) process.stderr.write(`${w}\n`);
   } catch (e) {
@@ -126,7 +126,7 @@
     null,
   )) as Analysis;
   if (json) printLine(JSON.stringify(analysis));
-  else for (const line of inWords(analysis)) printLine(line);
+  else for (const line of describeAnalysis(analysis)) printLine(line);
   process.exit(0);
 }
 
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -64,10 +64,14 @@
 `;
 
 async function submitFileJob(): Promise<DemoJob> {
-  const { here, nativeJob, Submission } = await import('../condor/index.js');
-  const submission = new Submission(submitFile, 'demo.sub', here());
+  const { submitHost, nativeSubmission, Submission } = await import('../condor/index.js');
+  const submission = new Submission(submitFile, 'demo.sub', submitHost());
   const [group] = [...submission.groups()];
-  return { title: 'a submit file', job: nativeJob(group, 'default', submission.file.warnings), failed: 0 };
+  return {
+    title: 'a submit file',
+    job: nativeSubmission(group, 'default', submission.file.warnings),
+    failed: 0,
+  };
 }
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
--- a/src/condor/index.ts
+++ b/src/condor/index.ts
@@ -1,5 +1,5 @@
 export { SubmitError } from './errors.js';
-export { Submission, adToJson as jsonOf } from './jobs.js';
-export { nativeSubmission as nativeJob, type JobGroup as Group } from './native.js';
-export { submitHost as here } from './submit-host.js';
-export type { SubmitEnvironment as Outside } from './submit-environment.js';
+export { Submission, adToJson } from './jobs.js';
+export { nativeSubmission, type JobGroup } from './native.js';
+export { submitHost } from './submit-host.js';
+export type { SubmitEnvironment } from './submit-environment.js';
--- a/src/control/index.ts
+++ b/src/control/index.ts
@@ -1,3 +1,3 @@
 export { ControlService } from './control.js';
 export { openControl, type OpenControl } from './open-control.js';
-export { parseControlSettings, platformSettings as platformOf, type ControlSettings } from './settings.js';
+export { parseControlSettings, platformSettings, type ControlSettings } from './settings.js';
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -14,8 +14,8 @@
 /** The language and its libraries take memory: only where they are wanted. */
 async function loadMatching(settings: ControlSettings): Promise<MatchingSupport | null> {
   if (!settings.matching) return null;
-  const { attributesOf, ClassAdMatcher, wrongWith } = await import('../matching/index.js');
-  return { matcher: new ClassAdMatcher(), machineAttributes: attributesOf, validate: wrongWith };
+  const { machineAttributes, ClassAdMatcher, matchSpecError } = await import('../matching/index.js');
+  return { matcher: new ClassAdMatcher(), machineAttributes, validate: matchSpecError };
 }
 
 /** Opens the store that the settings name and a control service on it. `onStoreFailure`: its disk takes nothing any more. */
--- a/src/matching/index.ts
+++ b/src/matching/index.ts
@@ -1,3 +1,3 @@
-export { ClassAdMatcher, matchSpecError as wrongWith } from './matcher.js';
-export { describeAnalysis as inWords, type Analysis } from './analysis.js';
-export { machineAttributes as attributesOf } from './machine-ad.js';
+export { ClassAdMatcher, matchSpecError } from './matcher.js';
+export { describeAnalysis, type Analysis } from './analysis.js';
+export { machineAttributes } from './machine-ad.js';
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -1,14 +1,14 @@
 import {
   Ad,
-  asked,
+  referencedAttributes,
   ClassAdError,
   evaluate,
   literal,
   parseExpr,
-  partial,
+  partiallyEvaluate,
   printExpr,
   truth,
-  varies,
+  isNonDeterministic,
   type Expr,
   type Value,
 } from '../classad/index.js';
@@ -61,7 +61,7 @@
   for (const [field, text] of fields)
     try {
       // Guards against a verdict that was right only for a moment: it is remembered.
-      if (varies(parseExpr(text))) return `${field}: must not depend on time or chance`;
+      if (isNonDeterministic(parseExpr(text))) return `${field}: must not depend on time or chance`;
     } catch (e) {
       if (e instanceof ClassAdError) return `${field}: ${e.message}`;
       throw e;
@@ -163,9 +163,12 @@
     const requirements =
       spec.requirements === null
         ? literal(true)
-        : partial(parseOrDefault(spec.requirements, literal(false)), my);
-    const rank = spec.rank === null ? null : partial(parseOrDefault(spec.rank, literal(0n)), my);
-    const names = [...asked(requirements, my), ...(rank ? asked(rank, my) : [])];
+        : partiallyEvaluate(parseOrDefault(spec.requirements, literal(false)), my);
+    const rank = spec.rank === null ? null : partiallyEvaluate(parseOrDefault(spec.rank, literal(0n)), my);
+    const names = [
+      ...referencedAttributes(requirements, my),
+      ...(rank ? referencedAttributes(rank, my) : []),
+    ];
     // A rank that is the same everywhere is none.
     const ranks = rank !== null && rank.k !== 'lit' ? rank : null;
     return { my, requirements, rank: ranks, projection: this.projection(names), verdicts: new Map() };
--- a/test/classad.test.ts
+++ b/test/classad.test.ts
@@ -3,15 +3,15 @@
 import fc from 'fast-check';
 import {
   Ad,
-  asked,
+  referencedAttributes,
   ClassAdError,
   evaluate,
   Evaluation,
-  framesOf,
+  matchScopes,
   literal,
   parseAd,
   parseExpr,
-  partial,
+  partiallyEvaluate,
   printAd,
   printExpr,
   printValue,
@@ -19,7 +19,7 @@
   type Value,
 } from '../src/classad/index.js';
 import { unary } from '../src/classad/expr.js';
-import { Fault } from '../src/classad/values.js';
+import { ErrorValue } from '../src/classad/values.js';
 
 const value = (text: string, my = '[]', target?: string): string =>
   printValue(evaluate(parseExpr(text), parseAd(my), target === undefined ? null : parseAd(target)));
@@ -188,11 +188,10 @@
   assert.equal(value('A =?= error', my), 'true');
   const ad = parseAd('# a machine\nName = "a"\n\nDisk = 10 * 1024\nStart = Disk > 5 && TARGET.x == 1\n');
   assert.equal(printValue(evaluate(parseExpr('Start'), ad, parseAd('x = 1'))), 'true');
-  assert.deepEqual([...asked(parseExpr('Want && OpSys == "LINUX" && TARGET.Has_x'), parseAd(my))].sort(), [
-    'has_x',
-    'memory',
-    'opsys',
-  ]);
+  assert.deepEqual(
+    [...referencedAttributes(parseExpr('Want && OpSys == "LINUX" && TARGET.Has_x'), parseAd(my))].sort(),
+    ['has_x', 'memory', 'opsys'],
+  );
 });
 
 test('classad: what is wrong is told with its line and column, soon, whatever it is', () => {
@@ -246,7 +245,7 @@
     fc.double({ noNaN: true, noDefaultInfinity: true }),
     fc.string(),
     fc.string({ unit: 'binary' }),
-    fc.constant<Value>(new Fault('error')),
+    fc.constant<Value>(new ErrorValue('error')),
   )
   .map(literal);
 const operators = [
@@ -343,7 +342,7 @@
 test('classad: every expression has a value, and its value reads as itself', () => {
   fc.assert(
     fc.property(expr, ads, ads, (e, my, target) => {
-      const v = printValue(new Evaluation().run(e, framesOf(my, target)));
+      const v = printValue(new Evaluation().run(e, matchScopes(my, target)));
       if (!v.includes('[') && !/real\("/.test(v)) assert.equal(printExpr(parseExpr(v)), v);
       assert.equal(printAd(parseAd(printAd(my))), printAd(my));
     }),
@@ -355,11 +354,11 @@
   fc.assert(
     fc.property(expr, ads, ads, (e, my, target) => {
       const whole = printValue(evaluate(e, my, target));
-      assert.equal(printValue(evaluate(partial(e, my), my, target)), whole);
+      assert.equal(printValue(evaluate(partiallyEvaluate(e, my), my, target)), whole);
     }),
     { seed: 7, numRuns: 3000 },
   );
-  const left = partial(
+  const left = partiallyEvaluate(
     parseExpr('Want > 3 && TARGET.Memory >= Need * 2 && (false || Arch == "x")'),
     parseAd('Want = 4\nNeed = 8'),
   );
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -2,8 +2,8 @@
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { here, nativeJob, Submission, type Outside } from '../src/condor/index.js';
-import { ClassAdMatcher, inWords, wrongWith } from '../src/matching/index.js';
+import { submitHost, nativeSubmission, Submission, type SubmitEnvironment } from '../src/condor/index.js';
+import { ClassAdMatcher, describeAnalysis, matchSpecError } from '../src/matching/index.js';
 import type { JobSpec, MatchSpec } from '../src/model/job.js';
 import type { MachineAttributes } from '../src/policy/matching.js';
 import { withSite } from './support/site.js';
@@ -83,18 +83,18 @@
       [0, 0],
     ],
   );
-  const words = inWords(a).join('\n');
+  const words = describeAnalysis(a).join('\n');
   assert.match(words, /2 of 10 machines match/);
   assert.match(words, /no machine has an attribute HasLaser/);
   assert.match(words, /excludes 7: TARGET\.HasScanner \(on 7 it has no value\)/);
 });
 
 test('matching: a wrong expression is named with its field and column; time and chance are refused', () => {
-  assert.equal(wrongWith(asks('Memory > 1', 'Memory', { A: '1' })), null);
-  assert.match(wrongWith(asks('Memory >')!)!, /^requirements: line 1, column 9: unexpected end/);
-  assert.match(wrongWith(asks(null, '1 +* 2'))!, /^rank: line 1, column 4/);
-  assert.match(wrongWith(asks('true', null, { Tag: 'a b' }))!, /^attributes\.Tag: line 1, column 3/);
-  assert.match(wrongWith(asks('time() > 5'))!, /^requirements: must not depend on time or chance/);
+  assert.equal(matchSpecError(asks('Memory > 1', 'Memory', { A: '1' })), null);
+  assert.match(matchSpecError(asks('Memory >')!)!, /^requirements: line 1, column 9: unexpected end/);
+  assert.match(matchSpecError(asks(null, '1 +* 2'))!, /^rank: line 1, column 4/);
+  assert.match(matchSpecError(asks('true', null, { Tag: 'a b' }))!, /^attributes\.Tag: line 1, column 3/);
+  assert.match(matchSpecError(asks('time() > 5'))!, /^requirements: must not depend on time or chance/);
 });
 
 const on = '(report-s 0.3) (lease-s 6) (matching true)';
@@ -199,7 +199,7 @@
       'output = named.$(Item)',
       'queue in (p q)',
     ].join('\n');
-    const outside: Outside = { ...here(), cwd: s.dir };
+    const outside: SubmitEnvironment = { ...submitHost(), cwd: s.dir };
     const submission = new Submission(text, 'x.sub', outside);
     const groups = [...submission.groups()];
     assert.deepEqual(
@@ -212,7 +212,7 @@
       ],
     );
     for (const [i, g] of groups.entries())
-      await s.submit({ nameId: `req-${i + 1}`, ...nativeJob(g, 'default', submission.file.warnings) });
+      await s.submit({ nameId: `req-${i + 1}`, ...nativeSubmission(g, 'default', submission.file.warnings) });
     const all = await Promise.all([1, 2, 3, 4].map((i) => s.over(i)));
     assert.deepEqual(
       all.map((j) => [j.done, j.failed]),
@@ -236,12 +236,12 @@
       outside,
     );
     assert.deepEqual(
-      [...formatted.groups()].map((g) => nativeJob(g, 't', formatted.file.warnings)['command']),
+      [...formatted.groups()].map((g) => nativeSubmission(g, 't', formatted.file.warnings)['command']),
       ['000', '001', '002'].map((n) => ['/bin/x', n]),
     );
     const late = new Submission('executable = /bin/x\nperiodic_hold = true\nqueue', 'b.sub', outside);
     assert.throws(
-      () => nativeJob([...late.groups()][0], 't', late.file.warnings),
+      () => nativeSubmission([...late.groups()][0], 't', late.file.warnings),
       /b\.sub:3: periodic_hold: not supported/,
     );
   }, on));
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jsonOf, Submission, SubmitError, type Outside } from '../src/condor/index.js';
+import { adToJson, Submission, SubmitError, type SubmitEnvironment } from '../src/condor/index.js';
 
 const files: Record<string, string> = {
   '/home/ann/table.txt': 'red 1\n# a comment\n\ngreen, 2 and more\n',
@@ -9,7 +9,7 @@
   '/home/ann/work/more/deep.inc': 'request_disk = 4K\n',
   '/home/ann/work/loop.inc': 'include : loop.inc\n',
 };
-const outside = (): Outside => ({
+const outside = (): SubmitEnvironment => ({
   cwd: '/home/ann',
   env: { HOME: '/home/ann', LANG: 'C', LC_ALL: 'C' },
   user: 'ann',
@@ -27,7 +27,7 @@
 });
 const submit = (text: string): { jobs: Record<string, unknown>[]; warnings: string[] } => {
   const s = new Submission(text, 'work/job.sub', outside());
-  const jobs = [...s.jobs()].map(jsonOf);
+  const jobs = [...s.jobs()].map(adToJson);
   return { jobs, warnings: s.warnings };
 };
 
@@ -408,7 +408,7 @@
     last = ad;
   }
   assert.equal(n, 100_000);
-  assert.equal(jsonOf(last as never)['Args'], '99999');
+  assert.equal(adToJson(last as never)['Args'], '99999');
   assert.ok(performance.now() - at < 20_000);
   const doubling = Array.from({ length: 40 }, (_, i) => `a${i + 1} = $(a${i})$(a${i})`).join('\n');
   assert.throws(
