--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -44,7 +44,7 @@
 
 /**
  * The leader's care for the fleet: what to rent for which shard, whom to give free machines, what to return.
- * DemandCalculator is read off the replica, which every node has.
+ * Demand is read off the replica, which every node has.
  */
 export class Autoscaler {
   private typesAt = -Infinity;
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,5 +1,5 @@
 /** The core of a controller: commands in, effects out, and the turn of each of its parts in a step. */
-import { Meter, Pressure, type Demand } from '../admission/index.js';
+import { RateMeter, OverloadMonitor, type MemberDemand } from '../admission/index.js';
 import type { Operators } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import { abilityOf, Leaving, Levels, type Phase } from '../feature-levels/index.js';
@@ -69,8 +69,8 @@
   private readonly planning: WriteBudget;
   private readonly rebuilding: DataLossRecovery;
   private ended = false;
-  private readonly overloadMonitor = new Pressure();
-  private readonly requests = new Meter(3000);
+  private readonly overloadMonitor = new OverloadMonitor();
+  private readonly requests = new RateMeter(3000);
   /** Shares that the process tells of: sockets, memory, room for what waits. */
   private told = { sockets: 0, memory: 0, waiting: 0 };
   private readonly mostSockets: number;
@@ -343,7 +343,7 @@
   }
 
   /** What this controller wants, as it tells the others. */
-  private get demand(): Demand {
+  private get demand(): MemberDemand {
     const { now } = this.clock;
     return {
       tasks: Math.round(this.batcher.taskWriteDemand(now)),
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,4 +1,4 @@
-import type { Demand, Turned } from '../admission/index.js';
+import type { MemberDemand, Rejection } from '../admission/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import type { RecoveryRecords } from './recovery-records.js';
@@ -18,7 +18,7 @@
   /** Its workers may stay at whoever they reach: their reports are to be relayed. */
   wantsForwarding: boolean;
   /** What it wants of the state service's writes, a second; null: it is of a program that does not say. */
-  wants: Demand | null;
+  wants: MemberDemand | null;
   /** The incarnation that it follows; 0: none. */
   inc: number;
   /** How many jobs it knows. */
@@ -35,7 +35,7 @@
   | { type: 'forwarded-response'; rid: number; status: number; body: object | string }
   | { type: 'peer-status'; from: string; pulse: PeerStatus }
   /** Jobs that another controller has turned away. */
-  | { type: 'rejected-jobs'; list: Turned[] }
+  | { type: 'rejected-jobs'; list: Rejection[] }
   /** What a peer wants to know, and what another has answered us. */
   | { type: 'freshness-query'; from: string; question: Question }
   | { type: 'freshness-confirmed'; from: string; run: string; question: Question; known: Change[] }
@@ -93,7 +93,7 @@
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
   | { type: 'forward-heartbeat'; to: string; rid: number; report: Heartbeat }
   | { type: 'peer-status'; pulse: PeerStatus }
-  | { type: 'rejected-jobs'; list: Turned[] }
+  | { type: 'rejected-jobs'; list: Rejection[] }
   | { type: 'query-freshness'; question: Question }
   | { type: 'confirm-freshness'; to: string; question: Question; known: Change[] }
   /** Read some keys behind this one. */
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -1,5 +1,5 @@
 /** The other controllers of the deployment: what they tell of themselves, and what they vouch for. */
-import type { Demand } from '../admission/index.js';
+import type { MemberDemand } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
 import type { Operators } from '../config/operators.js';
 import { admits } from '../feature-levels/index.js';
@@ -107,7 +107,7 @@
     out: Effect[],
     busy: number,
     front: boolean,
-    wants: () => Demand,
+    wants: () => MemberDemand,
     news: number | null,
   ): void {
     const { now } = this.clock;
@@ -129,7 +129,7 @@
   }
 
   /** What the other controllers want of the writes; null: not heard. One whose presence is gone writes nothing. */
-  demands(): Map<string, { here: boolean; fallen: boolean; demand: Demand | null }> {
+  demands(): Map<string, { here: boolean; fallen: boolean; demand: MemberDemand | null }> {
     const { now } = this.clock;
     return new Map(
       this.members.map((m) => {
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -1,6 +1,6 @@
 /** A controller's copy of the state, kept up by the watch. */
 import { inspect, type Data, type Kind } from '../formats/index.js';
-import type { Plan } from '../admission/index.js';
+import type { WriteAllocation } from '../admission/index.js';
 import { firstLevel, noWish, type Ability, type Levels, type Wish } from '../feature-levels/index.js';
 import type { MachineRecord, MachineType } from '../model/machine.js';
 import { attemptBase, tokenBase, type Incarnation } from '../data-loss/index.js';
@@ -94,7 +94,7 @@
   /** Incarnations that the state names: one, but for the moments in which another is opened. */
   readonly incarnations = new Map<number, Incarnation>();
   /** Who may write how much; null: there is no plan. */
-  writeAllocation: Plan | null = null;
+  writeAllocation: WriteAllocation | null = null;
   teamsByShard: string[][] = [];
   teamsStamp = 0;
   readonly nodes = new Map<string, PresenceRecord>();
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -1,11 +1,11 @@
 /** Teams and classes that had less than their floor go first in a round. */
-import { kindName, type KindUse } from '../../admission/index.js';
+import { workloadKey, type WorkloadUsage } from '../../admission/index.js';
 import { isSuspect } from '../failure-attribution.js';
 import type { ShardState } from '../shard-state/shard-state.js';
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import type { ScheduledJob } from '../shard-state/types.js';
 
-interface WorkKind extends KindUse {
+interface WorkKind extends WorkloadUsage {
   jobs: ScheduledJob[];
 }
 
@@ -26,7 +26,7 @@
     Math.max(job.spec.cpus / capacity.cpus, capacity.gpus > 0 ? job.spec.gpus / capacity.gpus : 0);
   const kinds = new Map<string, WorkKind>();
   const kindOf = ({ spec: { team, class: cls } }: ScheduledJob): WorkKind => {
-    const kind = kindName(team, cls);
+    const kind = workloadKey(team, cls);
     let k = kinds.get(kind);
     if (!k) kinds.set(kind, (k = { kind, team, share: 0, waiting: false, jobs: [] }));
     return k;
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -1,5 +1,5 @@
 /** The jobs and machines of this process's shards in memory, and what is placed where. */
-import { Floors } from '../../admission/index.js';
+import { MinimumShares } from '../../admission/index.js';
 import type { Operators } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import { taskKey, urgencyRank, type JobSpec } from '../../model/job.js';
@@ -82,7 +82,7 @@
   starvationRelief = { host: '', at: -Infinity };
 
   /** What teams and classes have had of the room of late. */
-  readonly minimumShares: Floors;
+  readonly minimumShares: MinimumShares;
 
   constructor(
     readonly settings: Settings,
@@ -96,7 +96,7 @@
   ) {
     // A placed task takes up to some 40 bytes of its chunk's value.
     this.tasksPerChunk = Math.max(16, Math.min(512, Math.floor((settings.state.value_kb * 1024) / 64)));
-    this.minimumShares = new Floors(
+    this.minimumShares = new MinimumShares(
       settings.workers.lease_s * 1000 * operators['floor-leases'],
       operators['floor-share'],
     );
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -1,5 +1,5 @@
 /** The durable records and their stored forms. */
-import type { Plan } from '../../admission/index.js';
+import type { WriteAllocation } from '../../admission/index.js';
 import type { Data } from '../../formats/index.js';
 import { unaware, type Ability, type Wish } from '../../feature-levels/index.js';
 import type { JobSpec, JobState } from '../../model/job.js';
@@ -282,7 +282,7 @@
 /** How much of what a value may hold a plan takes; kinds that do not fit are left out, smallest first. */
 const maxAllocationValueShare = 0.5;
 
-export function allocationData({ version: number, members: parts }: Plan, valueKb: number): Data {
+export function allocationData({ version: number, members: parts }: WriteAllocation, valueKb: number): Data {
   const named = [...parts].flatMap(([member, p]) =>
     [...p.kinds].map(([kind, rate]) => ({ member, kind, rate })),
   );
@@ -312,7 +312,7 @@
   return data;
 }
 
-export function readAllocation(data: unknown): Plan {
+export function readAllocation(data: unknown): WriteAllocation {
   const d = data as { n: number; p: Record<string, [number, number, number, Record<string, number>]> };
   const parts = Object.entries(d.p).map(
     ([member, [total, users, most, kinds]]) =>
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -1,5 +1,5 @@
 /** The write budget: groups changes into transactions by rank, and finds out what became of each. */
-import { Meter } from '../../admission/index.js';
+import { RateMeter } from '../../admission/index.js';
 import type { Condition, Transaction, Write } from '../../wire/store.js';
 import { txnOut } from '../../wire/store.js';
 import { Attempts, pauseMs, type Random, type RetryPolicy } from '../../retry/index.js';
@@ -90,7 +90,7 @@
   private sequence = 0;
   private lastSentAt = -Infinity;
   private sendsSingly = false;
-  private readonly taskWrites = new Meter(3000);
+  private readonly taskWrites = new RateMeter(3000);
   /** Its part of the writes, if they are divided; and the share of it that the state service let it have of late. */
   private allocatedWritesPerS: number | null = null;
   health = 1;
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -1,15 +1,15 @@
 /** Users' requests: submissions, polls and cancellations, and when each may be answered. */
 import {
-  Admission,
-  Bucket,
-  kindName,
-  Meter,
+  AdmissionQueue,
+  TokenBucket,
+  workloadKey,
+  RateMeter,
   teamWeights,
-  Wishes,
-  type Away,
-  type Entry,
-  type KindWant,
-  type Turned,
+  DemandEstimates,
+  type RejectedEntry,
+  type QueueEntry,
+  type WorkloadDemand,
+  type Rejection,
 } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
 import { rejectionReason } from '../policy/admission.js';
@@ -43,7 +43,7 @@
 }
 
 /** A submission that waits to be taken in. */
-interface Newcomer extends Entry {
+interface Newcomer extends QueueEntry {
   spec: JobSpec;
   rids: number[];
   since: number;
@@ -79,14 +79,14 @@
   /** Submissions that wait to be taken in, and those whose write is under way. */
   private readonly newcomers = new Map<string, Newcomer>();
   private readonly submits = new Map<string, { rids: number[]; since: number }>();
-  private readonly admission: Admission<Newcomer>;
-  private readonly arrivals = new Meter();
+  private readonly admission: AdmissionQueue<Newcomer>;
+  private readonly arrivals = new RateMeter();
   /** Guards against waits of users who come in a bunch, as they do, beside a part that is right on the average. */
-  private readonly bucket = new Bucket(patienceMs / 1000);
-  private turned: Turned[] = [];
+  private readonly bucket = new TokenBucket(patienceMs / 1000);
+  private turned: Rejection[] = [];
   /** Who was turned away, by team, class and reason. */
   readonly away = new Map<string, number>();
-  private readonly demandEstimates: Wishes;
+  private readonly demandEstimates: DemandEstimates;
   private crowdedAt = -Infinity;
   /** In which proportion team and class take turns, as the plan has it; empty: by guarantee and urgency. */
   private kinds: ReadonlyMap<string, number> = new Map();
@@ -107,11 +107,11 @@
     const { rps } = settings.state;
     this.readEveryMs = (1000 * (1 + settings.peers.length)) / (rps * readingShare);
     const weightOf = teamWeights(settings.teams);
-    this.demandEstimates = new Wishes(mostWaiting / 8, tryMs);
-    this.admission = new Admission(
+    this.demandEstimates = new DemandEstimates(mostWaiting / 8, tryMs);
+    this.admission = new AdmissionQueue(
       { most: mostWaiting, patienceMs, tryMs, longestMs: longestRetryMs, tickets: mostWaiting },
-      (team) => (this.kinds.size > 0 ? this.rateOf(kindName(team, '')) : weightOf(team)),
-      (e) => (this.kinds.size > 0 ? this.rateOf(kindName(e.team, e.class)) : byUrgency(e.spec)),
+      (team) => (this.kinds.size > 0 ? this.rateOf(workloadKey(team, '')) : weightOf(team)),
+      (e) => (this.kinds.size > 0 ? this.rateOf(workloadKey(e.team, e.class)) : byUrgency(e.spec)),
       random,
     );
   }
@@ -169,14 +169,14 @@
   }
 
   /** By team and class, while somebody has to wait. */
-  kindsWanted(): KindWant[] {
+  kindsWanted(): WorkloadDemand[] {
     const { now } = this.clock;
     if (this.admission.size > 0) this.crowdedAt = now;
     return this.crowded ? this.demandEstimates.largest(now) : [];
   }
 
   /** Jobs that other controllers have turned away: here they are not the last either. */
-  told(list: readonly Turned[]): void {
+  told(list: readonly Rejection[]): void {
     this.admission.recordPeerRejections(
       list.filter((t) => !this.replica.jobs.has(t.id)),
       this.clock.now,
@@ -188,10 +188,10 @@
     this.admission.tickets.remove(id);
   }
 
-  private turnAway({ entry, retryAfterS }: Away<Newcomer>, out: Effect[]): void {
+  private turnAway({ entry, retryAfterS }: RejectedEntry<Newcomer>, out: Effect[]): void {
     this.newcomers.delete(entry.id);
     this.crowdedAt = this.clock.now;
-    const kind = `${kindName(entry.team, entry.class)}: ${this.short}`;
+    const kind = `${workloadKey(entry.team, entry.class)}: ${this.short}`;
     this.away.set(kind, (this.away.get(kind) ?? 0) + 1);
     const { id, team, class: cls, firstAt } = entry;
     this.turned.push({ id, team, class: cls, ageMs: Math.round(this.clock.now - firstAt) });
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -1,14 +1,14 @@
 /** The plan that divides the write budget among controllers, teams and classes, and who follows it. */
 import {
-  alonePart,
-  differs,
-  nextPlan,
-  partsOf,
+  equalShare,
+  isWorthWriting,
+  nextAllocation,
+  divideWrites,
   teamWeights,
-  withoutPlan,
-  type Demand,
-  type Parts,
-  type Plan,
+  fallbackWrites,
+  type MemberDemand,
+  type WriteShare,
+  type WriteAllocation,
 } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
 import { type Committer, allocationData, allocationKey, Rank } from './storage/index.js';
@@ -25,7 +25,7 @@
 const settledLeases = 1.25;
 
 /** What this controller may write, and what all may take in together, a second. */
-export interface LocalWriteShare extends Parts {
+export interface LocalWriteShare extends WriteShare {
   totalUsers: number;
   /** In which proportion team and class take turns; none: by guarantee and urgency. */
   kinds: ReadonlyMap<string, number>;
@@ -80,16 +80,16 @@
   }
 
   /** This controller's share. Without a plan that is in force all work it out from the same pulses; knowing nothing, it is equal. */
-  localShare(mine: Demand): LocalWriteShare {
+  localShare(mine: MemberDemand): LocalWriteShare {
     const writes = this.settings.state.write_rps;
     const { members } = this;
     const n = members.length;
     if (!this.inForce) {
-      const alone = alonePart(writes, n);
+      const alone = equalShare(writes, n);
       const heard = [...this.peers.demands().values()].map(
         (m) => m.demand ?? { tasks: m.here ? alone.total : 0, users: 0, behindS: 0 },
       );
-      const parts = partsOf(writes, [mine, ...heard]);
+      const parts = divideWrites(writes, [mine, ...heard]);
       return { ...parts[0], totalUsers: parts.reduce((sum, p) => sum + p.users, 0), kinds: noKinds };
     }
     const { writeAllocation: plan } = this.replica;
@@ -100,12 +100,12 @@
     // Guards against following a plan that was replaced while nothing was heard of it, or one that counts this controller as
     // gone, or that cannot be read.
     const fallen = !fresh || plan !== null || this.replica.unreadableRecords.has(allocationKey);
-    const parts = withoutPlan(writes, n, fallen);
+    const parts = fallbackWrites(writes, n, fallen);
     return { ...parts, totalUsers: parts.users * n, kinds: noKinds };
   }
 
   /** As the leader: the next plan, if it is worth a write. */
-  proposeNext(mine: Demand): void {
+  proposeNext(mine: MemberDemand): void {
     const { now } = this.clock;
     const { writeAllocation: plan } = this.replica;
     const { leaseTtlMs: ttlMs } = this.membership;
@@ -113,8 +113,8 @@
     this.lookedAt = now;
     if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.unreadableRecords.has(allocationKey))
       return;
-    const next = (): Plan => this.next(mine);
-    if (!differs(plan, next(), this.settings.state.write_rps)) return;
+    const next = (): WriteAllocation => this.next(mine);
+    if (!isWorthWriting(plan, next(), this.settings.state.write_rps)) return;
     this.busy = true;
     this.wroteAt = now;
     const done = (): void => void (this.busy = false);
@@ -148,7 +148,7 @@
     });
   }
 
-  private next(mine: Demand): Plan {
+  private next(mine: MemberDemand): WriteAllocation {
     const { writeAllocation: plan } = this.replica;
     const others = this.peers.demands();
     const members = this.members.map((name) =>
@@ -157,6 +157,6 @@
         : { name, ...others.get(name)! },
     );
     const settled = this.clock.now - this.known.at > settledLeases * this.membership.leaseTtlMs;
-    return nextPlan(plan, this.settings.state.write_rps, members, settled, this.weightOf);
+    return nextAllocation(plan, this.settings.state.write_rps, members, settled, this.weightOf);
   }
 }
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,5 +1,5 @@
 /** What controllers tell each other: one protobuf message a frame, behind its length as a 32-bit number. */
-import type { Demand, Turned } from '../admission/index.js';
+import type { MemberDemand, Rejection } from '../admission/index.js';
 import type { Speaks } from '../formats/index.js';
 import type { PeerStatus } from '../core/effects.js';
 import type { ExitReason, Heartbeat, TaskPhase } from '../model/heartbeat.js';
@@ -33,7 +33,7 @@
   | { relayed: { id: number; status: number; body: string } }
   | { pulse: PeerStatus }
   | { ask: Question }
-  | { turned: { list: Turned[] } }
+  | { turned: { list: Rejection[] } }
   | { vouch: { ask: Question; run: string; known: string } };
 
 function reportOut(r: Heartbeat): WireReport {
@@ -103,7 +103,7 @@
   };
 }
 
-function demandIn(p: WirePulse): Demand {
+function demandIn(p: WirePulse): MemberDemand {
   return {
     tasks: p.tasks,
     users: p.users,
@@ -135,8 +135,8 @@
 /** A sender that names no formats knows only the first. */
 const speaksIn = (h: WireHello): Speaks => ({ least: h.least || 1, most: h.most || 1 });
 
-const turnedOut = (t: Turned): WireAway => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
-const turnedIn = (t: WireAway): Turned => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
+const turnedOut = (t: Rejection): WireAway => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
+const turnedIn = (t: WireAway): Rejection => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
 
 const questionOut = (q: Question): WireAsk => ({
   nonce: q.nonce,
--- a/src/queues/index.ts
+++ b/src/queues/index.ts
@@ -1,1 +1,1 @@
-export { BoundedPriorityQueues as Lanes, type QueueLimits as Lane } from './bounded-priority-queues.js';
+export { BoundedPriorityQueues, type QueueLimits } from './bounded-priority-queues.js';
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -1,6 +1,6 @@
 import type { Settings } from './config/settings.js';
 import type { Command, Effect } from './core/effects.js';
-import { Lanes } from './queues/index.js';
+import { BoundedPriorityQueues } from './queues/index.js';
 import type { Limits } from './limits/index.js';
 import type { Random } from './retry/index.js';
 
@@ -23,7 +23,7 @@
  */
 export class RequestQueue {
   private inner: Command[] = [];
-  private readonly lanes: Lanes<LaneName, Request>;
+  private readonly lanes: BoundedPriorityQueues<LaneName, Request>;
   /** Memory is short: only what stops work or keeps it alive is taken in. */
   memoryShort = false;
 
@@ -35,7 +35,7 @@
     const { most } = limits.sockets;
     const { maxWaitingRequests: waiting } = limits;
     // In order of need. How long senders wait is what the protocol says.
-    this.lanes = new Lanes(
+    this.lanes = new BoundedPriorityQueues(
       {
         cancel: { share: 4, most: waiting, patienceMs: 5000 * patience },
         heartbeat: { share: 4, most, patienceMs: 4000 * patience },
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  Admission,
-  alonePart,
+  AdmissionQueue,
+  equalShare,
   FairQueue,
-  maxMin,
-  partsOf,
-  Tickets,
-  type Entry,
+  maxMinShares,
+  divideWrites,
+  RetryTickets,
+  type QueueEntry,
 } from '../src/admission/index.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 import { ownerOf, leaderOf } from './support/rolls.js';
@@ -24,7 +24,7 @@
 test('max-min: never more than the whole or than wanted, floors first, nobody could get more without one who has less', () => {
   fc.assert(
     fc.property(amount, fc.array(claim, { minLength: 1, maxLength: 8 }), (total, claims) => {
-      const parts = maxMin(total, claims);
+      const parts = maxMinShares(total, claims);
       const sum = parts.reduce((a, b) => a + b, 0);
       assert.ok(sum <= total + 1e-6);
       const floors = claims.map((c) => Math.min(c.want, c.floor));
@@ -57,16 +57,16 @@
   });
   fc.assert(
     fc.property(fc.double({ min: 1, max: 200, noNaN: true }), wants, (writes, list) => {
-      const parts = partsOf(writes, list);
+      const parts = divideWrites(writes, list);
       assert.ok(parts.reduce((a, p) => a + p.total, 0) <= writes);
       for (const p of parts) assert.ok(p.users <= p.total + 1e-9);
       parts.forEach((p, i) => assert.ok(p.users > 0 || list[i].users === 0));
     }),
   );
-  assert.ok(alonePart(40, 3).total * 3 <= 40);
+  assert.ok(equalShare(40, 3).total * 3 <= 40);
 });
 
-interface Item extends Entry {
+interface Item extends QueueEntry {
   n: number;
 }
 const item = (team: string, cls: string, n: number, firstAt = n): Item => ({
@@ -110,7 +110,7 @@
 });
 
 test('tickets: bounded, told by others, and gone when the job is taken in or its user has given up', () => {
-  const t = new Tickets(100, 60_000);
+  const t = new RetryTickets(100, 60_000);
   const turned = (n: number, ageMs = 0) => ({ id: `req-${n}`, team: 'a', class: 'c', ageMs });
   for (let n = 0; n < 150; n++) t.record(turned(n), n);
   assert.equal(t.outstandingCount('a', 'c'), 100);
@@ -127,7 +127,7 @@
 test('who is turned away is told when to come, spread, at most 30 s and before its user gives up; the oldest gets in', () => {
   const limits = { most: 100, patienceMs: 1000, tryMs: 60_000, longestMs: 30_000, tickets: 5000 };
   let n = 0;
-  const a = new Admission<Item>(
+  const a = new AdmissionQueue<Item>(
     limits,
     () => 1,
     () => 1,
@@ -291,7 +291,7 @@
   const limits = { most: 20_000, patienceMs: 1000, tryMs: 60_000, longestMs: 30_000, tickets: 5000 };
   const cost: number[] = [];
   for (const classes of [10, 1000, 10_000]) {
-    const a = new Admission<Item>(
+    const a = new AdmissionQueue<Item>(
       limits,
       () => 1,
       () => 1,
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -2,20 +2,20 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  differs,
-  floorOf,
-  Floors,
-  longestWaitS,
-  nextPlan,
-  Pressure,
-  wholeOf,
-  Wishes,
-  withoutPlan,
-  type Demand,
-  type KindUse,
-  type KindWant,
-  type Member,
-  type Plan,
+  isWorthWriting,
+  minMemberWrites,
+  MinimumShares,
+  maxStarvationS,
+  nextAllocation,
+  OverloadMonitor,
+  allocatableWrites,
+  DemandEstimates,
+  fallbackWrites,
+  type MemberDemand,
+  type WorkloadUsage,
+  type WorkloadDemand,
+  type MemberStatus,
+  type WriteAllocation,
 } from '../src/admission/index.js';
 import { newestLevel } from '../src/feature-levels/index.js';
 import { allocationData, readAllocation } from '../src/core/storage/index.js';
@@ -25,7 +25,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import { spec, World } from './support/world.js';
 
-const demand = (tasks: number, users: number, follows = 0, kinds: KindWant[] = []): Demand => ({
+const demand = (tasks: number, users: number, follows = 0, kinds: WorkloadDemand[] = []): MemberDemand => ({
   tasks,
   users,
   behindS: 0,
@@ -52,8 +52,8 @@
       fc.array(step),
       (n, writes, steps) => {
         const names = ['a', 'b', 'c', 'd'].slice(0, n);
-        let plan: Plan | null = null;
-        const plans = new Map<number, Plan>();
+        let plan: WriteAllocation | null = null;
+        const plans = new Map<number, WriteAllocation>();
         /** The plan that each follows (0: none yet, an equal share; -1: its view is old, its floor), and has told of. */
         const follows = names.map(() => 0);
         const told = names.map(() => 0);
@@ -65,24 +65,29 @@
             if (plan && s.settled && follows[i] < plan.version) follows[i] = -1;
             if (plan && !s.here[i] && s.fallen[i]) follows[i] = -1;
           });
-          const members = names.map((name, i): Member => ({
+          const members = names.map((name, i): MemberStatus => ({
             name,
             here: s.here[i],
             fallen: !s.here[i] && s.fallen[i],
             demand: s.here[i] ? demand(s.wants[i][0], s.wants[i][1], told[i]) : null,
           }));
-          plan = nextPlan(plan, writes, members, s.settled, alike);
+          plan = nextAllocation(plan, writes, members, s.settled, alike);
           plans.set(plan.version, plan);
           const used = names.map((name, i) => {
-            if (follows[i] === 0) return withoutPlan(writes, n, false).total;
-            if (follows[i] < 0) return withoutPlan(writes, n, true).total;
+            if (follows[i] === 0) return fallbackWrites(writes, n, false).total;
+            if (follows[i] < 0) return fallbackWrites(writes, n, true).total;
             return plans.get(follows[i])!.members.get(name)!.total;
           });
           const sum = used.reduce((x, y) => x + y, 0);
-          assert.ok(sum <= wholeOf(writes) + 1e-6, `${used.join(' + ')} of ${wholeOf(writes)}`);
+          assert.ok(
+            sum <= allocatableWrites(writes) + 1e-6,
+            `${used.join(' + ')} of ${allocatableWrites(writes)}`,
+          );
           for (const p of plan.members.values()) {
             assert.ok(
-              p.total >= floorOf(writes, n) - 1e-9 && p.users <= p.total + 1e-9 && p.total <= p.most + 1e-9,
+              p.total >= minMemberWrites(writes, n) - 1e-9 &&
+                p.users <= p.total + 1e-9 &&
+                p.total <= p.most + 1e-9,
             );
           }
         }
@@ -93,34 +98,34 @@
 });
 
 test('plans: what is taken from one is given to another only when the first follows', () => {
-  const members = (follows: number): Member[] => [
+  const members = (follows: number): MemberStatus[] => [
     { name: 'a', here: true, fallen: false, demand: demand(40, 5, follows) },
     { name: 'b', here: true, fallen: false, demand: demand(0, 2, follows) },
   ];
-  const first = nextPlan(null, 40, members(0), false, alike);
-  const of = (p: Plan, name: string) => p.members.get(name)!.total;
-  assert.ok(of(first, 'a') <= wholeOf(40) / 2 && of(first, 'b') < wholeOf(40) / 2);
-  const early = nextPlan(first, 40, members(0), false, alike);
+  const first = nextAllocation(null, 40, members(0), false, alike);
+  const of = (p: WriteAllocation, name: string) => p.members.get(name)!.total;
+  assert.ok(of(first, 'a') <= allocatableWrites(40) / 2 && of(first, 'b') < allocatableWrites(40) / 2);
+  const early = nextAllocation(first, 40, members(0), false, alike);
   assert.ok(of(early, 'a') <= of(first, 'a') + 1e-9);
-  const second = nextPlan(early, 40, members(early.version), false, alike);
-  assert.ok(of(second, 'a') > wholeOf(40) * 0.6, String(of(second, 'a')));
+  const second = nextAllocation(early, 40, members(early.version), false, alike);
+  assert.ok(of(second, 'a') > allocatableWrites(40) * 0.6, String(of(second, 'a')));
   // Another leader knows of nobody what it follows, until it is told or time has passed.
-  assert.ok(of(nextPlan(second, 40, members(0), false, alike), 'a') >= of(second, 'a') - 1e-9);
+  assert.ok(of(nextAllocation(second, 40, members(0), false, alike), 'a') >= of(second, 'a') - 1e-9);
   // Who is gone keeps its floor, the others get the rest once it is settled.
-  const gone: Member[] = [members(9)[0], { name: 'b', here: false, fallen: true, demand: null }];
-  const third = nextPlan(second, 40, gone, true, alike);
-  assert.ok(Math.abs(of(third, 'b') - floorOf(40, 2)) < 1e-9);
-  assert.equal(differs(third, nextPlan(third, 40, gone, true, alike), 40), false);
+  const gone: MemberStatus[] = [members(9)[0], { name: 'b', here: false, fallen: true, demand: null }];
+  const third = nextAllocation(second, 40, gone, true, alike);
+  assert.ok(Math.abs(of(third, 'b') - minMemberWrites(40, 2)) < 1e-9);
+  assert.equal(isWorthWriting(third, nextAllocation(third, 40, gone, true, alike), 40), false);
 });
 
 test('plans: team first, then class, and those to whom their users come; who wants little takes its turn at once', () => {
-  const kind = (team: string, cls: string, want: number, weight = 1): KindWant => ({
+  const kind = (team: string, cls: string, want: number, weight = 1): WorkloadDemand => ({
     team,
     class: cls,
     weight,
     want,
   });
-  const members: Member[] = [
+  const members: MemberStatus[] = [
     {
       name: 'a',
       here: true,
@@ -134,8 +139,8 @@
       demand: demand(0, 12, 1, [kind('y', 'flood', 10), kind('y', 'small', 1)]),
     },
   ];
-  const before: Plan = nextPlan(null, 20, members, true, alike);
-  const { members: parts } = nextPlan(before, 20, members, true, alike);
+  const before: WriteAllocation = nextAllocation(null, 20, members, true, alike);
+  const { members: parts } = nextAllocation(before, 20, members, true, alike);
   const [a, b] = [parts.get('a')!, parts.get('b')!];
   // Half of all for x, which comes to a alone; of y's half its small class gets all it wants.
   assert.ok(a.users > b.users * 1.5, `${a.users} ${b.users}`);
@@ -150,13 +155,13 @@
     weight: 1,
     want: i + 1,
   }));
-  const members: Member[] = ['a', 'b', 'c'].map((name) => ({
+  const members: MemberStatus[] = ['a', 'b', 'c'].map((name) => ({
     name,
     here: true,
     fallen: false,
     demand: demand(9, 9, 0, kinds),
   }));
-  const plan = nextPlan(null, 40, members, false, alike);
+  const plan = nextAllocation(null, 40, members, false, alike);
   const data = allocationData(plan, 8);
   assert.ok(JSON.stringify(data).length <= 4096);
   assert.deepEqual(inspect('plan', data), { ok: true, format: 1, extras: null });
@@ -166,13 +171,13 @@
 });
 
 test('what users wish is told by team and class, bounded; pressure slows the taking in, writes do not count twice', () => {
-  const w = new Wishes(100, 60_000);
+  const w = new DemandEstimates(100, 60_000);
   for (let i = 0; i < 10_000; i++) w.recordArrival('t', `c${i}`, 1, i);
   for (let i = 0; i < 300; i++) w.recordArrival('u', 'one', 1, 10_000 + i * 10);
   const list = w.largest(13_000);
   assert.ok(list.length <= 16 && list.some((k) => k.team === 't' && k.class === '*'));
   assert.ok(list.some((k) => k.team === 'u' && k.want > 20));
-  const p = new Pressure();
+  const p = new OverloadMonitor();
   const load = { writes: 3, requests: 0.2, time: 0.3, sockets: 0.1, memory: 0.4, waiting: 0 };
   for (let i = 0; i < 50; i++) p.observe(load);
   assert.deepEqual([p.snapshot.admissionFactor, p.snapshot.bottleneck], [1, 'writes']);
@@ -216,7 +221,7 @@
     old.paused = false;
     w.advance(0.05);
     // It acts on what it had: within its floor, and no plan of it gets through.
-    assert.ok(old.controller['batcher'].writesPerS <= floorOf(30, 3) + 1e-9);
+    assert.ok(old.controller['batcher'].writesPerS <= minMemberWrites(30, 3) + 1e-9);
     w.advance(10);
     const plans = w.commits.slice(mark).filter((c) => c.txn.writes.some((a) => a.key === 'dp/plan'));
     assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
@@ -303,7 +308,7 @@
     const { data } = planOf(w);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: { v: 9, x: 1 } }] });
     w.advance(2);
-    for (const n of w.nodes) assert.ok(n.controller['batcher'].writesPerS <= floorOf(30, 3) + 1e-9);
+    for (const n of w.nodes) assert.ok(n.controller['batcher'].writesPerS <= minMemberWrites(30, 3) + 1e-9);
     assert.equal((planOf(w).data as { v: number }).v, 9);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
     w.advance(4);
@@ -312,8 +317,8 @@
 );
 
 test('floors: owed after a whole window with less, up to the floor, by team and then by class, those that waited longest first', () => {
-  const f = new Floors(10_000, 0.5);
-  const uses = (small: number, waits = true): KindUse[] => [
+  const f = new MinimumShares(10_000, 0.5);
+  const uses = (small: number, waits = true): WorkloadUsage[] => [
     { kind: 'a big', team: 'a', share: 1 - small, waiting: true },
     { kind: 'b small', team: 'b', share: small, waiting: waits },
     { kind: 'b other', team: 'b', share: 0, waiting: false },
@@ -336,7 +341,7 @@
     share: 0,
     waiting: true,
   }));
-  const g = new Floors(1000, 0.5);
+  const g = new MinimumShares(1000, 0.5);
   g.findDeficits(0, many);
   assert.equal(g.findDeficits(1000, many).length, 16);
 });
@@ -376,7 +381,7 @@
     none.run(80);
     assert.equal(lowStarts(none.w).length, 0);
     const { w, run, at } = crowdedFleet(0.25);
-    const bound = longestWaitS({ windowS: 32, runS: 10, machineS: 11, roundS: 1, reportS: 2 });
+    const bound = maxStarvationS({ windowS: 32, runS: 10, machineS: 11, roundS: 1, reportS: 2 });
     run(Math.ceil(bound));
     assert.ok(lowStarts(w).length > 0 && (lowStarts(w)[0].at - at) / 1000 <= bound);
     // An eighth of 32 CPUs: two classes of one team, a quarter of an equal part.
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -1,5 +1,12 @@
 /** Admission in a flood, on the scripted world: `npm run measure -- flood`. Figures are simulated. */
-import { jain, maxMin, nextPlan, type Demand, type KindWant, type Member } from '../src/admission/index.js';
+import {
+  jainIndex,
+  maxMinShares,
+  nextAllocation,
+  type MemberDemand,
+  type WorkloadDemand,
+  type MemberStatus,
+} from '../src/admission/index.js';
 import type { Operators } from '../src/config/operators.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 
@@ -11,7 +18,7 @@
 
 /** What each stream is owed, a second: those that want little all of it, the flood what is left. */
 const owed = (perS: number): number[] =>
-  maxMin(
+  maxMinShares(
     perS,
     flooding.map((s) => ({ want: s.perS, weight: 1, floor: 0 })),
   );
@@ -45,21 +52,26 @@
     say(
       `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written a second; ${bad} of ${all} commits refused (${((100 * bad) / all).toFixed(1)}%)`,
     );
-    say(`  Jain's index of what each got of what it is owed: ${jain(shares).toFixed(3)}`);
+    say(`  Jain's index of what each got of what it is owed: ${jainIndex(shares).toFixed(3)}`);
     say(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
   }
   for (const classes of [10, 1000, 10_000]) {
-    const kinds = Array.from({ length: classes }, (_, i): KindWant => ({
+    const kinds = Array.from({ length: classes }, (_, i): WorkloadDemand => ({
       team: `t${i % 5}`,
       class: `c${i}`,
       weight: 1,
       want: 1,
     }));
-    const demand: Demand = { tasks: 20, users: 20, behindS: 1, follows: 1, kinds };
-    const members: Member[] = ['a', 'b', 'c'].map((name) => ({ name, here: true, fallen: false, demand }));
+    const demand: MemberDemand = { tasks: 20, users: 20, behindS: 1, follows: 1, kinds };
+    const members: MemberStatus[] = ['a', 'b', 'c'].map((name) => ({
+      name,
+      here: true,
+      fallen: false,
+      demand,
+    }));
     const from = performance.now();
     const times = classes > 1000 ? 3 : 100;
-    for (let i = 0; i < times; i++) nextPlan(null, 40, members, false, () => 1);
+    for (let i = 0; i < times; i++) nextAllocation(null, 40, members, false, () => 1);
     say(
       `  a plan of ${classes} kinds at each of three controllers (16 are told at most): ${((performance.now() - from) / times).toFixed(2)} ms`,
     );
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { parseSettings } from '../src/config/settings.js';
 import { RequestQueue } from '../src/request-queue.js';
-import { Lanes } from '../src/queues/index.js';
+import { BoundedPriorityQueues } from '../src/queues/index.js';
 import { limitsOf } from '../src/limits/index.js';
 import { Memory } from '../src/memory-usage.js';
 import { Attempts, pauseMs, retryPolicies, seeded } from '../src/retry/index.js';
@@ -15,7 +15,7 @@
 
 test('lanes: a flood in one does not starve the others, and what is needed least is turned away first', () => {
   const lane = (share: number, most = 100) => ({ share, most, patienceMs: 1000 });
-  const l = new Lanes({ stop: lane(4), report: lane(4), poll: lane(1) }, 60);
+  const l = new BoundedPriorityQueues({ stop: lane(4), report: lane(4), poll: lane(1) }, 60);
   for (let i = 0; i < 58; i++) assert.deepEqual(l.offer('poll', `p${i}`, 0), []);
   assert.deepEqual(l.offer('report', 'r0', 0), []);
   assert.deepEqual(l.offer('stop', 's0', 0), []);
@@ -34,7 +34,7 @@
 
 test('lanes: shares hold over many turns, down to one item a turn', () => {
   const lane = (share: number) => ({ share, most: 1000, patienceMs: 1e9 });
-  const l = new Lanes({ a: lane(3), b: lane(1) }, 2000);
+  const l = new BoundedPriorityQueues({ a: lane(3), b: lane(1) }, 2000);
   for (let i = 0; i < 400; i++) for (const n of ['a', 'b'] as const) l.offer(n, n, 0);
   const got = { a: 0, b: 0 };
   for (let i = 0; i < 400; i++) for (const n of l.take(1, 0).items) got[n as 'a' | 'b']++;
