--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -1,3 +1,4 @@
+/** Index of the free capacity of a shard's machines, in the placement policy's order of preference. */
 import type { JobSpec } from '../model/job.js';
 import { isPremium, urgencyRank } from '../model/job.js';
 import type { Resources, MachineType } from '../model/machine.js';
@@ -6,197 +7,213 @@
 
 /** What the index needs to know of a machine. */
 export interface IndexedMachine {
-  host: string;
-  type: MachineType;
-  zone: string;
-  spot: boolean;
-  images: { has(image: string): boolean };
+  readonly host: string;
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly images: { has(image: string): boolean };
 }
 
-/** Machines of one type that are rented the same way: the policy tells them apart only by image and fullness. */
+/** Machines of one type and billing model: the policy's score differs among them by image and fullness only. */
 export interface MachineGroup<M extends IndexedMachine> {
-  type: MachineType;
-  spot: boolean;
-  /** Fullest first; machines without any room for what waits are left out. */
+  readonly type: MachineType;
+  readonly spot: boolean;
+  /** Fullest first; machines without free capacity for any waiting task are left out. */
   entries: IndexEntry<M>[];
 }
 
-interface IndexEntry<M> {
-  machine: M;
-  full: number;
-  /** Place in the order in which the machines came: the last tie-break. */
-  ord: number;
+/** What entries are sorted by. */
+interface EntryOrder {
+  /** See `fullness`. */
+  fullness: number;
+  /** Position in the order in which the machines were given: the last tie-break. */
+  position: number;
+}
+
+interface IndexEntry<M> extends EntryOrder {
+  readonly machine: M;
+}
+
+/** A group's entries during the merge, those with or those without the image, and the one that comes next. */
+interface MergeCursor<M> {
+  readonly entries: readonly IndexEntry<M>[];
+  readonly hasImage: boolean;
+  /** The policy's score of the group. */
+  readonly groupScore: number;
+  next: number;
+  /** The group's score plus the tie-break, and the position, of the entry that comes next. */
+  score: number;
+  position: number;
 }
 
 /** Tie-break among machines of like score; far below any price difference that matters. */
 export const packingTieBreak = 1e-4;
 
-/** How full a machine is, by what is scarcest on it. */
-export const fullness = (type: MachineType, room: Resources): number =>
-  type.gpus > 0 ? 1 - room.gpus / type.gpus : 1 - room.cpus / type.cpus;
+/** Tolerance for rounding in sums of decimal amounts. */
+const tolerance = 1e-6;
 
-/** What a job that found no room asked for: whoever asks for as much or more finds none either. */
+/** The used share of a machine's scarcest resource, from 0 to 1. */
+export const fullness = (type: MachineType, free: Resources): number =>
+  type.gpus > 0 ? 1 - free.gpus / type.gpus : 1 - free.cpus / type.cpus;
+
+/** A request that found no capacity: one that asks for as much or more finds none either. */
 interface UnplaceableRequest {
-  spec: JobSpec;
-  /** Of a gang: the most tasks that any zone, and all zones together, could have taken. */
-  maxPerZone: number;
-  total: number;
+  readonly spec: JobSpec;
+  /** Of a gang: how many of its tasks the best zone, and all zones together, could have taken. */
+  readonly maxPerZone: number;
+  readonly total: number;
 }
 
 /**
- * The machines of a shard in the order in which the policy prefers them, for one placement round. The plain
- * definition scores every machine for every job; but within a kind the score depends on the image and on
- * fullness only, so sorted lists by kind are merged, and only as far as a job has tasks. `looked` counts the
- * machines looked at.
+ * The machines of a shard in the policy's order of preference, for one scheduling cycle. The plain definition scores every
+ * machine for every job. Within a group the score depends on image and fullness only, so sorted groups are merged, and only
+ * as far as a job has tasks.
  */
 export class CapacityIndex<M extends IndexedMachine> {
+  /** The machines by type and billing model, in the order in which each first came. */
   readonly groups: MachineGroup<M>[] = [];
+  /** How many machines were examined; the scheduling cycle resets it after each step. */
   examined = 0;
-  private unplaceable: UnplaceableRequest[] = [];
+  private readonly unplaceable: UnplaceableRequest[] = [];
 
   constructor(
     machines: Iterable<M>,
-    /** What is free on a machine now. */
-    private readonly freeCapacity: (m: M) => Resources,
-    /** The least that any waiting task takes: a machine with less room is of no use to this round. */
+    /** The current free capacity of a machine. */
+    private readonly freeCapacity: (machine: M) => Resources,
+    /** The least that any waiting task takes: a machine with less free capacity is left out. */
     private readonly minRequest: Resources,
   ) {
-    const byKind = new Map<string, MachineGroup<M>>();
-    let ord = 0;
-    for (const m of machines) {
+    const groupByKey = new Map<string, MachineGroup<M>>();
+    let position = 0;
+    for (const machine of machines) {
       this.examined++;
-      ord++;
-      const room = freeCapacity(m);
-      if (!this.isUseful(room)) continue;
-      const key = `${m.type.name} ${m.spot ? 1 : 0}`;
-      let kind = byKind.get(key);
-      if (!kind) {
-        byKind.set(key, (kind = { type: m.type, spot: m.spot, entries: [] }));
-        this.groups.push(kind);
+      position++;
+      const free = freeCapacity(machine);
+      if (!this.isUseful(free)) continue;
+      const key = `${machine.type.name} ${machine.spot ? 1 : 0}`;
+      let group = groupByKey.get(key);
+      if (!group) {
+        groupByKey.set(key, (group = { type: machine.type, spot: machine.spot, entries: [] }));
+        this.groups.push(group);
       }
-      kind.entries.push({ machine: m, full: fullness(m.type, room), ord });
+      group.entries.push({ machine, fullness: fullness(machine.type, free), position });
     }
-    for (const k of this.groups) k.entries.sort(byFullness);
+    for (const group of this.groups) group.entries.sort(byFullness);
   }
 
-  private isUseful(room: Resources): boolean {
-    const tiny = 1e-6;
-    return room.cpus + tiny >= this.minRequest.cpus && room.memGb + tiny >= this.minRequest.memGb;
+  private isUseful(free: Resources): boolean {
+    return free.cpus + tolerance >= this.minRequest.cpus && free.memGb + tolerance >= this.minRequest.memGb;
   }
 
   /**
-   * The machines that a job may use, best first. `score` is the policy's score of a kind, with or without the
-   * image; `open` what else decides about a machine;
-   * `withImage` leaves out those that lack the image.
+   * The machines that a job may use, best first. `score` is the policy's score of a group, with or without the image;
+   * `isEligible` is what else decides about a machine; `imageRequired` leaves out machines that lack the image.
    */
   *bestFirst(
     spec: JobSpec,
     score: (type: MachineType, spot: boolean, hasImage: boolean) => number,
-    isEligible: (m: M) => boolean,
-    withImage = false,
+    isEligible: (machine: M) => boolean,
+    imageRequired = false,
   ): Generator<M> {
-    const heads: {
-      list: IndexEntry<M>[];
-      at: number;
-      image: boolean;
-      base: number;
-      ord: number;
-      s: number;
-    }[] = [];
-    const advance = (h: (typeof heads)[number]): boolean => {
-      for (; h.at < h.list.length; h.at++) {
-        const e = h.list[h.at];
-        this.examined++;
-        if (e.machine.images.has(spec.image) !== h.image || !isEligible(e.machine)) continue;
-        h.s = h.base + packingTieBreak * e.full;
-        h.ord = e.ord;
-        return true;
-      }
-      return false;
-    };
-    for (const k of this.groups) {
-      if (!typeAllowed(spec, k.type) || (k.spot && !spotAllowed(spec))) continue;
-      for (const image of withImage ? [true] : [true, false]) {
-        const h = { list: k.entries, at: 0, image, base: score(k.type, k.spot, image), ord: 0, s: 0 };
-        if (advance(h)) heads.push(h);
+    const cursors: MergeCursor<M>[] = [];
+    for (const { type, spot, entries } of this.groups) {
+      if (!typeAllowed(spec, type) || (spot && !spotAllowed(spec))) continue;
+      for (const hasImage of imageRequired ? [true] : [true, false]) {
+        const groupScore = score(type, spot, hasImage);
+        const cursor = { entries, hasImage, groupScore, next: 0, score: 0, position: 0 };
+        if (this.advance(cursor, spec, isEligible)) cursors.push(cursor);
       }
     }
-    while (heads.length > 0) {
-      let top = 0;
-      for (let i = 1; i < heads.length; i++) {
-        const a = heads[i];
-        const b = heads[top];
-        if (a.s > b.s || (a.s === b.s && a.ord < b.ord)) top = i;
-      }
-      const h = heads[top];
-      yield h.list[h.at].machine;
-      h.at++;
-      if (!advance(h)) heads.splice(top, 1);
+    while (cursors.length > 0) {
+      let best = 0;
+      for (let i = 1; i < cursors.length; i++) if (isBetter(cursors[i], cursors[best])) best = i;
+      const cursor = cursors[best];
+      yield cursor.entries[cursor.next].machine;
+      cursor.next++;
+      if (!this.advance(cursor, spec, isEligible)) cursors.splice(best, 1);
     }
   }
 
-  /** Tasks were placed on these machines: they move to where they belong now, or out. */
+  /** Moves a cursor to the next machine that the job may use. False: there is none. */
+  private advance(cursor: MergeCursor<M>, spec: JobSpec, isEligible: (machine: M) => boolean): boolean {
+    for (; cursor.next < cursor.entries.length; cursor.next++) {
+      const entry = cursor.entries[cursor.next];
+      this.examined++;
+      if (entry.machine.images.has(spec.image) !== cursor.hasImage || !isEligible(entry.machine)) continue;
+      cursor.score = cursor.groupScore + packingTieBreak * entry.fullness;
+      cursor.position = entry.position;
+      return true;
+    }
+    return false;
+  }
+
+  /** Moves machines on which tasks were placed to where they belong now, or out of the index. */
   reposition(hosts: ReadonlySet<string>): void {
     if (hosts.size === 0) return;
-    for (const k of this.groups) {
+    for (const group of this.groups) {
       const moved: IndexEntry<M>[] = [];
-      k.entries = k.entries.filter((e) => {
-        if (!hosts.has(e.machine.host)) return true;
-        moved.push(e);
+      group.entries = group.entries.filter((entry) => {
+        if (!hosts.has(entry.machine.host)) return true;
+        moved.push(entry);
         return false;
       });
-      for (const e of moved) {
-        const room = this.freeCapacity(e.machine);
-        if (!this.isUseful(room)) continue;
-        e.full = fullness(e.machine.type, room);
-        insert(k.entries, e);
+      for (const entry of moved) {
+        const free = this.freeCapacity(entry.machine);
+        if (!this.isUseful(free)) continue;
+        entry.fullness = fullness(entry.machine.type, free);
+        insertSorted(group.entries, entry);
       }
     }
   }
 
-  /** Takes machines out: they are kept for somebody. */
+  /** Removes machines that were reserved. */
   remove(hosts: ReadonlySet<string>): void {
-    if (hosts.size > 0)
-      for (const k of this.groups) k.entries = k.entries.filter((e) => !hosts.has(e.machine.host));
+    if (hosts.size === 0) return;
+    for (const group of this.groups)
+      group.entries = group.entries.filter((entry) => !hosts.has(entry.machine.host));
   }
 
-  /** Remembers that a job found no room (more). Within a round room only shrinks. */
+  /** Notes that a job found no (more) capacity. Within a cycle free capacity only shrinks. */
   noteUnplaceable(spec: JobSpec, maxPerZone = 0, total = 0): void {
     this.unplaceable.push({ spec, maxPerZone, total });
   }
 
-  /** True if a job that asked for no more than this one has found no room already. */
-  isUnplaceable(spec: JobSpec, count: number): boolean {
-    return this.unplaceable.some((f) => {
-      const a = f.spec;
-      if (
-        a.cpus > spec.cpus ||
-        a.gpus > spec.gpus ||
-        a.memGb > spec.memGb ||
-        a.gpus > 0 !== spec.gpus > 0 ||
-        isPremium(a) !== isPremium(spec) ||
-        urgencyRank[a.urgency] < urgencyRank[spec.urgency] ||
-        spotAllowed(a) < spotAllowed(spec) ||
-        (a.zone !== null && a.zone !== spec.zone) ||
-        (a.types !== null && a.types.join() !== spec.types?.join())
-      )
-        return false;
-      if (spec.shape !== 'gang') return a.shape !== 'gang' && !a.oneZone && !a.apart;
-      return a.shape === 'gang' && count > (spec.oneZone ? f.maxPerZone : f.total);
+  /** Whether a job that asked for no more than this one has found no capacity in this cycle. */
+  isUnplaceable(spec: JobSpec, taskCount: number): boolean {
+    return this.unplaceable.some((request) => {
+      const earlier = request.spec;
+      if (!isNoMoreDemanding(earlier, spec)) return false;
+      if (spec.shape !== 'gang') return earlier.shape !== 'gang' && !earlier.oneZone && !earlier.apart;
+      return earlier.shape === 'gang' && taskCount > (spec.oneZone ? request.maxPerZone : request.total);
     });
   }
 }
 
-const byFullness = (a: { full: number; ord: number }, b: { full: number; ord: number }): number =>
-  b.full - a.full || a.ord - b.ord;
-
-function insert<T extends { full: number; ord: number }>(list: T[], e: T): void {
-  let lo = 0;
-  let hi = list.length;
-  while (lo < hi) {
-    const mid = (lo + hi) >> 1;
-    if (byFullness(list[mid], e) < 0) lo = mid + 1;
-    else hi = mid;
+/** Whether a task of one job could go wherever a task of another can. */
+const isNoMoreDemanding = (earlier: JobSpec, spec: JobSpec): boolean =>
+  earlier.cpus <= spec.cpus &&
+  earlier.gpus <= spec.gpus &&
+  earlier.memGb <= spec.memGb &&
+  earlier.gpus > 0 === spec.gpus > 0 &&
+  isPremium(earlier) === isPremium(spec) &&
+  urgencyRank[earlier.urgency] >= urgencyRank[spec.urgency] &&
+  spotAllowed(earlier) >= spotAllowed(spec) &&
+  (earlier.zone === null || earlier.zone === spec.zone) &&
+  (earlier.types === null || earlier.types.join() === spec.types?.join());
+
+const isBetter = <M>(a: MergeCursor<M>, b: MergeCursor<M>): boolean =>
+  a.score > b.score || (a.score === b.score && a.position < b.position);
+
+const byFullness = (a: EntryOrder, b: EntryOrder): number =>
+  b.fullness - a.fullness || a.position - b.position;
+
+function insertSorted<T extends EntryOrder>(entries: T[], entry: T): void {
+  let low = 0;
+  let high = entries.length;
+  while (low < high) {
+    const middle = (low + high) >> 1;
+    if (byFullness(entries[middle], entry) < 0) low = middle + 1;
+    else high = middle;
   }
-  list.splice(lo, 0, e);
+  entries.splice(low, 0, entry);
 }
--- a/src/core/failure-attribution.ts
+++ b/src/core/failure-attribution.ts
@@ -1,42 +1,45 @@
 /**
- * Tells jobs that were submitted with a mistake from faulty machines, by evidence across both: a job that fails on
- * several machines and completes nowhere is itself to blame; a machine is, if jobs that complete elsewhere fail on it,
- * or several that have been nowhere else.
+ * Attribution of task failures: tells faulty jobs from faulty machines by evidence across both. A job that fails on several
+ * machines and completes on none is at fault itself. A machine is, if jobs that complete elsewhere fail on it, or several
+ * jobs that have run nowhere else.
  */
+
+/** What is known of a job's failures. */
 export interface FailureHistory {
   /** Machines on which its tasks failed. */
-  failedHosts: ReadonlySet<string>;
+  readonly failedHosts: ReadonlySet<string>;
   /** How many of its tasks have completed. */
-  completedCount: number;
+  readonly completedCount: number;
 }
 
-/** On so many machines a job must have failed, and completed on none, to be suspected of a mistake. */
+/** A job that failed on so many machines, and completed on none, is suspect. */
 export const suspectHostCount = 2;
 
-/** So many of the machines that a job failed on are recorded. */
+/** How many of the machines that a job failed on are recorded. */
 export const maxStoredFailedHosts = 4;
 
+/** Whether a job's failures are attributed to the job rather than to machines. */
 export const isSuspect = (job: FailureHistory): boolean =>
   job.completedCount === 0 && job.failedHosts.size >= suspectHostCount;
 
-/** A machine with so much evidence against it is given up. */
+/** With so much evidence against it, a machine is quarantined. */
 export const quarantineEvidence = 2;
 
 /**
- * The evidence against a machine. Guards against a job with a mistake: its hundreds of tasks fail on as many machines
- * within seconds, and every one of those would be rested or given up.
+ * The evidence against a machine. Guards against a faulty job: its hundreds of tasks fail on as many machines within
+ * seconds, and every one of those would cool down or be quarantined.
  */
 export function evidenceAgainst(
   failuresByJob: ReadonlyMap<string, number>,
   jobOf: (id: string) => FailureHistory | undefined,
 ): number {
-  let sum = 0;
-  for (const [id, times] of failuresByJob) {
+  let evidence = 0;
+  for (const [id, failureCount] of failuresByJob) {
     const job = jobOf(id);
-    // Of a job that is over, nothing is known any more.
+    // Nothing is known any more of a job that is over.
     if (!job) continue;
-    if (job.completedCount > 0) sum += Math.min(times, quarantineEvidence);
-    else if (!isSuspect(job)) sum += 1;
+    if (job.completedCount > 0) evidence += Math.min(failureCount, quarantineEvidence);
+    else if (!isSuspect(job)) evidence += 1;
   }
-  return sum;
+  return evidence;
 }
--- a/src/core/shard-state/gang-repair.ts
+++ b/src/core/shard-state/gang-repair.ts
@@ -1,38 +1,43 @@
+/** Gang repair: replacing a lost task of a gang that has not started, within the same attempt. */
 import type { ScheduledJob, Placement } from './types.js';
 
+/** The settings that bound how long the tasks of a gang wait for each other. */
+interface GangWaitSettings {
+  readonly gang_wait_s: number;
+  readonly report_s: number;
+}
+
 /**
- * Whether a gang that lost a task can go on with the same attempt: only while none of it has started, as far as is known,
- * nothing of it is being stopped, and those that wait already will do so long enough for another to come. If it did start
- * unseen, the others notice the loss and exit: it is then taken down like any.
+ * Whether a gang that lost a task can go on with the same attempt: only while none of its tasks is known to have started or is
+ * being stopped, and while those that wait already will do so long enough for a replacement. If the gang started unobserved,
+ * the others notice the loss and exit: it is then torn down like any other.
  */
 export function canRepairGang(
   job: ScheduledJob,
   lost: Placement,
   now: number,
-  workers: { gang_wait_s: number; report_s: number },
+  workers: GangWaitSettings,
 ): boolean {
-  if (job.cancelled || job.tearingDown || job.finalizing || job.done > 0 || !isWaitingToStart(lost))
-    return false;
-  // Another has to be placed, told of with the next report, and fetch its image.
+  if (job.cancelled || job.tearingDown || job.finalizing || job.completedCount > 0) return false;
+  if (!isWaitingToStart(lost)) return false;
+  // The replacement has to be placed, be started with the next heartbeat, and fetch its image.
   const minReadyS = 2 * workers.report_s + longestFetchS(job);
   for (const placement of job.placements.values()) {
-    if (placement.attempt !== lost.attempt || placement.stopRequest !== null || !isWaitingToStart(placement))
-      return false;
-    if (placement.waitingSince > 0 && (now - placement.waitingSince) / 1000 + minReadyS > workers.gang_wait_s)
-      return false;
+    if (placement.attempt !== lost.attempt || placement.stopRequest !== null) return false;
+    if (!isWaitingToStart(placement)) return false;
+    const { waitingSince } = placement;
+    if (waitingSince > 0 && (now - waitingSince) / 1000 + minReadyS > workers.gang_wait_s) return false;
   }
   return true;
 }
 
-const isWaitingToStart = (placement: Placement): boolean =>
-  placement.runningSince === 0 &&
-  (placement.phase === 'placed' || placement.phase === 'fetching' || placement.phase === 'waiting');
+const isWaitingToStart = ({ runningSince, phase }: Placement): boolean =>
+  runningSince === 0 && (phase === 'placed' || phase === 'fetching' || phase === 'waiting');
 
-/** How long the image has taken those that wait: the best guess for the one to come. */
+/** The longest image fetch among the tasks that wait for the others: the best estimate for a replacement. */
 function longestFetchS(job: ScheduledJob): number {
-  let longest = 0;
-  for (const placement of job.placements.values())
-    if (placement.waitingSince > 0)
-      longest = Math.max(longest, (placement.waitingSince - placement.placedAt) / 1000);
-  return longest;
+  let longestS = 0;
+  for (const { waitingSince, placedAt } of job.placements.values())
+    if (waitingSince > 0) longestS = Math.max(longestS, (waitingSince - placedAt) / 1000);
+  return longestS;
 }
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -25,7 +25,6 @@
     placements: new Map(),
     nextUnplaced: 0,
     requeued: new Set(),
-    done: 0,
     tasksByZone: new Map(),
     unknownZoneTasks: 0,
     finalizing: false,
@@ -56,9 +55,8 @@
       queuedWrite: null,
       writeBlockedUntilRevision: 0,
     });
-    job.done += c?.done.count() ?? 0;
+    job.completedCount += c?.done.count() ?? 0;
   }
-  job.completedCount = job.done;
   return job;
 }
 
@@ -71,7 +69,7 @@
 }
 
 export const waitingTaskCount = (job: ScheduledJob): number =>
-  job.spec.tasks - job.done - job.placements.size;
+  job.spec.tasks - job.completedCount - job.placements.size;
 
 /** The next task that waits for a place, or -1. */
 export function takeNextWaiting(job: ScheduledJob): number {
--- a/src/core/shard-state/reservations.ts
+++ b/src/core/shard-state/reservations.ts
@@ -1,29 +1,43 @@
+/** Reservations of machines for jobs that found no capacity. */
 import type { Clock } from '../effects.js';
 
-/** How many worker leases a machine is kept for a job that waits. */
+/** How many worker leases a reservation lasts. */
 const reservationLeases = 4;
 
-/** Machines kept for a job that found no room, by host. */
+/** A machine that is kept free of other jobs' tasks. */
+export interface Reservation {
+  /** The id of the job that the machine is reserved for. */
+  readonly job: string;
+  /** When the reservation expires, on the steady clock, ms. */
+  readonly expiresAt: number;
+}
+
+/** The machines that are reserved, at most one job for each. */
 export class Reservations {
-  readonly byHost = new Map<string, { job: string; until: number }>();
+  /** Reservations by host. */
+  readonly byHost = new Map<string, Reservation>();
+  private readonly durationMs: number;
 
   constructor(
     private readonly clock: Clock,
-    private readonly leaseS: number,
-  ) {}
+    leaseS: number,
+  ) {
+    this.durationMs = leaseS * reservationLeases * 1000;
+  }
 
+  /** Reserves a machine, or extends its reservation. */
   reserve(host: string, job: string): void {
-    this.byHost.set(host, { job, until: this.clock.now + this.leaseS * reservationLeases * 1000 });
+    this.byHost.set(host, { job, expiresAt: this.clock.now + this.durationMs });
   }
 
-  /** The job needs its machines no more. */
+  /** Releases the machines of a job that needs them no more. */
   release(job: string): void {
-    for (const [host, c] of this.byHost) if (c.job === job) this.byHost.delete(host);
+    for (const [host, reservation] of this.byHost) if (reservation.job === job) this.byHost.delete(host);
   }
 
-  /** Ends claims of jobs that are over, of machines that are gone, and those that brought nothing for long. */
+  /** Ends reservations that expired, and those whose job or machine is gone. */
   prune(jobs: ReadonlyMap<string, unknown>, machines: ReadonlyMap<string, unknown>): void {
-    for (const [host, c] of this.byHost)
-      if (c.until < this.clock.now || !jobs.has(c.job) || !machines.has(host)) this.byHost.delete(host);
+    for (const [host, { job, expiresAt }] of this.byHost)
+      if (expiresAt < this.clock.now || !jobs.has(job) || !machines.has(host)) this.byHost.delete(host);
   }
 }
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -199,7 +199,7 @@
           this.expiringPlacements.set(placement, this.clock.now + this.maxRemainingLeaseMs);
       }
     if (spec.shape === 'gang' && job.placements.size > 0) this.checkGang(job);
-    if (job.done >= spec.tasks && !job.cancelled && spec.shape !== 'service')
+    if (job.completedCount >= spec.tasks && !job.cancelled && spec.shape !== 'service')
       this.taskWriter.finalizeJob(job);
     this.checkCancelled(job);
   }
@@ -424,10 +424,9 @@
     if (outcome === 'done') {
       if (!isCompleted(job, placement.index)) {
         chunk.completed.add(placement.index - chunk.firstTask);
-        job.done++;
         if (job.completedCount++ === 0) this.listener.firstTaskCompleted(job);
       }
-      if (job.done >= job.spec.tasks && job.spec.shape !== 'service' && !job.cancelled)
+      if (job.completedCount >= job.spec.tasks && job.spec.shape !== 'service' && !job.cancelled)
         this.taskWriter.finalizeJob(job);
       // Guards against a gang that was being taken down when its last task completed: the rest of it would never be placed again.
       if (job.placements.size === 0) this.endTearDown(job);
@@ -445,7 +444,7 @@
    * this attempt: it is taken down, then placed again whole.
    */
   private checkGang(job: ScheduledJob, lost?: Placement, withMachine = false): void {
-    const missing = job.spec.tasks - job.done - job.placements.size;
+    const missing = job.spec.tasks - job.completedCount - job.placements.size;
     if (missing > 0 && job.placements.size > 0) {
       if (lost && withMachine && canRepairGang(job, lost, this.clock.now, this.settings.workers)) {
         if (job.repairAttempt === null) this.log('info', 'gang mended', { job: job.id, lost: lost.index });
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -63,7 +63,6 @@
   /** Tasks that wait for a place: those never placed from `fresh` on, and those to be placed again. */
   nextUnplaced: number;
   requeued: Set<number>;
-  done: number;
   tasksByZone: Map<string, number>;
   /** Tasks on machines of which no record says in which zone they are. */
   unknownZoneTasks: number;
--- a/src/policy/admission.ts
+++ b/src/policy/admission.ts
@@ -35,7 +35,7 @@
  * The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs: these need not wait
  * for other teams.
  */
-export function jobsWithinGuarantee<T extends { spec: JobSpec; acceptedAt: number; done: number }>(
+export function jobsWithinGuarantee<T extends { spec: JobSpec; acceptedAt: number; completedCount: number }>(
   jobs: Iterable<T>,
   settings: Settings,
 ): Set<T> {
@@ -49,7 +49,7 @@
     .sort((a, b) => a.acceptedAt - b.acceptedAt);
   for (const job of byAge) {
     const guarantee = remaining.get(job.spec.team)!;
-    const tasks = job.spec.tasks - job.done;
+    const tasks = job.spec.tasks - job.completedCount;
     guarantee.cpus -= tasks * job.spec.cpus;
     guarantee.gpus -= tasks * job.spec.gpus;
     if (guarantee.cpus >= -1e-6 && guarantee.gpus >= -1e-6) within.add(job);
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -133,7 +133,7 @@
   const job = (id: string, at: number, over = {}) => ({
     spec: spec(id, { cpus: 4, ...over }),
     acceptedAt: at,
-    done: 0,
+    completedCount: 0,
   });
   const first = job('req-1', 1, { tasks: 1 });
   const large = job('req-2', 2, { tasks: 2 });
@@ -141,7 +141,7 @@
   const guest = job('req-4', 0, { tasks: 1, team: 'blue' });
   assert.deepEqual([...jobsWithinGuarantee([later, large, first, guest], settings)], [first]);
   assert.deepEqual(
-    [...jobsWithinGuarantee([later, { ...large, done: 1 }, first, guest], settings)].length,
+    [...jobsWithinGuarantee([later, { ...large, completedCount: 1 }, first, guest], settings)].length,
     2,
   );
 });
