--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -4,13 +4,20 @@
 import {
   levelKey,
   membersKey,
+  readLevel,
   readMembers,
   readPresence,
   readRequestedLevel,
   requestedLevelData,
   requestedLevelKey,
 } from '../core/storage/index.js';
-import { firstLevel, noWish, type Ability, type LevelState, type Wish } from '../feature-levels/index.js';
+import {
+  initialLevelState,
+  noRequestedLevel,
+  type Capabilities,
+  type LevelState,
+  type RequestedLevel,
+} from '../feature-levels/index.js';
 import { Store } from '../state/store.js';
 import type { Change } from '../wire/store.js';
 import { exitCodes } from './client.js';
@@ -46,12 +53,12 @@
 
   async level(): Promise<LevelState> {
     const c = await this.readKey(levelKey);
-    return c ? { ...(c.data as LevelState), stamp: c.stamp } : firstLevel;
+    return c ? readLevel(c.data, c.stamp) : initialLevelState;
   }
 
-  async requestedLevel(): Promise<Wish> {
+  async requestedLevel(): Promise<RequestedLevel> {
     const c = await this.readKey(requestedLevelKey);
-    return c ? readRequestedLevel(c.data, c.stamp) : noWish;
+    return c ? readRequestedLevel(c.data, c.stamp) : noRequestedLevel;
   }
 
   async members(): Promise<ReturnType<typeof readMembers>> {
@@ -59,7 +66,7 @@
     return c ? readMembers(c.data) : { capabilities: new Map(), note: null };
   }
 
-  async presentMembers(): Promise<Map<string, Ability>> {
+  async presentMembers(): Promise<Map<string, Capabilities>> {
     const nodes = await this.listKeys('dp/node/');
     return new Map(
       nodes.map((c) => [c.key.slice(8), readPresence(c.key.slice(8), c.data, c.stamp).capabilities]),
@@ -67,10 +74,10 @@
   }
 
   /** Changes what is wanted; the revision of it. */
-  async updateRequest(to: (now: Wish) => Partial<Wish>): Promise<number> {
+  async updateRequest(to: (now: RequestedLevel) => Partial<RequestedLevel>): Promise<number> {
     const now = await this.requestedLevel();
     const outcome = await this.store.commit({
-      conditions: [{ key: requestedLevelKey, stamp: now.stamp }],
+      conditions: [{ key: requestedLevelKey, stamp: now.modRevision }],
       writes: [{ key: requestedLevelKey, data: requestedLevelData({ ...now, ...to(now) }) }],
     });
     if (outcome.type === 'ok') return outcome.epoch;
@@ -89,19 +96,22 @@
     await store.members(),
     await store.presentMembers(),
   ];
-  printLine(`level ${level.level}${level.write < level.level ? `, being lowered to ${level.write}` : ''}`);
-  if (wish.most !== null) printLine(`held at ${wish.most}${wish.lower ? ', to be lowered to it' : ''}`);
-  if (wish.gone.length > 0) printLine(`gone for good: ${wish.gone.join(' ')}`);
+  printLine(
+    `level ${level.level}${level.writeLevel < level.level ? `, being lowered to ${level.writeLevel}` : ''}`,
+  );
+  if (wish.maxLevel !== null)
+    printLine(`held at ${wish.maxLevel}${wish.lower ? ', to be lowered to it' : ''}`);
+  if (wish.departedMembers.length > 0) printLine(`gone for good: ${wish.departedMembers.join(' ')}`);
   for (const [member, can] of new Map([...members.capabilities, ...present]))
     printLine(
-      `${member.padEnd(16)} program ${can.program}, levels ${can.least} to ${can.most}, ${present.has(member) ? 'here' : 'not here'}`,
+      `${member.padEnd(16)} program ${can.program}, levels ${can.minLevel} to ${can.maxLevel}, ${present.has(member) ? 'here' : 'not here'}`,
     );
-  if (members.note && members.note.wish === wish.stamp) printLine(members.note.text);
+  if (members.note && members.note.wish === wish.modRevision) printLine(members.note.text);
 }
 
 /** Waits until the level is what was asked for, or the leader has said why it stays. */
 async function lowerLevel(store: LevelStore, target: number, timeoutS: number): Promise<void> {
-  const requestRevision = await store.updateRequest(() => ({ most: target, lower: true }));
+  const requestRevision = await store.updateRequest(() => ({ maxLevel: target, lower: true }));
   const deadline = performance.now() + timeoutS * 1000;
   while (performance.now() < deadline) {
     const level = await store.level();
@@ -151,12 +161,12 @@
   );
   command('hold <level>', 'no level above this, until `level release`').action(
     async (n: string, o: LevelOptions) => {
-      await openStore(o).updateRequest(() => ({ most: parseLevel(n), lower: false }));
+      await openStore(o).updateRequest(() => ({ maxLevel: parseLevel(n), lower: false }));
       printLine(`held at ${n}`);
     },
   );
   command('release', 'whatever level all members have').action(async (o: LevelOptions) => {
-    await openStore(o).updateRequest(() => ({ most: null, lower: false }));
+    await openStore(o).updateRequest(() => ({ maxLevel: null, lower: false }));
     printLine('released');
   });
   command('lower <level>', 'go back to a level, as long as nothing stored needs more; it is held there')
@@ -166,13 +176,17 @@
     );
   command('gone <member>', 'a member that will not come back: it is not waited for').action(
     async (member: string, o: LevelOptions) => {
-      await openStore(o).updateRequest(({ gone }) => ({ gone: [...new Set([...gone, member])] }));
+      await openStore(o).updateRequest(({ departedMembers: gone }) => ({
+        departedMembers: [...new Set([...gone, member])],
+      }));
       printLine(`${member} is not waited for`);
     },
   );
   command('back <member>', 'a member named gone is waited for again').action(
     async (member: string, o: LevelOptions) => {
-      await openStore(o).updateRequest(({ gone }) => ({ gone: gone.filter((m) => m !== member) }));
+      await openStore(o).updateRequest(({ departedMembers: gone }) => ({
+        departedMembers: gone.filter((m) => m !== member),
+      }));
       printLine(`${member} is waited for`);
     },
   );
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -214,7 +214,7 @@
       blockKey(request.name),
       () => {
         const key = blockKey(request.name);
-        const known = this.replica.stampOf(key) > 0;
+        const known = this.replica.modRevisionOf(key) > 0;
         return known ? null : [{ key, data: blockData({ type, zone, spot, shard, since, hosts }) }];
       },
       () => {
@@ -245,7 +245,7 @@
 
   private dropMachine(host: string): Write[] | null {
     const key = machineKey(host);
-    return this.replica.stampOf(key) > 0 ? [{ key, data: undefined }] : null;
+    return this.replica.modRevisionOf(key) > 0 ? [{ key, data: undefined }] : null;
   }
 
   private leaveBlock(id: string, gone: ReadonlySet<string>): Write[] | null {
@@ -375,8 +375,8 @@
         }
         return {
           conditions: [
-            ...apply.map((w) => ({ key: w.key, stamp: this.replica.stampOf(w.key) })),
-            { key: this.replica.activeLeaderKey, stamp: lead.stamp },
+            ...apply.map((w) => ({ key: w.key, stamp: this.replica.modRevisionOf(w.key) })),
+            { key: this.replica.activeLeaderKey, stamp: lead.modRevision },
           ],
           writes: apply,
         };
@@ -514,7 +514,7 @@
       for (let left = Math.ceil(machines - 1e-6); left > 0; left -= mostPerRent) {
         if (!this.spend()) return;
         const request: RentRequest = {
-          name: `r-${this.replica.tokenBase + this.replica.leader!.stamp}-${++this.count}`,
+          name: `r-${this.replica.tokenBase + this.replica.leader!.modRevision}-${++this.count}`,
           type: slot.type.name,
           zone: slot.zone,
           spot: slot.spot,
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -2,7 +2,12 @@
 import { RateMeter, OverloadMonitor, type MemberDemand } from '../admission/index.js';
 import type { Operators } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
-import { abilityOf, Leaving, Levels, type Phase } from '../feature-levels/index.js';
+import {
+  capabilitiesOf,
+  GracefulShutdown,
+  FeatureLevels,
+  type ShutdownPhase,
+} from '../feature-levels/index.js';
 import { limitsOf } from '../limits/index.js';
 import type { Matcher } from '../policy/matching.js';
 import { Recovery } from '../recovery/index.js';
@@ -19,7 +24,7 @@
 import { DataLossRecovery } from './data-loss-recovery.js';
 import { Replica } from './replica.js';
 import { HeartbeatRouter } from './heartbeat-router.js';
-import { Upgrade } from './feature-level-manager.js';
+import { FeatureLevelManager } from './feature-level-manager.js';
 import { ReplicaFreshness } from './replica-freshness.js';
 
 /** Of the workers' lease: how long a controller that leaves gives answers and hands on. */
@@ -50,9 +55,9 @@
   readonly autoscaler: Autoscaler;
   readonly recovery: Recovery;
   readonly freshness: ReplicaFreshness;
-  readonly levels: Levels;
-  private readonly upgrade: Upgrade;
-  private readonly leaving: Leaving;
+  readonly levels: FeatureLevels;
+  private readonly featureLevelManager: FeatureLevelManager;
+  private readonly shutdown: GracefulShutdown;
   private readonly batcher: Committer;
   private readonly userRequests: UserRequests;
   private readonly peers: Peers;
@@ -67,7 +72,7 @@
   private toldAwayAt = -Infinity;
   private readonly fair: boolean;
   private readonly planning: WriteBudget;
-  private readonly rebuilding: DataLossRecovery;
+  private readonly dataLossRecovery: DataLossRecovery;
   private ended = false;
   private readonly overloadMonitor = new OverloadMonitor();
   private readonly requests = new RateMeter(3000);
@@ -90,9 +95,9 @@
     recoveryRecords: RecoveryRecords | null = null,
   ) {
     this.fair = operators['fair-admission'] > 0;
-    this.levels = new Levels(abilityOf(program, operators['level-most']));
+    this.levels = new FeatureLevels(capabilitiesOf(program, operators['level-most']));
     const leaseMs = settings.workers.lease_s * 1000;
-    this.leaving = new Leaving(leaseMs * handLeases, leaseMs * drainLeases);
+    this.shutdown = new GracefulShutdown(leaseMs * handLeases, leaseMs * drainLeases);
     const ttlMs = Math.round(settings.workers.lease_s * 1000 * operators['node-lease-ratio']);
     const retry = retryPolicies({ ...settings, stateLeaseMs: ttlMs });
     const limits = limitsOf(settings);
@@ -155,7 +160,15 @@
       random,
     );
     this.shardManager = new ShardManager(settings, operators, run, replica, batcher, clock, log, matcher);
-    this.upgrade = new Upgrade(settings, replica, batcher, this.membership, clock, ttlMs, log);
+    this.featureLevelManager = new FeatureLevelManager(
+      settings,
+      replica,
+      batcher,
+      this.membership,
+      clock,
+      ttlMs,
+      log,
+    );
     this.autoscaler = new Autoscaler(settings, operators, replica, batcher, clock, retry.cloud, random, log);
     this.autoscaler.hazardPerStep = () =>
       this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
@@ -176,7 +189,7 @@
       clock,
       log,
     );
-    this.rebuilding = new DataLossRecovery(
+    this.dataLossRecovery = new DataLossRecovery(
       settings,
       run,
       replica,
@@ -188,14 +201,15 @@
       recoveryRecords,
       log,
     );
-    this.shardManager.shardState.onUnknownAttempt = (...what) => this.rebuilding.attemptReported(...what);
-    this.autoscaler.mayScaleIn = () => this.rebuilding.canConfirmAbsence;
-    this.peers.ownJobCount = () => this.rebuilding.jobCount;
+    this.shardManager.shardState.onUnknownAttempt = (...what) =>
+      this.dataLossRecovery.attemptReported(...what);
+    this.autoscaler.mayScaleIn = () => this.dataLossRecovery.canConfirmAbsence;
+    this.peers.ownJobCount = () => this.dataLossRecovery.jobCount;
     this.shardManager.shardState.canPlaceTasks = () => !this.freshness.isStale;
     this.shardManager.shardState.mayStartTasks = () =>
-      this.rebuilding.canConfirmAbsence && this.freshness.isCurrent;
-    this.userRequests.sureOfAbsence = () => this.rebuilding.canConfirmAbsence;
-    batcher.onConditionsFailed = (failed, epoch) => this.rebuilding.conditionsFailed(failed, epoch);
+      this.dataLossRecovery.canConfirmAbsence && this.freshness.isCurrent;
+    this.userRequests.sureOfAbsence = () => this.dataLossRecovery.canConfirmAbsence;
+    batcher.onConditionsFailed = (failed, epoch) => this.dataLossRecovery.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new Recovery(settings.workers.lease_s * 1000 * operators['recovery-leases']);
@@ -209,8 +223,8 @@
       {
         member: settings.member,
         run,
-        noteToken: (token) => this.rebuilding.tokenReported(token),
-        mayAnswerWorkers: () => this.freshness.mayAnswerWorkers && this.rebuilding.mayAct,
+        noteToken: (token) => this.dataLossRecovery.tokenReported(token),
+        mayAnswerWorkers: () => this.freshness.mayAnswerWorkers && this.dataLossRecovery.mayAct,
         writesAreScarce: () => this.batcher.health < 1 || this.userRequests.crowded,
         isLeader: () => this.membership.isLeader,
         handOver: (shard, to, toRun) => this.membership.handOver(shard, to, toRun),
@@ -228,7 +242,7 @@
    * that the others are served.
    */
   get healthy(): boolean {
-    if (this.levels.standsBy || this.leaving.asked || !this.rebuilding.mayAct) return false;
+    if (this.levels.mustStandBy || this.shutdown.requested || !this.dataLossRecovery.mayAct) return false;
     const { newestKnown: told } = this.peers;
     // Read by somebody else: they can be asked meanwhile.
     if (this.replica.watchRevision < 0) return this.freshness.isStoreUnreachable && told.revision < 0;
@@ -248,16 +262,16 @@
     // It was told to begin anew: nothing that it does counts any more.
     if (this.ended) return out;
     for (const c of commands) this.handle(c, out);
-    if (this.rebuilding.detect(out)) {
+    if (this.dataLossRecovery.detect(out)) {
       this.ended = true;
       this.userRequests.abandon(out);
       return out;
     }
-    const { mayAct: acting } = this.rebuilding;
+    const { mayAct: acting } = this.dataLossRecovery;
     this.batcher.suspended = !acting;
     this.settle();
-    this.membership.tick(now, out, acting, this.rebuilding.essentialsRestored);
-    this.rebuilding.tick(this.membership.isLeader);
+    this.membership.tick(now, out, acting, this.dataLossRecovery.essentialsRestored);
+    this.dataLossRecovery.tick(this.membership.isLeader);
     const leading = this.membership.isLeader;
     if (leading !== this.wasLeading) {
       this.wasLeading = leading;
@@ -270,14 +284,14 @@
       acting &&
       !this.freshness.isStale &&
       this.membership.holdsValidLease(now) &&
-      !this.leaving.asked
+      !this.shutdown.requested
     ) {
-      this.rebuilding.requestAudit(out);
+      this.dataLossRecovery.requestAudit(out);
       this.autoscaler.tick(out);
-      this.upgrade.tick();
+      this.featureLevelManager.tick();
       if (this.fair) this.planning.proposeNext(this.demand);
     }
-    if (this.leaving.asked) this.membership.shutDown(out);
+    if (this.shutdown.requested) this.membership.shutDown(out);
     this.shardManager.tick(out);
     this.heartbeatRouter.tick(out);
     if (this.fair) this.divide(out);
@@ -285,7 +299,7 @@
     this.batcher.tick(now, out);
     if (this.freshness.needsPeerConfirmation) this.peers.queryFreshness(out);
     this.tell(out, null);
-    if (this.rebuilding.wantsRevisionRead) out.push({ type: 'read-revision' });
+    if (this.dataLossRecovery.wantsRevisionRead) out.push({ type: 'read-revision' });
     this.read(leading, out);
     this.follow();
     if (this.fair) this.requests.add(out.filter((e) => asksState.has(e.type)).length, now);
@@ -294,13 +308,13 @@
 
   /** Whether it may say of a job that it was never accepted. */
   get sureOfAbsence(): boolean {
-    return this.rebuilding.canConfirmAbsence;
+    return this.dataLossRecovery.canConfirmAbsence;
   }
 
   /** How far this process is, if it was asked to leave. */
-  get phase(): Phase {
-    return this.leaving.phase(this.clock.now, {
-      owned: this.shardManager.ownedShards.size,
+  get phase(): ShutdownPhase {
+    return this.shutdown.phase(this.clock.now, {
+      ownedShards: this.shardManager.ownedShards.size,
       leading: this.membership.isLeader,
       present: this.membership.isPresent,
       busy: this.batcher.pendingCount > 0 || this.autoscaler.hasPendingChanges,
@@ -310,14 +324,19 @@
   /** Another level is in force: said once, with what it means here. */
   private levelChanged(): void {
     const { levels } = this;
-    const { level, write } = levels.state;
+    const { level, writeLevel: write } = levels.state;
     this.shardsChanged = true;
     this.shardManager.levelChanged();
     const key = `${levels.unreadable} ${level} ${write}`;
     if (key === this.saidLevel) return;
     this.saidLevel = key;
-    const fields = { level, write, most: levels.mine.most, program: levels.mine.program };
-    if (levels.standsBy)
+    const fields = {
+      level,
+      write,
+      most: levels.ownCapabilities.maxLevel,
+      program: levels.ownCapabilities.program,
+    };
+    if (levels.mustStandBy)
       this.log('warn', 'standing by: the level in force is not one that this program knows', fields);
     else this.log('info', 'level in force', fields);
   }
@@ -491,7 +510,7 @@
       case 'peer-lost': {
         // Most likely its process ended. Its lease is ended now rather than waited for; if it lives after all,
         // it gets a new one, and the stamps keep both right meanwhile.
-        const node = this.replica.nodes.get(c.member);
+        const node = this.replica.presences.get(c.member);
         if (node && !this.freshness.isStale) {
           this.log('info', 'peer lost', { member: c.member });
           out.push({ type: 'revoke-lease', hold: node.leaseId });
@@ -503,7 +522,7 @@
         break;
       case 'peer-status':
         this.peers.onStatus(c.from, c.pulse);
-        this.rebuilding.peerHeard(c.pulse);
+        this.dataLossRecovery.peerHeard(c.pulse);
         if (c.pulse.epoch > this.replica.watchRevision) out.push({ type: 'catch-up', epoch: c.pulse.epoch });
         break;
       case 'freshness-query':
@@ -518,7 +537,7 @@
         this.log('info', 'reading state', { keys: c.keys });
         break;
       case 'snapshot-loaded':
-        this.rebuilding.snapshotLoaded(c.items, c.epoch);
+        this.dataLossRecovery.snapshotLoaded(c.items, c.epoch);
         this.replica.loadSnapshot(c.items, c.epoch);
         this.peers.onStateLoaded(c.epoch);
         this.log('info', 'state loaded', { epoch: c.epoch, keys: c.items.length });
@@ -528,18 +547,18 @@
         this.replica.applyWatch(c.changes, c.epoch);
         break;
       case 'commit-result':
-        if (c.outcome.type === 'ok') this.rebuilding.revisionReached(c.outcome.epoch);
+        if (c.outcome.type === 'ok') this.dataLossRecovery.revisionReached(c.outcome.epoch);
         this.batcher.handleOutcome(c.outcome, this.clock.now, out);
         // The others need not wait for their next watch.
         if (c.outcome.type === 'ok') this.tell(out, c.outcome.epoch);
         break;
       case 'revision-read':
-        this.rebuilding.revisionRead(c.sentAt, c.epoch);
+        this.dataLossRecovery.revisionRead(c.sentAt, c.epoch);
         this.freshness.onRevisionRead(c.sentAt, c.epoch);
         this.userRequests.epochRead(c.sentAt, c.epoch, out, this.freshness.isConfirmedByPeers);
         break;
       case 'audit-result':
-        this.rebuilding.auditPageRead(c.from, c.items, c.more, c.epoch);
+        this.dataLossRecovery.auditPageRead(c.from, c.items, c.more, c.epoch);
         break;
       case 'lease-granted':
         this.membership.onLeaseGranted(c.hold, this.clock.now);
@@ -548,8 +567,8 @@
         this.membership.onLeaseRenewed(c.hold, c.outcome, this.clock.now);
         break;
       case 'shut-down':
-        if (this.leaving.asked) break;
-        this.leaving.begin(this.clock.now);
+        if (this.shutdown.requested) break;
+        this.shutdown.begin(this.clock.now);
         this.log('info', 'leaving', {
           shards: [...this.shardManager.ownedShards],
           leading: this.membership.isLeader,
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -3,13 +3,13 @@
 import type { Data } from '../formats/index.js';
 import {
   incarnationOf,
-  mostIncarnations,
-  merge,
-  same,
-  Witness,
-  audit,
+  maxIncarnations,
+  mergeRecords,
+  sameRecord,
+  DataLossDetector,
+  comparePage,
   type Incarnation,
-  type Stage,
+  type IncarnationStage,
 } from '../data-loss/index.js';
 import { features } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
@@ -54,7 +54,7 @@
  * goes on. Every write is on condition of the incarnation: whoever has not joined it can do nothing.
  */
 export class DataLossRecovery {
-  private readonly witness = new Witness();
+  private readonly detector = new DataLossDetector();
   /** Why; `joins`: another has opened an incarnation, so what this process knew is of the one before. */
   private suspicion: { reason: string; joinsExisting: boolean } | null = null;
   /** What still has to be given; null: nothing (any more). */
@@ -149,18 +149,18 @@
   // ---- noticing ----
 
   revisionReached(epoch: number): void {
-    this.witness.revisionReached(epoch, this.clock.now);
+    this.detector.revisionReached(epoch, this.clock.now);
   }
 
   revisionRead(sentAt: number, epoch: number | null): void {
     if (epoch === null) return;
-    this.suspect(this.witness.revisionRead(sentAt, epoch, this.replica.incarnation?.number ?? 1));
+    this.suspect(this.detector.revisionRead(sentAt, epoch, this.replica.incarnation?.number ?? 1));
     this.lastRead = { sentAt, epoch };
   }
   private lastRead: { sentAt: number; epoch: number } | null = null;
 
   peerHeard({ inc, epoch, jobs }: Pick<PeerStatus, 'inc' | 'epoch' | 'jobs'>): void {
-    this.witness.peerReported(inc, epoch, jobs, this.clock.now);
+    this.detector.peerReported(inc, epoch, jobs, this.clock.now);
   }
 
   /** A worker reports an attempt that is above all that are recorded. */
@@ -170,15 +170,15 @@
 
   conditionsFailed(failed: { key: string; stamp: number }[], epoch: number): void {
     // A key that was not to be there may have come and gone again.
-    for (const f of failed) if (f.stamp > 0) this.witness.conditionFailed(f.key, f.stamp, epoch);
+    for (const f of failed) if (f.stamp > 0) this.detector.conditionFailed(f.key, f.stamp, epoch);
   }
 
   tokenReported(token: number): void {
     const n = this.replica.incarnation?.number ?? 1;
     // Guards against a worker that makes its token up: no incarnation could go above it.
-    if (token === 0 || incarnationOf(token) > mostIncarnations) return;
+    if (token === 0 || incarnationOf(token) > maxIncarnations) return;
     if (incarnationOf(token) > n) this.minIncarnation = Math.max(this.minIncarnation, incarnationOf(token));
-    this.suspect(this.witness.tokenReported(token, n, this.clock.now));
+    this.suspect(this.detector.tokenReported(token, n, this.clock.now));
   }
   /** A worker has seen this incarnation. */
   private minIncarnation = 0;
@@ -220,14 +220,14 @@
 
   /** True: this controller begins anew, with what it knew. */
   detect(out: Effect[]): boolean {
-    const { replica, witness } = this;
+    const { replica, detector: witness } = this;
     if (replica.watchRevision < 0) return false;
     witness.revisionReached(replica.watchRevision, this.clock.now);
-    this.suspect(witness.checkFailedConditions(replica.watchRevision, (key) => replica.stampOf(key)));
+    this.suspect(witness.checkFailedConditions(replica.watchRevision, (key) => replica.modRevisionOf(key)));
     if (this.pendingAudit && replica.watchRevision >= this.pendingAudit.epoch) {
       const page = this.pendingAudit;
       this.pendingAudit = null;
-      this.suspect(audit(page, replica.knownKeys()));
+      this.suspect(comparePage(page, replica.knownKeys()));
     }
     const { incarnation: inc } = replica;
     if (this.loadedAt < 0) this.loadedAt = this.clock.now;
@@ -252,9 +252,10 @@
       this.incarnationSeen = { n: inc.number, at: this.clock.now };
     // Until the state says which incarnation it is, nothing can be told from what it was.
     const { levels } = replica;
-    const unnamed = levels.state.stamp === 0 && levels.mine.most >= features.incarnations.level;
+    const unnamed =
+      levels.state.modRevision === 0 && levels.ownCapabilities.maxLevel >= features.incarnations.level;
     // Below that level there are programs beside this one that could not join.
-    if (this.suspicion !== null && (levels.has('incarnations') || this.recoveryRecords || unnamed)) {
+    if (this.suspicion !== null && (levels.isEnabled('incarnations') || this.recoveryRecords || unnamed)) {
       const n = Math.max(
         this.incarnationSeen?.n ?? 0,
         this.recoveryRecords?.incarnation ?? 0,
@@ -284,7 +285,7 @@
     }
     if (inc === null) {
       // The first one, once all controllers know what it is.
-      if (mayLead && this.replica.levels.has('incarnations'))
+      if (mayLead && this.replica.levels.isEnabled('incarnations'))
         this.writeIncarnation('incarnation named', null, 1, 'whole', []);
       return;
     }
@@ -313,7 +314,7 @@
         ? [
             {
               key,
-              data: merge(
+              data: mergeRecords(
                 recordKindOf(parseKey(key)!),
                 key === 'dp/lead' ? undefined : storedRecordOf(this.replica, key),
                 data,
@@ -354,8 +355,8 @@
 
   private missingPart(key: string, data: Data): Data | null {
     const there = storedRecordOf(this.replica, key);
-    const merged = merge(recordKindOf(parseKey(key)!), there, data);
-    return there !== undefined && same(there, merged) ? null : merged;
+    const merged = mergeRecords(recordKindOf(parseKey(key)!), there, data);
+    return there !== undefined && sameRecord(there, merged) ? null : merged;
   }
 
   private restoreRecord(key: string, data: Data): void {
@@ -373,7 +374,10 @@
           this.writesInFlight--;
           return null;
         }
-        return { conditions: [{ key, stamp: this.replica.stampOf(key) }], writes: [{ key, data: now }] };
+        return {
+          conditions: [{ key, stamp: this.replica.modRevisionOf(key) }],
+          writes: [{ key, data: now }],
+        };
       },
       onCommitted: () => {
         this.writesInFlight--;
@@ -387,8 +391,8 @@
   private advanceStage(inc: Incarnation): void {
     if (inc.stage === 'whole' || this.transitionInFlight) return;
     const { now } = this.clock;
-    const mine = inc.openedBy === this.settings.member && inc.run === this.run;
-    if (mine || this.peers.runOf(inc.openedBy) === inc.run) this.openerHeardAt = now;
+    const mine = inc.openedBy === this.settings.member && inc.instanceId === this.run;
+    if (mine || this.peers.runOf(inc.openedBy) === inc.instanceId) this.openerHeardAt = now;
     if (!mine) {
       if (this.openerHeardAt === 0) this.openerHeardAt = now;
       const gone = now - this.openerHeardAt > openerLostLeases * this.ttlMs;
@@ -403,13 +407,13 @@
     }
     const sinceMs = now - this.incarnationSeen!.at;
     const members = [this.settings.member, ...this.settings.peers.map((p) => p.member)];
-    const all = members.every((m) => this.replica.nodes.has(m));
+    const all = members.every((m) => this.replica.presences.has(m));
     const patient = sinceMs > absentMemberLeases * this.settings.workers.lease_s * 1000;
     const known = this.peers.maxJobCount <= this.replica.jobCount;
     if (this.pendingRecords === null && sinceMs > this.staleAnswerWindowMs && (patient || (all && known))) {
       if (!all)
         this.log('warn', 'not all members were there: what only they knew is lost until they come', {
-          members: members.filter((m) => !this.replica.nodes.has(m)),
+          members: members.filter((m) => !this.replica.presences.has(m)),
         });
       this.writeIncarnation('rebuilt', inc, inc.number, 'whole', []);
     }
@@ -419,17 +423,17 @@
     what: string,
     inc: Incarnation | null,
     n: number,
-    stage: Stage,
+    stage: IncarnationStage,
     more: Write[],
   ): void {
     if (this.transitionInFlight) return;
     this.transitionInFlight = true;
     const done = (): void => void (this.transitionInFlight = false);
-    const stamp = inc?.stamp ?? 0;
+    const stamp = inc?.modRevision ?? 0;
     this.batcher.enqueue({
       priority: Rank.membership,
       build: () => {
-        if ((this.replica.incarnation?.stamp ?? 0) !== stamp) {
+        if ((this.replica.incarnation?.modRevision ?? 0) !== stamp) {
           done();
           return null;
         }
@@ -438,7 +442,7 @@
           { key: incarnationKey(n), data: incarnationData(this.settings.member, this.run, stage) },
         ];
         return {
-          conditions: apply.map((w) => ({ key: w.key, stamp: this.replica.stampOf(w.key) })),
+          conditions: apply.map((w) => ({ key: w.key, stamp: this.replica.modRevisionOf(w.key) })),
           writes: apply,
         };
       },
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -4,7 +4,7 @@
   decide,
   features,
   newestLevel,
-  type Ability,
+  type Capabilities,
   type Decision,
   type LevelState,
 } from '../feature-levels/index.js';
@@ -31,19 +31,19 @@
 import type { Replica } from './replica.js';
 
 /** Looks, in a state lease. */
-const looksPerLease = 8;
+const checksPerLease = 8;
 
-const textOf = (d: Decision): string =>
+const decisionText = (d: Decision): string =>
   JSON.stringify(d, (_, x: unknown) => (x instanceof Map ? [...(x as Map<string, unknown>)] : x));
 
 /**
  * The leader's care for the level: carries out what `decide` says, on condition that leadership, level, what members were last
  * seen with, who is present and what operators want have not changed meanwhile.
  */
-export class Upgrade {
-  private lookedAt = -Infinity;
-  private busy = false;
-  private said = '';
+export class FeatureLevelManager {
+  private checkedAt = -Infinity;
+  private writeInFlight = false;
+  private loggedReason = '';
 
   constructor(
     private readonly settings: Settings,
@@ -57,52 +57,59 @@
 
   tick(): void {
     const { now } = this.clock;
-    if (this.busy || now - this.lookedAt < this.ttlMs / looksPerLease) return;
+    if (this.writeInFlight || now - this.checkedAt < this.ttlMs / checksPerLease) return;
     // Guards against lowering while a record that was written just before the level changed has not been seen yet.
-    if (this.replica.watchRevision < this.replica.levels.state.stamp) return;
-    this.lookedAt = now;
-    const d = this.decide();
-    switch (d.do) {
+    if (this.replica.watchRevision < this.replica.levels.state.modRevision) return;
+    this.checkedAt = now;
+    const decision = this.decide();
+    switch (decision.do) {
       case 'stay':
-        this.say(d.why);
+        this.logReason(decision.why);
         break;
       case 'note':
-        this.write('what members can do', d, () => [this.members(d.seen, this.replica.members.note)]);
+        this.commitDecision('what members can do', decision, () => [
+          this.membersWrite(decision.seen, this.replica.members.note),
+        ]);
         break;
       case 'refuse':
-        this.refuse(d.text);
+        this.refuse(decision.text);
         break;
       case 'raise':
-        this.write('level raised', d, () => [...this.move(d.to, d.to), this.members(d.seen, null)]);
+        this.commitDecision('level raised', decision, () => [
+          ...this.levelWrites(decision.to, decision.to),
+          this.membersWrite(decision.seen, null),
+        ]);
         break;
       case 'begin lowering':
-        this.write('level is being lowered', d, () => this.move(this.replica.levels.state.level, d.to));
+        this.commitDecision('level is being lowered', decision, () =>
+          this.levelWrites(this.replica.levels.state.level, decision.to),
+        );
         break;
       case 'lower':
-        this.write('level lowered', d, () => this.move(d.to, d.to));
+        this.commitDecision('level lowered', decision, () => this.levelWrites(decision.to, decision.to));
         break;
     }
   }
 
   private decide(): Decision {
     const { replica } = this;
-    const configured = this.counted();
+    const configured = this.requiredMembers();
     return decide({
       state: replica.levels.state,
-      newest: Math.min(newestLevel, replica.levels.mine.most),
+      newestLevel: Math.min(newestLevel, replica.levels.ownCapabilities.maxLevel),
       configured,
-      seen: replica.members.capabilities,
-      witnessed: replica.observedCapabilities,
-      wish: replica.wish,
-      newer: this.newerRecords(),
-      stuck: [...replica.unreadableRecords.keys(), ...replica.keysWithUnknownFields],
+      recordedCapabilities: replica.members.capabilities,
+      observedCapabilities: replica.observedCapabilities,
+      requested: replica.requestedLevel,
+      unmigratedRecords: this.unmigratedRecords(),
+      blockingKeys: [...replica.unreadableRecords.keys(), ...replica.keysWithUnknownFields],
     });
   }
 
   /** Records that the level to be gone back to cannot read. */
-  private newerRecords(): number {
+  private unmigratedRecords(): number {
     const { replica } = this;
-    const { write } = replica.levels.state;
+    const { writeLevel: write } = replica.levels.state;
     if (write >= features['task-log'].level) return 0;
     const logged = replica.taskLog.size + replica.checkpointCount;
     return write >= features['small-jobs'].level ? logged : logged + replica.jobsWithInlineTasks.size;
@@ -112,33 +119,35 @@
    * Whom a rise waits for: everybody that is configured or here. Where members share nothing but a store, nobody is
    * configured, so it is everybody that was ever seen.
    */
-  private counted(): string[] {
+  private requiredMembers(): string[] {
     const { settings, replica } = this;
     const ever = settings.pool ? replica.members.capabilities.keys() : [];
     const peers = settings.peers.map((p) => p.member);
-    return [...new Set([settings.member, ...peers, ...replica.nodes.keys(), ...ever])];
+    return [...new Set([settings.member, ...peers, ...replica.presences.keys(), ...ever])];
   }
 
-  private say(why: string): void {
-    if (why === this.said || why === '') return;
-    this.said = why;
+  private logReason(why: string): void {
+    if (why === this.loggedReason || why === '') return;
+    this.loggedReason = why;
     this.log('info', 'level stays', { level: this.replica.levels.state.level, why });
   }
 
   private refuse(text: string): void {
     const { note, capabilities: seen } = this.replica.members;
-    const { stamp } = this.replica.wish;
+    const { modRevision: stamp } = this.replica.requestedLevel;
     if (note?.wish === stamp && note.text === text) return;
     this.log('warn', text, { level: this.replica.levels.state.level });
-    this.write('refusal', { do: 'refuse', text }, () => [this.members(seen, { wish: stamp, text })]);
+    this.commitDecision('refusal', { do: 'refuse', text }, () => [
+      this.membersWrite(seen, { wish: stamp, text }),
+    ]);
   }
 
-  private members(seen: ReadonlyMap<string, Ability>, note: LevelNote | null): Write {
+  private membersWrite(seen: ReadonlyMap<string, Capabilities>, note: LevelNote | null): Write {
     return { key: membersKey, data: membersData(seen, note) };
   }
 
   /** Another level; where leadership and machine types are kept goes with it. */
-  private move(level: number, write: number): Write[] {
+  private levelWrites(level: number, write: number): Write[] {
     const { replica, membership, settings } = this;
     const before: LevelState = replica.levels.state;
     const apply: Write[] = [{ key: levelKey, data: levelData(level, write) }];
@@ -163,19 +172,19 @@
         { key: machineTypesKey, data: undefined },
       );
     // A key that is not there cannot be dropped.
-    return apply.filter((w) => w.data !== undefined || replica.stampOf(w.key) > 0);
+    return apply.filter((w) => w.data !== undefined || replica.modRevisionOf(w.key) > 0);
   }
 
-  private write(what: string, decision: Decision, build: () => Write[]): void {
+  private commitDecision(what: string, decision: Decision, build: () => Write[]): void {
     const { replica } = this;
-    const text = textOf(decision);
-    this.busy = true;
-    const done = (): void => void (this.busy = false);
+    const text = decisionText(decision);
+    this.writeInFlight = true;
+    const done = (): void => void (this.writeInFlight = false);
     this.batcher.enqueue({
       priority: Rank.membership,
       build: () => {
         // Looked at again: it may have waited.
-        const again = this.membership.isLeader ? textOf(this.decide()) : '';
+        const again = this.membership.isLeader ? decisionText(this.decide()) : '';
         // Guards against a leadership without a lease, which nobody could ever take over.
         if (again !== text || this.membership.leaseId === null) {
           done();
@@ -187,17 +196,23 @@
           levelKey,
           membersKey,
           requestedLevelKey,
-          ...this.counted().map(presenceKey),
+          ...this.requiredMembers().map(presenceKey),
         ]);
         for (const w of apply) keys.add(w.key);
-        return { conditions: [...keys].map((key) => ({ key, stamp: replica.stampOf(key) })), writes: apply };
+        return {
+          conditions: [...keys].map((key) => ({ key, stamp: replica.modRevisionOf(key) })),
+          writes: apply,
+        };
       },
       onCommitted: () => {
         done();
-        this.said = '';
+        this.loggedReason = '';
+        const { level, writeLevel, modRevision } = replica.levels.state;
         this.log('info', what, {
-          ...replica.levels.state,
-          can: Object.fromEntries([...replica.members.capabilities].map(([m, c]) => [m, c.most])),
+          level,
+          write: writeLevel,
+          stamp: modRevision,
+          can: Object.fromEntries([...replica.members.capabilities].map(([m, c]) => [m, c.maxLevel])),
         });
       },
       onConflict: done,
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -86,7 +86,7 @@
     // Guards against acting on an old view: a cancellation seen by users could be missed here, and the
     // answer would keep the task alive.
     this.host.noteToken(report.fencingToken);
-    if (!this.host.mayAnswerWorkers() || this.replica.levels.standsBy) return answer(503, {}, 1);
+    if (!this.host.mayAnswerWorkers() || this.replica.levels.mustStandBy) return answer(503, {}, 1);
     const m = this.replica.machines.get(report.host);
     if (!m) {
       if (this.host.isLeader()) {
@@ -134,7 +134,7 @@
   private stands(run: ScheduledMachine, token: number): boolean {
     const m = this.replica.machines.get(run.host);
     const custodian = m && this.replica.responsibleController(m);
-    if (!this.host.mayAnswerWorkers() || this.replica.levels.standsBy || !custodian) return false;
+    if (!this.host.mayAnswerWorkers() || this.replica.levels.mustStandBy || !custodian) return false;
     if (!this.isMine(custodian) || custodian.token !== token) return false;
     return this.shardManager.machines.get(run.host) === run;
   }
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -97,7 +97,7 @@
         const shard = standing === 'free' ? -1 : machine.record.shard;
         return {
           conditions: [
-            { key, stamp: this.shardState.replica.stampOf(key) },
+            { key, stamp: this.shardState.replica.modRevisionOf(key) },
             { key: shardKey(machine.record.shard), stamp: grant.modRevision },
           ],
           writes: [{ key, data: machineData({ ...machine.record, shard, state: standing }) }],
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -13,7 +13,7 @@
   teamShardsKey,
 } from './storage/index.js';
 import type { Effect, Log } from './effects.js';
-import { admits } from '../feature-levels/index.js';
+import { canParticipate } from '../feature-levels/index.js';
 import type { Replica } from './replica.js';
 
 /** Without news of the state, the leader looks at the grants this often, as a share of its state lease. */
@@ -56,12 +56,14 @@
 
   /** The state service holds our presence. */
   get isPresent(): boolean {
-    const mine = this.replica.nodes.get(this.settings.member);
+    const mine = this.replica.presences.get(this.settings.member);
     return mine !== undefined && mine.instanceId === this.run && mine.leaseId === this.leaseId;
   }
 
   get isLeader(): boolean {
-    return this.replica.leader?.member === this.settings.member && this.replica.leader.run === this.run;
+    return (
+      this.replica.leader?.member === this.settings.member && this.replica.leader.instanceId === this.run
+    );
   }
 
   /**
@@ -82,8 +84,8 @@
     if (this.left || this.replica.watchRevision < 0) return;
     const { member } = this.settings;
     const { state } = this.replica.levels;
-    const others = [...this.replica.nodes.values()].filter(
-      (n) => n.member !== member && admits(state, n.capabilities),
+    const others = [...this.replica.presences.values()].filter(
+      (n) => n.member !== member && canParticipate(state, n.capabilities),
     );
     const mine = [...this.replica.shards].filter(([, g]) => g.owner === member && g.instanceId === this.run);
     mine.forEach(([shard], i) => {
@@ -106,7 +108,7 @@
           return null;
         }
         return {
-          conditions: keys.map((key) => ({ key, stamp: this.replica.stampOf(key) })),
+          conditions: keys.map((key) => ({ key, stamp: this.replica.modRevisionOf(key) })),
           writes: keys.map((key) => ({ key, data: undefined })),
         };
       },
@@ -125,7 +127,7 @@
   tick(now: number, out: Effect[], acting: boolean, given: boolean): void {
     if (this.replica.watchRevision < 0 || !given) return;
     const { levels } = this.replica;
-    const mine = this.replica.nodes.get(this.settings.member);
+    const mine = this.replica.presences.get(this.settings.member);
     if (!this.cleared) {
       this.cleared = true;
       // A presence from an earlier run of this very member: that process is over, so its lease may end now.
@@ -149,10 +151,10 @@
     if (!this.isPresent)
       this.put(
         presenceKey(this.settings.member),
-        presenceData(this.run, this.leaseId, levels.mine),
+        presenceData(this.run, this.leaseId, levels.ownCapabilities),
         this.leaseId,
       );
-    else if (levels.standsBy || !acting) return;
+    else if (levels.mustStandBy || !acting) return;
     else if (this.replica.leader === null)
       this.put(this.replica.activeLeaderKey, { member: this.settings.member, run: this.run }, this.leaseId);
     if (this.isLeader && acting) this.lead(now);
@@ -195,7 +197,7 @@
     const shards = this.operators.shards > 0 ? this.operators.shards : 1 + this.settings.peers.length;
     const teams = this.settings.teams.map((t) => t.name);
     const known = new Set(this.replica.teamsByShard.flat());
-    if (this.replica.teamsStamp === 0 || teams.some((t) => !known.has(t))) {
+    if (this.replica.teamsModRevision === 0 || teams.some((t) => !known.has(t))) {
       // A team that has a home keeps it: its cap is counted there.
       const table = this.replica.teamsByShard.map((list) => [...list]);
       while (table.length < Math.min(shards, teams.length)) table.push([]);
@@ -204,8 +206,8 @@
       this.put(teamShardsKey, teamShardsData(table));
       return;
     }
-    const alive = [...this.replica.nodes.values()]
-      .filter((n) => admits(this.replica.levels.state, n.capabilities))
+    const alive = [...this.replica.presences.values()]
+      .filter((n) => canParticipate(this.replica.levels.state, n.capabilities))
       .sort((a, b) => (a.member < b.member ? -1 : 1));
     for (const node of alive)
       if (this.seen.get(node.member)?.run !== node.instanceId)
@@ -262,7 +264,7 @@
     if (this.busy.has(key)) return;
     this.busy.add(key);
     const leads = hold !== undefined && data['member'] === this.settings.member;
-    const leadStamp = this.isLeader && hold === undefined ? this.replica.leader!.stamp : null;
+    const leadStamp = this.isLeader && hold === undefined ? this.replica.leader!.modRevision : null;
     this.batcher.enqueue({
       priority: Rank.membership,
       build: () => {
@@ -272,7 +274,7 @@
           this.busy.delete(key);
           return null;
         }
-        const when = [{ key, stamp: this.replica.stampOf(key) }];
+        const when = [{ key, stamp: this.replica.modRevisionOf(key) }];
         if (leadStamp !== null) when.push({ key: this.replica.activeLeaderKey, stamp: leadStamp });
         return { conditions: when, writes: [{ key, data, hold }] };
       },
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -2,7 +2,7 @@
 import type { MemberDemand } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
 import type { Operators } from '../config/operators.js';
-import { admits } from '../feature-levels/index.js';
+import { canParticipate } from '../feature-levels/index.js';
 import { Recent, Vouching, type Question } from '../freshness/index.js';
 import type { Change } from '../wire/store.js';
 import type { Clock, Effect, PeerStatus } from './effects.js';
@@ -134,7 +134,7 @@
     return new Map(
       this.members.map((m) => {
         const o = this.others.get(m);
-        const here = this.replica.watchRevision < 0 || this.replica.nodes.has(m);
+        const here = this.replica.watchRevision < 0 || this.replica.presences.has(m);
         if (here) this.hereAt.set(m, now);
         const fallen = now - (this.hereAt.get(m) ?? -Infinity) > this.ttlMs * knowsGone;
         return [m, { here, fallen, demand: here && o && this.isFresh(o) ? o.pulse.wants : null }];
@@ -171,10 +171,10 @@
     if (to.incarnation !== this.inc) return null;
     for (const change of known) this.replica.apply(change);
     // Guards against a program that knows less than the level in force: it cannot hand over what it does not understand.
-    const node = this.replica.nodes.get(from);
+    const node = this.replica.presences.get(from);
     if (
-      this.replica.levels.standsBy ||
-      (node?.instanceId === run && !admits(this.replica.levels.state, node.capabilities))
+      this.replica.levels.mustStandBy ||
+      (node?.instanceId === run && !canParticipate(this.replica.levels.state, node.capabilities))
     )
       return null;
     return this.vouching.onAnswer(from, run, to, completeAt);
--- a/src/core/recovery-records.ts
+++ b/src/core/recovery-records.ts
@@ -1,6 +1,6 @@
 /** What a controller knows, as records: told to others after the state service has lost data. */
 import type { Data, Kind } from '../formats/index.js';
-import { merge } from '../data-loss/index.js';
+import { mergeRecords } from '../data-loss/index.js';
 import {
   blockData,
   cancelledJobData,
@@ -47,7 +47,7 @@
   const ref = parseKey(key);
   if (ref === null || replica.unreadableRecords.has(key)) return undefined;
   // The state of a chunk's tasks may be in the task log only.
-  if (ref.kind !== 'chunk' && replica.stampOf(key) === 0) return undefined;
+  if (ref.kind !== 'chunk' && replica.modRevisionOf(key) === 0) return undefined;
   const data = recordFields(replica, ref);
   return data && { ...replica.unknownFieldsOf(key), ...data };
 }
@@ -55,11 +55,11 @@
 function recordFields(replica: Replica, ref: ParsedKey): Data | undefined {
   switch (ref.kind) {
     case 'level':
-      return levelData(replica.levels.state.level, replica.levels.state.write);
+      return levelData(replica.levels.state.level, replica.levels.state.writeLevel);
     case 'members':
       return membersData(replica.members.capabilities, null);
     case 'wish':
-      return requestedLevelData(replica.wish);
+      return requestedLevelData(replica.requestedLevel);
     case 'types':
     case 'kinds':
       return replica.machineTypes.length > 0 ? machineTypesData(replica.machineTypes) : undefined;
@@ -138,7 +138,7 @@
     if (data) records.set(key, data);
   }
   for (const [key, data] of earlier?.records ?? [])
-    records.set(key, merge(recordKindOf(parseKey(key)!), records.get(key), data));
+    records.set(key, mergeRecords(recordKindOf(parseKey(key)!), records.get(key), data));
   const rank = ([key, data]: [string, Data]): number =>
     restoreOrder.indexOf(parseKey(key)!.kind) + (isFinishedJob(key, data) ? restoreOrder.length : 0);
   const sorted = [...records].sort((a, b) => rank(a) - rank(b));
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -1,7 +1,13 @@
 /** A controller's copy of the state, kept up by the watch. */
 import { inspect, type Data, type Kind } from '../formats/index.js';
 import type { WriteAllocation } from '../admission/index.js';
-import { firstLevel, noWish, type Ability, type Levels, type Wish } from '../feature-levels/index.js';
+import {
+  initialLevelState,
+  noRequestedLevel,
+  type Capabilities,
+  type FeatureLevels,
+  type RequestedLevel,
+} from '../feature-levels/index.js';
 import type { MachineRecord, MachineType } from '../model/machine.js';
 import { attemptBase, tokenBase, type Incarnation } from '../data-loss/index.js';
 import type { Change } from '../wire/store.js';
@@ -25,6 +31,7 @@
   readChunk,
   readIncarnation,
   readJob,
+  readLevel,
   parseKey,
   readMachine,
   readMembers,
@@ -38,7 +45,7 @@
   legacyMachineTypesKey,
 } from './storage/index.js';
 
-export type VersionedMachine = MachineRecord & { stamp: number };
+export type VersionedMachine = MachineRecord & { modRevision: number };
 
 /** What the replica tells its owner about a change that took effect. */
 export interface ReplicaListener {
@@ -55,8 +62,8 @@
 
 interface LeaderRecord {
   member: string;
-  run: string;
-  stamp: number;
+  instanceId: string;
+  modRevision: number;
 }
 
 const recordKindOf = (ref: ParsedKey): Kind =>
@@ -86,20 +93,20 @@
   private readonly machineTypesByKey = new Map<string, MachineType[]>();
   machineTypes: MachineType[] = [];
   /** What members were last seen with, and the leader's answer to the operators. */
-  members: { capabilities: Map<string, Ability>; note: LevelNote | null } = {
+  members: { capabilities: Map<string, Capabilities>; note: LevelNote | null } = {
     capabilities: new Map(),
     note: null,
   };
-  wish: Wish = noWish;
+  requestedLevel: RequestedLevel = noRequestedLevel;
   /** Incarnations that the state names: one, but for the moments in which another is opened. */
   readonly incarnations = new Map<number, Incarnation>();
   /** Who may write how much; null: there is no plan. */
   writeAllocation: WriteAllocation | null = null;
   teamsByShard: string[][] = [];
-  teamsStamp = 0;
-  readonly nodes = new Map<string, PresenceRecord>();
+  teamsModRevision = 0;
+  readonly presences = new Map<string, PresenceRecord>();
   /** What members could do when they were last here, as far as this process has seen it. */
-  readonly observedCapabilities = new Map<string, Ability>();
+  readonly observedCapabilities = new Map<string, Capabilities>();
   readonly shards = new Map<number, ShardGrantRecord>();
   /** Every machine: by its own record, or else as its block says. */
   readonly machines = new Map<string, VersionedMachine>();
@@ -111,7 +118,7 @@
   jobCount = 0;
   readonly openJobs = new Set<string>();
   readonly chunks = new Map<string, Map<number, ChunkRecord>>();
-  private readonly stamps = new Map<string, number>();
+  private readonly modRevisions = new Map<string, number>();
   private readonly writers = new Map<string, string>();
   private readonly recentDeletions = new Map<string, number>();
   /** Fields of records that this program does not know. */
@@ -134,7 +141,7 @@
 
   constructor(
     private readonly listener: ReplicaListener,
-    readonly levels: Levels,
+    readonly levels: FeatureLevels,
   ) {}
 
   /** Whether the states of a job's tasks are in the task log and in records of their own. */
@@ -180,15 +187,15 @@
 
   /** What is known of every key: its stamp. */
   *knownKeys(): Generator<{ key: string; stamp: number }> {
-    for (const [key, stamp] of this.stamps) yield { key, stamp };
+    for (const [key, stamp] of this.modRevisions) yield { key, stamp };
   }
 
   get activeLeaderKey(): string {
-    return this.levels.has('barred-lead') ? leaderKey : legacyLeaderKey;
+    return this.levels.isEnabled('barred-lead') ? leaderKey : legacyLeaderKey;
   }
 
   get activeTypesKey(): string {
-    return this.levels.has('barred-lead') ? machineTypesKey : legacyMachineTypesKey;
+    return this.levels.isEnabled('barred-lead') ? machineTypesKey : legacyMachineTypesKey;
   }
 
   get leader(): LeaderRecord | null {
@@ -217,8 +224,8 @@
   }
 
   /** The stamp of what holds the state of some of a job's tasks. */
-  taskStateStamp(id: string, chunk: number): number {
-    return this.stampOf(this.jobsWithInlineTasks.has(id) ? jobKey(id) : chunkKey(id, chunk));
+  taskStateModRevision(id: string, chunk: number): number {
+    return this.modRevisionOf(this.jobsWithInlineTasks.has(id) ? jobKey(id) : chunkKey(id, chunk));
   }
 
   /** Keys with fields that this program does not know: none of its formats can express them. */
@@ -226,13 +233,13 @@
     return this.unknownFields.keys();
   }
 
-  stampOf(key: string): number {
-    return this.stamps.get(key) ?? 0;
+  modRevisionOf(key: string): number {
+    return this.modRevisions.get(key) ?? 0;
   }
 
   /** How many keys there are. */
   get keyCount(): number {
-    return this.stamps.size;
+    return this.modRevisions.size;
   }
 
   /** Which write made the key's present value. */
@@ -243,7 +250,7 @@
   /** A complete reading that began at `epoch`: keys it lacks are gone unless they are younger. */
   loadSnapshot(items: Change[], epoch: number): void {
     const present = new Set(items.map((i) => i.key));
-    for (const [key, stamp] of [...this.stamps])
+    for (const [key, stamp] of [...this.modRevisions])
       if (!present.has(key) && stamp <= epoch) this.apply({ key, data: undefined, stamp: epoch });
     for (const item of items) this.apply(item);
     this.advanceTo(epoch);
@@ -267,20 +274,20 @@
 
   apply({ key, data, stamp }: Change): void {
     if (!key.startsWith(keyPrefix)) return;
-    if ((this.stamps.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
+    if ((this.modRevisions.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
     const ref = parseKey(key);
     if (ref === null) return;
-    const had = this.stamps.has(key);
+    const had = this.modRevisions.has(key);
     if (data === undefined || data === null) {
       if (had && ref.kind === 'job') this.jobCount--;
-      this.stamps.delete(key);
+      this.modRevisions.delete(key);
       this.writers.delete(key);
       this.unknownFields.delete(key);
       this.markReadable(ref, key);
       if (stamp > this.watchRevision) this.recentDeletions.set(key, stamp);
     } else {
       if (!had && ref.kind === 'job') this.jobCount++;
-      this.stamps.set(key, stamp);
+      this.modRevisions.set(key, stamp);
       const w = (data as StoredValue).w;
       if (typeof w === 'string') this.writers.set(key, w);
       else this.writers.delete(key);
@@ -293,7 +300,7 @@
       case 'lead':
       case 'chief': {
         const d = data as { member: string; run: string };
-        if (here) this.leaderRecords.set(key, { member: d.member, run: d.run, stamp });
+        if (here) this.leaderRecords.set(key, { member: d.member, instanceId: d.run, modRevision: stamp });
         else this.leaderRecords.delete(key);
         break;
       }
@@ -303,19 +310,17 @@
         else this.machineTypesByKey.delete(key);
         this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
         break;
-      case 'level': {
-        const d = data as { level: number; write: number };
+      case 'level':
         this.updateLevelReadability();
-        this.levels.state = here ? { level: d.level, write: d.write, stamp } : { ...firstLevel, stamp: 0 };
+        this.levels.state = here ? readLevel(data, stamp) : initialLevelState;
         this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
         this.listener.levelChanged();
         break;
-      }
       case 'members':
         this.members = here ? readMembers(data) : { capabilities: new Map(), note: null };
         break;
       case 'wish':
-        this.wish = here ? readRequestedLevel(data, stamp) : noWish;
+        this.requestedLevel = here ? readRequestedLevel(data, stamp) : noRequestedLevel;
         break;
       case 'inc':
         if (here) this.incarnations.set(ref.n, readIncarnation(ref.n, data, stamp));
@@ -327,12 +332,12 @@
         break;
       case 'teams':
         this.teamsByShard = here ? readTeamShards(data) : [];
-        this.teamsStamp = here ? stamp : 0;
+        this.teamsModRevision = here ? stamp : 0;
         break;
       case 'node': {
-        if (here) this.nodes.set(ref.member, readPresence(ref.member, data, stamp));
-        else this.nodes.delete(ref.member);
-        if (here) this.observedCapabilities.set(ref.member, this.nodes.get(ref.member)!.capabilities);
+        if (here) this.presences.set(ref.member, readPresence(ref.member, data, stamp));
+        else this.presences.delete(ref.member);
+        if (here) this.observedCapabilities.set(ref.member, this.presences.get(ref.member)!.capabilities);
         break;
       }
       case 'shard': {
@@ -349,7 +354,7 @@
         break;
       case 'machine':
         if (this.unreadableRecords.has(key)) break;
-        if (here) this.machines.set(ref.host, { ...readMachine(ref.host, data), stamp });
+        if (here) this.machines.set(ref.host, { ...readMachine(ref.host, data), modRevision: stamp });
         else this.machines.delete(ref.host);
         this.resolveMachine(ref.host);
         break;
@@ -420,7 +425,7 @@
     if (tasks !== null) {
       this.jobsWithInlineTasks.add(id);
       this.setChunk(id, 0, readChunk(tasks, stamp));
-    } else if (this.jobsWithInlineTasks.delete(id) && this.stampOf(chunkKey(id, 0)) === 0)
+    } else if (this.jobsWithInlineTasks.delete(id) && this.modRevisionOf(chunkKey(id, 0)) === 0)
       this.setChunk(id, 0, null);
   }
 
@@ -469,13 +474,14 @@
     for (const host of before)
       if (!now.has(host)) {
         this.originBlocks.delete(host);
-        if (this.stampOf(machineKey(host)) === 0 && this.machines.delete(host)) this.resolveMachine(host);
+        if (this.modRevisionOf(machineKey(host)) === 0 && this.machines.delete(host))
+          this.resolveMachine(host);
       }
     for (const host of now)
       if (!this.originBlocks.has(host)) {
         // Rewritten when machines leave it: the others came under their owner when it was first written.
         this.originBlocks.set(host, { block: id, stamp });
-        if (this.stampOf(machineKey(host)) === 0) this.resolveMachine(host);
+        if (this.modRevisionOf(machineKey(host)) === 0) this.resolveMachine(host);
       }
   }
 
@@ -484,9 +490,18 @@
     if (this.unreadableRecords.has(machineKey(host))) return;
     const origin = this.originBlocks.get(host);
     const block = origin && this.blocks.get(origin.block);
-    if (block && this.stampOf(machineKey(host)) === 0) {
+    if (block && this.modRevisionOf(machineKey(host)) === 0) {
       const { type, zone, spot, shard, since } = block;
-      this.machines.set(host, { host, type, zone, spot, shard, since, state: 'use', stamp: origin.stamp });
+      this.machines.set(host, {
+        host,
+        type,
+        zone,
+        spot,
+        shard,
+        since,
+        state: 'use',
+        modRevision: origin.stamp,
+      });
     }
     this.listener.machineChanged(host, this.machines.get(host));
   }
@@ -499,17 +514,17 @@
     return this.teamsByShard.findIndex((teams) => teams.includes(team));
   }
 
-  isAlive(member: string, run: string): boolean {
-    return this.nodes.get(member)?.instanceId === run;
+  isAlive(member: string, instanceId: string): boolean {
+    return this.presences.get(member)?.instanceId === instanceId;
   }
 
   /** The member that answers for a machine, with the token that its answers carry. */
   responsibleController(m: VersionedMachine): { member: string; run: string; token: number } | null {
     const holder = m.shard >= 0 ? this.shards.get(m.shard) : undefined;
-    const of = (stamp: number): number => this.tokenBase + Math.max(m.stamp, stamp);
+    const of = (stamp: number): number => this.tokenBase + Math.max(m.modRevision, stamp);
     if (holder) return { member: holder.owner, run: holder.instanceId, token: of(holder.modRevision) };
     if (m.shard < 0 && this.leader)
-      return { member: this.leader.member, run: this.leader.run, token: of(this.leader.stamp) };
+      return { member: this.leader.member, run: this.leader.instanceId, token: of(this.leader.modRevision) };
     return null;
   }
 
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -8,7 +8,7 @@
 import type { Committer } from './storage/index.js';
 import type { Clock, Effect, Log } from './effects.js';
 import type { Replica } from './replica.js';
-import { Sweep } from '../feature-levels/index.js';
+import { RecordMigration } from '../feature-levels/index.js';
 import { migrateOffSpot } from './scheduling/spot-migration.js';
 import { schedulingCycle } from './scheduling/cycle.js';
 import { summarize } from './summary.js';
@@ -37,7 +37,7 @@
   /** When a shard was last taken up, ms. */
   lastAcquiredAt = -Infinity;
   private readonly awaitingConfirmation = new Set<ScheduledMachine>();
-  private readonly recordMigration: Sweep;
+  private readonly recordMigration: RecordMigration;
   /** Jobs may be stored otherwise than the level in force has it. */
   private migrationPending = true;
 
@@ -61,7 +61,11 @@
     this.heartbeatReconciler = new HeartbeatReconciler(this.shardState);
     this.machineLifecycle = new MachineLifecycle(this.shardState, batcher);
     const { write_rps } = settings.state;
-    this.recordMigration = new Sweep(write_rps, operators['sweep-share'], settings.workers.lease_s * 500);
+    this.recordMigration = new RecordMigration(
+      write_rps,
+      operators['sweep-share'],
+      settings.workers.lease_s * 500,
+    );
   }
 
   /** Another level is in force. */
@@ -74,21 +78,24 @@
     if (!this.migrationPending) return;
     const { now } = this.clock;
     const { taskWriter: writer } = this.shardState;
-    let allowed = this.recordMigration.allowed(now);
+    let allowed = this.recordMigration.availableWrites(now);
     let left = 0;
     for (const job of this.shardState.jobs.values()) {
       if (!writer.needsMigration(job)) continue;
       left++;
       if (allowed <= 0) continue;
       const writes = writer.migrate(job);
-      this.recordMigration.wrote(writes);
+      this.recordMigration.recordWrites(writes);
       allowed -= writes;
     }
     this.migrationPending = left > 0;
     const progress = this.recordMigration.progress(now, left);
-    const { write } = this.replica.levels.state;
+    const { writeLevel } = this.replica.levels.state;
     if (progress)
-      this.log('info', left > 0 ? 'rewriting records' : 'records rewritten', { write, ...progress });
+      this.log('info', left > 0 ? 'rewriting records' : 'records rewritten', {
+        write: writeLevel,
+        ...progress,
+      });
   }
 
   get jobs(): ReadonlyMap<string, ScheduledJob> {
@@ -146,7 +153,7 @@
 
   private isAssignedHere(shard: number): boolean {
     const g = this.replica.shards.get(shard);
-    if (this.replica.levels.standsBy) return false;
+    if (this.replica.levels.mustStandBy) return false;
     return g?.owner === this.settings.member && g.instanceId === this.run;
   }
 
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -81,7 +81,7 @@
   deleteTaskRecords(job: ScheduledJob): void {
     if (this.replica.jobsWithInlineTasks.has(job.id)) this.deleteInlineTasks(job.id);
     for (const chunk of job.chunks)
-      if (this.replica.stampOf(chunkKey(job.id, chunk.index)) > 0)
+      if (this.replica.modRevisionOf(chunkKey(job.id, chunk.index)) > 0)
         this.deleteChunkRecord(job.id, chunk.index);
   }
 
@@ -106,7 +106,7 @@
     this.batcher.enqueue({
       priority: WritePriority.cleanup,
       build: () => {
-        const stamp = this.replica.stampOf(key);
+        const stamp = this.replica.modRevisionOf(key);
         return stamp === 0 || this.replica.jobs.get(id)?.state === 'open'
           ? null
           : { conditions: [{ key, stamp }], writes: [{ key, data: undefined }] };
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -1,10 +1,15 @@
 /** The durable records and their stored forms. */
 import type { WriteAllocation } from '../../admission/index.js';
 import type { Data } from '../../formats/index.js';
-import { unaware, type Ability, type Wish } from '../../feature-levels/index.js';
+import {
+  legacyCapabilities,
+  type Capabilities,
+  type LevelState,
+  type RequestedLevel,
+} from '../../feature-levels/index.js';
 import type { JobSpec, JobState } from '../../model/job.js';
 import type { MachineRecord, MachineType } from '../../model/machine.js';
-import type { Incarnation, Stage } from '../../data-loss/index.js';
+import type { Incarnation, IncarnationStage } from '../../data-loss/index.js';
 
 /**
  * The durable records and their stored form. `w` in a stored value names the write that made it, so that
@@ -19,7 +24,7 @@
   /** Which start of the process this is. */
   instanceId: string;
   leaseId: number;
-  capabilities: Ability;
+  capabilities: Capabilities;
   modRevision: number;
 }
 
@@ -108,10 +113,27 @@
   }
 }
 
-export const presenceData = (instanceId: string, leaseId: number, capabilities: Ability): Data => ({
+/** Capabilities as they are stored; fields that only newer programs know are kept. */
+interface StoredCapabilities extends Omit<Capabilities, 'minLevel' | 'maxLevel'> {
+  least: number;
+  most: number;
+}
+
+const capabilitiesData = (capabilities: Capabilities): StoredCapabilities => {
+  const { program, minLevel, maxLevel, ...rest } = capabilities;
+  return { program, least: minLevel, most: maxLevel, ...rest };
+};
+
+const readCapabilities = ({ least, most, ...rest }: StoredCapabilities): Capabilities => ({
+  ...rest,
+  minLevel: least,
+  maxLevel: most,
+});
+
+export const presenceData = (instanceId: string, leaseId: number, capabilities: Capabilities): Data => ({
   run: instanceId,
   hold: leaseId,
-  can: capabilities,
+  can: capabilitiesData(capabilities),
 });
 export const shardGrantData = (owner: string, instanceId: string): Data => ({ owner, run: instanceId });
 
@@ -245,14 +267,23 @@
 export const readMachineTypes = (data: unknown): MachineType[] => (data as { types: MachineType[] }).types;
 
 export const readPresence = (member: string, data: unknown, modRevision: number): PresenceRecord => {
-  const d = data as { run: string; hold: number; can?: Ability };
-  return { member, instanceId: d.run, leaseId: d.hold, capabilities: d.can ?? unaware, modRevision };
+  const d = data as { run: string; hold: number; can?: StoredCapabilities };
+  const capabilities = d.can ? readCapabilities(d.can) : legacyCapabilities;
+  return { member, instanceId: d.run, leaseId: d.hold, capabilities, modRevision };
 };
 
 /** The level in force, what is written at it, and what members were last seen with. */
-export const levelData = (level: number, write: number): Data => ({ level, write });
-export const membersData = (seen: ReadonlyMap<string, Ability>, note: LevelNote | null): Data => ({
-  seen: Object.fromEntries(seen),
+export const levelData = (level: number, writeLevel: number): Data => ({ level, write: writeLevel });
+export const readLevel = (data: unknown, modRevision: number): LevelState => {
+  const { level, write } = data as { level: number; write: number };
+  return { level, writeLevel: write, modRevision };
+};
+
+export const membersData = (
+  capabilities: ReadonlyMap<string, Capabilities>,
+  note: LevelNote | null,
+): Data => ({
+  seen: Object.fromEntries([...capabilities].map(([member, c]) => [member, capabilitiesData(c)])),
   ...(note ? { note } : {}),
 });
 
@@ -263,20 +294,32 @@
   text: string;
 }
 
-export function readMembers(data: unknown): { capabilities: Map<string, Ability>; note: LevelNote | null } {
-  const d = data as { seen: Record<string, Ability>; note?: LevelNote };
-  return { capabilities: new Map(Object.entries(d.seen)), note: d.note ?? null };
+export function readMembers(data: unknown): {
+  capabilities: Map<string, Capabilities>;
+  note: LevelNote | null;
+} {
+  const d = data as { seen: Record<string, StoredCapabilities>; note?: LevelNote };
+  const members = Object.entries(d.seen);
+  return {
+    capabilities: new Map(members.map(([member, c]) => [member, readCapabilities(c)])),
+    note: d.note ?? null,
+  };
 }
 
-export const requestedLevelData = (requested: Omit<Wish, 'stamp'>): Data => ({
-  ...(requested.most === null ? {} : { most: requested.most }),
+export const requestedLevelData = (requested: Omit<RequestedLevel, 'modRevision'>): Data => ({
+  ...(requested.maxLevel === null ? {} : { most: requested.maxLevel }),
   lower: requested.lower,
-  gone: requested.gone,
+  gone: requested.departedMembers,
 });
 
-export function readRequestedLevel(data: unknown, modRevision: number): Wish {
+export function readRequestedLevel(data: unknown, modRevision: number): RequestedLevel {
   const d = data as { most?: number; lower?: boolean; gone?: string[] };
-  return { most: d.most ?? null, lower: d.lower ?? false, gone: d.gone ?? [], stamp: modRevision };
+  return {
+    maxLevel: d.most ?? null,
+    lower: d.lower ?? false,
+    departedMembers: d.gone ?? [],
+    modRevision: modRevision,
+  };
 }
 
 /** How much of what a value may hold a plan takes; kinds that do not fit are left out, smallest first. */
@@ -321,14 +364,14 @@
   return { version: d.n, members: new Map(parts) };
 }
 
-export const incarnationData = (by: string, instanceId: string, stage: Stage): Data => ({
+export const incarnationData = (by: string, instanceId: string, stage: IncarnationStage): Data => ({
   by,
   run: instanceId,
   stage,
 });
 export const readIncarnation = (n: number, data: unknown, modRevision: number): Incarnation => {
-  const { by, run, stage } = data as { by: string; run: string; stage: Stage };
-  return { number: n, openedBy: by, run, stage, stamp: modRevision };
+  const { by, run, stage } = data as { by: string; run: string; stage: IncarnationStage };
+  return { number: n, openedBy: by, instanceId: run, stage, modRevision: modRevision };
 };
 
 /** Which teams are at home in which shard. */
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -105,7 +105,9 @@
 
   private usesTaskLog(job: ScheduledJob): boolean {
     const { replica } = this;
-    return this.taskLog.enabled && replica.levels.has('task-log') && !replica.jobsWithInlineTasks.has(job.id);
+    return (
+      this.taskLog.enabled && replica.levels.isEnabled('task-log') && !replica.jobsWithInlineTasks.has(job.id)
+    );
   }
 
   private logWriterOf(shard: number): LogWriter {
@@ -188,7 +190,8 @@
     const jobCondition = { key: jobKey(job.id), stamp: job.modRevision };
     const conditions = [{ key: shardKey(job.shard), stamp: shardRevision }, jobCondition];
     const becomesInline =
-      replica.levels.has('small-jobs') && (isInline || (!this.usesTaskLog(job) && this.fitsInline(job)));
+      replica.levels.isEnabled('small-jobs') &&
+      (isInline || (!this.usesTaskLog(job) && this.fitsInline(job)));
     if (!becomesInline && !isInline)
       return {
         conditions: [...conditions, { key, stamp: chunk.modRevision }],
@@ -210,7 +213,7 @@
   /** Whether records of tasks say which revision of their state they hold: while any task log may speak of them. */
   private get recordsVersions(): boolean {
     const { levels, taskLog } = this.replica;
-    return (this.taskLog.enabled && levels.has('task-log')) || taskLog.size > 0;
+    return (this.taskLog.enabled && levels.isEnabled('task-log')) || taskLog.size > 0;
   }
 
   /** Whether a job's tasks may be kept in its own record. One that is over, but for its last tasks, stays as it is. */
@@ -222,8 +225,8 @@
   needsMigration(job: ScheduledJob): boolean {
     const { replica } = this;
     const isInline = replica.jobsWithInlineTasks.has(job.id);
-    if (!replica.levels.has('task-log') && this.loggedChunks(job).length > 0) return true;
-    if (replica.levels.has('small-jobs'))
+    if (!replica.levels.isEnabled('task-log') && this.loggedChunks(job).length > 0) return true;
+    if (replica.levels.isEnabled('small-jobs'))
       return !isInline && !this.usesTaskLog(job) && job.chunks[0].modRevision > 0 && this.fitsInline(job);
     return isInline;
   }
@@ -237,7 +240,7 @@
   /** Writes a job's tasks once more as the level in force has it, unless that is about to happen; how many writes it takes. */
   migrate(job: ScheduledJob): number {
     if (job.finalizing || job.unreadable) return 0;
-    const logged = this.replica.levels.has('task-log') ? [] : this.loggedChunks(job);
+    const logged = this.replica.levels.isEnabled('task-log') ? [] : this.loggedChunks(job);
     const chunks =
       logged.length > 0 ? logged.filter((chunk) => !this.isCheckpointed(job, chunk)) : [job.chunks[0]];
     let writes = 0;
@@ -299,7 +302,7 @@
   /** Whether another than this process has written a chunk's state since. */
   private wasChangedElsewhere(job: ScheduledJob, chunk: TaskChunk): boolean {
     const { replica } = this;
-    if (replica.taskStateStamp(job.id, chunk.index) !== chunk.modRevision) return true;
+    if (replica.taskStateModRevision(job.id, chunk.index) !== chunk.modRevision) return true;
     const revision = replica.chunks.get(job.id)?.get(chunk.index)?.version ?? 0;
     return revision > chunk.durableVersion;
   }
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -173,7 +173,7 @@
     }
     if (this.inFlight || now < this.resendAt || this.tokens < 1) return;
     if (this.replica.watchRevision < this.blockedUntilRevision) return;
-    if (this.replica.levels.standsBy || this.suspended) this.rejectUserWrites();
+    if (this.replica.levels.mustStandBy || this.suspended) this.rejectUserWrites();
     const first = this.queues.findIndex((q) => q.length > 0);
     if (first < 0) return;
     // Nothing that users wait for: let a few changes gather.
@@ -189,11 +189,11 @@
 
   private buildTransaction(now: number, effects: Effect[]): void {
     const built: BuiltWrite[] = [];
-    const fence = { key: levelKey, stamp: this.replica.stampOf(levelKey) };
+    const fence = { key: levelKey, stamp: this.replica.modRevisionOf(levelKey) };
     const conditions = new Map<string, Condition>([[fence.key, fence]]);
     const { incarnation: inc } = this.replica;
     if (inc)
-      conditions.set(incarnationKey(inc.number), { key: incarnationKey(inc.number), stamp: inc.stamp });
+      conditions.set(incarnationKey(inc.number), { key: incarnationKey(inc.number), stamp: inc.modRevision });
     const writes: Write[] = [];
     const touched = new Set<string>();
     const maxWrites = Math.min(this.limits.maxOperations, Math.floor(this.tokens));
@@ -267,7 +267,7 @@
   /** The ranks that wait, and what each may take before the others had their turn. */
   private quotas(maxWrites: number): { rank: WritePriority; allowed: number }[] {
     const lastPriority =
-      this.replica.levels.standsBy || this.suspended ? WritePriority.membership : WritePriority.cleanup;
+      this.replica.levels.mustStandBy || this.suspended ? WritePriority.membership : WritePriority.cleanup;
     const waiting = this.queues.flatMap((q, rank) =>
       q.length > 0 && rank <= lastPriority ? [rank as WritePriority] : [],
     );
@@ -404,7 +404,7 @@
     for (const b of inFlight.built) {
       const put = b.transaction.writes.find((w) => w.data !== undefined);
       const here = put && this.replica.writerOf(put.key) === inFlight.mark;
-      if (here) b.pending.onCommitted(this.replica.stampOf(put.key));
+      if (here) b.pending.onCommitted(this.replica.modRevisionOf(put.key));
       else if (applied && !put) b.pending.onCommitted(revision);
       else {
         const mine = b.transaction.conditions.filter((c) => failedKeySet.has(c.key)).map((c) => c.key);
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -121,7 +121,7 @@
 
   submit(rid: number, spec: JobSpec, out: Effect[]): void {
     if (this.replica.watchRevision < 0 || this.replica.machineTypes.length === 0) return this.later(rid, out);
-    if (this.replica.levels.standsBy || this.replica.isJobUnreadable(spec.id)) return this.later(rid, out);
+    if (this.replica.levels.mustStandBy || this.replica.isJobUnreadable(spec.id)) return this.later(rid, out);
     if (this.replica.jobs.has(spec.id)) return this.query(rid, spec.id, out);
     if (this.unsure(spec.id)) return this.later(rid, out);
     const bad = rejectionReason(spec, this.replica.machineTypes, this.settings);
@@ -285,7 +285,7 @@
     if (!isJobId(id))
       return void out.push({ type: 'respond', rid, status: 404, body: { error: 'no such job' } });
     // Guards against a cancellation that nobody can carry out, since what runs is not known.
-    if (this.replica.watchRevision < 0 || this.replica.levels.standsBy || this.replica.isJobUnreadable(id))
+    if (this.replica.watchRevision < 0 || this.replica.levels.mustStandBy || this.replica.isJobUnreadable(id))
       return this.later(rid, out);
     const job = this.replica.jobs.get(id);
     if (!job) return this.wait(rid, id, 'withdraw', out);
@@ -327,7 +327,7 @@
   private unsure(id: string): boolean {
     return (
       this.replica.unreadableRecords.has(jobKey(id)) ||
-      ((this.replica.levels.standsBy || !this.sureOfAbsence()) && !this.replica.jobs.has(id))
+      ((this.replica.levels.mustStandBy || !this.sureOfAbsence()) && !this.replica.jobs.has(id))
     );
   }
 
@@ -344,7 +344,7 @@
     const tasks = whole ? this.replica.chunks.get(id)?.get(0) : undefined;
     if (!tasks || tasks.placements.length === 0)
       return { conditions: when, writes: [{ key, data: cancelledJobDataOf(at, spec!) }] };
-    if (this.replica.levels.has('small-jobs'))
+    if (this.replica.levels.isEnabled('small-jobs'))
       return {
         conditions: when,
         writes: [{ key, data: inlineCancelledJobData(at, spec!, chunkData(tasks)) }],
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -60,7 +60,7 @@
   }
 
   private get inForce(): boolean {
-    return this.replica.levels.has('admission-plan');
+    return this.replica.levels.isEnabled('admission-plan');
   }
 
   /** The plan that this controller follows, or would if its view were new. */
@@ -129,8 +129,8 @@
         }
         return {
           conditions: [
-            { key: allocationKey, stamp: this.replica.stampOf(allocationKey) },
-            { key: this.replica.activeLeaderKey, stamp: lead.stamp },
+            { key: allocationKey, stamp: this.replica.modRevisionOf(allocationKey) },
+            { key: this.replica.activeLeaderKey, stamp: lead.modRevision },
           ],
           writes: [{ key: allocationKey, data: allocationData(next(), this.settings.state.value_kb) }],
         };
--- a/src/data-loss/data-loss-detector.ts
+++ b/src/data-loss/data-loss-detector.ts
@@ -18,23 +18,23 @@
  * that are still to come, a loss cannot. What is said here is final; it holds however late an answer is.
  */
 export class DataLossDetector {
-  private readonly known: RevisionSighting[] = [];
+  private readonly sightings: RevisionSighting[] = [];
   private readonly failedConditions: { key: string; stamp: number; epoch: number }[] = [];
   private readonly peerReports: { inc: number; epoch: number; jobs: number; at: number }[] = [];
   private reportedTokens: { token: number; n: number; at: number }[] = [];
 
   /** The state service has been at this revision: by its changes, or by the answer to a commit. */
   revisionReached(epoch: number, now: number): void {
-    const last = this.known.at(-1);
+    const last = this.sightings.at(-1);
     if (last && last.epoch >= epoch) return;
-    this.known.push({ at: now, epoch });
-    if (this.known.length > maxObservations) this.known.shift();
+    this.sightings.push({ at: now, epoch });
+    if (this.sightings.length > maxObservations) this.sightings.shift();
   }
 
   /** The revision read by a request that was sent at `sentAt`. It cannot be below one that was known then. */
   revisionRead(sentAt: number, epoch: number, incarnation = 1): string | null {
     let before = -1;
-    for (const k of this.known) if (k.at < sentAt) before = Math.max(before, k.epoch);
+    for (const k of this.sightings) if (k.at < sentAt) before = Math.max(before, k.epoch);
     if (epoch < before) return `revision ${epoch} after ${before}`;
     // What was seen of an incarnation that is over says nothing of this one.
     this.reportedTokens = this.reportedTokens.filter((t) => t.n === incarnation);
@@ -46,7 +46,7 @@
     if (this.failedConditions.length < maxObservations) this.failedConditions.push({ key, stamp, epoch });
   }
 
-  /** Looks at what failed. `stampOf`: as followed up to `epoch`. */
+  /** Looks at what failed. `modRevisionOf`: as followed up to `epoch`. */
   checkFailedConditions(epoch: number, stampOf: (key: string) => number): string | null {
     for (let i = this.failedConditions.length - 1; i >= 0; i--) {
       const d = this.failedConditions[i];
--- a/src/data-loss/incarnation.ts
+++ b/src/data-loss/incarnation.ts
@@ -7,9 +7,9 @@
   number: number;
   /** Who opened it. */
   openedBy: string;
-  run: string;
+  instanceId: string;
   stage: IncarnationStage;
-  stamp: number;
+  modRevision: number;
 }
 
 /**
--- a/src/data-loss/index.ts
+++ b/src/data-loss/index.ts
@@ -1,14 +1,10 @@
 export {
   attemptBase,
   incarnationOf,
-  maxIncarnations as mostIncarnations,
+  maxIncarnations,
   tokenBase,
   type Incarnation,
-  type IncarnationStage as Stage,
+  type IncarnationStage,
 } from './incarnation.js';
-export { mergeRecords as merge, sameRecord as same } from './merge.js';
-export {
-  comparePage as audit,
-  DataLossDetector as Witness,
-  type KeyRevision as Item,
-} from './data-loss-detector.js';
+export { mergeRecords, sameRecord } from './merge.js';
+export { comparePage, DataLossDetector, type KeyRevision } from './data-loss-detector.js';
--- a/src/feature-levels/feature-levels.ts
+++ b/src/feature-levels/feature-levels.ts
@@ -1,12 +1,12 @@
-/** Levels: what needs which, what a program can do, and what is in force. */
+/** FeatureLevels: what needs which, what a program can do, and what is in force. */
 import { formats } from '../formats/index.js';
 
 /** What a program can do, as its presence tells. */
-export interface Ability {
+export interface Capabilities {
   program: string;
   /** The levels at which it takes part. */
-  least: number;
-  most: number;
+  minLevel: number;
+  maxLevel: number;
   features: string[];
   /** The newest format of each kind of record that has more than one. */
   formats: Record<string, number>;
@@ -16,9 +16,15 @@
 export const newestLevel = 5;
 
 /** Of a program whose presence tells nothing: it was written before there were levels. */
-export const unaware: Ability = { program: 'before levels', least: 1, most: 1, features: [], formats: {} };
+export const legacyCapabilities: Capabilities = {
+  program: 'before levels',
+  minLevel: 1,
+  maxLevel: 1,
+  features: [],
+  formats: {},
+};
 
-/** What needs a level. Whoever wants to know whether something is in force asks `Levels.has`. */
+/** What needs a level. Whoever wants to know whether something is in force asks `FeatureLevels.has`. */
 export const features = {
   /** Small jobs keep the state of their tasks in their own record. */
   'small-jobs': { level: 2, stays: false },
@@ -37,12 +43,12 @@
 
 export type Feature = keyof typeof features;
 
-export const abilityOf = (program: string, mostAllowed = 0): Ability => {
-  const most = mostAllowed > 0 ? Math.min(mostAllowed, newestLevel) : newestLevel;
+export const capabilitiesOf = (program: string, maxAllowed = 0): Capabilities => {
+  const most = maxAllowed > 0 ? Math.min(maxAllowed, newestLevel) : newestLevel;
   const has = Object.entries(features).filter(([, f]) => f.level <= most);
   const several = Object.entries(formats).filter(([, list]) => list.length > 1);
   const newest = Object.fromEntries(several.map(([kind, list]) => [kind, list.length]));
-  return { program, least: 1, most, features: has.map(([name]) => name), formats: newest };
+  return { program, minLevel: 1, maxLevel: most, features: has.map(([name]) => name), formats: newest };
 };
 
 /** The durable level. */
@@ -50,32 +56,32 @@
   /** What is stored may need it: programs that do not know it stand by. */
   level: number;
   /** What is written needs no more than this; below the level while that is being lowered. */
-  write: number;
+  writeLevel: number;
   /** The revision that brought it: every write is on condition that it is unchanged. */
-  stamp: number;
+  modRevision: number;
 }
 
-export const firstLevel: LevelState = { level: 1, write: 1, stamp: 0 };
+export const initialLevelState: LevelState = { level: 1, writeLevel: 1, modRevision: 0 };
 
 /** What is in force, seen by one program. */
-export class Levels {
-  state: LevelState = firstLevel;
+export class FeatureLevels {
+  state: LevelState = initialLevelState;
   /** The level's record cannot be read: nobody knows what is in force. */
   unreadable = false;
 
-  constructor(readonly mine: Ability) {}
+  constructor(readonly ownCapabilities: Capabilities) {}
 
-  has(feature: Feature): boolean {
+  isEnabled(feature: Feature): boolean {
     const f = features[feature];
-    return (f.stays ? this.state.level : this.state.write) >= f.level;
+    return (f.stays ? this.state.level : this.state.writeLevel) >= f.level;
   }
 
   /** This program is older than what is in force: it must neither act nor write. */
-  get standsBy(): boolean {
-    return this.unreadable || !admits(this.state, this.mine);
+  get mustStandBy(): boolean {
+    return this.unreadable || !canParticipate(this.state, this.ownCapabilities);
   }
 }
 
 /** Whether a program may take part. */
-export const admits = (state: LevelState, can: Ability): boolean =>
-  can.most >= state.level && can.least <= state.write;
+export const canParticipate = (state: LevelState, capabilities: Capabilities): boolean =>
+  capabilities.maxLevel >= state.level && capabilities.minLevel <= state.writeLevel;
--- a/src/feature-levels/index.ts
+++ b/src/feature-levels/index.ts
@@ -1,5 +1,20 @@
-export { abilityOf, admits, features, firstLevel, Levels, newestLevel, unaware } from './feature-levels.js';
-export type { Ability, Feature, LevelState } from './feature-levels.js';
-export { decide, lastSeen, noWish, type Decision, type Standing, type Wish } from './decide.js';
-export { Sweep } from './record-migration.js';
-export { Leaving, type Duties, type Phase } from './graceful-shutdown.js';
+export {
+  capabilitiesOf,
+  canParticipate,
+  features,
+  initialLevelState,
+  FeatureLevels,
+  newestLevel,
+  legacyCapabilities,
+} from './feature-levels.js';
+export type { Capabilities, Feature, LevelState } from './feature-levels.js';
+export {
+  decide,
+  latestCapabilities,
+  noRequestedLevel,
+  type Decision,
+  type LevelDecisionInput,
+  type RequestedLevel,
+} from './decide.js';
+export { RecordMigration } from './record-migration.js';
+export { GracefulShutdown, type ShutdownDuties, type ShutdownPhase } from './graceful-shutdown.js';
--- a/src/feature-levels/record-migration.ts
+++ b/src/feature-levels/record-migration.ts
@@ -3,49 +3,49 @@
  * nobody else needs. It keeps nothing that must survive: what is left to do is seen in the records themselves, so another
  * owner goes on where this one ended.
  */
-export class Sweep {
+export class RecordMigration {
   private allowance = 0;
-  private at = -1;
-  private saidAt = -Infinity;
-  private left = -1;
-  private done = 0;
-  private began = 0;
+  private refilledAt = -1;
+  private reportedAt = -Infinity;
+  private remaining = -1;
+  private writesDone = 0;
+  private startedAt = 0;
 
   constructor(
     /** Writes per second that the state service takes, and the share of them that a sweep may take. */
     private readonly writesPerS: number,
     private readonly share: number,
     /** Progress is told this often, ms. */
-    private readonly tellMs: number,
+    private readonly reportIntervalMs: number,
   ) {}
 
   /** How many writes may be made now. They are to be told by `wrote`. */
-  allowed(now: number): number {
-    if (this.at >= 0)
+  availableWrites(now: number): number {
+    if (this.refilledAt >= 0)
       this.allowance = Math.min(
         Math.max(1, this.writesPerS * this.share),
-        this.allowance + ((now - this.at) / 1000) * this.writesPerS * this.share,
+        this.allowance + ((now - this.refilledAt) / 1000) * this.writesPerS * this.share,
       );
-    this.at = now;
+    this.refilledAt = now;
     return Math.floor(this.allowance);
   }
 
-  wrote(writes: number): void {
+  recordWrites(writes: number): void {
     this.allowance -= writes;
-    this.done += writes;
+    this.writesDone += writes;
   }
 
   /** What is to be told of the progress now, or null. `left`: records still to be rewritten. */
-  progress(now: number, left: number): { left: number; writes: number; forS: number } | null {
-    const ends = left === 0 && this.left > 0;
-    if (left > 0 && this.left <= 0) {
-      this.began = now;
-      this.done = 0;
-      this.saidAt = -Infinity;
+  progress(now: number, remaining: number): { left: number; writes: number; forS: number } | null {
+    const ends = remaining === 0 && this.remaining > 0;
+    if (remaining > 0 && this.remaining <= 0) {
+      this.startedAt = now;
+      this.writesDone = 0;
+      this.reportedAt = -Infinity;
     }
-    this.left = left;
-    if (!ends && (left === 0 || now - this.saidAt < this.tellMs)) return null;
-    this.saidAt = now;
-    return { left, writes: this.done, forS: Math.round((now - this.began) / 100) / 10 };
+    this.remaining = remaining;
+    if (!ends && (remaining === 0 || now - this.reportedAt < this.reportIntervalMs)) return null;
+    this.reportedAt = now;
+    return { left: remaining, writes: this.writesDone, forS: Math.round((now - this.startedAt) / 100) / 10 };
   }
 }
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -285,7 +285,7 @@
   () => {
     const { w, users } = floodWorld();
     w.advance(10);
-    wish(w, { most: 2, lower: true });
+    wish(w, { maxLevel: 2, lower: true });
     assert.ok(w.advanceUntil(() => levelOf(w).level === 2, 20));
     w.advance(5);
     assert.ok(w.nodes.every((n) => n.controller['planning'].followedVersion === 0));
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -17,7 +17,7 @@
   type Committer,
   type Intent,
 } from '../src/core/storage/index.js';
-import { abilityOf, Levels } from '../src/feature-levels/index.js';
+import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
 import { retryPolicies, seeded } from '../src/retry/index.js';
 import type { ListedMachine } from '../src/wire/cloud.js';
 import { box, settingsText } from './support/world.js';
@@ -36,7 +36,7 @@
       levelChanged: quiet,
       incarnationChanged: quiet,
     },
-    new Levels(abilityOf('test')),
+    new FeatureLevels(capabilitiesOf('test')),
   );
   const hosts = Array.from({ length: 4000 }, (_, i) => `host-${i}`);
   const record = { type: box.name, zone: 'north', spot: false, shard: 0, since: 0 };
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -135,7 +135,7 @@
   },
   'in a hand-over, and back'(w, { owner, others, by }) {
     const [to] = others;
-    const run = (n: Node): string => to.controller.replica.nodes.get(n.member)!.instanceId;
+    const run = (n: Node): string => to.controller.replica.presences.get(n.member)!.instanceId;
     owner.controller.membership.handOver(0, to.member, run(to));
     w.advance(0.3 * w.random());
     by();
@@ -305,11 +305,11 @@
         w,
         w.nodes.filter((n) => n.alive && n !== owner),
       );
-      const run = to && owner?.controller.replica.nodes.get(to.member)?.instanceId;
+      const run = to && owner?.controller.replica.presences.get(to.member)?.instanceId;
       if (how < 0.5 && owner && to && run) {
         owner.controller.membership.handOver(0, to.member, run);
         w.schedule(1500 * w.random(), () => {
-          const back = to.controller.replica.nodes.get(owner.member)?.instanceId;
+          const back = to.controller.replica.presences.get(owner.member)?.instanceId;
           if (to.alive && back) to.controller.membership.handOver(0, owner.member, back);
         });
       }
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -1,6 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { attemptBase, audit, incarnationOf, merge, tokenBase, Witness } from '../src/data-loss/index.js';
+import {
+  attemptBase,
+  comparePage,
+  incarnationOf,
+  mergeRecords,
+  tokenBase,
+  DataLossDetector,
+} from '../src/data-loss/index.js';
 import {
   chunkData,
   cancelledJobDataOf,
@@ -25,7 +32,7 @@
 });
 
 test('a loss is told from a lagging answer, a lease that ended and a legal deletion', () => {
-  const w = new Witness();
+  const w = new DataLossDetector();
   w.revisionReached(10, 100);
   w.revisionReached(20, 200);
   // Sent before 20 was known: an answer that lags.
@@ -59,10 +66,10 @@
     { key: 'dp/d', stamp: 4 },
   ];
   const page = (items: typeof mine, to: string | null = 'dp/c') => ({ items, from: '', to, epoch: 10 });
-  assert.equal(audit(page([mine[0], mine[1]]), mine), null);
-  assert.match(audit(page([mine[1]]), mine)!, /dp\/a is gone/);
-  assert.match(audit(page([mine[0], { key: 'dp/b', stamp: 8 }]), mine)!, /dp\/b is at 8 after 9/);
-  assert.match(audit(page([mine[0], mine[1]], null), mine)!, /dp\/d is gone/);
+  assert.equal(comparePage(page([mine[0], mine[1]]), mine), null);
+  assert.match(comparePage(page([mine[1]]), mine)!, /dp\/a is gone/);
+  assert.match(comparePage(page([mine[0], { key: 'dp/b', stamp: 8 }]), mine)!, /dp\/b is at 8 after 9/);
+  assert.match(comparePage(page([mine[0], mine[1]], null), mine)!, /dp\/d is gone/);
 });
 
 test('what several know of a record is put together so that no rule can be broken', () => {
@@ -77,18 +84,21 @@
   const done = doneJobData(5, 3);
   const cancelled = cancelledJobDataOf(5, job);
   assert.deepEqual(
-    [merge('job', undefined, open), merge('job', open, done), merge('job', done, open)],
+    [mergeRecords('job', undefined, open), mergeRecords('job', open, done), mergeRecords('job', done, open)],
     [open, done, done],
   );
-  assert.deepEqual([merge('job', cancelled, open), merge('job', open, cancelled)], [cancelled, cancelled]);
+  assert.deepEqual(
+    [mergeRecords('job', cancelled, open), mergeRecords('job', open, cancelled)],
+    [cancelled, cancelled],
+  );
   // A cancelled job goes on telling what may run of it.
   const whole = inlineJobData(job, 5, tasks(2, [0], [[1, 2, 'm1']]));
-  assert.deepEqual(merge('job', whole, cancelled)['t'], whole['t']);
-  assert.equal(merge('job', whole, cancelled)['s'], 'cancelled');
-  const both = merge('job', open, whole);
+  assert.deepEqual(mergeRecords('job', whole, cancelled)['t'], whole['t']);
+  assert.equal(mergeRecords('job', whole, cancelled)['s'], 'cancelled');
+  const both = mergeRecords('job', open, whole);
   assert.deepEqual([both['v'], both['t'], both['spec']], [2, whole['t'], undefined]);
   // Of two places of a task the later attempt counts, none of a task that is done, and numbers go on.
-  const c = merge(
+  const c = mergeRecords(
     'chunk',
     tasks(
       3,
@@ -120,7 +130,7 @@
   );
   const machine = { host: 'm', type: 'box', zone: 'north', spot: false, shard: 0, since: 1 };
   const dead = machineData({ ...machine, state: 'dead' });
-  assert.deepEqual(merge('machine', machineData({ ...machine, state: 'use' }), dead), dead);
+  assert.deepEqual(mergeRecords('machine', machineData({ ...machine, state: 'use' }), dead), dead);
 });
 
 type Kept = ReturnType<World['state']['snapshot']>;
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -2,31 +2,40 @@
 import { test } from 'node:test';
 import { common, inspect, type Format, type Formats, formats } from '../src/formats/index.js';
 import {
-  abilityOf,
+  capabilitiesOf,
   decide,
-  firstLevel,
-  Leaving,
-  Levels,
+  initialLevelState,
+  GracefulShutdown,
+  FeatureLevels,
   newestLevel,
-  noWish,
-  Sweep,
-  unaware,
-  type Ability,
-  type Standing,
+  noRequestedLevel,
+  RecordMigration,
+  legacyCapabilities,
+  type Capabilities,
+  type ShutdownDuties,
+  type LevelState,
+  type RequestedLevel,
+  type LevelDecisionInput,
 } from '../src/feature-levels/index.js';
 import { openJobData, inlineJobData } from '../src/core/storage/index.js';
 import { spec } from './support/world.js';
 
-const can = (most: number): Ability => ({ program: `p${most}`, least: 1, most, features: [], formats: {} });
-const standing = (over: Partial<Standing>): Standing => ({
-  state: firstLevel,
-  newest: 2,
+const can = (most: number): Capabilities => ({
+  program: `p${most}`,
+  minLevel: 1,
+  maxLevel: most,
+  features: [],
+  formats: {},
+});
+const standing = (over: Partial<LevelDecisionInput>): LevelDecisionInput => ({
+  state: initialLevelState,
+  newestLevel: 2,
   configured: ['a', 'b', 'c'],
-  seen: new Map(),
-  witnessed: new Map(),
-  wish: noWish,
-  newer: 0,
-  stuck: [],
+  recordedCapabilities: new Map(),
+  observedCapabilities: new Map(),
+  requested: noRequestedLevel,
+  unmigratedRecords: 0,
+  blockingKeys: [],
   ...over,
 });
 const all = (most: number) => new Map(['a', 'b', 'c'].map((m) => [m, can(most)]));
@@ -75,94 +84,141 @@
 });
 
 test('the level rises only when every configured member was last seen with it, here or not', () => {
-  assert.equal(decide(standing({ witnessed: all(2) })).do, 'raise');
+  assert.equal(decide(standing({ observedCapabilities: all(2) })).do, 'raise');
   // Down or cut off just now, but last seen with it.
   const two = new Map([...all(2)].slice(0, 2));
-  assert.equal(decide(standing({ seen: all(2), witnessed: two })).do, 'raise');
+  assert.equal(decide(standing({ recordedCapabilities: all(2), observedCapabilities: two })).do, 'raise');
   // Never seen, or last seen without.
-  assert.deepEqual(decide(standing({ seen: two, witnessed: two })), {
+  assert.deepEqual(decide(standing({ recordedCapabilities: two, observedCapabilities: two })), {
     do: 'stay',
     why: 'waits for c (never seen)',
   });
-  const old = new Map([...two, ['c', unaware]]);
-  assert.deepEqual(decide(standing({ seen: old, witnessed: old })), {
+  const old = new Map([...two, ['c', legacyCapabilities]]);
+  assert.deepEqual(decide(standing({ recordedCapabilities: old, observedCapabilities: old })), {
     do: 'stay',
     why: 'waits for c (before levels)',
   });
   // One that comes back older counts as it is now.
-  assert.equal(decide(standing({ seen: all(2), witnessed: old })).do, 'note');
+  assert.equal(decide(standing({ recordedCapabilities: all(2), observedCapabilities: old })).do, 'note');
   // Two old versions at once; and one step at a time.
   const mixed = new Map([
     ['a', can(3)],
     ['b', can(2)],
     ['c', can(1)],
   ]);
-  assert.equal(decide(standing({ newest: 3, seen: mixed, witnessed: mixed })).do, 'stay');
-  const up = decide(standing({ newest: 3, witnessed: all(3) }));
+  assert.equal(
+    decide(standing({ newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed })).do,
+    'stay',
+  );
+  const up = decide(standing({ newestLevel: 3, observedCapabilities: all(3) }));
   assert.ok(up.do === 'raise' && up.to === 2);
-  const state = { level: 2, write: 2, stamp: 9 };
-  assert.equal(decide(standing({ state, newest: 3, seen: mixed, witnessed: mixed })).do, 'stay');
+  const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
+  assert.equal(
+    decide(standing({ state, newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed })).do,
+    'stay',
+  );
 });
 
 test('operators hold a level, name who is gone, and lower it again unless something needs it', () => {
-  const wish = (over: object) => ({ ...noWish, stamp: 4, ...over });
-  assert.deepEqual(decide(standing({ seen: all(2), witnessed: all(2), wish: wish({ most: 1 }) })), {
-    do: 'stay',
-    why: 'held at 1 by operators',
+  const wish = (over: Partial<RequestedLevel>): RequestedLevel => ({
+    ...noRequestedLevel,
+    modRevision: 4,
+    ...over,
   });
+  assert.deepEqual(
+    decide(
+      standing({
+        recordedCapabilities: all(2),
+        observedCapabilities: all(2),
+        requested: wish({ maxLevel: 1 }),
+      }),
+    ),
+    {
+      do: 'stay',
+      why: 'held at 1 by operators',
+    },
+  );
   const two = new Map([...all(2)].slice(0, 2));
-  assert.equal(decide(standing({ seen: two, witnessed: two, wish: wish({ gone: ['c'] }) })).do, 'raise');
-  const state = { level: 2, write: 2, stamp: 9 };
+  assert.equal(
+    decide(
+      standing({
+        recordedCapabilities: two,
+        observedCapabilities: two,
+        requested: wish({ departedMembers: ['c'] }),
+      }),
+    ).do,
+    'raise',
+  );
+  const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
   const seen = all(2);
-  const lower = wish({ most: 1, lower: true });
+  const lower = wish({ maxLevel: 1, lower: true });
   // Held below what is in force, without being asked to go back: it stays.
-  assert.equal(decide(standing({ state, seen, wish: wish({ most: 1 }) })).do, 'stay');
-  assert.deepEqual(decide(standing({ state, seen, wish: lower })), { do: 'begin lowering', to: 1 });
-  const refused = decide(standing({ state, seen, wish: lower, stuck: ['dp/j/req-1'] }));
+  assert.equal(
+    decide(standing({ state, recordedCapabilities: seen, requested: wish({ maxLevel: 1 }) })).do,
+    'stay',
+  );
+  assert.deepEqual(decide(standing({ state, recordedCapabilities: seen, requested: lower })), {
+    do: 'begin lowering',
+    to: 1,
+  });
+  const refused = decide(
+    standing({ state, recordedCapabilities: seen, requested: lower, blockingKeys: ['dp/j/req-1'] }),
+  );
   assert.ok(refused.do === 'refuse' && /dp\/j\/req-1; start the newest program/.test(refused.text));
-  const lowering = { level: 2, write: 1, stamp: 10 };
-  assert.equal(decide(standing({ state: lowering, seen, wish: lower, newer: 3 })).do, 'stay');
-  assert.deepEqual(decide(standing({ state: lowering, seen, wish: lower })), { do: 'lower', to: 1 });
+  const lowering: LevelState = { level: 2, writeLevel: 1, modRevision: 10 };
+  assert.equal(
+    decide(standing({ state: lowering, recordedCapabilities: seen, requested: lower, unmigratedRecords: 3 }))
+      .do,
+    'stay',
+  );
+  assert.deepEqual(decide(standing({ state: lowering, recordedCapabilities: seen, requested: lower })), {
+    do: 'lower',
+    to: 1,
+  });
   // They change their mind.
-  assert.deepEqual(decide(standing({ state: lowering, seen, newer: 3 })), { do: 'raise', to: 2, seen });
+  assert.deepEqual(decide(standing({ state: lowering, recordedCapabilities: seen, unmigratedRecords: 3 })), {
+    do: 'raise',
+    to: 2,
+    seen,
+  });
 });
 
 test('features: one place tells what is in force; who is older than that stands by', () => {
-  const levels = new Levels(abilityOf('x'));
-  assert.deepEqual(levels.mine.features, [
+  const levels = new FeatureLevels(capabilitiesOf('x'));
+  assert.deepEqual(levels.ownCapabilities.features, [
     'small-jobs',
     'barred-lead',
     'admission-plan',
     'incarnations',
     'task-log',
   ]);
-  assert.deepEqual(levels.mine.formats, { job: 2 });
-  assert.equal(levels.has('small-jobs'), false);
-  levels.state = { level: 2, write: 2, stamp: 1 };
-  assert.ok(levels.has('small-jobs') && levels.has('barred-lead'));
-  levels.state = { level: 2, write: 1, stamp: 2 };
-  assert.ok(!levels.has('small-jobs') && levels.has('barred-lead'));
-  assert.equal(levels.standsBy, false);
-  levels.state = { level: 3, write: 3, stamp: 3 };
-  assert.ok(levels.has('admission-plan') && !levels.standsBy);
-  assert.equal(levels.has('task-log'), false);
-  levels.state = { level: 5, write: 5, stamp: 4 };
-  assert.ok(levels.has('task-log') && !levels.standsBy);
-  levels.state = { level: newestLevel + 1, write: newestLevel + 1, stamp: 5 };
-  assert.equal(levels.standsBy, true);
-  const held = new Levels(abilityOf('x', 1));
-  assert.deepEqual(held.mine.features, []);
-  held.state = { level: 2, write: 2, stamp: 1 };
-  assert.equal(held.standsBy, true);
+  assert.deepEqual(levels.ownCapabilities.formats, { job: 2 });
+  assert.equal(levels.isEnabled('small-jobs'), false);
+  levels.state = { level: 2, writeLevel: 2, modRevision: 1 };
+  assert.ok(levels.isEnabled('small-jobs') && levels.isEnabled('barred-lead'));
+  levels.state = { level: 2, writeLevel: 1, modRevision: 2 };
+  assert.ok(!levels.isEnabled('small-jobs') && levels.isEnabled('barred-lead'));
+  assert.equal(levels.mustStandBy, false);
+  levels.state = { level: 3, writeLevel: 3, modRevision: 3 };
+  assert.ok(levels.isEnabled('admission-plan') && !levels.mustStandBy);
+  assert.equal(levels.isEnabled('task-log'), false);
+  levels.state = { level: 5, writeLevel: 5, modRevision: 4 };
+  assert.ok(levels.isEnabled('task-log') && !levels.mustStandBy);
+  levels.state = { level: newestLevel + 1, writeLevel: newestLevel + 1, modRevision: 5 };
+  assert.equal(levels.mustStandBy, true);
+  const held = new FeatureLevels(capabilitiesOf('x', 1));
+  assert.deepEqual(held.ownCapabilities.features, []);
+  held.state = { level: 2, writeLevel: 2, modRevision: 1 };
+  assert.equal(held.mustStandBy, true);
 });
 
 test('the sweep keeps to its share and tells its progress', () => {
-  const s = new Sweep(40, 0.1, 1000);
+  const s = new RecordMigration(40, 0.1, 1000);
   let writes = 0;
   for (let now = 0; now <= 60_000; now += 500) {
-    const n = s.allowed(now);
+    const n = s.availableWrites(now);
     writes += n;
-    s.wrote(n);
+    s.recordWrites(n);
   }
   assert.ok(writes >= 236 && writes <= 240, String(writes));
   assert.deepEqual(s.progress(0, 10)?.left, 10);
@@ -173,16 +229,16 @@
 });
 
 test('leaving: handed on first, drained next; what cannot be handed on does not keep it', () => {
-  const has = { owned: 1, leading: true, present: true, busy: false };
-  const free = { owned: 0, leading: false, present: false, busy: false };
-  const l = new Leaving(10_000, 4000);
+  const has: ShutdownDuties = { ownedShards: 1, leading: true, present: true, busy: false };
+  const free: ShutdownDuties = { ownedShards: 0, leading: false, present: false, busy: false };
+  const l = new GracefulShutdown(10_000, 4000);
   assert.equal(l.phase(0, has), 'here');
   l.begin(0);
   assert.equal(l.phase(100, has), 'handing on');
   assert.equal(l.phase(200, free), 'draining');
   assert.equal(l.phase(4100, { ...free, busy: true }), 'draining');
   assert.equal(l.phase(4200, free), 'gone');
-  const stuck = new Leaving(10_000, 4000);
+  const stuck = new GracefulShutdown(10_000, 4000);
   stuck.begin(0);
   assert.equal(stuck.phase(9000, has), 'handing on');
   assert.equal(stuck.phase(10_001, { ...has, busy: true }), 'gone');
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -54,7 +54,7 @@
         at(s, () => {
           const n = pick(w, [ownerOf(w), leaderOf(w)]);
           const to = pick(w, w.nodes);
-          const run = n?.controller.replica.nodes.get(to.member)?.instanceId;
+          const run = n?.controller.replica.presences.get(to.member)?.instanceId;
           if (w.random() < 0.7) bounce(w, n, 0.2, 6);
           else if (n && run && to !== n) n.controller.membership.handOver(0, to.member, run);
         });
--- a/test/level-cli.test.ts
+++ b/test/level-cli.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { levelData, membersData, presenceData } from '../src/core/storage/index.js';
-import { abilityOf, newestLevel, unaware } from '../src/feature-levels/index.js';
+import { capabilitiesOf, newestLevel, legacyCapabilities } from '../src/feature-levels/index.js';
 import { JsonClient } from '../src/net/client.js';
 import { findFreePort } from '../src/net/port.js';
 import { Engine, LevelDisk, storeServer } from '../src/store/index.js';
@@ -53,13 +53,13 @@
       'dp/members',
       membersData(
         new Map([
-          ['n0', abilityOf('0.2.0')],
-          ['n1', unaware],
+          ['n0', capabilitiesOf('0.2.0')],
+          ['n1', legacyCapabilities],
         ]),
         null,
       ),
     );
-    await put('dp/node/n0', presenceData('r', 1, abilityOf('0.2.0')));
+    await put('dp/node/n0', presenceData('r', 1, capabilitiesOf('0.2.0')));
     assert.match((await level('hold', '2')).out, /held at 2/);
     await level('gone', 'n1');
     const shown = (await level('show')).out;
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -81,7 +81,7 @@
       at(s, () => {
         const owner = ownerOf(w);
         const to = pick(w, w.nodes);
-        const run = owner?.controller.replica.nodes.get(to.member)?.instanceId;
+        const run = owner?.controller.replica.presences.get(to.member)?.instanceId;
         if (w.random() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
         else if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
       });
@@ -99,9 +99,9 @@
 /** State that grows with the jobs by what it is: records and what is read off them. */
 const bounds = new Map([
   ['peers.recent.changes', 512],
-  ['rebuilding.witness.known', 256],
+  ['dataLossRecovery.detector.sightings', 256],
 ]);
-const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|stamps|writers)$/;
+const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
 meeting(
   'one-task jobs four a second, a quarter cancelled, some at their end; leaders change',
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -3,7 +3,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { fullness, CapacityIndex, packingTieBreak, type IndexedMachine } from '../src/core/capacity-index.js';
-import { abilityOf, Levels } from '../src/feature-levels/index.js';
+import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
 import { Replica } from '../src/core/replica.js';
 import type { JobSpec } from '../src/model/job.js';
 import type { Resources, MachineType } from '../src/model/machine.js';
@@ -147,7 +147,7 @@
       levelChanged: () => undefined,
       incarnationChanged: () => undefined,
     },
-    new Levels(abilityOf('test')),
+    new FeatureLevels(capabilitiesOf('test')),
   );
 
 test('an overtaken answer of the state service does not bring a dropped key back', () => {
@@ -180,7 +180,7 @@
   );
   assert.deepEqual([...r.machines.keys()], ['n-2']);
   // Its token does not rise because others left: it would have to prove itself anew.
-  assert.equal(r.machines.get('n-2')?.stamp, 2);
+  assert.equal(r.machines.get('n-2')?.modRevision, 2);
 });
 
 test('machines stay kept for a gang that found no room until it is placed', () => {
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { defaults, type Operators } from '../../src/config/operators.js';
 import { levelData, levelKey, requestedLevelData } from '../../src/core/storage/index.js';
-import { newestLevel, noWish, type Wish } from '../../src/feature-levels/index.js';
+import { newestLevel, noRequestedLevel, type RequestedLevel } from '../../src/feature-levels/index.js';
 import { Traffic } from './traffic.js';
 import { spec, thisProgram, type Node, World } from './world.js';
 
@@ -38,9 +38,9 @@
 }
 
 /** What operators say, as the command line writes it. */
-export function wish(w: World, over: Partial<Wish>): void {
+export function wish(w: World, over: Partial<RequestedLevel>): void {
   const key = 'dp/wish';
-  const data = requestedLevelData({ ...noWish, ...over });
+  const data = requestedLevelData({ ...noRequestedLevel, ...over });
   const o = w.state.commit({ conditions: [], writes: [{ key, data }] });
   assert.equal(o.type, 'ok');
 }
@@ -273,7 +273,7 @@
   },
   'rolled back before the switch'(cast) {
     const { w, users } = oldWorld(cast);
-    wish(w, { most: cast.level });
+    wish(w, { maxLevel: cast.level });
     for (const i of [0, 1, 2]) {
       restart(w, w.nodes[i], cast.fresh);
       w.advance(6);
@@ -295,7 +295,7 @@
       'raised',
     );
     w.advance(10);
-    wish(w, { most: cast.level, lower: true });
+    wish(w, { maxLevel: cast.level, lower: true });
     assert.ok(
       w.advanceUntil(() => levelOf(w).level === cast.level, 60),
       'lowered',
@@ -359,7 +359,7 @@
     }
     w.advance(20);
     assert.equal(levelOf(w).level, cast.level);
-    wish(w, { gone: ['n2'] });
+    wish(w, { departedMembers: ['n2'] });
     assert.ok(
       w.advanceUntil(() => atNewLevel(w), 10),
       'raised',
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -26,7 +26,7 @@
 } from '../src/core/storage/index.js';
 import type { Transaction, Write } from '../src/wire/store.js';
 import { Replica } from '../src/core/replica.js';
-import { abilityOf, Levels, newestLevel } from '../src/feature-levels/index.js';
+import { capabilitiesOf, FeatureLevels, newestLevel } from '../src/feature-levels/index.js';
 import type { JobSpec } from '../src/model/job.js';
 import { createScheduledJob } from '../src/core/shard-state/jobs.js';
 import type { Placement } from '../src/core/shard-state/types.js';
@@ -193,7 +193,7 @@
   const quiet = (): void => undefined;
   const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
   const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
-  const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
+  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   const { entries, states } = historyOf([1, 2, 1, 3]);
   const job = openJobData(spec('req-1', { tasks: size }), 1);
   replica.apply({ key: 'dp/j/req-1', data: job, stamp: 1 });
@@ -286,7 +286,7 @@
   const quiet = (): void => undefined;
   const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
   const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
-  const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
+  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const intents: Intent[] = [];
   const batcher = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
@@ -319,7 +319,7 @@
   const quiet = (): void => undefined;
   const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
   const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
-  const replica = new Replica({ ...listener, ...more }, new Levels(abilityOf('test')));
+  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const intents: Intent[] = [];
   const batcher = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
@@ -531,7 +531,9 @@
     void w.state.commit({ conditions: [], writes: [{ key: 'dp/wish', data }] });
   wish({ most: newestLevel - 1, lower: true });
   // What is cancelled meanwhile cannot be said in the log any more.
-  assert.ok(w.advanceUntil(() => w.nodes[0].controller.replica.levels.state.write === newestLevel - 1, 60));
+  assert.ok(
+    w.advanceUntil(() => w.nodes[0].controller.replica.levels.state.writeLevel === newestLevel - 1, 60),
+  );
   assert.equal(w.nodes[0].cancel('req-3')?.body['status'], 'aborted');
   assert.ok(
     w.advanceUntil(() => levelOf(w).level === newestLevel - 1, 90),
@@ -572,9 +574,9 @@
   const w = logWorld(5);
   w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: { e: [['req-9', 0]] } }] });
   w.advance(3);
-  for (const n of w.nodes) assert.ok(n.controller.replica.levels.standsBy);
+  for (const n of w.nodes) assert.ok(n.controller.replica.levels.mustStandBy);
   w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: undefined }] });
   w.nodes[0].submit(spec('req-1', { tasks: 2, team: 'blue' }));
   w.advance(3);
-  for (const n of w.nodes) assert.ok(!n.controller.replica.levels.standsBy);
+  for (const n of w.nodes) assert.ok(!n.controller.replica.levels.mustStandBy);
 });
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -125,7 +125,7 @@
       at(s, () => {
         const owner = w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.has(0));
         const to: Node = pick(w, w.nodes);
-        const run = owner?.controller.replica.nodes.get(to.member)?.instanceId;
+        const run = owner?.controller.replica.presences.get(to.member)?.instanceId;
         if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
         if (w.random() < 0.2) w.schedule(400 * w.random(), () => bounce(w, pick(w, [owner, to]), 0.3, 4));
       });
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -4,7 +4,7 @@
 import { Committer, Rank } from '../src/core/storage/index.js';
 import type { Effect } from '../src/core/effects.js';
 import { Replica } from '../src/core/replica.js';
-import { abilityOf, Levels } from '../src/feature-levels/index.js';
+import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
 import { retryPolicies, seeded } from '../src/retry/index.js';
 import type { Transaction } from '../src/wire/store.js';
 
@@ -27,7 +27,7 @@
   private readonly batcher: Committer;
 
   constructor(writesPerS: number) {
-    const replica = new Replica(listener, new Levels(abilityOf('test')));
+    const replica = new Replica(listener, new FeatureLevels(capabilitiesOf('test')));
     replica.loadSnapshot([], 1);
     const limits = { maxOperations: 24, maxConditions: 96, maxBytes: 48 * 1024, writesPerS, controllers: 1 };
     const retry = retryPolicies({
