--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -14,7 +14,7 @@
   w.advance(5);
   const [m] = [...w.workers.values()];
   const old = m.report();
-  old.tasks = old.tasks.map((t) => ({ ...t, phase: 'exited', why: 'alone' }));
+  old.tasks = old.tasks.map((t) => ({ ...t, phase: 'exited', exitReason: 'alone' }));
   for (const x of w.workers.values()) x.silent = true;
   const was = ownerOf(w)!;
   kill(w, was);
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -631,7 +631,7 @@
     for (const t of this.tasks.values()) this.advanceImageFetch(t);
     for (const t of this.tasks.values())
       if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
-        Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: true });
+        Object.assign(t.report, { phase: 'exited', exitReason: 'stopped', saved: true });
     for (const t of this.tasks.values())
       if (
         t.report.phase === 'running' &&
@@ -765,7 +765,7 @@
           saved: false,
         };
         if (this.failsTasks || this.world.failingJobs.has(o.job))
-          Object.assign(report, { phase: 'exited', why: 'error' });
+          Object.assign(report, { phase: 'exited', exitReason: 'error' });
         this.tasks.set(piece, { report, since: this.world.now });
       } else if (t?.report.attempt === o.attempt) {
         if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(piece);
@@ -782,7 +782,7 @@
     if (saves) Object.assign(t, { since: this.world.now, saveS });
     if (saves) t.report.phase = 'saving';
     else if (t.report.phase !== 'saving' || graceS === 0)
-      Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: graceS > 0 });
+      Object.assign(t.report, { phase: 'exited', exitReason: 'stopped', saved: graceS > 0 });
   }
 
   /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
