--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -2,7 +2,7 @@
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { leaderKey, legacyLeaderKey, shardKey } from '../src/core/storage/index.js';
-import { seeded } from '../src/retry/index.js';
+import { seededRandom } from '../src/retry/index.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import { StandInCloud } from './cloud.js';
 import type { FromPlatform, PlatformStart, ToPlatform } from './messages.js';
@@ -25,7 +25,7 @@
 
   static async start(options: PlatformStart): Promise<Platform> {
     const platform = new Platform(await StandInStateService.start(options, tellPlaced), null);
-    const cloud = new StandInCloud(options, seeded(options.seed + 1), {
+    const cloud = new StandInCloud(options, seededRandom(options.seed + 1), {
       booted: (machine) => tellParent<FromPlatform>({ kind: 'booted', machines: [machine] }),
       remove: (hosts) => platform.remove(hosts),
     });
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -1,6 +1,6 @@
 /** The stand-in of the state service: this project's store in memory, with the limits, delays and outages of the protocol. */
 import type { Server } from 'node:http';
-import { seeded, type Random } from '../src/retry/index.js';
+import { seededRandom, type Random } from '../src/retry/index.js';
 import { Engine, storeServer, type Disk, type Refusal, type RequestGate } from '../src/store/index.js';
 import type { Transaction, Write } from '../src/wire/store.js';
 import { isUrgentJob } from './jobs.js';
@@ -119,7 +119,7 @@
     limits: PlatformStart,
     placed: (job: string, at: number) => void,
   ): Promise<StandInStateService> {
-    const gate = new LimitedGate(limits, seeded(limits.seed), placed);
+    const gate = new LimitedGate(limits, seededRandom(limits.seed), placed);
     const holder: { service: StandInStateService | null } = { service: null };
     const clock = (): number => holder.service?.frozenAt ?? performance.now();
     const quiet = (): void => undefined;
--- a/scale/users.ts
+++ b/scale/users.ts
@@ -1,7 +1,7 @@
 /** The process of the hollow users: they submit, poll, retry and cancel as the protocol says. */
 import { Agent } from 'node:http';
 import { requestJson, type JsonResponse } from '../src/net/client.js';
-import { seeded, type Random } from '../src/retry/index.js';
+import { seededRandom, type Random } from '../src/retry/index.js';
 import { jobPath, plainSubmission, withdrawEnd } from '../src/wire/user.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import { jobId, type JobKind } from './jobs.js';
@@ -67,7 +67,7 @@
   private readonly lag = lagMeter();
 
   constructor(private readonly options: UsersStart) {
-    this.random = seeded(options.seed);
+    this.random = seededRandom(options.seed);
     this.balancer = new Balancer(
       options.controllers.map(([, address]) => address),
       this.random,
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -2,7 +2,7 @@
 import { createServer as createHttpServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { readJson, sendJson } from '../src/net/json.js';
-import { seeded } from '../src/retry/index.js';
+import { seededRandom } from '../src/retry/index.js';
 import { parseOrders } from '../src/wire/agent-side.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import {
@@ -40,7 +40,7 @@
   constructor(private readonly options: WorkersStart) {
     this.context = {
       options,
-      random: seeded(options.seed),
+      random: seededRandom(options.seed),
       counts: this.counts,
       emit: (event) => this.events.push(event),
       renewed: () => {
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../core/effects.js';
 import { JsonClient } from '../net/client.js';
 import { readJson, sendJson as reply } from '../net/json.js';
-import { pauseMs, type Random, type RetryPolicy } from '../retry/index.js';
+import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
 import {
   agentReportOut,
   parseAgentJob,
@@ -150,7 +150,8 @@
 
   private async joinAndHeartbeat(): Promise<void> {
     while (!this.stopped && !(await this.join()))
-      if (!this.stopped) await this.pause(pauseMs(this.retryPolicy, ++this.failedAttempts, this.random));
+      if (!this.stopped)
+        await this.pause(backoffDelayMs(this.retryPolicy, ++this.failedAttempts, this.random));
     if (this.stopped) return;
     this.failedAttempts = 0;
     const ticker = setInterval(() => {
@@ -308,7 +309,7 @@
       return 0;
     }
     this.controlIndex = (this.controlIndex + 1) % this.clients.length;
-    return pauseMs(this.retryPolicy, ++this.failedAttempts, this.random);
+    return backoffDelayMs(this.retryPolicy, ++this.failedAttempts, this.random);
   }
 
   private endMembership(why: string): void {
@@ -388,7 +389,7 @@
         this.jobByTask.set(task, job);
         return this.applyEffects(worker.onPrepared(task, job.gang));
       }
-      await this.pause(pauseMs(this.retryPolicy, attempt, this.random));
+      await this.pause(backoffDelayMs(this.retryPolicy, attempt, this.random));
     }
   }
 
--- a/src/cli/program-commands.ts
+++ b/src/cli/program-commands.ts
@@ -58,12 +58,13 @@
     .addHelpText('after', '\nExample:\n  dapplepick agent run deploy/agent.scm\n')
     .action((path: string) =>
       exitOnKnownErrors(fail, async () => {
-        const [{ Agent, parseAgentSettings }, { makeLog }, { seeded }, { randomInt }] = await Promise.all([
-          import('../agent/index.js'),
-          import('../log.js'),
-          import('../retry/index.js'),
-          import('node:crypto'),
-        ]);
+        const [{ Agent, parseAgentSettings }, { makeLog }, { seededRandom: seeded }, { randomInt }] =
+          await Promise.all([
+            import('../agent/index.js'),
+            import('../log.js'),
+            import('../retry/index.js'),
+            import('node:crypto'),
+          ]);
         const settings = parseAgentSettings(readFile(path, fail), path);
         const agentProcess = new Agent(settings, seeded(randomInt(2 ** 31)), makeLog(settings.name));
         await agentProcess.start();
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -5,7 +5,7 @@
 import { fitCount, type MachineRecord, type MachineType } from '../../model/machine.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
 import { placementScore } from '../../policy/helios.js';
-import { Attempts, type Random, type RetryPolicy } from '../../retry/index.js';
+import { RetryBackoff, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { ListedMachine, RentRequest } from '../../wire/cloud.js';
 import type { Write } from '../../wire/store.js';
 import {
@@ -56,7 +56,7 @@
   private count = 0;
   private budget = 0;
   private budgetAt = -1;
-  private readonly calls: Attempts;
+  private readonly calls: RetryBackoff;
   /** Slots that were refused: when last, and how often in a row. */
   private readonly refused = new Map<string, { at: number; times: number }>();
   /** Requests whose machines are not recorded yet, and how many those are, as far as known. */
@@ -81,7 +81,7 @@
     random: Random,
     private readonly log: Log,
   ) {
-    this.calls = new Attempts(retry, random);
+    this.calls = new RetryBackoff(retry, random);
   }
 
   /** Forgets what only mattered while this node led. */
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -10,7 +10,7 @@
 } from '../feature-levels/index.js';
 import { limitsOf } from '../limits/index.js';
 import type { Matcher } from '../policy/matching.js';
-import { Recovery } from '../recovery/index.js';
+import { RecoveryTracker } from '../recovery/index.js';
 import { retryPolicies, type Random } from '../retry/index.js';
 import { Committer, conditionsPerOperation } from './storage/index.js';
 import { UserRequests } from './user-requests.js';
@@ -53,7 +53,7 @@
   readonly membership: Membership;
   readonly shardManager: ShardManager;
   readonly autoscaler: Autoscaler;
-  readonly recovery: Recovery;
+  readonly recovery: RecoveryTracker;
   readonly freshness: ReplicaFreshness;
   readonly levels: FeatureLevels;
   private readonly featureLevelManager: FeatureLevelManager;
@@ -212,7 +212,7 @@
     batcher.onConditionsFailed = (failed, epoch) => this.dataLossRecovery.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
-    this.recovery = new Recovery(settings.workers.lease_s * 1000 * operators['recovery-leases']);
+    this.recovery = new RecoveryTracker(settings.workers.lease_s * 1000 * operators['recovery-leases']);
     this.heartbeatRouter = new HeartbeatRouter(
       settings,
       replica,
@@ -513,7 +513,7 @@
         const node = this.replica.presences.get(c.member);
         if (node && !this.freshness.isStale) {
           this.log('info', 'peer lost', { member: c.member });
-          out.push({ type: 'revoke-lease', hold: node.leaseId });
+          out.push({ type: 'revoke-lease', leaseId: node.leaseId });
         }
         break;
       }
@@ -521,16 +521,17 @@
         this.userRequests.told(c.list);
         break;
       case 'peer-status':
-        this.peers.onStatus(c.from, c.pulse);
-        this.dataLossRecovery.peerHeard(c.pulse);
-        if (c.pulse.epoch > this.replica.watchRevision) out.push({ type: 'catch-up', epoch: c.pulse.epoch });
+        this.peers.onStatus(c.from, c.status);
+        this.dataLossRecovery.peerHeard(c.status);
+        if (c.status.revision > this.replica.watchRevision)
+          out.push({ type: 'catch-up', epoch: c.status.revision });
         break;
       case 'freshness-query':
-        this.peers.onFreshnessQuery(c.from, c.question, out);
+        this.peers.onFreshnessQuery(c.from, c.query, out);
         break;
       case 'freshness-confirmed':
         this.freshness.onConfirmedByPeers(
-          this.peers.onFreshnessAnswer(c.from, c.run, c.question, c.known, this.freshness.completeUpTo),
+          this.peers.onFreshnessAnswer(c.from, c.run, c.query, c.known, this.freshness.completeUpTo),
         );
         break;
       case 'snapshot-progress':
@@ -561,10 +562,10 @@
         this.dataLossRecovery.auditPageRead(c.from, c.items, c.more, c.epoch);
         break;
       case 'lease-granted':
-        this.membership.onLeaseGranted(c.hold, this.clock.now);
+        this.membership.onLeaseGranted(c.leaseId, this.clock.now);
         break;
       case 'lease-renewal-result':
-        this.membership.onLeaseRenewed(c.hold, c.outcome, this.clock.now);
+        this.membership.onLeaseRenewed(c.leaseId, c.outcome, this.clock.now);
         break;
       case 'shut-down':
         if (this.shutdown.requested) break;
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -159,8 +159,12 @@
   }
   private lastRead: { sentAt: number; epoch: number } | null = null;
 
-  peerHeard({ inc, epoch, jobs }: Pick<PeerStatus, 'inc' | 'epoch' | 'jobs'>): void {
-    this.detector.peerReported(inc, epoch, jobs, this.clock.now);
+  peerHeard({
+    incarnation,
+    revision,
+    jobCount,
+  }: Pick<PeerStatus, 'incarnation' | 'revision' | 'jobCount'>): void {
+    this.detector.peerReported(incarnation, revision, jobCount, this.clock.now);
   }
 
   /** A worker reports an attempt that is above all that are recorded. */
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -4,25 +4,25 @@
 import type { RecoveryRecords } from './recovery-records.js';
 import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
 import type { MachineAttributes } from '../policy/matching.js';
-import type { Question } from '../freshness/index.js';
+import type { FreshnessQuery } from '../freshness/index.js';
 import type { ListedMachine, RentRequest } from '../wire/cloud.js';
 import type { Change, Transaction } from '../wire/store.js';
 
 /** What a controller tells the others of itself. */
 export interface PeerStatus {
   /** The newest revision that it knows of. */
-  epoch: number;
+  revision: number;
   run: string;
   /** How busy it is, in thousandths of what it has. */
   utilizationPermille: number;
   /** Its workers may stay at whoever they reach: their reports are to be relayed. */
   wantsForwarding: boolean;
   /** What it wants of the state service's writes, a second; null: it is of a program that does not say. */
-  wants: MemberDemand | null;
+  demand: MemberDemand | null;
   /** The incarnation that it follows; 0: none. */
-  inc: number;
+  incarnation: number;
   /** How many jobs it knows. */
-  jobs: number;
+  jobCount: number;
 }
 
 /** What the adapters bring to the core. `rid` names a request that waits for its answer. */
@@ -33,12 +33,12 @@
   | { type: 'cancel'; rid: number; id: string }
   | { type: 'heartbeat'; rid: number; report: Heartbeat; from?: string }
   | { type: 'forwarded-response'; rid: number; status: number; body: object | string }
-  | { type: 'peer-status'; from: string; pulse: PeerStatus }
+  | { type: 'peer-status'; from: string; status: PeerStatus }
   /** Jobs that another controller has turned away. */
   | { type: 'rejected-jobs'; list: Rejection[] }
   /** What a peer wants to know, and what another has answered us. */
-  | { type: 'freshness-query'; from: string; question: Question }
-  | { type: 'freshness-confirmed'; from: string; run: string; question: Question; known: Change[] }
+  | { type: 'freshness-query'; from: string; query: FreshnessQuery }
+  | { type: 'freshness-confirmed'; from: string; run: string; query: FreshnessQuery; known: Change[] }
   /** What the process has been doing lately: share of its time, connections that are open, shares of memory and waiting room. */
   | { type: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
   /** A peer's connection broke and a new one was refused at once. */
@@ -52,8 +52,8 @@
   /** A part of what is stored; `epoch` null: no answer. */
   | { type: 'audit-result'; from: string; items: Change[]; more: boolean; epoch: number | null }
   | { type: 'revision-read'; sentAt: number; epoch: number | null }
-  | { type: 'lease-granted'; hold: number | null }
-  | { type: 'lease-renewal-result'; hold: number; outcome: 'ok' | 'gone' | 'failed' }
+  | { type: 'lease-granted'; leaseId: number | null }
+  | { type: 'lease-renewal-result'; leaseId: number; outcome: 'ok' | 'gone' | 'failed' }
   | { type: 'forget-machine'; host: string }
   /** The process is to end: it hands on what it has first. */
   | { type: 'shut-down' }
@@ -92,17 +92,17 @@
   | { type: 'catch-up'; epoch: number }
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
   | { type: 'forward-heartbeat'; to: string; rid: number; report: Heartbeat }
-  | { type: 'peer-status'; pulse: PeerStatus }
+  | { type: 'peer-status'; status: PeerStatus }
   | { type: 'rejected-jobs'; list: Rejection[] }
-  | { type: 'query-freshness'; question: Question }
-  | { type: 'confirm-freshness'; to: string; question: Question; known: Change[] }
+  | { type: 'query-freshness'; query: FreshnessQuery }
+  | { type: 'confirm-freshness'; to: string; query: FreshnessQuery; known: Change[] }
   /** Read some keys behind this one. */
   | { type: 'audit'; from: string; keys: number }
   /** The state service has lost data: this controller is to begin anew with what it knew. */
   | { type: 'restart'; recoveryRecords: RecoveryRecords }
   | { type: 'grant-lease'; ttlMs: number }
-  | { type: 'renew-lease'; hold: number }
-  | { type: 'revoke-lease'; hold: number }
+  | { type: 'renew-lease'; leaseId: number }
+  | { type: 'revoke-lease'; leaseId: number }
   | { type: 'list-machine-types' }
   | { type: 'rent-machines'; request: RentRequest }
   | { type: 'delete-machines'; hosts: string[] }
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -1,7 +1,7 @@
 /** Presence, leadership and the grants of shards. */
 import type { Operators } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
-import { Attempts, type Random, type RetryPolicy } from '../retry/index.js';
+import { RetryBackoff, type Random, type RetryPolicy } from '../retry/index.js';
 import {
   type Committer,
   presenceData,
@@ -27,8 +27,8 @@
 export class Membership {
   leaseId: number | null = null;
   private asking = false;
-  private readonly asks: Attempts;
-  private readonly renewals: Attempts;
+  private readonly asks: RetryBackoff;
+  private readonly renewals: RetryBackoff;
   private renewAt = 0;
   private renewing = false;
   /** When what gave the lease its present time was asked for, ms: it lasts at least `leaseTtlMs` from then. */
@@ -50,8 +50,8 @@
     random: Random,
     private readonly log: Log,
   ) {
-    this.asks = new Attempts(retry, random);
-    this.renewals = new Attempts(retry, random);
+    this.asks = new RetryBackoff(retry, random);
+    this.renewals = new RetryBackoff(retry, random);
   }
 
   /** The state service holds our presence. */
@@ -119,7 +119,7 @@
 
   private goneFor(out: Effect[]): void {
     this.left = true;
-    if (this.leaseId !== null) out.push({ type: 'revoke-lease', hold: this.leaseId });
+    if (this.leaseId !== null) out.push({ type: 'revoke-lease', leaseId: this.leaseId });
     this.leaseId = null;
   }
 
@@ -131,7 +131,7 @@
     if (!this.cleared) {
       this.cleared = true;
       // A presence from an earlier run of this very member: that process is over, so its lease may end now.
-      if (mine && mine.instanceId !== this.run) out.push({ type: 'revoke-lease', hold: mine.leaseId });
+      if (mine && mine.instanceId !== this.run) out.push({ type: 'revoke-lease', leaseId: mine.leaseId });
     }
     if (this.leaseId === null) {
       if (this.leaving) return;
@@ -145,7 +145,7 @@
     if (!this.renewing && now >= this.renewAt) {
       this.renewing = true;
       this.askedAt = now;
-      out.push({ type: 'renew-lease', hold: this.leaseId });
+      out.push({ type: 'renew-lease', leaseId: this.leaseId });
     }
     if (this.leaving) return;
     if (!this.isPresent)
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../config/settings.js';
 import type { Operators } from '../config/operators.js';
 import { canParticipate } from '../feature-levels/index.js';
-import { Recent, Vouching, type Question } from '../freshness/index.js';
+import { RecentChanges, FreshnessQuorum, type FreshnessQuery } from '../freshness/index.js';
 import type { Change } from '../wire/store.js';
 import type { Clock, Effect, PeerStatus } from './effects.js';
 import type { Replica } from './replica.js';
@@ -24,10 +24,10 @@
 /** What this controller knows of the others, and what it tells them. */
 export class Peers {
   private readonly others = new Map<string, Other>();
-  private readonly recent = new Recent(mostRecent);
+  private readonly recent = new RecentChanges(mostRecent);
   /** When each was last seen to be present, ms. */
   private readonly hereAt = new Map<string, number>();
-  private readonly vouching: Vouching;
+  private readonly vouching: FreshnessQuorum;
   private readonly members: readonly string[];
   private pulsedAt = -Infinity;
   /** The newest revision that a peer told of, and when, ms. */
@@ -43,7 +43,7 @@
   ) {
     const members = (this.members = settings.peers.map((p) => p.member));
     // Several questions fit into the time for which one answer is good.
-    this.vouching = new Vouching(run, members, Math.min(ttlMs / 4, operators['grant-s'] * 50));
+    this.vouching = new FreshnessQuorum(run, members, Math.min(ttlMs / 4, operators['grant-s'] * 50));
   }
 
   recordDecisiveChange(change: Change): void {
@@ -60,7 +60,7 @@
     // Whoever has just come waits to hear from everybody.
     if (this.others.get(from)?.pulse.run !== pulse.run) this.pulsedAt = -Infinity;
     this.others.set(from, { pulse, at: now });
-    this.newestKnown = { revision: Math.max(this.newestKnown.revision, pulse.epoch), at: now };
+    this.newestKnown = { revision: Math.max(this.newestKnown.revision, pulse.revision), at: now };
   }
 
   /** Those that live, as far as is known, and how busy they are. */
@@ -72,7 +72,7 @@
 
   /** How many of the others have followed the state further than this. */
   countAhead(epoch: number): number {
-    return [...this.others.values()].filter((o) => this.isFresh(o) && o.pulse.epoch > epoch).length;
+    return [...this.others.values()].filter((o) => this.isFresh(o) && o.pulse.revision > epoch).length;
   }
 
   /** Jobs that this process knows. */
@@ -80,7 +80,10 @@
 
   /** The most jobs that any other knows. */
   get maxJobCount(): number {
-    return Math.max(0, ...[...this.others.values()].filter((o) => this.isFresh(o)).map((o) => o.pulse.jobs));
+    return Math.max(
+      0,
+      ...[...this.others.values()].filter((o) => this.isFresh(o)).map((o) => o.pulse.jobCount),
+    );
   }
 
   /** Whether all of the others have been heard since this process began. */
@@ -116,14 +119,14 @@
     const epoch = Math.max(this.replica.watchRevision, news ?? -1);
     out.push({
       type: 'peer-status',
-      pulse: {
-        epoch,
+      status: {
+        revision: epoch,
         run: this.run,
         utilizationPermille: Math.round(busy * 1000),
         wantsForwarding: front,
-        wants: wants(),
-        inc: this.inc,
-        jobs: this.ownJobCount(),
+        demand: wants(),
+        incarnation: this.inc,
+        jobCount: this.ownJobCount(),
       },
     });
   }
@@ -137,7 +140,7 @@
         const here = this.replica.watchRevision < 0 || this.replica.presences.has(m);
         if (here) this.hereAt.set(m, now);
         const fallen = now - (this.hereAt.get(m) ?? -Infinity) > this.ttlMs * knowsGone;
-        return [m, { here, fallen, demand: here && o && this.isFresh(o) ? o.pulse.wants : null }];
+        return [m, { here, fallen, demand: here && o && this.isFresh(o) ? o.pulse.demand : null }];
       }),
     );
   }
@@ -150,21 +153,21 @@
 
   queryFreshness(out: Effect[]): void {
     const q = this.vouching.nextQuery(this.clock.now, this.replica.watchRevision, this.inc);
-    if (q) out.push({ type: 'query-freshness', question: q });
+    if (q) out.push({ type: 'query-freshness', query: q });
   }
 
-  onFreshnessQuery(from: string, question: Question, out: Effect[]): void {
+  onFreshnessQuery(from: string, question: FreshnessQuery, out: Effect[]): void {
     // Guards against a view of what was before a loss being confirmed, or changed, by what is known since.
     if (question.incarnation !== this.inc) return;
     const known = this.replica.watchRevision < 0 ? null : this.recent.since(question.revision);
-    if (known) out.push({ type: 'confirm-freshness', to: from, question, known });
+    if (known) out.push({ type: 'confirm-freshness', to: from, query: question, known });
   }
 
   /** The moment up to which the view is known to be complete by a peer's answer, ms, or null. */
   onFreshnessAnswer(
     from: string,
     run: string,
-    to: Question,
+    to: FreshnessQuery,
     known: Change[],
     completeAt: number,
   ): number | null {
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -2,7 +2,7 @@
 import { RateMeter } from '../../admission/index.js';
 import type { Condition, Transaction, Write } from '../../wire/store.js';
 import { txnOut } from '../../wire/store.js';
-import { Attempts, pauseMs, type Random, type RetryPolicy } from '../../retry/index.js';
+import { RetryBackoff, backoffDelayMs, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { CommitOutcome, Effect, Log } from '../effects.js';
 import { incarnationKey, incarnationPrefix, levelKey } from './keys.js';
 import type { Replica } from '../replica.js';
@@ -84,7 +84,7 @@
   private blockedUntilRevision = -1;
   private isSent = true;
   private resendAt = 0;
-  private readonly retries: Attempts;
+  private readonly retries: RetryBackoff;
   private tokens: number;
   private refilledAt = -1;
   private sequence = 0;
@@ -107,7 +107,7 @@
     private readonly random: Random,
     private readonly log: Log,
   ) {
-    this.retries = new Attempts(retryPolicy, random);
+    this.retries = new RetryBackoff(retryPolicy, random);
     // Not knowing what the others need, each begins with more than an equal share.
     this.probedWritesPerS =
       limits.controllers > 1 ? limits.writesPerS / 2 : limits.writesPerS * maxBudgetShare;
@@ -346,7 +346,7 @@
           this.probedWritesPerS * multiplicativeDecrease,
         );
         this.tokens = Math.min(this.tokens, 0);
-        this.resendAt = now + pauseMs(this.retryPolicy, 1, this.random);
+        this.resendAt = now + backoffDelayMs(this.retryPolicy, 1, this.random);
         if (inFlight.unsure) this.isSent = false;
         else {
           this.inFlight = null;
--- a/src/freshness/index.ts
+++ b/src/freshness/index.ts
@@ -1,2 +1,2 @@
-export { RecentChanges as Recent } from './recent-changes.js';
-export { FreshnessQuorum as Vouching, type FreshnessQuery as Question } from './freshness-quorum.js';
+export { RecentChanges } from './recent-changes.js';
+export { FreshnessQuorum, type FreshnessQuery } from './freshness-quorum.js';
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -3,7 +3,7 @@
 import type { Speaks } from '../formats/index.js';
 import type { PeerStatus } from '../core/effects.js';
 import type { ExitReason, Heartbeat, TaskPhase } from '../model/heartbeat.js';
-import type { Question } from '../freshness/index.js';
+import type { FreshnessQuery } from '../freshness/index.js';
 import {
   frameType,
   type WireAsk,
@@ -32,9 +32,9 @@
   | { relay: { id: number; report: Heartbeat } }
   | { relayed: { id: number; status: number; body: string } }
   | { pulse: PeerStatus }
-  | { ask: Question }
+  | { ask: FreshnessQuery }
   | { turned: { list: Rejection[] } }
-  | { vouch: { ask: Question; run: string; known: string } };
+  | { vouch: { ask: FreshnessQuery; run: string; known: string } };
 
 function reportOut(r: Heartbeat): WireReport {
   return {
@@ -83,14 +83,14 @@
 
 function pulseOut(p: PeerStatus): Partial<WirePulse> {
   const status = {
-    epoch: p.epoch,
+    epoch: p.revision,
     run: p.run,
     busy: p.utilizationPermille,
     front: p.wantsForwarding,
-    inc: p.inc,
-    jobs: p.jobs,
+    inc: p.incarnation,
+    jobs: p.jobCount,
   };
-  const d = p.wants;
+  const d = p.demand;
   if (d === null) return { ...status, says: false, behind: 0 };
   return {
     ...status,
@@ -115,13 +115,13 @@
 
 function pulseIn(p: WirePulse): PeerStatus {
   return {
-    epoch: p.epoch,
+    revision: p.epoch,
     run: p.run,
     utilizationPermille: p.busy,
     wantsForwarding: p.front,
-    wants: p.says ? demandIn(p) : null,
-    inc: p.inc,
-    jobs: p.jobs,
+    demand: p.says ? demandIn(p) : null,
+    incarnation: p.inc,
+    jobCount: p.jobs,
   };
 }
 
@@ -138,13 +138,13 @@
 const turnedOut = (t: Rejection): WireAway => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
 const turnedIn = (t: WireAway): Rejection => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
 
-const questionOut = (q: Question): WireAsk => ({
+const questionOut = (q: FreshnessQuery): WireAsk => ({
   nonce: q.nonce,
   epoch: q.revision,
   run: q.run,
   inc: q.incarnation,
 });
-const questionIn = (q: WireAsk): Question => ({
+const questionIn = (q: WireAsk): FreshnessQuery => ({
   run: q.run,
   nonce: q.nonce,
   revision: q.epoch,
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -2,7 +2,7 @@
 import { splitAddr, type Settings } from '../config/settings.js';
 import { common, messageFormats } from '../formats/index.js';
 import type { Log } from '../core/effects.js';
-import { pauseMs, type Random, type RetryPolicy } from '../retry/index.js';
+import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
 import { encodeFrame, FrameReader, type Frame } from './frames.js';
 
 const maxQueuedBytes = 1024 * 1024;
@@ -86,7 +86,7 @@
         const stood = link.ready;
         link.ready = false;
         if (stood) open(true);
-        else setTimeout(() => open(), pauseMs(this.retry, ++failures, this.random)).unref();
+        else setTimeout(() => open(), backoffDelayMs(this.retry, ++failures, this.random)).unref();
       });
     };
     open();
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -1,8 +1,8 @@
 export {
   phaseOf,
-  RecoveryTracker as Recovery,
-  type RecoveryFacts as Facts,
-  type RecoveryPhase as Phase,
-  type RecoverySummary as Recovered,
-  type PhaseTransition as Transition,
+  RecoveryTracker,
+  type RecoveryFacts,
+  type RecoveryPhase,
+  type RecoverySummary,
+  type PhaseTransition,
 } from './recovery.js';
--- a/src/service.ts
+++ b/src/service.ts
@@ -13,7 +13,7 @@
 import type { RecoveryRecords } from './core/recovery-records.js';
 import type { Frame } from './peers/frames.js';
 import type { Matcher } from './policy/matching.js';
-import { Attempts, retryPolicies, seeded, type Random, type RetryPolicies } from './retry/index.js';
+import { RetryBackoff, retryPolicies, seededRandom, type Random, type RetryPolicies } from './retry/index.js';
 import { Follower } from './state/follower.js';
 import type { StateService } from './state/service.js';
 import { Store } from './state/store.js';
@@ -69,7 +69,7 @@
   ) {
     const seed = randomBytes(4);
     this.run = seed.toString('hex');
-    this.random = seeded(seed.readInt32LE());
+    this.random = seededRandom(seed.readInt32LE());
     const stateLeaseMs = settings.workers.lease_s * 1000 * operators['node-lease-ratio'];
     this.retry = retryPolicies({ ...settings, stateLeaseMs });
     this.limits = limitsOf(settings);
@@ -83,7 +83,7 @@
     this.follower = new Follower(
       this.store,
       { everyMs: 1000 / (share * pollShare), pageMs: 1000 / share, burst: share / 2 },
-      new Attempts(this.retry.state, this.random),
+      new RetryBackoff(this.retry.state, this.random),
       () => performance.now(),
       {
         reading: (keys) => this.push({ type: 'snapshot-progress', keys }),
@@ -204,7 +204,7 @@
 
   private fromPeer(from: string, frame: Frame): void {
     if ('turned' in frame) return this.push({ type: 'rejected-jobs', list: frame.turned.list });
-    if ('pulse' in frame) return this.push({ type: 'peer-status', from, pulse: frame.pulse });
+    if ('pulse' in frame) return this.push({ type: 'peer-status', from, status: frame.pulse });
     if ('relay' in frame) {
       // Below zero, so that they never meet the numbers of our own server's requests.
       const rid = -++this.owedCount;
@@ -213,11 +213,11 @@
     } else if ('relayed' in frame) {
       const { id, status, body } = frame.relayed;
       this.push({ type: 'forwarded-response', rid: id, status, body });
-    } else if ('ask' in frame) this.push({ type: 'freshness-query', from, question: frame.ask });
+    } else if ('ask' in frame) this.push({ type: 'freshness-query', from, query: frame.ask });
     else if ('vouch' in frame) {
-      const { ask: question, run, known } = frame.vouch;
+      const { ask: query, run, known } = frame.vouch;
       try {
-        this.push({ type: 'freshness-confirmed', from, run, question, known: decodeChanges(known) });
+        this.push({ type: 'freshness-confirmed', from, run, query, known: decodeChanges(known) });
       } catch (e) {
         this.log('warn', 'bad message from a peer', { from, error: String((e as Error).message) });
       }
@@ -255,17 +255,17 @@
           this.push({ type: 'forwarded-response', rid: e.rid, status: 503, body: {} });
         break;
       case 'peer-status':
-        for (const p of this.settings.peers) this.mesh?.send(p.member, { pulse: e.pulse });
+        for (const p of this.settings.peers) this.mesh?.send(p.member, { pulse: e.status });
         break;
       case 'rejected-jobs':
         for (const p of this.settings.peers) this.mesh?.send(p.member, { turned: { list: e.list } });
         break;
       case 'query-freshness':
-        for (const p of this.settings.peers) this.mesh?.send(p.member, { ask: e.question });
+        for (const p of this.settings.peers) this.mesh?.send(p.member, { ask: e.query });
         break;
       case 'confirm-freshness': {
         const known = encodeChanges(e.known);
-        this.mesh?.send(e.to, { vouch: { ask: e.question, run: this.run, known } });
+        this.mesh?.send(e.to, { vouch: { ask: e.query, run: this.run, known } });
         break;
       }
       case 'respond': {
@@ -300,15 +300,15 @@
         this.rebear(e.recoveryRecords);
         break;
       case 'grant-lease':
-        void this.store.lease(e.ttlMs).then((hold) => back({ type: 'lease-granted', hold }));
+        void this.store.lease(e.ttlMs).then((hold) => back({ type: 'lease-granted', leaseId: hold }));
         break;
       case 'renew-lease':
         void this.store
-          .renew(e.hold)
-          .then((outcome) => back({ type: 'lease-renewal-result', hold: e.hold, outcome }));
+          .renew(e.leaseId)
+          .then((outcome) => back({ type: 'lease-renewal-result', leaseId: e.leaseId, outcome }));
         break;
       case 'revoke-lease':
-        void this.store.unlease(e.hold);
+        void this.store.unlease(e.leaseId);
         break;
       case 'list-machine-types':
         void this.cloud.listMachineTypes().then((types) => back({ type: 'machine-types', types }));
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -1,4 +1,4 @@
-import type { Attempts } from '../retry/index.js';
+import type { RetryBackoff } from '../retry/index.js';
 import type { Change } from '../wire/store.js';
 import type { Source } from './service.js';
 
@@ -40,7 +40,7 @@
   constructor(
     private readonly source: Source,
     private readonly pace: FollowerPace,
-    private readonly attempts: Attempts,
+    private readonly attempts: RetryBackoff,
     private readonly now: () => number,
     private readonly events: FollowerEvents,
   ) {}
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -18,7 +18,7 @@
   type Intent,
 } from '../src/core/storage/index.js';
 import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
-import { retryPolicies, seeded } from '../src/retry/index.js';
+import { retryPolicies, seededRandom } from '../src/retry/index.js';
 import type { ListedMachine } from '../src/wire/cloud.js';
 import { box, settingsText } from './support/world.js';
 
@@ -78,7 +78,7 @@
     batcher,
     clock,
     retryPolicies({ ...settings, stateLeaseMs: 3200 }).cloud,
-    seeded(1),
+    seededRandom(1),
     (_, message, fields) => void (message === 'unexpected machine' && unexpected.push(fields)),
   );
   const deleted: string[] = [];
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -2,7 +2,7 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { seeded } from '../src/retry/index.js';
+import { seededRandom } from '../src/retry/index.js';
 import { pause, withSite } from './support/site.js';
 
 test('control: arrays, gangs, failures, limits and output, each with one clear end', () =>
@@ -181,7 +181,7 @@
 
 test('control: service and agents are killed at random during a batch: one end for every task, no attempt twice', () =>
   withSite(async (s) => {
-    const random = seeded(Number(process.env['SOAK_SEED'] ?? 11));
+    const random = seededRandom(Number(process.env['SOAK_SEED'] ?? 11));
     s.process('control');
     for (const name of ['a', 'b']) s.process(name);
     const jobs = Array.from({ length: 10 }, (_, i) => i + 1);
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -11,7 +11,7 @@
 import { openControl, parseControlSettings } from '../src/control/index.js';
 import { JsonClient } from '../src/net/client.js';
 import { findFreePort } from '../src/net/port.js';
-import { seeded } from '../src/retry/index.js';
+import { seededRandom } from '../src/retry/index.js';
 import { plainSubmission } from '../src/wire/user.js';
 import { Engine, LevelDisk } from '../src/store/index.js';
 
@@ -68,7 +68,7 @@
   const all: Agent[] = [];
   for (let i = 0; i < n; i++) {
     const text = `(agent (name w${i}) (control "127.0.0.1:${port}") (directory "${join(dir, `w${i}`)}") (type t) (cpus 4) (mem-gb 4))`;
-    const a = new Agent(parseAgentSettings(text), seeded(i), quiet);
+    const a = new Agent(parseAgentSettings(text), seededRandom(i), quiet);
     await a.start();
     all.push(a);
   }
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -8,7 +8,7 @@
 import { AgentPool } from '../src/control/agent-pool.js';
 import { ResultStore } from '../src/control/result-store.js';
 import type { ControlStore } from '../src/control/control-store.js';
-import { seeded } from '../src/retry/index.js';
+import { seededRandom } from '../src/retry/index.js';
 import { EmbeddedStore, Engine, LevelDisk } from '../src/store/index.js';
 import { pause, withSite } from './support/site.js';
 
@@ -133,7 +133,7 @@
 test('outage: two control services on one store; store, owner and agents are killed in turn during a batch', () =>
   withSite(
     async (s) => {
-      const random = seeded(Number(process.env['SOAK_SEED'] ?? 5));
+      const random = seededRandom(Number(process.env['SOAK_SEED'] ?? 5));
       for (const name of ['store', 'one', 'two', 'a', 'b']) s.process(name);
       const jobs = [1, 2, 3, 4, 5, 6];
       await Promise.all(
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Recovery, type Facts } from '../src/recovery/index.js';
-import { Recent, Vouching } from '../src/freshness/index.js';
+import { RecoveryTracker, type RecoveryFacts } from '../src/recovery/index.js';
+import { RecentChanges, FreshnessQuorum } from '../src/freshness/index.js';
 import { handoverTarget, needsOffload } from '../src/policy/load-sharing.js';
 import { spec, World, type Node } from './support/world.js';
 
@@ -61,7 +61,7 @@
 });
 
 test('vouching: every peer, the same process as before, and all it knows', () => {
-  const v = new Vouching('a1', ['b', 'c'], 100);
+  const v = new FreshnessQuorum('a1', ['b', 'c'], 100);
   const q = (nonce: number, run = 'a1') => ({ run, nonce, revision: 7, incarnation: 0 });
   v.notePeerProcess('b', 'b1', 10);
   v.notePeerProcess('c', 'c1', 10);
@@ -79,7 +79,7 @@
   assert.equal(v.onAnswer('b', 'b1', q(3), 1000), null);
   // Once the view was complete after the new process was heard, it counts.
   assert.equal(v.onAnswer('c', 'c2', q(3), 1250), 1300);
-  const r = new Recent(4);
+  const r = new RecentChanges(4);
   assert.equal(r.since(5), null);
   r.markCompleteUpTo(5);
   for (const stamp of [9, 6, 7, 8]) r.record({ key: `k${stamp}`, data: {}, stamp });
@@ -312,8 +312,8 @@
 });
 
 test('the phases of a start, forward and back, and how long they took', () => {
-  const r = new Recovery(1000);
-  const at = (over: Partial<Facts>): Facts => ({
+  const r = new RecoveryTracker(1000);
+  const at = (over: Partial<RecoveryFacts>): RecoveryFacts => ({
     isStateLoaded: false,
     isPresent: false,
     ownedShards: 0,
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -7,7 +7,7 @@
 import { BoundedPriorityQueues } from '../src/queues/index.js';
 import { limitsOf } from '../src/limits/index.js';
 import { Memory } from '../src/memory-usage.js';
-import { Attempts, pauseMs, retryPolicies, seeded } from '../src/retry/index.js';
+import { RetryBackoff, backoffDelayMs, retryPolicies, seededRandom } from '../src/retry/index.js';
 import { Follower } from '../src/state/follower.js';
 import type { Page } from '../src/state/service.js';
 import { Connections } from '../src/users/connections.js';
@@ -44,7 +44,7 @@
 test('intake: in a storm of polls a cancellation gets through, polls are told when to come back, not all at once', () => {
   const settings = parseSettings(settingsText('n0', 3));
   const limits = limitsOf({ ...settings, quota: { mem_mb: 100, fd_limit: 500 } });
-  const requestQueue = new RequestQueue(settings, limits, seeded(3));
+  const requestQueue = new RequestQueue(settings, limits, seededRandom(3));
   const after = new Set<number>();
   for (let rid = 0; rid < 1500; rid++)
     for (const e of requestQueue.offer({ type: 'query', rid, id: 'req-1' }, 0))
@@ -64,7 +64,7 @@
   const settings = parseSettings(settingsText('n0', 3));
   const { state, cloud } = retryPolicies({ ...settings, stateLeaseMs: 3200 });
   const calls = (seed: number): number[] => {
-    const a = new Attempts(state, seeded(seed));
+    const a = new RetryBackoff(state, seededRandom(seed));
     const at: number[] = [];
     for (let now = 0; now < 60_000; now += 10)
       if (a.tryAcquire(now)) {
@@ -76,7 +76,7 @@
   assert.ok(calls(1).length < 60_000 / (state.maxDelayMs * (1 - state.jitter)) + 8);
   assert.deepEqual(calls(1), calls(1));
   assert.notDeepEqual(calls(1), calls(2));
-  const a = new Attempts(cloud, seeded(1));
+  const a = new RetryBackoff(cloud, seededRandom(1));
   a.onFailure(0);
   const first = a.notBefore;
   // Those that went out together fail together: once is enough.
@@ -88,7 +88,7 @@
   assert.equal(a.tryAcquire(first + cloud.timeoutMs), true);
   a.onSuccess();
   assert.equal(a.tryAcquire(first), true);
-  assert.ok(pauseMs(cloud, 1e9, () => 0) === cloud.maxDelayMs);
+  assert.ok(backoffDelayMs(cloud, 1e9, () => 0) === cloud.maxDelayMs);
 });
 
 test('first reading: pages that do not come are asked for again, what was read stays, an outage is told at once', async () => {
@@ -105,7 +105,7 @@
     });
   };
   const policy = { initialDelayMs: 1, maxDelayMs: 4, multiplier: 2, jitter: 0, timeoutMs: 10 };
-  const attempts = new Attempts(policy, seeded(1));
+  const attempts = new RetryBackoff(policy, seededRandom(1));
   let nulls = 0;
   const loaded = new Promise<{ keys: string[]; epoch: number }>((resolve) => {
     const source = { page, changes: () => new Promise<null>(() => undefined) };
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -472,13 +472,13 @@
   const reader = new FrameReader();
   assert.deepEqual(reader.push(frame.subarray(0, 3)), []);
   const pulse = {
-    epoch: 2 ** 40,
+    revision: 2 ** 40,
     run: 'a',
     utilizationPermille: 7,
     wantsForwarding: true,
-    inc: 3,
-    jobs: 12,
-    wants: {
+    incarnation: 3,
+    jobCount: 12,
+    demand: {
       tasks: 3,
       users: 4,
       behindS: 1.5,
@@ -489,15 +489,15 @@
   const got = reader.push(Buffer.concat([frame.subarray(3), encodeFrame({ pulse })]));
   assert.deepEqual(got, [{ relayed: { id: 7, status: 200, body: '{"x":"ä"}' } }, { pulse }]);
   // Guards against zeros, which are not sent: who wants nothing was taken for one that does not say what it wants.
-  for (const wants of [{ tasks: 0, users: 0, behindS: 0, follows: 0, kinds: [] }, null]) {
+  for (const demand of [{ tasks: 0, users: 0, behindS: 0, follows: 0, kinds: [] }, null]) {
     const pulse = {
-      epoch: 1,
+      revision: 1,
       run: 'a',
       utilizationPermille: 0,
       wantsForwarding: false,
-      wants,
-      inc: 0,
-      jobs: 0,
+      demand,
+      incarnation: 0,
+      jobCount: 0,
     };
     assert.deepEqual(new FrameReader().push(encodeFrame({ pulse })), [{ pulse }]);
   }
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -10,7 +10,7 @@
 import { openControl, parseControlSettings, type OpenControl } from '../../src/control/index.js';
 import { JsonClient } from '../../src/net/client.js';
 import { findFreePort } from '../../src/net/port.js';
-import { seeded } from '../../src/retry/index.js';
+import { seededRandom } from '../../src/retry/index.js';
 import { plainSubmission } from '../../src/wire/user.js';
 
 const main = fileURLToPath(new URL('../../src/main.js', import.meta.url));
@@ -133,7 +133,11 @@
     return this.open!.control;
   }
   async agent(name: string, more?: string): Promise<Agent> {
-    const a = new Agent(parseAgentSettings(this.agentText(name, more)), seeded(this.agents.size), quiet);
+    const a = new Agent(
+      parseAgentSettings(this.agentText(name, more)),
+      seededRandom(this.agents.size),
+      quiet,
+    );
     this.agents.set(name, a);
     await a.start();
     return a;
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -11,7 +11,7 @@
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 import type { TaskOrder, Heartbeat, TaskStatus } from '../../src/model/heartbeat.js';
-import { seeded } from '../../src/retry/index.js';
+import { seededRandom } from '../../src/retry/index.js';
 import type { RentRequest } from '../../src/wire/cloud.js';
 import type { Change, Transaction } from '../../src/wire/store.js';
 
@@ -274,7 +274,7 @@
       this.settings,
       this.operators,
       `${this.member}r${++this.processStarts}`,
-      seeded(this.world.seed + this.processStarts),
+      seededRandom(this.world.seed + this.processStarts),
       (...line) => void this.logLines.push(line),
       null,
       this.program.name,
@@ -376,17 +376,17 @@
         reply({ type: 'revision-read', sentAt: w.now * this.clockRate, epoch: off ? null : w.state.epoch });
         break;
       case 'grant-lease':
-        reply({ type: 'lease-granted', hold: off ? null : w.state.grantLease(e.ttlMs) });
+        reply({ type: 'lease-granted', leaseId: off ? null : w.state.grantLease(e.ttlMs) });
         break;
       case 'renew-lease':
         reply({
           type: 'lease-renewal-result',
-          hold: e.hold,
-          outcome: off ? 'failed' : w.state.renewLease(e.hold),
+          leaseId: e.leaseId,
+          outcome: off ? 'failed' : w.state.renewLease(e.leaseId),
         });
         break;
       case 'revoke-lease':
-        if (!off) w.state.revokeLease(e.hold);
+        if (!off) w.state.revokeLease(e.leaseId);
         break;
       case 'list-machine-types':
         reply({ type: 'machine-types', types: w.cloudDown ? null : w.types });
@@ -451,21 +451,21 @@
         break;
       }
       case 'peer-status':
-        this.broadcast((to) => to.push({ type: 'peer-status', from: this.member, pulse: e.pulse }));
+        this.broadcast((to) => to.push({ type: 'peer-status', from: this.member, status: e.status }));
         break;
       case 'rejected-jobs':
         this.broadcast((to) => to.push({ type: 'rejected-jobs', list: e.list }));
         break;
       case 'query-freshness':
-        this.broadcast((to) => to.push({ type: 'freshness-query', from: this.member, question: e.question }));
+        this.broadcast((to) => to.push({ type: 'freshness-query', from: this.member, query: e.query }));
         break;
       case 'confirm-freshness': {
-        const { question, known } = e;
+        const { query, known } = e;
         const vouched = {
           type: 'freshness-confirmed',
           from: this.member,
           run: this.run,
-          question,
+          query,
           known,
         } as const;
         this.broadcast((to) => to.member === e.to && to.push(vouched));
@@ -878,7 +878,7 @@
     settingsOf: (text: string) => string = (text) => text,
   ) {
     this.seed = seed;
-    this.random = seeded(seed * 7919 + 13);
+    this.random = seededRandom(seed * 7919 + 13);
     for (let i = 0; i < nodes; i++) {
       const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodes)));
       this.nodes.push(new Node(this, `n${i}`, settings, { ...defaults, ...operators }));
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -5,7 +5,7 @@
 import type { Effect } from '../src/core/effects.js';
 import { Replica } from '../src/core/replica.js';
 import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
-import { retryPolicies, seeded } from '../src/retry/index.js';
+import { retryPolicies, seededRandom } from '../src/retry/index.js';
 import type { Transaction } from '../src/wire/store.js';
 
 const quiet = (): void => undefined;
@@ -37,7 +37,7 @@
       workers: { report_s: 2.5, lease_s: 18, gang_wait_s: 30, gang_peer_s: 5, cancel_s: 38 },
       stateLeaseMs: 3600,
     } as unknown as Parameters<typeof retryPolicies>[0]);
-    this.batcher = new Committer('run', limits, replica, retry.state, seeded(1), quiet);
+    this.batcher = new Committer('run', limits, replica, retry.state, seededRandom(1), quiet);
   }
 
   add(key: string, rank: Rank): void {
