--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -533,7 +533,7 @@
       this.isOpen(type, zone, spot) && (u.zones === null || u.zones.includes(zone));
     // Premium stays anchored to a type that can be had; if none can, to the cheapest that fits.
     let anchor = anchorPrice(spec, this.replica.machineTypes, (t) => t.zones.some((z) => open(t, z, false)));
-    if (!Number.isFinite(anchor)) anchor = anchorPrice(spec, this.replica.machineTypes, () => true);
+    if (!Number.isFinite(anchor)) anchor = anchorPrice(spec, this.replica.machineTypes);
     // The dearest machines are not rented for work that others can do: the placement would not use them either.
     const gpuToo = spec.gpus > 0 || !fitsCpuOnlyType(spec, this.replica.machineTypes);
     // Spreads machines over zones; a tie-break only, however large the fleet.
@@ -549,8 +549,12 @@
         for (const spot of [false, true]) {
           if (!isEligible(spec, type, zone, spot) || !open(type, zone, spot)) continue;
           const delayS = type.bootS + imageFetchS(spec, type);
-          const c = machineCandidate(type, spot, this.hazardPerStep(), true, type.cpus, delayS);
-          c.price /= useful;
+          const offered = machineCandidate(type, spot, {
+            spotHazard: this.hazardPerStep(),
+            delayS,
+            rentalCpus: type.cpus,
+          });
+          const c = { ...offered, price: offered.price / useful };
           const work = { premium: isPremium(spec), cpus: spec.cpus };
           const s =
             placementScore(work, c, anchor, scoreWeights(this.operators)) -
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -313,7 +313,7 @@
     // The dearer the machine it takes, the longer running tasks are waited for.
     const perCpu = (t: MachineType) => t.price / Math.max(t.cpus, 1);
     const cheapest = Math.min(...this.replica.machineTypes.map(perCpu));
-    const dear = 1 - cheapest / anchorPrice(spec, this.replica.machineTypes, () => true);
+    const dear = 1 - cheapest / anchorPrice(spec, this.replica.machineTypes);
     const slack = slackOf * slackShare * (0.75 + dear / 4);
     let served = 0;
     for (const kind of kinds) {
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -223,9 +223,9 @@
     this.lookedAt = now;
     const standing = {
       direct: this.direct,
-      through: this.through,
-      helped: this.helped,
-      busy: this.utilization,
+      forwardedBy: this.through,
+      offloading: this.helped,
+      utilization: this.utilization,
     };
     this.direct = 0;
     this.through = new Map();
@@ -235,8 +235,8 @@
     const to = handoverTarget(standing, [...this.peers.livePeers()]);
     const run = to === null ? undefined : this.peers.runOf(to);
     if (to === null || run === undefined) return;
-    const { direct, busy } = standing;
-    const through = Object.fromEntries(standing.through);
+    const { direct, utilization: busy } = standing;
+    const through = Object.fromEntries(standing.forwardedBy);
     for (const shard of this.shardManager.ownedShards) {
       this.log('info', 'handing over shard', { shard, to, direct, through, busy });
       this.host.handOver(shard, to, run);
--- a/src/core/scheduling/feasibility.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -78,7 +78,7 @@
   shardState: ShardState,
   spec: JobSpec,
 ): (type: MachineType, spot: boolean, image: boolean) => number {
-  const anchorPricePerCpu = anchorPrice(spec, shardState.replica.machineTypes, () => true);
+  const anchorPricePerCpu = anchorPrice(spec, shardState.replica.machineTypes);
   const hazard = shardState.hazard.perStep(shardState.operators['hazard-step-s']);
   const weights = scoreWeights(shardState.operators);
   const work = { premium: isPremium(spec), cpus: spec.cpus };
@@ -86,7 +86,7 @@
     // A leased machine is there already, also when it stands idle: only one to be rented is fresh.
     placementScore(
       work,
-      machineCandidate(type, spot, hazard, false, 0, image ? 0 : imageFetchS(spec, type)),
+      machineCandidate(type, spot, { spotHazard: hazard, delayS: image ? 0 : imageFetchS(spec, type) }),
       anchorPricePerCpu,
       weights,
     );
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -26,7 +26,7 @@
   for (const machine of shardState.machines.values()) {
     if (budget <= 0) break;
     if (!machine.record.spot || machine.placements.size === 0) continue;
-    const candidate = machineCandidate(machine.type, true, hazard, false, 0, 0);
+    const candidate = machineCandidate(machine.type, true, { spotHazard: hazard, delayS: 0 });
     for (const placement of machine.placements.values()) {
       if (budget <= 0) break;
       const { spec } = placement.job;
--- a/src/model/task-command.ts
+++ b/src/model/task-command.ts
@@ -1,18 +1,19 @@
+/** Commands of arrays, in which a placeholder stands for the number of the task. */
 import type { CommandSpec } from './job.js';
 
-/** In a command of an array, it stands for the task's number: a character that is nobody's, from Unicode's private area. */
+/** Stands for the task's number in a command: a character of Unicode's private use area, which no command contains otherwise. */
 export const taskIndexPlaceholder = '\uE000';
 
-/** The command of one task: numbers are counted from `first`. Without it nothing stands for them. */
+/** The command of one task, with its number (counted from `first`) in place of placeholders; without `first` there are none. */
 export function commandForTask(command: CommandSpec, index: number): CommandSpec {
   const { first } = command;
   if (first === undefined) return command;
   const fill = (text: string): string => text.replaceAll(taskIndexPlaceholder, String(first + index));
-  const fillOptional = (s: string | null): string | null => (s === null ? null : fill(s));
+  const fillOptional = (text: string | null): string | null => (text === null ? null : fill(text));
   return {
     ...command,
     argv: command.argv.map(fill),
-    env: Object.fromEntries(Object.entries(command.env).map(([n, x]) => [n, fill(x)])),
+    env: Object.fromEntries(Object.entries(command.env).map(([name, value]) => [name, fill(value)])),
     dir: fillOptional(command.dir),
     stdout: fillOptional(command.stdout),
     stderr: fillOptional(command.stderr),
--- a/src/policy/admission.ts
+++ b/src/policy/admission.ts
@@ -1,32 +1,39 @@
+/** Which jobs a cluster can run at all, and how team quotas and guarantees apply to them. */
 import type { Settings } from '../config/settings.js';
 import type { JobSpec } from '../model/job.js';
-import { fits, type MachineType } from '../model/machine.js';
+import { fits, roundingTolerance, type MachineType, type Resources } from '../model/machine.js';
 
-export interface TeamQuota {
-  cpus: number;
-  gpus: number;
-}
+/** An amount of resources that quotas and guarantees are counted in; Infinity: unlimited. */
+export type TeamQuota = Pick<Resources, 'cpus' | 'gpus'>;
 
 const unlimitedIfUnset = (amount: number): number => (amount > 0 ? amount : Infinity);
 
-/** The most a team's tasks may use at any time. */
-export function teamQuota(settings: Settings, team: string): TeamQuota {
-  const entry = settings.teams.find((x) => x.name === team);
+/** The most that a team's tasks may use at any time. */
+export function teamQuota(settings: Settings, team: string): Readonly<TeamQuota> {
+  const entry = settings.teams.find((t) => t.name === team);
   return { cpus: unlimitedIfUnset(entry?.cpus_max ?? 0), gpus: unlimitedIfUnset(entry?.gpus_max ?? 0) };
 }
 
+/** Whether a task of the job fits an empty machine of the type, and the job allows the type. */
 export const typeAllowed = (spec: JobSpec, type: MachineType): boolean =>
   (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
 
-/** Why a job can never run, or null. */
-export function rejectionReason(spec: JobSpec, types: MachineType[], settings: Settings): string | null {
+/** Why a job can never run, as text for its user; null: it can. */
+export function rejectionReason(
+  spec: JobSpec,
+  types: readonly MachineType[],
+  settings: Settings,
+): string | null {
   if (!settings.teams.some((t) => t.name === spec.team)) return `unknown team ${spec.team}`;
   if (spec.zone !== null && !settings.zones.includes(spec.zone)) return `unknown zone ${spec.zone}`;
   if (!types.some((t) => typeAllowed(spec, t) && (spec.zone === null || t.zones.includes(spec.zone))))
     return 'a task fits no allowed machine type';
   const simultaneousTasks = spec.shape === 'array' ? 1 : spec.tasks;
   const quota = teamQuota(settings, spec.team);
-  if (spec.cpus * simultaneousTasks > quota.cpus + 1e-6 || spec.gpus * simultaneousTasks > quota.gpus + 1e-6)
+  if (
+    spec.cpus * simultaneousTasks > quota.cpus + roundingTolerance ||
+    spec.gpus * simultaneousTasks > quota.gpus + roundingTolerance
+  )
     return 'needs more than the limit of its team';
   return null;
 }
@@ -52,7 +59,7 @@
     const tasks = job.spec.tasks - job.completedCount;
     guarantee.cpus -= tasks * job.spec.cpus;
     guarantee.gpus -= tasks * job.spec.gpus;
-    if (guarantee.cpus >= -1e-6 && guarantee.gpus >= -1e-6) within.add(job);
+    if (guarantee.cpus >= -roundingTolerance && guarantee.gpus >= -roundingTolerance) within.add(job);
   }
   return within;
 }
--- a/src/policy/guardrails.ts
+++ b/src/policy/guardrails.ts
@@ -1,15 +1,15 @@
+/** Rules that hold whatever the policy prefers: the policy proposes placements and moves, these decide. */
 import { isPremium, maxTasksPerZone, type JobSpec } from '../model/job.js';
 
-/** The policy proposes; these decide. They hold whatever the policy says. */
-
-/** Services and gangs stay off spot; others use it only if their job allows it. */
+/** Whether a job may use spot machines: services and gangs never, others only if their job allows it. */
 export const spotAllowed = (spec: JobSpec): boolean => spec.spot && !isPremium(spec);
 
-/** At most this many of a team's running tasks may move in one window. */
+/** How many of the running tasks may be migrated within one window. */
 export const migrationBudget = (share: number, tasks: number): number => Math.ceil(share * tasks);
 
-/** A task must have been resident for a while before it moves. */
-export const residentLongEnough = (residentS: number, residencyS: number): boolean => residentS >= residencyS;
+/** Whether a task has run on its machine for long enough to be migrated. */
+export const residentLongEnough = (residentS: number, minResidencyS: number): boolean =>
+  residentS >= minResidencyS;
 
 /** Whether a zone may take one more task of a job, given how many are in each zone already. */
 export function zoneAllows(spec: JobSpec, zone: string, tasksByZone: ReadonlyMap<string, number>): boolean {
--- a/src/policy/hazard.ts
+++ b/src/policy/hazard.ts
@@ -1,6 +1,8 @@
+/** Estimate of the interruption rate of spot machines. */
+
 /**
- * Estimate of how often spot machines are taken, per machine-hour: what was seen, with older experience
- * fading, on top of a prior worth one machine-hour.
+ * How often spot machines are interrupted, per machine-hour: what was observed, with older observations decaying
+ * exponentially, on top of a prior that weighs as much as one machine-hour.
  */
 export class SpotHazardEstimate {
   private interruptions = 0;
@@ -11,7 +13,7 @@
     private readonly decayHours = 1,
   ) {}
 
-  /** `machines` spot machines were watched for `seconds`. */
+  /** Records that `machines` spot machines were observed for `seconds`. */
   observe(machines: number, seconds: number): void {
     const hours = (machines * seconds) / 3600;
     const decay = Math.exp(-hours / this.decayHours);
@@ -19,14 +21,17 @@
     this.machineHours = this.machineHours * decay + hours;
   }
 
+  /** Records that one spot machine was interrupted. */
   recordInterruption(): void {
     this.interruptions += 1;
   }
 
+  /** Expected interruptions per machine-hour. */
   perHour(): number {
     return (this.interruptions + this.priorPerHour) / (this.machineHours + 1);
   }
 
+  /** Expected interruptions of a machine within a step of `stepS` seconds. */
   perStep(stepS: number): number {
     return (this.perHour() * stepS) / 3600;
   }
--- a/src/policy/helios.ts
+++ b/src/policy/helios.ts
@@ -1,31 +1,34 @@
 /**
- * The evolved champion of HELIOS (paper, appendix "Champion policy"), as a pure policy: it orders, scores
- * and asks to move. What it may not do is decided by the guardrails, outside of it.
+ * The evolved champion of HELIOS (paper, appendix "Champion policy"), as pure functions: it orders work, scores machines
+ * and proposes migrations. What it may not do is decided by the guardrails, outside of it.
  */
+
+/** The weights that operators set. */
 export interface ScoreWeights {
-  /** A: price of an interruption, per CPU-hour and unit of hazard. */
-  hazard: number;
-  /** Weight of a premium machine's distance from the cheapest on-demand price. */
-  anchor: number;
+  /** Price of an interruption, per CPU-hour and unit of hazard (the paper's A). */
+  readonly hazard: number;
+  /** Weight of the distance of a premium job's machine from the cheapest on-demand price. */
+  readonly anchor: number;
 }
 
+/** What the policy looks at of a task that is to be placed. */
 export interface ScoredWork {
-  premium: boolean;
-  cpus: number;
+  readonly premium: boolean;
+  readonly cpus: number;
 }
 
-/** A machine, or a kind of machine that could be rented, as the policy sees it. */
+/** A machine, or a machine type that could be rented, as the policy looks at it. */
 export interface MachineCandidate {
   /** Price per CPU-hour. */
-  price: number;
-  spot: boolean;
+  readonly price: number;
+  readonly spot: boolean;
   /** Probability of an interruption per hazard step. */
-  hazard: number;
-  /** True if it would have to be rented. */
-  needsRental: boolean;
-  freeCpus: number;
+  readonly hazard: number;
+  /** Whether the machine is not rented yet. */
+  readonly needsRental: boolean;
+  readonly freeCpus: number;
   /** Time until a task could start there (boot, image fetch), in minutes. */
-  delayMin: number;
+  readonly delayMin: number;
 }
 
 // The champion's tie-break weights.
@@ -35,7 +38,10 @@
 const maxCountedFreeCpus = 12;
 const delayPenaltyPerMin = 0.004;
 
-/** Placement order: larger goes first. */
+/** The urgency of a migration off a spot machine that costs more than it saves. */
+const spotMigrationUrgency = 0.5;
+
+/** Placement priority: larger goes first. */
 export const placementPriority = (work: ScoredWork): number => (work.premium ? 10 : 0) + work.cpus;
 
 /** What a machine costs per CPU-hour, with the hazard amortized. */
@@ -64,9 +70,9 @@
   return total - delayPenaltyPerMin * candidate.delayMin;
 }
 
-/** How much a task on this machine wants to move away; 0: not at all. */
+/** How urgently a task should be migrated off a machine; 0: not at all. */
 export const migrationUrgency = (
   candidate: Pick<MachineCandidate, 'price' | 'hazard' | 'spot'>,
   anchor: number,
   weights: ScoreWeights,
-): number => (candidate.spot && hazardAdjustedPrice(candidate, weights) > anchor ? 0.5 : 0);
+): number => (candidate.spot && hazardAdjustedPrice(candidate, weights) > anchor ? spotMigrationUrgency : 0);
--- a/src/policy/load-sharing.ts
+++ b/src/policy/load-sharing.ts
@@ -1,29 +1,45 @@
-/** How the work of answering workers is shared between a shard's owner and the other controllers. */
+/** How the work of answering heartbeats is shared between a shard's owner and the other controllers. */
 
-/** What a controller has to do. */
+/** The load of a controller. */
 export interface ControllerLoad {
-  /** The share of its time that it works; 1: all of it. */
-  utilization: number;
+  /** The share of its time that it is busy; 1: all of it. */
+  readonly utilization: number;
   /** Open connections. */
-  connections: number;
-  /** Machines whose workers report to it, directly or through others. */
-  machines: number;
-  /** The share of its workers' reports that come through others. */
-  forwardedShare: number;
+  readonly connections: number;
+  /** Machines whose heartbeats reach it, directly or forwarded. */
+  readonly machines: number;
+  /** The share of its machines' heartbeats that peers forward. */
+  readonly forwardedShare: number;
 }
 
-/** Above this share of its time a controller wants help, below that share none any more. */
+/** A peer that may take over work. */
+export interface HelperCandidate {
+  readonly member: string;
+  /** The share of its time that it is busy. */
+  readonly busy: number;
+}
+
+/** Above this utilization a controller asks its peers to keep the agents that reach them. */
 export const offloadAbove = 0.7;
+/** Below this utilization it would have without their help, it no longer asks for it. */
 const offloadUntil = 0.4;
-/** A controller that is busier than this takes no more of others' work. */
+/** A controller that is busier than this takes none of its peers' work. */
 const maxHelperUtilization = 0.6;
-/** So much less than what makes it ask for help must be there for it to do without: otherwise it would come and go. */
+/** Offloading ends only below this share of what starts it: otherwise agents would move to and fro. */
 const offloadEndShare = 0.8;
-
-/** A controller that has so many times as much to do as a helper sends workers there. */
+/** A controller that is this many times as busy as a helper redirects agents to it. */
 const redirectRatio = 1.2;
+/** A forwarded heartbeat costs its owner this share of a direct one. */
+const forwardingCost = 0.35;
 
-/** Whether others should keep the workers that reach them. `own`: so many connections it likes to have itself. */
+/** How busy a controller would be if all of its agents connected to it directly. */
+const utilizationWithoutForwarding = ({ utilization, forwardedShare }: ControllerLoad): number =>
+  utilization / (1 - forwardedShare * (1 - forwardingCost));
+
+/**
+ * Whether peers should keep the agents that reach them. `offloading`: they do so already; `preferredConnections`: how many
+ * connections the controller is meant to have itself.
+ */
 export function needsOffload(
   offloading: boolean,
   load: ControllerLoad,
@@ -37,16 +53,7 @@
   );
 }
 
-/** A report that comes through another costs its owner this share of one that comes straight. */
-const forwardingCost = 0.35;
-
-/** How busy a controller would be if all of its workers came straight to it. */
-const utilizationWithoutForwarding = ({
-  utilization: busy,
-  forwardedShare: shared,
-}: ControllerLoad): number => busy / (1 - shared * (1 - forwardingCost));
-
-/** Whether one more worker should be sent to a helper that is so busy: until they have as much to do. */
+/** Whether one more agent should be redirected to a helper: until both are about equally busy. */
 export const shouldRedirect = (
   load: ControllerLoad,
   preferredConnections: number,
@@ -55,44 +62,41 @@
   load.utilization > Math.max(offloadUntil, helperUtilization * redirectRatio) ||
   load.connections > preferredConnections * offloadEndShare;
 
-/** The least busy of the others that could help, or null. */
-export function leastBusyHelper(
-  others: Iterable<{ member: string; busy: number }>,
-): { member: string; busy: number } | null {
-  let best: { member: string; busy: number } | null = null;
-  for (const o of others)
-    if (o.busy < maxHelperUtilization && (best === null || o.busy < best.busy)) best = o;
+/** The least busy of the peers that can help, or null. */
+export function leastBusyHelper(peers: Iterable<HelperCandidate>): HelperCandidate | null {
+  let best: HelperCandidate | null = null;
+  for (const peer of peers)
+    if (peer.busy < maxHelperUtilization && (best === null || peer.busy < best.busy)) best = peer;
   return best;
 }
 
-/** What decides about handing a shard over. */
+/** The heartbeats of a shard's machines since the last check, and the load of its owner. */
 export interface ShardTraffic {
-  /** Reports that came straight from workers, and through each other controller, since the last look. */
-  direct: number;
-  through: ReadonlyMap<string, number>;
-  /** Others help with its workers because it asked them to. */
-  helped: boolean;
-  busy: number;
+  /** Heartbeats that came directly from agents. */
+  readonly direct: number;
+  /** Heartbeats that each peer has forwarded. */
+  readonly forwardedBy: ReadonlyMap<string, number>;
+  /** Whether peers forward heartbeats because the owner asked them to. */
+  readonly offloading: boolean;
+  readonly utilization: number;
 }
 
-/** An owner that hears less than this share of its workers itself, though it asked nobody for help, is cut off from them. */
+/** An owner that gets less than this share of heartbeats directly, without offloading, is cut off from its agents. */
 const minDirectShare = 0.35;
-/** With fewer reports than this nothing can be told. */
+/** With fewer heartbeats than this nothing can be concluded. */
 const minHeartbeats = 10;
+/** Above this utilization an owner that offloads already is overloaded. */
 const overloadedAbove = 0.97;
 
-/** Whom a shard should be handed to, or null: the owner serves it as well as anybody could. */
-export function handoverTarget(
-  traffic: ShardTraffic,
-  others: readonly { member: string; busy: number }[],
-): string | null {
-  const forwarded = [...traffic.through.values()].reduce((a, b) => a + b, 0);
-  const total = traffic.direct + forwarded;
-  if (!traffic.helped && total >= minHeartbeats && traffic.direct < total * minDirectShare) {
-    const [member] = [...traffic.through].sort((a, b) => b[1] - a[1])[0];
-    return others.some((o) => o.member === member && o.busy < maxHelperUtilization) ? member : null;
+/** The peer that a shard should be handed over to, or null: its owner serves it as well as any other could. */
+export function handoverTarget(traffic: ShardTraffic, peers: readonly HelperCandidate[]): string | null {
+  const { direct, forwardedBy, offloading, utilization } = traffic;
+  const total = [...forwardedBy.values()].reduce((a, b) => a + b, direct);
+  if (!offloading && total >= minHeartbeats && direct < total * minDirectShare) {
+    const [member] = [...forwardedBy].sort((a, b) => b[1] - a[1])[0];
+    return peers.some((p) => p.member === member && p.busy < maxHelperUtilization) ? member : null;
   }
   // Helped already and still short of time: a machine that computes slowly.
-  if (traffic.helped && traffic.busy > overloadedAbove) return leastBusyHelper(others)?.member ?? null;
+  if (offloading && utilization > overloadedAbove) return leastBusyHelper(peers)?.member ?? null;
   return null;
 }
--- a/src/policy/matching.ts
+++ b/src/policy/matching.ts
@@ -1,22 +1,23 @@
+/** What the core needs of matchmaking between jobs' expressions and machines' attributes; implemented in `matching/`. */
 import type { JobSpec } from '../model/job.js';
 
-/** What a machine says of itself, beyond its type and place. */
+/** The attributes that a machine advertises, beyond its type and zone. */
 export type MachineAttributes = Record<string, string | number | boolean>;
 
-/** What a job's expressions decide of machines. */
+/** How a job's expressions evaluate on machines. */
 export interface MachineMatch {
-  /** Its requirements hold on this machine. */
+  /** Whether the job's requirements hold on this machine. */
   allows(host: string): boolean;
-  /** How much it likes this machine; among machines that the policy scores alike the highest goes first. */
+  /** The job's preference for this machine; among machines with the same policy score the highest goes first. */
   rank(host: string): number;
-  /** Whether it likes any better than another. */
+  /** Whether the job prefers any machine to another. */
   readonly hasRank: boolean;
 }
 
-/** Holds machines' attributes and jobs' expressions against each other. Given to the core where there are any. */
+/** Evaluates jobs' expressions against machines' attributes. The core gets one only where machines have attributes. */
 export interface Matcher {
-  /** null: the job asks for nothing of the kind. */
+  /** The match of a job; null: it has no expressions. */
   matchFor(spec: JobSpec): MachineMatch | null;
-  /** What a machine says of itself now; null: it is gone. */
+  /** Replaces what a machine advertises; null: it is gone. */
   setAttributes(host: string, attributes: MachineAttributes | null): void;
 }
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -286,12 +286,18 @@
       ['b', b],
       ['c', c],
     ]);
-  const at = { helped: false, busy: 0.2 };
-  assert.equal(handoverTarget({ ...at, direct: 5, through: through(90, 5) }, others), 'b');
-  assert.equal(handoverTarget({ ...at, direct: 50, through: through(45, 5) }, others), null);
-  assert.equal(handoverTarget({ ...at, direct: 0, through: through(5, 95) }, others), null);
-  assert.equal(handoverTarget({ ...at, helped: true, direct: 5, through: through(90, 5) }, others), null);
-  assert.equal(handoverTarget({ helped: true, busy: 1, direct: 5, through: through(90, 5) }, others), 'b');
+  const at = { offloading: false, utilization: 0.2 };
+  assert.equal(handoverTarget({ ...at, direct: 5, forwardedBy: through(90, 5) }, others), 'b');
+  assert.equal(handoverTarget({ ...at, direct: 50, forwardedBy: through(45, 5) }, others), null);
+  assert.equal(handoverTarget({ ...at, direct: 0, forwardedBy: through(5, 95) }, others), null);
+  assert.equal(
+    handoverTarget({ ...at, offloading: true, direct: 5, forwardedBy: through(90, 5) }, others),
+    null,
+  );
+  assert.equal(
+    handoverTarget({ offloading: true, utilization: 1, direct: 5, forwardedBy: through(90, 5) }, others),
+    'b',
+  );
 });
 
 test('a gang that lost a task while it waited is completed with the same attempt', () => {
