--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -23,7 +23,8 @@
 import { Flood, flooding, floodable } from './support/flood.js';
 import { leaderOf, levelOf, ownerOf, wish } from './support/rolls.js';
 import type { JobSpec } from '../src/model/job.js';
-import { spec, World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const demand = (tasks: number, users: number, follows = 0, kinds: WorkloadDemand[] = []): MemberDemand => ({
   tasks,
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -20,7 +20,7 @@
 import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
 import { retryPolicies, seededRandom } from '../src/retry/index.js';
 import type { ListedMachine } from '../src/wire/cloud.js';
-import { box, settingsText } from './support/world.js';
+import { box, settingsText } from './support/fixtures.js';
 
 const quiet = (): void => undefined;
 
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -16,7 +16,8 @@
   some,
 } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
-import type { Node, World } from './support/world.js';
+import type { Node } from './support/controller-node.js';
+import type { World } from './support/world.js';
 
 type Peers = 'work' | 'refuse' | 'hang' | 'apart-leader' | 'apart-other';
 
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -19,7 +19,9 @@
 } from '../src/core/storage/index.js';
 import { ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
-import { spec, World, type Node } from './support/world.js';
+import { type Node } from './support/controller-node.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 test('ranges: tokens and attempts of an incarnation are above all from before, and exact', () => {
   assert.equal(tokenBase(1), 0);
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -18,7 +18,7 @@
   type LevelDecisionInput,
 } from '../src/feature-levels/index.js';
 import { openJobData, inlineJobData } from '../src/core/storage/index.js';
-import { spec } from './support/world.js';
+import { spec } from './support/fixtures.js';
 
 const can = (most: number): Capabilities => ({
   program: `p${most}`,
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -1,7 +1,8 @@
 /** What becomes of gangs of which some tasks are done and others are lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { spec, World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 // Found by seed 4 of "jobs bound to one zone" with the task log: the gang was never placed again.
 test('a gang that is being taken down when its last task completes may be placed again', () => {
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -10,7 +10,8 @@
 } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
-import { spec, type World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { type World } from './support/world.js';
 
 /** Much work at once for a fleet that has to be rented first. */
 const burst = (w: World): Traffic =>
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { kill, longWorld } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
-import { spec } from './support/world.js';
+import { spec } from './support/fixtures.js';
 
 // Guards against the old copy of a report that a new owner hears before anything else of a machine: a gang that was mended
 // has the attempt there again that had ended in an earlier session.
--- a/test/level-cli.test.ts
+++ b/test/level-cli.test.ts
@@ -12,7 +12,7 @@
 import { JsonClient } from '../src/net/client.js';
 import { findFreePort } from '../src/net/port.js';
 import { Engine, LevelDisk, storeServer } from '../src/store/index.js';
-import { settingsText } from './support/world.js';
+import { settingsText } from './support/fixtures.js';
 
 const main = fileURLToPath(new URL('../src/main.js', import.meta.url));
 
--- a/test/malformed-requests.test.ts
+++ b/test/malformed-requests.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import { parseSubmission } from '../src/wire/user.js';
 import { longWorld } from './support/concurrent-failures.js';
-import { spec, World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const good = {
   nameId: 'req-000412',
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -5,7 +5,9 @@
 import { leaderOf, levelOf, ownerOf, restart } from './support/rolls.js';
 import { found, manyTasks, withWorkers } from './support/stored-state.js';
 import { Traffic } from './support/traffic.js';
-import { spec, World, type Node } from './support/world.js';
+import { type Node } from './support/controller-node.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 type Say = (text: string) => void;
 const quantile = (list: number[], q: number): string =>
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -1,5 +1,6 @@
 /** A state service that has lost data, at fleet size, on the scripted world: `npm run measure -- loss`. Figures are simulated. */
-import { spec, World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const losses: Record<string, (w: World) => void> = {
   wiped: (w) => w.state.loseData([], 1),
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -1,7 +1,8 @@
 /** What a start costs in writes, by the tasks of a job, on the scripted world: `npm run measure -- writes`. Figures are scripted. */
 import { parseKey } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
-import { spec, World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 type Say = (text: string) => void;
 
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -14,7 +14,7 @@
 } from '../src/policy/helios.js';
 import { inPlacementOrder } from '../src/policy/order.js';
 import { parseSubmission } from '../src/wire/user.js';
-import { box, settingsText, spec } from './support/world.js';
+import { box, settingsText, spec } from './support/fixtures.js';
 
 const w = { hazard: 10, anchor: 0.5 };
 const at = (over: Partial<MachineCandidate>): MachineCandidate => ({
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -3,7 +3,9 @@
 import { RecoveryTracker, type RecoveryFacts } from '../src/recovery/index.js';
 import { RecentChanges, FreshnessQuorum } from '../src/freshness/index.js';
 import { handoverTarget, needsOffload } from '../src/policy/load-sharing.js';
-import { spec, World, type Node } from './support/world.js';
+import { type Node } from './support/controller-node.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const upWith = (nodes: number, tasks: number, cpus = 1): World => {
   const w = new World(nodes);
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -4,7 +4,8 @@
 import { longWorld } from './support/concurrent-failures.js';
 import { Traffic } from './support/traffic.js';
 import { mostWaitMs, Waiting } from './support/waiting.js';
-import { box, type World } from './support/world.js';
+import { box } from './support/fixtures.js';
+import { type World } from './support/world.js';
 
 /** A world whose fleet is full grown, and jobs that come one after the other. */
 function stage(
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -11,7 +11,7 @@
 import { Follower } from '../src/state/follower.js';
 import type { Page } from '../src/state/service.js';
 import { Connections } from '../src/users/connections.js';
-import { settingsText, spec } from './support/world.js';
+import { settingsText, spec } from './support/fixtures.js';
 
 test('lanes: a flood in one does not starve the others, and what is needed least is turned away first', () => {
   const lane = (share: number, most = 100) => ({ share, most, patienceMs: 1000 });
--- a/test/roll.ts
+++ b/test/roll.ts
@@ -12,7 +12,9 @@
 import { defaults } from '../src/config/operators.js';
 import { rollReal } from './roll-processes.js';
 import { scenarios, type Cast } from './support/rolls.js';
-import { spec, thisProgram, World, type Program } from './support/world.js';
+import { thisProgram, type Program } from './support/controller-node.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 /** The last state of main that knows no levels. */
 export const beforeLevels = '8ed5c62';
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import { quarantineEvidence, evidenceAgainst } from '../src/core/failure-attribution.js';
 import { encodeFrame, FrameReader } from '../src/peers/frames.js';
-import { box, spec, World } from './support/world.js';
+import { box, spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const up = (w: World): void =>
   assert.ok(
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -9,7 +9,8 @@
 import type { Resources, MachineType } from '../src/model/machine.js';
 import { typeAllowed } from '../src/policy/admission.js';
 import { spotAllowed } from '../src/policy/guardrails.js';
-import { box, spec, World } from './support/world.js';
+import { box, spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const rng = xoroshiro128plus(7);
 const upTo = (n: number): number => uniformInt(rng, 0, n - 1);
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -6,7 +6,8 @@
 import { newestLevel } from '../src/feature-levels/index.js';
 import { laterLevel, leaderOf, levelOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
-import { spec, World } from './support/world.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 /** State as the program before levels left it: made by `npm run roll -- --fixture`. */
 const beforeLevels = JSON.parse(
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -2,7 +2,10 @@
 import { test } from 'node:test';
 import { Traffic } from './traffic.js';
 import { Waiting } from './waiting.js';
-import { spec, World, type Node, type Worker } from './world.js';
+import { type Node } from './controller-node.js';
+import { spec } from './fixtures.js';
+import { type Worker } from './scripted-worker.js';
+import { World } from './world.js';
 
 /** How many seeds of each meeting are played; more by hand. */
 export const seeds = Number(process.env['MEETING_SEEDS'] ?? 4);
--- /dev/null
+++ b/test/support/controller-node.ts
@@ -0,0 +1,357 @@
+/** One controller of the scripted world: steps its core, carries its effects out, and fails in the ways that tests ask for. */
+import type { Operators } from '../../src/config/operators.js';
+import type { Settings } from '../../src/config/settings.js';
+import { Controller } from '../../src/core/controller.js';
+import type { Command, CommitOutcome, Effect } from '../../src/core/effects.js';
+import type { RecoveryRecords } from '../../src/core/recovery-records.js';
+import type { JobSpec } from '../../src/model/job.js';
+import { seededRandom } from '../../src/retry/index.js';
+import type { ListedMachine, RentRequest } from '../../src/wire/cloud.js';
+import type { Change, Transaction } from '../../src/wire/store.js';
+import type { World } from './world.js';
+
+/** A build of the controllers: this one, or an earlier one that plays beside it. */
+export interface Program {
+  name: string;
+  Controller: typeof Controller;
+}
+
+export const thisProgram: Program = { name: 'new', Controller };
+
+/** Brings a command to the core after the time that a response takes, unless the process has restarted meanwhile. */
+type Reply = (command: Command) => void;
+
+/** A controller process: its core, the queue before it, and what reaches it. */
+export class Node {
+  controller!: Controller;
+  private queue: Command[] = [];
+  alive = true;
+  /** Cut off from the state service: it gets no answers and sees no changes. */
+  cutFromState = false;
+  /** It gets 429 from the state service. */
+  rateLimited = false;
+  /** It and the other controllers do not reach each other. */
+  isolatedFromPeers = false;
+  /** Its commits are on their way for long, and it gets no answer to them. */
+  holdsCommits = false;
+  /** What it tells the others comes so much later. */
+  peerDelayMs = 0;
+  /** It stands still while its clock runs on: what arrives waits. */
+  paused = false;
+  /** How fast its steady clock runs. */
+  clockRate = 1;
+  /** Changes of the state reach it again only some time after it woke: first comes what had waited. */
+  private watchResumesAt = 0;
+  private watchedRevision = -1;
+  private snapshotStartedAt = 0;
+  responses = new Map<number, { status: number; body: Record<string, unknown>; retryAfterS?: number }>();
+  private processStarts = 0;
+  /** The program that it runs from its next start on. */
+  program: Program = thisProgram;
+  operators: Operators;
+  /** What it has logged: level, message, fields. */
+  readonly logLines: [string, string, Record<string, unknown>?][] = [];
+  /** What its process died of, if it did. */
+  crashError: Error | null = null;
+  constructor(
+    readonly world: World,
+    readonly member: string,
+    readonly settings: Settings,
+    operators: Operators,
+  ) {
+    this.operators = operators;
+    this.boot();
+  }
+
+  boot(): void {
+    this.alive = true;
+    this.queue = [];
+    this.crashError = null;
+    this.start(null);
+  }
+
+  /** How often it began anew with what it knew. */
+  recoveryRestarts = 0;
+
+  private start(recoveryRecords: RecoveryRecords | null): void {
+    this.snapshotStartedAt = this.world.now;
+    this.watchedRevision = -1;
+    this.controller = new this.program.Controller(
+      this.settings,
+      this.operators,
+      `${this.member}r${++this.processStarts}`,
+      seededRandom(this.world.seed + this.processStarts),
+      (...line) => void this.logLines.push(line),
+      null,
+      this.program.name,
+      recoveryRecords,
+    );
+  }
+
+  push(c: Command): void {
+    if (this.alive) this.queue.push(c);
+  }
+
+  step(): void {
+    if (!this.alive) return;
+    const s = this.world.state;
+    if (this.paused) {
+      this.watchResumesAt = this.world.now + 300;
+      return;
+    }
+    // Reading takes its time and begins anew when it is interrupted; what is watched goes on.
+    const off = this.cutFromState || s.unavailable || (this.rateLimited && this.watchedRevision < 0);
+    if (off && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
+    const read =
+      this.watchedRevision >= 0 || this.world.now >= this.snapshotStartedAt + this.world.snapshotMs;
+    if (!off && read && this.world.now >= this.watchResumesAt) {
+      if (this.watchedRevision < 0) this.push({ type: 'snapshot-loaded', items: s.items(), epoch: s.epoch });
+      else if (this.watchedRevision < s.epoch)
+        this.push({
+          type: 'changes',
+          changes: s.log.filter((c) => c.stamp > this.watchedRevision),
+          epoch: s.epoch,
+        });
+      this.watchedRevision = s.epoch;
+    }
+    const commands = this.queue;
+    this.queue = [];
+    const controller = this.controller;
+    let effects: Effect[] = [];
+    try {
+      effects = controller.step(commands, {
+        now: this.world.now * this.clockRate,
+        wall: 1e12 + this.world.now,
+      });
+    } catch (e) {
+      // As a process: it ends.
+      if (!this.world.crashesAllowed) throw e;
+      this.alive = false;
+      this.crashError = e as Error;
+    }
+    for (const e of effects) {
+      const reply = (c: Command) =>
+        this.world.schedule(this.world.responseMs, () => {
+          if (this.alive && this.controller === controller) this.queue.push(c);
+        });
+      this.carryOut(e, reply);
+    }
+  }
+
+  private carryOut(e: Effect, reply: Reply): void {
+    const w = this.world;
+    const off = this.cutFromState || w.state.unavailable || this.rateLimited;
+    switch (e.type) {
+      case 'respond':
+        this.responses.set(e.rid, {
+          status: e.status,
+          body: e.body as Record<string, unknown>,
+          retryAfterS: e.retryAfterS,
+        });
+        break;
+      case 'commit':
+        this.commit(e.txn, reply);
+        break;
+      case 'read-revision':
+        reply({ type: 'revision-read', sentAt: w.now * this.clockRate, epoch: off ? null : w.state.epoch });
+        break;
+      case 'grant-lease':
+        reply({ type: 'lease-granted', leaseId: off ? null : w.state.grantLease(e.ttlMs) });
+        break;
+      case 'renew-lease':
+        reply({
+          type: 'lease-renewal-result',
+          leaseId: e.leaseId,
+          outcome: off ? 'failed' : w.state.renewLease(e.leaseId),
+        });
+        break;
+      case 'revoke-lease':
+        if (!off) w.state.revokeLease(e.leaseId);
+        break;
+      case 'list-machine-types':
+        reply({ type: 'machine-types', types: w.cloudDown ? null : w.types });
+        break;
+      case 'rent-machines':
+        this.rentMachines(e.request, reply);
+        break;
+      case 'delete-machines':
+        this.deleteMachines(e.hosts, reply);
+        break;
+      case 'list-machines':
+        reply({ type: 'machine-list', askedAt: w.now * this.clockRate, machines: this.listedMachines() });
+        break;
+      case 'send-task-commands':
+        w.scheduleOrRun(w.directCommandDelayMs(), () => {
+          const to = w.workers.get(e.host);
+          if (!to?.unreachableNodes.has(this.member)) to?.receiveDirectCommands(e.orders, e.token, e.session);
+        });
+        break;
+      case 'forward-heartbeat':
+        this.forwardHeartbeat(e, reply);
+        break;
+      case 'peer-status':
+        this.broadcast((to) => to.push({ type: 'peer-status', from: this.member, status: e.status }));
+        break;
+      case 'rejected-jobs':
+        this.broadcast((to) => to.push({ type: 'rejected-jobs', list: e.list }));
+        break;
+      case 'query-freshness':
+        this.broadcast((to) => to.push({ type: 'freshness-query', from: this.member, query: e.query }));
+        break;
+      case 'confirm-freshness': {
+        const { query, known } = e;
+        const confirmation = {
+          type: 'freshness-confirmed',
+          from: this.member,
+          run: this.run,
+          query,
+          known,
+        } as const;
+        this.broadcast((to) => to.member === e.to && to.push(confirmation));
+        break;
+      }
+      case 'catch-up':
+        break;
+      case 'audit':
+        reply({
+          type: 'audit-result',
+          from: e.from,
+          ...this.auditPage(e.from, e.keys),
+          epoch: off ? null : w.state.epoch,
+        });
+        break;
+      case 'restart':
+        this.recoveryRestarts++;
+        // What was asked for before counts no more; requests wait on.
+        this.queue = this.queue.filter((c) => ['submit', 'query', 'cancel', 'heartbeat'].includes(c.type));
+        this.start(e.recoveryRecords);
+        break;
+    }
+  }
+
+  private commit(txn: Transaction, reply: Reply): void {
+    const w = this.world;
+    const respond = (outcome: CommitOutcome): void => reply({ type: 'commit-result', outcome });
+    if (this.cutFromState) return respond({ type: 'rejected' });
+    if (this.rateLimited) return respond({ type: 'rate-limited' });
+    if (this.holdsCommits) {
+      w.heldCommits.push(txn);
+      return respond({ type: 'unknown' });
+    }
+    const carryOut = (): CommitOutcome => {
+      const outcome = w.state.commit(txn);
+      w.commits.push({ member: this.member, txn, outcome, at: w.now });
+      return outcome;
+    };
+    if (w.random() < w.state.delayedCommitShare && !w.state.unavailable) {
+      w.schedule(2000 + 10_000 * w.random(), carryOut);
+      w.schedule(w.lostResponseMs, () => respond({ type: 'unknown' }));
+      return;
+    }
+    w.scheduleOrRun(w.commitDelayMs(), () => {
+      const outcome = carryOut();
+      const lost = w.state.dropsResponses || w.state.dropsResponseTo(txn);
+      if (lost) w.scheduleOrRun(w.lostResponseNoticedMs(), () => respond({ type: 'unknown' }));
+      else respond(outcome);
+    });
+  }
+
+  private rentMachines(request: RentRequest, reply: Reply): void {
+    const w = this.world;
+    this.checkLeadership('rent');
+    w.rentals.push(request);
+    if (w.cloudDown) return reply({ type: 'rental-result', request, outcome: 'refused' });
+    if (w.random() < w.delayedCloudCallShare) {
+      w.schedule(2000 + 10_000 * w.random(), () => w.rent(request));
+      return reply({ type: 'rental-result', request, outcome: 'unknown' });
+    }
+    const outcome = w.rent(request);
+    w.scheduleOrRun(w.cloudDelayMs(), () => reply({ type: 'rental-result', request, outcome }));
+  }
+
+  private deleteMachines(hosts: string[], reply: Reply): void {
+    const w = this.world;
+    this.checkLeadership('return');
+    if (w.cloudDown) return reply({ type: 'deletion-result', hosts, ok: false });
+    if (w.random() < w.delayedCloudCallShare) {
+      w.schedule(2000 + 10_000 * w.random(), () => w.remove(hosts));
+      return reply({ type: 'deletion-result', hosts, ok: false });
+    }
+    w.remove(hosts);
+    reply({ type: 'deletion-result', hosts, ok: true });
+  }
+
+  private listedMachines(): ListedMachine[] | null {
+    const w = this.world;
+    if (w.cloudDown) return null;
+    return [...w.workers.values()].map((x) => ({
+      host: x.host,
+      endpoint: '127.0.0.1:5',
+      type: x.type,
+      zone: x.zone,
+      spot: x.spot,
+      status: 'running',
+      ageS: (w.now - x.createdAt) / 1000,
+    }));
+  }
+
+  private forwardHeartbeat(
+    { to, rid, report }: Extract<Effect, { type: 'forward-heartbeat' }>,
+    reply: Reply,
+  ): void {
+    const w = this.world;
+    const owner = w.nodes.find((n) => n.member === to);
+    const id = ++w.nextRequestId;
+    if (!owner?.alive || this.isolatedFromPeers || owner.isolatedFromPeers)
+      return reply({ type: 'forwarded-response', rid, status: 503, body: {} });
+    owner.push({ type: 'heartbeat', rid: id, report, from: this.member });
+    w.schedule(30, () => {
+      const response = owner.responses.get(id);
+      if (response)
+        this.push({ type: 'forwarded-response', rid, status: response.status, body: response.body });
+    });
+  }
+
+  private auditPage(from: string, keys: number): { items: Change[]; more: boolean } {
+    const items = this.world.state
+      .items()
+      .sort((a, b) => (a.key < b.key ? -1 : 1))
+      .filter((i) => i.key > from);
+    return { items: items.slice(0, keys), more: items.length > keys };
+  }
+
+  private get run(): string {
+    return `${this.member}r${this.processStarts}`;
+  }
+
+  private broadcast(tell: (to: Node) => void): void {
+    if (!this.world.peersConnected || this.isolatedFromPeers) return;
+    for (const n of this.world.nodes)
+      if (n !== this && !n.isolatedFromPeers)
+        this.world.schedule(5 + this.peerDelayMs, () => n.alive && tell(n));
+  }
+
+  private checkLeadership(what: string): void {
+    const { entries: keys } = this.world.state;
+    const lead = (keys.get('dp/chief') ?? keys.get('dp/lead'))?.data as { member: string } | undefined;
+    if (lead?.member !== this.member) this.world.violations.push(`stale ${what} by ${this.member}`);
+  }
+
+  private nextRequestId = 1000;
+  /** Sends a request and plays until it is answered. */
+  request(c: (rid: number) => Command, withinMs = 6000) {
+    const rid = ++this.nextRequestId;
+    this.push(c(rid));
+    const until = this.world.now + withinMs;
+    while (!this.responses.has(rid) && this.world.now < until) this.world.advance(0.01);
+    return this.responses.get(rid);
+  }
+  submit = (job: JobSpec) => {
+    if (job.shape === 'service') this.world.serviceJobs.add(job.id);
+    if (job.shape === 'gang') this.world.gangs.set(job.id, job.tasks);
+    this.world.specs.set(job.id, job);
+    return this.request((rid) => ({ type: 'submit', rid, spec: job }));
+  };
+  status = (id: string) => this.request((rid) => ({ type: 'query', rid, id }));
+  cancel = (id: string) => this.request((rid) => ({ type: 'cancel', rid, id }));
+}
--- a/test/support/flood.ts
+++ b/test/support/flood.ts
@@ -1,6 +1,8 @@
 import type { Operators } from '../../src/config/operators.js';
 import type { JobSpec } from '../../src/model/job.js';
-import { spec, thisProgram, World, type Node, type Program } from './world.js';
+import { thisProgram, type Node, type Program } from './controller-node.js';
+import { spec } from './fixtures.js';
+import { World } from './world.js';
 
 interface Stream {
   name: string;
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -3,7 +3,9 @@
 import { levelData, levelKey, requestedLevelData } from '../../src/core/storage/index.js';
 import { newestLevel, noRequestedLevel, type RequestedLevel } from '../../src/feature-levels/index.js';
 import { Traffic } from './traffic.js';
-import { spec, thisProgram, type Node, World } from './world.js';
+import { thisProgram, type Node } from './controller-node.js';
+import { spec } from './fixtures.js';
+import { World } from './world.js';
 
 /** How the earlier program is put into a node's place: the real one of an earlier build, or this one held at the old level. */
 export interface Cast {
--- /dev/null
+++ b/test/support/scripted-state-service.ts
@@ -0,0 +1,120 @@
+/** The state service as the protocol describes it, in memory and on the fake clock, with faults that tests switch on. */
+import type { CommitOutcome } from '../../src/core/effects.js';
+import { keyPrefix } from '../../src/core/storage/index.js';
+import type { Change, Transaction } from '../../src/wire/store.js';
+import type { World } from './world.js';
+
+export class StateService {
+  epoch = 1;
+  unavailable = false;
+  /** More is asked of it than it takes: commits get 429. */
+  rateLimited = false;
+  /** Executed, but the answer to a commit gets lost. */
+  dropsResponses = false;
+  /** The same, for some. */
+  dropsResponseTo: (txn: Transaction) => boolean = () => false;
+  /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
+  delayedCommitShare = 0;
+  readonly entries = new Map<string, Change & { hold?: number }>();
+  readonly log: Change[] = [];
+  private leases = new Map<number, number>();
+  private nextLeaseId = 1;
+
+  constructor(private readonly world: World) {}
+
+  /** Called with each transaction just before it is carried out. */
+  beforeCommit: (txn: Transaction) => void = () => undefined;
+
+  commit(txn: Transaction): CommitOutcome {
+    this.beforeCommit(txn);
+    if (this.unavailable) return { type: 'rejected' };
+    if (this.rateLimited || !this.takeWriteBudget(txn.writes.length)) return { type: 'rate-limited' };
+    this.expireLeases();
+    if (txn.writes.some((w) => w.hold !== undefined && !this.leases.has(w.hold)))
+      return { type: 'lease-expired' };
+    const failed = txn.conditions
+      .filter((c) => (this.entries.get(c.key)?.stamp ?? 0) !== c.stamp)
+      .map((c) => c.key);
+    if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
+    if (txn.writes.length > 0) this.epoch++;
+    for (const w of txn.writes) {
+      const change = { key: w.key, data: w.data && JSON.parse(JSON.stringify(w.data)), stamp: this.epoch };
+      if (w.data === undefined) this.entries.delete(w.key);
+      else this.entries.set(w.key, { ...change, hold: w.hold });
+      this.log.push(change);
+    }
+    return { type: 'ok', epoch: this.epoch };
+  }
+
+  /** Puts and deletes that it takes in a second; bursts of a second's worth are allowed. */
+  writesPerS = Infinity;
+  private budget = 0;
+  private budgetAt = 0;
+  rateLimitedCount = 0;
+  private takeWriteBudget(writes: number): boolean {
+    if (!Number.isFinite(this.writesPerS)) return true;
+    const { now } = this.world;
+    this.budget = Math.min(this.writesPerS, this.budget + ((now - this.budgetAt) / 1000) * this.writesPerS);
+    this.budgetAt = now;
+    if (this.budget < writes) {
+      this.rateLimitedCount++;
+      return false;
+    }
+    this.budget -= writes;
+    return true;
+  }
+
+  grantLease(ttlMs: number): number | null {
+    if (this.unavailable) return null;
+    const hold = this.nextLeaseId++;
+    this.leases.set(hold, this.world.now + ttlMs);
+    this.leaseTtlMs.set(hold, ttlMs);
+    return hold;
+  }
+  private leaseTtlMs = new Map<number, number>();
+
+  renewLease(hold: number): 'ok' | 'gone' | 'failed' {
+    if (this.unavailable) return 'failed';
+    this.expireLeases();
+    if (!this.leases.has(hold)) return 'gone';
+    this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
+    return 'ok';
+  }
+
+  revokeLease(hold: number): void {
+    this.leases.delete(hold);
+    const gone = [...this.entries.values()].filter((k) => k.hold === hold);
+    if (gone.length > 0) this.epoch++;
+    for (const k of gone) {
+      this.entries.delete(k.key);
+      this.log.push({ key: k.key, data: undefined, stamp: this.epoch });
+    }
+  }
+
+  expireLeases(): void {
+    if (this.unavailable)
+      for (const hold of this.leases.keys())
+        this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
+    for (const [hold, until] of [...this.leases]) if (until < this.world.now) this.revokeLease(hold);
+  }
+
+  /** A copy of what there is, to come back to. */
+  snapshot(): { epoch: number; keys: [string, Change & { hold?: number }][] } {
+    return { epoch: this.epoch, keys: [...this.entries] };
+  }
+
+  /** It has lost data: what is left, at which revision. Nothing tells of it; leases are gone, too. */
+  loseData(left: [string, Change & { hold?: number }][], epoch: number): void {
+    this.entries.clear();
+    for (const [key, k] of left) this.entries.set(key, k);
+    this.epoch = epoch;
+    this.log.length = 0;
+    this.leases.clear();
+  }
+
+  items(): Change[] {
+    return [...this.entries.values()]
+      .filter((k) => k.key.startsWith(keyPrefix))
+      .map(({ key, data, stamp }) => ({ key, data, stamp }));
+  }
+}
--- /dev/null
+++ b/test/support/scripted-worker.ts
@@ -0,0 +1,270 @@
+/** A worker of the scripted world: epochs, leases, fencing tokens and task commands as the protocol has them. */
+import type { TaskOrder, Heartbeat, TaskStatus } from '../../src/model/heartbeat.js';
+import type { Node } from './controller-node.js';
+import type { World } from './world.js';
+
+interface Running {
+  report: TaskStatus;
+  since: number;
+  /** How long it saves, if it does. */
+  saveS?: number;
+}
+
+/** A worker: sessions, leases, tokens and orders as the protocol has them. */
+export class Worker {
+  session = 1;
+  seq = 0;
+  token = 0;
+  tasks = new Map<string, Running>();
+  spotNoticeS: number | null = null;
+  silent = false;
+  /** The machine hangs: nothing goes on, and what is due is done when it does again. */
+  hung = false;
+  /** Its reports arrive; answers and direct commands to it are lost. */
+  losesResponses = false;
+  /** Direct commands that have come while it hung. */
+  private readonly delayedCommands: { orders: TaskOrder[]; token: number; session: number }[] = [];
+  /** Controllers that it cannot reach. */
+  readonly unreachableNodes = new Set<string>();
+  failsTasks = false;
+  taskDurationS: number;
+  private leaseStartedAt: number;
+  private nextHeartbeatAt: number;
+  private inFlight = false;
+  private targetIndex = 0;
+  readonly createdAt: number;
+  /** When it last got an answer it could use, and the longest time without, ms. */
+  leaseRenewedAt: number;
+  longestGapMs = 0;
+  constructor(
+    readonly world: World,
+    readonly host: string,
+    readonly type: string,
+    readonly zone: string,
+    readonly spot: boolean,
+  ) {
+    this.createdAt = this.leaseStartedAt = this.leaseRenewedAt = world.now;
+    this.nextHeartbeatAt = world.now + 1000;
+    this.taskDurationS = world.taskDurationS;
+  }
+
+  report(): Heartbeat {
+    this.seq++;
+    return {
+      host: this.host,
+      endpoint: '127.0.0.1:5',
+      type: this.type,
+      zone: this.zone,
+      spot: this.spot,
+      agentEpoch: this.session,
+      sequence: this.seq,
+      fencingToken: this.token,
+      noticeS: this.spotNoticeS,
+      tasks: [...this.tasks.values()].map((t) => ({ ...t.report })),
+    };
+  }
+
+  /** A task gets its image; one of a gang then waits for the others of its attempt. */
+  private advanceImageFetch(t: Running): void {
+    const { report } = t;
+    const w = this.world;
+    const gang = w.gangs.get(report.job);
+    if (report.phase === 'fetching' && w.now - t.since > w.fetchS * 1000)
+      report.phase = gang === undefined ? 'running' : 'waiting';
+    if (report.phase !== 'waiting') return;
+    let there = 0;
+    for (const x of w.workers.values())
+      for (const o of x.tasks.values())
+        if (o.report.job === report.job && o.report.attempt === report.attempt)
+          if (o.report.phase === 'waiting' || o.report.phase === 'running') there++;
+    if (there < gang!) return;
+    report.phase = 'running';
+    t.since = w.now;
+  }
+
+  /** Its lease has ended: all that it had is gone. */
+  expireLease(): void {
+    this.tasks.clear();
+    this.session++;
+    this.leaseStartedAt = this.world.now;
+    this.nextHeartbeatAt = this.world.now;
+  }
+
+  /** Whom it reports to. */
+  get currentNode(): Node {
+    return this.world.nodes[this.targetIndex % this.world.nodes.length];
+  }
+
+  /** Things that go on without any controller. */
+  advanceTasks(): void {
+    const w = this.world;
+    if (w.now - this.leaseStartedAt > w.leaseMs) {
+      const { nextHeartbeatAt: at } = this;
+      this.expireLease();
+      this.nextHeartbeatAt = at;
+    }
+    for (const d of this.delayedCommands.splice(0)) this.receiveDirectCommands(d.orders, d.token, d.session);
+    for (const t of this.tasks.values()) this.advanceImageFetch(t);
+    for (const t of this.tasks.values())
+      if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
+        Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: true });
+    for (const t of this.tasks.values())
+      if (
+        t.report.phase === 'running' &&
+        !w.serviceJobs.has(t.report.job) &&
+        w.now - t.since > (w.taskDurationOf(`${t.report.job}/${t.report.index}`) ?? this.taskDurationS) * 1000
+      ) {
+        t.report.phase = 'exited';
+        t.report.exitReason = 'done';
+        w.finished.push(`${t.report.job}/${t.report.index}`);
+      }
+  }
+
+  step(): void {
+    const w = this.world;
+    if (this.hung) return;
+    this.advanceTasks();
+    if (this.silent || this.inFlight || w.now < this.nextHeartbeatAt) return;
+    this.nextHeartbeatAt = w.now + w.heartbeatMs;
+    const { currentNode: node } = this;
+    if (!node.alive || this.unreachableNodes.has(node.member)) {
+      this.targetIndex++;
+      this.nextHeartbeatAt = w.now + 1000;
+      return;
+    }
+    const sentAt = w.now;
+    const session = this.session;
+    const rid = ++w.nextRequestId;
+    const report = this.report();
+    if (!node.controller.replica.machines.has(this.host)) w.heartbeatsBeforeRecord++;
+    node.push({ type: 'heartbeat', rid, report });
+    if (w.random() < w.heldHeartbeatShare) w.heldHeartbeats.push(report);
+    if (w.random() < w.duplicatedHeartbeatShare) {
+      const to = w.nodes[Math.floor(w.random() * w.nodes.length)];
+      w.schedule(2000 + 1.5 * w.leaseMs * w.random(), () =>
+        to.push({ type: 'heartbeat', rid: ++w.nextRequestId, report }),
+      );
+    }
+    if (this.losesResponses) {
+      this.targetIndex++;
+      this.nextHeartbeatAt = w.now + 5000;
+      return;
+    }
+    this.inFlight = true;
+    const heldMs = w.responseDelayMs();
+    if (heldMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + heldMs + 200);
+    w.schedule(100 + heldMs, () => this.receiveResponse(node, rid, sentAt, session));
+  }
+
+  private receiveResponse(node: Node, rid: number, sentAt: number, session: number): void {
+    const w = this.world;
+    // A machine that goes on takes what came meanwhile, unless that is too old.
+    if (this.hung && w.now - sentAt < 4000)
+      return w.schedule(50, () => this.receiveResponse(node, rid, sentAt, session));
+    // One report at a time; an answer is waited for as long as its controller lives.
+    const waits =
+      !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
+    if (!node.responses.has(rid) && waits && w.now - sentAt < 4000)
+      return w.schedule(10, () => this.receiveResponse(node, rid, sentAt, session));
+    const a = node.responses.get(rid);
+    node.responses.delete(rid);
+    this.inFlight = false;
+    if (this.silent || this.hung || this.losesResponses || session !== this.session) return;
+    this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
+    if (a?.status !== 200) {
+      const boss = w.nodes.findIndex((n) => n.member === a?.body['boss']);
+      this.targetIndex = boss >= 0 && w.nodes[boss] !== node ? boss : this.targetIndex + 1;
+      this.nextHeartbeatAt = w.now + (boss >= 0 ? 50 : 1000);
+      return;
+    }
+    const body = a.body as {
+      baton: number;
+      orders: { verb: string; piece: string; try: number; windDownS?: number }[];
+    };
+    if (body.baton < this.token) return;
+    if (body.baton > this.token) this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, w.now + 500);
+    this.token = body.baton;
+    this.leaseStartedAt = sentAt;
+    this.leaseRenewedAt = w.now;
+    this.checkKeptTasks(
+      node,
+      sentAt,
+      new Set(body.orders.flatMap((o) => (o.verb === 'kill' ? [o.piece] : []))),
+    );
+    this.execute(
+      body.orders.map((o) => {
+        const [job, index] = o.piece.split('/');
+        const base = { job, index: Number(index), attempt: o.try };
+        if (o.verb === 'run') return { op: 'start' as const, ...base };
+        if (o.verb === 'kill') return { op: 'stop' as const, ...base, graceS: o.windDownS ?? 0 };
+        return { op: 'forget' as const, ...base };
+      }),
+      body.baton,
+    );
+  }
+
+  /** An answer has kept its tasks alive. Of a cancelled job it may only for so long that the lease still ends in time. */
+  private checkKeptTasks(node: Node, sentAt: number, killed: ReadonlySet<string>): void {
+    const w = this.world;
+    w.leaseRenewals.answers.set(node.member, (w.leaseRenewals.answers.get(node.member) ?? 0) + 1);
+    for (const [piece, t] of this.tasks) {
+      const since = w.cancelledAt.get(t.report.job);
+      if (since === undefined || t.report.phase === 'exited' || killed.has(piece)) continue;
+      w.leaseRenewals.mostMs = Math.max(w.leaseRenewals.mostMs, sentAt - since);
+      if (sentAt - since > w.maxKeepMs)
+        w.violations.push(`kept ${piece} ${sentAt - since} ms by ${node.member}`);
+    }
+  }
+
+  /** Commands sent straight to it: carried out late, too, as long as token and session are right. */
+  receiveDirectCommands(orders: TaskOrder[], token: number, session: number): void {
+    if (this.losesResponses) return;
+    if (this.hung) this.delayedCommands.push({ orders, token, session });
+    else if (session === this.session) this.execute(orders, token);
+  }
+
+  execute(orders: TaskOrder[], token: number): void {
+    if (token < this.token || this.hung) return;
+    this.token = token;
+    for (const o of orders) {
+      const piece = `${o.job}/${o.index}`;
+      const t = this.tasks.get(piece);
+      if (o.op === 'start') {
+        this.world.recordStart(this, o.job, o.index, t !== undefined);
+        if (t) continue;
+        const report: TaskStatus = {
+          job: o.job,
+          index: o.index,
+          attempt: o.attempt,
+          phase: this.world.fetchS > 0 ? 'fetching' : 'running',
+          exitReason: null,
+          saved: false,
+        };
+        if (this.failsTasks || this.world.failingJobs.has(o.job))
+          Object.assign(report, { phase: 'exited', why: 'error' });
+        this.tasks.set(piece, { report, since: this.world.now });
+      } else if (t?.report.attempt === o.attempt) {
+        if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(piece);
+        if (o.op === 'stop' && t.report.phase !== 'exited') this.stopTask(t, o.graceS);
+      }
+      this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.world.now + 500);
+    }
+  }
+
+  /** One that saves goes on doing so unless it is told to end at once. */
+  private stopTask(t: Running, graceS: number): void {
+    const saveS = this.world.specs.get(t.report.job)?.saveS ?? 0;
+    const saves = t.report.phase === 'running' && saveS > 0 && graceS >= saveS;
+    if (saves) Object.assign(t, { since: this.world.now, saveS });
+    if (saves) t.report.phase = 'saving';
+    else if (t.report.phase !== 'saving' || graceS === 0)
+      Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: graceS > 0 });
+  }
+
+  /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
+  hasTask(piece: string): boolean {
+    if (this.hung && this.world.now - this.leaseStartedAt > this.world.leaseMs) return false;
+    const t = this.tasks.get(piece);
+    return t !== undefined && t.report.phase !== 'exited';
+  }
+}
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -1,5 +1,6 @@
 import { BitSet, chunkData, openJobData } from '../../src/core/storage/index.js';
-import { spec, World } from './world.js';
+import { spec } from './fixtures.js';
+import { World } from './world.js';
 
 export interface Key {
   key: string;
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -1,5 +1,7 @@
 import type { JobSpec } from '../../src/model/job.js';
-import { spec, type Node, type World } from './world.js';
+import { type Node } from './controller-node.js';
+import { spec } from './fixtures.js';
+import { type World } from './world.js';
 
 interface Asked {
   id: string;
--- a/test/support/waiting.ts
+++ b/test/support/waiting.ts
@@ -1,6 +1,7 @@
 import type { JobSpec } from '../../src/model/job.js';
 import type { Traffic } from './traffic.js';
-import type { Worker, World } from './world.js';
+import type { Worker } from './scripted-worker.js';
+import type { World } from './world.js';
 
 /** Once troubles are over no job waits longer for a machine that fits and has room. */
 export const mostWaitMs = 90_000;
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -34,7 +34,9 @@
 import { wrongInHistory } from './support/task-log-history.js';
 import { levelOf, ownerOf, restart } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
-import { spec, World, type Node } from './support/world.js';
+import { type Node } from './support/controller-node.js';
+import { spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 const size = 8;
 
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -1,7 +1,9 @@
 import { bounce, longWorld, meeting, pick, some } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
-import type { Node, Worker, World } from './support/world.js';
+import type { Node } from './support/controller-node.js';
+import type { Worker } from './support/scripted-worker.js';
+import type { World } from './support/world.js';
 
 /** Both teams have a limit, and more work than that. */
 const limited = (seed: number): World =>
--- a/test/urgent-work.test.ts
+++ b/test/urgent-work.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { box, spec, World } from './support/world.js';
+import { box, spec } from './support/fixtures.js';
+import { World } from './support/world.js';
 
 // Guards against urgent gangs that never get a whole machine because small tasks of less urgency take every place that
 // comes free: only the first gang had machines kept for it.
