--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -367,10 +367,9 @@
   w.advance(20);
   // One task lost and one that never had a place: both find one on the same machine in the same round.
   const lost = w.running('req-1')[3];
-  Object.assign(w.workers.get(lost.host)!.tasks.get(lost.piece)!.report, {
-    phase: 'exited',
-    exitReason: 'error',
-  });
+  const { report } = w.workers.get(lost.host)!.tasks.get(lost.piece)!;
+  report.phase = 'exited';
+  report.exitReason = 'error';
   w.capacity = 1;
   w.advance(60);
   assert.deepEqual(w.violations, []);
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -1,5 +1,5 @@
 /** A worker of the scripted world: epochs, leases, fencing tokens and task commands as the protocol has them. */
-import type { TaskOrder, Heartbeat, TaskStatus } from '../../src/model/heartbeat.js';
+import type { ExitReason, Heartbeat, TaskOrder, TaskStatus } from '../../src/model/heartbeat.js';
 import type { Node } from './controller-node.js';
 import type { World } from './world.js';
 
@@ -10,6 +10,13 @@
   saveS?: number;
 }
 
+/** A task ends for this reason. */
+function exit(report: TaskStatus, reason: ExitReason, saved = report.saved): void {
+  report.phase = 'exited';
+  report.exitReason = reason;
+  report.saved = saved;
+}
+
 /** A worker: sessions, leases, tokens and orders as the protocol has them. */
 export class Worker {
   session = 1;
@@ -107,7 +114,7 @@
     for (const t of this.tasks.values()) this.advanceImageFetch(t);
     for (const t of this.tasks.values())
       if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
-        Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: true });
+        exit(t.report, 'stopped', true);
     for (const t of this.tasks.values())
       if (
         t.report.phase === 'running' &&
@@ -240,8 +247,7 @@
           exitReason: null,
           saved: false,
         };
-        if (this.failsTasks || this.world.failingJobs.has(o.job))
-          Object.assign(report, { phase: 'exited', why: 'error' });
+        if (this.failsTasks || this.world.failingJobs.has(o.job)) exit(report, 'error');
         this.tasks.set(piece, { report, since: this.world.now });
       } else if (t?.report.attempt === o.attempt) {
         if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(piece);
@@ -257,8 +263,7 @@
     const saves = t.report.phase === 'running' && saveS > 0 && graceS >= saveS;
     if (saves) Object.assign(t, { since: this.world.now, saveS });
     if (saves) t.report.phase = 'saving';
-    else if (t.report.phase !== 'saving' || graceS === 0)
-      Object.assign(t.report, { phase: 'exited', why: 'stopped', saved: graceS > 0 });
+    else if (t.report.phase !== 'saving' || graceS === 0) exit(t.report, 'stopped', graceS > 0);
   }
 
   /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
