--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -17,7 +17,7 @@
 import { ShardManager } from './shard-manager.js';
 import type { Clock, Command, Effect, Log } from './effects.js';
 import { Autoscaler } from './autoscaler/autoscaler.js';
-import { Membership } from './membership.js';
+import { Membership } from './membership/index.js';
 import { Peers } from './peers.js';
 import { WriteBudget } from './write-budget.js';
 import type { RecoveryRecords } from './recovery-records.js';
@@ -138,17 +138,17 @@
       log,
     );
     const { batcher } = this;
-    this.membership = new Membership(
+    this.membership = new Membership({
       settings,
       operators,
-      run,
+      instanceId: run,
       replica,
       batcher,
-      ttlMs,
-      retry.state,
+      leaseTtlMs: ttlMs,
+      retry: retry.state,
       random,
       log,
-    );
+    });
     this.peers = new Peers(settings, operators, run, replica, clock, ttlMs);
     this.userRequests = new UserRequests(
       settings,
@@ -270,7 +270,10 @@
     const { mayAct: acting } = this.dataLossRecovery;
     this.batcher.suspended = !acting;
     this.settle();
-    this.membership.tick(now, out, acting, this.dataLossRecovery.essentialsRestored);
+    this.membership.tick(now, out, {
+      mayAct: acting,
+      essentialsRestored: this.dataLossRecovery.essentialsRestored,
+    });
     this.dataLossRecovery.tick(this.membership.isLeader);
     const leading = this.membership.isLeader;
     if (leading !== this.wasLeading) {
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -27,7 +27,7 @@
 } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
 import { leaderPlaceholder } from './recovery-records.js';
-import type { Membership } from './membership.js';
+import type { Membership } from './membership/index.js';
 import type { Replica } from './replica.js';
 
 /** Looks, in a state lease. */
@@ -154,7 +154,7 @@
     const was = before.level >= 2;
     const is = level >= 2;
     if (was === is) return apply;
-    const mine = { member: settings.member, run: membership.run };
+    const mine = { member: settings.member, run: membership.instanceId };
     const hold = membership.leaseId ?? undefined;
     const types = replica.machineTypes.length > 0 ? machineTypesData(replica.machineTypes) : undefined;
     if (is)
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -13,7 +13,7 @@
 import type { Settings } from '../config/settings.js';
 import { type Committer, allocationData, allocationKey, Rank } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
-import type { Membership } from './membership.js';
+import type { Membership } from './membership/index.js';
 import type { Peers } from './peers.js';
 import type { Replica } from './replica.js';
 import type { ReplicaFreshness } from './replica-freshness.js';
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -139,7 +139,7 @@
   at(out + 8 + 30 * w.random(), () => (w.state.unavailable = false));
   for (let s = 0; s < 125; s++)
     at(s, () => {
-      const n = leaderOf(w)?.controller.membership.run;
+      const n = leaderOf(w)?.controller.membership.instanceId;
       if (n !== undefined && leaders.at(-1) !== n) leaders.push(n);
     });
   return { lastsS: 130, came: () => Math.max(0, leaders.length - 5) };
