--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -45,8 +45,8 @@
 
 const statusEveryMs = 500;
 /** Events of a process that is busy come later than those of the others. */
-const eventPatienceMs = 3000;
-const startPatienceMs = 20_000;
+const eventDelayMs = 3000;
+const startTimeoutMs = 20_000;
 const firstNetwork = 16;
 /** Controllers take some seconds to begin, machines to boot; so many machines are rented in a millisecond. */
 const bootMs = 10_000;
@@ -54,9 +54,9 @@
 const urgentRunMs = 10_000;
 const cancelShare = 0.01;
 const urgentShareOfStarts = 1 / 200;
-const leastUrgentPerS = 0.5;
+const minUrgentPerS = 0.5;
 
-const noCounts: PlatformCounts = {
+const zeroCounts: PlatformCounts = {
   requests: 0,
   transactions: 0,
   writes: 0,
@@ -99,10 +99,10 @@
   private platform!: Generator<ToPlatform>;
   private readonly workers: Generator<ToWorkers>[] = [];
   private users: Generator<ToUsers> | null = null;
-  private readonly homes = new Map<string, number>();
-  private nextHome = 0;
+  private readonly workerProcessOfHost = new Map<string, number>();
+  private nextWorkerProcess = 0;
   private readonly removals = new Map<number, number>();
-  private readonly order = new EventOrder<Ordered>(eventPatienceMs);
+  private readonly order = new EventOrder<Ordered>(eventDelayMs);
   private readonly submit = new Latency();
   private readonly urgentStart = new Latency();
   private readonly cancel = new Latency();
@@ -113,8 +113,8 @@
   private measuring = false;
   private starts = 0;
   private acceptedJobs = 0;
-  private givenUp = 0;
-  private platformCounts = noCounts;
+  private abandonedSubmissions = 0;
+  private platformCounts = zeroCounts;
   private readonly workerCounts: WorkerCounts[] = [];
   private userCounts: UserCounts = { requests: 0, unavailable: 0, openJobs: 0 };
   private lag: GeneratorLag = { p99Ms: 0, maxMs: 0 };
@@ -160,12 +160,12 @@
 
   private async startPlatform(): Promise<{ state: string; cloud: string }> {
     const { options } = this;
-    return this.answered('the stand-ins', (resolve) => {
+    return this.whenStarted('the stand-ins', (resolve) => {
       this.platform = Generator.start<ToPlatform, FromPlatform>('platform', (message) => {
         if (message.kind === 'ready') resolve({ state: message.state, cloud: message.cloud });
         else this.fromPlatform(message);
       });
-      this.platform.tell({
+      this.platform.send({
         kind: 'start',
         requestsPerS: options.requestsPerS,
         writesPerS: options.writesPerS,
@@ -212,13 +212,13 @@
     const { options } = this;
     for (let i = 0; i < workerProcesses(options); i++) {
       this.workerCounts.push({ ...noWorkers });
-      await this.answered<null>('the workers', (resolve) => {
+      await this.whenStarted<null>('the workers', (resolve) => {
         const generator = Generator.start<ToWorkers, FromWorkers>('workers', (message) => {
           if (message.kind === 'ready') resolve(null);
           else this.fromWorkers(i, message);
         });
         this.workers.push(generator);
-        generator.tell({
+        generator.send({
           kind: 'start',
           controllers,
           limits: workerLimits,
@@ -236,20 +236,20 @@
 
   private async startUsers(controllers: [string, string][]): Promise<void> {
     const { options, runMs } = this;
-    await this.answered<null>('the users', (resolve) => {
+    await this.whenStarted<null>('the users', (resolve) => {
       this.users = Generator.start<ToUsers, FromUsers>('users', (message) => {
         if (message.kind === 'ready') resolve(null);
         else if (message.kind === 'events') this.order.add(message.events);
         else this.usersStatus(message.counts, message.lag);
       });
-      this.users.tell({
+      this.users.send({
         kind: 'start',
         controllers,
         teams: teamsOf(options).map((team) => team.name),
         startsPerS: options.startsPerS,
         tasksPerJob: options.tasksPerJob,
         initialTasks: options.workers * tasksOfWorker,
-        urgentPerS: Math.max(leastUrgentPerS, options.startsPerS * urgentShareOfStarts),
+        urgentPerS: Math.max(minUrgentPerS, options.startsPerS * urgentShareOfStarts),
         cancelShare,
         estimateS: runMs / 1000,
         urgentEstimateS: urgentRunMs / 1000,
@@ -258,10 +258,10 @@
     });
   }
 
-  private answered<T>(who: string, begin: (resolve: (value: T) => void) => void): Promise<T> {
+  private whenStarted<T>(who: string, begin: (resolve: (value: T) => void) => void): Promise<T> {
     return new Promise((resolve, reject) => {
-      const late = (): void => reject(new ScaleError(`${who} did not start within ${startPatienceMs} ms`));
-      const timer = setTimeout(late, startPatienceMs);
+      const late = (): void => reject(new ScaleError(`${who} did not start within ${startTimeoutMs} ms`));
+      const timer = setTimeout(late, startTimeoutMs);
       begin((value) => {
         clearTimeout(timer);
         resolve(value);
@@ -272,66 +272,66 @@
   // ---- messages ----
 
   private fromPlatform(message: FromPlatform): void {
-    if (message.kind === 'booted') for (const machine of message.machines) this.place(machine);
+    if (message.kind === 'booted') for (const machine of message.machines) this.assignMachine(machine);
     else if (message.kind === 'remove') this.remove(message.request, message.hosts);
-    else if (message.kind === 'placed') this.notePlaced(message.jobs);
+    else if (message.kind === 'placed') this.recordPlacements(message.jobs);
     else if (message.kind === 'status') {
       this.platformCounts = message.counts;
       this.owner = message.owner;
       this.leader = message.leader;
-      this.noteLag(message.lag);
+      this.recordLag(message.lag);
     }
   }
 
   private fromWorkers(process: number, message: FromWorkers): void {
     if (message.kind === 'events') this.order.add(message.events);
-    else if (message.kind === 'listening') this.platform.tell(message);
-    else if (message.kind === 'removed') this.removed(message.request);
+    else if (message.kind === 'listening') this.platform.send(message);
+    else if (message.kind === 'removed') this.machinesRemoved(message.request);
     else if (message.kind === 'status') {
       this.workerCounts[process] = message.counts;
-      this.noteLag(message.lag);
+      this.recordLag(message.lag);
     }
   }
 
   private usersStatus(counts: UserCounts, lag: GeneratorLag): void {
     this.userCounts = counts;
-    this.noteLag(lag);
+    this.recordLag(lag);
   }
 
-  private noteLag(lag: GeneratorLag): void {
+  private recordLag(lag: GeneratorLag): void {
     if (!this.measuring) return;
     this.lag.p99Ms = Math.max(this.lag.p99Ms, lag.p99Ms);
     this.lag.maxMs = Math.max(this.lag.maxMs, lag.maxMs);
   }
 
   /** Each process of workers gets the next machine in turn. */
-  private place(machine: MachineSpec): void {
-    const home = this.nextHome++ % this.workers.length;
-    this.homes.set(machine.host, home);
+  private assignMachine(machine: MachineSpec): void {
+    const home = this.nextWorkerProcess++ % this.workers.length;
+    this.workerProcessOfHost.set(machine.host, home);
     this.machines.set(machine.host, machine.zone);
-    this.workers[home].tell({ kind: 'add', machines: [machine] });
+    this.workers[home].send({ kind: 'add', machines: [machine] });
   }
 
   private remove(request: number, hosts: string[]): void {
-    const byHome = this.byHome(hosts);
+    const byHome = this.hostsByWorkerProcess(hosts);
     this.removals.set(request, byHome.size);
-    if (byHome.size === 0) this.platform.tell({ kind: 'removed', request });
-    for (const [home, mine] of byHome) this.workers[home].tell({ kind: 'remove', request, hosts: mine });
+    if (byHome.size === 0) this.platform.send({ kind: 'removed', request });
+    for (const [home, mine] of byHome) this.workers[home].send({ kind: 'remove', request, hosts: mine });
     for (const host of hosts) this.machines.delete(host);
   }
 
-  private removed(request: number): void {
+  private machinesRemoved(request: number): void {
     const left = (this.removals.get(request) ?? 1) - 1;
     this.removals.set(request, left);
     if (left > 0) return;
     this.removals.delete(request);
-    this.platform.tell({ kind: 'removed', request });
+    this.platform.send({ kind: 'removed', request });
   }
 
-  private byHome(hosts: string[]): Map<number, string[]> {
+  private hostsByWorkerProcess(hosts: string[]): Map<number, string[]> {
     const found = new Map<number, string[]>();
     for (const host of hosts) {
-      const home = this.homes.get(host);
+      const home = this.workerProcessOfHost.get(host);
       if (home !== undefined) found.set(home, [...(found.get(home) ?? []), host]);
     }
     return found;
@@ -340,21 +340,21 @@
   // ---- events and rules ----
 
   private tick(): void {
-    this.platform.tell({ kind: 'report' });
-    for (const workers of this.workers) workers.tell({ kind: 'report' });
-    this.users?.tell({ kind: 'report' });
-    this.take(now());
+    this.platform.send({ kind: 'report' });
+    for (const workers of this.workers) workers.send({ kind: 'report' });
+    this.users?.send({ kind: 'report' });
+    this.processEvents(now());
   }
 
-  private take(until: number): void {
+  private processEvents(until: number): void {
     for (const event of this.order.take(until))
-      if (isTaskEvent(event)) this.takeTask(event);
-      else this.takeUser(event);
-    this.checker.sweep(until - eventPatienceMs);
+      if (isTaskEvent(event)) this.processTaskEvent(event);
+      else this.processUserEvent(event);
+    this.checker.sweep(until - eventDelayMs);
   }
 
-  private takeTask(event: TaskEvent): void {
-    this.checker.task(event);
+  private processTaskEvent(event: TaskEvent): void {
+    this.checker.onTaskEvent(event);
     if (event.what !== 'on') return;
     this.starts++;
     for (const { figures, at } of this.faults)
@@ -372,25 +372,25 @@
   }
 
   /** The first time counts. */
-  private notePlaced(jobs: [id: string, at: number][]): void {
+  private recordPlacements(jobs: [id: string, at: number][]): void {
     for (const [id, at] of jobs) if (!this.urgentPlacedAt.has(id)) this.urgentPlacedAt.set(id, at);
   }
 
-  private takeUser(event: UserEvent): void {
-    this.checker.user(event);
+  private processUserEvent(event: UserEvent): void {
+    this.checker.onUserEvent(event);
     if (event.what === 'submitted' && event.urgent) this.urgentSubmittedAt.set(event.job, event.at);
     if (!this.measuring) return;
     if (event.what === 'accepted') {
       this.acceptedJobs++;
       this.submit.record(event.afterMs);
       if (isUrgentJob(event.job)) this.urgentSteps.accepted.record(event.afterMs);
-    } else if (event.what === 'given-up') this.givenUp++;
+    } else if (event.what === 'given-up') this.abandonedSubmissions++;
     else if (event.what === 'cancelled') this.cancel.record(event.afterMs);
   }
 
   // ---- measuring ----
 
-  private uses(): [name: string, use: ProcessUse | null][] {
+  private processUses(): [name: string, use: ProcessUse | null][] {
     return [
       ...this.controllers.map((c): [string, ProcessUse | null] => [c.name, c.use]),
       ['platform', useOf(this.platform.pid)],
@@ -399,28 +399,28 @@
     ];
   }
 
-  private read(): Reading {
+  private readCounts(): Reading {
     const uses = new Map<string, ProcessUse>();
-    for (const [name, use] of this.uses()) if (use) uses.set(name, use);
+    for (const [name, use] of this.processUses()) if (use) uses.set(name, use);
     const { platformCounts: platform, starts } = this;
     return { at: now(), uses, workers: sumOf(this.workerCounts), platform, starts };
   }
 
   beginMeasuring(): void {
-    this.before = this.read();
+    this.before = this.readCounts();
     this.measuring = true;
   }
 
   endMeasuring(): void {
-    this.after = this.read();
+    this.after = this.readCounts();
     this.measuring = false;
   }
 
   /** Nothing more is submitted; what users and workers have yet to say is heard. */
   async settle(): Promise<void> {
-    this.users?.tell({ kind: 'stop-submitting' });
-    await new Promise((resolve) => setTimeout(resolve, eventPatienceMs + statusEveryMs * 2));
-    this.take(now());
+    this.users?.send({ kind: 'stop-submitting' });
+    await new Promise((resolve) => setTimeout(resolve, eventDelayMs + statusEveryMs * 2));
+    this.processEvents(now());
   }
 
   figures(): CellFigures {
@@ -441,7 +441,7 @@
       running: after.workers.running,
       workers: after.workers.workers,
       acceptedJobs: this.acceptedJobs,
-      submissionsGivenUp: this.givenUp,
+      submissionsGivenUp: this.abandonedSubmissions,
       requestsUnavailable: this.userCounts.unavailable,
       submit: this.submit.quantiles,
       urgentStart: this.urgentStart.quantiles,
@@ -481,7 +481,7 @@
     const atS = this.before ? (at - this.before.at) / 1000 : 0;
     const figures = { fault, atS, firstStartMs: null, slowestRenewalMs: null, workersNotRenewed: 0 };
     this.faults.push({ figures, at, workers: this.workerCount });
-    for (const workers of this.workers) workers.tell({ kind: 'mark' });
+    for (const workers of this.workers) workers.send({ kind: 'mark' });
   }
 
   endFault(): void {
@@ -491,25 +491,27 @@
     fault.figures.workersNotRenewed = Math.max(0, fault.workers - renewedSinceMark);
   }
 
-  refuseState(forMs: number): void {
-    this.platform.tell({ kind: 'outage', forMs });
+  refuseStateRequests(forMs: number): void {
+    this.platform.send({ kind: 'outage', forMs });
   }
 
   killMachines(hosts: string[]): void {
-    for (const [home, mine] of this.byHome(hosts)) this.workers[home].tell({ kind: 'kill', hosts: mine });
-    this.platform.tell({ kind: 'died', hosts });
+    for (const [home, mine] of this.hostsByWorkerProcess(hosts))
+      this.workers[home].send({ kind: 'kill', hosts: mine });
+    this.platform.send({ kind: 'died', hosts });
   }
 
   restartWorkers(hosts: string[]): void {
-    for (const [home, mine] of this.byHome(hosts)) this.workers[home].tell({ kind: 'restart', hosts: mine });
+    for (const [home, mine] of this.hostsByWorkerProcess(hosts))
+      this.workers[home].send({ kind: 'restart', hosts: mine });
   }
 
   /** Ends every process of the cell. */
   stop(): void {
     if (this.timer) clearInterval(this.timer);
     for (const controller of this.controllers) controller.kill();
-    for (const workers of this.workers) workers.end();
-    this.users?.end();
-    this.platform?.end();
+    for (const workers of this.workers) workers.kill();
+    this.users?.kill();
+    this.platform?.kill();
   }
 }
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -11,7 +11,7 @@
 /** A machine that died is listed as running for so long. */
 const deadListedMs = 30_000;
 const burstS = 2;
-const mostBody = 64 * 1024;
+const maxBodyBytes = 64 * 1024;
 
 interface Machine extends MachineSpec {
   rentedAt: number;
@@ -35,10 +35,10 @@
 export interface CloudListener {
   booted(machine: MachineSpec): void;
   /** Resolves when all that was on these machines is gone. */
-  remove(hosts: string[]): Promise<void>;
+  removeMachines(hosts: string[]): Promise<void>;
 }
 
-export class StandInCloud {
+export class SimulatedCloud {
   readonly server: Server;
   private readonly machines = new Map<string, Machine>();
   private readonly rentals = new Map<string, string[]>();
@@ -55,19 +55,19 @@
     this.server = createServer((req, res) => void this.serve(req, res));
   }
 
-  listening(host: string, endpoint: string): void {
+  workerListening(host: string, endpoint: string): void {
     const machine = this.machines.get(host);
     if (machine) Object.assign(machine, { endpoint, up: true });
   }
 
-  died(host: string): void {
+  machineDied(host: string): void {
     const machine = this.machines.get(host);
     if (machine) machine.diedAt = performance.now();
   }
 
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://cloud');
-    const body = req.method === 'POST' ? await readJson(req, mostBody) : null;
+    const body = req.method === 'POST' ? await readJson(req, maxBodyBytes) : null;
     const answer = this.requests.take(1)
       ? await this.answer(`${req.method} ${url.pathname}`, url.searchParams, body)
       : { status: 429, body: { error: 'too many requests' } };
@@ -113,7 +113,7 @@
 
   private async remove(hosts: string[]): Promise<Answer> {
     const known = hosts.filter((host) => this.machines.has(host));
-    await this.listener.remove(known);
+    await this.listener.removeMachines(known);
     for (const host of known) {
       const machine = this.machines.get(host);
       if (machine) this.removedAt.set(host, { ...machine, removedAt: performance.now() });
--- a/scale/faults.ts
+++ b/scale/faults.ts
@@ -37,7 +37,7 @@
   leader: (cell) => killAndRestart(named(cell, cell.leader)),
   roll: replaceAll,
   state: async (cell) => {
-    cell.refuseState(outageMs);
+    cell.refuseStateRequests(outageMs);
     await pause(outageMs);
   },
   tenth: async (cell) => {
--- a/scale/options.ts
+++ b/scale/options.ts
@@ -30,8 +30,8 @@
 export const workersInProcess = 1500;
 export const controllersInCell = 3;
 
-const mostProcesses = 200;
-const mostMemoryMb = 12 * 1024;
+const maxProcesses = 200;
+const maxMemoryMb = 12 * 1024;
 const memoryShare = 0.5;
 const socketsOfWorker = 2;
 const spareFiles = 200;
@@ -42,11 +42,11 @@
 export class ScaleError extends Error {}
 
 const wholeNumber =
-  (least: number, most: number) =>
+  (min: number, max: number) =>
   (text: string): number => {
     const n = Number(text);
-    if (!Number.isInteger(n) || n < least || n > most)
-      throw new InvalidArgumentError(`expected a whole number from ${least} to ${most}`);
+    if (!Number.isInteger(n) || n < min || n > max)
+      throw new InvalidArgumentError(`expected a whole number from ${min} to ${max}`);
     return n;
   };
 
@@ -110,10 +110,10 @@
   memoryMb: number;
 }
 
-export function roomHere(): MachineRoom {
+export function machineCapacity(): MachineRoom {
   const line = /^Max open files\s+(\d+)/m.exec(readFileSync('/proc/self/limits', 'utf8'));
   const mb = 1024 * 1024;
-  const free = Math.min(freemem() / mb, (totalmem() / mb) * memoryShare, mostMemoryMb);
+  const free = Math.min(freemem() / mb, (totalmem() / mb) * memoryShare, maxMemoryMb);
   return { openFiles: line ? Number(line[1]) : 1024, memoryMb: free };
 }
 
@@ -121,9 +121,9 @@
 export function checkRoom(options: ScaleOptions, room: MachineRoom): void {
   const { workers, cells } = options;
   const processes = 1 + cells * (2 + controllersInCell + workerProcesses(options));
-  if (processes > mostProcesses)
+  if (processes > maxProcesses)
     throw new ScaleError(
-      `${processes} processes are needed, ${mostProcesses} are allowed: ask for fewer cells`,
+      `${processes} processes are needed, ${maxProcesses} are allowed: ask for fewer cells`,
     );
   const files = Math.max(workers, Math.min(workers, workersInProcess) * socketsOfWorker) + spareFiles;
   if (files > room.openFiles)
--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -4,9 +4,9 @@
 import { leaderKey, legacyLeaderKey, shardKey } from '../src/core/storage/index.js';
 import { seededRandom } from '../src/retry/index.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
-import { StandInCloud } from './cloud.js';
+import { SimulatedCloud } from './cloud.js';
 import type { FromPlatform, PlatformStart, ToPlatform } from './messages.js';
-import { StandInStateService } from './state-service.js';
+import { SimulatedStateService } from './state-service.js';
 
 const addressOf = (server: Server): string => `127.0.0.1:${(server.address() as AddressInfo).port}`;
 
@@ -19,15 +19,15 @@
   private readonly lag = lagMeter();
 
   private constructor(
-    private readonly state: StandInStateService,
-    private cloud: StandInCloud | null,
+    private readonly state: SimulatedStateService,
+    private cloud: SimulatedCloud | null,
   ) {}
 
   static async start(options: PlatformStart): Promise<Platform> {
-    const platform = new Platform(await StandInStateService.start(options, tellPlaced), null);
-    const cloud = new StandInCloud(options, seededRandom(options.seed + 1), {
+    const platform = new Platform(await SimulatedStateService.start(options, tellPlaced), null);
+    const cloud = new SimulatedCloud(options, seededRandom(options.seed + 1), {
       booted: (machine) => tellParent<FromPlatform>({ kind: 'booted', machines: [machine] }),
-      remove: (hosts) => platform.remove(hosts),
+      removeMachines: (hosts) => platform.remove(hosts),
     });
     platform.cloud = cloud;
     await new Promise<void>((resolve) => cloud.server.listen(0, '127.0.0.1', () => resolve()));
@@ -45,14 +45,14 @@
   receive(message: Exclude<ToPlatform, PlatformStart>): void {
     switch (message.kind) {
       case 'listening':
-        for (const [host, endpoint] of message.endpoints) this.cloud!.listening(host, endpoint);
+        for (const [host, endpoint] of message.endpoints) this.cloud!.workerListening(host, endpoint);
         break;
       case 'removed':
         this.removals.get(message.request)?.();
         this.removals.delete(message.request);
         break;
       case 'died':
-        for (const host of message.hosts) this.cloud!.died(host);
+        for (const host of message.hosts) this.cloud!.machineDied(host);
         break;
       case 'outage':
         this.state.beginOutage(message.forMs);
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -27,11 +27,11 @@
     return this.child.pid!;
   }
 
-  tell(message: In): void {
+  send(message: In): void {
     if (this.child.connected) this.child.send(message);
   }
 
-  end(): void {
+  kill(): void {
     this.child.kill('SIGKILL');
   }
 }
--- a/scale/rules.ts
+++ b/scale/rules.ts
@@ -42,31 +42,31 @@
 
   constructor(private readonly limits: RuleLimits) {}
 
-  task(event: TaskEvent): void {
+  onTaskEvent(event: TaskEvent): void {
     const job = this.jobs.get(event.job);
     const piece = `${event.job}/${event.index}`;
-    if (!job) return this.broken('invented', event.at, `${piece} started, which nobody submitted`);
+    if (!job) return this.recordViolation('invented', event.at, `${piece} started, which nobody submitted`);
     if (event.what === 'on') this.start(job, piece, event);
     else if (event.what === 'done') job.done.add(event.index);
     else if (job.placed.get(event.index) === event.host) {
       job.placed.delete(event.index);
-      this.use(job, -job.cpus);
+      this.addUsage(job, -job.cpus);
     }
   }
 
   private start(job: JobWatch, piece: string, { at, host, index }: TaskEvent): void {
     const other = job.placed.get(index);
-    if (other !== undefined) this.broken('ran_twice', at, `${piece} on ${host} while on ${other}`);
-    else this.use(job, job.cpus);
+    if (other !== undefined) this.recordViolation('ran_twice', at, `${piece} on ${host} while on ${other}`);
+    else this.addUsage(job, job.cpus);
     job.placed.set(index, host);
     const used = this.cpusUsed.get(job.team) ?? 0;
-    const most = this.limits.cpusOfTeam.get(job.team);
-    if (most !== undefined && used > most + roundingError)
-      this.broken('quota', at, `${job.team} uses ${used} of ${most} CPUs`);
+    const cpuLimit = this.limits.cpusOfTeam.get(job.team);
+    if (cpuLimit !== undefined && used > cpuLimit + roundingError)
+      this.recordViolation('quota', at, `${job.team} uses ${used} of ${cpuLimit} CPUs`);
     this.checkCancelled(piece, job, at);
   }
 
-  user(e: UserEvent): void {
+  onUserEvent(e: UserEvent): void {
     if (e.what === 'submitted') {
       const { team, tasks, cpus } = e;
       const before = { accepted: false, final: null, cancelledAt: null };
@@ -76,20 +76,25 @@
     const job = this.jobs.get(e.job);
     if (!job) return;
     if (e.what === 'accepted') job.accepted = true;
-    else if (e.what === 'told') this.told(e.job, job, e.status, e.at);
+    else if (e.what === 'told') this.onStatus(e.job, job, e.status, e.at);
     else if (e.what === 'cancelled') {
       job.cancelledAt = e.at;
       this.cancelled.add(e.job);
     }
   }
 
-  private told(id: string, job: JobWatch, status: string, at: number): void {
-    if (status === 'unknown' && job.accepted) this.broken('forgotten', at, `${id} was accepted, is unknown`);
-    if (status.startsWith('refused')) this.broken('refused', at, `${id} is valid, got ${status}`);
+  private onStatus(id: string, job: JobWatch, status: string, at: number): void {
+    if (status === 'unknown' && job.accepted)
+      this.recordViolation('forgotten', at, `${id} was accepted, is unknown`);
+    if (status.startsWith('refused')) this.recordViolation('refused', at, `${id} is valid, got ${status}`);
     if (status === 'done' && job.done.size < job.tasks)
-      this.broken('not_done', at, `${id} is called done with ${job.done.size} of ${job.tasks} tasks`);
+      this.recordViolation(
+        'not_done',
+        at,
+        `${id} is called done with ${job.done.size} of ${job.tasks} tasks`,
+      );
     if (job.final !== null && status !== job.final)
-      this.broken('went_back', at, `${id} was ${job.final}, is called ${status}`);
+      this.recordViolation('went_back', at, `${id} was ${job.final}, is called ${status}`);
     if (status === 'done' || status === 'aborted') job.final ??= status;
   }
 
@@ -106,34 +111,38 @@
   private checkCancelled(name: string, job: JobWatch, at: number): void {
     if (job.cancelledAt === null || at - job.cancelledAt <= this.limits.cancelS * 1000) return;
     const lateS = (at - job.cancelledAt) / 1000;
-    this.broken('ran_cancelled', at, `${name} is on a machine ${lateS.toFixed(1)} s after its cancellation`);
+    this.recordViolation(
+      'ran_cancelled',
+      at,
+      `${name} is on a machine ${lateS.toFixed(1)} s after its cancellation`,
+    );
   }
 
-  private use(job: JobWatch, cpus: number): void {
+  private addUsage(job: JobWatch, cpus: number): void {
     this.cpusUsed.set(job.team, (this.cpusUsed.get(job.team) ?? 0) + cpus);
   }
 
-  private broken(rule: Rule, at: number, text: string): void {
+  private recordViolation(rule: Rule, at: number, text: string): void {
     this.violations.push({ rule, at, text });
   }
 }
 
 /** Puts events of several processes in the order of their times: each is held until no earlier one can come any more. */
 export class EventOrder<Event extends { at: number }> {
-  private held: Event[] = [];
+  private buffered: Event[] = [];
 
-  /** `patienceMs`: no process sends an event later than this after its time. */
-  constructor(private readonly patienceMs: number) {}
+  /** `delayMs`: no process sends an event later than this after its time. */
+  constructor(private readonly delayMs: number) {}
 
   add(events: Event[]): void {
-    for (const event of events) this.held.push(event);
+    for (const event of events) this.buffered.push(event);
   }
 
   /** Events that are old enough, in order. */
   take(now: number): Event[] {
-    const until = now - this.patienceMs;
-    this.held.sort((a, b) => a.at - b.at);
-    const firstYounger = this.held.findIndex((event) => event.at > until);
-    return this.held.splice(0, firstYounger < 0 ? this.held.length : firstYounger);
+    const until = now - this.delayMs;
+    this.buffered.sort((a, b) => a.at - b.at);
+    const firstYounger = this.buffered.findIndex((event) => event.at > until);
+    return this.buffered.splice(0, firstYounger < 0 ? this.buffered.length : firstYounger);
   }
 }
--- a/scale/run.ts
+++ b/scale/run.ts
@@ -5,7 +5,7 @@
 import { Cell } from './cell.js';
 import { playFault } from './faults.js';
 import type { CellFigures } from './figures.js';
-import { checkRoom, roomHere, type ScaleOptions } from './options.js';
+import { checkRoom, machineCapacity, type ScaleOptions } from './options.js';
 
 const progressEveryMs = 5000;
 
@@ -24,7 +24,7 @@
 
 /** Plays a run; whatever becomes of it, its processes are ended. `say` gets a line now and then. */
 export async function play(options: ScaleOptions, say: (line: string) => void): Promise<RunResult> {
-  checkRoom(options, roomHere());
+  checkRoom(options, machineCapacity());
   const directory = mkdtempSync(join(tmpdir(), 'dapplepick-scale-'));
   const cells = Array.from(
     { length: options.cells },
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -106,7 +106,7 @@
   }
 }
 
-export class StandInStateService {
+export class SimulatedStateService {
   private frozenAt: number | null = null;
 
   private constructor(
@@ -118,13 +118,13 @@
   static async start(
     limits: PlatformStart,
     placed: (job: string, at: number) => void,
-  ): Promise<StandInStateService> {
+  ): Promise<SimulatedStateService> {
     const gate = new LimitedGate(limits, seededRandom(limits.seed), placed);
-    const holder: { service: StandInStateService | null } = { service: null };
+    const holder: { service: SimulatedStateService | null } = { service: null };
     const clock = (): number => holder.service?.frozenAt ?? performance.now();
     const quiet = (): void => undefined;
     const engine = await Engine.open(memoryDisk, quiet, quiet, clock);
-    const service = new StandInStateService(engine, gate, storeServer(engine, '', gate));
+    const service = new SimulatedStateService(engine, gate, storeServer(engine, '', gate));
     holder.service = service;
     await new Promise<void>((resolve) => service.server.listen(0, '127.0.0.1', () => resolve()));
     return service;
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -16,7 +16,7 @@
 import { isInitialJob, isUrgentJob } from './jobs.js';
 
 const answerPatienceMs = 4000;
-const leastBetweenReportsMs = 500;
+const minReportIntervalMs = 500;
 const nextNodePauseMs = 1000;
 const redirectPauseMs = 100;
 const reportSpread = 0.25;
@@ -125,7 +125,7 @@
   /** A change is reported at once, though not more often than the protocol allows. */
   private noteChange(): void {
     this.changed = true;
-    if (!this.reporting) this.schedule(Math.max(0, this.lastReportAt + leastBetweenReportsMs - now()));
+    if (!this.reporting) this.schedule(Math.max(0, this.lastReportAt + minReportIntervalMs - now()));
   }
 
   private async sendReport(): Promise<void> {
@@ -146,7 +146,7 @@
     if (!accepted) counts.failedReports++;
     if (reply?.status === 200) {
       const intervalMs = options.limits.reportS * 1000 * (1 + reportSpread * (2 * random() - 1));
-      const afterMs = this.changed ? leastBetweenReportsMs : intervalMs;
+      const afterMs = this.changed ? minReportIntervalMs : intervalMs;
       this.schedule(Math.max(0, sentAt + afterMs - now()));
     } else this.moveOn(reply?.status === 421 ? parseBoss(reply.body) : null);
   }
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -18,7 +18,7 @@
 import { HollowWorker, type WorkerContext } from './worker.js';
 
 const sendEventsEveryMs = 100;
-const mostBody = 64 * 1024;
+const maxBodyBytes = 64 * 1024;
 const addressesInBlock = 250;
 
 interface Hosted {
@@ -122,7 +122,7 @@
     const worker = this.byAddress.get(req.socket.localAddress ?? '');
     if (!worker) return void res.destroy();
     if (req.url === '/show') return sendJson(res, 200, worker.report());
-    const body = parseOrders(await readJson(req, mostBody));
+    const body = parseOrders(await readJson(req, maxBodyBytes));
     const status = body ? worker.ordered(body.token, body.session, body.orders) : 400;
     sendJson(res, status, worker.report());
   }
--- a/test/scale-run.test.ts
+++ b/test/scale-run.test.ts
@@ -12,8 +12,16 @@
 
 function checker(): RuleChecker {
   const rules = new RuleChecker({ cancelS, cpusOfTeam: new Map([['blue', 2]]) });
-  rules.user({ at: 0, what: 'submitted', job: 'req-1', team: 'blue', tasks: 3, cpus: 1, urgent: false });
-  rules.user({ at: 1, what: 'accepted', job: 'req-1', afterMs: 1 });
+  rules.onUserEvent({
+    at: 0,
+    what: 'submitted',
+    job: 'req-1',
+    team: 'blue',
+    tasks: 3,
+    cpus: 1,
+    urgent: false,
+  });
+  rules.onUserEvent({ at: 1, what: 'accepted', job: 'req-1', afterMs: 1 });
   return rules;
 }
 
@@ -33,16 +41,16 @@
 
 test('a day on which tasks move, complete and are told of in order breaks no rule', () => {
   const rules = checker();
-  rules.task(task(2, 'on', 'a', 0));
-  rules.task(task(3, 'off', 'a', 0));
-  rules.task(task(4, 'on', 'b', 0));
+  rules.onTaskEvent(task(2, 'on', 'a', 0));
+  rules.onTaskEvent(task(3, 'off', 'a', 0));
+  rules.onTaskEvent(task(4, 'on', 'b', 0));
   for (const index of [0, 1, 2]) {
-    if (index > 0) rules.task(task(5 + index, 'on', 'b', index));
-    rules.task(task(10 + index, 'done', 'b', index));
-    rules.task(task(10 + index, 'off', 'b', index));
+    if (index > 0) rules.onTaskEvent(task(5 + index, 'on', 'b', index));
+    rules.onTaskEvent(task(10 + index, 'done', 'b', index));
+    rules.onTaskEvent(task(10 + index, 'off', 'b', index));
   }
-  rules.user(told(20, 'done'));
-  rules.user(told(21, 'done'));
+  rules.onUserEvent(told(20, 'done'));
+  rules.onUserEvent(told(21, 'done'));
   rules.sweep(100_000);
   assert.deepEqual(rulesBroken(rules), []);
 });
@@ -51,34 +59,34 @@
   [
     'ran_twice',
     (rules) => {
-      rules.task(task(2, 'on', 'a', 0));
-      rules.task(task(3, 'on', 'b', 0));
+      rules.onTaskEvent(task(2, 'on', 'a', 0));
+      rules.onTaskEvent(task(3, 'on', 'b', 0));
     },
   ],
-  ['quota', (rules) => [0, 1, 2].forEach((index) => rules.task(task(2 + index, 'on', 'a', index)))],
-  ['not_done', (rules) => rules.user(told(5, 'done'))],
-  ['forgotten', (rules) => rules.user(told(5, 'unknown'))],
-  ['refused', (rules) => rules.user(told(5, 'refused 422'))],
-  ['invented', (rules) => rules.task({ ...task(5, 'on', 'a', 0), job: 'req-2' })],
+  ['quota', (rules) => [0, 1, 2].forEach((index) => rules.onTaskEvent(task(2 + index, 'on', 'a', index)))],
+  ['not_done', (rules) => rules.onUserEvent(told(5, 'done'))],
+  ['forgotten', (rules) => rules.onUserEvent(told(5, 'unknown'))],
+  ['refused', (rules) => rules.onUserEvent(told(5, 'refused 422'))],
+  ['invented', (rules) => rules.onTaskEvent({ ...task(5, 'on', 'a', 0), job: 'req-2' })],
   [
     'went_back',
     (rules) => {
-      rules.user(told(5, 'aborted'));
-      rules.user(told(6, 'running'));
+      rules.onUserEvent(told(5, 'aborted'));
+      rules.onUserEvent(told(6, 'running'));
     },
   ],
   [
     'ran_cancelled',
     (rules) => {
-      rules.user({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
-      rules.task(task(10 + cancelS * 1000 + 1, 'on', 'a', 0));
+      rules.onUserEvent({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
+      rules.onTaskEvent(task(10 + cancelS * 1000 + 1, 'on', 'a', 0));
     },
   ],
   [
     'ran_cancelled',
     (rules) => {
-      rules.task(task(5, 'on', 'a', 0));
-      rules.user({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
+      rules.onTaskEvent(task(5, 'on', 'a', 0));
+      rules.onUserEvent({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
       rules.sweep(10 + cancelS * 1000 + 1);
     },
   ],
@@ -92,10 +100,10 @@
 
 test('a cancelled job may be on its machines until its time is over', () => {
   const rules = checker();
-  rules.task(task(5, 'on', 'a', 0));
-  rules.user({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
+  rules.onTaskEvent(task(5, 'on', 'a', 0));
+  rules.onUserEvent({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
   rules.sweep(10 + cancelS * 1000 - 1);
-  rules.task(task(10 + cancelS * 1000 - 1, 'off', 'a', 0));
+  rules.onTaskEvent(task(10 + cancelS * 1000 - 1, 'off', 'a', 0));
   rules.sweep(10 + cancelS * 1000 + 1);
   assert.deepEqual(rulesBroken(rules), []);
 });
