--- /dev/null
+++ b/src/control/agent-job.ts
@@ -0,0 +1,27 @@
+/** The description of a job that an agent fetches before it runs the job's tasks. */
+import type { JobSpec } from '../model/job.js';
+import type { AgentJob } from '../wire/agent-side.js';
+import type { ClassSimulation } from './settings.js';
+
+/** How long a simulated task sleeps if neither its class nor its submission says so, s. */
+const defaultSleepS = 1;
+const defaultSimulation: ClassSimulation = { sleepS: null, fail: 0, hang: false, memMb: 0 };
+
+/** Describes a job; `classes` says what tasks without a command simulate. */
+export function describeForAgent(spec: JobSpec, classes: ReadonlyMap<string, ClassSimulation>): AgentJob {
+  const simulation = classes.get(spec.class) ?? defaultSimulation;
+  return {
+    cpus: spec.cpus,
+    gpus: spec.gpus,
+    memGb: spec.memGb,
+    gang: spec.shape === 'gang',
+    saveS: spec.saveS,
+    checkpointS: spec.checkpointS,
+    command: spec.command ?? null,
+    standIn: {
+      ...simulation,
+      hang: simulation.hang || spec.shape === 'service',
+      sleepS: simulation.sleepS ?? (spec.estimateS > 0 ? spec.estimateS : defaultSleepS),
+    },
+  };
+}
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -1,158 +1,188 @@
-/** The control service: a controller with a pool of agents in place of a cloud. */
+/** The control service: the core's controller on a store of its own, with a pool of agents in place of a cloud. */
 import { defaults } from '../config/operators.js';
 import type { Log } from '../core/effects.js';
 import { shardKey } from '../core/storage/index.js';
 import type { JobSpec, MatchSpec } from '../model/job.js';
 import type { MachineAttributes, Matcher } from '../policy/matching.js';
-import type { Heartbeat } from '../model/heartbeat.js';
 import { Service } from '../service.js';
-import { version } from '../version.js';
 import type { StateService } from '../state/service.js';
 import type { FrontHooks } from '../users/server.js';
-import { parseResults, type AgentJob, type TaskResult } from '../wire/agent-side.js';
-import { ControlApi } from './api.js';
-import { StoreUnavailableError, type Precondition, type ControlStore } from './control-store.js';
-import { GangRendezvous } from './gang-rendezvous.js';
+import { version } from '../version.js';
+import type { AgentJob } from '../wire/agent-side.js';
+import type { Condition } from '../wire/store.js';
+import { describeForAgent } from './agent-job.js';
 import { AgentPool, type PoolRecord } from './agent-pool.js';
+import { ControlApi } from './api.js';
+import { StoreUnavailableError, type ControlStore } from './control-store.js';
+import { HeartbeatInterceptor } from './heartbeat-interceptor.js';
 import { ResultStore } from './result-store.js';
 import { platformSettings, type ControlSettings } from './settings.js';
 
-/** Of tries to reach a store that does not answer, one in so many is told. */
+/** While the store does not answer at startup, one in so many attempts is logged. */
 const logEveryAttempts = 20;
-/** Where the store is shared, the pool is read again after so many reports. */
+/** At startup the store is retried after this share of the heartbeat interval. */
+const startupRetryShare = 0.25;
+/** With a shared store, the pool is read again once in so many heartbeat intervals. */
 const poolReloadIntervalReports = 2;
-/** How long a stand-in sleeps when its class says nothing, and its owner neither, s. */
-const defaultSimulatedSleepS = 1;
+/** An agent counts as alive for so many heartbeat intervals after its last heartbeat. */
+const aliveTimeoutReports = 4;
 
-/** The match language, if it is switched on: loaded only then. */
+/** The match language; its modules are loaded only if it is enabled. */
 export interface MatchingSupport {
-  matcher: Matcher & { analyze(m: MatchSpec): object };
-  validate(m: MatchSpec): string | null;
-  machineAttributes(m: PoolRecord): MachineAttributes;
+  readonly matcher: Matcher & { analyze(spec: MatchSpec): object };
+  /** What is wrong with a job's expressions; null if nothing is. */
+  validate(spec: MatchSpec): string | null;
+  /** A machine's attributes, as expressions see them. */
+  machineAttributes(record: PoolRecord): MachineAttributes;
+}
+
+/** What a control service is built from. */
+export interface ControlServiceOptions {
+  readonly settings: ControlSettings;
+  readonly store: StateService & ControlStore;
+  readonly log: Log;
+  /** Writes a snapshot of the embedded store; null if the store is remote. */
+  readonly snapshot?: (() => Promise<object>) | null;
+  /** null: jobs cannot use match expressions. */
+  readonly matching?: MatchingSupport | null;
 }
 
 /**
- * A controller of its own: the same core, with agents in the place of rented machines and a store in the place of the
- * platform's state service. What agents report passes through here first: how tasks ended is on disk before the core hears
- * of it, and so before anybody forgets it.
+ * A self-contained controller: the core with agents in place of rented machines and a store in place of the platform's
+ * state service.
  */
 export class ControlService {
   readonly service: Service;
   readonly pool: AgentPool;
   readonly results: ResultStore;
-  private readonly gangRendezvous: GangRendezvous;
+  readonly settings: ControlSettings;
+  readonly matching: MatchingSupport | null;
+  private readonly log: Log;
   private readonly api: ControlApi;
-  /** GangRendezvous that a machine's next answer tells to go. */
-  private readonly completeGangs = new Map<string, string[]>();
-  /** The grant under which the results were read last, by its stamp: after another owner they are others. */
+  /** The revision of the shard grant under which all results were read last. */
   private resultsGrantStamp = -1;
   private resultsLoading: Promise<void> | null = null;
   private poolReloadTimer: NodeJS.Timeout | null = null;
   private stopped = false;
 
-  constructor(
-    readonly settings: ControlSettings,
-    state: StateService & ControlStore,
-    private readonly log: Log,
-    snapshot: (() => Promise<object>) | null = null,
-    readonly matching: MatchingSupport | null = null,
-  ) {
+  constructor({ settings, store, log, snapshot = null, matching = null }: ControlServiceOptions) {
+    this.settings = settings;
+    this.log = log;
+    this.matching = matching;
     const { settings: platform, nodeLeaseRatio } = platformSettings(settings);
-    const aliveMs = settings.reportS * 4000;
-    this.pool = new AgentPool(state, settings.zones, aliveMs, () => performance.now(), log);
-    this.results = new ResultStore(state);
-    this.gangRendezvous = new GangRendezvous((id) => this.pendingGangTasks(id));
+    const aliveTimeoutMs = settings.reportS * 1000 * aliveTimeoutReports;
+    this.pool = new AgentPool(store, settings.zones, aliveTimeoutMs, () => performance.now(), log);
+    this.results = new ResultStore(store);
     const operators = {
       ...defaults,
       'node-lease-ratio': nodeLeaseRatio,
       'round-s': Math.min(1, settings.reportS / 8),
     };
-    const hooks: FrontHooks = {
+    const adapters = {
+      state: store,
+      cloud: this.pool,
+      hooks: this.hooks(),
+      ...(matching ? { matcher: matching.matcher } : {}),
+    };
+    this.service = new Service(platform, operators, log, adapters, version());
+    this.api = new ControlApi(this, snapshot);
+    this.forwardPoolChanges();
+  }
+
+  /** What this program adds to the core's HTTP server. */
+  private hooks(): FrontHooks {
+    const interceptor = new HeartbeatInterceptor({
+      pool: this.pool,
+      results: this.results,
+      owns: () => this.owns,
+      drainS: this.settings.drainS,
+      jobSpec: (id) => this.jobSpec(id),
+      doneTasks: (id) => this.service.controller.replica.taskCounts(id).done,
+      ensureResultsOfGrant: () => this.ensureResultsOfGrant(),
+      push: (command) => this.service.push(command),
+    });
+    return {
       admit: (spec) => {
         if (!spec.match) return null;
-        return matching ? matching.validate(spec.match) : 'requirements, rank: matching is not switched on';
+        return this.matching
+          ? this.matching.validate(spec.match)
+          : 'requirements, rank: matching is not switched on';
       },
       serve: (req, res, path) => this.api.serve(req, res, path),
-      checkin: (raw, report, pass, refuse) => void this.onHeartbeat(raw, report, pass, refuse),
-      answered: (host, status, body) => this.addCompleteGangs(host, status, body),
+      checkin: (raw, heartbeat, pass, refuse) => void interceptor.intercept(raw, heartbeat, { pass, refuse }),
+      answered: (host, status, body) => interceptor.extendResponse(host, status, body),
     };
-    this.service = new Service(
-      platform,
-      operators,
-      log,
-      {
-        state,
-        cloud: this.pool,
-        hooks,
-        ...(matching ? { matcher: matching.matcher } : {}),
-      },
-      version(),
-    );
+  }
+
+  /** Tells the core of members that join, change or leave. */
+  private forwardPoolChanges(): void {
+    const { pool, service, matching } = this;
     if (matching)
-      this.pool.onMemberChanged = (host, m) =>
-        this.service.push({
+      pool.onMemberChanged = (host, member) =>
+        service.push({
           type: 'machine-attributes',
           host,
-          attributes: m && matching.machineAttributes(m),
+          attributes: member && matching.machineAttributes(member),
         });
-    this.api = new ControlApi(this, snapshot);
-    this.pool.onForgotten = (host) => this.service.push({ type: 'forget-machine', host });
-    this.pool.onNewMachineType = () =>
-      void this.pool.listMachineTypes().then((types) => this.service.push({ type: 'machine-types', types }));
+    pool.onForgotten = (host) => service.push({ type: 'forget-machine', host });
+    pool.onNewMachineType = () =>
+      void pool.listMachineTypes().then((types) => service.push({ type: 'machine-types', types }));
   }
 
+  /** Reads the stored state, waiting for the store if necessary, and starts the core. */
   async start(): Promise<void> {
     await this.loadInitialState();
     await this.service.start();
     if (this.settings.store === null) return;
-    // Others may share the store: drained and forgotten by them is drained and forgotten.
-    const everyMs = this.settings.reportS * poolReloadIntervalReports * 1000;
-    this.poolReloadTimer = setInterval(() => void this.pool.load().catch(() => undefined), everyMs);
+    // Operators may drain and forget machines through other control services on the same store.
+    const reloadIntervalMs = this.settings.reportS * poolReloadIntervalReports * 1000;
+    this.poolReloadTimer = setInterval(() => void this.pool.load().catch(() => undefined), reloadIntervalMs);
   }
 
+  /** Stops the core at once. The store stays open. */
   stop(): void {
     this.stopped = true;
     if (this.poolReloadTimer) clearInterval(this.poolReloadTimer);
     this.service.stop();
   }
 
-  /** Guards against a service that ends because its store is started a moment later, or again: it waits for it. */
+  /** Waits for a store that is started later than this service, or is being restarted. */
   private async loadInitialState(): Promise<void> {
-    const retryIntervalMs = this.settings.reportS * 250;
-    for (let tries = 0; ; tries++)
+    const retryIntervalMs = this.settings.reportS * 1000 * startupRetryShare;
+    for (let attempt = 0; ; attempt++)
       try {
         await this.pool.load();
         await this.results.load();
         return;
       } catch (error) {
         if (!(error instanceof StoreUnavailableError) || this.stopped) throw error;
-        if (tries % logEveryAttempts === 0)
+        if (attempt % logEveryAttempts === 0)
           this.log('warn', 'waiting for the store', { store: this.settings.store });
         await new Promise((resolve) => setTimeout(resolve, retryIntervalMs));
       }
   }
 
-  /** The control service that has the work; null: nobody just now. */
+  /** The control service that owns the shard, and with it all jobs; null: none at the moment. */
   get owner(): string | null {
     return this.service.controller.replica.shards.get(0)?.owner ?? null;
   }
 
-  /** Whether the work is with this process, as far as it knows. What it writes about it is guarded by the grant. */
+  /** Whether this process owns the shard, as far as it knows. Its writes have the shard grant as precondition. */
   get owns(): boolean {
     return this.service.controller.shardManager.ownedShards.size > 0;
   }
 
-  /** The results as they are: the owner has them, others read them. */
+  /** Brings a job's results up to date: the owner has them in memory, other control services read them. */
   async refreshResults(job: string): Promise<void> {
     if (this.owns) await this.ensureResultsOfGrant();
     else await this.results.load(job);
   }
 
   /**
-   * Guards against results of an earlier owner that were not seen here: read once more under each grant. What an earlier
-   * owner writes later than that fails at its grant.
+   * Reads all results once under each shard grant, for those that an earlier owner has recorded. What an earlier owner
+   * tries to record after that fails, because its grant is a precondition of its writes.
    */
-  private async ensureResultsOfGrant(): Promise<Precondition[]> {
+  private async ensureResultsOfGrant(): Promise<Condition[]> {
     const stamp = this.service.controller.replica.shards.get(0)?.modRevision ?? 0;
     if (this.resultsGrantStamp !== stamp) {
       this.resultsLoading ??= this.results
@@ -164,111 +194,21 @@
     return [{ key: shardKey(0), stamp }];
   }
 
-  /** Why a job has the machines that it has; null: there is no such job, or it is over. */
+  /** Which machines match an unfinished job, and which conditions exclude others; null if there is none. */
   analyze(id: string): object | null {
-    const spec = this.spec(id);
+    const spec = this.jobSpec(id);
     if (!spec) return null;
     const matchAll = { requirements: null, rank: null, attributes: {} };
     return this.matching?.matcher.analyze(spec.match ?? matchAll) ?? {};
   }
 
-  private spec(id: string): JobSpec | null {
+  private jobSpec(id: string): JobSpec | null {
     return this.service.controller.replica.jobs.get(id)?.spec ?? null;
   }
 
-  private pendingGangTasks(id: string): number | null {
-    const spec = this.spec(id);
-    if (spec?.shape !== 'gang') return null;
-    return spec.tasks - this.service.controller.replica.taskCounts(id).done;
-  }
-
-  private async onHeartbeat(
-    raw: unknown,
-    report: Heartbeat,
-    pass: (report: Heartbeat) => void,
-    refuse: (status: number, body: object) => void,
-  ): Promise<void> {
-    let member;
-    try {
-      member = await this.pool.findOrLoad(report.host);
-      if (!member)
-        return refuse(410, { error: `${report.host}: not known here: it has left or was forgotten` });
-      if (member.forgotten) return refuse(410, { error: `${report.host}: forgotten by an operator` });
-      // Not ours: the core sends it on to the owner.
-      if (!this.owns) return pass(report);
-      this.pool.recordHeartbeat(report.host, report.endpoint);
-      await this.recordResults(raw, report);
-    } catch (error) {
-      if (error instanceof StoreUnavailableError) return refuse(503, { error: error.message });
-      throw error;
-    }
-    for (const id of this.failedGangs(report)) this.service.push({ type: 'stop-gang', id });
-    // Drained: like a machine that is to be taken back, with all the time that it needs.
-    if (member.drainedAt !== null) report.noticeS = this.settings.drainS;
-    this.completeGangs.set(report.host, this.gangRendezvous.observe(report));
-    pass(report);
-  }
-
-  /** Ends of attempts are kept first; then the core is told what becomes of their tasks. */
-  private async recordResults(raw: unknown, report: Heartbeat): Promise<void> {
-    const results = new Map<string, TaskResult>();
-    for (const reported of parseResults(raw))
-      results.set(`${reported.piece} ${reported.attempt}`, reported.result);
-    if (results.size === 0) return;
-    const preconditions = await this.ensureResultsOfGrant();
-    await Promise.all(
-      report.tasks.map(async (task) => {
-        const result = results.get(`${task.job}/${task.index} ${task.attempt}`);
-        if (task.phase !== 'exited' || !result) return;
-        const spec = this.spec(task.job);
-        const job = { id: task.job, retries: spec?.command?.retries ?? 0, gang: spec?.shape === 'gang' };
-        const disposition = await this.results.record(
-          job,
-          task.index,
-          task.attempt,
-          report.host,
-          result,
-          preconditions,
-        );
-        task.exitReason = disposition === 'done' ? 'done' : 'stopped';
-      }),
-    );
-  }
-
-  /** GangRendezvous of which a task has failed for good, and others run on here: they fail together. */
-  private failedGangs(report: Heartbeat): Set<string> {
-    const failed = new Set<string>();
-    for (const t of report.tasks)
-      if (t.phase !== 'exited' && this.results.failures(t.job) > 0 && this.pendingGangTasks(t.job) !== null)
-        failed.add(t.job);
-    return failed;
-  }
-
-  private addCompleteGangs(host: string, status: number, body: object): object {
-    const gangs = this.completeGangs.get(host);
-    this.completeGangs.delete(host);
-    return status === 200 && gangs && gangs.length > 0 ? { ...body, gangs } : body;
-  }
-
-  /** What an agent has to know of a job; null: there is none that is not over. */
+  /** The description of an unfinished job for agents; null if there is none. */
   agentJob(id: string): AgentJob | null {
-    const spec = this.spec(id);
-    if (!spec) return null;
-    const defaultSimulation = { sleepS: null, fail: 0, hang: false, memMb: 0 };
-    const standIn = this.settings.classes.get(spec.class) ?? defaultSimulation;
-    return {
-      cpus: spec.cpus,
-      gpus: spec.gpus,
-      memGb: spec.memGb,
-      gang: spec.shape === 'gang',
-      saveS: spec.saveS,
-      checkpointS: spec.checkpointS,
-      command: spec.command ?? null,
-      standIn: {
-        ...standIn,
-        hang: standIn.hang || spec.shape === 'service',
-        sleepS: standIn.sleepS ?? (spec.estimateS > 0 ? spec.estimateS : defaultSimulatedSleepS),
-      },
-    };
+    const spec = this.jobSpec(id);
+    return spec && describeForAgent(spec, this.settings.classes);
   }
 }
--- a/src/control/gang-rendezvous.ts
+++ b/src/control/gang-rendezvous.ts
@@ -1,48 +1,50 @@
+/** Synchronises the start of gangs: their tasks run only once all tasks of an attempt are present on their machines. */
 import type { Heartbeat, TaskStatus } from '../model/heartbeat.js';
 
 /**
- * Where tasks of a gang find each other: once every one of an attempt is waiting (or runs already, of one that was
- * completed before this process began), all are told to go.
+ * Tracks which tasks of each gang attempt are present (waiting, or already running if the attempt was complete before this
+ * process started). Once all of them are, each machine is told in its next response to start its waiting tasks.
  */
 export class GangRendezvous {
-  /** By job and attempt: its tasks that are there, and on which machine. */
+  /** By gang attempt, "JOB ATTEMPT": its present tasks by index, and the machine of each. */
   private readonly present = new Map<string, Map<number, string>>();
 
-  /** `pendingTasks`: how many tasks a job has if it is a gang that is not over, else null. */
+  /** `pendingTasks` returns the number of tasks that an unfinished gang still has to run; null for any other job. */
   constructor(private readonly pendingTasks: (job: string) => number | null) {}
 
-  /** Takes a report in; returns the gangs, as "JOB ATTEMPT", that tasks of this machine may go with now. */
-  observe(report: Heartbeat): string[] {
+  /** Updates the state from a heartbeat; returns the gang attempts, "JOB ATTEMPT", that may start on this machine now. */
+  observe(heartbeat: Heartbeat): string[] {
     const complete = new Set<string>();
-    for (const task of report.tasks) {
-      const tasks = this.pendingTasks(task.job);
-      const name = `${task.job} ${task.attempt}`;
-      if (tasks === null) {
-        this.present.delete(name);
+    for (const task of heartbeat.tasks) {
+      const pending = this.pendingTasks(task.job);
+      const key = gangKey(task);
+      if (pending === null) {
+        this.present.delete(key);
         continue;
       }
       if (!isPresent(task)) {
-        this.present.get(name)?.delete(task.index);
+        this.present.get(key)?.delete(task.index);
         continue;
       }
-      let gang = this.present.get(name);
-      if (!gang) this.present.set(name, (gang = new Map()));
-      gang.set(task.index, report.host);
-      if (task.phase === 'waiting' && gang.size >= tasks) complete.add(name);
+      let gang = this.present.get(key);
+      if (!gang) this.present.set(key, (gang = new Map()));
+      gang.set(task.index, heartbeat.host);
+      if (task.phase === 'waiting' && gang.size >= pending) complete.add(key);
     }
-    this.removeUnlisted(report);
+    this.removeUnlisted(heartbeat);
     return [...complete];
   }
 
-  /** What a machine held and does not list any more is not there. */
-  private removeUnlisted(report: Heartbeat): void {
-    const listed = new Set(report.tasks.map((t) => `${t.job} ${t.attempt} ${t.index}`));
-    for (const [name, gang] of this.present) {
+  /** Tasks that a machine held earlier and no longer lists are not present any more. */
+  private removeUnlisted(heartbeat: Heartbeat): void {
+    const listed = new Set(heartbeat.tasks.map((task) => `${gangKey(task)} ${task.index}`));
+    for (const [key, gang] of this.present) {
       for (const [index, host] of gang)
-        if (host === report.host && !listed.has(`${name} ${index}`)) gang.delete(index);
-      if (gang.size === 0) this.present.delete(name);
+        if (host === heartbeat.host && !listed.has(`${key} ${index}`)) gang.delete(index);
+      if (gang.size === 0) this.present.delete(key);
     }
   }
 }
 
+const gangKey = (task: TaskStatus): string => `${task.job} ${task.attempt}`;
 const isPresent = (task: TaskStatus): boolean => task.phase === 'waiting' || task.phase === 'running';
--- a/src/control/index.ts
+++ b/src/control/index.ts
@@ -1,3 +1,4 @@
+/** The control service. */
 export { ControlService } from './control.js';
 export { openControl, type OpenControl } from './open-control.js';
 export { parseControlSettings, platformSettings, type ControlSettings } from './settings.js';
--- /dev/null
+++ b/src/control/machine-views.ts
@@ -0,0 +1,61 @@
+/** Machines as the command line shows them. */
+import type { Service } from '../service.js';
+import type { AgentPool, PoolMember } from './agent-pool.js';
+import type { ControlSettings } from './settings.js';
+
+/** What the list of machines is made from. */
+export interface MachineViewSources {
+  readonly settings: ControlSettings;
+  readonly service: Service;
+  readonly pool: AgentPool;
+  /** Whether this process owns the shard, so that agents send their heartbeats here. */
+  readonly owns: boolean;
+}
+
+/** Extra time, as a share of the lease, after which a worker has certainly noticed that its lease expired. */
+const expiryMargin = 1.5;
+const expiryMarginMs = 1000;
+
+/** All machines of the pool. Field names are part of the API. */
+export function listMachines({ settings, service, pool, owns }: MachineViewSources): object[] {
+  const now = performance.now();
+  const scheduledMachines = service.controller.shardManager.machines;
+  return [...pool.all()].map((member) => {
+    const scheduled = scheduledMachines.get(member.host);
+    const silentS = member.lastHeartbeatAt === null ? null : (now - member.lastHeartbeatAt) / 1000;
+    const missing = silentS === null || silentS > settings.missingS;
+    const tasks = scheduled?.placements.size ?? 0;
+    return {
+      host: member.host,
+      name: member.name,
+      state: machineState(member, owns, missing),
+      type: member.type,
+      zone: member.zone,
+      cpus: member.cpus,
+      gpus: member.gpus,
+      memGb: member.memGb,
+      attrs: member.attrs,
+      tasks,
+      usedCpus: scheduled?.used.cpus ?? 0,
+      silentS: silentS === null ? null : Math.round(silentS * 10) / 10,
+      ...(missing && tasks > 0 && scheduled
+        ? { held: heldReason(scheduled.earliestLeaseExpiry, now, settings.leaseS) }
+        : {}),
+    };
+  });
+}
+
+function machineState(member: PoolMember, owns: boolean, missing: boolean): string {
+  if (member.forgotten) return 'forgotten';
+  if (member.drainedAt !== null) return 'draining';
+  if (!owns) return 'reports elsewhere';
+  return missing ? 'missing' : 'up';
+}
+
+/** Why the tasks of a missing machine are not placed elsewhere yet. */
+function heldReason(leaseExpiry: number, now: number, leaseS: number): string {
+  const remainingS = (leaseExpiry + leaseS * 1000 * expiryMargin + expiryMarginMs - now) / 1000;
+  return remainingS > 0
+    ? `its tasks may be running: its lease has surely ended in ${Math.ceil(remainingS)} s; if you know that it is gone: machine forget`
+    : 'its lease has ended';
+}
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -1,3 +1,4 @@
+/** Opens a control service: its store, embedded or remote, and the match language if it is enabled. */
 import type { Log } from '../core/effects.js';
 import { retryPolicies } from '../retry/index.js';
 import { Store } from '../state/store.js';
@@ -5,24 +6,27 @@
 import { ControlService, type MatchingSupport } from './control.js';
 import { platformSettings, type ControlSettings } from './settings.js';
 
+/** A control service that was opened, not started yet. */
 export interface OpenControl {
-  control: ControlService;
-  engine: Engine | null;
+  readonly control: ControlService;
+  /** The embedded store; null if the store is remote. */
+  readonly engine: Engine | null;
+  /** Stops the control service and closes its embedded store. */
   close(): Promise<void>;
 }
 
-/** The language and its libraries take memory: only where they are wanted. */
+/** Loaded only if enabled: the match language and its libraries take memory. */
 async function loadMatching(settings: ControlSettings): Promise<MatchingSupport | null> {
   if (!settings.matching) return null;
   const { machineAttributes, ClassAdMatcher, matchSpecError } = await import('../matching/index.js');
   return { matcher: new ClassAdMatcher(), machineAttributes, validate: matchSpecError };
 }
 
-/** Opens the store that the settings name and a control service on it. `onStoreFailure`: its disk takes nothing any more. */
+/** Opens the store that the settings name, and a control service on it. `onStoreFailure`: its disk accepts no writes any more. */
 export async function openControl(
   settings: ControlSettings,
   log: Log,
-  onStoreFailure: (e: StoreError) => void,
+  onStoreFailure: (error: StoreError) => void,
 ): Promise<OpenControl> {
   const engine =
     settings.directory === null
@@ -35,7 +39,13 @@
     : new Store(platform.endpoints.state, retryPolicies({ ...platform, stateLeaseMs }).state.timeoutMs);
   const { directory } = settings;
   const snapshot = engine && directory !== null ? () => snapshotInto(engine, directory) : null;
-  const control = new ControlService(settings, store, log, snapshot, await loadMatching(settings));
+  const control = new ControlService({
+    settings,
+    store,
+    log,
+    snapshot,
+    matching: await loadMatching(settings),
+  });
   return {
     control,
     engine,
--- a/src/control/settings.ts
+++ b/src/control/settings.ts
@@ -1,27 +1,35 @@
+/** The settings of a control service: the operators' file, its defaults and checks, and the core's settings from them. */
 import { FormReader, readForms, type Form } from '../config/forms.js';
 import { SettingsError, type Settings, type TeamLimits } from '../config/settings.js';
 import type { StandIn } from '../wire/agent-side.js';
 
-/** A class of jobs without commands: what their tasks do instead. */
+/** What tasks of a class do if their job has no command; `sleepS` null: as long as the job's estimate says. */
 export type ClassSimulation = Omit<StandIn, 'sleepS'> & { sleepS: number | null };
 
+/** The settings of a control service. Durations are in seconds. */
 export interface ControlSettings {
+  /** Its member name, by which agents and other control services know it. */
   name: string;
   listen: { host: string; port: number };
-  /** Where the store is; null: it is reached through `store`. */
+  /** The directory of the embedded store; null: the store is remote, at `store`. */
   directory: string | null;
+  /** The address of a remote store, HOST:PORT; null: the store is embedded, in `directory`. */
   store: string | null;
   zones: string[];
   teams: TeamLimits[];
+  /** By class of job. */
   classes: Map<string, ClassSimulation>;
+  /** The interval between an agent's heartbeats. */
   reportS: number;
+  /** An agent's lease: without a response for so long it ends its tasks. */
   leaseS: number;
+  /** How long tasks of a gang wait for the others. */
   gangWaitS: number;
-  /** A machine that was not heard for so long is shown as missing, with why its tasks are not given to others yet. */
+  /** A machine without a heartbeat for so long is listed as missing. */
   missingS: number;
-  /** How long tasks on a machine that is drained may go on, s. */
+  /** How long tasks on a drained machine may go on. */
   drainS: number;
-  /** Jobs may look at machines' attributes. */
+  /** Whether jobs may use match expressions. */
   matching: boolean;
 }
 
@@ -42,7 +50,7 @@
 });
 
 /**
- * A control service's settings:
+ * Parses a control service's settings file:
  *
  *     (control (listen "127.0.0.1:8080") (directory "var/control")
  *       (zones here) (lease-s 600)
@@ -90,7 +98,7 @@
   return settings;
 }
 
-/** The settings inside another, which begins with its name. */
+/** The forms inside a form that begins with a name. */
 const nestedForms = (form: Form): Form[] => form.values.filter((v): v is Form => typeof v !== 'string');
 
 function parseTeam(form: Form, reader: FormReader): TeamLimits {
@@ -123,12 +131,12 @@
   return simulation;
 }
 
-/** Of a lease, what a cancellation may take beyond it. */
+/** A cancellation may take so many leases, and a constant time beyond. */
 const cancelLeaseRatio = 1.5;
-/** A control service's own state lease: the store is in its process, or near. */
+/** The control service's own state lease; short, because its store is embedded or near. */
 const controllerLeaseS = 4;
 
-/** The platform's settings for the core, and what operators set for it. */
+/** The platform settings for the core, and the share of the agents' lease that its own state lease lasts. */
 export function platformSettings(control: ControlSettings): { settings: Settings; nodeLeaseRatio: number } {
   const settings: Settings = {
     member: control.name,
@@ -148,7 +156,7 @@
       gang_peer_s: control.reportS * 2,
       cancel_s: control.leaseS * cancelLeaseRatio + 20,
     },
-    // Own disk, own store: what it takes shows by itself.
+    // Nominal rates: the store is the control service's own, so the core need not hold back.
     state: { rps: 5000, write_rps: 20_000, value_kb: 32, txn_ops: 128 },
     cloud: { rps: 20, list_lag_s: Math.max(1, control.reportS) },
     quota: { cores: 1, mem_mb: 1024, fd_limit: 8192 },
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -188,18 +188,21 @@
       return o.type === 'ok' ? o.epoch : assert.fail(o.type);
     };
     const job = { id: 'req-1', retries: 0, gang: false };
-    const end = { exit: 1, signal: null, reason: 'exited' as const, startedAt: 1, endedAt: 2 };
+    const result = { exit: 1, signal: null, reason: 'exited' as const, startedAt: 1, endedAt: 2 };
+    const end = (index: number, exit: number) => ({
+      index,
+      attempt: 1,
+      host: 'a.1',
+      result: { ...result, exit },
+    });
     const [mine, others] = [new ResultStore(kv), new ResultStore(kv)];
     const [first] = [await grant('one')];
-    assert.equal(
-      await mine.record(job, 0, 1, 'a.1', { ...end, exit: 0 }, [{ key: 'dp/shard/0', stamp: first }]),
-      'done',
-    );
+    assert.equal(await mine.record(job, end(0, 0), [{ key: 'dp/shard/0', stamp: first }]), 'done');
     const second = await grant('two');
     await others.load();
     assert.equal(others.get('req-1', 0)?.exit, 0);
-    await assert.rejects(mine.record(job, 1, 1, 'a.1', end, [{ key: 'dp/shard/0', stamp: first }]));
-    assert.equal(await others.record(job, 1, 1, 'a.1', end, [{ key: 'dp/shard/0', stamp: second }]), 'done');
+    await assert.rejects(mine.record(job, end(1, 1), [{ key: 'dp/shard/0', stamp: first }]));
+    assert.equal(await others.record(job, end(1, 1), [{ key: 'dp/shard/0', stamp: second }]), 'done');
     await mine.load('req-1');
     assert.deepEqual([mine.get('req-1', 1)?.exit, mine.failures('req-1')], [1, 1]);
   }));
