--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -13,9 +13,10 @@
 import { JsonClient } from '../net/client.js';
 import { jobPath } from '../wire/user.js';
 import { submitHost, adToJson, nativeSubmission, Submission, SubmitError } from '../condor/index.js';
-import { ApiClient, exitCodes, newJobId, printLine } from './client.js';
-
-type Fail = (message: string) => never;
+import { ApiClient } from './api-client.js';
+import { exitCodes, type Fail } from './exit.js';
+import { newJobId } from './job-id.js';
+import { printLine } from './output.js';
 
 const evaluationContext = (): EvaluationContext => ({ nowS: Date.now() / 1000, random: Math.random });
 
--- /dev/null
+++ b/src/cli/control-command.ts
@@ -0,0 +1,27 @@
+/** `dapplepick control`: runs a control service. */
+import type { Command } from 'commander';
+import type { Fail } from './exit.js';
+import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
+
+async function runControl(path: string, fail: Fail): Promise<void> {
+  const [{ openControl, parseControlSettings }, { makeLog }] = await Promise.all([
+    import('../control/index.js'),
+    import('../log.js'),
+  ]);
+  const settings = parseControlSettings(readFile(path, fail), path);
+  const { control, close } = await openControl(settings, makeLog(settings.name), (error) =>
+    fail(error.message),
+  );
+  await control.start();
+  onTerminationSignal(() => void close().then(() => process.exit(0)));
+}
+
+/** Registers `control`. */
+export function addControlCommand(program: Command, fail: Fail): void {
+  program
+    .command('control')
+    .description('run a control service: the schedule, a store, agents instead of a cloud')
+    .argument('<settings>', 'its settings (S-expressions)')
+    .addHelpText('after', '\nExample:\n  dapplepick control deploy/control.scm\n')
+    .action((path: string) => exitOnKnownErrors(fail, () => runControl(path, fail)));
+}
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -1,23 +1,30 @@
+/** `dapplepick demo`: runs a control service, two agents and a batch of jobs in a fresh directory. */
 import { spawn, type ChildProcess } from 'node:child_process';
-import { mkdtempSync, openSync, rmSync, writeFileSync } from 'node:fs';
+import { closeSync, mkdtempSync, openSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { JsonClient } from '../net/client.js';
 import { findFreePort } from '../net/port.js';
 import { jobPath, plainSubmission } from '../wire/user.js';
+import { describeEnd, type JobSummary, type TaskSummary } from './api-client.js';
+import { formatSeconds, printLine } from './output.js';
 
 const mainProgram = fileURLToPath(new URL('../main.js', import.meta.url));
-/** A busy machine takes several times as long as an idle one. */
+/** Long enough for a busy machine, which takes several times as long as an idle one. */
 const timeoutS = 120;
-/** How long children get to end in order, ms. */
+const pollIntervalMs = 300;
+const requestTimeoutMs = 5000;
+/** How long the child processes may take to end after SIGTERM. */
 const terminationGraceMs = 5000;
 
+/** A job of the demo. */
 interface DemoJob {
-  title: string;
-  job: object;
-  /** Tasks that fail, as they are meant to. */
-  failed: number;
+  readonly title: string;
+  /** Its submission, without an ID. */
+  readonly job: object;
+  /** How many of its tasks are meant to fail. */
+  readonly failed: number;
 }
 
 const baseSubmission = { ...plainSubmission, jobclass: 'demo', owner: 'default', expectS: 1 };
@@ -55,7 +62,7 @@
   { title: 'two without a command', job: { ...baseSubmission, shape: 'sweep', pieces: 2 }, failed: 0 },
 ];
 
-/** As HTCondor's users have them: it needs what one of the two agents says that it has. */
+/** A submit file as HTCondor's users write it; only one of the two agents has the required attribute. */
 const submitFile = `
 executable   = /bin/sh
 arguments    = "-c 'echo page $(Process) is read'"
@@ -75,15 +82,15 @@
 }
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
-const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
 
-/** Starts a control service and two agents in a fresh directory, has them run a batch, and shows what became of it. */
+/** Runs the demo; the exit code of the program. */
 export async function demo(): Promise<number> {
   const dir = mkdtempSync(join(tmpdir(), 'dapplepick-demo-'));
   const children: ChildProcess[] = [];
   const run = (name: string, args: string[]): void => {
     const log = openSync(join(dir, `${name}.log`), 'a');
     children.push(spawn(process.execPath, [mainProgram, ...args], { stdio: ['ignore', log, log] }));
+    closeSync(log);
   };
   try {
     const node = `127.0.0.1:${await findFreePort()}`;
@@ -119,86 +126,87 @@
   }
 }
 
-/**
- * Ends children and waits until they are gone. Guards against removing a directory while agents still write to it: the demo
- * then ended with ENOTEMPTY.
- */
+/** Ends the child processes and waits for them: agents that still run write to the directory that is removed next. */
 async function terminateAll(children: ChildProcess[]): Promise<void> {
-  const alive = children.splice(0).filter((c) => c.exitCode === null && c.signalCode === null);
-  const ends = Promise.all(alive.map((c) => new Promise((r) => c.once('exit', r))));
-  for (const c of alive) c.kill('SIGTERM');
+  const alive = children.splice(0).filter((child) => child.exitCode === null && child.signalCode === null);
+  const ends = Promise.all(alive.map((child) => new Promise((resolve) => child.once('exit', resolve))));
+  for (const child of alive) child.kill('SIGTERM');
   const killTimer = setTimeout(() => {
-    for (const c of alive) c.kill('SIGKILL');
+    for (const child of alive) child.kill('SIGKILL');
   }, terminationGraceMs);
   await ends;
   clearTimeout(killTimer);
 }
 
-async function runBatch(http: JsonClient): Promise<boolean> {
+/** A demo job with the ID under which it is submitted. */
+interface SubmittedJob extends DemoJob {
+  readonly id: string;
+}
+
+type FinishedJob = JobSummary & { tasks: TaskSummary[] };
+
+/** Submits the demo jobs, waits until they have ended, and prints their results; whether all ended as they should. */
+async function runBatch(client: JsonClient): Promise<boolean> {
   const deadline = Date.now() + timeoutS * 1000;
   const firstId = 100000 + (Date.now() % 800000);
-  const jobs = [...demoJobs, await submitFileJob()].map((w, i) => ({ ...w, id: `req-${firstId + i}` }));
-  for (const { id, job } of jobs)
-    for (;;) {
-      const response = await http.call('POST', jobPath, { nameId: id, ...job }, 5000);
-      if (response !== null && response.status < 300) break;
-      if (Date.now() > deadline) return false;
-      await pause(300);
-    }
+  const jobs = [...demoJobs, await submitFileJob()].map((job, i) => ({ ...job, id: `req-${firstId + i}` }));
+  for (const job of jobs) if (!(await submitJob(client, job, deadline))) return false;
   printLine(`${jobs.length} jobs are accepted`);
+  const finished = await awaitJobs(client, jobs, deadline);
+  return printResults(jobs, finished);
+}
+
+/** Submits a job until it is accepted; false: not before the deadline. */
+async function submitJob(client: JsonClient, { id, job }: SubmittedJob, deadline: number): Promise<boolean> {
+  for (;;) {
+    const response = await client.call('POST', jobPath, { nameId: id, ...job }, requestTimeoutMs);
+    if (response !== null && response.status < 300) return true;
+    if (Date.now() > deadline) return false;
+    await pause(pollIntervalMs);
+  }
+}
+
+/** Waits until all jobs have ended or the deadline has passed; those that have ended, by ID. */
+async function awaitJobs(
+  client: JsonClient,
+  jobs: readonly SubmittedJob[],
+  deadline: number,
+): Promise<Map<string, FinishedJob>> {
   let lastLine = '';
-  let finished = new Map<
-    string,
-    { status: string; done: number; failed: number; pieces: number; tasks: DemoTask[] }
-  >();
+  let finished = new Map<string, FinishedJob>();
   while (finished.size < jobs.length && Date.now() < deadline) {
     finished = new Map();
     const progress: string[] = [];
     for (const { id } of jobs) {
-      const r = await http.call('GET', `${jobPath}/${id}/tasks`, null, 5000);
-      if (r?.status !== 200) continue;
-      const job = r.body as {
-        status: string;
-        done: number;
-        failed: number;
-        pieces: number;
-        tasks: DemoTask[];
-      };
+      const response = await client.call('GET', `${jobPath}/${id}/tasks`, null, requestTimeoutMs);
+      if (response?.status !== 200) continue;
+      const job = response.body as FinishedJob;
       progress.push(`${job.done}/${job.pieces}`);
       if (job.status === 'done') finished.set(id, job);
     }
     const line = `  done: ${progress.join('  ')}`;
     if (line !== lastLine) printLine(line);
     lastLine = line;
-    await pause(300);
+    await pause(pollIntervalMs);
   }
+  return finished;
+}
+
+/** Prints each job with its tasks; whether all jobs have ended with the failures that they should have. */
+function printResults(jobs: readonly SubmittedJob[], finished: ReadonlyMap<string, FinishedJob>): boolean {
   let succeeded = finished.size === jobs.length;
-  for (const { id, title: what, failed } of jobs) {
+  for (const { id, title, failed } of jobs) {
     const job = finished.get(id);
     if (!job || job.failed !== failed) succeeded = false;
-    printLine(`${id}  ${what.padEnd(22)} ${job ? `${job.status}, ${job.failed} failed` : 'not over'}`);
-    for (const t of job?.tasks ?? [])
-      if (t.last) {
-        const { host, attempt, reason, exit, signal, endedAt, startedAt } = t.last;
-        const end = signal ?? (exit === null ? '' : `exit ${exit}`);
+    printLine(`${id}  ${title.padEnd(22)} ${job ? `${job.status}, ${job.failed} failed` : 'not over'}`);
+    for (const { index, state, last } of job?.tasks ?? [])
+      if (last) {
+        const { host, attempt, reason, endedAt, startedAt } = last;
+        const ran = formatSeconds(endedAt - startedAt);
         printLine(
-          `    ${t.index}: ${t.state} on ${host}, attempt ${attempt}: ${reason} ${end}, ${((endedAt - startedAt) / 1000).toFixed(1)} s`,
+          `    ${index}: ${state} on ${host}, attempt ${attempt}: ${reason} ${describeEnd(last)}, ${ran}`,
         );
       }
   }
   return succeeded;
 }
-
-interface DemoTask {
-  index: number;
-  state: string;
-  last?: {
-    host: string;
-    attempt: number;
-    reason: string;
-    exit: number | null;
-    signal: string | null;
-    startedAt: number;
-    endedAt: number;
-  };
-}
--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -20,9 +20,9 @@
 } from '../feature-levels/index.js';
 import { Store } from '../state/store.js';
 import type { Change } from '../wire/store.js';
-import { exitCodes } from './client.js';
+import { exitCodes, type Fail } from './exit.js';
+import { printLine } from './output.js';
 
-type Fail = (message: string) => never;
 interface LevelOptions {
   settings?: string;
   state?: string;
@@ -30,7 +30,6 @@
 
 const requestTimeoutMs = 5000;
 const pollIntervalMs = 500;
-const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
 
 /** What is stored about the level, as operators see and change it. */
 class LevelStore {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,13 +1,11 @@
+/** The command line: a controller with `--config`, and all other commands, whose modules are loaded on demand. */
 import { Command } from 'commander';
 import { defaults, loadOperators, type Operators } from '../config/operators.js';
 import { version } from '../version.js';
 import { loadSettings, SettingsError, type Settings } from '../config/settings.js';
+import { exitWithError } from './exit.js';
 
-function exitWithError(message: string): never {
-  process.stderr.write(`dapplepick: ${message}\n`);
-  process.exit(1);
-}
-
+/** Loads the settings files; ends the program if one is invalid. */
 function loadSettingsFiles(config: string, operators?: string): { settings: Settings; operators: Operators } {
   try {
     return {
@@ -33,6 +31,7 @@
   }
 }
 
+/** Runs the command line that the arguments name. */
 export async function main(argv: string[]): Promise<void> {
   const program = new Command('dapplepick')
     .description('A cluster scheduler: takes jobs, rents machines, runs tasks through workers.')
@@ -53,19 +52,20 @@
       const listed = Object.entries(o).map(([k, x]) => `  (${k} ${x})`);
       process.stdout.write(`${settings.member}: settings are valid\n(dapplepick\n${listed.join('\n')})\n`);
     });
-  if (argv[2] !== '--config') {
-    // Plain `run` loads none of it.
-    const [{ addClientCommands }, { addProgramCommands: addPrograms }] = await Promise.all([
-      import('./client.js'),
-      import('./program-commands.js'),
-    ]);
-    addClientCommands(program, exitWithError);
-    addPrograms(program, exitWithError);
-    if (argv[2] === 'level') (await import('./level.js')).addLevelCommands(program, exitWithError);
-    else program.command('level').description('the level in force: what controllers may store and do');
-    // The language and its libraries take time to load: only for those who ask.
-    if (argv[2] === 'condor') (await import('./condor.js')).addCondorCommands(program, exitWithError);
-    else program.command('condor').description('submit files and match expressions of HTCondor');
-  }
+  if (argv[2] !== '--config') await addCommands(program, argv[2]);
   await program.parseAsync(argv);
 }
+
+/** Registers the commands. The modules of `level` and `condor` load slowly: only if the first argument names them. */
+async function addCommands(program: Command, name: string | undefined): Promise<void> {
+  const [{ addClientCommands }, { addProgramCommands }] = await Promise.all([
+    import('./client-commands.js'),
+    import('./program-commands.js'),
+  ]);
+  addClientCommands(program, exitWithError);
+  addProgramCommands(program, exitWithError);
+  if (name === 'level') (await import('./level.js')).addLevelCommands(program, exitWithError);
+  else program.command('level').description('the level in force: what controllers may store and do');
+  if (name === 'condor') (await import('./condor.js')).addCondorCommands(program, exitWithError);
+  else program.command('condor').description('submit files and match expressions of HTCondor');
+}
--- /dev/null
+++ b/src/cli/run-program.ts
@@ -0,0 +1,32 @@
+/** How the long-running programs of the command line read their files, fail and end. */
+import { readFileSync } from 'node:fs';
+import { SettingsError } from '../config/settings.js';
+import type { Fail } from './exit.js';
+
+/** Reads a text file that the operator named; ends the program if it cannot be read. */
+export function readFile(path: string, fail: Fail): string {
+  try {
+    return readFileSync(path, 'utf8');
+  } catch (error) {
+    fail(`${path}: cannot be read: ${(error as NodeJS.ErrnoException).code ?? String(error)}`);
+  }
+}
+
+/** Runs a program; mistakes in its settings, addresses or directories end it with one line and no stack trace. */
+export async function exitOnKnownErrors(fail: Fail, run: () => Promise<void>): Promise<void> {
+  try {
+    await run();
+  } catch (error) {
+    const { StoreError } = await import('../store/errors.js');
+    const code = (error as NodeJS.ErrnoException).code;
+    if (error instanceof SettingsError || error instanceof StoreError) fail(error.message);
+    if (code === 'EADDRINUSE' || code === 'EACCES' || code === 'EADDRNOTAVAIL')
+      fail(String((error as Error).message));
+    throw error;
+  }
+}
+
+/** Calls `end` on SIGINT or SIGTERM, once. */
+export const onTerminationSignal = (end: () => void): void => {
+  for (const name of ['SIGINT', 'SIGTERM'] as const) process.once(name, end);
+};
