--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -20,13 +20,13 @@
   levelKey,
   Rank,
   parseKey,
+  recordKindOf,
 } from './storage/index.js';
 import type { Clock, Effect, Log, PeerStatus } from './effects.js';
 import {
   leaderPlaceholder,
   storedRecordOf,
   isFinishedJob,
-  recordKindOf,
   collectRecoveryRecords,
   type RecoveryRecords,
 } from './recovery-records.js';
--- a/src/core/recovery-records.ts
+++ b/src/core/recovery-records.ts
@@ -1,5 +1,5 @@
 /** What a controller knows, as records: told to others after the state service has lost data. */
-import type { Data, Kind } from '../formats/index.js';
+import type { Data } from '../formats/index.js';
 import { mergeRecords } from '../data-loss/index.js';
 import {
   blockData,
@@ -14,6 +14,7 @@
   machineData,
   membersData,
   parseKey,
+  recordKindOf,
   teamShardsData,
   machineTypesData,
   inlineJobData,
@@ -35,9 +36,6 @@
 /** Leadership as programs that know no levels see it from level 2 on: taken, for ever, by nobody. */
 export const leaderPlaceholder = { member: 'level-2', run: 'barred' };
 
-export const recordKindOf = (ref: ParsedKey): Kind =>
-  ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
-
 /** Needed before anybody can act; then what the fleet does; what is over comes last. */
 export const isFinishedJob = (key: string, data: Data): boolean =>
   key.startsWith('dp/j/') && data['s'] === 'done';
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -1,6 +1,6 @@
-/** A controller's copy of the state, kept up by the watch. */
-import { inspect, type Data, type Kind } from '../formats/index.js';
+/** A controller's copy of the state, kept up to date by the watch. */
 import type { WriteAllocation } from '../admission/index.js';
+import { attemptBase, tokenBase, type Incarnation } from '../data-loss/index.js';
 import {
   initialLevelState,
   noRequestedLevel,
@@ -8,533 +8,454 @@
   type FeatureLevels,
   type RequestedLevel,
 } from '../feature-levels/index.js';
-import type { MachineRecord, MachineType } from '../model/machine.js';
-import { attemptBase, tokenBase, type Incarnation } from '../data-loss/index.js';
+import type { Data } from '../formats/index.js';
+import type { MachineType } from '../model/machine.js';
 import type { Change } from '../wire/store.js';
+import { MachineTable, type VersionedMachine } from './replica/machine-table.js';
+import { RecordReadability } from './replica/record-readability.js';
+import { TaskStateTable, type TaskLogStatus } from './replica/task-state-table.js';
 import {
-  type BlockRecord,
-  leaderKey,
   chunkKey,
-  type ChunkRecord,
   jobKey,
-  type JobRecord,
-  type ParsedKey,
-  machineTypesKey,
+  keyPrefix,
+  leaderKey,
   legacyLeaderKey,
+  legacyMachineTypesKey,
   levelKey,
-  type LevelNote,
-  LogReader,
-  machineKey,
-  type PresenceRecord,
-  keyPrefix,
+  machineTypesKey,
+  parseKey,
+  readAllocation,
   readBlock,
-  readChunk,
   readIncarnation,
   readJob,
   readLevel,
-  parseKey,
   readMachine,
+  readMachineTypes,
   readMembers,
   readPresence,
-  readAllocation,
-  readTeamShards,
-  readMachineTypes,
   readRequestedLevel,
+  readTeamShards,
+  type JobRecord,
+  type LevelNote,
+  type ParsedKey,
+  type PresenceRecord,
   type ShardGrantRecord,
   type StoredValue,
-  legacyMachineTypesKey,
 } from './storage/index.js';
 
-export type VersionedMachine = MachineRecord & { modRevision: number };
+export type { VersionedMachine } from './replica/machine-table.js';
 
-/** What the replica tells its owner about a change that took effect. */
+/** How the replica reports changes that took effect. */
 export interface ReplicaListener {
   jobChanged(id: string, job: JobRecord | undefined): void;
   machineChanged(host: string, machine: VersionedMachine | undefined): void;
   shardChanged(shard: number): void;
-  /** A change that others must not miss: a job's end, a grant, leadership. */
+  /** A change that other controllers must not miss: a job's end, a shard's grant, leadership. */
   criticalChange(change: Change): void;
-  /** A record that is not acted on, and why; null: it can be read again. */
+  /** `reason`: why a record is not acted on; null: it can be read again. */
   readabilityChanged(key: string, reason: string | null): void;
   levelChanged(): void;
   incarnationChanged(): void;
 }
 
-interface LeaderRecord {
-  member: string;
-  instanceId: string;
-  modRevision: number;
+/** The elected leader: its member, the process that holds the leadership, and the revision at which it was elected. */
+export interface LeaderRecord {
+  readonly member: string;
+  readonly instanceId: string;
+  readonly modRevision: number;
+}
+
+/** What members were last seen with, and the leader's answer to the level that operators requested. */
+export interface MembersRecord {
+  readonly capabilities: ReadonlyMap<string, Capabilities>;
+  readonly note: LevelNote | null;
+}
+
+const noMembers: MembersRecord = { capabilities: new Map(), note: null };
+
+/** The controller that answers a machine's heartbeats, and the fencing token that its answers carry. */
+export interface ResponsibleController {
+  readonly member: string;
+  readonly run: string;
+  readonly token: number;
 }
 
-const recordKindOf = (ref: ParsedKey): Kind =>
-  ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
-
-/** Without these nobody could join, lead or be told the level: damaged ones are written anew. */
-const replaceableKinds: ReadonlySet<string> = new Set([
-  'node',
-  'lead',
-  'chief',
-  'types',
-  'kinds',
-  'members',
-  'wish',
-  'plan',
-]);
+/** Whether the other controllers must learn of a change at once. `record` is null if it was deleted or cannot be read. */
+const isCritical = (ref: ParsedKey, record: unknown): boolean =>
+  ref.kind === 'shard' ||
+  ref.kind === 'lead' ||
+  ref.kind === 'chief' ||
+  (ref.kind === 'job' && record !== null && (record as { s?: unknown }).s !== 'open');
 
 /**
- * This node's copy of everything under our prefix, fed by the watch and by our own commits. `epoch` is the
- * revision up to which the watch has been followed: the copy is complete up to there, and may hold our own
- * later writes.
+ * This controller's copy of everything under the project's prefix, fed by the watch and by its own commits. It is complete up to
+ * `watchRevision`, and may hold its own later writes.
  */
 export class Replica {
+  /** The revision up to which the watch has been followed; -1: nothing has been read yet. */
   watchRevision = -1;
-  /** Who leads, by the key that holds it: which one counts depends on the level. */
+  /** By the key that holds it: which one counts depends on the level. */
   private readonly leaderRecords = new Map<string, LeaderRecord>();
   private readonly machineTypesByKey = new Map<string, MachineType[]>();
   machineTypes: MachineType[] = [];
-  /** What members were last seen with, and the leader's answer to the operators. */
-  members: { capabilities: Map<string, Capabilities>; note: LevelNote | null } = {
-    capabilities: new Map(),
-    note: null,
-  };
+  members = noMembers;
   requestedLevel: RequestedLevel = noRequestedLevel;
-  /** Incarnations that the state names: one, but for the moments in which another is opened. */
-  readonly incarnations = new Map<number, Incarnation>();
-  /** Who may write how much; null: there is no plan. */
+  /** The incarnations that the state names: one, except while the next one is being opened. */
+  private readonly incarnations = new Map<number, Incarnation>();
+  /** How the state service's writes are divided among controllers; null: no division is in force. */
   writeAllocation: WriteAllocation | null = null;
   teamsByShard: string[][] = [];
   teamsModRevision = 0;
+  /** The members that are present, by name. */
   readonly presences = new Map<string, PresenceRecord>();
-  /** What members could do when they were last here, as far as this process has seen it. */
+  /** The capabilities of members when this process last saw them present. */
   readonly observedCapabilities = new Map<string, Capabilities>();
   readonly shards = new Map<number, ShardGrantRecord>();
-  /** Every machine: by its own record, or else as its block says. */
-  readonly machines = new Map<string, VersionedMachine>();
-  readonly blocks = new Map<string, BlockRecord>();
-  /** Which block a machine came with, and the revision at which it did. */
-  private readonly originBlocks = new Map<string, { block: string; stamp: number }>();
   readonly jobs = new Map<string, JobRecord>();
   /** How many jobs are recorded, whether their records can be read or not. */
   jobCount = 0;
   readonly openJobs = new Set<string>();
-  readonly chunks = new Map<string, Map<number, ChunkRecord>>();
+  /** The revision and the writer's mark of every key's present value. */
   private readonly modRevisions = new Map<string, number>();
   private readonly writers = new Map<string, string>();
+  /** Revisions of this controller's own deletions that the watch has not delivered yet. */
   private readonly recentDeletions = new Map<string, number>();
-  /** Fields of records that this program does not know. */
-  private readonly unknownFields = new Map<string, Data>();
-  /** Records that are not acted on, and why. */
-  readonly unreadableRecords = new Map<string, string>();
-  /** Jobs whose tasks' records cannot be read. */
-  private readonly unreadableChunks = new Map<string, Set<number>>();
-  /** Jobs whose record holds the state of their tasks. */
-  readonly jobsWithInlineTasks = new Set<string>();
-  /** Changes of tasks' states that are not in their own records yet. */
-  readonly taskLog = new LogReader({
-    get: (job, chunk) => this.chunks.get(job)?.get(chunk),
-    set: (job, chunk, state) => this.setLoggedChunk(job, chunk, state),
-    remove: (job, chunk) => this.setChunk(job, chunk, null),
-    jobStatus: (job) => this.taskLogStatus(job),
+  private readonly readability = new RecordReadability({
+    readabilityChanged: (key, reason) => this.listener.readabilityChanged(key, reason),
+    taskReadabilityChanged: (id) => this.listener.jobChanged(id, this.jobs.get(id)),
   });
-  /** Records of the task log that cannot be read: nobody knows what they placed. */
+  private readonly machineTable = new MachineTable({
+    modRevisionOf: (key) => this.modRevisionOf(key),
+    isUnreadable: (key) => this.unreadableRecords.has(key),
+    machineChanged: (host, machine) => this.listener.machineChanged(host, machine),
+  });
+  private readonly taskStates = new TaskStateTable({
+    job: (id) => this.jobs.get(id),
+    modRevisionOf: (key) => this.modRevisionOf(key),
+  });
+  /** Records of the task log that cannot be read: what they placed is unknown. */
   private readonly unreadableLogs = new Set<string>();
 
+  readonly unreadableRecords = this.readability.unreadableRecords;
+  readonly machines = this.machineTable.machines;
+  readonly blocks = this.machineTable.blocks;
+  readonly chunks = this.taskStates.chunks;
+  readonly jobsWithInlineTasks = this.taskStates.jobsWithInlineTasks;
+  readonly taskLog = this.taskStates.taskLog;
+
   constructor(
     private readonly listener: ReplicaListener,
     readonly levels: FeatureLevels,
   ) {}
 
-  /** Whether the states of a job's tasks are in the task log and in records of their own. */
-  taskLogStatus(id: string): 'unknown' | 'followed' | 'over' {
-    const job = this.jobs.get(id);
-    if (!job) return 'unknown';
-    return job.state === 'done' || this.jobsWithInlineTasks.has(id) ? 'over' : 'followed';
+  // ---- following the state service ----
+
+  /** A complete reading that began at `revision`: keys that it lacks were deleted, unless they are younger. */
+  loadSnapshot(items: readonly Change[], revision: number): void {
+    const present = new Set(items.map((i) => i.key));
+    for (const [key, modRevision] of [...this.modRevisions])
+      if (!present.has(key) && modRevision <= revision) this.apply({ key, data: undefined, stamp: revision });
+    for (const item of items) this.apply(item);
+    this.advanceTo(revision);
   }
 
-  /** The revision of a chunk's state that its own record holds; null: nothing is known of its tasks. */
-  checkpointVersionOf(id: string, chunk: number): number | null {
-    return this.chunks.get(id)?.get(chunk)?.checkpointVersion ?? null;
+  /** Changes that the watch delivered, complete up to `revision`. */
+  applyWatch(changes: readonly Change[], revision: number): void {
+    // Guards against an answer that was overtaken: everything up to the revision followed was seen, and an older put must not
+    // bring a deleted key back.
+    const followed = this.watchRevision;
+    for (const change of changes) if (change.stamp > followed) this.apply(change);
+    this.advanceTo(revision);
   }
 
-  /** The state of some tasks as the task log has it. Of a cancelled job nothing is kept once nothing of it is placed. */
-  private setLoggedChunk(id: string, chunk: number, state: ChunkRecord): void {
-    const isOver = this.jobs.get(id)?.state === 'cancelled' && state.placements.length === 0;
-    this.setChunk(id, chunk, isOver ? null : state);
+  private advanceTo(revision: number): void {
+    if (revision > this.watchRevision) this.watchRevision = revision;
+    // A deletion of our own is remembered until the watch has passed it: an older put that the watch still has to deliver must
+    // not bring the key back.
+    for (const [key, modRevision] of this.recentDeletions)
+      if (modRevision <= this.watchRevision) this.recentDeletions.delete(key);
   }
 
-  /** The incarnation that this is; null: the state names none. */
-  get incarnation(): Incarnation | null {
-    let last: Incarnation | null = null;
-    for (const i of this.incarnations.values()) if (!last || i.number > last.number) last = i;
-    return last;
+  /** Applies one change, unless a newer one of the same key has been applied. */
+  apply({ key, data, stamp }: Change): void {
+    if (!key.startsWith(keyPrefix)) return;
+    if ((this.modRevisions.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
+    const ref = parseKey(key);
+    if (ref === null) return;
+    const isPut = data !== undefined && data !== null;
+    if (isPut) this.recordPut(ref, key, data as StoredValue, stamp);
+    else this.recordDeletion(ref, key, stamp);
+    const record = isPut && this.readability.check(ref, key, data) ? data : null;
+    if (isCritical(ref, record)) this.listener.criticalChange({ key, data, stamp });
+    this.applyRecord(ref, key, record, stamp);
   }
 
-  get tokenBase(): number {
-    return tokenBase(this.incarnation?.number ?? 1);
+  private recordPut(ref: ParsedKey, key: string, { w: writer }: StoredValue, modRevision: number): void {
+    if (ref.kind === 'job' && !this.modRevisions.has(key)) this.jobCount++;
+    this.modRevisions.set(key, modRevision);
+    if (typeof writer === 'string') this.writers.set(key, writer);
+    else this.writers.delete(key);
   }
 
-  get attemptBase(): number {
-    return attemptBase(this.incarnation?.number ?? 1);
+  private recordDeletion(ref: ParsedKey, key: string, modRevision: number): void {
+    if (ref.kind === 'job' && this.modRevisions.has(key)) this.jobCount--;
+    this.modRevisions.delete(key);
+    this.writers.delete(key);
+    this.readability.recordDeleted(ref, key);
+    if (modRevision > this.watchRevision) this.recentDeletions.set(key, modRevision);
   }
 
-  /** How many chunks' own records are checkpoints of a task log. */
-  get checkpointCount(): number {
-    let count = 0;
-    for (const chunks of this.chunks.values())
-      for (const c of chunks.values()) if (c.checkpointVersion > 0) count++;
-    return count;
+  // ---- one record of each kind; null: it was deleted, or cannot be read ----
+
+  private applyRecord(ref: ParsedKey, key: string, record: unknown, modRevision: number): void {
+    switch (ref.kind) {
+      case 'lead':
+      case 'chief':
+        return this.applyLeader(key, record, modRevision);
+      case 'types':
+      case 'kinds':
+        return this.applyMachineTypes(key, record);
+      case 'level':
+        return this.applyLevel(record, modRevision);
+      case 'members':
+        this.members = record === null ? noMembers : readMembers(record);
+        return;
+      case 'wish':
+        this.requestedLevel = record === null ? noRequestedLevel : readRequestedLevel(record, modRevision);
+        return;
+      case 'inc':
+        return this.applyIncarnation(ref.n, record, modRevision);
+      case 'plan':
+        this.writeAllocation = record === null ? null : readAllocation(record);
+        return;
+      case 'teams':
+        this.teamsByShard = record === null ? [] : readTeamShards(record);
+        this.teamsModRevision = record === null ? 0 : modRevision;
+        return;
+      case 'node':
+        return this.applyPresence(ref.member, record, modRevision);
+      case 'shard':
+        return this.applyShardGrant(ref.shard, record, modRevision);
+      case 'block':
+        // Guards against taking a machine for deleted because its record cannot be read: what was known stays.
+        if (this.unreadableRecords.has(key)) return;
+        return this.machineTable.applyBlock(
+          ref.block,
+          record === null ? null : readBlock(record),
+          modRevision,
+        );
+      case 'machine':
+        if (this.unreadableRecords.has(key)) return;
+        return this.machineTable.applyMachine(
+          ref.host,
+          record === null ? null : readMachine(ref.host, record),
+          modRevision,
+        );
+      case 'job':
+        return this.applyJob(ref.id, record, modRevision);
+      case 'chunk':
+        return this.taskStates.applyChunk(ref.id, ref.chunk, record, modRevision);
+      case 'log':
+        return this.applyTaskLogRecord(key, ref.shard, record, modRevision);
+    }
   }
 
-  /** What is known of every key: its stamp. */
-  *knownKeys(): Generator<{ key: string; stamp: number }> {
-    for (const [key, stamp] of this.modRevisions) yield { key, stamp };
+  private applyLeader(key: string, record: unknown, modRevision: number): void {
+    if (record === null) return void this.leaderRecords.delete(key);
+    const { member, run } = record as { member: string; run: string };
+    this.leaderRecords.set(key, { member, instanceId: run, modRevision });
   }
 
-  get activeLeaderKey(): string {
-    return this.levels.isEnabled('barred-lead') ? leaderKey : legacyLeaderKey;
+  private applyMachineTypes(key: string, record: unknown): void {
+    if (record === null) this.machineTypesByKey.delete(key);
+    else this.machineTypesByKey.set(key, readMachineTypes(record));
+    this.selectMachineTypes();
   }
 
-  get activeTypesKey(): string {
-    return this.levels.isEnabled('barred-lead') ? machineTypesKey : legacyMachineTypesKey;
+  /** The level decides which key holds the machine types. */
+  private selectMachineTypes(): void {
+    this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
   }
 
-  get leader(): LeaderRecord | null {
-    return this.leaderRecords.get(this.activeLeaderKey) ?? null;
+  private applyLevel(record: unknown, modRevision: number): void {
+    this.updateLevelReadability();
+    this.levels.state = record === null ? initialLevelState : readLevel(record, modRevision);
+    this.selectMachineTypes();
+    this.listener.levelChanged();
   }
 
-  /** Fields of a record's that this program does not know, and that must survive its writes. */
-  unknownFieldsOf(key: string): Data | undefined {
-    return this.unknownFields.get(key);
+  private applyIncarnation(number: number, record: unknown, modRevision: number): void {
+    if (record === null) this.incarnations.delete(number);
+    else this.incarnations.set(number, readIncarnation(number, record, modRevision));
+    this.listener.incarnationChanged();
   }
 
-  /** Whether something of a job cannot be read: nothing is done about it, and nobody is told that it is not there. */
-  isJobUnreadable(id: string): boolean {
-    return (
-      this.unreadableRecords.size > 0 &&
-      (this.unreadableRecords.has(jobKey(id)) || this.unreadableChunks.has(id))
-    );
+  private applyPresence(member: string, record: unknown, modRevision: number): void {
+    if (record === null) return void this.presences.delete(member);
+    const presence = readPresence(member, record, modRevision);
+    this.presences.set(member, presence);
+    this.observedCapabilities.set(member, presence.capabilities);
   }
 
-  /** Whether a machine that is not known may be there all the same: its record, or some rental's, cannot be read. */
-  mayHaveMachine(host: string): boolean {
-    if (this.unreadableRecords.size === 0) return false;
-    if (this.unreadableRecords.has(machineKey(host))) return true;
-    for (const key of this.unreadableRecords.keys()) if (parseKey(key)?.kind === 'block') return true;
-    return false;
+  private applyShardGrant(shard: number, record: unknown, modRevision: number): void {
+    if (record === null) this.shards.delete(shard);
+    else {
+      const { owner, run } = record as { owner: string; run: string };
+      this.shards.set(shard, { owner, instanceId: run, modRevision });
+    }
+    this.listener.shardChanged(shard);
   }
 
-  /** The stamp of what holds the state of some of a job's tasks. */
-  taskStateModRevision(id: string, chunk: number): number {
-    return this.modRevisionOf(this.jobsWithInlineTasks.has(id) ? jobKey(id) : chunkKey(id, chunk));
+  private applyJob(id: string, record: unknown, modRevision: number): void {
+    const job = record === null ? undefined : readJob(id, record, modRevision);
+    if (job) this.jobs.set(id, job);
+    else this.jobs.delete(id);
+    if (job?.state === 'open') this.openJobs.add(id);
+    else this.openJobs.delete(id);
+    this.taskStates.applyJob(id, job?.tasksInline ? (record as { t: unknown }).t : null, modRevision);
+    this.listener.jobChanged(id, job);
   }
 
-  /** Keys with fields that this program does not know: none of its formats can express them. */
-  get keysWithUnknownFields(): Iterable<string> {
-    return this.unknownFields.keys();
+  private applyTaskLogRecord(key: string, shard: number, record: unknown, modRevision: number): void {
+    if (this.unreadableRecords.has(key)) this.unreadableLogs.add(key);
+    else this.unreadableLogs.delete(key);
+    this.updateLevelReadability();
+    if (record === null) this.taskLog.delete(key);
+    else this.taskLog.put(key, shard, record, modRevision);
   }
 
-  modRevisionOf(key: string): number {
-    return this.modRevisions.get(key) ?? 0;
+  /** Guards against acting on part of what is placed: what an unreadable record of the task log said cannot be known. */
+  private updateLevelReadability(): void {
+    this.levels.unreadable = this.unreadableRecords.has(levelKey) || this.unreadableLogs.size > 0;
   }
 
-  /** How many keys there are. */
-  get keyCount(): number {
-    return this.modRevisions.size;
+  // ---- keys ----
+
+  /** The revision of a key's present value; 0: it has none. */
+  modRevisionOf(key: string): number {
+    return this.modRevisions.get(key) ?? 0;
   }
 
-  /** Which write made the key's present value. */
+  /** The mark of the write that made the key's present value. */
   writerOf(key: string): string | undefined {
     return this.writers.get(key);
   }
 
-  /** A complete reading that began at `epoch`: keys it lacks are gone unless they are younger. */
-  loadSnapshot(items: Change[], epoch: number): void {
-    const present = new Set(items.map((i) => i.key));
-    for (const [key, stamp] of [...this.modRevisions])
-      if (!present.has(key) && stamp <= epoch) this.apply({ key, data: undefined, stamp: epoch });
-    for (const item of items) this.apply(item);
-    this.advanceTo(epoch);
+  /** Every key that has a value, and its revision. */
+  *knownKeys(): Generator<{ key: string; stamp: number }> {
+    for (const [key, stamp] of this.modRevisions) yield { key, stamp };
   }
 
-  applyWatch(changes: Change[], epoch: number): void {
-    // Guards against the overtaken answer: up to `epoch` everything was seen, and an older put must not bring a
-    // dropped key back.
-    const seen = this.watchRevision;
-    for (const change of changes) if (change.stamp > seen) this.apply(change);
-    this.advanceTo(epoch);
+  get keyCount(): number {
+    return this.modRevisions.size;
   }
 
-  private advanceTo(epoch: number): void {
-    if (epoch > this.watchRevision) this.watchRevision = epoch;
-    // A drop that we made ourselves is remembered until the watch has passed it: an older put that the
-    // watch still has to deliver must not bring the key back.
-    for (const [key, stamp] of this.recentDeletions)
-      if (stamp <= this.watchRevision) this.recentDeletions.delete(key);
+  /** The fields of a record that this program does not know, and that its writes must preserve. */
+  unknownFieldsOf(key: string): Data | undefined {
+    return this.readability.unknownFieldsOf(key);
   }
 
-  apply({ key, data, stamp }: Change): void {
-    if (!key.startsWith(keyPrefix)) return;
-    if ((this.modRevisions.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
-    const ref = parseKey(key);
-    if (ref === null) return;
-    const had = this.modRevisions.has(key);
-    if (data === undefined || data === null) {
-      if (had && ref.kind === 'job') this.jobCount--;
-      this.modRevisions.delete(key);
-      this.writers.delete(key);
-      this.unknownFields.delete(key);
-      this.markReadable(ref, key);
-      if (stamp > this.watchRevision) this.recentDeletions.set(key, stamp);
-    } else {
-      if (!had && ref.kind === 'job') this.jobCount++;
-      this.modRevisions.set(key, stamp);
-      const w = (data as StoredValue).w;
-      if (typeof w === 'string') this.writers.set(key, w);
-      else this.writers.delete(key);
-    }
-    const here = data !== undefined && data !== null && this.checkReadable(ref, key, data);
-    const over = ref.kind === 'job' && here && (data as { s?: unknown }).s !== 'open';
-    if (over || ref.kind === 'shard' || ref.kind === 'lead' || ref.kind === 'chief')
-      this.listener.criticalChange({ key, data, stamp });
-    switch (ref.kind) {
-      case 'lead':
-      case 'chief': {
-        const d = data as { member: string; run: string };
-        if (here) this.leaderRecords.set(key, { member: d.member, instanceId: d.run, modRevision: stamp });
-        else this.leaderRecords.delete(key);
-        break;
-      }
-      case 'types':
-      case 'kinds':
-        if (here) this.machineTypesByKey.set(key, readMachineTypes(data));
-        else this.machineTypesByKey.delete(key);
-        this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
-        break;
-      case 'level':
-        this.updateLevelReadability();
-        this.levels.state = here ? readLevel(data, stamp) : initialLevelState;
-        this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
-        this.listener.levelChanged();
-        break;
-      case 'members':
-        this.members = here ? readMembers(data) : { capabilities: new Map(), note: null };
-        break;
-      case 'wish':
-        this.requestedLevel = here ? readRequestedLevel(data, stamp) : noRequestedLevel;
-        break;
-      case 'inc':
-        if (here) this.incarnations.set(ref.n, readIncarnation(ref.n, data, stamp));
-        else this.incarnations.delete(ref.n);
-        this.listener.incarnationChanged();
-        break;
-      case 'plan':
-        this.writeAllocation = here ? readAllocation(data) : null;
-        break;
-      case 'teams':
-        this.teamsByShard = here ? readTeamShards(data) : [];
-        this.teamsModRevision = here ? stamp : 0;
-        break;
-      case 'node': {
-        if (here) this.presences.set(ref.member, readPresence(ref.member, data, stamp));
-        else this.presences.delete(ref.member);
-        if (here) this.observedCapabilities.set(ref.member, this.presences.get(ref.member)!.capabilities);
-        break;
-      }
-      case 'shard': {
-        const d = data as { owner: string; run: string };
-        if (here) this.shards.set(ref.shard, { owner: d.owner, instanceId: d.run, modRevision: stamp });
-        else this.shards.delete(ref.shard);
-        this.listener.shardChanged(ref.shard);
-        break;
-      }
-      case 'block':
-        // Guards against taking a machine for gone because its record cannot be read: what was known stays.
-        if (this.unreadableRecords.has(key)) break;
-        this.applyBlock(ref.block, here ? readBlock(data) : null, stamp);
-        break;
-      case 'machine':
-        if (this.unreadableRecords.has(key)) break;
-        if (here) this.machines.set(ref.host, { ...readMachine(ref.host, data), modRevision: stamp });
-        else this.machines.delete(ref.host);
-        this.resolveMachine(ref.host);
-        break;
-      case 'job': {
-        if (here) this.jobs.set(ref.id, readJob(ref.id, data, stamp));
-        else this.jobs.delete(ref.id);
-        const job = this.jobs.get(ref.id);
-        this.applyInlineTasks(ref.id, job?.tasksInline === true ? (data as { t: unknown }).t : null, stamp);
-        if (job?.state === 'open') this.openJobs.add(ref.id);
-        else this.openJobs.delete(ref.id);
-        this.dropLoggedChunks(ref.id, job);
-        this.taskLog.applyWaiting(ref.id);
-        this.listener.jobChanged(ref.id, job);
-        break;
-      }
-      case 'chunk': {
-        // Guards against the order within a transaction: a job that took its tasks' state in has it there.
-        if (this.jobsWithInlineTasks.has(ref.id) && ref.chunk === 0) break;
-        this.setChunk(ref.id, ref.chunk, here ? this.mergeCheckpoint(ref, readChunk(data, stamp)) : null);
-        this.taskLog.applyWaiting(ref.id);
-        break;
-      }
-      case 'log':
-        if (this.unreadableRecords.has(key)) this.unreadableLogs.add(key);
-        else this.unreadableLogs.delete(key);
-        this.updateLevelReadability();
-        if (here) this.taskLog.put(key, ref.shard, data, stamp);
-        else this.taskLog.delete(key);
-        break;
-    }
+  /** Keys of records with unknown fields: no format that this program writes can express them. */
+  get keysWithUnknownFields(): Iterable<string> {
+    return this.readability.keysWithUnknownFields;
   }
 
-  /** Guards against acting on part of what is placed: what a record of the task log said cannot be known. */
-  private updateLevelReadability(): void {
-    this.levels.unreadable = this.unreadableRecords.has(levelKey) || this.unreadableLogs.size > 0;
-  }
+  // ---- leadership, members and shards ----
 
-  /** A chunk's own record, unless the task log has led beyond it. */
-  private mergeCheckpoint(ref: { id: string; chunk: number }, record: ChunkRecord): ChunkRecord {
-    const logged = this.chunks.get(ref.id)?.get(ref.chunk);
-    const isBehind = logged !== undefined && record.version > 0 && record.version < logged.version;
-    return isBehind
-      ? { ...logged, modRevision: record.modRevision, checkpointVersion: record.version }
-      : record;
+  /** The key that holds leadership at the level in force. */
+  get activeLeaderKey(): string {
+    return this.levels.isEnabled('barred-lead') ? leaderKey : legacyLeaderKey;
   }
 
-  /** What the task log said of a job that is over is not needed any more. */
-  private dropLoggedChunks(id: string, job: JobRecord | undefined): void {
-    const chunks = this.chunks.get(id);
-    if (!chunks || !job || job.state === 'open' || this.jobsWithInlineTasks.has(id)) return;
-    for (const [number, { version: revision, placements: placed }] of [...chunks])
-      if (revision > 0 && (job.state === 'done' || placed.length === 0)) this.setChunk(id, number, null);
+  /** The key that holds the machine types at the level in force. */
+  get activeTypesKey(): string {
+    return this.levels.isEnabled('barred-lead') ? machineTypesKey : legacyMachineTypesKey;
   }
 
-  private setChunk(id: string, number: number, chunk: ChunkRecord | null): void {
-    let chunks = this.chunks.get(id);
-    if (chunk) {
-      if (!chunks) this.chunks.set(id, (chunks = new Map()));
-      chunks.set(number, chunk);
-    } else if (chunks) {
-      chunks.delete(number);
-      if (chunks.size === 0) this.chunks.delete(id);
-    }
+  get leader(): LeaderRecord | null {
+    return this.leaderRecords.get(this.activeLeaderKey) ?? null;
   }
 
-  /** The state of a job's tasks came or went with its own record. */
-  private applyInlineTasks(id: string, tasks: unknown, stamp: number): void {
-    if (tasks !== null) {
-      this.jobsWithInlineTasks.add(id);
-      this.setChunk(id, 0, readChunk(tasks, stamp));
-    } else if (this.jobsWithInlineTasks.delete(id) && this.modRevisionOf(chunkKey(id, 0)) === 0)
-      this.setChunk(id, 0, null);
+  /** The newest incarnation of the state; null: the state names none. */
+  get incarnation(): Incarnation | null {
+    let newest: Incarnation | null = null;
+    for (const i of this.incarnations.values()) if (!newest || i.number > newest.number) newest = i;
+    return newest;
   }
 
-  /** Whether a record can be acted on; what it has that this program does not know is kept. */
-  private checkReadable(ref: ParsedKey, key: string, data: unknown): boolean {
-    const verdict = inspect(recordKindOf(ref), data);
-    if (verdict.ok) {
-      if (verdict.extras) this.unknownFields.set(key, verdict.extras);
-      else this.unknownFields.delete(key);
-      this.markReadable(ref, key);
-      return true;
-    }
-    this.unknownFields.delete(key);
-    const why = `${verdict.why}: ${verdict.text}`;
-    if (verdict.why === 'damaged' && replaceableKinds.has(ref.kind)) {
-      this.listener.readabilityChanged(key, why);
-      return false;
-    }
-    if (this.unreadableRecords.get(key) === why) return false;
-    this.unreadableRecords.set(key, why);
-    if (ref.kind === 'chunk') {
-      const chunks = this.unreadableChunks.get(ref.id) ?? new Set();
-      this.unreadableChunks.set(ref.id, chunks.add(ref.chunk));
-      this.listener.jobChanged(ref.id, this.jobs.get(ref.id));
-    }
-    this.listener.readabilityChanged(key, why);
-    return false;
+  /** Fencing tokens of this incarnation are above this. */
+  get tokenBase(): number {
+    return tokenBase(this.incarnation?.number ?? 1);
   }
 
-  private markReadable(ref: ParsedKey, key: string): void {
-    if (!this.unreadableRecords.delete(key)) return;
-    if (ref.kind === 'chunk') {
-      const chunks = this.unreadableChunks.get(ref.id);
-      chunks?.delete(ref.chunk);
-      if (chunks?.size === 0) this.unreadableChunks.delete(ref.id);
-      this.listener.jobChanged(ref.id, this.jobs.get(ref.id));
-    }
-    this.listener.readabilityChanged(key, null);
-  }
-
-  private applyBlock(id: string, block: BlockRecord | null, stamp: number): void {
-    const before = this.blocks.get(id)?.hosts ?? [];
-    if (block) this.blocks.set(id, block);
-    else this.blocks.delete(id);
-    const now = new Set(block?.hosts);
-    for (const host of before)
-      if (!now.has(host)) {
-        this.originBlocks.delete(host);
-        if (this.modRevisionOf(machineKey(host)) === 0 && this.machines.delete(host))
-          this.resolveMachine(host);
-      }
-    for (const host of now)
-      if (!this.originBlocks.has(host)) {
-        // Rewritten when machines leave it: the others came under their owner when it was first written.
-        this.originBlocks.set(host, { block: id, stamp });
-        if (this.modRevisionOf(machineKey(host)) === 0) this.resolveMachine(host);
-      }
-  }
-
-  /** A machine without a record of its own stands as its block says. */
-  private resolveMachine(host: string): void {
-    if (this.unreadableRecords.has(machineKey(host))) return;
-    const origin = this.originBlocks.get(host);
-    const block = origin && this.blocks.get(origin.block);
-    if (block && this.modRevisionOf(machineKey(host)) === 0) {
-      const { type, zone, spot, shard, since } = block;
-      this.machines.set(host, {
-        host,
-        type,
-        zone,
-        spot,
-        shard,
-        since,
-        state: 'use',
-        modRevision: origin.stamp,
-      });
-    }
-    this.listener.machineChanged(host, this.machines.get(host));
+  /** Attempts at tasks of this incarnation are above this. */
+  get attemptBase(): number {
+    return attemptBase(this.incarnation?.number ?? 1);
   }
 
-  blockOf(host: string): string | undefined {
-    return this.originBlocks.get(host)?.block;
+  /** Whether this very process of a member is present. */
+  isAlive(member: string, instanceId: string): boolean {
+    return this.presences.get(member)?.instanceId === instanceId;
   }
 
+  /** The shard that a team belongs to; -1: none yet. */
   shardOfTeam(team: string): number {
     return this.teamsByShard.findIndex((teams) => teams.includes(team));
   }
 
-  isAlive(member: string, instanceId: string): boolean {
-    return this.presences.get(member)?.instanceId === instanceId;
+  // ---- machines ----
+
+  /** The block that a machine was rented in, as long as the block names it. */
+  blockOf(host: string): string | undefined {
+    return this.machineTable.blockOf(host);
   }
 
-  /** The member that answers for a machine, with the token that its answers carry. */
-  responsibleController(m: VersionedMachine): { member: string; run: string; token: number } | null {
-    const holder = m.shard >= 0 ? this.shards.get(m.shard) : undefined;
-    const of = (stamp: number): number => this.tokenBase + Math.max(m.modRevision, stamp);
-    if (holder) return { member: holder.owner, run: holder.instanceId, token: of(holder.modRevision) };
-    if (m.shard < 0 && this.leader)
-      return { member: this.leader.member, run: this.leader.instanceId, token: of(this.leader.modRevision) };
+  /** Whether an unknown machine may exist all the same: its own record, or that of some block, cannot be read. */
+  mayHaveMachine(host: string): boolean {
+    return this.readability.mayHaveMachine(host);
+  }
+
+  /** The owner of a machine's shard, or the leader for a machine without a shard; null: there is none now. */
+  responsibleController(machine: VersionedMachine): ResponsibleController | null {
+    const grant = machine.shard >= 0 ? this.shards.get(machine.shard) : undefined;
+    const tokenFor = (modRevision: number): number =>
+      this.tokenBase + Math.max(machine.modRevision, modRevision);
+    if (grant) return { member: grant.owner, run: grant.instanceId, token: tokenFor(grant.modRevision) };
+    const { leader } = this;
+    if (machine.shard < 0 && leader)
+      return { member: leader.member, run: leader.instanceId, token: tokenFor(leader.modRevision) };
     return null;
   }
 
+  // ---- jobs and tasks ----
+
+  /** Whether a job's own record or one of its tasks' records cannot be read: the job is neither acted on nor reported as unknown. */
+  isJobUnreadable(id: string): boolean {
+    return this.readability.isJobUnreadable(id);
+  }
+
+  /** The revision of the record that holds the state of a chunk of tasks. */
+  taskStateModRevision(id: string, chunk: number): number {
+    return this.modRevisionOf(this.jobsWithInlineTasks.has(id) ? jobKey(id) : chunkKey(id, chunk));
+  }
+
+  /** Whether the task log is followed for a job. */
+  taskLogStatus(id: string): TaskLogStatus {
+    return this.taskStates.taskLogStatus(id);
+  }
+
+  /** The version of a chunk's state that its own record holds; null: nothing is known of its tasks. */
+  checkpointVersionOf(id: string, chunk: number): number | null {
+    return this.taskStates.checkpointVersionOf(id, chunk);
+  }
+
+  /** How many chunks' own records are checkpoints of a task log. */
+  get checkpointCount(): number {
+    return this.taskStates.checkpointCount;
+  }
+
+  /** How many tasks of a job have completed, and how many are placed. */
   taskCounts(id: string): { done: number; running: number } {
-    let done = 0;
-    let running = 0;
-    for (const c of this.chunks.get(id)?.values() ?? []) {
-      done += c.doneCount;
-      running += c.placements.length;
-    }
-    return { done, running };
+    return this.taskStates.taskCounts(id);
   }
 }
--- a/src/core/storage/keys.ts
+++ b/src/core/storage/keys.ts
@@ -1,4 +1,6 @@
 /** Where things are kept in the state service. Everything is under one prefix, so one watch sees it all. */
+import type { Kind } from '../../formats/index.js';
+
 export const keyPrefix = 'dp/';
 export const legacyLeaderKey = 'dp/lead';
 export const legacyMachineTypesKey = 'dp/types';
@@ -40,6 +42,10 @@
   | { kind: 'chunk'; id: string; chunk: number }
   | { kind: 'log'; shard: number };
 
+/** The kind of record under a key: two kinds moved to other keys with level 2 and kept their formats. */
+export const recordKindOf = (ref: ParsedKey): Kind =>
+  ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
+
 export function parseKey(key: string): ParsedKey | null {
   const [root, kind, a, b] = key.split('/');
   if (root !== 'dp') return null;
