--- /dev/null
+++ b/src/cloud/cloud-provider.ts
@@ -0,0 +1,83 @@
+/** The cloud's HTTP API: machine types, and the machines that are requested, listed and deleted. */
+import { JsonClient } from '../net/client.js';
+import {
+  deleteOut,
+  parseList,
+  parseRented,
+  parseTypes,
+  rentOut,
+  type ListedMachine,
+  type RentalOutcome,
+  type RentRequest,
+} from '../wire/cloud.js';
+import type { MachineType } from '../model/machine.js';
+
+const pageSize = 500;
+const maxSockets = 4;
+
+/** A provider of machines: the cloud, or what stands in its place. */
+export interface CloudProvider {
+  /** The machine types on offer; null: no answer. */
+  listMachineTypes(): Promise<MachineType[] | null>;
+  /** Requests machines. Requests of the same name are idempotent. */
+  rentMachines(request: RentRequest): Promise<RentalOutcome>;
+  /** True: the machines, and all tasks that were on them, are gone. */
+  deleteMachines(hosts: string[]): Promise<boolean>;
+  /** All machines that are there; null: no answer. */
+  listMachines(): Promise<ListedMachine[] | null>;
+}
+
+/** The cloud's API over HTTP. Its request limit is kept by the autoscaler. */
+export class HttpCloudProvider implements CloudProvider {
+  private readonly client: JsonClient;
+
+  constructor(
+    address: string,
+    /** After this long a request counts as unanswered. */
+    private readonly timeoutMs: number,
+  ) {
+    this.client = new JsonClient(address, maxSockets);
+  }
+
+  async listMachineTypes(): Promise<MachineType[] | null> {
+    const reply = await this.client.call('GET', '/machine_types', null, this.timeoutMs);
+    return reply?.status === 200 ? parseTypes(reply.body) : null;
+  }
+
+  async rentMachines(request: RentRequest): Promise<RentalOutcome> {
+    const reply = await this.client.call('POST', '/rentals', rentOut(request), this.timeoutMs);
+    switch (reply?.status) {
+      case 200: {
+        const hosts = parseRented(reply.body);
+        return hosts === null ? { type: 'unknown' } : { type: 'rented', hosts };
+      }
+      case 503: {
+        const { error } = (reply.body ?? {}) as { error?: unknown };
+        return { type: error === 'no capacity' ? 'no-capacity' : 'rejected' };
+      }
+      case 429:
+      case 400:
+        return { type: 'rejected' };
+      default:
+        return { type: 'unknown' };
+    }
+  }
+
+  async deleteMachines(hosts: string[]): Promise<boolean> {
+    const reply = await this.client.call('POST', '/rentals/delete', deleteOut(hosts), this.timeoutMs);
+    return reply?.status === 200;
+  }
+
+  async listMachines(): Promise<ListedMachine[] | null> {
+    const all: ListedMachine[] = [];
+    for (let from = ''; ;) {
+      const path = `/rentals?${from === '' ? '' : `from=${from}&`}limit=${pageSize}`;
+      const reply = await this.client.call('GET', path, null, this.timeoutMs);
+      const page = reply?.status === 200 ? parseList(reply.body) : null;
+      if (!page) return null;
+      all.push(...page.machines);
+      if (!page.more || page.machines.length === 0) return all;
+      from = page.machines[page.machines.length - 1].host;
+    }
+  }
+}
--- a/src/control/agent-pool.ts
+++ b/src/control/agent-pool.ts
@@ -1,9 +1,9 @@
 /** The pool of agents: their stored membership records, and the pool as the core's cloud provider. */
-import type { CloudProvider } from '../cloud/cloud.js';
+import type { CloudProvider } from '../cloud/cloud-provider.js';
 import type { Log } from '../core/effects.js';
 import type { MachineType } from '../model/machine.js';
 import type { Joining } from '../wire/agent-side.js';
-import type { ListedMachine } from '../wire/cloud.js';
+import type { ListedMachine, RentalOutcome } from '../wire/cloud.js';
 import { listAll, putIf, type ControlStore } from './control-store.js';
 
 /** The membership of an agent. A stored record: field names are part of the format. */
@@ -229,8 +229,8 @@
   }
 
   /** Agents join by themselves: there is nothing to rent. */
-  rentMachines(): Promise<'none'> {
-    return Promise.resolve('none');
+  rentMachines(): Promise<RentalOutcome> {
+    return Promise.resolve({ type: 'no-capacity' });
   }
 
   /** Removes drained and forgotten members; false, removing none, if any of the hosts is neither. */
--- /dev/null
+++ b/src/core/autoscaler/zone-split.ts
@@ -0,0 +1,102 @@
+/** Division of a job's waiting tasks among the zones in which its constraints allow them to run. */
+import { maxTasksPerZone, type JobSpec } from '../../model/job.js';
+import type { AutoscalerContext } from './context.js';
+import { countHeadroom, type MachinePools } from './headroom.js';
+import { isEligible, type OfferAvailability } from './offers.js';
+
+/** Tasks of a job that have to run in the same set of zones. */
+export interface ZoneGroup {
+  readonly count: number;
+  /** null: any zone. */
+  readonly zones: string[] | null;
+}
+
+/** What a zone has for a job. */
+interface ZoneCapacity {
+  readonly zone: string;
+  /** Tasks for which there is headroom. */
+  readonly headroom: number;
+  /** Whether on-demand machines for it are available. */
+  readonly hasOffers: boolean;
+}
+
+const preferAvailable = (a: ZoneCapacity, b: ZoneCapacity): number =>
+  Number(b.hasOffers) - Number(a.hasOffers);
+
+/** Divides `count` waiting tasks of a job by zone. */
+export function splitByZone(
+  context: AutoscalerContext,
+  availability: OfferAvailability,
+  { id, spec }: { id: string; spec: JobSpec },
+  count: number,
+  pools: MachinePools,
+): ZoneGroup[] {
+  if (spec.zone !== null || (!spec.oneZone && !spec.apart)) return [{ count, zones: null }];
+  const placed = placedPerZone(context, id);
+  const capacities = (): ZoneCapacity[] =>
+    context.settings.zones.map((zone) => zoneCapacity(context, availability, spec, zone, count, pools));
+  return spec.oneZone
+    ? [{ count, zones: [placed.keys().next().value ?? bestSingleZone(capacities(), count)] }]
+    : splitApart(capacities(), placed, spec, count);
+}
+
+/** How many tasks of a job are placed in each zone, in the order of their placements. */
+function placedPerZone({ replica }: AutoscalerContext, id: string): Map<string, number> {
+  const placed = new Map<string, number>();
+  for (const chunk of replica.chunks.get(id)?.values() ?? [])
+    for (const { host } of chunk.placements) {
+      const zone = replica.machines.get(host)?.zone;
+      if (zone !== undefined) placed.set(zone, (placed.get(zone) ?? 0) + 1);
+    }
+  return placed;
+}
+
+function zoneCapacity(
+  { replica }: AutoscalerContext,
+  availability: OfferAvailability,
+  spec: JobSpec,
+  zone: string,
+  maxTasks: number,
+  pools: MachinePools,
+): ZoneCapacity {
+  const types = replica.machineTypes;
+  let headroom = 0;
+  for (const pool of pools.values())
+    if (pool.zone === zone && isEligible(spec, pool))
+      headroom += countHeadroom(pool, spec, maxTasks - headroom, types);
+  const hasOffers = types.some((type) => {
+    const offer = { type, zone, spot: false };
+    return type.zones.includes(zone) && isEligible(spec, offer) && availability.isAvailable(offer);
+  });
+  return { zone, headroom, hasOffers };
+}
+
+/** The zone with headroom for all tasks; else where machines are available; else that with most headroom. */
+function bestSingleZone(capacities: ZoneCapacity[], count: number): string {
+  capacities.sort(
+    (a, b) =>
+      Number(b.headroom >= count) - Number(a.headroom >= count) ||
+      preferAvailable(a, b) ||
+      b.headroom - a.headroom,
+  );
+  return capacities[0].zone;
+}
+
+/** Half to each of two zones, as far as headroom and the largest share of a zone allow. */
+function splitApart(
+  capacities: ZoneCapacity[],
+  placed: ReadonlyMap<string, number>,
+  spec: JobSpec,
+  count: number,
+): ZoneGroup[] {
+  const groups: ZoneGroup[] = [];
+  capacities.sort((a, b) => b.headroom - a.headroom || preferAvailable(a, b));
+  let left = count;
+  for (const { zone, headroom } of capacities) {
+    const allowed = Math.max(0, maxTasksPerZone(spec.tasks) - (placed.get(zone) ?? 0));
+    const size = Math.min(left, allowed, Math.max(Math.min(headroom, left), Math.ceil(count / 2)));
+    if (size > 0) groups.push({ count: size, zones: [zone] });
+    left -= size;
+  }
+  return groups;
+}
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -169,7 +169,16 @@
       ttlMs,
       log,
     );
-    this.autoscaler = new Autoscaler(settings, operators, replica, batcher, clock, retry.cloud, random, log);
+    this.autoscaler = new Autoscaler({
+      settings,
+      operators,
+      replica,
+      batcher,
+      clock,
+      retry: retry.cloud,
+      random,
+      log,
+    });
     this.autoscaler.hazardPerStep = () =>
       this.shardManager.shardState.hazard.perStep(operators['hazard-step-s']);
     this.freshness = new ReplicaFreshness(
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -5,7 +5,7 @@
 import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
 import type { MachineAttributes } from '../policy/matching.js';
 import type { FreshnessQuery } from '../freshness/index.js';
-import type { ListedMachine, RentRequest } from '../wire/cloud.js';
+import type { ListedMachine, RentalOutcome, RentRequest } from '../wire/cloud.js';
 import type { Change, Transaction } from '../wire/store.js';
 
 /** What a controller tells the others of itself. */
@@ -65,7 +65,7 @@
   | {
       type: 'rental-result';
       request: RentRequest;
-      outcome: { hosts: string[] } | 'none' | 'refused' | 'unknown';
+      outcome: RentalOutcome;
     }
   | { type: 'deletion-result'; hosts: string[]; ok: boolean }
   | { type: 'machine-list'; machines: ListedMachine[] | null; askedAt: number };
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
-import { HttpCloudProvider, type CloudProvider } from './cloud/cloud.js';
-import { WorkerClient } from './workers/workers.js';
+import { HttpCloudProvider, type CloudProvider } from './cloud/cloud-provider.js';
+import { WorkerClient } from './workers/worker-client.js';
 import type { Operators } from './config/operators.js';
 import { splitAddr, type Settings } from './config/settings.js';
 import { Controller } from './core/controller.js';
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -87,6 +87,16 @@
   count: number;
 }
 
+/** What became of a rental request. */
+export type RentalOutcome =
+  /** Machines were provided: as many as requested, or fewer. */
+  | { readonly type: 'rented'; readonly hosts: string[] }
+  | { readonly type: 'no-capacity' }
+  /** Certainly not executed. */
+  | { readonly type: 'rejected' }
+  /** No answer: it may have been executed, or may be executed later. */
+  | { readonly type: 'unknown' };
+
 export const rentOut = (r: RentRequest): object => ({
   hire: r.name,
   flavour: r.type,
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -61,7 +61,7 @@
   assert.equal(replica.machines.size, 4000);
   let stamp = 1;
   const batcher = {
-    add(intent: Intent): void {
+    enqueue(intent: Intent): void {
       const txn = intent.build();
       if (!txn) return;
       stamp++;
@@ -71,16 +71,16 @@
   } as unknown as Committer;
   const unexpected: unknown[] = [];
   const clock = { now: 0, wall: 1_000_000 };
-  const autoscaler = new Autoscaler(
+  const autoscaler = new Autoscaler({
     settings,
-    defaults,
+    operators: defaults,
     replica,
     batcher,
     clock,
-    retryPolicies({ ...settings, stateLeaseMs: 3200 }).cloud,
-    seededRandom(1),
-    (_, message, fields) => void (message === 'unexpected machine' && unexpected.push(fields)),
-  );
+    retry: retryPolicies({ ...settings, stateLeaseMs: 3200 }).cloud,
+    random: seededRandom(1),
+    log: (_, message, fields) => void (message === 'unexpected machine' && unexpected.push(fields)),
+  });
   const deleted: string[] = [];
   while (deleted.length < hosts.length && clock.now < 60_000) {
     clock.now += 250;
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -260,10 +260,10 @@
     const w = this.world;
     this.checkLeadership('rent');
     w.rentals.push(request);
-    if (w.cloudDown) return reply({ type: 'rental-result', request, outcome: 'refused' });
+    if (w.cloudDown) return reply({ type: 'rental-result', request, outcome: { type: 'rejected' } });
     if (w.random() < w.delayedCloudCallShare) {
       w.schedule(2000 + 10_000 * w.random(), () => w.rent(request));
-      return reply({ type: 'rental-result', request, outcome: 'unknown' });
+      return reply({ type: 'rental-result', request, outcome: { type: 'unknown' } });
     }
     const outcome = w.rent(request);
     w.scheduleOrRun(w.cloudDelayMs(), () => reply({ type: 'rental-result', request, outcome }));
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -10,7 +10,7 @@
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 import { seededRandom } from '../../src/retry/index.js';
-import type { RentRequest } from '../../src/wire/cloud.js';
+import type { RentalOutcome, RentRequest } from '../../src/wire/cloud.js';
 import type { Transaction } from '../../src/wire/store.js';
 import { Node } from './controller-node.js';
 import { box, settingsText } from './fixtures.js';
@@ -120,17 +120,17 @@
 
   private readonly rentalResponses = new Map<string, string[]>();
   /** A request name that was carried out once gets the same answer for ever. */
-  rent(request: RentRequest): { hosts: string[] } | 'none' {
+  rent(request: RentRequest): RentalOutcome {
     const before = this.rentalResponses.get(request.name);
-    if (before) return { hosts: before };
-    if (this.capacity <= 0) return 'none';
+    if (before) return { type: 'rented', hosts: before };
+    if (this.capacity <= 0) return { type: 'no-capacity' };
     const hosts: string[] = [];
     for (let i = 0; i < request.count && this.capacity > 0; i++) {
       this.capacity--;
       hosts.push(this.addWorker(request.type, request.zone, request.spot).host);
     }
     this.rentalResponses.set(request.name, hosts);
-    return { hosts };
+    return { type: 'rented', hosts };
   }
 
   remove(hosts: string[]): void {
