--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -18,7 +18,9 @@
 import type { Clock, Command, Effect, Log } from './effects.js';
 import { Autoscaler } from './autoscaler/autoscaler.js';
 import { Membership } from './membership/index.js';
-import { Peers } from './peers.js';
+import { FreshnessExchange } from './freshness-exchange.js';
+import { LoadSharing } from './load-sharing.js';
+import { Peers, type OwnStatus } from './peers.js';
 import { WriteBudget } from './write-budget.js';
 import type { RecoveryRecords } from './recovery-records.js';
 import { DataLossRecovery } from './data-loss-recovery.js';
@@ -61,11 +63,13 @@
   private readonly batcher: Committer;
   private readonly userRequests: UserRequests;
   private readonly peers: Peers;
+  private readonly freshnessExchange: FreshnessExchange;
+  private readonly loadSharing: LoadSharing;
   private readonly heartbeatRouter: HeartbeatRouter;
   private readonly clock: Clock = { now: 0, wall: 0 };
   private readAt = -Infinity;
   private wasLeading = false;
-  private wasFront = false;
+  private wasOffloading = false;
   private shardsChanged = true;
   private checkedAt = -Infinity;
   private saidLevel = '';
@@ -110,7 +114,7 @@
         },
         machineChanged: (host, now) => this.shardManager.shardState.machineChanged(host, now),
         shardChanged: () => (this.shardsChanged = true),
-        criticalChange: (change) => this.peers.recordDecisiveChange(change),
+        criticalChange: (change) => this.freshnessExchange.recordDecisiveChange(change),
         readabilityChanged: (key, why) =>
           why === null
             ? this.log('info', 'record can be read again', { key })
@@ -149,7 +153,9 @@
       random,
       log,
     });
-    this.peers = new Peers(settings, operators, run, replica, clock, ttlMs);
+    const peerOptions = { settings, operators, instanceId: run, replica, clock, leaseTtlMs: ttlMs };
+    this.peers = new Peers(peerOptions);
+    this.freshnessExchange = new FreshnessExchange(peerOptions);
     this.userRequests = new UserRequests(
       settings,
       replica,
@@ -222,25 +228,32 @@
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new RecoveryTracker(settings.workers.lease_s * 1000 * operators['recovery-leases']);
-    this.heartbeatRouter = new HeartbeatRouter(
+    const mayAnswerWorkers = (): boolean => this.freshness.mayAnswerWorkers && this.dataLossRecovery.mayAct;
+    this.loadSharing = new LoadSharing({
       settings,
-      replica,
-      this.shardManager,
-      this.autoscaler,
-      this.peers,
+      shardManager: this.shardManager,
+      peers: this.peers,
       clock,
-      {
-        member: settings.member,
-        run,
-        noteToken: (token) => this.dataLossRecovery.tokenReported(token),
-        mayAnswerWorkers: () => this.freshness.mayAnswerWorkers && this.dataLossRecovery.mayAct,
-        writesAreScarce: () => this.batcher.health < 1 || this.userRequests.crowded,
-        isLeader: () => this.membership.isLeader,
-        handOver: (shard, to, toRun) => this.membership.handOver(shard, to, toRun),
-      },
-      { preferredConnections: limits.sockets.preferred, maxForwarded: limits.maxForwardedHeartbeats },
+      preferredConnections: limits.sockets.preferred,
+      mayAnswerWorkers,
+      handOver: (shard, member, instanceId) => this.membership.handOver(shard, member, instanceId),
       log,
-    );
+    });
+    this.heartbeatRouter = new HeartbeatRouter({
+      settings,
+      instanceId: run,
+      replica,
+      shardManager: this.shardManager,
+      autoscaler: this.autoscaler,
+      peers: this.peers,
+      loadSharing: this.loadSharing,
+      clock,
+      maxForwarded: limits.maxForwardedHeartbeats,
+      onTokenReported: (token) => this.dataLossRecovery.tokenReported(token),
+      mayAnswerWorkers,
+      areWritesScarce: () => this.batcher.health < 1 || this.userRequests.crowded,
+      isLeader: () => this.membership.isLeader,
+    });
   }
 
   /**
@@ -306,10 +319,11 @@
     if (this.shutdown.requested) this.membership.shutDown(out);
     this.shardManager.tick(out);
     this.heartbeatRouter.tick(out);
+    this.loadSharing.tick();
     if (this.fair) this.divide(out);
     this.userRequests.pump(out, this.freshness.confirmedByPeersAt);
     this.batcher.tick(now, out);
-    if (this.freshness.needsPeerConfirmation) this.peers.queryFreshness(out);
+    if (this.freshness.needsPeerConfirmation) this.freshnessExchange.queryPeers(out);
     this.tell(out, null);
     if (this.dataLossRecovery.wantsRevisionRead) out.push({ type: 'read-revision' });
     this.read(leading, out);
@@ -367,10 +381,15 @@
 
   /** News goes out at once; a change of what we ask of the others is news. */
   private tell(out: Effect[], epoch: number | null): void {
-    const { wantsForwarding: front } = this.heartbeatRouter;
-    const news = front !== this.wasFront ? this.replica.watchRevision : epoch;
-    this.wasFront = front;
-    this.peers.broadcastStatus(out, this.heartbeatRouter.utilization, front, () => this.demand, news);
+    const { isOffloading } = this.loadSharing;
+    const newRevision = isOffloading !== this.wasOffloading ? this.replica.watchRevision : epoch;
+    this.wasOffloading = isOffloading;
+    const ownStatus = (): OwnStatus => ({
+      utilizationPermille: Math.round(this.loadSharing.utilization * 1000),
+      wantsForwarding: isOffloading,
+      demand: this.demand,
+    });
+    this.peers.broadcastStatus(out, ownStatus, newRevision);
   }
 
   /** What this controller wants, as it tells the others. */
@@ -405,7 +424,7 @@
     const picture = this.overloadMonitor.observe({
       writes: (tasks + users) / Math.max(1, this.batcher.writesPerS),
       requests: this.requests.rate(now) / equal,
-      time: this.heartbeatRouter.utilization,
+      time: this.loadSharing.utilization,
       ...this.told,
     });
     this.userRequests.short = picture.admissionFactor < 1 ? picture.bottleneck : 'writes';
@@ -512,7 +531,7 @@
         this.heartbeatRouter.onForwardedResponse(c.rid, c.status, c.body, out);
         break;
       case 'load':
-        this.heartbeatRouter.onLoadMeasured(c.busy, c.connections);
+        this.loadSharing.onLoadMeasured(c.busy, c.connections);
         this.told = {
           sockets: c.connections / this.mostSockets,
           memory: c.memory ?? 0,
@@ -533,17 +552,18 @@
         this.userRequests.told(c.list);
         break;
       case 'peer-status':
+        this.freshnessExchange.notePeerProcess(c.from, c.status.run);
         this.peers.onStatus(c.from, c.status);
         this.dataLossRecovery.peerHeard(c.status);
         if (c.status.revision > this.replica.watchRevision)
           out.push({ type: 'catch-up', epoch: c.status.revision });
         break;
       case 'freshness-query':
-        this.peers.onFreshnessQuery(c.from, c.query, out);
+        this.freshnessExchange.onQuery(c.from, c.query, out);
         break;
       case 'freshness-confirmed':
         this.freshness.onConfirmedByPeers(
-          this.peers.onFreshnessAnswer(c.from, c.run, c.query, c.known, this.freshness.completeUpTo),
+          this.freshnessExchange.onAnswer(c.from, c.run, c.query, c.known, this.freshness.completeUpTo),
         );
         break;
       case 'snapshot-progress':
@@ -552,7 +572,7 @@
       case 'snapshot-loaded':
         this.dataLossRecovery.snapshotLoaded(c.items, c.epoch);
         this.replica.loadSnapshot(c.items, c.epoch);
-        this.peers.onStateLoaded(c.epoch);
+        this.freshnessExchange.onStateLoaded(c.epoch);
         this.log('info', 'state loaded', { epoch: c.epoch, keys: c.items.length });
         this.shardsChanged = true;
         break;
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -396,7 +396,7 @@
     if (inc.stage === 'whole' || this.transitionInFlight) return;
     const { now } = this.clock;
     const mine = inc.openedBy === this.settings.member && inc.instanceId === this.run;
-    if (mine || this.peers.runOf(inc.openedBy) === inc.instanceId) this.openerHeardAt = now;
+    if (mine || this.peers.instanceIdOf(inc.openedBy) === inc.instanceId) this.openerHeardAt = now;
     if (!mine) {
       if (this.openerHeardAt === 0) this.openerHeardAt = now;
       const gone = now - this.openerHeardAt > openerLostLeases * this.ttlMs;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -1,245 +1,189 @@
+/** Routing of workers' heartbeats: answered here, redirected to the owner of their machine, or forwarded to it. */
 import type { Settings } from '../config/settings.js';
 import type { Heartbeat } from '../model/heartbeat.js';
-import {
-  offloadAbove,
-  leastBusyHelper,
-  shouldRedirect,
-  handoverTarget,
-  needsOffload,
-  type ControllerLoad,
-} from '../policy/load-sharing.js';
 import { answerOut, redirectOut } from '../wire/worker.js';
-import type { ScheduledMachine } from './shard-state/types.js';
-import { isNewerHeartbeat } from './heartbeat-reconciler.js';
-import type { ShardManager } from './shard-manager.js';
-import type { Clock, Effect, Log } from './effects.js';
 import type { Autoscaler } from './autoscaler/autoscaler.js';
+import type { Clock, Effect } from './effects.js';
+import { isNewerHeartbeat } from './heartbeat-reconciler.js';
 import { HeldResponses, type ReleasedResponse } from './held-responses.js';
+import type { LoadSharing } from './load-sharing.js';
 import type { Peers } from './peers.js';
-import type { VersionedMachine, Replica } from './replica.js';
-
-/** Of the 4 s that workers wait for an answer. */
-const relayMs = 2000;
-/** A shard that was handed over stays for so many worker leases. */
-const settleLeases = 4;
-/** Of the workers that report in a second, so many are sent away at most: the others' load must show first. */
-const sentAwayShare = 0.1;
-
-/** What it needs of the controller. */
-export interface HeartbeatRouterHost {
-  member: string;
-  run: string;
-  /** A worker has seen this token. */
-  noteToken(token: number): void;
-  /** Whether the view is new enough for workers to be answered from it. */
-  mayAnswerWorkers(): boolean;
-  /** Writes are short: the state service refuses some, or users wait for theirs. */
-  writesAreScarce(): boolean;
-  isLeader(): boolean;
-  handOver(shard: number, to: string, run: string): void;
+import type { Replica } from './replica.js';
+import type { ShardManager } from './shard-manager.js';
+import type { ScheduledMachine } from './shard-state/types.js';
+
+/** How long a forwarded heartbeat may take, of the 4 s that workers wait for a response. */
+const forwardTimeoutMs = 2000;
+
+/** The controller that answers for a machine, and the fencing token that its responses carry. */
+type MachineOwner = NonNullable<ReturnType<Replica['responsibleController']>>;
+
+export interface HeartbeatRouterOptions {
+  readonly settings: Settings;
+  /** Identifies this process. */
+  readonly instanceId: string;
+  readonly replica: Replica;
+  readonly shardManager: ShardManager;
+  readonly autoscaler: Autoscaler;
+  readonly peers: Peers;
+  readonly loadSharing: LoadSharing;
+  readonly clock: Clock;
+  /** The most heartbeats that wait for a peer's response. */
+  readonly maxForwarded: number;
+  /** Called with the fencing token that a worker has seen. */
+  readonly onTokenReported: (token: number) => void;
+  /** Whether the replica is fresh enough for workers to be answered from it. */
+  readonly mayAnswerWorkers: () => boolean;
+  /** Whether the state service refuses writes, or users wait for theirs. */
+  readonly areWritesScarce: () => boolean;
+  readonly isLeader: () => boolean;
 }
 
-/** Where a worker's report goes: answered here, sent to its owner, or handed on to it. */
+/** Takes in heartbeats from workers and peers, and produces their responses. */
 export class HeartbeatRouter {
-  /** Workers that were sent on to their owner, and when, ms. */
-  private readonly redirected = new Map<string, number>();
-  /** HeartbeatRouter handed on to their owner, by request, and when, ms. */
-  private readonly relays = new Map<number, number>();
-  private load: ControllerLoad = { utilization: 0, connections: 0, machines: 0, forwardedShare: 0 };
-  /** HeartbeatRouter since the load was last measured, and how many of them came through others. */
-  private count = 0;
-  private relayedCount = 0;
-  private helped = false;
-  private sentAway = 0;
-  /** Since the last look at how the shards are served. */
-  private direct = 0;
-  private through = new Map<string, number>();
-  private lookedAt = 0;
+  /** When a worker was last redirected to its machine's owner, by host, ms. */
+  private readonly redirectedAt = new Map<string, number>();
+  /** When a heartbeat was forwarded, by request, ms; oldest first. */
+  private readonly forwardedAt = new Map<number, number>();
   private readonly heldResponses: HeldResponses;
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly replica: Replica,
-    private readonly shardManager: ShardManager,
-    private readonly autoscaler: Autoscaler,
-    private readonly peers: Peers,
-    private readonly clock: Clock,
-    private readonly host: HeartbeatRouterHost,
-    private readonly limits: { preferredConnections: number; maxForwarded: number },
-    private readonly log: Log,
-  ) {
+  constructor(private readonly options: HeartbeatRouterOptions) {
+    const { settings, shardManager, clock } = options;
     this.heldResponses = new HeldResponses(settings, shardManager.heartbeatReconciler, clock);
   }
 
-  get utilization(): number {
-    return this.load.utilization;
-  }
-
-  /** Others are asked to keep the workers that reach them. */
-  get wantsForwarding(): boolean {
-    return this.helped;
-  }
-
-  route(rid: number, report: Heartbeat, from: string | null, out: Effect[]): void {
-    const answer = (status: number, body: object, retryAfterS?: number) =>
-      void out.push({ type: 'respond', rid, status, body, retryAfterS });
-    // Guards against acting on an old view: a cancellation seen by users could be missed here, and the
-    // answer would keep the task alive.
-    this.host.noteToken(report.fencingToken);
-    if (!this.host.mayAnswerWorkers() || this.replica.levels.mustStandBy) return answer(503, {}, 1);
-    const m = this.replica.machines.get(report.host);
-    if (!m) {
-      if (this.host.isLeader()) {
-        this.autoscaler.adoptReportingMachine(report);
-        return answer(503, {}, 1);
-      }
-      return answer(421, redirectOut(this.replica.leader?.member ?? null));
+  /** Routes a heartbeat. `forwardedBy`: the peer that forwarded it; null: it came from the worker. */
+  route(rid: number, heartbeat: Heartbeat, forwardedBy: string | null, out: Effect[]): void {
+    const { replica, autoscaler, loadSharing, onTokenReported } = this.options;
+    onTokenReported(heartbeat.fencingToken);
+    // Guards against acting on an old replica: a cancellation seen by users could be missed here, and the response
+    // would keep the task alive.
+    if (!this.mayRespond) return respond(out, rid, 503, {}, 1);
+    const machine = replica.machines.get(heartbeat.host);
+    if (!machine) return this.routeUnknownMachine(rid, heartbeat, out);
+    const owner = replica.responsibleController(machine);
+    if (!owner || !this.isSelf(owner)) return this.routeToOwner(rid, heartbeat, owner, forwardedBy, out);
+    this.redirectedAt.delete(heartbeat.host);
+    // A newer token was granted to another process: this one is the stale owner and has not learned of it yet.
+    if (heartbeat.fencingToken > owner.token) return respond(out, rid, 421, redirectOut(null));
+    loadSharing.recordHeartbeat(forwardedBy);
+    if (machine.shard < 0) {
+      autoscaler.recordHeartbeat(machine.host);
+      return respond(out, rid, 200, answerOut(owner.token, []));
     }
-    const custodian = this.replica.responsibleController(m);
-    if (!custodian || !this.isMine(custodian)) return this.elsewhere(rid, report, m, from, out);
-    this.redirected.delete(report.host);
-    // Somebody came under a newer token: we are the stale owner and do not know it yet.
-    if (report.fencingToken > custodian.token) return answer(421, redirectOut(null));
-    this.count++;
-    if (from !== null) this.relayedCount++;
-    if (from === null) this.direct++;
-    else this.through.set(from, (this.through.get(from) ?? 0) + 1);
-    if (m.shard < 0) {
-      this.autoscaler.recordHeartbeat(m.host);
-      return answer(200, answerOut(custodian.token, []));
-    }
-    const run = this.shardManager.machines.get(m.host);
-    if (!run) return answer(503, {}, 1);
-    const to = from === null && report.fencingToken === custodian.token ? this.elseTo() : null;
-    if (to !== null) return answer(421, redirectOut(to));
-    this.autoscaler.recordHeartbeat(m.host);
-    // A late copy is no newer report: the machine may still wait for the answer to the one that is held.
-    const newer = isNewerHeartbeat(report, [run.agentEpoch, run.heartbeatSeq]);
-    const before = newer ? this.heldResponses.releaseSuperseded(m.host) : null;
-    if (before) this.release(before, out);
-    const orders = this.shardManager.heartbeatReconciler.reconcile(run, report, custodian.token);
-    // Where time or writes are short, starts come late as it is.
-    const calm = this.load.utilization < offloadAbove && !this.host.writesAreScarce();
-    const waits = newer && from === null && orders.length === 0 && calm;
-    if (waits && this.heldResponses.tryHold(run, report, custodian.token, rid)) return;
-    answer(200, answerOut(custodian.token, orders));
+    this.answer(rid, heartbeat, owner.token, forwardedBy, out);
   }
 
-  private release({ rid, token, orders }: ReleasedResponse, out: Effect[]): void {
-    if (orders === null) out.push({ type: 'respond', rid, status: 503, body: {}, retryAfterS: 1 });
-    else out.push({ type: 'respond', rid, status: 200, body: answerOut(token, orders) });
+  private get mayRespond(): boolean {
+    return this.options.mayAnswerWorkers() && !this.options.replica.levels.mustStandBy;
   }
 
-  /** Whether a report that was taken in before may still be answered under this token. */
-  private stands(run: ScheduledMachine, token: number): boolean {
-    const m = this.replica.machines.get(run.host);
-    const custodian = m && this.replica.responsibleController(m);
-    if (!this.host.mayAnswerWorkers() || this.replica.levels.mustStandBy || !custodian) return false;
-    if (!this.isMine(custodian) || custodian.token !== token) return false;
-    return this.shardManager.machines.get(run.host) === run;
+  private isSelf({ member, run }: MachineOwner): boolean {
+    return member === this.options.settings.member && run === this.options.instanceId;
   }
 
-  private isMine({ member, run }: { member: string; run: string }): boolean {
-    return member === this.host.member && run === this.host.run;
+  private routeUnknownMachine(rid: number, heartbeat: Heartbeat, out: Effect[]): void {
+    const { replica, autoscaler, isLeader } = this.options;
+    if (!isLeader()) return respond(out, rid, 421, redirectOut(replica.leader?.member ?? null));
+    autoscaler.adoptReportingMachine(heartbeat);
+    respond(out, rid, 503, {}, 1);
   }
 
-  /** Through whom a worker is to report from now on, or null. Only one that has been proven may go. */
-  private elseTo(): string | null {
-    const most = Math.max(1, this.shardManager.machines.size * sentAwayShare);
-    if (!this.helped || this.sentAway >= most) return null;
-    const to = leastBusyHelper(this.peers.livePeers());
-    if (to === null || !shouldRedirect(this.load, this.limits.preferredConnections, to.busy)) return null;
-    this.sentAway++;
-    return to.member;
+  /** Answers the heartbeat of a machine of ours. */
+  private answer(
+    rid: number,
+    heartbeat: Heartbeat,
+    token: number,
+    forwardedBy: string | null,
+    out: Effect[],
+  ): void {
+    const { shardManager, autoscaler, loadSharing, areWritesScarce } = this.options;
+    const { host } = heartbeat;
+    const machine = shardManager.machines.get(host);
+    if (!machine) return respond(out, rid, 503, {}, 1);
+    // Only a worker that has seen the current token may be redirected: its machine has been proven then.
+    const mayRedirect = forwardedBy === null && heartbeat.fencingToken === token;
+    const helper = mayRedirect ? loadSharing.takeRedirectTarget() : null;
+    if (helper !== null) return respond(out, rid, 421, redirectOut(helper));
+    autoscaler.recordHeartbeat(host);
+    // A late copy is no newer heartbeat: the worker may still wait for the response that is held.
+    const isNewer = isNewerHeartbeat(heartbeat, [machine.agentEpoch, machine.heartbeatSeq]);
+    const superseded = isNewer ? this.heldResponses.releaseSuperseded(host) : null;
+    if (superseded) respondReleased(out, superseded);
+    const orders = shardManager.heartbeatReconciler.reconcile(machine, heartbeat, token);
+    // Where time or writes are scarce, starts are late anyway.
+    const hasSlack = !loadSharing.isBusy && !areWritesScarce();
+    const mayHold = isNewer && forwardedBy === null && orders.length === 0 && hasSlack;
+    if (mayHold && this.heldResponses.tryHold(machine, heartbeat, token, rid)) return;
+    respond(out, rid, 200, answerOut(token, orders));
   }
 
-  private elsewhere(
+  /** Redirects a worker to the owner of its machine, or forwards its heartbeat there. */
+  private routeToOwner(
     rid: number,
-    report: Heartbeat,
-    m: VersionedMachine,
-    from: string | null,
+    heartbeat: Heartbeat,
+    owner: MachineOwner | null,
+    forwardedBy: string | null,
     out: Effect[],
   ): void {
-    const { now } = this.clock;
-    const custodian = this.replica.responsibleController(m);
-    const there =
-      custodian !== null &&
-      custodian.member !== this.host.member &&
-      this.replica.isAlive(custodian.member, custodian.run);
-    // A worker that was sent there and is here again cannot reach the owner: its report goes through us, so that a cut
-    // between two zones does not cost its lease. So does that of a worker whose owner has asked for help.
-    const sentAt = this.redirected.get(report.host) ?? -Infinity;
-    const back = now - sentAt < this.settings.workers.lease_s * 1000;
-    const relay = there && from === null && (back || this.peers.wantsForwarding(custodian.member));
-    if (relay && this.relays.size < this.limits.maxForwarded) {
-      if (back) this.redirected.set(report.host, now);
-      this.relays.set(rid, now);
-      out.push({ type: 'forward-heartbeat', to: custodian.member, rid, report });
+    const { settings, replica, peers, clock, maxForwarded } = this.options;
+    const { host } = heartbeat;
+    if (owner === null || owner.member === settings.member || !replica.isAlive(owner.member, owner.run))
+      return respond(out, rid, 421, redirectOut(null));
+    // A worker that was redirected and is here again cannot reach the owner: its heartbeat is forwarded, so that a
+    // partition between two zones does not cost its lease. So is that of a worker whose owner is offloading.
+    const redirectedAt = this.redirectedAt.get(host) ?? -Infinity;
+    const cannotReachOwner = clock.now - redirectedAt < settings.workers.lease_s * 1000;
+    const shouldForward = forwardedBy === null && (cannotReachOwner || peers.wantsForwarding(owner.member));
+    if (shouldForward && this.forwardedAt.size < maxForwarded) {
+      if (cannotReachOwner) this.redirectedAt.set(host, clock.now);
+      this.forwardedAt.set(rid, clock.now);
+      out.push({ type: 'forward-heartbeat', to: owner.member, rid, report: heartbeat });
       return;
     }
-    if (there) this.redirected.set(report.host, now);
-    out.push({ type: 'respond', rid, status: 421, body: redirectOut(there ? custodian.member : null) });
+    this.redirectedAt.set(host, clock.now);
+    respond(out, rid, 421, redirectOut(owner.member));
   }
 
+  /** The owner's response to a forwarded heartbeat. */
   onForwardedResponse(rid: number, status: number, body: object | string, out: Effect[]): void {
-    if (this.relays.delete(rid)) out.push({ type: 'respond', rid, status, body });
-  }
-
-  /** What the process has been doing lately. */
-  onLoadMeasured(busy: number, connections: number): void {
-    const shared = this.count > 0 ? this.relayedCount / this.count : 0;
-    this.load = {
-      utilization: busy,
-      connections,
-      machines: this.shardManager.machines.size,
-      forwardedShare: shared,
-    };
-    this.count = this.relayedCount = 0;
-    this.sentAway = 0;
-    const helped =
-      this.shardManager.ownedShards.size > 0 &&
-      needsOffload(this.helped, this.load, this.limits.preferredConnections);
-    if (helped === this.helped) return;
-    this.helped = helped;
-    this.log('info', helped ? 'others keep our workers' : 'our workers come back', { ...this.load });
+    if (this.forwardedAt.delete(rid)) respond(out, rid, status, body);
   }
 
+  /** One step: times out forwarded heartbeats, and releases held responses. */
   tick(out: Effect[]): void {
-    const { now } = this.clock;
-    for (const [rid, at] of this.relays) {
-      // In order of age.
-      if (now - at <= relayMs) break;
-      this.relays.delete(rid);
-      out.push({ type: 'respond', rid, status: 503, body: {} });
+    const { now } = this.options.clock;
+    for (const [rid, at] of this.forwardedAt) {
+      if (now - at <= forwardTimeoutMs) break;
+      this.forwardedAt.delete(rid);
+      respond(out, rid, 503, {});
     }
-    for (const r of this.heldResponses.releaseDue((machine, token) => this.stands(machine, token)))
-      this.release(r, out);
-    if (now - this.lookedAt >= this.settings.workers.lease_s * 500) this.look();
+    const due = this.heldResponses.releaseDue((machine, token) => this.stillOwns(machine, token));
+    for (const released of due) respondReleased(out, released);
   }
 
-  /** Whether a shard would be served better by another controller. */
-  private look(): void {
-    const { now } = this.clock;
-    this.lookedAt = now;
-    const standing = {
-      direct: this.direct,
-      forwardedBy: this.through,
-      offloading: this.helped,
-      utilization: this.utilization,
-    };
-    this.direct = 0;
-    this.through = new Map();
-    const settled =
-      now - this.shardManager.lastAcquiredAt > this.settings.workers.lease_s * 1000 * settleLeases;
-    if (this.shardManager.ownedShards.size === 0 || !settled || !this.host.mayAnswerWorkers()) return;
-    const to = handoverTarget(standing, [...this.peers.livePeers()]);
-    const run = to === null ? undefined : this.peers.runOf(to);
-    if (to === null || run === undefined) return;
-    const { direct, utilization: busy } = standing;
-    const through = Object.fromEntries(standing.forwardedBy);
-    for (const shard of this.shardManager.ownedShards) {
-      this.log('info', 'handing over shard', { shard, to, direct, through, busy });
-      this.host.handOver(shard, to, run);
-    }
+  /** Whether a heartbeat that was taken in earlier may still be answered under this token. */
+  private stillOwns(machine: ScheduledMachine, token: number): boolean {
+    const { replica, shardManager } = this.options;
+    const record = replica.machines.get(machine.host);
+    const owner = record && replica.responsibleController(record);
+    if (!this.mayRespond || !owner) return false;
+    if (!this.isSelf(owner) || owner.token !== token) return false;
+    return shardManager.machines.get(machine.host) === machine;
   }
 }
+
+function respond(
+  out: Effect[],
+  rid: number,
+  status: number,
+  body: object | string,
+  retryAfterS?: number,
+): void {
+  out.push({ type: 'respond', rid, status, body, retryAfterS });
+}
+
+function respondReleased(out: Effect[], { rid, token, orders }: ReleasedResponse): void {
+  if (orders === null) respond(out, rid, 503, {}, 1);
+  else respond(out, rid, 200, answerOut(token, orders));
+}
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -1,34 +1,37 @@
+/** Held (long-poll) responses to heartbeats. */
 import type { Settings } from '../config/settings.js';
-import type { TaskOrder, Heartbeat } from '../model/heartbeat.js';
-import type { ScheduledMachine } from './shard-state/types.js';
-import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
+import type { Heartbeat, TaskOrder } from '../model/heartbeat.js';
 import type { Clock } from './effects.js';
+import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
+import type { ScheduledMachine } from './shard-state/types.js';
 
-/** Workers wait for an answer for 4 s: of that, so much is left for the way and for a process that is late. */
+/** Workers wait 4 s for a response: the other half is left for the network and for a process that is late. */
 const holdTimeoutMs = 4000 * 0.5;
 
-interface Held {
-  rid: number;
-  machine: ScheduledMachine;
-  report: Heartbeat;
-  token: number;
-  since: number;
+interface HeldResponse {
+  readonly rid: number;
+  readonly machine: ScheduledMachine;
+  readonly heartbeat: Heartbeat;
+  readonly token: number;
+  readonly heldAt: number;
 }
 
-/** The answer to a report that was held; null: whoever asks is to come again. */
+/** A response that is held no longer. */
 export interface ReleasedResponse {
-  rid: number;
-  token: number;
-  orders: TaskOrder[] | null;
+  readonly rid: number;
+  readonly token: number;
+  /** null: this process no longer answers for the machine, the worker is to retry. */
+  readonly orders: TaskOrder[] | null;
 }
 
 /**
- * A start goes out in the answer to a report only. So the answer to a machine that has nothing to do, or whose next tasks are
- * just being made durable, waits a little for them: otherwise they would wait for the machine's next report. Nothing is given
- * to know or to keep by that: the worker's lease counts from when the report was sent, and it drops what comes after 4 s.
+ * Start orders go out in responses to heartbeats only. So the response to a machine that has nothing to do, or whose next
+ * tasks are about to become durable, is held for a short time: otherwise these tasks would wait for the machine's next
+ * heartbeat. Holding proves and prolongs nothing: the worker's lease counts from when the heartbeat was sent, and the
+ * worker drops a response that comes after 4 s.
  */
 export class HeldResponses {
-  private readonly held = new Map<string, Held>();
+  private readonly held = new Map<string, HeldResponse>();
 
   constructor(
     private readonly settings: Settings,
@@ -36,41 +39,46 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Whether the answer to a report that asks for none at once may wait. */
-  tryHold(machine: ScheduledMachine, report: Heartbeat, token: number, rid: number): boolean {
-    // Agents are asked for a report when there is something to start. What is to end soon must not wait for its report.
-    if (this.settings.pool || report.fencingToken !== token || report.noticeS !== null || machine.quarantined)
-      return false;
+  /** Holds the response to a heartbeat that no order answers, if that may be of use; whether it is held. */
+  tryHold(machine: ScheduledMachine, heartbeat: Heartbeat, token: number, rid: number): boolean {
+    // In a pool, agents are asked for a heartbeat when there is something to start.
+    if (this.settings.pool) return false;
+    // A machine that is about to go must not wait for its next heartbeat.
+    if (heartbeat.fencingToken !== token || heartbeat.noticeS !== null || machine.quarantined) return false;
     if (machine.record.state !== 'use' || machine.releasing) return false;
-    const running = [...machine.placements.values()].some(
+    const hasTasks = [...machine.placements.values()].some(
       (placement) => placement.startSentWith !== null || !placement.placedByThisProcess,
     );
-    if (running ? !this.heartbeatReconciler.awaitsDurableStart(machine) : report.tasks.length > 0)
-      return false;
-    this.held.set(machine.host, { rid, machine, report, token, since: this.clock.now });
+    const isOfUse = hasTasks
+      ? this.heartbeatReconciler.awaitsDurableStart(machine)
+      : heartbeat.tasks.length === 0;
+    if (!isOfUse) return false;
+    this.held.set(machine.host, { rid, machine, heartbeat, token, heldAt: this.clock.now });
     return true;
   }
 
-  /** A newer report of the machine: the one before has been given up, and its answer may start nothing any more. */
+  /** The worker has sent a newer heartbeat and dropped the request before: its response may start nothing any more. */
   releaseSuperseded(host: string): ReleasedResponse | null {
-    const h = this.held.get(host);
-    if (!h) return null;
+    const held = this.held.get(host);
+    if (!held) return null;
     this.held.delete(host);
-    return { rid: h.rid, token: h.token, orders: [] };
+    return { rid: held.rid, token: held.token, orders: [] };
   }
 
-  /** Those that have waited long enough, or whose tasks may start. `stands`: it is still this process that answers for it. */
-  *releaseDue(stands: (machine: ScheduledMachine, token: number) => boolean): Generator<ReleasedResponse> {
-    for (const [host, { rid, machine, report, token, since }] of this.held) {
-      const over = this.clock.now - since >= holdTimeoutMs;
-      if (!over && (machine.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(machine)))
-        continue;
+  /**
+   * Responses that have been held for long enough, or whose tasks may start. `stillOwns`: whether this process still
+   * answers for the machine under this token.
+   */
+  *releaseDue(stillOwns: (machine: ScheduledMachine, token: number) => boolean): Generator<ReleasedResponse> {
+    for (const [host, { rid, machine, heartbeat, token, heldAt }] of this.held) {
+      const hasTimedOut = this.clock.now - heldAt >= holdTimeoutMs;
+      const isWaiting = machine.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(machine);
+      if (!hasTimedOut && isWaiting) continue;
       this.held.delete(host);
-      yield {
-        rid,
-        token,
-        orders: stands(machine, token) ? this.heartbeatReconciler.currentOrders(machine, report) : null,
-      };
+      const orders = stillOwns(machine, token)
+        ? this.heartbeatReconciler.currentOrders(machine, heartbeat)
+        : null;
+      yield { rid, token, orders };
     }
   }
 }
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -1,185 +1,144 @@
-/** The other controllers of the deployment: what they tell of themselves, and what they vouch for. */
-import type { MemberDemand } from '../admission/index.js';
+/** The other controllers of the deployment: the status that they broadcast, and this controller's own broadcasts. */
+import type { MemberDemand, MemberStatus } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
-import type { Operators } from '../config/operators.js';
-import { canParticipate } from '../feature-levels/index.js';
-import { RecentChanges, FreshnessQuorum, type FreshnessQuery } from '../freshness/index.js';
-import type { Change } from '../wire/store.js';
 import type { Clock, Effect, PeerStatus } from './effects.js';
 import type { Replica } from './replica.js';
 
-/** A pulse older than so many state leases says nothing any more. */
-const freshLeases = 2;
-/** Pulses, at least so many in a state lease. */
-const pulsesPerLease = 4;
-const mostRecent = 512;
-/** Who does not reach the state service for this share of its state lease, or has asked it, knows that its presence is gone. */
-const knowsGone = 0.5;
-
-interface Other {
-  pulse: PeerStatus;
-  at: number;
+/** A status older than so many state leases is ignored. */
+const maxStatusAgeLeases = 2;
+/** A status is broadcast at least so many times in a state lease. */
+const broadcastsPerLease = 4;
+/**
+ * A controller that does not reach the state service for this share of its state lease, or has asked it, knows that its
+ * presence is gone.
+ */
+const presenceLossKnownLeases = 0.5;
+
+interface ReceivedStatus {
+  readonly status: PeerStatus;
+  readonly receivedAt: number;
 }
 
-/** What this controller knows of the others, and what it tells them. */
+/** What a status says apart from what the replica knows. */
+export type OwnStatus = Pick<PeerStatus, 'utilizationPermille' | 'wantsForwarding' | 'demand'>;
+
+export interface PeersOptions {
+  readonly settings: Settings;
+  /** Identifies this process. */
+  readonly instanceId: string;
+  readonly replica: Replica;
+  readonly clock: Clock;
+  /** How long this process's state lease lasts. */
+  readonly leaseTtlMs: number;
+}
+
+/** Keeps the newest status of every peer, and broadcasts the status of this controller. */
 export class Peers {
-  private readonly others = new Map<string, Other>();
-  private readonly recent = new RecentChanges(mostRecent);
-  /** When each was last seen to be present, ms. */
-  private readonly hereAt = new Map<string, number>();
-  private readonly vouching: FreshnessQuorum;
   private readonly members: readonly string[];
-  private pulsedAt = -Infinity;
-  /** The newest revision that a peer told of, and when, ms. */
+  private readonly statuses = new Map<string, ReceivedStatus>();
+  /** When each peer's presence record was last seen, ms. */
+  private readonly presentAt = new Map<string, number>();
+  private broadcastAt = -Infinity;
+  /** The newest revision that a peer has reported, and when a peer was last heard, ms. */
   newestKnown = { revision: -1, at: -Infinity };
+  /** How many jobs this process knows. */
+  ownJobCount: () => number;
 
-  constructor(
-    settings: Settings,
-    operators: Operators,
-    private readonly run: string,
-    private readonly replica: Replica,
-    private readonly clock: Clock,
-    private readonly ttlMs: number,
-  ) {
-    const members = (this.members = settings.peers.map((p) => p.member));
-    // Several questions fit into the time for which one answer is good.
-    this.vouching = new FreshnessQuorum(run, members, Math.min(ttlMs / 4, operators['grant-s'] * 50));
-  }
-
-  recordDecisiveChange(change: Change): void {
-    this.recent.record(change);
-  }
-
-  onStateLoaded(epoch: number): void {
-    this.recent.markCompleteUpTo(epoch);
+  constructor(private readonly options: PeersOptions) {
+    this.members = options.settings.peers.map((p) => p.member);
+    this.ownJobCount = () => options.replica.jobCount;
   }
 
-  onStatus(from: string, pulse: PeerStatus): void {
-    const { now } = this.clock;
-    this.vouching.notePeerProcess(from, pulse.run, now);
-    // Whoever has just come waits to hear from everybody.
-    if (this.others.get(from)?.pulse.run !== pulse.run) this.pulsedAt = -Infinity;
-    this.others.set(from, { pulse, at: now });
-    this.newestKnown = { revision: Math.max(this.newestKnown.revision, pulse.revision), at: now };
+  /** Takes in a peer's status. */
+  onStatus(from: string, status: PeerStatus): void {
+    const { now } = this.options.clock;
+    // A process that has just started waits to hear from everybody.
+    if (this.statuses.get(from)?.status.run !== status.run) this.broadcastAt = -Infinity;
+    this.statuses.set(from, { status, receivedAt: now });
+    this.newestKnown = { revision: Math.max(this.newestKnown.revision, status.revision), at: now };
   }
 
-  /** Those that live, as far as is known, and how busy they are. */
+  /** Peers that are present and were heard recently, and how busy they are. */
   *livePeers(): Generator<{ member: string; busy: number }> {
-    for (const [member, o] of this.others)
-      if (this.isFresh(o) && this.replica.isAlive(member, o.pulse.run))
-        yield { member, busy: o.pulse.utilizationPermille / 1000 };
+    for (const [member, received] of this.statuses) {
+      const { run, utilizationPermille } = received.status;
+      if (this.isRecent(received) && this.options.replica.isAlive(member, run))
+        yield { member, busy: utilizationPermille / 1000 };
+    }
   }
 
-  /** How many of the others have followed the state further than this. */
-  countAhead(epoch: number): number {
-    return [...this.others.values()].filter((o) => this.isFresh(o) && o.pulse.revision > epoch).length;
+  /** How many peers have followed the state further than this revision. */
+  countAhead(revision: number): number {
+    return this.recentStatuses().filter((s) => s.revision > revision).length;
   }
 
-  /** Jobs that this process knows. */
-  ownJobCount: () => number = () => this.replica.jobCount;
-
-  /** The most jobs that any other knows. */
+  /** The largest number of jobs that a peer knows. */
   get maxJobCount(): number {
-    return Math.max(
-      0,
-      ...[...this.others.values()].filter((o) => this.isFresh(o)).map((o) => o.pulse.jobCount),
-    );
+    return Math.max(0, ...this.recentStatuses().map((s) => s.jobCount));
   }
 
-  /** Whether all of the others have been heard since this process began. */
+  /** Whether every peer has been heard since this process started. */
   get heardFromAll(): boolean {
-    return this.members.every((m) => this.others.has(m));
+    return this.members.every((m) => this.statuses.has(m));
   }
 
-  runOf(member: string): string | undefined {
-    return this.others.get(member)?.pulse.run;
+  /** The process that was last heard under a peer's name. */
+  instanceIdOf(member: string): string | undefined {
+    return this.statuses.get(member)?.status.run;
   }
 
-  /** Whether a member has asked the others to keep its workers. */
+  /** Whether a peer asks the others to keep its workers and to forward their heartbeats. */
   wantsForwarding(member: string): boolean {
-    const o = this.others.get(member);
-    return o !== undefined && o.pulse.wantsForwarding && this.isFresh(o);
-  }
-
-  private isFresh(o: Other): boolean {
-    return this.clock.now - o.at < freshLeases * this.ttlMs;
-  }
-
-  /** Tells the others of us, at once when there is news and from time to time without. */
-  broadcastStatus(
-    out: Effect[],
-    busy: number,
-    front: boolean,
-    wants: () => MemberDemand,
-    news: number | null,
-  ): void {
-    const { now } = this.clock;
-    if (news === null && now - this.pulsedAt < this.ttlMs / pulsesPerLease) return;
-    this.pulsedAt = now;
-    const epoch = Math.max(this.replica.watchRevision, news ?? -1);
-    out.push({
-      type: 'peer-status',
-      status: {
-        revision: epoch,
-        run: this.run,
-        utilizationPermille: Math.round(busy * 1000),
-        wantsForwarding: front,
-        demand: wants(),
-        incarnation: this.inc,
-        jobCount: this.ownJobCount(),
-      },
-    });
-  }
-
-  /** What the other controllers want of the writes; null: not heard. One whose presence is gone writes nothing. */
-  demands(): Map<string, { here: boolean; fallen: boolean; demand: MemberDemand | null }> {
-    const { now } = this.clock;
+    const received = this.statuses.get(member);
+    return received !== undefined && received.status.wantsForwarding && this.isRecent(received);
+  }
+
+  private isRecent({ receivedAt }: ReceivedStatus): boolean {
+    return this.options.clock.now - receivedAt < maxStatusAgeLeases * this.options.leaseTtlMs;
+  }
+
+  private recentStatuses(): PeerStatus[] {
+    return [...this.statuses.values()].filter((r) => this.isRecent(r)).map((r) => r.status);
+  }
+
+  /**
+   * Broadcasts the status of this controller if it is due. `newRevision`: a revision that the peers should learn of at
+   * once; null: there is no news. `ownStatus` is asked for only if a status is sent.
+   */
+  broadcastStatus(out: Effect[], ownStatus: () => OwnStatus, newRevision: number | null): void {
+    const { instanceId, replica, clock, leaseTtlMs } = this.options;
+    const isDue = clock.now - this.broadcastAt >= leaseTtlMs / broadcastsPerLease;
+    if (newRevision === null && !isDue) return;
+    this.broadcastAt = clock.now;
+    const status: PeerStatus = {
+      revision: Math.max(replica.watchRevision, newRevision ?? -1),
+      run: instanceId,
+      ...ownStatus(),
+      incarnation: replica.incarnation?.number ?? 0,
+      jobCount: this.ownJobCount(),
+    };
+    out.push({ type: 'peer-status', status });
+  }
+
+  /**
+   * The share of the state service's writes that each peer wants; null: it was not heard. A peer whose presence is gone
+   * writes nothing.
+   */
+  demands(): Map<string, Omit<MemberStatus, 'name'>> {
+    const { replica, clock, leaseTtlMs } = this.options;
     return new Map(
-      this.members.map((m) => {
-        const o = this.others.get(m);
-        const here = this.replica.watchRevision < 0 || this.replica.presences.has(m);
-        if (here) this.hereAt.set(m, now);
-        const fallen = now - (this.hereAt.get(m) ?? -Infinity) > this.ttlMs * knowsGone;
-        return [m, { here, fallen, demand: here && o && this.isFresh(o) ? o.pulse.demand : null }];
+      this.members.map((member) => {
+        const here = replica.watchRevision < 0 || replica.presences.has(member);
+        if (here) this.presentAt.set(member, clock.now);
+        const absentMs = clock.now - (this.presentAt.get(member) ?? -Infinity);
+        const fallen = absentMs > leaseTtlMs * presenceLossKnownLeases;
+        return [member, { here, fallen, demand: here ? this.recentDemand(member) : null }];
       }),
     );
   }
 
-  // ---- vouching ----
-
-  private get inc(): number {
-    return this.replica.incarnation?.number ?? 0;
-  }
-
-  queryFreshness(out: Effect[]): void {
-    const q = this.vouching.nextQuery(this.clock.now, this.replica.watchRevision, this.inc);
-    if (q) out.push({ type: 'query-freshness', query: q });
-  }
-
-  onFreshnessQuery(from: string, question: FreshnessQuery, out: Effect[]): void {
-    // Guards against a view of what was before a loss being confirmed, or changed, by what is known since.
-    if (question.incarnation !== this.inc) return;
-    const known = this.replica.watchRevision < 0 ? null : this.recent.since(question.revision);
-    if (known) out.push({ type: 'confirm-freshness', to: from, query: question, known });
-  }
-
-  /** The moment up to which the view is known to be complete by a peer's answer, ms, or null. */
-  onFreshnessAnswer(
-    from: string,
-    run: string,
-    to: FreshnessQuery,
-    known: Change[],
-    completeAt: number,
-  ): number | null {
-    if (to.incarnation !== this.inc) return null;
-    for (const change of known) this.replica.apply(change);
-    // Guards against a program that knows less than the level in force: it cannot hand over what it does not understand.
-    const node = this.replica.presences.get(from);
-    if (
-      this.replica.levels.mustStandBy ||
-      (node?.instanceId === run && !canParticipate(this.replica.levels.state, node.capabilities))
-    )
-      return null;
-    return this.vouching.onAnswer(from, run, to, completeAt);
+  private recentDemand(member: string): MemberDemand | null {
+    const received = this.statuses.get(member);
+    return received && this.isRecent(received) ? received.status.demand : null;
   }
 }
--- a/src/freshness/freshness-quorum.ts
+++ b/src/freshness/freshness-quorum.ts
@@ -1,36 +1,40 @@
-/** What a controller asks the others: what do you know that is newer than this revision? */
+/** Freshness quorum: every peer confirms that a replica lacks nothing that the peer knows. */
+
+/** Asks a peer for the changes that it knows above a revision. */
 export interface FreshnessQuery {
   /** The process that asks. */
-  run: string;
-  nonce: number;
-  revision: number;
-  /** The incarnation that it follows; 0: none. What is known of another says nothing. */
-  incarnation: number;
+  readonly run: string;
+  readonly nonce: number;
+  readonly revision: number;
+  /** The incarnation of the state that it follows; 0: none. What is known of another one says nothing. */
+  readonly incarnation: number;
 }
 
-interface Peer {
-  /** The process that speaks for this member, and when it was first heard, ms. */
-  run: string;
-  since: number;
-  /** The newest question of ours that it has answered. */
-  answered: number;
+interface PeerProcess {
+  readonly run: string;
+  /** When the process was first heard, ms. */
+  readonly heardSince: number;
+  /** The newest query of ours that it has answered. */
+  answeredNonce: number;
 }
 
-const mostAsked = 16;
+/** Answers to queries before the newest ones confirm too old a replica to be of use. */
+const maxOutstandingQueries = 16;
 
 /**
- * Lets a controller go on answering workers while the state service answers nobody. A reading of the state's revision
- * proves that the view holds all that any controller had told anybody when the reading was asked for. So does this: every
- * other controller, asked at that moment, hands over all that it knows and the view lacks.
+ * Lets a controller go on answering workers while the state service is unavailable. A reading of the state's revision
+ * proves that the replica holds all that any controller had acted on when the reading was requested. So does this quorum:
+ * every other controller, queried at that moment, hands over all that it knows and the replica lacks.
  *
- * What a process knew is lost with it. So a process counts only if it was heard before the view was last known to be
- * complete: whatever its predecessor told is in the view then.
+ * The quorum is of all peers, not of a majority: any one of them may have accepted a cancellation that nobody else knows.
+ * What a process knew is lost with it. So a process counts only if it was heard before the replica was last known to be
+ * complete: whatever its predecessor had acted on is in the replica then.
  */
 export class FreshnessQuorum {
-  private readonly peers = new Map<string, Peer>();
-  private asked: { nonce: number; at: number }[] = [];
-  private nonce = 0;
-  private askedAt = -Infinity;
+  private readonly processes = new Map<string, PeerProcess>();
+  private outstanding: { readonly nonce: number; readonly sentAt: number }[] = [];
+  private lastNonce = 0;
+  private sentAt = -Infinity;
 
   constructor(
     private readonly run: string,
@@ -38,36 +42,37 @@
     private readonly intervalMs: number,
   ) {}
 
+  /** A process was heard under a peer's name. */
   notePeerProcess(member: string, run: string, now: number): void {
-    if (this.peers.get(member)?.run !== run) this.peers.set(member, { run, since: now, answered: 0 });
+    if (this.processes.get(member)?.run !== run)
+      this.processes.set(member, { run, heardSince: now, answeredNonce: 0 });
   }
 
-  /** A new question, if it is time for one. */
+  /** A new query, if one is due. */
   nextQuery(now: number, revision: number, incarnation = 0): FreshnessQuery | null {
-    if (now - this.askedAt < this.intervalMs) return null;
-    this.askedAt = now;
-    this.asked.push({ nonce: ++this.nonce, at: now });
-    // Answers to older ones prove too little to be worth keeping them.
-    this.asked = this.asked.slice(-mostAsked);
-    return { run: this.run, nonce: this.nonce, revision, incarnation };
+    if (now - this.sentAt < this.intervalMs) return null;
+    this.sentAt = now;
+    this.outstanding.push({ nonce: ++this.lastNonce, sentAt: now });
+    this.outstanding = this.outstanding.slice(-maxOutstandingQueries);
+    return { run: this.run, nonce: this.lastNonce, revision, incarnation };
   }
 
   /**
-   * A peer has handed over all that it knew, and the view holds it by now. Returns the moment up to which the view is
-   * known to be complete by that, or null. `completeUpTo`: the moment up to which it was known to be before.
+   * A peer has handed over all that it knew, and the replica holds it by now. Returns the moment up to which the replica is
+   * known to be complete by that, or null. `completeUpTo`: the moment up to which it was known to be complete before.
    */
   onAnswer(member: string, run: string, query: FreshnessQuery, completeUpTo: number): number | null {
-    const p = this.peers.get(member);
-    // Guards against the late answer to a question of our own predecessor, whose view and whose numbers were others.
-    if (p?.run !== run || query.run !== this.run || query.nonce > this.nonce) return null;
-    p.answered = Math.max(p.answered, query.nonce);
-    let oldest = this.nonce;
-    for (const m of this.members) {
-      const peer = this.peers.get(m);
-      // Guards against the restarted peer: what its predecessor told since the view was complete, it does not know.
-      if (!peer || peer.since > completeUpTo) return null;
-      oldest = Math.min(oldest, peer.answered);
+    const answering = this.processes.get(member);
+    // Guards against the late answer to a query of this process's predecessor, whose replica and nonces were others.
+    if (answering?.run !== run || query.run !== this.run || query.nonce > this.lastNonce) return null;
+    answering.answeredNonce = Math.max(answering.answeredNonce, query.nonce);
+    let oldestNonce = this.lastNonce;
+    for (const peer of this.members) {
+      const process = this.processes.get(peer);
+      // Guards against the restarted peer: it does not know what its predecessor did since the replica was complete.
+      if (!process || process.heardSince > completeUpTo) return null;
+      oldestNonce = Math.min(oldestNonce, process.answeredNonce);
     }
-    return this.asked.find((q) => q.nonce === oldest)?.at ?? null;
+    return this.outstanding.find((q) => q.nonce === oldestNonce)?.sentAt ?? null;
   }
 }
--- a/src/freshness/recent-changes.ts
+++ b/src/freshness/recent-changes.ts
@@ -1,8 +1,10 @@
+/** Recent changes of the state, kept for peers whose replica lags behind. */
 import type { Change } from '../wire/store.js';
 
 /**
- * The newest changes that others must not miss: cancellations, ends of jobs, grants, leadership. Complete for every
- * revision above `floor`: whatever of that kind this process has learned, and so may have told or acted on, is here.
+ * The newest changes that peers must not miss: cancellations, ends of jobs, shard grants, leadership. Complete for every
+ * revision above `completeAbove`: every change of that kind that this process has learned, and so may have acted on, is
+ * here.
  */
 export class RecentChanges {
   private changes: Change[] = [];
@@ -10,21 +12,23 @@
 
   constructor(private readonly maxChanges: number) {}
 
+  /** Keeps a change. The older half is dropped when there are too many. */
   record(change: Change): void {
     this.changes.push(change);
     if (this.changes.length <= this.maxChanges) return;
-    const gone = this.changes.splice(0, this.changes.length - Math.ceil(this.maxChanges / 2));
-    // Own writes are noted ahead of older ones of others: the newest that left decides.
-    for (const c of gone) this.completeAbove = Math.max(this.completeAbove, c.stamp);
+    const dropped = this.changes.splice(0, this.changes.length - Math.ceil(this.maxChanges / 2));
+    // Own writes are recorded ahead of older ones of others: the newest that was dropped decides.
+    for (const c of dropped) this.completeAbove = Math.max(this.completeAbove, c.stamp);
   }
 
-  /** Everything up to this revision was read at once, not noted. */
-  markCompleteUpTo(epoch: number): void {
-    this.completeAbove = Number.isFinite(this.completeAbove) ? Math.max(this.completeAbove, epoch) : epoch;
+  /** Everything up to this revision was read at once, without being recorded. */
+  markCompleteUpTo(revision: number): void {
+    const isComplete = Number.isFinite(this.completeAbove);
+    this.completeAbove = isComplete ? Math.max(this.completeAbove, revision) : revision;
   }
 
-  /** All that is known above a revision; null: that cannot be told. */
-  since(epoch: number): Change[] | null {
-    return epoch < this.completeAbove ? null : this.changes.filter((c) => c.stamp > epoch);
+  /** All changes above a revision; null: some of them may have been dropped. */
+  since(revision: number): Change[] | null {
+    return revision < this.completeAbove ? null : this.changes.filter((c) => c.stamp > revision);
   }
 }
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -132,7 +132,7 @@
     owner.paused = true;
     by();
     w.schedule(2000 + 10_000 * w.random(), () => (owner.paused = false));
-    return () => owner.logLines.some(([, what]) => what === 'stood still');
+    return () => owner.logLines.some(([, what]) => what === 'process stalled');
   },
   'in a hand-over, and back'(w, { owner, others, by }) {
     const [to] = others;
