--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -3,7 +3,8 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { findFreePort } from '../src/net/port.js';
-import { Latency, processFigures, sumOf, type CellFigures, type FaultFigures } from './figures.js';
+import { sumOf, type CellFigures } from './figures.js';
+import { CellMeasurements, type CountsReading } from './measurements.js';
 import {
   noWorkers,
   now,
@@ -31,7 +32,6 @@
   type ScaleOptions,
 } from './options.js';
 import { ControllerProcess, deployedFlags, Generator, useOf, type ProcessUse } from './processes.js';
-import { isUrgentJob } from './jobs.js';
 import { EventOrder, RuleChecker } from './rules.js';
 import {
   cloudLimits,
@@ -67,28 +67,11 @@
   writesByKind: {},
 };
 
-interface Reading {
-  at: number;
-  uses: Map<string, ProcessUse>;
-  workers: WorkerCounts;
-  platform: PlatformCounts;
-  starts: number;
-}
-
-interface OpenFault {
-  figures: FaultFigures;
-  at: number;
-  workers: number;
-}
-
 type Ordered = TaskEvent | UserEvent;
 
 const isTaskEvent = (event: Ordered): event is TaskEvent => 'host' in event;
 
-/** How much each count has grown. */
-const difference = (after: Record<string, number>, before: Record<string, number>): Record<string, number> =>
-  Object.fromEntries(Object.entries(after).map(([key, count]) => [key, count - (before[key] ?? 0)]));
-
+/** One cell: starts its processes, passes their messages on, and checks the rules by what they tell. */
 export class Cell {
   owner: string | null = null;
   leader: string | null = null;
@@ -103,24 +86,10 @@
   private nextWorkerProcess = 0;
   private readonly removals = new Map<number, number>();
   private readonly order = new EventOrder<Ordered>(eventDelayMs);
-  private readonly submit = new Latency();
-  private readonly urgentStart = new Latency();
-  private readonly cancel = new Latency();
-  private readonly urgentSteps = { accepted: new Latency(), placed: new Latency(), started: new Latency() };
-  /** When urgent jobs that have not begun were submitted, and their first placement was stored. */
-  private readonly urgentSubmittedAt = new Map<string, number>();
-  private readonly urgentPlacedAt = new Map<string, number>();
-  private measuring = false;
-  private starts = 0;
-  private acceptedJobs = 0;
-  private abandonedSubmissions = 0;
+  private readonly measurements = new CellMeasurements();
   private platformCounts = zeroCounts;
   private readonly workerCounts: WorkerCounts[] = [];
   private userCounts: UserCounts = { requests: 0, unavailable: 0, openJobs: 0 };
-  private lag: GeneratorLag = { p99Ms: 0, maxMs: 0 };
-  private before: Reading | null = null;
-  private after: Reading | null = null;
-  private readonly faults: OpenFault[] = [];
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -141,14 +110,17 @@
     return this.runMs + bootMs + this.options.workers / rentedPerMs;
   }
 
+  /** Tasks that run now. */
   get running(): number {
     return sumOf(this.workerCounts).running;
   }
 
+  /** Workers that live now. */
   get workerCount(): number {
     return sumOf(this.workerCounts).workers;
   }
 
+  /** Starts platform, controllers, workers and users, in this order. */
   async start(): Promise<void> {
     const endpoints = await this.startPlatform();
     const members = await this.startControllers(endpoints);
@@ -274,12 +246,12 @@
   private fromPlatform(message: FromPlatform): void {
     if (message.kind === 'booted') for (const machine of message.machines) this.assignMachine(machine);
     else if (message.kind === 'remove') this.remove(message.request, message.hosts);
-    else if (message.kind === 'placed') this.recordPlacements(message.jobs);
+    else if (message.kind === 'placed') this.measurements.recordPlacements(message.jobs);
     else if (message.kind === 'status') {
       this.platformCounts = message.counts;
       this.owner = message.owner;
       this.leader = message.leader;
-      this.recordLag(message.lag);
+      this.measurements.recordLag(message.lag);
     }
   }
 
@@ -289,19 +261,13 @@
     else if (message.kind === 'removed') this.machinesRemoved(message.request);
     else if (message.kind === 'status') {
       this.workerCounts[process] = message.counts;
-      this.recordLag(message.lag);
+      this.measurements.recordLag(message.lag);
     }
   }
 
   private usersStatus(counts: UserCounts, lag: GeneratorLag): void {
     this.userCounts = counts;
-    this.recordLag(lag);
-  }
-
-  private recordLag(lag: GeneratorLag): void {
-    if (!this.measuring) return;
-    this.lag.p99Ms = Math.max(this.lag.p99Ms, lag.p99Ms);
-    this.lag.maxMs = Math.max(this.lag.maxMs, lag.maxMs);
+    this.measurements.recordLag(lag);
   }
 
   /** Each process of workers gets the next machine in turn. */
@@ -348,46 +314,16 @@
 
   private processEvents(until: number): void {
     for (const event of this.order.take(until))
-      if (isTaskEvent(event)) this.processTaskEvent(event);
-      else this.processUserEvent(event);
+      if (isTaskEvent(event)) {
+        this.checker.onTaskEvent(event);
+        this.measurements.recordTaskEvent(event);
+      } else {
+        this.checker.onUserEvent(event);
+        this.measurements.recordUserEvent(event);
+      }
     this.checker.sweep(until - eventDelayMs);
   }
 
-  private processTaskEvent(event: TaskEvent): void {
-    this.checker.onTaskEvent(event);
-    if (event.what !== 'on') return;
-    this.starts++;
-    for (const { figures, at } of this.faults)
-      if (figures.firstStartMs === null && event.at > at) figures.firstStartMs = event.at - at;
-    const submittedAt = this.urgentSubmittedAt.get(event.job);
-    if (submittedAt === undefined) return;
-    this.urgentSubmittedAt.delete(event.job);
-    const placedAt = this.urgentPlacedAt.get(event.job);
-    this.urgentPlacedAt.delete(event.job);
-    if (!this.measuring) return;
-    this.urgentStart.record(event.at - submittedAt);
-    if (placedAt === undefined) return;
-    this.urgentSteps.placed.record(placedAt - submittedAt);
-    this.urgentSteps.started.record(event.at - placedAt);
-  }
-
-  /** The first time counts. */
-  private recordPlacements(jobs: [id: string, at: number][]): void {
-    for (const [id, at] of jobs) if (!this.urgentPlacedAt.has(id)) this.urgentPlacedAt.set(id, at);
-  }
-
-  private processUserEvent(event: UserEvent): void {
-    this.checker.onUserEvent(event);
-    if (event.what === 'submitted' && event.urgent) this.urgentSubmittedAt.set(event.job, event.at);
-    if (!this.measuring) return;
-    if (event.what === 'accepted') {
-      this.acceptedJobs++;
-      this.submit.record(event.afterMs);
-      if (isUrgentJob(event.job)) this.urgentSteps.accepted.record(event.afterMs);
-    } else if (event.what === 'given-up') this.abandonedSubmissions++;
-    else if (event.what === 'cancelled') this.cancel.record(event.afterMs);
-  }
-
   // ---- measuring ----
 
   private processUses(): [name: string, use: ProcessUse | null][] {
@@ -399,21 +335,20 @@
     ];
   }
 
-  private readCounts(): Reading {
+  private readCounts(): CountsReading {
     const uses = new Map<string, ProcessUse>();
     for (const [name, use] of this.processUses()) if (use) uses.set(name, use);
-    const { platformCounts: platform, starts } = this;
-    return { at: now(), uses, workers: sumOf(this.workerCounts), platform, starts };
+    return { at: now(), uses, workers: sumOf(this.workerCounts), platform: this.platformCounts };
   }
 
+  /** What happens from now on counts. */
   beginMeasuring(): void {
-    this.before = this.readCounts();
-    this.measuring = true;
+    this.measurements.begin(this.readCounts());
   }
 
+  /** What happens from now on counts no more. */
   endMeasuring(): void {
-    this.after = this.readCounts();
-    this.measuring = false;
+    this.measurements.end(this.readCounts());
   }
 
   /** Nothing more is submitted; what users and workers have yet to say is heard. */
@@ -423,84 +358,44 @@
     this.processEvents(now());
   }
 
+  /** What was measured. */
   figures(): CellFigures {
-    const [before, after] = [this.before!, this.after!];
-    const seconds = (after.at - before.at) / 1000;
-    const starts = after.starts - before.starts;
-    const per = (count: (r: Reading) => number): number => (count(after) - count(before)) / seconds;
-    const writes = after.platform.writes - before.platform.writes;
-    const processes = [...after.uses].flatMap(([name, use]) => {
-      const first = before.uses.get(name);
-      return first ? [processFigures(name, first, use, seconds)] : [];
-    });
-    const owner = (name: string): string => (name === this.owner ? `${name} owner` : name);
-    return {
-      cell: this.number,
+    return this.measurements.figures({
+      number: this.number,
       startsAskedPerS: this.options.startsPerS,
-      startsPerS: starts / seconds,
-      running: after.workers.running,
-      workers: after.workers.workers,
-      acceptedJobs: this.acceptedJobs,
-      submissionsGivenUp: this.abandonedSubmissions,
+      owner: this.owner,
       requestsUnavailable: this.userCounts.unavailable,
-      submit: this.submit.quantiles,
-      urgentStart: this.urgentStart.quantiles,
-      urgentSteps: {
-        accepted: this.urgentSteps.accepted.quantiles,
-        placed: this.urgentSteps.placed.quantiles,
-        started: this.urgentSteps.started.quantiles,
-      },
-      cancel: this.cancel.quantiles,
-      reportsPerS: per((r) => r.workers.reports),
-      failedReports: after.workers.failedReports - before.workers.failedReports,
-      expiredLeases: after.workers.expiredLeases - before.workers.expiredLeases,
-      tasksLostWithLeases: after.workers.tasksLostWithLeases - before.workers.tasksLostWithLeases,
-      state: {
-        ...after.platform,
-        writesByKind: difference(after.platform.writesByKind, before.platform.writesByKind),
-        refusedRequests: after.platform.refusedRequests - before.platform.refusedRequests,
-        refusedWrites: after.platform.refusedWrites - before.platform.refusedWrites,
-        requestsPerS: per((r) => r.platform.requests),
-        writesPerS: writes / seconds,
-        writesPerStart: starts > 0 ? writes / starts : NaN,
-      },
-      processes: processes.map((p) => ({ ...p, name: owner(p.name) })),
-      generatorLagP99Ms: this.lag.p99Ms,
-      generatorLagMaxMs: this.lag.maxMs,
       unexpectedEnds: this.controllers.reduce((sum, c) => sum + c.unexpectedEnds, 0),
-      faults: this.faults.map((f) => f.figures),
       violations: this.checker.violations.map((v) => `${v.rule}: ${v.text}`),
-    };
+    });
   }
 
   // ---- faults ----
 
   /** Notes a fault, from which the next start and the renewal of each worker's lease are timed. */
   beginFault(fault: string): void {
-    const at = now();
-    const atS = this.before ? (at - this.before.at) / 1000 : 0;
-    const figures = { fault, atS, firstStartMs: null, slowestRenewalMs: null, workersNotRenewed: 0 };
-    this.faults.push({ figures, at, workers: this.workerCount });
+    this.measurements.beginFault(fault, this.workerCount);
     for (const workers of this.workers) workers.send({ kind: 'mark' });
   }
 
+  /** The last fault is over. */
   endFault(): void {
-    const fault = this.faults[this.faults.length - 1];
-    const { renewedSinceMark, slowestRenewalMs } = sumOf(this.workerCounts);
-    fault.figures.slowestRenewalMs = renewedSinceMark > 0 ? slowestRenewalMs : null;
-    fault.figures.workersNotRenewed = Math.max(0, fault.workers - renewedSinceMark);
+    this.measurements.endFault(sumOf(this.workerCounts));
   }
 
-  refuseStateRequests(forMs: number): void {
-    this.platform.send({ kind: 'outage', forMs });
+  /** The state service answers 503 for so long. */
+  refuseStateRequests(durationMs: number): void {
+    this.platform.send({ kind: 'outage', durationMs });
   }
 
+  /** Machines stop with all that is on them. */
   killMachines(hosts: string[]): void {
     for (const [home, mine] of this.hostsByWorkerProcess(hosts))
       this.workers[home].send({ kind: 'kill', hosts: mine });
     this.platform.send({ kind: 'died', hosts });
   }
 
+  /** The workers of these machines end and begin again without their tasks. */
   restartWorkers(hosts: string[]): void {
     for (const [home, mine] of this.hostsByWorkerProcess(hosts))
       this.workers[home].send({ kind: 'restart', hosts: mine });
--- a/scale/child.ts
+++ b/scale/child.ts
@@ -11,6 +11,7 @@
   process.on('disconnect', () => process.exit(0));
 }
 
+/** Sends a message to the process that started this one. */
 export function tellParent<Out extends object>(message: Out): void {
   if (process.connected) process.send!(message);
 }
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -5,6 +5,7 @@
 import type { MachineSpec, PlatformStart } from './messages.js';
 import { TokenBucket } from './state-service.js';
 
+/** The only machine type of a scale run. */
 export const machineType = 'node';
 const gbPerCpu = 4;
 const bootMs = { least: 1500, most: 4000 };
@@ -32,12 +33,14 @@
   body: object;
 }
 
+/** What the rest of the platform process hears of the machines. */
 export interface CloudListener {
   booted(machine: MachineSpec): void;
   /** Resolves when all that was on these machines is gone. */
   removeMachines(hosts: string[]): Promise<void>;
 }
 
+/** A cloud in memory that speaks the protocol: rentals that boot after a while, a machine list that lags, a limit of requests. */
 export class SimulatedCloud {
   readonly server: Server;
   private readonly machines = new Map<string, Machine>();
@@ -55,11 +58,13 @@
     this.server = createServer((req, res) => void this.serve(req, res));
   }
 
+  /** The worker on a machine listens: the machine is up. */
   workerListening(host: string, endpoint: string): void {
     const machine = this.machines.get(host);
     if (machine) Object.assign(machine, { endpoint, up: true });
   }
 
+  /** A machine stopped by itself; the list shows it as running for a while longer. */
   machineDied(host: string): void {
     const machine = this.machines.get(host);
     if (machine) machine.diedAt = performance.now();
--- a/scale/figures.ts
+++ b/scale/figures.ts
@@ -5,6 +5,7 @@
 
 const highestMs = 3_600_000;
 
+/** The distribution of a latency, ms. */
 export interface Quantiles {
   count: number;
   p50Ms: number;
@@ -12,6 +13,7 @@
   maxMs: number;
 }
 
+/** A histogram of latencies with three significant digits. */
 export class Latency {
   private readonly histogram: Histogram = build({
     lowestDiscernibleValue: 1,
@@ -19,6 +21,7 @@
     numberOfSignificantValueDigits: 3,
   });
 
+  /** Adds one latency, ms. */
   record(ms: number): void {
     this.histogram.recordValue(Math.min(highestMs, Math.max(0, Math.round(ms))));
   }
@@ -34,6 +37,7 @@
   }
 }
 
+/** What a process used over the measured time. */
 export interface ProcessFigures {
   name: string;
   cores: number;
@@ -60,6 +64,7 @@
   };
 }
 
+/** How a cell came through a fault. */
 export interface FaultFigures {
   fault: string;
   atS: number;
@@ -69,6 +74,7 @@
   workersNotRenewed: number;
 }
 
+/** All figures of a cell; goes out as JSON. */
 export interface CellFigures {
   cell: number;
   startsAskedPerS: number;
--- /dev/null
+++ b/scale/measurements.ts
@@ -0,0 +1,206 @@
+/** What is measured of a cell: latencies by the events of users and workers, counts between two moments, faults. */
+import { Latency, processFigures, type CellFigures, type FaultFigures } from './figures.js';
+import { isUrgentJob } from './jobs.js';
+import {
+  now,
+  type GeneratorLag,
+  type PlatformCounts,
+  type TaskEvent,
+  type UserEvent,
+  type WorkerCounts,
+} from './messages.js';
+import type { ProcessUse } from './processes.js';
+
+/** What was counted up to a moment. */
+export interface CountsReading {
+  at: number;
+  uses: Map<string, ProcessUse>;
+  workers: WorkerCounts;
+  platform: PlatformCounts;
+}
+
+interface StartsReading extends CountsReading {
+  starts: number;
+}
+
+/** What the cell knows of itself when the figures are made. */
+export interface CellDescription {
+  number: number;
+  startsAskedPerS: number;
+  /** The controller that owns the shard, by name. */
+  owner: string | null;
+  requestsUnavailable: number;
+  unexpectedEnds: number;
+  violations: string[];
+}
+
+interface OpenFault {
+  figures: FaultFigures;
+  at: number;
+  workers: number;
+}
+
+/** How much each count has grown. */
+const difference = (after: Record<string, number>, before: Record<string, number>): Record<string, number> =>
+  Object.fromEntries(Object.entries(after).map(([key, count]) => [key, count - (before[key] ?? 0)]));
+
+/** Latencies, counts and faults of one cell. Events count only between `begin` and `end`. */
+export class CellMeasurements {
+  private readonly submit = new Latency();
+  private readonly urgentStart = new Latency();
+  private readonly cancel = new Latency();
+  private readonly urgentSteps = { accepted: new Latency(), placed: new Latency(), started: new Latency() };
+  /** When urgent jobs that have not begun were submitted, and their first placement was stored. */
+  private readonly urgentSubmittedAt = new Map<string, number>();
+  private readonly urgentPlacedAt = new Map<string, number>();
+  private measuring = false;
+  private starts = 0;
+  private acceptedJobs = 0;
+  private abandonedSubmissions = 0;
+  private readonly lag: GeneratorLag = { p99Ms: 0, maxMs: 0 };
+  private before: StartsReading | null = null;
+  private after: StartsReading | null = null;
+  private readonly faults: OpenFault[] = [];
+
+  /** Measuring begins. */
+  begin(counts: CountsReading): void {
+    this.before = { ...counts, starts: this.starts };
+    this.measuring = true;
+  }
+
+  /** Measuring ends. */
+  end(counts: CountsReading): void {
+    this.after = { ...counts, starts: this.starts };
+    this.measuring = false;
+  }
+
+  /** Notes how far a load generator was behind: its limits must not be taken for the service's. */
+  recordLag(lag: GeneratorLag): void {
+    if (!this.measuring) return;
+    this.lag.p99Ms = Math.max(this.lag.p99Ms, lag.p99Ms);
+    this.lag.maxMs = Math.max(this.lag.maxMs, lag.maxMs);
+  }
+
+  /** A task started or ended on a machine. */
+  recordTaskEvent(event: TaskEvent): void {
+    if (event.what !== 'on') return;
+    this.starts++;
+    for (const { figures, at } of this.faults)
+      if (figures.firstStartMs === null && event.at > at) figures.firstStartMs = event.at - at;
+    const submittedAt = this.urgentSubmittedAt.get(event.job);
+    if (submittedAt === undefined) return;
+    this.urgentSubmittedAt.delete(event.job);
+    const placedAt = this.urgentPlacedAt.get(event.job);
+    this.urgentPlacedAt.delete(event.job);
+    if (!this.measuring) return;
+    this.urgentStart.record(event.at - submittedAt);
+    if (placedAt === undefined) return;
+    this.urgentSteps.placed.record(placedAt - submittedAt);
+    this.urgentSteps.started.record(event.at - placedAt);
+  }
+
+  /** Urgent jobs whose placement was stored, and when. The first time counts. */
+  recordPlacements(jobs: [id: string, at: number][]): void {
+    for (const [id, at] of jobs) if (!this.urgentPlacedAt.has(id)) this.urgentPlacedAt.set(id, at);
+  }
+
+  /** A user submitted a job or got an answer. */
+  recordUserEvent(event: UserEvent): void {
+    if (event.what === 'submitted' && event.urgent) this.urgentSubmittedAt.set(event.job, event.at);
+    if (!this.measuring) return;
+    if (event.what === 'accepted') {
+      this.acceptedJobs++;
+      this.submit.record(event.afterMs);
+      if (isUrgentJob(event.job)) this.urgentSteps.accepted.record(event.afterMs);
+    } else if (event.what === 'given-up') this.abandonedSubmissions++;
+    else if (event.what === 'cancelled') this.cancel.record(event.afterMs);
+  }
+
+  /** Notes a fault, from which the next start and the renewal of each worker's lease are timed. */
+  beginFault(fault: string, workers: number): void {
+    const at = now();
+    const atS = this.before ? (at - this.before.at) / 1000 : 0;
+    const figures = { fault, atS, firstStartMs: null, slowestRenewalMs: null, workersNotRenewed: 0 };
+    this.faults.push({ figures, at, workers });
+  }
+
+  /** The last fault is over. */
+  endFault({ renewedSinceMark, slowestRenewalMs }: WorkerCounts): void {
+    const fault = this.faults[this.faults.length - 1];
+    fault.figures.slowestRenewalMs = renewedSinceMark > 0 ? slowestRenewalMs : null;
+    fault.figures.workersNotRenewed = Math.max(0, fault.workers - renewedSinceMark);
+  }
+
+  /** All figures of the time between `begin` and `end`. */
+  figures(cell: CellDescription): CellFigures {
+    const [before, after] = [this.before!, this.after!];
+    const seconds = (after.at - before.at) / 1000;
+    const starts = after.starts - before.starts;
+    return {
+      cell: cell.number,
+      startsAskedPerS: cell.startsAskedPerS,
+      startsPerS: starts / seconds,
+      running: after.workers.running,
+      workers: after.workers.workers,
+      acceptedJobs: this.acceptedJobs,
+      submissionsGivenUp: this.abandonedSubmissions,
+      requestsUnavailable: cell.requestsUnavailable,
+      ...this.latencies(),
+      reportsPerS: (after.workers.reports - before.workers.reports) / seconds,
+      failedReports: after.workers.failedReports - before.workers.failedReports,
+      expiredLeases: after.workers.expiredLeases - before.workers.expiredLeases,
+      tasksLostWithLeases: after.workers.tasksLostWithLeases - before.workers.tasksLostWithLeases,
+      state: this.stateFigures(before, after, seconds, starts),
+      processes: this.processes(before, after, seconds, cell.owner),
+      generatorLagP99Ms: this.lag.p99Ms,
+      generatorLagMaxMs: this.lag.maxMs,
+      unexpectedEnds: cell.unexpectedEnds,
+      faults: this.faults.map((f) => f.figures),
+      violations: cell.violations,
+    };
+  }
+
+  private latencies(): Pick<CellFigures, 'submit' | 'urgentStart' | 'urgentSteps' | 'cancel'> {
+    return {
+      submit: this.submit.quantiles,
+      urgentStart: this.urgentStart.quantiles,
+      urgentSteps: {
+        accepted: this.urgentSteps.accepted.quantiles,
+        placed: this.urgentSteps.placed.quantiles,
+        started: this.urgentSteps.started.quantiles,
+      },
+      cancel: this.cancel.quantiles,
+    };
+  }
+
+  private stateFigures(
+    before: CountsReading,
+    after: CountsReading,
+    seconds: number,
+    starts: number,
+  ): CellFigures['state'] {
+    const writes = after.platform.writes - before.platform.writes;
+    return {
+      ...after.platform,
+      writesByKind: difference(after.platform.writesByKind, before.platform.writesByKind),
+      refusedRequests: after.platform.refusedRequests - before.platform.refusedRequests,
+      refusedWrites: after.platform.refusedWrites - before.platform.refusedWrites,
+      requestsPerS: (after.platform.requests - before.platform.requests) / seconds,
+      writesPerS: writes / seconds,
+      writesPerStart: starts > 0 ? writes / starts : NaN,
+    };
+  }
+
+  private processes(
+    before: CountsReading,
+    after: CountsReading,
+    seconds: number,
+    owner: string | null,
+  ): CellFigures['processes'] {
+    return [...after.uses].flatMap(([name, use]) => {
+      const first = before.uses.get(name);
+      if (!first) return [];
+      return [processFigures(name === owner ? `${name} owner` : name, first, use, seconds)];
+    });
+  }
+}
--- a/scale/messages.ts
+++ b/scale/messages.ts
@@ -9,6 +9,7 @@
   cancelS: number;
 }
 
+/** A machine that has been rented. */
 export interface MachineSpec {
   host: string;
   zone: string;
@@ -22,6 +23,7 @@
 
 // ---- the platform process: state service and cloud ----
 
+/** What the platform process is started with: limits of state service and cloud. */
 export interface PlatformStart {
   kind: 'start';
   requestsPerS: number;
@@ -36,13 +38,14 @@
   seed: number;
 }
 
+/** What the cell sends to the platform process. */
 export type ToPlatform =
   | PlatformStart
   /** Workers on these machines listen at these addresses. */
   | { kind: 'listening'; endpoints: [host: string, endpoint: string][] }
   | { kind: 'removed'; request: number }
   | { kind: 'died'; hosts: string[] }
-  | { kind: 'outage'; forMs: number }
+  | { kind: 'outage'; durationMs: number }
   | { kind: 'report' };
 
 /** Counted since the start. */
@@ -58,6 +61,7 @@
   writesByKind: Record<string, number>;
 }
 
+/** What the platform process sends to the cell. */
 export type FromPlatform =
   | { kind: 'ready'; state: string; cloud: string }
   | { kind: 'booted'; machines: MachineSpec[] }
@@ -74,6 +78,7 @@
 
 // ---- processes of hollow workers ----
 
+/** What a process of hollow workers is started with. */
 export interface WorkersStart {
   kind: 'start';
   controllers: [member: string, address: string][];
@@ -87,6 +92,7 @@
   seed: number;
 }
 
+/** What the cell sends to a process of hollow workers. */
 export type ToWorkers =
   | WorkersStart
   | { kind: 'add'; machines: MachineSpec[] }
@@ -136,6 +142,7 @@
   slowestRenewalMs: 0,
 };
 
+/** What a process of hollow workers sends to the cell. */
 export type FromWorkers =
   | { kind: 'ready' }
   | { kind: 'listening'; endpoints: [host: string, endpoint: string][] }
@@ -145,6 +152,7 @@
 
 // ---- the process of hollow users ----
 
+/** What the process of the users is started with. */
 export interface UsersStart {
   kind: 'start';
   controllers: [member: string, address: string][];
@@ -159,6 +167,7 @@
   seed: number;
 }
 
+/** What the cell sends to the process of the users. */
 export type ToUsers = UsersStart | { kind: 'stop-submitting' } | { kind: 'report' };
 
 /** What users did and were told. */
@@ -176,6 +185,7 @@
   openJobs: number;
 }
 
+/** What the process of the users sends to the cell. */
 export type FromUsers =
   | { kind: 'ready' }
   | { kind: 'events'; events: UserEvent[] }
--- a/scale/options.ts
+++ b/scale/options.ts
@@ -3,9 +3,12 @@
 import { freemem, totalmem } from 'node:os';
 import { Command, InvalidArgumentError, Option } from 'commander';
 
+/** The faults that a run can play. */
 export const faultNames = ['owner', 'leader', 'roll', 'state', 'tenth', 'zone'] as const;
+/** One of the faults that a run can play. */
 export type FaultName = (typeof faultNames)[number];
 
+/** What was asked for on the command line. */
 export interface ScaleOptions {
   workers: number;
   startsPerS: number;
@@ -26,8 +29,11 @@
 
 /** Running tasks of a worker, as the operators plan them; the CPUs that are left are for what comes and goes. */
 export const tasksOfWorker = 27;
+/** CPUs of each hollow worker's machine. */
 export const cpusOfWorker = 30;
+/** How many hollow workers one process holds. */
 export const workersInProcess = 1500;
+/** Controllers of each cell. */
 export const controllersInCell = 3;
 
 const maxProcesses = 200;
@@ -58,6 +64,7 @@
   });
 }
 
+/** Reads the command line; wrong arguments end in an error of the parser's. */
 export function parseOptions(argv: string[]): ScaleOptions {
   const option = (
     flags: string,
@@ -101,6 +108,7 @@
   };
 }
 
+/** How many processes of hollow workers a run needs for each cell. */
 export const workerProcesses = (options: ScaleOptions): number =>
   Math.ceil(options.workers / workersInProcess);
 
@@ -110,6 +118,7 @@
   memoryMb: number;
 }
 
+/** What this machine can hold. */
 export function machineCapacity(): MachineRoom {
   const line = /^Max open files\s+(\d+)/m.exec(readFileSync('/proc/self/limits', 'utf8'));
   const mb = 1024 * 1024;
--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -55,7 +55,7 @@
         for (const host of message.hosts) this.cloud!.machineDied(host);
         break;
       case 'outage':
-        this.state.beginOutage(message.forMs);
+        this.state.beginOutage(message.durationMs);
         break;
       case 'report':
         tellParent<FromPlatform>({
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -13,6 +13,7 @@
 export class Generator<In extends object> {
   private constructor(private readonly child: ChildProcess) {}
 
+  /** Starts a module of this folder as a process of its own. */
   static start<In extends object, Out>(module: string, receive: (message: Out) => void): Generator<In> {
     const path = fileURLToPath(new URL(`./${module}.js`, import.meta.url));
     const child = fork(path, [], {
@@ -27,10 +28,12 @@
     return this.child.pid!;
   }
 
+  /** Sends a message, unless the process has ended. */
   send(message: In): void {
     if (this.child.connected) this.child.send(message);
   }
 
+  /** Ends the process at once. */
   kill(): void {
     this.child.kill('SIGKILL');
   }
@@ -57,6 +60,7 @@
     private readonly logFile: string,
   ) {}
 
+  /** Starts the controller's process, also again after it was killed. */
   start(): void {
     const log = openSync(this.logFile, 'a');
     const env = { ...process.env, LOG_LEVEL: 'info' };
@@ -93,6 +97,7 @@
   }
 }
 
+/** What a process has used of the machine since it began. */
 export interface ProcessUse {
   cpuS: number;
   residentMb: number;
--- a/scale/rules.ts
+++ b/scale/rules.ts
@@ -1,15 +1,18 @@
 /** The rules of the protocol, checked while a run goes on, by what workers did and what users were told. */
 import type { TaskEvent, UserEvent } from './messages.js';
 
+/** The rules of the protocol that a run checks. */
 export type Rule =
   'ran_twice' | 'quota' | 'ran_cancelled' | 'forgotten' | 'refused' | 'not_done' | 'went_back' | 'invented';
 
+/** A broken rule: which, when, and by what. */
 export interface Violation {
   rule: Rule;
   at: number;
   text: string;
 }
 
+/** The limits that the rules refer to. */
 export interface RuleLimits {
   cancelS: number;
   /** The most CPUs that a team's tasks may use at a time. */
@@ -42,6 +45,7 @@
 
   constructor(private readonly limits: RuleLimits) {}
 
+  /** A task started or ended on a machine. */
   onTaskEvent(event: TaskEvent): void {
     const job = this.jobs.get(event.job);
     const piece = `${event.job}/${event.index}`;
@@ -66,6 +70,7 @@
     this.checkCancelled(piece, job, at);
   }
 
+  /** A user submitted a job or was answered. */
   onUserEvent(e: UserEvent): void {
     if (e.what === 'submitted') {
       const { team, tasks, cpus } = e;
@@ -134,6 +139,7 @@
   /** `delayMs`: no process sends an event later than this after its time. */
   constructor(private readonly delayMs: number) {}
 
+  /** Takes in events of one process. */
   add(events: Event[]): void {
     for (const event of events) this.buffered.push(event);
   }
--- a/scale/run.ts
+++ b/scale/run.ts
@@ -9,6 +9,7 @@
 
 const progressEveryMs = 5000;
 
+/** The outcome of a whole run. */
 export interface RunResult {
   options: ScaleOptions;
   cells: CellFigures[];
--- a/scale/settings.ts
+++ b/scale/settings.ts
@@ -3,9 +3,13 @@
 import { cpusOfWorker, type ScaleOptions } from './options.js';
 import type { WorkerLimits } from './messages.js';
 
+/** The zones of a cell. */
 export const zones = ['north', 'east', 'south'];
+/** The limits of the workers' protocol in a run. */
 export const workerLimits: WorkerLimits = { reportS: 2.5, leaseS: 18, cancelS: 38 };
+/** The limits of the cloud in a run. */
 export const cloudLimits = { rps: 8, list_lag_s: 5 };
+/** The sizes that the state service takes. */
 export const stateSizes = { value_kb: 32, txn_ops: 24 };
 /** Usual work is to start soon, so machines are rented for it instead of waiting until running tasks end. */
 const objectives = [
@@ -23,6 +27,7 @@
 const tightLimit = 1.1;
 const guaranteeShare = 0.8;
 
+/** A team of the controllers' settings file. */
 export interface Team {
   name: string;
   cpus: number;
@@ -31,6 +36,7 @@
   gpus_max: number;
 }
 
+/** The teams of a run; their limits leave room for its load. */
 export function teamsOf({ workers }: ScaleOptions): Team[] {
   const part = (workers * cpusOfWorker) / teamCount;
   return Array.from({ length: teamCount }, (_, i) => ({
@@ -42,12 +48,14 @@
   }));
 }
 
+/** A controller and its addresses. */
 export interface Member {
   name: string;
   publicAddress: string;
   peerAddress: string;
 }
 
+/** The addresses of state service and cloud. */
 export interface Endpoints {
   state: string;
   cloud: string;
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -33,6 +33,7 @@
     this.filledAt = now();
   }
 
+  /** Takes so much from the budget, if there is as much. */
   take(count: number): boolean {
     const now = this.now();
     const filled = this.tokens + ((now - this.filledAt) / 1000) * this.perS;
@@ -106,6 +107,7 @@
   }
 }
 
+/** A state service in memory that speaks the protocol, with its limits of requests and writes, and outages. */
 export class SimulatedStateService {
   private frozenAt: number | null = null;
 
@@ -131,14 +133,14 @@
   }
 
   /** Refuses everything for a while. No lease ends meanwhile, and each has its full time again afterwards. */
-  beginOutage(forMs: number): void {
+  beginOutage(durationMs: number): void {
     this.gate.outage = true;
     this.frozenAt = performance.now();
     setTimeout(() => {
       this.frozenAt = null;
       this.engine.renewAll();
       this.gate.outage = false;
-    }, forMs);
+    }, durationMs);
   }
 
   /** A field of a stored value; null: there is none. */
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -23,6 +23,7 @@
 /** Run times vary by this share around the mean. */
 const runTimeSpread = 0.25;
 
+/** What all hollow workers of a process share. */
 export interface WorkerContext {
   options: WorkersStart;
   random: Random;
@@ -37,6 +38,7 @@
   start: number;
 }
 
+/** A worker that reports, keeps its lease and runs tasks as timers only. */
 export class HollowWorker {
   private readonly tasks = new Map<string, RunningTask>();
   private running = 0;
@@ -95,6 +97,7 @@
     return 200;
   }
 
+  /** Its next heartbeat. */
   report(): object {
     const { host, zone } = this.machine;
     const report: AgentReport = {
--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -2,9 +2,11 @@
 import { parseKey, readLog } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 
+/** What a write is for. */
 export type WriteKind =
   'accept' | 'placement' | 'end' | 'log' | 'final' | 'cancel' | 'machine' | 'drop' | 'other';
 
+/** What a write is for, and the jobs that it concerns. */
 export interface WritePurpose {
   kind: WriteKind;
   /** Jobs of which it places tasks. */
@@ -36,11 +38,13 @@
     return now.some((p) => !before?.has(p));
   }
 
+  /** A record was deleted. */
   forget(key: string): void {
     this.placed.delete(key);
   }
 }
 
+/** Tells what a write is for, and remembers it. */
 export function purposeOf(write: Write, stored: StoredTasks): WritePurpose {
   const ref = parseKey(write.key);
   if (write.data === undefined) {
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,3 +1,4 @@
+/** Admission under overload: fair queues, retry tickets, minimum shares, floods on the scripted world. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -1,3 +1,4 @@
+/** The agent on real processes and files: tasks, limits, leases, restarts. */
 import assert from 'node:assert/strict';
 import { existsSync, mkdtempSync, readFileSync, rmSync, statSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -1,3 +1,4 @@
+/** The write budget's allocation between controllers, teams and classes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/test/classad.test.ts
+++ b/test/classad.test.ts
@@ -1,3 +1,4 @@
+/** The match language: parsing, evaluation, functions, printing. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -1,3 +1,4 @@
+/** Two failures at once: each meeting that the protocol's users have named, on seeded worlds with all rules checked. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { defaults } from '../src/config/operators.js';
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -1,3 +1,4 @@
+/** The control service with agents, as real processes on loopback. */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -1,3 +1,4 @@
+/** Loss of data in the state service: noticing it, and bringing the state back. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/test/demo.test.ts
+++ b/test/demo.test.ts
@@ -1,3 +1,4 @@
+/** The README's demo runs and ends well. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -1,3 +1,4 @@
+/** Feature levels: which level is in force, record migration, graceful shutdown. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { common, inspect, type Format, type Formats, formats } from '../src/formats/index.js';
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,3 +1,4 @@
+/** The HTTP server for users and workers: malformed bodies, long lines, connections. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { request, type IncomingMessage } from 'node:http';
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -1,3 +1,4 @@
+/** Changes of leader and owner while jobs are submitted, cancelled and end. */
 import {
   bounce,
   cancelS,
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -1,3 +1,4 @@
+/** What a heartbeat proves, and what only the end of a lease does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { kill, longWorld } from './support/concurrent-failures.js';
--- a/test/level-cli.test.ts
+++ b/test/level-cli.test.ts
@@ -1,3 +1,4 @@
+/** The `level` commands against a real store. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
--- a/test/malformed-requests.test.ts
+++ b/test/malformed-requests.test.ts
@@ -1,3 +1,4 @@
+/** Each field of a submission, wrong or missing, through every controller. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSubmission } from '../src/wire/user.js';
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -1,3 +1,4 @@
+/** Matching of jobs and machines by requirements and rank. */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -23,6 +23,7 @@
     flooding.map((s) => ({ want: s.perS, weight: 1, floor: 0 })),
   );
 
+/** Measures admission under a flood of submissions. */
 export function flood(say: (text: string) => void): void {
   for (const [name, operators] of ways) {
     const w = floodable(operators);
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -1,3 +1,4 @@
+/** Agents and control service through outages of the store and loss of files. */
 import assert from 'node:assert/strict';
 import { existsSync, mkdirSync, mkdtempSync, rmSync, utimesSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,3 +1,4 @@
+/** The placement policy: order, prices, hazard, deadlines, feasibility. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { mayShareGpuMachine } from '../src/policy/gpu-sharing.js';
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -1,3 +1,4 @@
+/** No user is told anything older than another controller has told, also while answers are slow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { bounce, longWorld, meeting, pick } from './support/concurrent-failures.js';
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -1,3 +1,4 @@
+/** Failover: start-up phases, freshness quorum, hand-over, restarts of all controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RecoveryTracker, type RecoveryFacts } from '../src/recovery/index.js';
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -1,3 +1,4 @@
+/** Reserved room does not keep others waiting beside it for ever. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/model/job.js';
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -1,3 +1,4 @@
+/** Bounded queues, sockets, memory and retries. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect, createServer, type Socket } from 'node:net';
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,3 +1,4 @@
+/** The rules of the protocol, each under the failures that could break it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { quarantineEvidence, evidenceAgainst } from '../src/core/failure-attribution.js';
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,3 +1,4 @@
+/** Placement at size: the capacity index against the plain definition, bounded work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -1,3 +1,4 @@
+/** The store: transactions, leases, watches, snapshots, damage on disk. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import {
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -1,3 +1,4 @@
+/** Stored forms of every record, also those that earlier builds wrote. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -1,3 +1,4 @@
+/** HTCondor submit files: macros, queue statements, translation into native jobs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { adToJson, Submission, SubmitError, type SubmitEnvironment } from '../src/condor/index.js';
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -1,3 +1,4 @@
+/** Helpers for tests in which two failures meet: seeded choices, cut-off groups of machines, long-running worlds. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Traffic } from './traffic.js';
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -16,6 +16,7 @@
   Controller: typeof Controller;
 }
 
+/** The build under test. */
 export const thisProgram: Program = { name: 'new', Controller };
 
 /** Brings a command to the core after the time that a response takes, unless the process has restarted meanwhile. */
@@ -63,6 +64,7 @@
     this.boot();
   }
 
+  /** Starts the process anew, without any memory. */
   boot(): void {
     this.alive = true;
     this.queue = [];
@@ -88,10 +90,12 @@
     );
   }
 
+  /** Queues a command for the next step. */
   push(c: Command): void {
     if (this.alive) this.queue.push(c);
   }
 
+  /** Lets the watch and the core go on, and carries out what the core wants done. */
   step(): void {
     if (!this.alive) return;
     const s = this.world.state;
--- a/test/support/fixtures.ts
+++ b/test/support/fixtures.ts
@@ -2,6 +2,7 @@
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 
+/** The platform settings of one of `nodes` controllers, as TOML. */
 export const settingsText = (member: string, nodes: number): string => `
 member = "${member}"
 location = "north"
@@ -42,6 +43,7 @@
 list_lag_s = 5.0
 `;
 
+/** The machine type that most tests use. */
 export const box: MachineType = {
   name: 'box',
   cpus: 8,
@@ -55,6 +57,7 @@
   zones: ['north', 'south'],
 };
 
+/** A small job; `over` changes what a test is about. */
 export const spec = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
   id,
   class: 'c',
--- a/test/support/flood.ts
+++ b/test/support/flood.ts
@@ -1,3 +1,4 @@
+/** A flood of submissions for the tests and measurements of admission. */
 import type { Operators } from '../../src/config/operators.js';
 import type { JobSpec } from '../../src/model/job.js';
 import { thisProgram, type Node, type Program } from './controller-node.js';
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -1,3 +1,4 @@
+/** Rolling upgrades on the scripted world: scenarios that play two builds of the controllers side by side. */
 import assert from 'node:assert/strict';
 import { defaults, type Operators } from '../../src/config/operators.js';
 import { levelData, levelKey, requestedLevelData } from '../../src/core/storage/index.js';
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -4,6 +4,7 @@
 import type { Change, Transaction } from '../../src/wire/store.js';
 import type { World } from './world.js';
 
+/** Keys, revisions, leases and the write budget, as one consistent store. */
 export class StateService {
   epoch = 1;
   unavailable = false;
@@ -25,6 +26,7 @@
   /** Called with each transaction just before it is carried out. */
   beforeCommit: (txn: Transaction) => void = () => undefined;
 
+  /** Carries a transaction out, or says why not. */
   commit(txn: Transaction): CommitOutcome {
     this.beforeCommit(txn);
     if (this.unavailable) return { type: 'rejected' };
@@ -64,6 +66,7 @@
     return true;
   }
 
+  /** Grants a lease; null while it is unavailable. */
   grantLease(ttlMs: number): number | null {
     if (this.unavailable) return null;
     const hold = this.nextLeaseId++;
@@ -73,6 +76,7 @@
   }
   private leaseTtlMs = new Map<number, number>();
 
+  /** Renews a lease for its full time. */
   renewLease(hold: number): 'ok' | 'gone' | 'failed' {
     if (this.unavailable) return 'failed';
     this.expireLeases();
@@ -81,6 +85,7 @@
     return 'ok';
   }
 
+  /** Ends a lease and removes the keys attached to it. */
   revokeLease(hold: number): void {
     this.leases.delete(hold);
     const gone = [...this.entries.values()].filter((k) => k.hold === hold);
@@ -91,6 +96,7 @@
     }
   }
 
+  /** Ends the leases that are over. In an outage every lease keeps its full time. */
   expireLeases(): void {
     if (this.unavailable)
       for (const hold of this.leases.keys())
@@ -112,6 +118,7 @@
     this.leases.clear();
   }
 
+  /** All records of the controllers. */
   items(): Change[] {
     return [...this.entries.values()]
       .filter((k) => k.key.startsWith(keyPrefix))
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -1,3 +1,4 @@
+/** A control service, its store and agents as real processes on loopback, each in fresh directories. */
 import assert from 'node:assert/strict';
 import { spawn, type ChildProcess } from 'node:child_process';
 import { existsSync, mkdtempSync, openSync, readdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -1,3 +1,4 @@
+/** Records put into the scripted state service by hand, as earlier builds stored them. */
 import { BitSet, chunkData, openJobData } from '../../src/core/storage/index.js';
 import { spec } from './fixtures.js';
 import { World } from './world.js';
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -1,3 +1,4 @@
+/** Users of the scripted world: they submit, poll and cancel through every controller and check what they are answered. */
 import type { JobSpec } from '../../src/model/job.js';
 import { type Node } from './controller-node.js';
 import { spec } from './fixtures.js';
--- a/test/support/waiting.ts
+++ b/test/support/waiting.ts
@@ -1,3 +1,4 @@
+/** Measures how long jobs wait although a machine that fits has room and their team is under its limit. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { Traffic } from './traffic.js';
 import type { Worker } from './scripted-worker.js';
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -17,6 +17,7 @@
 import { StateService } from './scripted-state-service.js';
 import { Worker } from './scripted-worker.js';
 
+/** State service, cloud, workers and controllers on one clock, and the checks of all rules. */
 export class World {
   now = 0;
   readonly state = new StateService(this);
@@ -109,10 +110,12 @@
     }
   }
 
+  /** Calls a function after so many ms of the world's clock. */
   schedule(ms: number, fn: () => void): void {
     this.timers.push({ at: this.now + ms, fn });
   }
 
+  /** The same; at once for 0 ms. */
   scheduleOrRun(ms: number, fn: () => void): void {
     if (ms > 0) this.schedule(ms, fn);
     else fn();
@@ -133,6 +136,7 @@
     return { type: 'rented', hosts };
   }
 
+  /** The cloud deletes machines with all that is on them. */
   remove(hosts: string[]): void {
     for (const h of hosts) {
       this.deleted.push(h);
@@ -140,6 +144,7 @@
     }
   }
 
+  /** A machine comes up, with a worker on it. */
   addWorker(type: string, zone: string, spot: boolean): Worker {
     const host = `n-${String(++this.machineCount).padStart(6, '0')}`;
     const w = new Worker(this, host, type, zone, spot);
@@ -147,6 +152,7 @@
     return w;
   }
 
+  /** A worker was told to start a task: the rules about starts are checked. */
   recordStart(w: Worker, job: string, index: number, held: boolean): void {
     const piece = `${job}/${index}`;
     this.starts.push({ piece, host: w.host, at: this.now });
@@ -230,12 +236,14 @@
     }
   }
 
+  /** Plays until something holds; false if it does not within so many seconds. */
   advanceUntil(what: () => boolean, withinS: number): boolean {
     const until = this.now + withinS * 1000;
     while (!what() && this.now < until) this.advance(0.1);
     return what();
   }
 
+  /** Where tasks of a job are. */
   running(job: string): { host: string; piece: string }[] {
     const list: { host: string; piece: string }[] = [];
     for (const w of this.workers.values())
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -1,3 +1,4 @@
+/** Limits of teams while cancelled tasks are out of reach and owners change. */
 import { bounce, longWorld, meeting, pick, some } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,3 +1,4 @@
+/** Rolling upgrades within one build: levels held and raised, in every order, under failures. */
 import { test } from 'node:test';
 import { defaults } from '../src/config/operators.js';
 import { held, scenarios, type Cast } from './support/rolls.js';
--- a/test/urgent-work.test.ts
+++ b/test/urgent-work.test.ts
@@ -1,3 +1,4 @@
+/** Urgent work goes ahead of other work in the write queue. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { box, spec } from './support/fixtures.js';
