--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -204,27 +204,28 @@
       clock,
       log,
     );
-    this.dataLossRecovery = new DataLossRecovery(
+    this.dataLossRecovery = new DataLossRecovery({
       settings,
-      run,
+      instanceId: run,
       replica,
       batcher,
-      this.peers,
+      peers: this.peers,
       clock,
-      ttlMs,
-      this.shardManager.shardState.maxReplicaAgeMs + leaseMs,
+      stateLeaseMs: ttlMs,
+      staleAnswerWindowMs: this.shardManager.shardState.maxReplicaAgeMs + leaseMs,
       recoveryRecords,
       log,
-    );
+    });
     this.shardManager.shardState.onUnknownAttempt = (...what) =>
-      this.dataLossRecovery.attemptReported(...what);
+      this.dataLossRecovery.monitor.attemptReported(...what);
     this.autoscaler.mayScaleIn = () => this.dataLossRecovery.canConfirmAbsence;
     this.peers.ownJobCount = () => this.dataLossRecovery.jobCount;
     this.shardManager.shardState.canPlaceTasks = () => !this.freshness.isStale;
     this.shardManager.shardState.mayStartTasks = () =>
       this.dataLossRecovery.canConfirmAbsence && this.freshness.isCurrent;
     this.userRequests.sureOfAbsence = () => this.dataLossRecovery.canConfirmAbsence;
-    batcher.onConditionsFailed = (failed, epoch) => this.dataLossRecovery.conditionsFailed(failed, epoch);
+    batcher.onConditionsFailed = (failed, epoch) =>
+      this.dataLossRecovery.monitor.conditionsFailed(failed, epoch);
     this.mostSockets = limits.sockets.most;
     if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new RecoveryTracker(settings.workers.lease_s * 1000 * operators['recovery-leases']);
@@ -249,7 +250,7 @@
       loadSharing: this.loadSharing,
       clock,
       maxForwarded: limits.maxForwardedHeartbeats,
-      onTokenReported: (token) => this.dataLossRecovery.tokenReported(token),
+      onTokenReported: (token) => this.dataLossRecovery.monitor.tokenReported(token),
       mayAnswerWorkers,
       areWritesScarce: () => this.batcher.health < 1 || this.userRequests.crowded,
       isLeader: () => this.membership.isLeader,
@@ -311,7 +312,7 @@
       this.membership.holdsValidLease(now) &&
       !this.shutdown.requested
     ) {
-      this.dataLossRecovery.requestAudit(out);
+      this.dataLossRecovery.monitor.requestAudit(out);
       this.autoscaler.tick(out);
       this.featureLevelManager.tick();
       if (this.fair) this.planning.proposeNext(this.demand);
@@ -325,7 +326,7 @@
     this.batcher.tick(now, out);
     if (this.freshness.needsPeerConfirmation) this.freshnessExchange.queryPeers(out);
     this.tell(out, null);
-    if (this.dataLossRecovery.wantsRevisionRead) out.push({ type: 'read-revision' });
+    if (this.dataLossRecovery.monitor.wantsRevisionRead) out.push({ type: 'read-revision' });
     this.read(leading, out);
     this.follow();
     if (this.fair) this.requests.add(out.filter((e) => asksState.has(e.type)).length, now);
@@ -554,7 +555,7 @@
       case 'peer-status':
         this.freshnessExchange.notePeerProcess(c.from, c.status.run);
         this.peers.onStatus(c.from, c.status);
-        this.dataLossRecovery.peerHeard(c.status);
+        this.dataLossRecovery.monitor.peerHeard(c.status);
         if (c.status.revision > this.replica.watchRevision)
           out.push({ type: 'catch-up', epoch: c.status.revision });
         break;
@@ -570,7 +571,7 @@
         this.log('info', 'reading state', { keys: c.keys });
         break;
       case 'snapshot-loaded':
-        this.dataLossRecovery.snapshotLoaded(c.items, c.epoch);
+        this.dataLossRecovery.monitor.snapshotLoaded(c.items, c.epoch);
         this.replica.loadSnapshot(c.items, c.epoch);
         this.freshnessExchange.onStateLoaded(c.epoch);
         this.log('info', 'state loaded', { epoch: c.epoch, keys: c.items.length });
@@ -580,18 +581,18 @@
         this.replica.applyWatch(c.changes, c.epoch);
         break;
       case 'commit-result':
-        if (c.outcome.type === 'ok') this.dataLossRecovery.revisionReached(c.outcome.epoch);
+        if (c.outcome.type === 'ok') this.dataLossRecovery.monitor.revisionReached(c.outcome.epoch);
         this.batcher.handleOutcome(c.outcome, this.clock.now, out);
         // The others need not wait for their next watch.
         if (c.outcome.type === 'ok') this.tell(out, c.outcome.epoch);
         break;
       case 'revision-read':
-        this.dataLossRecovery.revisionRead(c.sentAt, c.epoch);
+        this.dataLossRecovery.monitor.revisionRead(c.sentAt, c.epoch);
         this.freshness.onRevisionRead(c.sentAt, c.epoch);
         this.userRequests.epochRead(c.sentAt, c.epoch, out, this.freshness.isConfirmedByPeers);
         break;
       case 'audit-result':
-        this.dataLossRecovery.auditPageRead(c.from, c.items, c.more, c.epoch);
+        this.dataLossRecovery.monitor.auditPageRead(c.from, c.items, c.more, c.epoch);
         break;
       case 'lease-granted':
         this.membership.onLeaseGranted(c.leaseId, this.clock.now);
--- /dev/null
+++ b/src/core/data-loss/record-restorer.ts
@@ -0,0 +1,128 @@
+/** Writes back, after a loss of data, the records that this controller knows and the state lacks. */
+import { mergeRecords, sameRecord } from '../../data-loss/index.js';
+import type { Data } from '../../formats/index.js';
+import type { Clock, Log } from '../effects.js';
+import { isFinishedJob, storedRecordOf, type RecoveryRecords } from '../recovery-records.js';
+import type { Replica } from '../replica.js';
+import { jobKey, parseKey, Rank, recordKindOf, type Committer } from '../storage/index.js';
+
+/** How many records are being written at a time. */
+const maxWritesInFlight = 48;
+
+const jobPrefix = jobKey('');
+
+export interface RecordRestorerOptions {
+  readonly replica: Replica;
+  readonly batcher: Committer;
+  readonly clock: Clock;
+  /** Progress is logged this often, ms. */
+  readonly progressIntervalMs: number;
+  /** What the process knew when it noticed the loss; null: there is nothing to restore. */
+  readonly recoveryRecords: RecoveryRecords | null;
+  readonly log: Log;
+}
+
+/** Restores records in their order: first what controllers need to act and open jobs, finished jobs last. */
+export class RecordRestorer {
+  private recoveryRecords: RecoveryRecords | null;
+  private readonly pending: [string, Data][];
+  private readonly recoveredJobCount: number;
+  private restoredCount = 0;
+  private writesInFlight = 0;
+  private essentialsWritten = false;
+  private progressLoggedAt = -Infinity;
+
+  constructor(private readonly options: RecordRestorerOptions) {
+    this.recoveryRecords = options.recoveryRecords;
+    this.pending = [...(this.recoveryRecords?.records ?? [])];
+    this.recoveredJobCount = this.pending.filter(([key]) => key.startsWith(jobPrefix)).length;
+  }
+
+  /** What the process knew; null once all of it has been restored. */
+  get records(): RecoveryRecords | null {
+    return this.recoveryRecords;
+  }
+
+  get isDone(): boolean {
+    return this.recoveryRecords === null;
+  }
+
+  /** Whether everything that controllers need to act has been restored; finished jobs may still follow. */
+  get essentialsRestored(): boolean {
+    return this.isDone || this.essentialsWritten;
+  }
+
+  /** How many jobs this process knows, including those still to be restored. */
+  get jobCount(): number {
+    return Math.max(this.options.replica.jobCount, this.recoveredJobCount);
+  }
+
+  /** Writes the next records that the state lacks. */
+  tick(): void {
+    if (this.recoveryRecords === null) return;
+    const { replica, log } = this.options;
+    // Guards against workers' leases that end while finished jobs are restored: those come last.
+    this.essentialsWritten ||=
+      this.writesInFlight === 0 && (this.pending.length === 0 || this.isNextFinished);
+    const holdsBackFinished = !this.essentialsWritten || replica.incarnation?.stage === 'open';
+    while (this.writesInFlight < maxWritesInFlight && this.pending.length > 0) {
+      if (holdsBackFinished && this.isNextFinished) break;
+      const [key, data] = this.pending.shift()!;
+      if (this.recordToWrite(key, data)) this.write(key, data);
+    }
+    this.logProgress();
+    if (this.pending.length > 0 || this.writesInFlight > 0) return;
+    log('info', 'recovery records restored', {
+      records: this.recoveryRecords.records.size,
+      restored: this.restoredCount,
+    });
+    this.recoveryRecords = null;
+  }
+
+  private get isNextFinished(): boolean {
+    return isFinishedJob(...this.pending[0]);
+  }
+
+  private logProgress(): void {
+    const { clock, progressIntervalMs, replica, log } = this.options;
+    if (clock.now - this.progressLoggedAt <= progressIntervalMs) return;
+    this.progressLoggedAt = clock.now;
+    log('info', 'restoring records', {
+      left: this.pending.length,
+      restored: this.restoredCount,
+      stage: replica.incarnation?.stage,
+    });
+  }
+
+  /** The stored record and the known one merged; null: the stored one lacks nothing. */
+  private recordToWrite(key: string, known: Data): Data | null {
+    const stored = storedRecordOf(this.options.replica, key);
+    const merged = mergeRecords(recordKindOf(parseKey(key)!), stored, known);
+    return stored !== undefined && sameRecord(stored, merged) ? null : merged;
+  }
+
+  private write(key: string, known: Data): void {
+    const { replica, batcher } = this.options;
+    this.writesInFlight++;
+    batcher.enqueue({
+      priority: isFinishedJob(key, known) ? Rank.cleanup : Rank.membership,
+      build: () => {
+        // Merged once more: other controllers restore the same records.
+        const data = this.isDone ? null : this.recordToWrite(key, known);
+        if (data === null) {
+          this.writesInFlight--;
+          return null;
+        }
+        return { conditions: [{ key, stamp: replica.modRevisionOf(key) }], writes: [{ key, data }] };
+      },
+      onCommitted: () => {
+        this.writesInFlight--;
+        this.restoredCount++;
+      },
+      onConflict: () => {
+        this.writesInFlight--;
+        this.pending.unshift([key, known]);
+      },
+    });
+  }
+}
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -64,9 +64,9 @@
       return ((w.now - at) / 1000).toFixed(1);
     };
     const noticed = when('state service has lost data');
-    const goes = when('work goes on');
+    const goes = when('work resumed');
     const least = running();
-    const whole = when('rebuilt');
+    const whole = when('data-loss recovery complete');
     const writes = w.commits
       .slice(commits)
       .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.writes.length : 0), 0);
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -100,7 +100,7 @@
 /** State that grows with the jobs by what it is: records and what is read off them. */
 const bounds = new Map([
   ['freshnessExchange.recentChanges.changes', 512],
-  ['dataLossRecovery.detector.sightings', 256],
+  ['dataLossRecovery.monitor.detector.sightings', 256],
 ]);
 const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
