--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,4 +1,9 @@
-/** What controllers tell each other: one protobuf message a frame, behind its length as a 32-bit number. */
+/**
+ * Codec of the frames that controllers exchange: one protobuf message a frame, behind its length as a 32-bit number.
+ *
+ * Frames only speed things up, or carry a worker's heartbeat to the owner of its machine. The state service remains the
+ * source of truth, so that a lost frame costs time and nothing else.
+ */
 import type { MemberDemand, Rejection } from '../admission/index.js';
 import type { Speaks } from '../formats/index.js';
 import type { PeerStatus } from '../core/effects.js';
@@ -14,8 +19,36 @@
   type WireReport,
 } from './frame-schema.js';
 
-const phases: TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
-const whys: (ExitReason | null)[] = [
+/** A message between controllers. */
+export type Frame =
+  /** The first frame of a connection: who sends, and which message formats the sender reads. */
+  | { readonly type: 'hello'; readonly member: string; readonly run: string; readonly speaks: Speaks }
+  | { readonly type: 'forwarded-heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
+  /** The response to a forwarded heartbeat, as the worker is to get it. */
+  | {
+      readonly type: 'forwarded-response';
+      readonly id: number;
+      readonly status: number;
+      readonly body: string;
+    }
+  | { readonly type: 'peer-status'; readonly status: PeerStatus }
+  | { readonly type: 'freshness-query'; readonly query: FreshnessQuery }
+  /** The changes that the sender knows above the query's revision, as text. */
+  | {
+      readonly type: 'freshness-answer';
+      readonly query: FreshnessQuery;
+      readonly run: string;
+      readonly changes: string;
+    }
+  | { readonly type: 'rejected-jobs'; readonly rejections: readonly Rejection[] };
+
+/** The length in front of every frame, bytes. */
+export const lengthBytes = 4;
+
+/** Task phases by their number on the wire. */
+const phases: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
+/** Exit reasons by their number on the wire. */
+const exitReasons: readonly (ExitReason | null)[] = [
   null,
   'done',
   'stopped',
@@ -27,16 +60,7 @@
   'unknown',
 ];
 
-export type Frame =
-  | { hello: { member: string; run: string; speaks: Speaks } }
-  | { relay: { id: number; report: Heartbeat } }
-  | { relayed: { id: number; status: number; body: string } }
-  | { pulse: PeerStatus }
-  | { ask: FreshnessQuery }
-  | { turned: { list: Rejection[] } }
-  | { vouch: { ask: FreshnessQuery; run: string; known: string } };
-
-function reportOut(r: Heartbeat): WireReport {
+function encodeHeartbeat(r: Heartbeat): WireReport {
   return {
     host: r.host,
     endpoint: r.endpoint,
@@ -52,13 +76,13 @@
       index: t.index,
       attempt: t.attempt,
       phase: phases.indexOf(t.phase),
-      why: whys.indexOf(t.exitReason),
+      why: exitReasons.indexOf(t.exitReason),
       saved: t.saved,
     })),
   };
 }
 
-function reportIn(r: WireReport): Heartbeat {
+function decodeHeartbeat(r: WireReport): Heartbeat {
   return {
     host: r.host,
     endpoint: r.endpoint,
@@ -75,13 +99,13 @@
       attempt: t.attempt,
       // A state that this version does not know still means that the task is on the machine.
       phase: phases[t.phase] ?? 'running',
-      exitReason: t.why < whys.length ? whys[t.why] : 'error',
+      exitReason: t.why < exitReasons.length ? exitReasons[t.why] : 'error',
       saved: t.saved,
     })),
   };
 }
 
-function pulseOut(p: PeerStatus): Partial<WirePulse> {
+function encodeStatus(p: PeerStatus): Partial<WirePulse> {
   const status = {
     epoch: p.revision,
     run: p.run,
@@ -103,7 +127,7 @@
   };
 }
 
-function demandIn(p: WirePulse): MemberDemand {
+function decodeDemand(p: WirePulse): MemberDemand {
   return {
     tasks: p.tasks,
     users: p.users,
@@ -113,19 +137,19 @@
   };
 }
 
-function pulseIn(p: WirePulse): PeerStatus {
+function decodeStatus(p: WirePulse): PeerStatus {
   return {
     revision: p.epoch,
     run: p.run,
     utilizationPermille: p.busy,
     wantsForwarding: p.front,
-    demand: p.says ? demandIn(p) : null,
+    demand: p.says ? decodeDemand(p) : null,
     incarnation: p.inc,
     jobCount: p.jobs,
   };
 }
 
-const helloOut = (member: string, run: string, speaks: Speaks): WireHello => ({
+const encodeHello = (member: string, run: string, speaks: Speaks): WireHello => ({
   member,
   run,
   least: speaks.least,
@@ -133,90 +157,78 @@
 });
 
 /** A sender that names no formats knows only the first. */
-const speaksIn = (h: WireHello): Speaks => ({ least: h.least || 1, most: h.most || 1 });
+const decodeFormats = (h: WireHello): Speaks => ({ least: h.least || 1, most: h.most || 1 });
 
-const turnedOut = (t: Rejection): WireAway => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
-const turnedIn = (t: WireAway): Rejection => ({ id: t.id, team: t.team, class: t.class, ageMs: t.ageMs });
+const encodeRejection = (t: Rejection): WireAway => ({
+  id: t.id,
+  team: t.team,
+  class: t.class,
+  ageMs: t.ageMs,
+});
+const decodeRejection = (t: WireAway): Rejection => ({
+  id: t.id,
+  team: t.team,
+  class: t.class,
+  ageMs: t.ageMs,
+});
 
-const questionOut = (q: FreshnessQuery): WireAsk => ({
+const encodeQuery = (q: FreshnessQuery): WireAsk => ({
   nonce: q.nonce,
   epoch: q.revision,
   run: q.run,
   inc: q.incarnation,
 });
-const questionIn = (q: WireAsk): FreshnessQuery => ({
+const decodeQuery = (q: WireAsk): FreshnessQuery => ({
   run: q.run,
   nonce: q.nonce,
   revision: q.epoch,
   incarnation: q.inc,
 });
 
-function wireOf(frame: Frame): object {
-  if ('hello' in frame) return { hello: helloOut(frame.hello.member, frame.hello.run, frame.hello.speaks) };
-  if ('relay' in frame) return { relay: { id: frame.relay.id, report: reportOut(frame.relay.report) } };
-  if ('relayed' in frame) {
-    const { id, status, body } = frame.relayed;
-    return { relayed: { id, status, body } };
+function encodeMessage(frame: Frame): object {
+  switch (frame.type) {
+    case 'hello':
+      return { hello: encodeHello(frame.member, frame.run, frame.speaks) };
+    case 'forwarded-heartbeat':
+      return { relay: { id: frame.id, report: encodeHeartbeat(frame.heartbeat) } };
+    case 'forwarded-response':
+      return { relayed: { id: frame.id, status: frame.status, body: frame.body } };
+    case 'peer-status':
+      return { pulse: encodeStatus(frame.status) };
+    case 'freshness-query':
+      return { ask: encodeQuery(frame.query) };
+    case 'freshness-answer':
+      return { vouch: { ask: encodeQuery(frame.query), run: frame.run, known: frame.changes } };
+    case 'rejected-jobs':
+      return { turned: { list: frame.rejections.map(encodeRejection) } };
   }
-  if ('pulse' in frame) return { pulse: pulseOut(frame.pulse) };
-  if ('turned' in frame) return { turned: { list: frame.turned.list.map(turnedOut) } };
-  if ('ask' in frame) return { ask: questionOut(frame.ask) };
-  const { ask, run, known } = frame.vouch;
-  return { vouch: { ask: questionOut(ask), run, known } };
 }
 
+/** The bytes of a frame, its length included. */
 export function encodeFrame(frame: Frame): Buffer {
-  const body = frameType.encode(wireOf(frame)).finish();
-  const out = Buffer.allocUnsafe(4 + body.length);
-  out.writeUInt32BE(body.length, 0);
-  out.set(body, 4);
-  return out;
+  const body = frameType.encode(encodeMessage(frame)).finish();
+  const bytes = Buffer.allocUnsafe(lengthBytes + body.length);
+  bytes.writeUInt32BE(body.length, 0);
+  bytes.set(body, lengthBytes);
+  return bytes;
 }
 
-/** Null for a message that this program does not know, or that lacks what it is about. */
-function decodeFrame(body: Uint8Array): Frame | null {
-  const f = frameType.decode(body) as WireFrame;
-  if (f.hello) {
-    const { member, run } = f.hello;
-    return { hello: { member, run, speaks: speaksIn(f.hello) } };
+/** Decodes a frame without its length. Null: a message that this program does not know, or that lacks its content. */
+export function decodeFrame(body: Uint8Array): Frame | null {
+  const { hello, relay, relayed, pulse, turned, ask, vouch } = frameType.decode(body) as WireFrame;
+  if (hello) return { type: 'hello', member: hello.member, run: hello.run, speaks: decodeFormats(hello) };
+  if (relay) {
+    const { id, report } = relay;
+    return report ? { type: 'forwarded-heartbeat', id, heartbeat: decodeHeartbeat(report) } : null;
   }
-  if (f.relay) {
-    const { id, report } = f.relay;
-    return report ? { relay: { id, report: reportIn(report) } } : null;
-  }
-  if (f.relayed) {
-    const { id, status, body: text } = f.relayed;
-    return { relayed: { id, status, body: text } };
-  }
-  if (f.pulse) return { pulse: pulseIn(f.pulse) };
-  if (f.turned) return { turned: { list: f.turned.list.map(turnedIn) } };
-  if (f.ask) return { ask: questionIn(f.ask) };
-  if (f.vouch) {
-    const { ask, run, known } = f.vouch;
-    return ask ? { vouch: { ask: questionIn(ask), run, known } } : null;
+  if (relayed)
+    return { type: 'forwarded-response', id: relayed.id, status: relayed.status, body: relayed.body };
+  if (pulse) return { type: 'peer-status', status: decodeStatus(pulse) };
+  if (turned) return { type: 'rejected-jobs', rejections: turned.list.map(decodeRejection) };
+  if (ask) return { type: 'freshness-query', query: decodeQuery(ask) };
+  if (vouch) {
+    const { ask: query, run, known } = vouch;
+    return query ? { type: 'freshness-answer', query: decodeQuery(query), run, changes: known } : null;
   }
   return null;
 }
-
-const maxFrameBytes = 256 * 1024;
-
-/** Cuts a stream of bytes into frames. Throws on garbage: the connection is then closed. */
-export class FrameReader {
-  private rest: Buffer = Buffer.alloc(0);
-
-  push(data: Buffer): Frame[] {
-    this.rest = this.rest.length === 0 ? data : Buffer.concat([this.rest, data]);
-    const frames: Frame[] = [];
-    let at = 0;
-    while (this.rest.length - at >= 4) {
-      const length = this.rest.readUInt32BE(at);
-      if (length > maxFrameBytes) throw new Error(`frame of ${length} bytes`);
-      if (this.rest.length - at < 4 + length) break;
-      const frame = decodeFrame(this.rest.subarray(at + 4, at + 4 + length));
-      at += 4 + length;
-      if (frame) frames.push(frame);
-    }
-    this.rest = this.rest.subarray(at);
-    return frames;
-  }
-}
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -1,98 +1,129 @@
+/** The mesh of connections between the controllers. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { splitAddr, type Settings } from '../config/settings.js';
-import { common, messageFormats } from '../formats/index.js';
 import type { Log } from '../core/effects.js';
+import { common, messageFormats } from '../formats/index.js';
 import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
-import { encodeFrame, FrameReader, type Frame } from './frames.js';
+import { FrameReader } from './frame-reader.js';
+import { encodeFrame, type Frame } from './frames.js';
 
+/**
+ * Above so many bytes that a connection has not taken yet, frames are dropped: a status or an answer that waited behind
+ * more would be too old when it arrives.
+ */
 const maxQueuedBytes = 1024 * 1024;
 
+type HelloFrame = Extract<Frame, { type: 'hello' }>;
+
+export interface PeerMeshOptions {
+  readonly settings: Settings;
+  /** Identifies this process. */
+  readonly instanceId: string;
+  /** How connections are opened again. */
+  readonly retry: RetryPolicy;
+  readonly random: Random;
+  readonly maxInboundConnections: number;
+  readonly log: Log;
+  readonly onFrame: (from: string, frame: Frame) => void;
+  /** Called when the connection to a peer broke and a new one was refused at once: its process has most likely ended. */
+  readonly onPeerLost: (member: string) => void;
+}
+
+/** The connection to a peer, opened by this controller. */
+interface OutboundLink {
+  socket: Socket | null;
+  isConnected: boolean;
+}
+
 /**
- * Connections between the controllers: each dials every other one and sends on its own connection. What
- * cannot be sent at once is dropped; nothing here is needed for a right answer.
+ * Each controller dials every other one and sends on its own connection. What cannot be sent at once is dropped: nothing
+ * here is needed for correctness.
  */
-export class Mesh {
-  private readonly out = new Map<string, { socket: Socket | null; ready: boolean }>();
+export class PeerMesh {
+  private readonly links = new Map<string, OutboundLink>();
   private readonly server: Server;
-  private stopped = false;
+  private isStopped = false;
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly run: string,
-    private readonly retry: RetryPolicy,
-    private readonly random: Random,
-    maxInboundConnections: number,
-    private readonly log: Log,
-    private readonly onFrame: (from: string, frame: Frame) => void,
-    private readonly onPeerLost: (member: string) => void,
-  ) {
-    this.server = createServer((socket) => this.inbound(socket));
-    this.server.maxConnections = maxInboundConnections;
+  constructor(private readonly options: PeerMeshOptions) {
+    this.server = createServer((socket) => this.accept(socket));
+    this.server.maxConnections = options.maxInboundConnections;
   }
 
+  /** Listens for peers, and dials all of them. */
   async start(): Promise<void> {
-    const { host, port } = splitAddr(this.settings.peerAddr);
+    const { settings } = this.options;
+    const { host, port } = splitAddr(settings.peerAddr);
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
       this.server.listen(port, host, () => resolve());
     });
-    for (const p of this.settings.peers) this.dial(p.member, p.addr);
+    for (const { member, addr } of settings.peers) this.dial(member, addr);
   }
 
+  /** Sends a frame to a peer; false: it was dropped. */
   send(to: string, frame: Frame): boolean {
-    const link = this.out.get(to);
-    if (!link?.ready || !link.socket || link.socket.writableLength > maxQueuedBytes) return false;
+    const link = this.links.get(to);
+    if (!link?.isConnected || !link.socket || link.socket.writableLength > maxQueuedBytes) return false;
+    const { socket } = link;
     // What one step sends goes out together.
-    if (link.socket.writableCorked === 0) {
-      const { socket } = link;
+    if (socket.writableCorked === 0) {
       socket.cork();
       process.nextTick(() => socket.uncork());
     }
-    link.socket.write(encodeFrame(frame));
+    socket.write(encodeFrame(frame));
     return true;
   }
 
+  /** Sends a frame to all peers. */
+  broadcast(frame: Frame): void {
+    for (const { member } of this.options.settings.peers) this.send(member, frame);
+  }
+
+  /** Closes all connections. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.server.close();
-    for (const l of this.out.values()) l.socket?.destroy();
+    for (const { socket } of this.links.values()) socket?.destroy();
   }
 
   private dial(member: string, addr: string): void {
-    const link = { socket: null as Socket | null, ready: false };
-    this.out.set(member, link);
+    const { settings, instanceId, retry, random, onPeerLost } = this.options;
+    const link: OutboundLink = { socket: null, isConnected: false };
+    this.links.set(member, link);
     let failures = 0;
-    const open = (broken = false): void => {
-      if (this.stopped) return;
+    const open = (isReconnect: boolean): void => {
+      if (this.isStopped) return;
       const socket = connect(splitAddr(addr));
       link.socket = socket;
       socket.setNoDelay(true);
-      socket.setTimeout(this.retry.timeoutMs, () => {
-        if (!link.ready) socket.destroy();
+      socket.setTimeout(retry.timeoutMs, () => {
+        if (!link.isConnected) socket.destroy();
       });
       socket.on('connect', () => {
-        link.ready = true;
+        link.isConnected = true;
         failures = 0;
+        const { member: ownMember } = settings;
         socket.write(
-          encodeFrame({ hello: { member: this.settings.member, run: this.run, speaks: messageFormats } }),
+          encodeFrame({ type: 'hello', member: ownMember, run: instanceId, speaks: messageFormats }),
         );
       });
+      // Peers send on connections of their own; reading lets the end of this one be noticed.
       socket.on('data', () => undefined);
       socket.on('error', (e: NodeJS.ErrnoException) => {
-        // A connection that stood a moment ago broke, and nobody listens any more.
-        if (broken && e.code === 'ECONNREFUSED') this.onPeerLost(member);
+        if (isReconnect && e.code === 'ECONNREFUSED') onPeerLost(member);
       });
       socket.on('close', () => {
-        const stood = link.ready;
-        link.ready = false;
-        if (stood) open(true);
-        else setTimeout(() => open(), backoffDelayMs(this.retry, ++failures, this.random)).unref();
+        const wasConnected = link.isConnected;
+        link.isConnected = false;
+        if (wasConnected) open(true);
+        else setTimeout(() => open(false), backoffDelayMs(retry, ++failures, random)).unref();
       });
     };
-    open();
+    open(false);
   }
 
-  private inbound(socket: Socket): void {
+  private accept(socket: Socket): void {
+    const { log, onFrame } = this.options;
     const reader = new FrameReader();
     let from: string | null = null;
     socket.setNoDelay(true);
@@ -102,24 +133,25 @@
       try {
         frames = reader.push(data);
       } catch (e) {
-        this.log('warn', 'garbage from a peer', { from, error: String((e as Error).message) });
+        log('warn', 'malformed peer frame', { from, error: String((e as Error).message) });
         socket.destroy();
         return;
       }
-      for (const f of frames) {
-        if ('hello' in f) {
-          const known = this.settings.peers.some((p) => p.member === f.hello.member);
-          if (!known) return void socket.destroy();
-          if (common(f.hello.speaks) === null) {
-            this.log('warn', 'no format of messages in common', {
-              from: f.hello.member,
-              speaks: f.hello.speaks,
-            });
-            return void socket.destroy();
-          }
-          from = f.hello.member;
-        } else if (from !== null) this.onFrame(from, f);
+      for (const frame of frames) {
+        if (frame.type === 'hello') {
+          if (!this.acceptsHello(frame)) return void socket.destroy();
+          from = frame.member;
+        } else if (from !== null) onFrame(from, frame);
       }
     });
   }
+
+  /** Whether the sender is a configured peer that has a message format in common with this program. */
+  private acceptsHello({ member, speaks }: HelloFrame): boolean {
+    const { settings, log } = this.options;
+    if (!settings.peers.some((p) => p.member === member)) return false;
+    if (common(speaks) !== null) return true;
+    log('warn', 'no common peer message format', { from: member, speaks });
+    return false;
+  }
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -9,7 +9,7 @@
 import { RequestQueue } from './request-queue.js';
 import { limitsOf, type Limits } from './limits/index.js';
 import { Memory } from './memory-usage.js';
-import type { Mesh } from './peers/mesh.js';
+import type { PeerMesh } from './peers/mesh.js';
 import type { RecoveryRecords } from './core/recovery-records.js';
 import type { Frame } from './peers/frames.js';
 import type { Matcher } from './policy/matching.js';
@@ -50,7 +50,7 @@
   private readonly front: PublicServer;
   private readonly requestQueue: RequestQueue;
   private readonly memory: Memory;
-  private mesh: Mesh | null = null;
+  private mesh: PeerMesh | null = null;
   /** Answers owed to peers that relayed a report: by our request number. */
   private readonly owed = new Map<number, { to: string; id: number }>();
   private owedCount = 0;
@@ -135,17 +135,17 @@
     this.timers.push(setInterval(() => this.measure(), measureMs));
     if (this.settings.peers.length === 0) return;
     // Loaded only now: start-up time counts, and nobody waits for the talk between controllers.
-    const { Mesh } = await import('./peers/mesh.js');
-    const mesh = new Mesh(
-      this.settings,
-      this.run,
-      this.retry.peers,
-      this.random,
-      this.limits.sockets.peers,
-      this.log,
-      (from, frame) => this.fromPeer(from, frame),
-      (member) => this.push({ type: 'peer-lost', member }),
-    );
+    const { PeerMesh } = await import('./peers/mesh.js');
+    const mesh = new PeerMesh({
+      settings: this.settings,
+      instanceId: this.run,
+      retry: this.retry.peers,
+      random: this.random,
+      maxInboundConnections: this.limits.sockets.peers,
+      log: this.log,
+      onFrame: (from, frame) => this.onPeerFrame(from, frame),
+      onPeerLost: (member) => this.push({ type: 'peer-lost', member }),
+    });
     await mesh.start();
     this.mesh = mesh;
   }
@@ -202,25 +202,41 @@
     });
   }
 
-  private fromPeer(from: string, frame: Frame): void {
-    if ('turned' in frame) return this.push({ type: 'rejected-jobs', list: frame.turned.list });
-    if ('pulse' in frame) return this.push({ type: 'peer-status', from, status: frame.pulse });
-    if ('relay' in frame) {
-      // Below zero, so that they never meet the numbers of our own server's requests.
-      const rid = -++this.owedCount;
-      this.owed.set(rid, { to: from, id: frame.relay.id });
-      this.push({ type: 'heartbeat', rid, report: frame.relay.report, from });
-    } else if ('relayed' in frame) {
-      const { id, status, body } = frame.relayed;
-      this.push({ type: 'forwarded-response', rid: id, status, body });
-    } else if ('ask' in frame) this.push({ type: 'freshness-query', from, query: frame.ask });
-    else if ('vouch' in frame) {
-      const { ask: query, run, known } = frame.vouch;
-      try {
-        this.push({ type: 'freshness-confirmed', from, run, query, known: decodeChanges(known) });
-      } catch (e) {
-        this.log('warn', 'bad message from a peer', { from, error: String((e as Error).message) });
+  private onPeerFrame(from: string, frame: Frame): void {
+    switch (frame.type) {
+      case 'hello':
+        break;
+      case 'rejected-jobs':
+        this.push({ type: 'rejected-jobs', list: [...frame.rejections] });
+        break;
+      case 'peer-status':
+        this.push({ type: 'peer-status', from, status: frame.status });
+        break;
+      case 'forwarded-heartbeat': {
+        // Below zero, so that they never meet the numbers of our own server's requests.
+        const rid = -++this.owedCount;
+        this.owed.set(rid, { to: from, id: frame.id });
+        this.push({ type: 'heartbeat', rid, report: frame.heartbeat, from });
+        break;
       }
+      case 'forwarded-response':
+        this.push({ type: 'forwarded-response', rid: frame.id, status: frame.status, body: frame.body });
+        break;
+      case 'freshness-query':
+        this.push({ type: 'freshness-query', from, query: frame.query });
+        break;
+      case 'freshness-answer':
+        this.onFreshnessAnswer(from, frame);
+        break;
+    }
+  }
+
+  private onFreshnessAnswer(from: string, answer: Extract<Frame, { type: 'freshness-answer' }>): void {
+    const { query, run } = answer;
+    try {
+      this.push({ type: 'freshness-confirmed', from, run, query, known: decodeChanges(answer.changes) });
+    } catch (e) {
+      this.log('warn', 'malformed peer frame', { from, error: String((e as Error).message) });
     }
   }
 
@@ -251,21 +267,21 @@
     const back = (c: Command): void => void (rebirths === this.rebirths && this.push(c));
     switch (e.type) {
       case 'forward-heartbeat':
-        if (!this.mesh?.send(e.to, { relay: { id: e.rid, report: e.report } }))
+        if (!this.mesh?.send(e.to, { type: 'forwarded-heartbeat', id: e.rid, heartbeat: e.report }))
           this.push({ type: 'forwarded-response', rid: e.rid, status: 503, body: {} });
         break;
       case 'peer-status':
-        for (const p of this.settings.peers) this.mesh?.send(p.member, { pulse: e.status });
+        this.mesh?.broadcast({ type: 'peer-status', status: e.status });
         break;
       case 'rejected-jobs':
-        for (const p of this.settings.peers) this.mesh?.send(p.member, { turned: { list: e.list } });
+        this.mesh?.broadcast({ type: 'rejected-jobs', rejections: e.list });
         break;
       case 'query-freshness':
-        for (const p of this.settings.peers) this.mesh?.send(p.member, { ask: e.query });
+        this.mesh?.broadcast({ type: 'freshness-query', query: e.query });
         break;
       case 'confirm-freshness': {
-        const known = encodeChanges(e.known);
-        this.mesh?.send(e.to, { vouch: { ask: e.query, run: this.run, known } });
+        const changes = encodeChanges(e.known);
+        this.mesh?.send(e.to, { type: 'freshness-answer', query: e.query, run: this.run, changes });
         break;
       }
       case 'respond': {
@@ -273,7 +289,7 @@
         if (owed) {
           this.owed.delete(e.rid);
           const body = typeof e.body === 'string' ? e.body : JSON.stringify(e.body);
-          this.mesh?.send(owed.to, { relayed: { id: owed.id, status: e.status, body } });
+          this.mesh?.send(owed.to, { type: 'forwarded-response', id: owed.id, status: e.status, body });
           break;
         }
         this.front.answer(e.rid, e.status, e.body, e.retryAfterS);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { quarantineEvidence, evidenceAgainst } from '../src/core/failure-attribution.js';
-import { encodeFrame, FrameReader } from '../src/peers/frames.js';
+import { FrameReader, FrameTooLargeError, MalformedFrameError } from '../src/peers/frame-reader.js';
+import { encodeFrame } from '../src/peers/frames.js';
 import { box, spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
@@ -469,10 +470,11 @@
 });
 
 test('garbage, oversized and split frames between controllers', () => {
-  const frame = encodeFrame({ relayed: { id: 7, status: 200, body: '{"x":"ä"}' } });
+  const response = { type: 'forwarded-response', id: 7, status: 200, body: '{"x":"ä"}' } as const;
+  const frame = encodeFrame(response);
   const reader = new FrameReader();
   assert.deepEqual(reader.push(frame.subarray(0, 3)), []);
-  const pulse = {
+  const status = {
     revision: 2 ** 40,
     run: 'a',
     utilizationPermille: 7,
@@ -487,11 +489,11 @@
       kinds: [{ team: 'a', class: 'b', weight: 2, want: 0.5 }],
     },
   };
-  const got = reader.push(Buffer.concat([frame.subarray(3), encodeFrame({ pulse })]));
-  assert.deepEqual(got, [{ relayed: { id: 7, status: 200, body: '{"x":"ä"}' } }, { pulse }]);
+  const got = reader.push(Buffer.concat([frame.subarray(3), encodeFrame({ type: 'peer-status', status })]));
+  assert.deepEqual(got, [response, { type: 'peer-status', status }]);
   // Guards against zeros, which are not sent: who wants nothing was taken for one that does not say what it wants.
   for (const demand of [{ tasks: 0, users: 0, behindS: 0, follows: 0, kinds: [] }, null]) {
-    const pulse = {
+    const status = {
       revision: 1,
       run: 'a',
       utilizationPermille: 0,
@@ -500,10 +502,12 @@
       incarnation: 0,
       jobCount: 0,
     };
-    assert.deepEqual(new FrameReader().push(encodeFrame({ pulse })), [{ pulse }]);
+    assert.deepEqual(new FrameReader().push(encodeFrame({ type: 'peer-status', status })), [
+      { type: 'peer-status', status },
+    ]);
   }
-  assert.throws(() => reader.push(Buffer.from('ffffffff00', 'hex')));
-  assert.throws(() => new FrameReader().push(Buffer.from('00000003ffffff', 'hex')));
+  assert.throws(() => reader.push(Buffer.from('ffffffff00', 'hex')), FrameTooLargeError);
+  assert.throws(() => new FrameReader().push(Buffer.from('00000003ffffff', 'hex')), MalformedFrameError);
 });
 
 test('moves: tasks leave overpriced spot after their residency, a few per window, and only to a free place', () => {
