--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,98 +1,109 @@
+/** The worker's side of the protocol as a pure state machine: epochs, leases, fencing tokens and the tasks it holds. */
 import type { TaskOrder } from '../model/heartbeat.js';
 import { taskKey } from '../model/job.js';
 import type { AgentReport, Answer, HeldTask, TaskResult } from '../wire/agent-side.js';
 
-/** What the worker wants done. */
+/** What the worker's state machine asks its agent to do. */
 export type WorkerEffect =
-  /** Get the job's description, and run the task unless it has to wait for its gang. */
-  | { type: 'prepare'; task: HeldTask }
-  | { type: 'run'; task: HeldTask }
-  | { type: 'stop'; task: HeldTask; graceS: number }
-  /** Its record may go. */
-  | { type: 'forget'; task: HeldTask }
-  /** Session or token changed: to be kept. */
-  | { type: 'remember' }
-  /** Something to report before the next turn. */
-  | { type: 'soon' };
-
+  /** Fetch the job's description; then the task runs, or waits for its gang. */
+  | { readonly type: 'prepare'; readonly task: HeldTask }
+  | { readonly type: 'run'; readonly task: HeldTask }
+  | { readonly type: 'stop'; readonly task: HeldTask; readonly graceS: number }
+  /** Remove the task's record. */
+  | { readonly type: 'forget'; readonly task: HeldTask }
+  /** Write the worker's state to disk: its epoch or fencing token has changed. */
+  | { readonly type: 'persist-state' }
+  /** Send a heartbeat before the next one is due. */
+  | { readonly type: 'heartbeat-soon' };
+
+/** How the worker identifies itself in heartbeats. */
 export interface WorkerIdentity {
-  host: string;
-  endpoint: string;
-  type: string;
-  zone: string;
+  readonly host: string;
+  readonly endpoint: string;
+  readonly type: string;
+  readonly zone: string;
 }
 
-/** What outlives the process. */
+/** The part of the worker's state that outlives the process. */
 export interface WorkerState {
+  /** Increased whenever the worker loses its tasks: with an expired lease, or under a new host name. */
   agentEpoch: number;
+  /** The sequence number of the last heartbeat. */
   seq: number;
+  /** The highest fencing token seen: responses and orders with a lower one come from a deposed controller. */
   fencingToken: number;
 }
 
 /**
- * The worker's side of the protocol: sessions, leases, tokens, and the tasks it holds. On a clock that it is given, ms;
- * starts and ends nothing itself.
+ * The state of a worker. It starts and stops nothing itself, but returns effects; times are on a monotonic clock that the
+ * caller chooses, ms.
  */
 export class Worker {
   private readonly tasksByKey = new Map<string, HeldTask>();
-  /** When the last report that was answered was sent. */
+  /** When the last heartbeat that was answered was sent. */
   private leaseStartMs: number;
 
   constructor(
     readonly identity: WorkerIdentity,
     private readonly state: WorkerState,
     private readonly leaseMs: number,
-    leaseFrom: number,
+    leaseStart: number,
     tasks: readonly HeldTask[] = [],
   ) {
-    this.leaseStartMs = leaseFrom;
-    for (const t of tasks) this.tasksByKey.set(attemptKey(t), t);
+    this.leaseStartMs = leaseStart;
+    for (const task of tasks) this.tasksByKey.set(attemptKey(task), task);
   }
 
+  /** All tasks that the worker holds, ended ones included. */
   get tasks(): Iterable<HeldTask> {
     return this.tasksByKey.values();
   }
 
+  /** Whether the worker holds this task, and not another of the same attempt. */
   holds(task: HeldTask): boolean {
     return this.tasksByKey.get(attemptKey(task)) === task;
   }
 
+  /** The current epoch. */
   get agentEpoch(): number {
     return this.state.agentEpoch;
   }
 
+  /** The highest fencing token seen. */
   get fencingToken(): number {
     return this.state.fencingToken;
   }
 
+  /** When the lease was last renewed: its start is the sending time of the answered heartbeat. */
   get leaseStart(): number {
     return this.leaseStartMs;
   }
 
+  /** The next heartbeat, with a new sequence number. */
   buildHeartbeat(): AgentReport {
     const { agentEpoch: session, fencingToken: token } = this.state;
     const tasks = [...this.tasksByKey.values()];
     return { ...this.identity, session, seq: ++this.state.seq, token, tasks };
   }
 
-  /** A 200 to a report sent at `sentAt` in `session`. */
+  /** Processes the response to a heartbeat that was sent at `sentAt` in `agentEpoch`. */
   onHeartbeatResponse(response: Answer, sentAt: number, agentEpoch: number): WorkerEffect[] {
-    const { state: memory } = this;
-    // Guards against the answer that comes late, and against one who is entitled no more: it renews nothing.
-    if (agentEpoch !== memory.agentEpoch || response.token === null || response.token < memory.fencingToken)
+    const { state } = this;
+    // A late response, or one of a deposed controller, neither renews the lease nor gives orders.
+    if (agentEpoch !== state.agentEpoch || response.token === null || response.token < state.fencingToken)
       return [];
     const effects: WorkerEffect[] = [];
-    if (response.token > memory.fencingToken) {
-      memory.fencingToken = response.token;
-      effects.push({ type: 'remember' }, { type: 'soon' });
+    if (response.token > state.fencingToken) {
+      state.fencingToken = response.token;
+      effects.push({ type: 'persist-state' }, { type: 'heartbeat-soon' });
     }
     this.leaseStartMs = Math.max(this.leaseStartMs, sentAt);
     effects.push(...this.executeOrders(response.orders));
-    for (const name of response.gangs) effects.push(...this.startGang(name));
+    for (const gang of response.gangs) effects.push(...this.startGang(gang));
     return effects;
   }
 
-  /** Orders that came straight; null: not ours to carry out. */
+  /** Processes orders outside of a heartbeat's response; null if they are of another epoch or of a deposed controller. */
   onDirectOrders(
     fencingToken: number,
     agentEpoch: number,
@@ -102,21 +113,22 @@
     const effects: WorkerEffect[] = [];
     if (fencingToken > this.state.fencingToken) {
       this.state.fencingToken = fencingToken;
-      effects.push({ type: 'remember' });
+      effects.push({ type: 'persist-state' });
     }
     return [...effects, ...this.executeOrders(orders)];
   }
 
-  /** Ends the session when its lease has run out: every task is killed and forgotten. */
+  /** Starts a new epoch if the lease has expired. */
   tick(now: number): WorkerEffect[] {
     if (now - this.leaseStartMs <= this.leaseMs) return [];
     return this.startEpoch(now);
   }
 
+  /** Starts a new epoch: every task is killed and forgotten. */
   startEpoch(now: number): WorkerEffect[] {
     this.state.agentEpoch++;
     this.leaseStartMs = now;
-    const effects: WorkerEffect[] = [{ type: 'remember' }];
+    const effects: WorkerEffect[] = [{ type: 'persist-state' }];
     for (const task of this.tasksByKey.values())
       effects.push({ type: 'stop', task, graceS: 0 }, { type: 'forget', task });
     this.tasksByKey.clear();
@@ -128,7 +140,7 @@
     for (const order of orders) {
       const task = this.tasksByKey.get(attemptKey(order));
       if (order.op === 'start') {
-        // The same attempt again, in whatever state, changes nothing.
+        // A repeated order for an attempt that is held changes nothing.
         if (task) continue;
         const newTask: HeldTask = {
           job: order.job,
@@ -155,38 +167,39 @@
 
   private stop(task: HeldTask, graceS: number): WorkerEffect[] {
     if (task.phase === 'running' || task.phase === 'saving') {
-      const again = task.phase === 'saving' && graceS > 0;
+      const alreadyStopping = task.phase === 'saving' && graceS > 0;
       task.phase = 'saving';
-      return again ? [] : [{ type: 'stop', task, graceS }];
+      return alreadyStopping ? [] : [{ type: 'stop', task, graceS }];
     }
-    // It has not begun: there is nothing to end.
+    // It was not started yet: its end is known at once.
     this.onExited(task, 'stopped', null, false);
-    return [{ type: 'stop', task, graceS: 0 }, { type: 'soon' }];
+    return [{ type: 'stop', task, graceS: 0 }, { type: 'heartbeat-soon' }];
   }
 
-  private startGang(name: string): WorkerEffect[] {
+  private startGang(gang: string): WorkerEffect[] {
     const effects: WorkerEffect[] = [];
     for (const task of this.tasksByKey.values())
-      if (task.phase === 'waiting' && gangKey(task) === name) {
+      if (task.phase === 'waiting' && gangKey(task) === gang) {
         task.phase = 'running';
-        effects.push({ type: 'run', task }, { type: 'soon' });
+        effects.push({ type: 'run', task }, { type: 'heartbeat-soon' });
       }
     return effects;
   }
 
-  // ---- what the runner tells ----
+  // ---- events of the agent ----
 
-  /** Its description is here and there is room: it runs now, or waits for its gang. */
+  /** The task's job is known and the machine has room: the task runs now, or waits for its gang. */
   onPrepared(task: HeldTask, gang: boolean): WorkerEffect[] {
     if (task.phase !== 'fetching') return [];
     task.phase = gang ? 'waiting' : 'running';
-    return gang ? [{ type: 'soon' }] : [{ type: 'run', task }, { type: 'soon' }];
+    return gang ? [{ type: 'heartbeat-soon' }] : [{ type: 'run', task }, { type: 'heartbeat-soon' }];
   }
 
+  /** The task has ended, or cannot be run. */
   onExited(task: HeldTask, why: HeldTask['why'], result: TaskResult | null, saved: boolean): WorkerEffect[] {
     if (task.phase === 'exited') return [];
     Object.assign(task, { phase: 'exited', why, result, saved });
-    return [{ type: 'soon' }];
+    return [{ type: 'heartbeat-soon' }];
   }
 }
 
@@ -200,4 +213,5 @@
   result: null,
 };
 
+/** Identifies an attempt of a gang in responses, "JOB ATTEMPT". */
 export const gangKey = (task: { job: string; attempt: number }): string => `${task.job} ${task.attempt}`;
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -23,8 +23,8 @@
 test('worker: tokens, sessions and leases decide what is carried out', () => {
   const w = new Worker(self, { agentEpoch: 1, seq: 0, fencingToken: 0 }, 10_000, 0);
   assert.deepEqual(kinds(w.onHeartbeatResponse(answer(5, [start(0, 1)]), 100, 1)), [
-    'remember',
-    'soon',
+    'persist-state',
+    'heartbeat-soon',
     'prepare',
   ]);
   // Lower token, no token, another session: dropped, and the lease is not renewed.
@@ -58,7 +58,7 @@
     ['stop'],
   );
   assert.deepEqual(kinds(w.tick(10_100)), []);
-  assert.deepEqual(kinds(w.tick(10_201)), ['remember', 'stop', 'forget']);
+  assert.deepEqual(kinds(w.tick(10_201)), ['persist-state', 'stop', 'forget']);
   assert.equal(w.agentEpoch, 2);
   assert.deepEqual([...w.tasks], []);
 });
@@ -67,14 +67,14 @@
   const w = new Worker(self, { agentEpoch: 1, seq: 0, fencingToken: 0 }, 10_000, 0);
   w.onHeartbeatResponse(answer(1, [start(0, 7), start(1, 7)]), 0, 1);
   const [a, b] = [...w.tasks];
-  assert.deepEqual(kinds(w.onPrepared(a, true)), ['soon']);
+  assert.deepEqual(kinds(w.onPrepared(a, true)), ['heartbeat-soon']);
   w.onPrepared(b, true);
   assert.deepEqual(kinds(w.onHeartbeatResponse(answer(1, [], ['req-1 6']), 1, 1)), []);
   assert.deepEqual(kinds(w.onHeartbeatResponse(answer(1, [], ['req-1 7']), 2, 1)), [
     'run',
-    'soon',
+    'heartbeat-soon',
     'run',
-    'soon',
+    'heartbeat-soon',
   ]);
   assert.deepEqual([a.phase, b.phase], ['running', 'running']);
 });
