--- a/src/agent/agent-directory.ts
+++ b/src/agent/agent-directory.ts
@@ -1,3 +1,4 @@
+/** The agent's directory: the record of the agent, and a directory with record and output for each task. */
 import {
   closeSync,
   existsSync,
@@ -14,28 +15,33 @@
 import { join } from 'node:path';
 import type { AgentJob, HeldTask } from '../wire/agent-side.js';
 
-/** What an agent knows of itself. */
+/** What an agent keeps of itself. A stored record: field names are part of the format. */
 export interface AgentRecord {
+  /** Generated with the directory; distinguishes the agent from others of the same name. */
   id: string;
+  /** Its machine's host name in the core; null: not joined. */
   host: string | null;
   session: number;
   token: number;
-  /** Reports are numbered in blocks, so that not each number has to be written: the next block begins here. */
+  /** Where the next block of sequence numbers begins: they are reserved in blocks, so that not each one is written. */
   seqFrom: number;
 }
 
-/** What an agent keeps of a task, from before it is started until the control service has recorded its end. */
+/**
+ * What an agent keeps of a task, from before it is started until the control service has recorded its end. A stored record:
+ * field names are part of the format.
+ */
 export interface TaskRecord {
   task: HeldTask;
   job: AgentJob | null;
-  /** Time of day of its start, ms, and the machine's uptime then, s: the first may jump. */
+  /** The time of day when it was started, ms, and the machine's uptime then, s: the time of day may be set. */
   startedAt: number;
   startedUptimeS: number;
-  /** The machine's boot in which it was started. */
+  /** The boot of the machine in which it was started. */
   boot: string;
 }
 
-/** A file has its name only once it is whole and on disk. */
+/** Writes a file so that it is either complete or, after a crash, as it was before. */
 function writeAtomically(path: string, text: string): void {
   const temporaryPath = `${path}.part`;
   const file = openSync(temporaryPath, 'w', 0o600);
@@ -48,7 +54,7 @@
   renameSync(temporaryPath, path);
 }
 
-/** The agent's directory: one file of its own, one directory for each task. */
+/** Reads and writes the files of an agent's directory. */
 export class AgentDirectory {
   private readonly tasksPath: string;
 
@@ -57,35 +63,38 @@
     mkdirSync(this.tasksPath, { recursive: true, mode: 0o700 });
   }
 
+  /** The agent's record; null in a new directory. */
   loadAgent(): AgentRecord | null {
     const path = join(this.path, 'agent.json');
     return existsSync(path) ? (JSON.parse(readFileSync(path, 'utf8')) as AgentRecord) : null;
   }
 
+  /** Writes the agent's record. */
   saveAgent(record: AgentRecord): void {
     writeAtomically(join(this.path, 'agent.json'), JSON.stringify(record));
   }
 
-  /** Where a task's files are. */
+  /** The directory of a task. */
   taskDirectory(task: { job: string; index: number; attempt: number }): string {
     return join(this.tasksPath, `${task.job}.${task.index}.${task.attempt}`);
   }
 
+  /** Writes the record of a task. */
   saveTask(record: TaskRecord): void {
     const dir = this.taskDirectory(record.task);
     mkdirSync(dir, { recursive: true, mode: 0o700 });
     writeAtomically(join(dir, 'task.json'), JSON.stringify(record));
   }
 
-  /** Its end is recorded elsewhere: only its output stays. */
+  /** Removes the record of a task whose end the control service has recorded; its output stays. */
   forgetTask(task: { job: string; index: number; attempt: number }): void {
     const dir = this.taskDirectory(task);
-    // The claim stays: a shim that comes late must still find it.
+    // The claim stays, so that a shim that is scheduled late does not run the command.
     for (const name of ['task.json', 'pid', 'exit'])
       rmSync(join(dir, name), { recursive: true, force: true });
   }
 
-  /** All tasks that were not forgotten. One whose record is not whole was never started. */
+  /** The records of all tasks. A task without a complete record was never started. */
   loadTasks(): TaskRecord[] {
     const records: TaskRecord[] = [];
     for (const name of readdirSync(this.tasksPath)) {
@@ -95,13 +104,13 @@
     return records;
   }
 
-  /** Output directories of tasks that are over, oldest first, beyond so many, go. */
+  /** Removes the output of ended tasks, the oldest first, until `maxKept` are left. */
   pruneOutputs(maxKept: number): void {
     const ended = readdirSync(this.tasksPath).filter(
       (n) => !existsSync(join(this.tasksPath, n, 'task.json')),
     );
     if (ended.length <= maxKept) return;
-    // Last changed when its record went: that is how long it has been over.
+    // A directory was last changed when its record was removed.
     const endedAt = new Map(ended.map((n) => [n, statSync(join(this.tasksPath, n)).mtimeMs]));
     ended.sort((a, b) => endedAt.get(a)! - endedAt.get(b)!);
     for (const name of ended.slice(0, ended.length - maxKept))
--- a/src/agent/agent-lease.ts
+++ b/src/agent/agent-lease.ts
@@ -1,3 +1,4 @@
+/** The agent's lease on disk, and the watchdog that enforces it when the agent itself does not run. */
 import { spawn } from 'node:child_process';
 import { existsSync, readFileSync, renameSync, writeFileSync } from 'node:fs';
 import { uptime } from 'node:os';
@@ -5,11 +6,9 @@
 import { processesWithMark, markVariable, sendSignal } from './processes.js';
 
 /**
- * (`kill -KILL -- -PID` is an error to dash: -s it must be, or tasks of an agent that is gone outlive their lease.)
- *
- * Looks once a second whether the agent's lease still holds, also when the agent is gone; when it does not, it ends all of
- * its tasks' groups, and then whatever carries the agent's mark: that has left its group. Several times, for what is being
- * started meanwhile. Arguments: the agent's directory and id.
+ * Checks once a second whether the agent's lease has expired, also after the agent itself has ended. If it has, it kills the
+ * process groups of all tasks, and then, several times for processes that are just being started, every process with the
+ * agent's mark. Arguments: the agent's directory and ID. (dash rejects `kill -KILL -- -PID`, hence `-s KILL`.)
  */
 const watchdogScript = `
 cd "$1" || exit 0
@@ -30,8 +29,8 @@
 `;
 
 /**
- * The lease on disk: until which uptime of the machine the tasks may run. The control service hands them to others some time
- * after that, so they must be over by then, whether or not this process lives to see it.
+ * The lease as an uptime of the machine until which tasks may run. The control service places them elsewhere some time after
+ * that, so they must have ended by then, whether or not this process still runs.
  */
 export class AgentLease {
   private readonly path: string;
@@ -45,7 +44,7 @@
     this.path = join(directory, 'lease');
   }
 
-  /** When the last answered report was sent, on this process's clock, by what is on disk. */
+  /** When the lease on disk was last renewed, on this process's clock; -Infinity if that was in an earlier boot. */
   startOnDisk(leaseMs: number): number {
     const now = performance.now();
     if (!existsSync(this.path)) return now;
@@ -54,6 +53,7 @@
     return now - (uptime() - Number(until)) * 1000 - leaseMs;
   }
 
+  /** Writes a renewed lease to disk. */
   renew(leaseStart: number, leaseMs: number): void {
     const remainingS = (leaseStart + leaseMs - performance.now()) / 1000;
     const temporaryPath = `${this.path}.part`;
@@ -61,7 +61,7 @@
     renameSync(temporaryPath, this.path);
   }
 
-  /** Starts the watchdog, in the place of the one of an earlier process. */
+  /** Starts the watchdog unless it runs; it replaces the one of an earlier process. */
   startWatchdog(): void {
     if (this.watchdogRunning) return;
     this.stopWatchdog();
@@ -80,12 +80,12 @@
     return `watchdog:${this.directory}`;
   }
 
-  /** It ran out: the watchdog has ended with it, or is about to. */
+  /** Notes that the lease has expired: the watchdog has ended, or is about to. */
   markExpired(): void {
     this.watchdogRunning = false;
   }
 
-  /** Nothing runs that would have to be ended. */
+  /** Ends the watchdog: no command runs that it would have to kill. */
   stopWatchdog(): void {
     this.watchdogRunning = false;
     for (const { pid, mark } of processesWithMark(this.watchdogMark))
--- a/src/agent/command-runner.ts
+++ b/src/agent/command-runner.ts
@@ -1,60 +1,61 @@
-import { spawn, type ChildProcess } from 'node:child_process';
-import {
-  closeSync,
-  existsSync,
-  ftruncateSync,
-  fstatSync,
-  mkdirSync,
-  openSync,
-  readFileSync,
-  statSync,
-  writeSync,
-} from 'node:fs';
+/** Runs the commands of tasks: starts, adopts and stops them, enforces their limits and determines how they ended. */
+import type { ChildProcess } from 'node:child_process';
 import { uptime } from 'node:os';
-import { isAbsolute, join } from 'node:path';
 import type { Log } from '../core/effects.js';
 import { taskKey } from '../model/job.js';
 import { commandForTask } from '../model/task-command.js';
 import type { AgentJob, HeldTask, ResultReason, TaskResult } from '../wire/agent-side.js';
-import { processesByGroup, processesWithMark, markVariable, sendSignal } from './processes.js';
 import type { AgentDirectory, TaskRecord } from './agent-directory.js';
-import { shim } from './shim.js';
+import { processesByGroup, processesWithMark, sendSignal } from './processes.js';
+import { spawnCommand } from './spawn-command.js';
+import { claimTask, readExitCode, readGroupLeader, truncateOutput } from './task-files.js';
 
-/** What the runner tells of a task. */
+/** Receives the ends of tasks. */
 export interface TaskEvents {
+  /** A task has ended. `saved`: it wrote a checkpoint before it was stopped. */
   ended(task: HeldTask, result: TaskResult, saved: boolean): void;
 }
 
+/** The limits that a runner enforces, and its identity. */
 export interface RunnerSettings {
-  /** Each output file holds so much at most. */
-  outputBytes: number;
-  /** How often limits are looked at, ms. */
-  checkIntervalMs: number;
-  /** Between the signal to end and the one that ends, for commands that are over a limit, s. */
-  graceS: number;
-  /** In the mark of everything it starts. */
-  agentId: string;
+  /** The greatest size of each output file. */
+  readonly outputBytes: number;
+  /** How often limits are checked, ms. */
+  readonly checkIntervalMs: number;
+  /** For commands over their wall time: the time between SIGTERM and SIGKILL, s. */
+  readonly graceS: number;
+  /** Part of the mark of every process that is started. */
+  readonly agentId: string;
 }
 
+/** A command that runs, or whose processes are being cleaned up. */
 interface RunningTask {
-  record: TaskRecord;
-  job: AgentJob;
+  readonly record: TaskRecord;
+  readonly job: AgentJob;
+  /** null if an earlier process of this agent has started it: its exit is not signalled to this one. */
   child: ChildProcess | null;
-  /** The group's leader; null: not known yet. */
+  /** The leader of its process group; null: not known yet. */
   pid: number | null;
-  /** Why it is being ended. */
-  termination: { reason: ResultReason; killAt: number; killed: boolean } | null;
-  /** Its command is over; what it left behind is being looked for. */
+  /** Why it is being stopped; null: it is not. */
+  termination: { readonly reason: ResultReason; readonly killAt: number; killed: boolean } | null;
+  /** The command has exited; processes that it left behind are being looked for. */
   exited: boolean;
 }
 
-/** Commands that end within so many ms are cleared up together: looking through all processes costs. */
+/** How a command ended, without its times. */
+type CommandEnd = Pick<TaskResult, 'exit' | 'signal' | 'reason'>;
+
+/** Commands that exit within this time are cleaned up together, because all processes are listed for it. */
 const cleanupDelayMs = 20;
+/** A shell reports a command that a signal has ended by this much more than the signal's number. */
+const shellSignalBase = 128;
+const maxSignal = 64;
 
-/** Runs commands, in a process group for each, and sees to it that they keep their limits and end. */
+/** Runs commands, each in a process group of its own. */
 export class CommandRunner {
   private readonly running = new Map<HeldTask, RunningTask>();
-  private readonly exits = new Map<RunningTask, Pick<TaskResult, 'exit' | 'signal' | 'reason'>>();
+  /** Commands that have exited and wait for their clean-up. */
+  private readonly exits = new Map<RunningTask, CommandEnd>();
   private readonly checkTimer: NodeJS.Timeout;
   private cleanupTimer: NodeJS.Timeout | null = null;
 
@@ -67,21 +68,19 @@
     this.checkTimer = setInterval(() => this.enforceLimits(), settings.checkIntervalMs);
   }
 
-  /** Ends what the runner does; what it started goes on. */
+  /** Stops the runner's own work; the commands run on. */
   close(): void {
     clearInterval(this.checkTimer);
     if (this.cleanupTimer) clearTimeout(this.cleanupTimer);
-    for (const r of this.running.values()) r.child?.unref();
+    for (const running of this.running.values()) running.child?.unref();
   }
 
+  /** Whether no command runs. */
   get idle(): boolean {
     return this.running.size === 0;
   }
 
-  private mark(task: HeldTask): string {
-    return `${this.settings.agentId}/${task.job}/${task.index}/${task.attempt}`;
-  }
-
+  /** Starts the command of a task. */
   start(task: HeldTask, job: AgentJob, host: string, boot: string): void {
     const record: TaskRecord = {
       task,
@@ -90,95 +89,70 @@
       startedUptimeS: uptime(),
       boot,
     };
-    // On disk before it runs: whoever comes back knows that it may have.
+    // Recorded before it is started, so that an agent that is restarted knows that it may have run.
     this.directory.saveTask(record);
     const command = job.command && commandForTask(job.command, task.index);
-    const dir = this.directory.taskDirectory(task);
-    const running: RunningTask = { record, job, child: null, pid: null, termination: null, exited: false };
-    this.running.set(task, running);
+    const running = this.track(record, job);
     if (!command) return this.fail(running, 'cannot run');
-    let stdoutFd = -1;
-    let stderrFd = -1;
+    const onFailure = (error: Error): void => {
+      this.log('warn', 'cannot run', { piece: taskKey(task.job, task.index), error: String(error.message) });
+      this.fail(running, 'cannot run');
+    };
+    const directory = this.directory.taskDirectory(task);
     try {
-      const cwd = command.dir ?? join(dir, 'work');
-      if (command.dir === null) mkdirSync(cwd, { recursive: true });
-      const outputPath = (name: string | null, own: string): string =>
-        name === null ? join(dir, own) : isAbsolute(name) ? name : join(cwd, name);
-      stdoutFd = openSync(outputPath(command.stdout, 'stdout'), 'a', 0o600);
-      stderrFd = openSync(outputPath(command.stderr, 'stderr'), 'a', 0o600);
-      const child = spawn('/bin/sh', ['-c', shim, 'dapplepick', dir, ...command.argv], {
-        cwd,
-        detached: true,
-        stdio: ['ignore', stdoutFd, stderrFd],
-        env: {
-          ...process.env,
-          ...command.env,
-          [markVariable]: this.mark(task),
-          DAPPLEPICK_JOB: task.job,
-          DAPPLEPICK_INDEX: String(task.index),
-          DAPPLEPICK_ATTEMPT: String(task.attempt),
-          DAPPLEPICK_HOST: host,
-        },
-      });
+      const child = spawnCommand({ task, command, directory, mark: this.mark(task), host });
       running.child = child;
       running.pid = child.pid ?? null;
-      child.on('error', (error) => {
-        this.log('warn', 'cannot run', { piece: taskKey(task.job, task.index), error: error.message });
-        this.fail(running, 'cannot run');
-      });
+      child.on('error', onFailure);
       child.on('exit', (code, signal) => this.onExit(running, code, signal));
-    } catch (e) {
-      this.log('warn', 'cannot run', {
-        piece: taskKey(task.job, task.index),
-        error: String((e as Error).message),
-      });
-      if (stderrFd >= 0) writeSync(stderrFd, `${String((e as Error).message)}\n`);
-      this.fail(running, 'cannot run');
-    } finally {
-      for (const fd of [stdoutFd, stderrFd]) if (fd >= 0) closeSync(fd);
+    } catch (error) {
+      onFailure(error as Error);
     }
   }
 
-  /** A task from before this process began: it runs on, has ended, or never began. */
+  /** Takes over a task that an earlier process of this agent started: it runs, has exited, or never ran. */
   adopt(record: TaskRecord, job: AgentJob, boot: string): void {
     const { task } = record;
-    const dir = this.directory.taskDirectory(task);
-    const running: RunningTask = { record, job, child: null, pid: null, termination: null, exited: false };
-    this.running.set(task, running);
-    let unclaimed = false;
-    try {
-      mkdirSync(join(dir, 'claim'));
-      unclaimed = true;
-    } catch {
-      // Its shim was there first: it has run.
-    }
-    // Guards against running it twice: nobody can begin it any more, and it is not begun here.
-    if (unclaimed || record.boot !== boot) return this.fail(running, 'lost');
-    running.pid = this.readGroupLeader(running);
-    this.log('info', 'task found again', { piece: taskKey(task.job, task.index), pid: running.pid });
-    if (this.readExitCode(running) !== null || running.pid === null || !this.isAlive(running))
+    const running = this.track(record, job);
+    const directory = this.directory.taskDirectory(task);
+    // A claim by this process keeps the shim from running the command later, and the task is not started a second time.
+    if (claimTask(directory) || record.boot !== boot) return this.fail(running, 'lost');
+    running.pid = readGroupLeader(directory);
+    this.log('info', 'task adopted', { piece: taskKey(task.job, task.index), pid: running.pid });
+    if (readExitCode(directory) !== null || running.pid === null || !this.isAlive(running))
       this.onExit(running, null, null);
   }
 
+  /** Stops a task with SIGTERM, and with SIGKILL after `graceS`. */
   stop(task: HeldTask, graceS: number): void {
     const running = this.running.get(task);
     if (running) this.terminate(running, 'stopped', graceS);
   }
 
-  /** Processes of ours whose task is not running here: left over from a session that has ended. */
+  /** Kills processes of this agent whose task does not run, left over from an earlier epoch. */
   sweepOrphans(): void {
-    const known = new Set([...this.running.keys()].map((t) => this.mark(t)));
+    const known = new Set([...this.running.keys()].map((task) => this.mark(task)));
     for (const { pid, mark } of processesWithMark(`${this.settings.agentId}/`))
       if (!known.has(mark)) {
-        this.log('warn', 'orphan ended', { pid, mark });
+        this.log('warn', 'orphan killed', { pid, mark });
         sendSignal(pid, 'SIGKILL');
       }
   }
 
+  private mark(task: HeldTask): string {
+    return `${this.settings.agentId}/${task.job}/${task.index}/${task.attempt}`;
+  }
+
+  private track(record: TaskRecord, job: AgentJob): RunningTask {
+    const running = { record, job, child: null, pid: null, termination: null, exited: false };
+    this.running.set(record.task, running);
+    return running;
+  }
+
   private terminate(running: RunningTask, reason: ResultReason, graceS: number): void {
     const now = performance.now();
     if (running.termination) {
-      // Told again, and less patiently.
+      // Stopped a second time, now without grace.
       if (graceS <= 0) this.kill(running);
       return;
     }
@@ -190,7 +164,7 @@
   private kill(running: RunningTask): void {
     if (running.termination) running.termination.killed = true;
     if (running.pid !== null) sendSignal(-running.pid, 'SIGKILL');
-    // Of a task that was found again no end is told to us.
+    // No exit event comes for an adopted task.
     if (!running.child) this.onExit(running, null, 'SIGKILL');
   }
 
@@ -205,13 +179,13 @@
         this.onExit(running, null, null);
         continue;
       }
-      this.truncateOutput(running);
+      truncateOutput(this.directory.taskDirectory(running.record.task), this.settings.outputBytes);
       if (running.termination) {
         if (now >= running.termination.killAt && !running.termination.killed) this.kill(running);
         continue;
       }
       const { wallS } = running.job.command ?? { wallS: null };
-      const residentMb = members.reduce((sum, p) => sum + p.residentMb, 0);
+      const residentMb = members.reduce((sum, member) => sum + member.residentMb, 0);
       if (wallS !== null && uptime() - running.record.startedUptimeS > wallS)
         this.terminate(running, 'wall time', this.settings.graceS);
       else if (running.job.memGb > 0 && residentMb > running.job.memGb * 1024)
@@ -219,58 +193,25 @@
     }
   }
 
-  /** Output beyond the limit is cut back: the beginning stays, what comes later follows the cut. */
-  private truncateOutput(running: RunningTask): void {
-    const dir = this.directory.taskDirectory(running.record.task);
-    for (const name of ['stdout', 'stderr']) {
-      const path = join(dir, name);
-      if (!existsSync(path) || statSync(path).size <= this.settings.outputBytes) continue;
-      const fd = openSync(path, 'r+');
-      try {
-        const half = Math.floor(this.settings.outputBytes / 2);
-        ftruncateSync(fd, half);
-        writeSync(
-          fd,
-          `\n[output over ${this.settings.outputBytes} bytes was cut here]\n`,
-          fstatSync(fd).size,
-        );
-      } finally {
-        closeSync(fd);
-      }
-    }
-  }
-
-  private readGroupLeader(running: RunningTask): number | null {
-    const path = join(this.directory.taskDirectory(running.record.task), 'pid');
-    const pid = existsSync(path) ? Number(readFileSync(path, 'latin1')) : NaN;
-    return Number.isInteger(pid) && pid > 1 ? pid : null;
-  }
-
-  /** Guards against the number that has been given to another process since. */
+  /** Whether the group leader still is the task's process, and not another one with a reused PID. */
   private isAlive(running: RunningTask): boolean {
-    return processesWithMark(this.mark(running.record.task)).some((p) => p.pid === running.pid);
-  }
-
-  private readExitCode(running: RunningTask): number | null {
-    const path = join(this.directory.taskDirectory(running.record.task), 'exit');
-    return existsSync(path) ? Number(readFileSync(path, 'latin1')) : null;
+    return processesWithMark(this.mark(running.record.task)).some(({ pid }) => pid === running.pid);
   }
 
   private fail(running: RunningTask, reason: ResultReason): void {
     this.finish(running, { exit: null, signal: null, reason });
   }
 
-  /** The shim has ended: what the command left behind is ended, too. */
+  /** The shim has exited: what is left of the command's process group is killed. */
   private onExit(running: RunningTask, code: number | null, signal: NodeJS.Signals | null): void {
     if (running.exited || !this.running.has(running.record.task)) return;
     running.exited = true;
     if (running.pid !== null) sendSignal(-running.pid, 'SIGKILL');
-    const recorded = this.readExitCode(running);
+    const recorded = readExitCode(this.directory.taskDirectory(running.record.task));
     const exit = recorded ?? code;
     const reason = running.termination?.reason ?? (exit === null ? 'lost' : 'exited');
-    // A shell tells a signal by 128 more than its number.
-    if (exit !== null && exit > 128 && exit <= 192)
-      this.exits.set(running, { exit: null, signal: signalName(exit - 128), reason });
+    if (exit !== null && exit > shellSignalBase && exit <= shellSignalBase + maxSignal)
+      this.exits.set(running, { exit: null, signal: signalName(exit - shellSignalBase), reason });
     else
       this.exits.set(running, {
         exit,
@@ -280,21 +221,21 @@
     this.cleanupTimer ??= setTimeout(() => this.cleanUp(), cleanupDelayMs);
   }
 
-  /** Ends what has left the groups of commands that are over, and only then tells of their ends. */
+  /** Kills processes that have left the groups of exited commands, and only then reports the ends of the commands. */
   private cleanUp(): void {
     this.cleanupTimer = null;
-    const exitedMarks = new Set([...this.exits.keys()].map((r) => this.mark(r.record.task)));
+    const exitedMarks = new Set([...this.exits.keys()].map((running) => this.mark(running.record.task)));
     for (const { pid, mark } of processesWithMark(`${this.settings.agentId}/`))
       if (exitedMarks.has(mark)) sendSignal(pid, 'SIGKILL');
-    const exits = [...this.exits];
+    const ends = [...this.exits];
     this.exits.clear();
-    for (const [r, how] of exits) this.finish(r, how);
+    for (const [running, end] of ends) this.finish(running, end);
   }
 
-  private finish(running: RunningTask, end: Pick<TaskResult, 'exit' | 'signal' | 'reason'>): void {
+  private finish(running: RunningTask, end: CommandEnd): void {
     const { task, startedAt, startedUptimeS } = running.record;
     if (!this.running.delete(task)) return;
-    // By the steady clock: the time of day may have jumped.
+    // By the machine's uptime: the time of day may have been set meanwhile.
     const endedAt = startedAt + Math.max(0, Math.round((uptime() - startedUptimeS) * 1000));
     const saved = end.reason === 'stopped' && end.exit === 0 && running.job.checkpointS > 0;
     this.events.ended(task, { ...end, startedAt, endedAt }, saved);
--- a/src/agent/index.ts
+++ b/src/agent/index.ts
@@ -1,3 +1,4 @@
+/** The agent. */
 export { Agent } from './agent.js';
 export { parseAgentSettings, type AgentSettings } from './settings.js';
 export { Worker, type WorkerEffect } from './worker.js';
--- a/src/agent/processes.ts
+++ b/src/agent/processes.ts
@@ -1,10 +1,12 @@
+/** The machine's processes, as /proc shows them: groups, memory, and the marks by which tasks' processes are found. */
 import { readdirSync, readFileSync } from 'node:fs';
 
-/** In the environment of everything that a task starts: also what leaves its group can be told to be its. */
+/** The environment variable that marks all processes of a task, also those that have left its process group. */
 export const markVariable = 'DAPPLEPICK_TASK';
 const pageKb = 4;
 
-interface GroupMember {
+/** A process of a process group. */
+export interface GroupMember {
   pid: number;
   group: number;
   residentMb: number;
@@ -19,18 +21,18 @@
   try {
     return readFileSync(path, 'latin1');
   } catch {
-    // It has ended meanwhile.
+    // The process has ended meanwhile.
     return null;
   }
 }
 
-/** All processes by group, with what they hold. Zombies are not counted: they are over. */
+/** All processes by process group, without zombies. */
 export function processesByGroup(): Map<number, GroupMember[]> {
   const byGroup = new Map<number, GroupMember[]>();
   for (const pid of pids()) {
     const stat = readProcFile(`/proc/${pid}/stat`);
     if (stat === null) continue;
-    // The name is in brackets and may hold anything.
+    // The process name is in parentheses and may contain any characters.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     if (fields[0] === 'Z' || fields[0] === 'X') continue;
     const group = Number(fields[2]);
@@ -43,7 +45,7 @@
   return byGroup;
 }
 
-/** Processes that carry a mark beginning with this. */
+/** The processes whose mark begins with this prefix. */
 export function processesWithMark(prefix: string): { pid: number; mark: string }[] {
   const found: { pid: number; mark: string }[] = [];
   for (const pid of pids()) {
@@ -56,10 +58,11 @@
   return found;
 }
 
+/** Sends a signal to a process, or to a group by its negative ID; without effect if there is none. */
 export function sendSignal(pid: number, name: NodeJS.Signals): void {
   try {
     process.kill(pid, name);
   } catch {
-    // Nobody is left.
+    // There is no such process any more.
   }
 }
--- a/src/agent/settings.ts
+++ b/src/agent/settings.ts
@@ -1,21 +1,27 @@
+/** The settings of an agent: the operators' file, its defaults and checks. */
 import { cpus, totalmem } from 'node:os';
 import { FormReader, readForms } from '../config/forms.js';
 import { SettingsError } from '../config/settings.js';
 import type { Joining } from '../wire/agent-side.js';
 
-/** What it says of itself when it joins, and how it works. */
+/** The settings of an agent: what it says of its machine when it joins, and how it works. */
 export interface AgentSettings extends Omit<Joining, 'id'> {
-  /** Control services, in the order in which they are tried, and their names. */
+  /** The addresses of control services, in the order in which they are tried, and their member names. */
   controls: string[];
   controlNames: string[];
+  /** Where the agent listens; port 0: any free one. */
   listen: { host: string; port: number };
+  /** Where the agent keeps its records and the output of tasks. */
   directory: string;
+  /** The greatest size of each output file. */
   outputBytes: number;
+  /** For commands over their wall time: the time between SIGTERM and SIGKILL, s. */
   graceS: number;
+  /** How often commands are checked against their limits, ms. */
   checkIntervalMs: number;
 }
 
-/** What holds unless the file or the command line say otherwise; resources are measured. */
+/** The defaults; the machine's resources are measured. */
 export function agentDefaults(): AgentSettings {
   return {
     name: '',
@@ -43,7 +49,7 @@
       : text;
 
 /**
- * An agent's settings:
+ * Parses an agent's settings file:
  *
  *     (agent (name "desk-1") (control "127.0.0.1:8080") (directory "var/desk-1")
  *       (zone here) (cpus 4) (mem-gb 8) (attribute has-scanner true))
@@ -97,11 +103,12 @@
   return validateAgentSettings(settings, origin);
 }
 
+/** Checks the settings and fills in the machine type. */
 export function validateAgentSettings(settings: AgentSettings, origin: string): AgentSettings {
   if (settings.name === '') throw new SettingsError(`${origin}: name: missing`);
   if (settings.controls.length === 0) throw new SettingsError(`${origin}: control: missing`);
   if (settings.directory === '') throw new SettingsError(`${origin}: directory: missing`);
-  // Machines of one type are alike: so what they have is in the name, unless they are given one.
+  // Machines of one type must have the same resources, so the default name is made of them.
   if (settings.type === '') settings.type = `c${settings.cpus}-g${settings.gpus}-m${settings.memGb}`;
   return settings;
 }
--- a/src/agent/shim.ts
+++ b/src/agent/shim.ts
@@ -1,8 +1,10 @@
+/** The shell script between the agent and a command. */
+
 /**
- * Stands between the agent and a command, so that the command's end is on disk also when the agent is not there to see it.
- * Arguments: the task's directory, then the command. Making the directory `claim` decides, once and for all, that it runs:
- * an agent that comes back and does not know makes it itself, and then it never will. Signals to the group reach the
- * command; the shim outlives them to write its exit code.
+ * Records the end of a command on disk, so that it is known even if the agent does not run at that time. Arguments: the
+ * task's directory, then the command. Creating the directory `claim` decides, once, whether the command runs: an agent that
+ * is restarted and does not know creates it itself, and then the command never runs. Signals to the process group reach the
+ * command; the shim ignores them, to write its exit code.
  */
 export const shim = `
 d=$1; shift
--- a/src/agent/simulated-tasks.ts
+++ b/src/agent/simulated-tasks.ts
@@ -1,17 +1,21 @@
+/** Simulates the tasks of jobs without a command. */
 import { uptime } from 'node:os';
 import type { AgentJob, HeldTask, ResultReason } from '../wire/agent-side.js';
 import type { TaskEvents } from './command-runner.js';
 import type { Random } from '../retry/index.js';
 
+/** A simulated task that runs. */
 interface Simulation {
   startedAt: number;
   startedUptimeS: number;
   job: AgentJob;
+  /** Fires when it ends; null: it hangs. */
   timer: NodeJS.Timeout | null;
+  /** What it allocates. */
   memory: Buffer | null;
 }
 
-/** Plays tasks of jobs that have no command: they sleep, fail, hang or take memory, as their class is set to. */
+/** Simulated tasks sleep, fail, hang or allocate memory, as the settings of their class say. */
 export class SimulatedTasks {
   private readonly running = new Map<HeldTask, Simulation>();
 
@@ -20,6 +24,7 @@
     private readonly events: TaskEvents,
   ) {}
 
+  /** Starts a task. */
   start(task: HeldTask, job: AgentJob): void {
     const { sleepS, fail, hang, memMb } = job.standIn;
     const simulation: Simulation = {
@@ -39,10 +44,12 @@
     simulation.timer = setTimeout(() => this.end(task, 'exited', exit, null), sleepS * 1000);
   }
 
+  /** Whether this is a simulated task that runs. */
   has(task: HeldTask): boolean {
     return this.running.has(task);
   }
 
+  /** Stops a task, which first takes its time for a checkpoint if there is enough of it. */
   stop(task: HeldTask, graceS: number): void {
     const simulation = this.running.get(task);
     const savesCheckpoint =
@@ -52,6 +59,7 @@
     simulation.timer = setTimeout(() => this.end(task, 'stopped', 0, null), simulation.job.saveS * 1000);
   }
 
+  /** Drops all tasks without reporting their ends. */
   close(): void {
     for (const simulation of this.running.values()) if (simulation.timer) clearTimeout(simulation.timer);
     this.running.clear();
--- /dev/null
+++ b/src/agent/task-files.ts
@@ -0,0 +1,51 @@
+/** The files that a task's shim and command leave in the task's directory. */
+import {
+  closeSync,
+  existsSync,
+  ftruncateSync,
+  fstatSync,
+  mkdirSync,
+  openSync,
+  readFileSync,
+  statSync,
+  writeSync,
+} from 'node:fs';
+import { join } from 'node:path';
+
+/** The process group leader that the shim has recorded; null if it has not yet. */
+export function readGroupLeader(directory: string): number | null {
+  const path = join(directory, 'pid');
+  const pid = existsSync(path) ? Number(readFileSync(path, 'latin1')) : NaN;
+  return Number.isInteger(pid) && pid > 1 ? pid : null;
+}
+
+/** The exit code that the shim has recorded; null if the command has not exited. */
+export function readExitCode(directory: string): number | null {
+  const path = join(directory, 'exit');
+  return existsSync(path) ? Number(readFileSync(path, 'latin1')) : null;
+}
+
+/** Claims the right to run a task, which its shim does before it runs the command; false if it is claimed already. */
+export function claimTask(directory: string): boolean {
+  try {
+    mkdirSync(join(directory, 'claim'));
+    return true;
+  } catch {
+    return false;
+  }
+}
+
+/** Cuts output files above the limit to half of it; what the command writes later follows a note about the cut. */
+export function truncateOutput(directory: string, maxBytes: number): void {
+  for (const name of ['stdout', 'stderr']) {
+    const path = join(directory, name);
+    if (!existsSync(path) || statSync(path).size <= maxBytes) continue;
+    const fd = openSync(path, 'r+');
+    try {
+      ftruncateSync(fd, Math.floor(maxBytes / 2));
+      writeSync(fd, `\n[output over ${maxBytes} bytes was cut here]\n`, fstatSync(fd).size);
+    } finally {
+      closeSync(fd);
+    }
+  }
+}
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -1,3 +1,4 @@
+/** `dapplepick condor`: HTCondor's submit files and match expressions. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import {
@@ -18,13 +19,15 @@
 import { newJobId } from './job-id.js';
 import { printLine } from './output.js';
 
+/** Expressions on the command line may depend on time and chance. */
 const evaluationContext = (): EvaluationContext => ({ nowS: Date.now() / 1000, random: Math.random });
 
+/** Reads a file, `-` for standard input; ends the program if it cannot be read. */
 function readInput(path: string, fail: Fail): string {
   try {
     return readFileSync(path === '-' ? 0 : path, 'utf8');
-  } catch (e) {
-    return fail(`${path}: cannot be read: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
+  } catch (error) {
+    return fail(`${path}: cannot be read: ${(error as NodeJS.ErrnoException).code ?? String(error)}`);
   }
 }
 
@@ -38,13 +41,13 @@
   }
 }
 
-/** In the form that editors understand: nothing before the file's name. */
+/** Ends the program with a message in the form that editors understand: it begins with the file name. */
 function failAtPosition(message: string): never {
   process.stderr.write(`${message}\n`);
   process.exit(1);
 }
 
-/** All jobs as one array, piece by piece: they may be a hundred thousand. */
+/** All jobs as one JSON array, in chunks, because there may be a hundred thousand jobs. */
 function* jsonChunks(ads: Iterable<Ad>): Generator<string> {
   let first = true;
   for (const ad of ads) {
@@ -58,7 +61,7 @@
   const text = readInput(file, fail);
   try {
     const submission = new Submission(text, file, submitHost());
-    // Nothing is printed of a file that has a mistake further on.
+    // All jobs are made first: nothing is printed of a file with a mistake further on.
     const ads = [...submission.jobs()];
     for (const w of submission.warnings) process.stderr.write(`${w}\n`);
     let buffer = '';
@@ -81,7 +84,7 @@
   return `${job['ClusterId']}.${job['ProcId']}  ${job['Cmd']} ${job['Args'] ?? ''}`.trimEnd();
 }
 
-/** All of a file is understood before any of it is submitted. */
+/** Submits the jobs of a file, after all of the file was parsed. */
 async function submit(file: string, json: boolean, node: string, team: string, fail: Fail): Promise<void> {
   const text = readInput(file, fail);
   const submissions: { first: number; count: number; job: Record<string, unknown> }[] = [];
@@ -131,7 +134,7 @@
   process.exit(0);
 }
 
-/** What users of HTCondor know, under one word. */
+/** Registers `condor` and its subcommands. */
 export function addCondorCommands(program: Command, fail: Fail): void {
   const condor = program.command('condor').description('submit files and match expressions of HTCondor');
   condor
--- a/src/matching/analysis.ts
+++ b/src/matching/analysis.ts
@@ -1,28 +1,34 @@
+/** Analyses which machines match a job's requirements, for users who wonder where their job is. */
 import type { Expr } from '../classad/index.js';
 
-/** The parts of a condition that must all hold. */
+/** The operands of a condition's `&&` operators, all of which must hold. */
 export function splitConjuncts(condition: Expr): Expr[] {
   return condition.k === 'bin' && condition.op === '&&'
     ? [...splitConjuncts(condition.a), ...splitConjuncts(condition.b)]
     : [condition];
 }
 
+/** How one operand of a condition restricts the machines. Field names are part of the API. */
 export interface ClauseAnalysis {
   text: string;
-  /** Machines on which it does not hold, and of these: on how many it has no value (an attribute is not there). */
+  /** On how many machines it does not hold. */
   excludes: number;
+  /** On how many of these it has no value, because an attribute is missing. */
   unknown: number;
 }
 
+/** Which machines match a job's requirements. Field names are part of the API. */
 export interface Analysis {
+  /** All machines. */
   machines: number;
+  /** Those that match. */
   matching: number;
   clauses: ClauseAnalysis[];
-  /** Attributes that it asks for and no machine has. */
+  /** Attributes that the requirements name and no machine has. */
   nowhere: string[];
 }
 
-/** For people: why a job has the machines that it has. */
+/** The analysis in words, one line for each fact. */
 export function describeAnalysis(analysis: Analysis): string[] {
   const machineCount = `${analysis.machines} machine${analysis.machines === 1 ? '' : 's'}`;
   const lines = [`${analysis.matching} of ${machineCount} match`];
--- a/src/matching/machine-ad.ts
+++ b/src/matching/machine-ad.ts
@@ -1,3 +1,4 @@
+/** Machines as ClassAd records. */
 import { Ad, literal, type Value } from '../classad/index.js';
 import type { MachineAttributes } from '../policy/matching.js';
 import type { Joining } from '../wire/agent-side.js';
@@ -5,11 +6,11 @@
 const toValue = (v: string | number | boolean): Value =>
   typeof v === 'number' && Number.isInteger(v) ? BigInt(v) : v;
 
-/** A machine as jobs' expressions see it. */
+/** The record of a machine, as jobs' expressions see it. */
 export const machineAd = (attributes: MachineAttributes): Ad =>
   new Ad(Object.entries(attributes).map(([name, v]) => ({ name, expr: literal(toValue(v)) })));
 
-/** What is said of an agent's machine: its own attributes, and above them what is known anyway. */
+/** The attributes of an agent's machine: its own, overridden by those that the control service knows. */
 export const machineAttributes = (machine: Omit<Joining, 'id'> & { host: string }): MachineAttributes => ({
   ...machine.attrs,
   Name: machine.name,
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -1,3 +1,4 @@
+/** Evaluates jobs' requirements and ranks on machines, and caches the results by autocluster and machine signature. */
 import {
   Ad,
   referencedAttributes,
@@ -18,110 +19,122 @@
 import { machineAd } from './machine-ad.js';
 
 interface MachineEntry {
-  ad: Ad;
-  version: number;
+  readonly ad: Ad;
+  /** Changes with the attributes. */
+  readonly version: number;
 }
 
-/** Machines that are alike in the attributes that a set of expressions names. */
+/** The attributes that a set of expressions names, `*` for all, and by host the machines' values of them. */
 interface AttributeProjection {
-  names: readonly string[];
-  signatures: Map<string, { version: number; signature: string }>;
+  readonly names: readonly string[];
+  readonly signatures: Map<string, { version: number; signature: string }>;
 }
 
 interface MatchVerdict {
-  matches: boolean;
-  rank: number;
+  readonly matches: boolean;
+  readonly rank: number;
 }
 
-/** Jobs with the same expressions: they are evaluated once for each kind of machine. */
+/** Jobs with the same expressions. These are evaluated once for all machines of the same signature. */
 interface Autocluster {
-  my: Ad;
-  requirements: Expr;
-  rank: Expr | null;
-  projection: AttributeProjection;
-  verdicts: Map<string, MatchVerdict>;
+  readonly my: Ad;
+  readonly requirements: Expr;
+  readonly rank: Expr | null;
+  readonly projection: AttributeProjection;
+  /** By machine signature. */
+  readonly verdicts: Map<string, MatchVerdict>;
 }
 
-/** Beyond so many, what is remembered begins anew: only time is lost by it. */
+/** When there are more, the caches are emptied: that costs time only. */
 const maxAutoclusters = 20_000;
-/** More than a fleet has machines: where each is of a kind of its own, a smaller one is emptied within every look. */
+/**
+ * More than a fleet has machines: where each has a signature of its own, a smaller cache would be emptied in every scheduling
+ * cycle.
+ */
 const maxVerdicts = 16_384;
 
-const rankValue = (v: Value): number =>
-  typeof v === 'bigint' ? Number(v) : typeof v === 'number' && Number.isFinite(v) ? v : v === true ? 1 : 0;
+/** A rank as a number: 0 for values that are none. */
+function rankValue(value: Value): number {
+  if (typeof value === 'bigint') return Number(value);
+  if (typeof value === 'number' && Number.isFinite(value)) return value;
+  return value === true ? 1 : 0;
+}
 
-/** What is wrong with a job's expressions; null: nothing. Names the field. */
+/** What is wrong with a job's expressions, and in which field; null if nothing is. */
 export function matchSpecError(spec: MatchSpec): string | null {
-  const fields: [string, string][] = Object.entries(spec.attributes).map(([n, text]) => [
-    `attributes.${n}`,
+  const fields: [string, string][] = Object.entries(spec.attributes).map(([name, text]) => [
+    `attributes.${name}`,
     text,
   ]);
   if (spec.requirements !== null) fields.push(['requirements', spec.requirements]);
   if (spec.rank !== null) fields.push(['rank', spec.rank]);
   for (const [field, text] of fields)
     try {
-      // Guards against a verdict that was right only for a moment: it is remembered.
+      // Verdicts are cached, so they must stay true.
       if (isNonDeterministic(parseExpr(text))) return `${field}: must not depend on time or chance`;
-    } catch (e) {
-      if (e instanceof ClassAdError) return `${field}: ${e.message}`;
-      throw e;
+    } catch (error) {
+      if (error instanceof ClassAdError) return `${field}: ${error.message}`;
+      throw error;
     }
   return null;
 }
 
+/** Matches jobs with machines. */
 export class ClassAdMatcher implements Matcher {
   private readonly machines = new Map<string, MachineEntry>();
   private readonly projections = new Map<string, AttributeProjection>();
   private autoclusters = new Map<string, Autocluster>();
   private lastVersion = 0;
-  /** Evaluations so far: what matching costs. */
+  /** How many evaluations there were, a measure of the cost of matching. */
   evaluations = 0;
 
+  /** Replaces what a machine advertises; null: it is gone. */
   setAttributes(host: string, attributes: MachineAttributes | null): void {
     if (attributes === null) {
       this.machines.delete(host);
-      for (const v of this.projections.values()) v.signatures.delete(host);
+      for (const projection of this.projections.values()) projection.signatures.delete(host);
       return;
     }
     this.machines.set(host, { ad: machineAd(attributes), version: ++this.lastVersion });
   }
 
+  /** The match of a job; null: it has no expressions. */
   matchFor(spec: JobSpec): MachineMatch | null {
     if (!spec.match) return null;
-    const cluster = this.autocluster(spec.match);
+    const autocluster = this.autocluster(spec.match);
     return {
-      hasRank: cluster.rank !== null,
-      allows: (host) => this.verdict(cluster, host)?.matches ?? false,
-      rank: (host) => this.verdict(cluster, host)?.rank ?? 0,
+      hasRank: autocluster.rank !== null,
+      allows: (host) => this.verdict(autocluster, host)?.matches ?? false,
+      rank: (host) => this.verdict(autocluster, host)?.rank ?? 0,
     };
   }
 
-  /** Which machines a job's requirements leave, and which part of them excludes how many. */
+  /** Which machines match a job's requirements, and how many each of their operands excludes. */
   analyze(spec: MatchSpec): Analysis {
     const autocluster = this.autocluster(spec);
     const conjuncts = splitConjuncts(
       spec.requirements === null ? literal(true) : parseExpr(spec.requirements),
-    ).map((e) => ({
-      e,
-      text: printExpr(e),
+    ).map((expr) => ({
+      expr,
+      text: printExpr(expr),
       excludes: 0,
       unknown: 0,
     }));
     const presentAttributes = new Set<string>();
     let matching = 0;
     for (const [host, machine] of this.machines) {
-      for (const a of machine.ad) presentAttributes.add(a.name.toLowerCase());
+      for (const { name } of machine.ad) presentAttributes.add(name.toLowerCase());
       if (this.evaluateMachine(autocluster, machine, host).matches) matching++;
-      for (const p of conjuncts) {
-        const v = evaluate(p.e, autocluster.my, machine.ad);
-        if (truth(v) === true) continue;
-        p.excludes++;
-        if (v === undefined) p.unknown++;
+      for (const conjunct of conjuncts) {
+        const value = evaluate(conjunct.expr, autocluster.my, machine.ad);
+        if (truth(value) === true) continue;
+        conjunct.excludes++;
+        if (value === undefined) conjunct.unknown++;
       }
     }
     const nowhere = autocluster.projection.names
-      .filter((n) => n !== '*' && !presentAttributes.has(n))
-      .map((n) => this.originalSpelling(spec, n));
+      .filter((name) => name !== '*' && !presentAttributes.has(name))
+      .map((name) => originalSpelling(spec, name));
     return {
       machines: this.machines.size,
       matching,
@@ -130,16 +143,6 @@
     };
   }
 
-  /** A name as its user wrote it. */
-  private originalSpelling(spec: MatchSpec, name: string): string {
-    const texts = [spec.requirements, spec.rank, ...Object.values(spec.attributes)].filter((t) => t !== null);
-    for (const t of texts) {
-      const found = new RegExp(`\\b${name.replace(/[^\w]/g, '\\$&')}\\b`, 'i').exec(t);
-      if (found) return found[0];
-    }
-    return name;
-  }
-
   private autocluster(spec: MatchSpec): Autocluster {
     const key = JSON.stringify([spec.requirements, spec.rank, Object.entries(spec.attributes).sort()]);
     let found = this.autoclusters.get(key);
@@ -169,9 +172,9 @@
       ...referencedAttributes(requirements, my),
       ...(rank ? referencedAttributes(rank, my) : []),
     ];
-    // A rank that is the same everywhere is none.
-    const ranks = rank !== null && rank.k !== 'lit' ? rank : null;
-    return { my, requirements, rank: ranks, projection: this.projection(names), verdicts: new Map() };
+    // A constant rank prefers no machine.
+    const variableRank = rank !== null && rank.k !== 'lit' ? rank : null;
+    return { my, requirements, rank: variableRank, projection: this.projection(names), verdicts: new Map() };
   }
 
   private projection(names: string[]): AttributeProjection {
@@ -182,7 +185,7 @@
     return found;
   }
 
-  /** null: nothing is known of such a machine. */
+  /** null: the machine is not known. */
   private verdict(autocluster: Autocluster, host: string): MatchVerdict | null {
     const machine = this.machines.get(host);
     return machine ? this.evaluateMachine(autocluster, machine, host) : null;
@@ -196,7 +199,6 @@
       this.evaluations++;
       verdict = {
         matches: truth(evaluate(autocluster.requirements, autocluster.my, machine.ad)) === true,
-        // One that has no value, or is an error, likes all alike.
         rank: autocluster.rank ? rankValue(evaluate(autocluster.rank, autocluster.my, machine.ad)) : 0,
       };
       autocluster.verdicts.set(signature, verdict);
@@ -204,24 +206,39 @@
     return verdict;
   }
 
-  /** Its values of the attributes that matter; only when one of them changes is anything evaluated again. */
+  /** A machine's values of the attributes that matter. Only when one of them changes are expressions evaluated again. */
   private signatureOf(projection: AttributeProjection, machine: MachineEntry, host: string): string {
     const known = projection.signatures.get(host);
     if (known?.version === machine.version) return known.signature;
-    const kind = projection.names.includes('*')
+    const signature = projection.names.includes('*')
       ? `#${machine.version}`
       : projection.names
-          .map((n) => {
-            const e = machine.ad.get(n);
-            return e ? printExpr(e) : '';
+          .map((name) => {
+            const expr = machine.ad.get(name);
+            return expr ? printExpr(expr) : '';
           })
           .join('\n');
-    projection.signatures.set(host, { version: machine.version, signature: kind });
-    return kind;
+    projection.signatures.set(host, { version: machine.version, signature });
+    return signature;
+  }
+}
+
+/** An attribute name in the spelling of the job's expressions; the analysis knows it in lower case. */
+function originalSpelling(spec: MatchSpec, name: string): string {
+  const texts = [spec.requirements, spec.rank, ...Object.values(spec.attributes)].filter(
+    (text) => text !== null,
+  );
+  for (const text of texts) {
+    const found = new RegExp(`\\b${name.replace(/[^\w]/g, '\\$&')}\\b`, 'i').exec(text);
+    if (found) return found[0];
   }
+  return name;
 }
 
-/** What was accepted was checked; a record of another version that cannot be read matches nothing. */
+/**
+ * Expressions were checked when the job was accepted; one that another version accepted and this one cannot parse gets the
+ * fallback, so that it matches nothing.
+ */
 function parseOrDefault(text: string, fallback: Expr): Expr {
   try {
     return parseExpr(text);
