--- a/scale/users.ts
+++ b/scale/users.ts
@@ -2,7 +2,7 @@
 import { Agent } from 'node:http';
 import { requestJson, type JsonResponse } from '../src/net/client.js';
 import { seededRandom, type Random } from '../src/retry/index.js';
-import { jobPath, plainSubmission, withdrawEnd } from '../src/wire/user.js';
+import { jobPath, defaultSubmission, cancelSuffix } from '../src/wire/user.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import { jobId, type JobKind } from './jobs.js';
 import { now, type FromUsers, type ToUsers, type UserEvent, type UsersStart } from './messages.js';
@@ -117,7 +117,7 @@
     const team = teams[Math.floor(this.random() * teams.length)];
     const urgent = kind === 'urgent';
     const body = {
-      ...plainSubmission,
+      ...defaultSubmission,
       nameId: id,
       jobclass: urgent ? 'urgent' : 'batch',
       owner: team,
@@ -170,7 +170,7 @@
   private async cancel(id: string): Promise<void> {
     const firstAt = now();
     for (;;) {
-      const reply = await this.call('POST', `${jobPath}/${id}/${withdrawEnd}`, {}, submitPatienceMs);
+      const reply = await this.call('POST', `${jobPath}/${id}/${cancelSuffix}`, {}, submitPatienceMs);
       const status = reply?.status === 200 ? (reply.body as { status: string }).status : null;
       if (status === 'aborted')
         this.note({ at: now(), what: 'cancelled', job: id, afterMs: now() - firstAt });
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -5,11 +5,11 @@
 import { requestJson } from '../src/net/client.js';
 import type { Random } from '../src/retry/index.js';
 import {
-  agentReportOut,
-  parseAnswer,
-  parseBoss,
+  encodeAgentReport,
+  parseHeartbeatResponse,
+  parseRedirect,
   type AgentReport,
-  type HeldTask,
+  type AgentTask,
 } from '../src/wire/agent-side.js';
 import { machineType } from './cloud.js';
 import { now, type MachineSpec, type TaskEvent, type WorkerCounts, type WorkersStart } from './messages.js';
@@ -33,7 +33,7 @@
   renewed(): void;
 }
 
-interface RunningTask extends HeldTask {
+interface RunningTask extends AgentTask {
   /** Counts what the worker has started, so that the timer of a task that is gone does nothing. */
   start: number;
 }
@@ -110,7 +110,7 @@
       token: this.token,
       tasks: [...this.tasks.values()],
     };
-    return agentReportOut(report);
+    return encodeAgentReport(report);
   }
 
   // ---- reports ----
@@ -151,12 +151,12 @@
       const intervalMs = options.limits.reportS * 1000 * (1 + reportSpread * (2 * random() - 1));
       const afterMs = this.changed ? minReportIntervalMs : intervalMs;
       this.schedule(Math.max(0, sentAt + afterMs - now()));
-    } else this.moveOn(reply?.status === 421 ? parseBoss(reply.body) : null);
+    } else this.moveOn(reply?.status === 421 ? parseRedirect(reply.body) : null);
   }
 
   /** Takes an answer in, unless it has to be dropped. */
   private accept(body: unknown, session: number, sentAt: number): boolean {
-    const answer = parseAnswer(body);
+    const answer = parseHeartbeatResponse(body);
     if (!answer || answer.token === null || answer.token < this.token || session !== this.session)
       return false;
     this.raiseToken(answer.token);
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -3,7 +3,7 @@
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { readJson, sendJson } from '../src/net/json.js';
 import { seededRandom } from '../src/retry/index.js';
-import { parseOrders } from '../src/wire/agent-side.js';
+import { parseTaskOrders } from '../src/wire/agent-side.js';
 import { lagMeter, listenToParent, tellParent } from './child.js';
 import {
   noWorkers,
@@ -122,7 +122,7 @@
     const worker = this.byAddress.get(req.socket.localAddress ?? '');
     if (!worker) return void res.destroy();
     if (req.url === '/show') return sendJson(res, 200, worker.report());
-    const body = parseOrders(await readJson(req, maxBodyBytes));
+    const body = parseTaskOrders(await readJson(req, maxBodyBytes));
     const status = body ? worker.ordered(body.token, body.session, body.orders) : 400;
     sendJson(res, status, worker.report());
   }
--- a/src/agent/agent-directory.ts
+++ b/src/agent/agent-directory.ts
@@ -13,7 +13,7 @@
   writeSync,
 } from 'node:fs';
 import { join } from 'node:path';
-import type { AgentJob, HeldTask } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask } from '../wire/agent-side.js';
 
 /** What an agent keeps of itself. A stored record: field names are part of the format. */
 export interface AgentRecord {
@@ -32,7 +32,7 @@
  * field names are part of the format.
  */
 export interface TaskRecord {
-  task: HeldTask;
+  task: AgentTask;
   job: AgentJob | null;
   /** The time of day when it was started, ms, and the machine's uptime then, s: the time of day may be set. */
   startedAt: number;
--- a/src/agent/agent-server.ts
+++ b/src/agent/agent-server.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net';
 import { join } from 'node:path';
 import { readJson, sendJson as reply } from '../net/json.js';
-import { agentReportOut, parseOrders } from '../wire/agent-side.js';
+import { encodeAgentReport, parseTaskOrders } from '../wire/agent-side.js';
 import type { AgentDirectory } from './agent-directory.js';
 import type { Worker, WorkerEffect } from './worker.js';
 
@@ -60,21 +60,21 @@
     const worker = this.backend.worker();
     if (!worker) return reply(res, 503, { error: 'not joined yet' });
     if (req.method === 'GET' && url.pathname === '/show')
-      return reply(res, 200, agentReportOut(worker.buildHeartbeat()));
+      return reply(res, 200, encodeAgentReport(worker.buildHeartbeat()));
     if (req.method === 'POST' && url.pathname === '/orders') return this.executeOrders(worker, req, res);
     if (req.method === 'GET' && url.pathname === '/output') return this.sendOutput(url.searchParams, res);
     reply(res, 404, { error: 'not found' });
   }
 
   private async executeOrders(worker: Worker, req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const message = parseOrders(await readJson(req, maxBodyBytes));
+    const message = parseTaskOrders(await readJson(req, maxBodyBytes));
     if (!message || message.token === null || message.session === null)
       return reply(res, 400, { error: 'baton and tenure are needed' });
     const effects = worker.onDirectOrders(message.token, message.session, message.orders);
     if (effects) this.backend.applyEffects(effects);
     // Without orders it announces something that only the response to a heartbeat says.
     if (effects && message.orders.length === 0) this.backend.requestHeartbeat();
-    reply(res, effects ? 200 : 409, agentReportOut(worker.buildHeartbeat()));
+    reply(res, effects ? 200 : 409, encodeAgentReport(worker.buildHeartbeat()));
   }
 
   private sendOutput(query: URLSearchParams, res: ServerResponse): void {
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -4,12 +4,12 @@
 import type { Log } from '../core/effects.js';
 import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
 import {
-  agentReportOut,
-  parseAnswer,
-  parseBoss,
-  parseJoined,
-  type HeldTask,
-  type Joined,
+  encodeAgentReport,
+  parseHeartbeatResponse,
+  parseRedirect,
+  parseJoinResponse,
+  type AgentTask,
+  type JoinResponse,
   type TaskResult,
 } from '../wire/agent-side.js';
 import { AgentDirectory, type AgentRecord, type TaskRecord } from './agent-directory.js';
@@ -43,7 +43,7 @@
   private readonly server: AgentServer;
   /** null until the agent has joined. */
   private worker: Worker | null = null;
-  private joinTerms: Joined | null = null;
+  private joinTerms: JoinResponse | null = null;
   private workerState: WorkerState = { agentEpoch: 1, seq: 0, fencingToken: 0 };
   private failedAttempts = 0;
   private heartbeatRequested = false;
@@ -161,7 +161,7 @@
     });
     // An agent that was stopped while it waited must not adopt commands any more.
     if (this.stopped) return false;
-    const terms = response?.status === 200 ? parseJoined(response.body) : null;
+    const terms = response?.status === 200 ? parseJoinResponse(response.body) : null;
     if (!terms) {
       if (response) this.log('warn', 'membership refused', { status: response.status, body: response.body });
       this.control.switchToNext();
@@ -173,7 +173,7 @@
   }
 
   /** Restores the state on disk, unless the control service has given this machine a new host name. */
-  private resume(terms: Joined): void {
+  private resume(terms: JoinResponse): void {
     const sameHost = this.record.host === terms.host;
     const leaseMs = terms.leaseS * 1000;
     const records = this.directory.loadTasks();
@@ -234,12 +234,12 @@
     const sentAt = performance.now();
     const heartbeat = worker.buildHeartbeat();
     if (heartbeat.seq >= this.record.seqFrom) this.persistState();
-    const response = await this.control.call('POST', '/checkin', agentReportOut(heartbeat));
+    const response = await this.control.call('POST', '/checkin', encodeAgentReport(heartbeat));
     if (this.stopped) return 0;
     const reportMs = this.joinTerms!.reportS * 1000;
     if (response?.status === 200) {
       this.failedAttempts = 0;
-      const answer = parseAnswer(response.body);
+      const answer = parseHeartbeatResponse(response.body);
       if (answer) this.applyEffects(worker.onHeartbeatResponse(answer, sentAt, agentEpoch));
       this.lease.renew(worker.leaseStart, this.joinTerms!.leaseS * 1000);
       return reportMs * (heartbeatJitter.min + heartbeatJitter.range * this.random());
@@ -248,7 +248,7 @@
       this.endMembership(String((response.body as { error?: unknown } | null)?.error ?? 'forgotten'));
       return reportMs;
     }
-    const owner = response?.status === 421 ? parseBoss(response.body) : null;
+    const owner = response?.status === 421 ? parseRedirect(response.body) : null;
     if (owner !== null && this.control.switchTo(owner)) return 0;
     this.control.switchToNext();
     return this.nextBackoffMs();
@@ -315,7 +315,7 @@
   }
 
   /** Fetches the description of a task's job, repeatedly if necessary, and checks that the machine has room for the task. */
-  private async prepare(task: HeldTask): Promise<void> {
+  private async prepare(task: AgentTask): Promise<void> {
     const worker = this.worker!;
     for (let attempt = 1; task.phase === 'fetching' && !this.stopped; attempt++) {
       const job = await this.jobs.fetch(task.job);
@@ -331,7 +331,7 @@
     }
   }
 
-  private onTaskEnded(task: HeldTask, result: TaskResult, saved: boolean): void {
+  private onTaskEnded(task: AgentTask, result: TaskResult, saved: boolean): void {
     const why = result.reason === 'stopped' ? 'stopped' : result.exit === 0 ? 'done' : 'error';
     this.applyEffects(this.worker!.onExited(task, why, result, saved));
     // Of a task that was forgotten meanwhile nothing is recorded: no one would remove the record.
--- a/src/agent/command-runner.ts
+++ b/src/agent/command-runner.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../core/effects.js';
 import { taskKey } from '../model/job.js';
 import { commandForTask } from '../model/task-command.js';
-import type { AgentJob, HeldTask, ResultReason, TaskResult } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask, ResultReason, TaskResult } from '../wire/agent-side.js';
 import type { AgentDirectory, TaskRecord } from './agent-directory.js';
 import { processesByGroup, processesWithMark, sendSignal } from './processes.js';
 import { spawnCommand } from './spawn-command.js';
@@ -13,7 +13,7 @@
 /** Receives the ends of tasks. */
 export interface TaskEvents {
   /** A task has ended. `saved`: it wrote a checkpoint before it was stopped. */
-  ended(task: HeldTask, result: TaskResult, saved: boolean): void;
+  ended(task: AgentTask, result: TaskResult, saved: boolean): void;
 }
 
 /** The limits that a runner enforces, and its identity. */
@@ -53,7 +53,7 @@
 
 /** Runs commands, each in a process group of its own. */
 export class CommandRunner {
-  private readonly running = new Map<HeldTask, RunningTask>();
+  private readonly running = new Map<AgentTask, RunningTask>();
   /** Commands that have exited and wait for their clean-up. */
   private readonly exits = new Map<RunningTask, CommandEnd>();
   private readonly checkTimer: NodeJS.Timeout;
@@ -81,7 +81,7 @@
   }
 
   /** Starts the command of a task. */
-  start(task: HeldTask, job: AgentJob, host: string, boot: string): void {
+  start(task: AgentTask, job: AgentJob, host: string, boot: string): void {
     const record: TaskRecord = {
       task,
       job,
@@ -124,7 +124,7 @@
   }
 
   /** Stops a task with SIGTERM, and with SIGKILL after `graceS`. */
-  stop(task: HeldTask, graceS: number): void {
+  stop(task: AgentTask, graceS: number): void {
     const running = this.running.get(task);
     if (running) this.terminate(running, 'stopped', graceS);
   }
@@ -139,7 +139,7 @@
       }
   }
 
-  private mark(task: HeldTask): string {
+  private mark(task: AgentTask): string {
     return `${this.settings.agentId}/${task.job}/${task.index}/${task.attempt}`;
   }
 
--- a/src/agent/settings.ts
+++ b/src/agent/settings.ts
@@ -2,10 +2,10 @@
 import { cpus, totalmem } from 'node:os';
 import { FormReader, readForms } from '../config/forms.js';
 import { SettingsError } from '../config/settings.js';
-import type { Joining } from '../wire/agent-side.js';
+import type { JoinRequest } from '../wire/agent-side.js';
 
 /** The settings of an agent: what it says of its machine when it joins, and how it works. */
-export interface AgentSettings extends Omit<Joining, 'id'> {
+export interface AgentSettings extends Omit<JoinRequest, 'id'> {
   /** The addresses of control services, in the order in which they are tried, and their member names. */
   controls: string[];
   controlNames: string[];
--- a/src/agent/simulated-tasks.ts
+++ b/src/agent/simulated-tasks.ts
@@ -1,6 +1,6 @@
 /** Simulates the tasks of jobs without a command. */
 import { uptime } from 'node:os';
-import type { AgentJob, HeldTask, ResultReason } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask, ResultReason } from '../wire/agent-side.js';
 import type { TaskEvents } from './command-runner.js';
 import type { Random } from '../retry/index.js';
 
@@ -17,7 +17,7 @@
 
 /** Simulated tasks sleep, fail, hang or allocate memory, as the settings of their class say. */
 export class SimulatedTasks {
-  private readonly running = new Map<HeldTask, Simulation>();
+  private readonly running = new Map<AgentTask, Simulation>();
 
   constructor(
     private readonly random: Random,
@@ -25,7 +25,7 @@
   ) {}
 
   /** Starts a task. */
-  start(task: HeldTask, job: AgentJob): void {
+  start(task: AgentTask, job: AgentJob): void {
     const { sleepS, fail, hang, memMb } = job.standIn;
     const simulation: Simulation = {
       startedAt: Date.now(),
@@ -45,12 +45,12 @@
   }
 
   /** Whether this is a simulated task that runs. */
-  has(task: HeldTask): boolean {
+  has(task: AgentTask): boolean {
     return this.running.has(task);
   }
 
   /** Stops a task, which first takes its time for a checkpoint if there is enough of it. */
-  stop(task: HeldTask, graceS: number): void {
+  stop(task: AgentTask, graceS: number): void {
     const simulation = this.running.get(task);
     const savesCheckpoint =
       simulation !== undefined && simulation.job.checkpointS > 0 && graceS >= simulation.job.saveS;
@@ -65,7 +65,7 @@
     this.running.clear();
   }
 
-  private end(task: HeldTask, reason: ResultReason, exit: number | null, signal: string | null): void {
+  private end(task: AgentTask, reason: ResultReason, exit: number | null, signal: string | null): void {
     const simulation = this.running.get(task);
     if (!simulation) return;
     this.running.delete(task);
--- a/src/agent/spawn-command.ts
+++ b/src/agent/spawn-command.ts
@@ -3,13 +3,13 @@
 import { closeSync, mkdirSync, openSync, writeSync } from 'node:fs';
 import { isAbsolute, join } from 'node:path';
 import type { commandForTask } from '../model/task-command.js';
-import type { HeldTask } from '../wire/agent-side.js';
+import type { AgentTask } from '../wire/agent-side.js';
 import { markVariable } from './processes.js';
 import { shim } from './shim.js';
 
 /** What a command is spawned with. */
 export interface SpawnRequest {
-  readonly task: HeldTask;
+  readonly task: AgentTask;
   readonly command: ReturnType<typeof commandForTask>;
   /** The task's directory. */
   readonly directory: string;
--- a/src/agent/task-executor.ts
+++ b/src/agent/task-executor.ts
@@ -1,7 +1,7 @@
 /** Executes the tasks of an agent: as processes, or simulated if their job has no command. */
 import type { Log } from '../core/effects.js';
 import type { Random } from '../retry/index.js';
-import type { AgentJob, HeldTask } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask } from '../wire/agent-side.js';
 import type { AgentDirectory, TaskRecord } from './agent-directory.js';
 import type { AgentLease } from './agent-lease.js';
 import { CommandRunner, type TaskEvents } from './command-runner.js';
@@ -32,7 +32,7 @@
 export class TaskExecutor {
   private readonly runner: CommandRunner;
   private readonly simulated: SimulatedTasks;
-  private readonly jobs = new Map<HeldTask, AgentJob>();
+  private readonly jobs = new Map<AgentTask, AgentJob>();
   private forgottenTasks = 0;
 
   constructor(private readonly options: TaskExecutorOptions) {
@@ -53,12 +53,12 @@
   }
 
   /** Sets the job of a task, which is needed for all else. */
-  setJob(task: HeldTask, job: AgentJob): void {
+  setJob(task: AgentTask, job: AgentJob): void {
     this.jobs.set(task, job);
   }
 
   /** Whether a task of that job fits beside the tasks that are held. */
-  hasCapacity(task: HeldTask, job: AgentJob, heldTasks: Iterable<HeldTask>): boolean {
+  hasCapacity(task: AgentTask, job: AgentJob, heldTasks: Iterable<AgentTask>): boolean {
     const { cpus, gpus, memGb } = this.options.settings;
     const free = { cpus, gpus, memGb };
     for (const held of heldTasks) {
@@ -72,7 +72,7 @@
   }
 
   /** Starts a task; a command's processes end with the lease, which a watchdog enforces. */
-  run(task: HeldTask, host: string): void {
+  run(task: AgentTask, host: string): void {
     const job = this.jobs.get(task);
     if (!job) return;
     if (!job.command) return this.simulated.start(task, job);
@@ -86,7 +86,7 @@
   }
 
   /** Stops a task; it may take `graceS` for a checkpoint. */
-  stop(task: HeldTask, graceS: number): void {
+  stop(task: AgentTask, graceS: number): void {
     if (this.simulated.has(task)) this.simulated.stop(task, graceS);
     else this.runner.stop(task, graceS);
   }
@@ -95,7 +95,7 @@
    * Records the end of a task until the control service has recorded it. Nothing is recorded of a simulated task: if its end
    * is lost with the agent, it is simulated again.
    */
-  recordEnd(task: HeldTask): void {
+  recordEnd(task: AgentTask): void {
     const job = this.jobs.get(task);
     if (!job?.command) return;
     const { directory, bootId } = this.options;
@@ -103,7 +103,7 @@
   }
 
   /** Removes the record of a task; the output of commands stays for a while. */
-  forget(task: HeldTask): void {
+  forget(task: AgentTask): void {
     const simulated = this.jobs.get(task)?.command === null;
     this.jobs.delete(task);
     if (simulated) return;
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,16 +1,16 @@
 /** The worker's side of the protocol as a pure state machine: epochs, leases, fencing tokens and the tasks it holds. */
 import type { TaskOrder } from '../model/heartbeat.js';
 import { taskKey } from '../model/job.js';
-import type { AgentReport, Answer, HeldTask, TaskResult } from '../wire/agent-side.js';
+import type { AgentReport, HeartbeatResponse, AgentTask, TaskResult } from '../wire/agent-side.js';
 
 /** What the worker's state machine asks its agent to do. */
 export type WorkerEffect =
   /** Fetch the job's description; then the task runs, or waits for its gang. */
-  | { readonly type: 'prepare'; readonly task: HeldTask }
-  | { readonly type: 'run'; readonly task: HeldTask }
-  | { readonly type: 'stop'; readonly task: HeldTask; readonly graceS: number }
+  | { readonly type: 'prepare'; readonly task: AgentTask }
+  | { readonly type: 'run'; readonly task: AgentTask }
+  | { readonly type: 'stop'; readonly task: AgentTask; readonly graceS: number }
   /** Remove the task's record. */
-  | { readonly type: 'forget'; readonly task: HeldTask }
+  | { readonly type: 'forget'; readonly task: AgentTask }
   /** Write the worker's state to disk: its epoch or fencing token has changed. */
   | { readonly type: 'persist-state' }
   /** Send a heartbeat before the next one is due. */
@@ -39,7 +39,7 @@
  * caller chooses, ms.
  */
 export class Worker {
-  private readonly tasksByKey = new Map<string, HeldTask>();
+  private readonly tasksByKey = new Map<string, AgentTask>();
   /** When the last heartbeat that was answered was sent. */
   private leaseStartMs: number;
 
@@ -48,19 +48,19 @@
     private readonly state: WorkerState,
     private readonly leaseMs: number,
     leaseStart: number,
-    tasks: readonly HeldTask[] = [],
+    tasks: readonly AgentTask[] = [],
   ) {
     this.leaseStartMs = leaseStart;
     for (const task of tasks) this.tasksByKey.set(attemptKey(task), task);
   }
 
   /** All tasks that the worker holds, ended ones included. */
-  get tasks(): Iterable<HeldTask> {
+  get tasks(): Iterable<AgentTask> {
     return this.tasksByKey.values();
   }
 
   /** Whether the worker holds this task, and not another of the same attempt. */
-  holds(task: HeldTask): boolean {
+  holds(task: AgentTask): boolean {
     return this.tasksByKey.get(attemptKey(task)) === task;
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Processes the response to a heartbeat that was sent at `sentAt` in `agentEpoch`. */
-  onHeartbeatResponse(response: Answer, sentAt: number, agentEpoch: number): WorkerEffect[] {
+  onHeartbeatResponse(response: HeartbeatResponse, sentAt: number, agentEpoch: number): WorkerEffect[] {
     const { state } = this;
     // A late response, or one of a deposed controller, neither renews the lease nor gives orders.
     if (agentEpoch !== state.agentEpoch || response.token === null || response.token < state.fencingToken)
@@ -142,7 +142,7 @@
       if (order.op === 'start') {
         // A repeated order for an attempt that is held changes nothing.
         if (task) continue;
-        const newTask: HeldTask = {
+        const newTask: AgentTask = {
           job: order.job,
           index: order.index,
           attempt: order.attempt,
@@ -165,7 +165,7 @@
     return effects;
   }
 
-  private stop(task: HeldTask, graceS: number): WorkerEffect[] {
+  private stop(task: AgentTask, graceS: number): WorkerEffect[] {
     if (task.phase === 'running' || task.phase === 'saving') {
       const alreadyStopping = task.phase === 'saving' && graceS > 0;
       task.phase = 'saving';
@@ -189,14 +189,19 @@
   // ---- events of the agent ----
 
   /** The task's job is known and the machine has room: the task runs now, or waits for its gang. */
-  onPrepared(task: HeldTask, gang: boolean): WorkerEffect[] {
+  onPrepared(task: AgentTask, gang: boolean): WorkerEffect[] {
     if (task.phase !== 'fetching') return [];
     task.phase = gang ? 'waiting' : 'running';
     return gang ? [{ type: 'heartbeat-soon' }] : [{ type: 'run', task }, { type: 'heartbeat-soon' }];
   }
 
   /** The task has ended, or cannot be run. */
-  onExited(task: HeldTask, why: HeldTask['why'], result: TaskResult | null, saved: boolean): WorkerEffect[] {
+  onExited(
+    task: AgentTask,
+    why: AgentTask['why'],
+    result: TaskResult | null,
+    saved: boolean,
+  ): WorkerEffect[] {
     if (task.phase === 'exited') return [];
     Object.assign(task, { phase: 'exited', why, result, saved });
     return [{ type: 'heartbeat-soon' }];
@@ -206,7 +211,7 @@
 const attemptKey = (task: { job: string; index: number; attempt: number }): string =>
   `${taskKey(task.job, task.index)} ${task.attempt}`;
 
-const newTaskState: Pick<HeldTask, 'phase' | 'why' | 'saved' | 'result'> = {
+const newTaskState: Pick<AgentTask, 'phase' | 'why' | 'saved' | 'result'> = {
   phase: 'fetching',
   why: null,
   saved: false,
--- a/src/cli/agent-command.ts
+++ b/src/cli/agent-command.ts
@@ -4,12 +4,13 @@
 import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
 
 async function runAgent(path: string, fail: Fail): Promise<void> {
-  const [{ Agent, parseAgentSettings }, { makeLog }, { seededRandom }, { randomInt }] = await Promise.all([
-    import('../agent/index.js'),
-    import('../log.js'),
-    import('../retry/index.js'),
-    import('node:crypto'),
-  ]);
+  const [{ Agent, parseAgentSettings }, { createLogger: makeLog }, { seededRandom }, { randomInt }] =
+    await Promise.all([
+      import('../agent/index.js'),
+      import('../log.js'),
+      import('../retry/index.js'),
+      import('node:crypto'),
+    ]);
   const settings = parseAgentSettings(readFile(path, fail), path);
   const agent = new Agent(settings, seededRandom(randomInt(2 ** 31)), makeLog(settings.name));
   await agent.start();
--- a/src/cli/api-client.ts
+++ b/src/cli/api-client.ts
@@ -1,6 +1,6 @@
 /** Access of the command line to the HTTP API, and the parts of its responses that commands show. */
 import { request } from 'node:http';
-import { splitAddr } from '../config/settings.js';
+import { splitAddress } from '../config/settings.js';
 import { JsonClient, type JsonResponse } from '../net/client.js';
 import { exitCodes, type Fail } from './exit.js';
 
@@ -69,7 +69,7 @@
 
   /** Streams a response to standard output. */
   streamToStdout(path: string): Promise<void> {
-    const { host, port } = splitAddr(this.node);
+    const { host, port } = splitAddress(this.node);
     return new Promise((resolve) => {
       const req = request({ host, port, path, agent: false }, (res) => {
         const ok = res.statusCode === 200;
--- a/src/cli/control-command.ts
+++ b/src/cli/control-command.ts
@@ -4,7 +4,7 @@
 import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
 
 async function runControl(path: string, fail: Fail): Promise<void> {
-  const [{ openControl, parseControlSettings }, { makeLog }] = await Promise.all([
+  const [{ openControl, parseControlSettings }, { createLogger: makeLog }] = await Promise.all([
     import('../control/index.js'),
     import('../log.js'),
   ]);
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -6,7 +6,7 @@
 import { fileURLToPath } from 'node:url';
 import { JsonClient } from '../net/client.js';
 import { findFreePort } from '../net/port.js';
-import { jobPath, plainSubmission } from '../wire/user.js';
+import { jobPath, defaultSubmission } from '../wire/user.js';
 import { describeEnd, type JobSummary, type TaskSummary } from './api-client.js';
 import { formatSeconds, printLine } from './output.js';
 
@@ -27,7 +27,7 @@
   readonly failed: number;
 }
 
-const baseSubmission = { ...plainSubmission, jobclass: 'demo', owner: 'default', expectS: 1 };
+const baseSubmission = { ...defaultSubmission, jobclass: 'demo', owner: 'default', expectS: 1 };
 
 const sweepJob = (pieces: number, script: string, overrides: object = {}): object => ({
   ...baseSubmission,
--- a/src/cli/job-commands.ts
+++ b/src/cli/job-commands.ts
@@ -1,5 +1,5 @@
 /** The commands on jobs and tasks: `status`, `list`, `logs`, `withdraw`. */
-import { jobPath, withdrawEnd } from '../wire/user.js';
+import { jobPath, cancelSuffix } from '../wire/user.js';
 import { ApiClient, describeEnd, type JobSummary, type TaskSummary } from './api-client.js';
 import type { AddCommand, CommonOptions } from './client-command.js';
 import type { Fail } from './exit.js';
@@ -87,7 +87,7 @@
 
 async function cancelJob(id: string, options: CommonOptions, fail: Fail): Promise<void> {
   const client = new ApiClient(options.node, fail);
-  printJson(await client.requestOk('POST', `${jobPath}/${id}/${withdrawEnd}`, {}));
+  printJson(await client.requestOk('POST', `${jobPath}/${id}/${cancelSuffix}`, {}));
   process.exit(0);
 }
 
--- a/src/cli/level-store.ts
+++ b/src/cli/level-store.ts
@@ -79,7 +79,7 @@
       conditions: [{ key: requestedLevelKey, stamp: current.modRevision }],
       writes: [{ key: requestedLevelKey, data: requestedLevelData({ ...current, ...change(current) }) }],
     });
-    if (outcome.type === 'ok') return outcome.epoch;
+    if (outcome.type === 'ok') return outcome.revision;
     return this.fail(
       outcome.type === 'conflict'
         ? 'somebody else has just changed it: look again'
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,16 +1,19 @@
 /** The command line: a controller with `--config`, and all other commands, whose modules are loaded on demand. */
 import { Command } from 'commander';
-import { defaults, loadOperators, type Operators } from '../config/operators.js';
+import { operatorDefaults, loadOperatorSettings, type OperatorSettings } from '../config/operators.js';
 import { version } from '../version.js';
 import { loadSettings, SettingsError, type Settings } from '../config/settings.js';
 import { exitWithError } from './exit.js';
 
 /** Loads the settings files; ends the program if one is invalid. */
-function loadSettingsFiles(config: string, operators?: string): { settings: Settings; operators: Operators } {
+function loadSettingsFiles(
+  config: string,
+  operators?: string,
+): { settings: Settings; operators: OperatorSettings } {
   try {
     return {
       settings: loadSettings(config),
-      operators: operators === undefined ? { ...defaults } : loadOperators(operators),
+      operators: operators === undefined ? { ...operatorDefaults } : loadOperatorSettings(operators),
     };
   } catch (error) {
     if (error instanceof SettingsError) exitWithError(error.message);
@@ -20,12 +23,15 @@
 
 async function runController(config: string, operatorsFile?: string): Promise<void> {
   const { settings, operators } = loadSettingsFiles(config, operatorsFile);
-  const [{ makeLog }, { Service }] = await Promise.all([import('../log.js'), import('../service.js')]);
+  const [{ createLogger: makeLog }, { Service }] = await Promise.all([
+    import('../log.js'),
+    import('../service.js'),
+  ]);
   const log = makeLog(settings.member);
   try {
     const service = new Service(settings, operators, log, {}, version());
     await service.start();
-    process.once('SIGTERM', () => void service.leave().then(() => process.exit(0)));
+    process.once('SIGTERM', () => void service.shutDown().then(() => process.exit(0)));
   } catch (e) {
     exitWithError(`cannot listen on ${settings.publicAddr}: ${String((e as Error).message)}`);
   }
--- a/src/cli/store-commands.ts
+++ b/src/cli/store-commands.ts
@@ -1,7 +1,7 @@
 /** `dapplepick store`: runs a store for several control services, and restores one from a snapshot. */
 import { existsSync } from 'node:fs';
 import type { Command } from 'commander';
-import { splitAddr } from '../config/settings.js';
+import { splitAddress } from '../config/settings.js';
 import type { Fail } from './exit.js';
 import { exitOnKnownErrors, onTerminationSignal } from './run-program.js';
 
@@ -11,11 +11,11 @@
 }
 
 async function runStore(options: RunOptions, fail: Fail): Promise<void> {
-  const [{ Engine, LevelDisk, storeServer }, { makeLog }] = await Promise.all([
+  const [{ Engine, LevelDisk, storeServer }, { createLogger: makeLog }] = await Promise.all([
     import('../store/index.js'),
     import('../log.js'),
   ]);
-  const { host, port } = splitAddr(options.listen);
+  const { host, port } = splitAddress(options.listen);
   const log = makeLog('store');
   const disk = await LevelDisk.open(options.dir);
   const engine = await Engine.open(disk, log, (error) => fail(error.message));
--- a/src/cli/submit-command.ts
+++ b/src/cli/submit-command.ts
@@ -1,6 +1,6 @@
 /** `dapplepick submit`: submits a job from a file or from a command with options. */
 import { readFileSync } from 'node:fs';
-import { jobPath, plainSubmission } from '../wire/user.js';
+import { jobPath, defaultSubmission } from '../wire/user.js';
 import { ApiClient, type JobSummary } from './api-client.js';
 import type { AddCommand, CommonOptions } from './client-command.js';
 import { exitCodes, type Fail } from './exit.js';
@@ -38,7 +38,7 @@
     env[entry.slice(0, separator)] = entry.slice(separator + 1);
   }
   return {
-    ...plainSubmission,
+    ...defaultSubmission,
     nameId: newJobId(),
     jobclass: options.class,
     owner: options.team,
--- a/src/cloud/cloud-provider.ts
+++ b/src/cloud/cloud-provider.ts
@@ -1,11 +1,11 @@
 /** The cloud's HTTP API: machine types, and the machines that are requested, listed and deleted. */
 import { JsonClient } from '../net/client.js';
 import {
-  deleteOut,
-  parseList,
-  parseRented,
-  parseTypes,
-  rentOut,
+  encodeDeletion,
+  parseMachineList,
+  parseRental,
+  parseMachineTypes,
+  encodeRental,
   type ListedMachine,
   type RentalOutcome,
   type RentRequest,
@@ -41,14 +41,14 @@
 
   async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.client.call('GET', '/machine_types', null, this.timeoutMs);
-    return reply?.status === 200 ? parseTypes(reply.body) : null;
+    return reply?.status === 200 ? parseMachineTypes(reply.body) : null;
   }
 
   async rentMachines(request: RentRequest): Promise<RentalOutcome> {
-    const reply = await this.client.call('POST', '/rentals', rentOut(request), this.timeoutMs);
+    const reply = await this.client.call('POST', '/rentals', encodeRental(request), this.timeoutMs);
     switch (reply?.status) {
       case 200: {
-        const hosts = parseRented(reply.body);
+        const hosts = parseRental(reply.body);
         return hosts === null ? { type: 'unknown' } : { type: 'rented', hosts };
       }
       case 503: {
@@ -64,7 +64,7 @@
   }
 
   async deleteMachines(hosts: string[]): Promise<boolean> {
-    const reply = await this.client.call('POST', '/rentals/delete', deleteOut(hosts), this.timeoutMs);
+    const reply = await this.client.call('POST', '/rentals/delete', encodeDeletion(hosts), this.timeoutMs);
     return reply?.status === 200;
   }
 
@@ -73,7 +73,7 @@
     for (let from = ''; ;) {
       const path = `/rentals?${from === '' ? '' : `from=${from}&`}limit=${pageSize}`;
       const reply = await this.client.call('GET', path, null, this.timeoutMs);
-      const page = reply?.status === 200 ? parseList(reply.body) : null;
+      const page = reply?.status === 200 ? parseMachineList(reply.body) : null;
       if (!page) return null;
       all.push(...page.machines);
       if (!page.more || page.machines.length === 0) return all;
--- a/src/condor/native.ts
+++ b/src/condor/native.ts
@@ -1,7 +1,7 @@
 import { resolve } from 'node:path';
 import { printExpr, textOf, type Ad, type Expr } from '../classad/index.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
-import { plainSubmission } from '../wire/user.js';
+import { defaultSubmission } from '../wire/user.js';
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
 import { parseNewSyntaxVariables, parseEnvironment, splitWords } from './quoting.js';
 
@@ -73,7 +73,7 @@
   };
   const wall = numberOf(ad.get('AllowedExecuteDuration'));
   return {
-    ...plainSubmission,
+    ...defaultSubmission,
     jobclass: 'condor',
     owner: textOf(ad.get('AcctGroup')) ?? team,
     shape: gang ? 'ensemble' : 'sweep',
--- a/src/config/forms.ts
+++ b/src/config/forms.ts
@@ -1,9 +1,9 @@
 import { createRequire } from 'node:module';
 import { SettingsError } from './settings.js';
 
-interface Raw {
+interface RawNode {
   type: string;
-  content: string | Raw[];
+  content: string | RawNode[];
   location?: { start: { line: number } };
 }
 
@@ -17,8 +17,8 @@
 /** Reads `(HEAD (NAME VALUE ...) ...)`. Errors name the origin and the line. */
 export function readForms(text: string, origin: string, head: string): Form[] {
   const load = createRequire(import.meta.url);
-  const { parse } = load('sexpr-plus') as { parse: (text: string) => Raw[] };
-  let raw: Raw[];
+  const { parse } = load('sexpr-plus') as { parse: (text: string) => RawNode[] };
+  let raw: RawNode[];
   try {
     raw = parse(text);
   } catch (e) {
@@ -31,15 +31,15 @@
   const items = Array.isArray(top.content) ? top.content : [];
   if (raw.length !== 1 || top.type !== 'list' || items[0]?.content !== head)
     throw new SettingsError(`${origin}: expected one form (${head} (NAME VALUE) ...)`);
-  return items.slice(1).map((i) => form(i, origin));
+  return items.slice(1).map((i) => readForm(i, origin));
 }
 
-function form(raw: Raw, origin: string): Form {
+function readForm(raw: RawNode, origin: string): Form {
   const line = raw.location?.start.line ?? 0;
   const [name, ...rest] = Array.isArray(raw.content) ? raw.content : [];
   if (raw.type !== 'list' || typeof name?.content !== 'string' || rest.length === 0)
     throw new SettingsError(`${origin}: line ${line}: expected (NAME VALUE)`);
-  const values = rest.map((r) => (typeof r.content === 'string' ? r.content : form(r, origin)));
+  const values = rest.map((r) => (typeof r.content === 'string' ? r.content : readForm(r, origin)));
   return { name: name.content, line, values };
 }
 
@@ -58,9 +58,9 @@
     return value;
   }
 
-  number(f: Form, least = 0): number {
+  number(f: Form, min = 0): number {
     const value = Number(this.text(f));
-    if (!Number.isFinite(value) || value < least) this.fail(f, `must be a number of at least ${least}`);
+    if (!Number.isFinite(value) || value < min) this.fail(f, `must be a number of at least ${min}`);
     return value;
   }
 
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -11,7 +11,7 @@
  * Every one has a default; `docs/settings.md` tells what they do. Times that depend on the
  * deployment are ratios to figures of the platform's settings.
  */
-export const defaults = {
+export const operatorDefaults = {
   /** A of HELIOS: price of one interruption, per CPU-hour and unit of hazard. */
   'hazard-weight': 10,
   /** Weight of the gap between a premium machine's price and the cheapest on-demand price. */
@@ -54,19 +54,19 @@
   'sweep-share': 0.1,
 };
 
-export type Operators = Record<keyof typeof defaults, number>;
+export type OperatorSettings = Record<keyof typeof operatorDefaults, number>;
 
-export function parseOperators(text: string, origin = 'operators'): Operators {
-  const out: Operators = { ...defaults };
+export function parseOperatorSettings(text: string, origin = 'operators'): OperatorSettings {
+  const out: OperatorSettings = { ...operatorDefaults };
   for (const { name, line, values } of readForms(text, origin, 'dapplepick')) {
     const [value] = values;
     if (values.length !== 1) throw new SettingsError(`${origin}: line ${line}: expected (NAME VALUE)`);
-    if (!Object.hasOwn(defaults, name))
+    if (!Object.hasOwn(operatorDefaults, name))
       throw new SettingsError(`${origin}: line ${line}: ${name}: unknown setting`);
     const n = typeof value === 'string' ? Number(value) : NaN;
     if (!Number.isFinite(n) || n < 0)
       throw new SettingsError(`${origin}: line ${line}: ${name}: must be a number of at least 0`);
-    out[name as keyof Operators] = n;
+    out[name as keyof OperatorSettings] = n;
   }
   for (const key of [
     'round-s',
@@ -87,12 +87,12 @@
   return out;
 }
 
-export function loadOperators(path: string): Operators {
+export function loadOperatorSettings(path: string): OperatorSettings {
   let text: string;
   try {
     text = readFileSync(path, 'utf8');
   } catch (e) {
     throw new SettingsError(`${path}: cannot be read: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
   }
-  return parseOperators(text, path);
+  return parseOperatorSettings(text, path);
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -11,7 +11,7 @@
 const name = v.pipe(v.string(), v.nonEmpty());
 const address = v.pipe(v.string(), v.regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be IPv4:port'));
 
-const team = v.object({
+const teamSchema = v.object({
   name,
   cpus: v.optional(amount, 0),
   cpus_max: v.optional(amount, 0),
@@ -19,7 +19,7 @@
   gpus_max: v.optional(amount, 0),
 });
 
-const objective = v.object({
+const objectiveSchema = v.object({
   kind: v.string(),
   class: v.optional(v.string(), ''),
   within_s: v.optional(amount),
@@ -27,7 +27,7 @@
   times: v.optional(amount, 1),
 });
 
-const file = v.object({
+const settingsFileSchema = v.object({
   member: name,
   location: name,
   public_addr: address,
@@ -38,8 +38,8 @@
     nodes: v.optional(count),
     zones: v.array(name),
     time_bound_ms: v.optional(amount, 0),
-    teams: v.array(team),
-    objectives: v.optional(v.array(objective), []),
+    teams: v.array(teamSchema),
+    objectives: v.optional(v.array(objectiveSchema), []),
     workers: v.object({
       report_s: positive,
       lease_s: positive,
@@ -60,9 +60,9 @@
   }),
 });
 
-type SettingsFile = v.InferOutput<typeof file>;
-export type TeamLimits = v.InferOutput<typeof team>;
-export type Objective = v.InferOutput<typeof objective>;
+type SettingsFile = v.InferOutput<typeof settingsFileSchema>;
+export type TeamLimits = v.InferOutput<typeof teamSchema>;
+export type Objective = v.InferOutput<typeof objectiveSchema>;
 
 export interface Settings {
   member: string;
@@ -90,7 +90,7 @@
   } catch (e) {
     throw new SettingsError(`${origin}: not valid TOML: ${String((e as Error).message).split('\n')[0]}`);
   }
-  const result = v.safeParse(file, raw);
+  const result = v.safeParse(settingsFileSchema, raw);
   if (!result.success) {
     const issue = result.issues[0];
     throw new SettingsError(`${origin}: ${v.getDotPath(issue) ?? '(top level)'}: ${issue.message}`);
@@ -127,7 +127,7 @@
   return parseSettings(text, path);
 }
 
-export function splitAddr(addr: string): { host: string; port: number } {
+export function splitAddress(addr: string): { host: string; port: number } {
   const at = addr.lastIndexOf(':');
   return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
 }
--- a/src/control/agent-pool.ts
+++ b/src/control/agent-pool.ts
@@ -2,12 +2,12 @@
 import type { CloudProvider } from '../cloud/cloud-provider.js';
 import type { Log } from '../core/effects.js';
 import type { MachineType } from '../model/machine.js';
-import type { Joining } from '../wire/agent-side.js';
+import type { JoinRequest } from '../wire/agent-side.js';
 import type { ListedMachine, RentalOutcome } from '../wire/cloud.js';
 import { listAll, putIf, type ControlStore } from './control-store.js';
 
 /** The membership of an agent. A stored record: field names are part of the format. */
-export interface PoolRecord extends Joining {
+export interface PoolRecord extends JoinRequest {
   /** The name of its machine in the core, never used again for another machine. */
   host: string;
   /** Time of day, ms. */
@@ -113,14 +113,14 @@
   }
 
   /** Admits an agent that joins for the first time or again: the host name it was given, or why it is refused. */
-  join(request: Joining): Promise<JoinOutcome> {
+  join(request: JoinRequest): Promise<JoinOutcome> {
     // One after the other: of a thousand agents that join at once, all but one would fail the counter's precondition.
     const turn = this.lastJoin.then(() => this.admit(request));
     this.lastJoin = turn.catch(() => undefined);
     return turn;
   }
 
-  private async admit(request: Joining): Promise<JoinOutcome> {
+  private async admit(request: JoinRequest): Promise<JoinOutcome> {
     // The counter is read before the members: whoever joins in between changes it, and then the write below fails.
     const counter = await listAll(this.store, hostCounterKey);
     await this.readRecords();
@@ -158,7 +158,7 @@
   }
 
   /** Looks for active members of the requested name: the same agent gets its host back; null if the name is free. */
-  private async rejoin(request: Joining): Promise<JoinOutcome | null> {
+  private async rejoin(request: JoinRequest): Promise<JoinOutcome | null> {
     for (const member of this.members.values()) {
       if (member.name !== request.name || member.forgotten || member.drainedAt !== null) continue;
       if (member.id !== request.id) {
@@ -267,7 +267,7 @@
   }
 }
 
-const sameResources = (a: Joining, b: Joining): boolean =>
+const sameResources = (a: JoinRequest, b: JoinRequest): boolean =>
   a.cpus === b.cpus && a.gpus === b.gpus && a.memGb === b.memGb;
 
 const sameAttributes = (a: PoolRecord['attrs'], b: PoolRecord['attrs']): boolean =>
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -1,7 +1,7 @@
 /** The HTTP API of a control service beside the core's protocol: agents that join, machines, jobs, results, output. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readJson, sendJson as reply } from '../net/json.js';
-import { parseJoining, type AgentJob } from '../wire/agent-side.js';
+import { parseJoinRequest, type AgentJob } from '../wire/agent-side.js';
 import { jobWithTasks, listJobs, locateTask } from './job-views.js';
 import { listMachines, type MachineViewSources } from './machine-views.js';
 import { proxyOutput } from './output-proxy.js';
@@ -86,7 +86,7 @@
   }
 
   private async joinAgent(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const joining = parseJoining(await readJson(req, maxBodyBytes));
+    const joining = parseJoinRequest(await readJson(req, maxBodyBytes));
     if (typeof joining === 'string') return reply(res, 400, { error: joining });
     try {
       const result = await this.control.pool.join(joining);
@@ -115,7 +115,7 @@
       if (action === 'drain') await pool.drain(machine.host);
       else {
         await pool.forget(machine.host);
-        service.push({ type: 'forget-machine', host: machine.host });
+        service.enqueue({ type: 'forget-machine', host: machine.host });
       }
       reply(res, 200, { host: machine.host, [action]: true });
     } catch (error) {
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -1,12 +1,12 @@
 /** The control service: the core's controller on a store of its own, with a pool of agents in place of a cloud. */
-import { defaults } from '../config/operators.js';
+import { operatorDefaults } from '../config/operators.js';
 import type { Log } from '../core/effects.js';
 import { shardKey } from '../core/storage/index.js';
 import type { JobSpec, MatchSpec } from '../model/job.js';
 import type { MachineAttributes, Matcher } from '../policy/matching.js';
 import { Service } from '../service.js';
 import type { StateService } from '../state/service.js';
-import type { FrontHooks } from '../users/server.js';
+import type { ServerHooks } from '../users/server.js';
 import { version } from '../version.js';
 import type { AgentJob } from '../wire/agent-side.js';
 import type { Condition } from '../wire/store.js';
@@ -74,7 +74,7 @@
     this.pool = new AgentPool(store, settings.zones, aliveTimeoutMs, () => performance.now(), log);
     this.results = new ResultStore(store);
     const operators = {
-      ...defaults,
+      ...operatorDefaults,
       'node-lease-ratio': nodeLeaseRatio,
       'round-s': Math.min(1, settings.reportS / 8),
     };
@@ -90,7 +90,7 @@
   }
 
   /** What this program adds to the core's HTTP server. */
-  private hooks(): FrontHooks {
+  private hooks(): ServerHooks {
     const interceptor = new HeartbeatInterceptor({
       pool: this.pool,
       results: this.results,
@@ -99,18 +99,19 @@
       jobSpec: (id) => this.jobSpec(id),
       doneTasks: (id) => this.service.controller.replica.taskCounts(id).done,
       ensureResultsOfGrant: () => this.ensureResultsOfGrant(),
-      push: (command) => this.service.push(command),
+      push: (command) => this.service.enqueue(command),
     });
     return {
-      admit: (spec) => {
+      rejectionReason: (spec) => {
         if (!spec.match) return null;
         return this.matching
           ? this.matching.validate(spec.match)
           : 'requirements, rank: matching is not switched on';
       },
-      serve: (req, res, path) => this.api.serve(req, res, path),
-      checkin: (raw, heartbeat, pass, refuse) => void interceptor.intercept(raw, heartbeat, { pass, refuse }),
-      answered: (host, status, body) => interceptor.extendResponse(host, status, body),
+      handle: (req, res, path) => this.api.serve(req, res, path),
+      heartbeat: (raw, heartbeat, pass, refuse) =>
+        void interceptor.intercept(raw, heartbeat, { pass, refuse }),
+      transformResponse: (host, status, body) => interceptor.extendResponse(host, status, body),
     };
   }
 
@@ -119,14 +120,14 @@
     const { pool, service, matching } = this;
     if (matching)
       pool.onMemberChanged = (host, member) =>
-        service.push({
+        service.enqueue({
           type: 'machine-attributes',
           host,
           attributes: member && matching.machineAttributes(member),
         });
-    pool.onForgotten = (host) => service.push({ type: 'forget-machine', host });
+    pool.onForgotten = (host) => service.enqueue({ type: 'forget-machine', host });
     pool.onNewMachineType = () =>
-      void pool.listMachineTypes().then((types) => service.push({ type: 'machine-types', types }));
+      void pool.listMachineTypes().then((types) => service.enqueue({ type: 'machine-types', types }));
   }
 
   /** Reads the stored state, waiting for the store if necessary, and starts the core. */
--- a/src/control/settings.ts
+++ b/src/control/settings.ts
@@ -1,10 +1,10 @@
 /** The settings of a control service: the operators' file, its defaults and checks, and the core's settings from them. */
 import { FormReader, readForms, type Form } from '../config/forms.js';
 import { SettingsError, type Settings, type TeamLimits } from '../config/settings.js';
-import type { StandIn } from '../wire/agent-side.js';
+import type { SimulatedTask } from '../wire/agent-side.js';
 
 /** What tasks of a class do if their job has no command; `sleepS` null: as long as the job's estimate says. */
-export type ClassSimulation = Omit<StandIn, 'sleepS'> & { sleepS: number | null };
+export type ClassSimulation = Omit<SimulatedTask, 'sleepS'> & { sleepS: number | null };
 
 /** The settings of a control service. Durations are in seconds. */
 export interface ControlSettings {
--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -1,5 +1,5 @@
 /** The autoscaler: the leader's control loop that fits the fleet to the demand of all shards. */
-import type { Operators } from '../../config/operators.js';
+import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { MachineType } from '../../model/machine.js';
@@ -21,7 +21,7 @@
 /** What the autoscaler is made of. */
 export interface AutoscalerOptions {
   readonly settings: Settings;
-  readonly operators: Operators;
+  readonly operators: OperatorSettings;
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
   readonly clock: Clock;
--- a/src/core/autoscaler/context.ts
+++ b/src/core/autoscaler/context.ts
@@ -1,5 +1,5 @@
 /** What every part of the autoscaler works with. */
-import type { Operators } from '../../config/operators.js';
+import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Clock, Log } from '../effects.js';
 import type { Replica } from '../replica.js';
@@ -7,7 +7,7 @@
 /** The controller's state and settings, as the parts of the autoscaler share them. */
 export interface AutoscalerContext {
   readonly settings: Settings;
-  readonly operators: Operators;
+  readonly operators: OperatorSettings;
   readonly replica: Replica;
   readonly clock: Clock;
   readonly log: Log;
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,6 +1,6 @@
 /** The core of a controller: commands in, effects out, and the turn of each of its parts in a step. */
 import { RateMeter, OverloadMonitor, type MemberDemand } from '../admission/index.js';
-import type { Operators } from '../config/operators.js';
+import type { OperatorSettings } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import {
   capabilitiesOf,
@@ -30,11 +30,11 @@
 import { ReplicaFreshness } from './replica-freshness.js';
 
 /** Of the workers' lease: how long a controller that leaves gives answers and hands on. */
-const drainLeases = 0.3;
-const handLeases = 0.6;
+const drainLeaseRatio = 0.3;
+const handoverLeaseRatio = 0.6;
 
 /** Effects that are requests to the state service. */
-const asksState: ReadonlySet<string> = new Set([
+const stateServiceEffects: ReadonlySet<string> = new Set([
   'commit',
   'read-revision',
   'catch-up',
@@ -44,7 +44,7 @@
 ]);
 
 /** So many machines are named in a log line at most. */
-const mostNamed = 8;
+const maxLoggedItems = 8;
 
 /**
  * The one owner of all state of a process. Commands go in by batches, effects come out; given the same
@@ -67,26 +67,26 @@
   private readonly loadSharing: LoadSharing;
   private readonly heartbeatRouter: HeartbeatRouter;
   private readonly clock: Clock = { now: 0, wall: 0 };
-  private readAt = -Infinity;
+  private revisionRequestedAt = -Infinity;
   private wasLeading = false;
   private wasOffloading = false;
   private shardsChanged = true;
-  private checkedAt = -Infinity;
-  private saidLevel = '';
-  private toldAwayAt = -Infinity;
-  private readonly fair: boolean;
+  private monitoredAt = -Infinity;
+  private loggedLevel = '';
+  private rejectionsLoggedAt = -Infinity;
+  private readonly fairAdmission: boolean;
   private readonly planning: WriteBudget;
   private readonly dataLossRecovery: DataLossRecovery;
-  private ended = false;
+  private superseded = false;
   private readonly overloadMonitor = new OverloadMonitor();
-  private readonly requests = new RateMeter(3000);
+  private readonly stateRequests = new RateMeter(3000);
   /** Shares that the process tells of: sockets, memory, room for what waits. */
-  private told = { sockets: 0, memory: 0, waiting: 0 };
-  private readonly mostSockets: number;
+  private processLoad = { sockets: 0, memory: 0, waiting: 0 };
+  private readonly maxConnections: number;
 
   constructor(
     private readonly settings: Settings,
-    operators: Operators,
+    operators: OperatorSettings,
     private readonly run: string,
     /** The core's only source of chance. */
     random: Random,
@@ -98,10 +98,10 @@
     /** What this process knew before the state service lost data. */
     recoveryRecords: RecoveryRecords | null = null,
   ) {
-    this.fair = operators['fair-admission'] > 0;
+    this.fairAdmission = operators['fair-admission'] > 0;
     this.levels = new FeatureLevels(capabilitiesOf(program, operators['level-most']));
     const leaseMs = settings.workers.lease_s * 1000;
-    this.shutdown = new GracefulShutdown(leaseMs * handLeases, leaseMs * drainLeases);
+    this.shutdown = new GracefulShutdown(leaseMs * handoverLeaseRatio, leaseMs * drainLeaseRatio);
     const ttlMs = Math.round(settings.workers.lease_s * 1000 * operators['node-lease-ratio']);
     const retry = retryPolicies({ ...settings, stateLeaseMs: ttlMs });
     const limits = limitsOf(settings);
@@ -109,7 +109,7 @@
     this.replica = new Replica(
       {
         jobChanged: (id, now) => {
-          if (now?.state === 'open') this.userRequests.taken(id);
+          if (now?.state === 'open') this.userRequests.jobAccepted(id);
           this.shardManager.shardState.jobChanged(id, now);
         },
         machineChanged: (host, now) => this.shardManager.shardState.machineChanged(host, now),
@@ -162,7 +162,7 @@
       batcher,
       clock,
       limits.maxWaitingRequests,
-      this.fair,
+      this.fairAdmission,
       random,
     );
     this.shardManager = new ShardManager(settings, operators, run, replica, batcher, clock, log, matcher);
@@ -226,8 +226,8 @@
     this.userRequests.sureOfAbsence = () => this.dataLossRecovery.canConfirmAbsence;
     batcher.onConditionsFailed = (failed, epoch) =>
       this.dataLossRecovery.monitor.conditionsFailed(failed, epoch);
-    this.mostSockets = limits.sockets.most;
-    if (this.fair) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
+    this.maxConnections = limits.sockets.most;
+    if (this.fairAdmission) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new RecoveryTracker(settings.workers.lease_s * 1000 * operators['recovery-leases']);
     const mayAnswerWorkers = (): boolean => this.freshness.mayAnswerWorkers && this.dataLossRecovery.mayAct;
     this.loadSharing = new LoadSharing({
@@ -252,7 +252,7 @@
       maxForwarded: limits.maxForwardedHeartbeats,
       onTokenReported: (token) => this.dataLossRecovery.monitor.tokenReported(token),
       mayAnswerWorkers,
-      areWritesScarce: () => this.batcher.health < 1 || this.userRequests.crowded,
+      areWritesScarce: () => this.batcher.health < 1 || this.userRequests.backlogged,
       isLeader: () => this.membership.isLeader,
     });
   }
@@ -280,19 +280,19 @@
     const out: Effect[] = [];
     const now = (this.clock.now = clock.now);
     this.clock.wall = clock.wall;
-    this.userRequests.out = out;
+    this.userRequests.stepEffects = out;
     this.freshness.detectStall();
     // It was told to begin anew: nothing that it does counts any more.
-    if (this.ended) return out;
+    if (this.superseded) return out;
     for (const c of commands) this.handle(c, out);
     if (this.dataLossRecovery.detect(out)) {
-      this.ended = true;
-      this.userRequests.abandon(out);
+      this.superseded = true;
+      this.userRequests.rejectAll(out);
       return out;
     }
     const { mayAct: acting } = this.dataLossRecovery;
     this.batcher.suspended = !acting;
-    this.settle();
+    this.syncShards();
     this.membership.tick(now, out, {
       mayAct: acting,
       essentialsRestored: this.dataLossRecovery.essentialsRestored,
@@ -315,21 +315,22 @@
       this.dataLossRecovery.monitor.requestAudit(out);
       this.autoscaler.tick(out);
       this.featureLevelManager.tick();
-      if (this.fair) this.planning.proposeNext(this.demand);
+      if (this.fairAdmission) this.planning.proposeNext(this.demand);
     }
     if (this.shutdown.requested) this.membership.shutDown(out);
     this.shardManager.tick(out);
     this.heartbeatRouter.tick(out);
     this.loadSharing.tick();
-    if (this.fair) this.divide(out);
-    this.userRequests.pump(out, this.freshness.confirmedByPeersAt);
+    if (this.fairAdmission) this.applyWriteBudget(out);
+    this.userRequests.flush(out, this.freshness.confirmedByPeersAt);
     this.batcher.tick(now, out);
     if (this.freshness.needsPeerConfirmation) this.freshnessExchange.queryPeers(out);
-    this.tell(out, null);
+    this.sendPeerStatus(out, null);
     if (this.dataLossRecovery.monitor.wantsRevisionRead) out.push({ type: 'read-revision' });
-    this.read(leading, out);
-    this.follow();
-    if (this.fair) this.requests.add(out.filter((e) => asksState.has(e.type)).length, now);
+    this.requestRevision(leading, out);
+    this.monitor();
+    if (this.fairAdmission)
+      this.stateRequests.add(out.filter((e) => stateServiceEffects.has(e.type)).length, now);
     return out;
   }
 
@@ -339,7 +340,7 @@
   }
 
   /** How far this process is, if it was asked to leave. */
-  get phase(): ShutdownPhase {
+  get shutdownPhase(): ShutdownPhase {
     return this.shutdown.phase(this.clock.now, {
       ownedShards: this.shardManager.ownedShards.size,
       leading: this.membership.isLeader,
@@ -355,8 +356,8 @@
     this.shardsChanged = true;
     this.shardManager.levelChanged();
     const key = `${levels.unreadable} ${level} ${write}`;
-    if (key === this.saidLevel) return;
-    this.saidLevel = key;
+    if (key === this.loggedLevel) return;
+    this.loggedLevel = key;
     const fields = {
       level,
       write,
@@ -372,18 +373,19 @@
    * Also without requests the view's age must be known: workers are answered only from a fresh one. The leader needs
    * one that is younger than its state lease.
    */
-  private read(leading: boolean, out: Effect[]): void {
+  private requestRevision(leading: boolean, out: Effect[]): void {
     const { now } = this.clock;
     const { leaseTtlMs: ttlMs } = this.membership;
     const everyMs = Math.min(this.freshness.maxAgeMs / 8, leading ? ttlMs / 4 : Infinity);
-    if (now - this.readAt > everyMs && this.replica.watchRevision >= 0) out.push({ type: 'read-revision' });
-    if (out.some((o) => o.type === 'read-revision')) this.readAt = now;
+    if (now - this.revisionRequestedAt > everyMs && this.replica.watchRevision >= 0)
+      out.push({ type: 'read-revision' });
+    if (out.some((o) => o.type === 'read-revision')) this.revisionRequestedAt = now;
   }
 
   /** News goes out at once; a change of what we ask of the others is news. */
-  private tell(out: Effect[], epoch: number | null): void {
+  private sendPeerStatus(out: Effect[], revision: number | null): void {
     const { isOffloading } = this.loadSharing;
-    const newRevision = isOffloading !== this.wasOffloading ? this.replica.watchRevision : epoch;
+    const newRevision = isOffloading !== this.wasOffloading ? this.replica.watchRevision : revision;
     this.wasOffloading = isOffloading;
     const ownStatus = (): OwnStatus => ({
       utilizationPermille: Math.round(this.loadSharing.utilization * 1000),
@@ -398,15 +400,15 @@
     const { now } = this.clock;
     return {
       tasks: Math.round(this.batcher.taskWriteDemand(now)),
-      users: Math.round(this.userRequests.usersWanted()),
+      users: Math.round(this.userRequests.writeDemand()),
       behindS: this.batcher.backlogS,
-      kinds: this.fair ? this.userRequests.kindsWanted() : [],
+      kinds: this.fairAdmission ? this.userRequests.groupDemand() : [],
       follows: this.planning.followedVersion,
     };
   }
 
   /** This controller's part of the writes, and those that it takes in with it. */
-  private divide(out: Effect[]): void {
+  private applyWriteBudget(out: Effect[]): void {
     this.planning.observe();
     const share = this.planning.localShare(this.demand);
     this.batcher.setAllocation(share.total);
@@ -417,18 +419,18 @@
   }
 
   /** Looks at all that is scarce here; as often as the process tells of itself. */
-  private look(): void {
+  private measureOverload(): void {
     const { now } = this.clock;
     const { tasks, users } = this.demand;
     const { rps } = this.settings.state;
     const equal = rps / (1 + this.settings.peers.length);
     const picture = this.overloadMonitor.observe({
       writes: (tasks + users) / Math.max(1, this.batcher.writesPerS),
-      requests: this.requests.rate(now) / equal,
+      requests: this.stateRequests.rate(now) / equal,
       time: this.loadSharing.utilization,
-      ...this.told,
+      ...this.processLoad,
     });
-    this.userRequests.short = picture.admissionFactor < 1 ? picture.bottleneck : 'writes';
+    this.userRequests.bottleneck = picture.admissionFactor < 1 ? picture.bottleneck : 'writes';
   }
 
   private admissionSummary(): object {
@@ -439,11 +441,11 @@
       pressure: Object.fromEntries(Object.entries(load).map(([k, x]) => [k, round(x as number)])),
       tightest,
       factor: round(factor),
-      away: this.awayTotal,
+      away: this.rejectionTotals,
     };
   }
 
-  private settle(): void {
+  private syncShards(): void {
     this.freshness.update();
     if (!this.shardsChanged) return;
     this.shardManager.reconcileShards();
@@ -457,12 +459,12 @@
   }
 
   /** Keeps the times of the recovery, for operators. */
-  private follow(): void {
+  private monitor(): void {
     const { now } = this.clock;
-    if (now - this.checkedAt < this.membership.leaseTtlMs / 16) return;
-    this.checkedAt = now;
-    if (this.fair) this.look();
-    this.tellAway();
+    if (now - this.monitoredAt < this.membership.leaseTtlMs / 16) return;
+    this.monitoredAt = now;
+    if (this.fairAdmission) this.measureOverload();
+    this.logRejections();
     const { shardManager, recovery } = this;
     const { unconfirmedMachines: unproven } = shardManager;
     const t = recovery.update(now, {
@@ -476,7 +478,7 @@
     if (recovery.takeOverdue(now))
       this.log('warn', 'machines still to be proven', {
         machines: unproven.length,
-        some: unproven.slice(0, mostNamed).map((machine) => ({
+        some: unproven.slice(0, maxLoggedItems).map((machine) => ({
           host: machine.host,
           heardMs: machine.lastHeartbeatAt && now - machine.lastHeartbeatAt,
         })),
@@ -486,20 +488,20 @@
   }
 
   /** Since the start, by team, class and reason. Bounded: who is turned away least is left out. */
-  private readonly awayTotal: Record<string, number> = {};
+  private readonly rejectionTotals: Record<string, number> = {};
 
   /** For operators: who was turned away since this was last told, most first. */
-  private tellAway(): void {
+  private logRejections(): void {
     const { now } = this.clock;
-    const { away } = this.userRequests;
-    if (away.size === 0 || now - this.toldAwayAt < this.settings.workers.lease_s * 500) return;
-    this.toldAwayAt = now;
+    const { rejections: away } = this.userRequests;
+    if (away.size === 0 || now - this.rejectionsLoggedAt < this.settings.workers.lease_s * 500) return;
+    this.rejectionsLoggedAt = now;
     const most = [...away].sort((a, b) => b[1] - a[1]);
     const total = most.reduce((sum, [, n]) => sum + n, 0);
-    const by = most.slice(0, mostNamed);
+    const by = most.slice(0, maxLoggedItems);
     for (const [kind, n] of by)
-      if (kind in this.awayTotal || Object.keys(this.awayTotal).length < mostNamed * 4)
-        this.awayTotal[kind] = (this.awayTotal[kind] ?? 0) + n;
+      if (kind in this.rejectionTotals || Object.keys(this.rejectionTotals).length < maxLoggedItems * 4)
+        this.rejectionTotals[kind] = (this.rejectionTotals[kind] ?? 0) + n;
     const { tasks, users, behindS } = this.demand;
     this.log('info', 'turned away', {
       total,
@@ -517,24 +519,24 @@
       case 'tick':
         break;
       case 'submit':
-        this.userRequests.submit(c.rid, c.spec, out);
+        this.userRequests.submit(c.requestId, c.spec, out);
         break;
       case 'query':
-        this.userRequests.query(c.rid, c.id, out);
+        this.userRequests.query(c.requestId, c.id, out);
         break;
       case 'cancel':
-        this.userRequests.withdraw(c.rid, c.id, out);
+        this.userRequests.cancel(c.requestId, c.id, out);
         break;
       case 'heartbeat':
-        this.heartbeatRouter.route(c.rid, c.report, c.from ?? null, out);
+        this.heartbeatRouter.route(c.requestId, c.report, c.from ?? null, out);
         break;
       case 'forwarded-response':
-        this.heartbeatRouter.onForwardedResponse(c.rid, c.status, c.body, out);
+        this.heartbeatRouter.onForwardedResponse(c.requestId, c.status, c.body, out);
         break;
       case 'load':
         this.loadSharing.onLoadMeasured(c.busy, c.connections);
-        this.told = {
-          sockets: c.connections / this.mostSockets,
+        this.processLoad = {
+          sockets: c.connections / this.maxConnections,
           memory: c.memory ?? 0,
           waiting: c.waiting ?? 0,
         };
@@ -550,14 +552,14 @@
         break;
       }
       case 'rejected-jobs':
-        this.userRequests.told(c.list);
+        this.userRequests.rejectedElsewhere(c.list);
         break;
       case 'peer-status':
         this.freshnessExchange.notePeerProcess(c.from, c.status.run);
         this.peers.onStatus(c.from, c.status);
         this.dataLossRecovery.monitor.peerHeard(c.status);
         if (c.status.revision > this.replica.watchRevision)
-          out.push({ type: 'catch-up', epoch: c.status.revision });
+          out.push({ type: 'catch-up', revision: c.status.revision });
         break;
       case 'freshness-query':
         this.freshnessExchange.onQuery(c.from, c.query, out);
@@ -571,28 +573,28 @@
         this.log('info', 'reading state', { keys: c.keys });
         break;
       case 'snapshot-loaded':
-        this.dataLossRecovery.monitor.snapshotLoaded(c.items, c.epoch);
-        this.replica.loadSnapshot(c.items, c.epoch);
-        this.freshnessExchange.onStateLoaded(c.epoch);
-        this.log('info', 'state loaded', { epoch: c.epoch, keys: c.items.length });
+        this.dataLossRecovery.monitor.snapshotLoaded(c.items, c.revision);
+        this.replica.loadSnapshot(c.items, c.revision);
+        this.freshnessExchange.onStateLoaded(c.revision);
+        this.log('info', 'state loaded', { epoch: c.revision, keys: c.items.length });
         this.shardsChanged = true;
         break;
       case 'changes':
-        this.replica.applyWatch(c.changes, c.epoch);
+        this.replica.applyWatch(c.changes, c.revision);
         break;
       case 'commit-result':
-        if (c.outcome.type === 'ok') this.dataLossRecovery.monitor.revisionReached(c.outcome.epoch);
+        if (c.outcome.type === 'ok') this.dataLossRecovery.monitor.revisionReached(c.outcome.revision);
         this.batcher.handleOutcome(c.outcome, this.clock.now, out);
         // The others need not wait for their next watch.
-        if (c.outcome.type === 'ok') this.tell(out, c.outcome.epoch);
+        if (c.outcome.type === 'ok') this.sendPeerStatus(out, c.outcome.revision);
         break;
       case 'revision-read':
-        this.dataLossRecovery.monitor.revisionRead(c.sentAt, c.epoch);
-        this.freshness.onRevisionRead(c.sentAt, c.epoch);
-        this.userRequests.epochRead(c.sentAt, c.epoch, out, this.freshness.isConfirmedByPeers);
+        this.dataLossRecovery.monitor.revisionRead(c.sentAt, c.revision);
+        this.freshness.onRevisionRead(c.sentAt, c.revision);
+        this.userRequests.revisionRead(c.sentAt, c.revision, out, this.freshness.isConfirmedByPeers);
         break;
       case 'audit-result':
-        this.dataLossRecovery.monitor.auditPageRead(c.from, c.items, c.more, c.epoch);
+        this.dataLossRecovery.monitor.auditPageRead(c.from, c.items, c.more, c.revision);
         break;
       case 'lease-granted':
         this.membership.onLeaseGranted(c.leaseId, this.clock.now);
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -28,11 +28,11 @@
 /** What the adapters bring to the core. `rid` names a request that waits for its answer. */
 export type Command =
   | { type: 'tick' }
-  | { type: 'submit'; rid: number; spec: JobSpec }
-  | { type: 'query'; rid: number; id: string }
-  | { type: 'cancel'; rid: number; id: string }
-  | { type: 'heartbeat'; rid: number; report: Heartbeat; from?: string }
-  | { type: 'forwarded-response'; rid: number; status: number; body: object | string }
+  | { type: 'submit'; requestId: number; spec: JobSpec }
+  | { type: 'query'; requestId: number; id: string }
+  | { type: 'cancel'; requestId: number; id: string }
+  | { type: 'heartbeat'; requestId: number; report: Heartbeat; from?: string }
+  | { type: 'forwarded-response'; requestId: number; status: number; body: object | string }
   | { type: 'peer-status'; from: string; status: PeerStatus }
   /** Jobs that another controller has turned away. */
   | { type: 'rejected-jobs'; list: Rejection[] }
@@ -46,12 +46,12 @@
   | { type: 'task-commands-result'; host: string; report: Heartbeat | null }
   /** So many keys of the first reading are here. */
   | { type: 'snapshot-progress'; keys: number }
-  | { type: 'snapshot-loaded'; items: Change[]; epoch: number }
-  | { type: 'changes'; changes: Change[]; epoch: number }
+  | { type: 'snapshot-loaded'; items: Change[]; revision: number }
+  | { type: 'changes'; changes: Change[]; revision: number }
   | { type: 'commit-result'; outcome: CommitOutcome }
   /** A part of what is stored; `epoch` null: no answer. */
-  | { type: 'audit-result'; from: string; items: Change[]; more: boolean; epoch: number | null }
-  | { type: 'revision-read'; sentAt: number; epoch: number | null }
+  | { type: 'audit-result'; from: string; items: Change[]; more: boolean; revision: number | null }
+  | { type: 'revision-read'; sentAt: number; revision: number | null }
   | { type: 'lease-granted'; leaseId: number | null }
   | { type: 'lease-renewal-result'; leaseId: number; outcome: 'ok' | 'gone' | 'failed' }
   | { type: 'forget-machine'; host: string }
@@ -71,8 +71,8 @@
   | { type: 'machine-list'; machines: ListedMachine[] | null; askedAt: number };
 
 export type CommitOutcome =
-  | { type: 'ok'; epoch: number }
-  | { type: 'conflict'; failed: string[]; epoch: number }
+  | { type: 'ok'; revision: number }
+  | { type: 'conflict'; failed: string[]; revision: number }
   /** Certainly not executed. */
   | { type: 'rejected' }
   /** Certainly not executed: more was asked of the state service than it takes. */
@@ -86,12 +86,12 @@
 /** What the core wants done. */
 export type Effect =
   /** A body that is text already goes out as it is. */
-  | { type: 'respond'; rid: number; status: number; body: object | string; retryAfterS?: number }
+  | { type: 'respond'; requestId: number; status: number; body: object | string; retryAfterS?: number }
   | { type: 'commit'; txn: Transaction }
   | { type: 'read-revision' }
-  | { type: 'catch-up'; epoch: number }
+  | { type: 'catch-up'; revision: number }
   /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
-  | { type: 'forward-heartbeat'; to: string; rid: number; report: Heartbeat }
+  | { type: 'forward-heartbeat'; to: string; requestId: number; report: Heartbeat }
   | { type: 'peer-status'; status: PeerStatus }
   | { type: 'rejected-jobs'; list: Rejection[] }
   | { type: 'query-freshness'; query: FreshnessQuery }
--- a/src/core/freshness-exchange.ts
+++ b/src/core/freshness-exchange.ts
@@ -1,5 +1,5 @@
 /** Freshness queries between controllers: what this one asks its peers, and what it answers them. */
-import type { Operators } from '../config/operators.js';
+import type { OperatorSettings } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import { canParticipate } from '../feature-levels/index.js';
 import { FreshnessQuorum, RecentChanges, type FreshnessQuery } from '../freshness/index.js';
@@ -12,7 +12,7 @@
 
 export interface FreshnessExchangeOptions {
   readonly settings: Settings;
-  readonly operators: Operators;
+  readonly operators: OperatorSettings;
   /** Identifies this process. */
   readonly instanceId: string;
   readonly replica: Replica;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -1,7 +1,7 @@
 /** Routing of workers' heartbeats: answered here, redirected to the owner of their machine, or forwarded to it. */
 import type { Settings } from '../config/settings.js';
 import type { Heartbeat } from '../model/heartbeat.js';
-import { answerOut, redirectOut } from '../wire/worker.js';
+import { encodeHeartbeatResponse, encodeRedirect } from '../wire/worker.js';
 import type { Autoscaler } from './autoscaler/autoscaler.js';
 import type { Clock, Effect } from './effects.js';
 import { isNewerHeartbeat } from './heartbeat-reconciler.js';
@@ -53,25 +53,26 @@
   }
 
   /** Routes a heartbeat. `forwardedBy`: the peer that forwarded it; null: it came from the worker. */
-  route(rid: number, heartbeat: Heartbeat, forwardedBy: string | null, out: Effect[]): void {
+  route(requestId: number, heartbeat: Heartbeat, forwardedBy: string | null, out: Effect[]): void {
     const { replica, autoscaler, loadSharing, onTokenReported } = this.options;
     onTokenReported(heartbeat.fencingToken);
     // Guards against acting on an old replica: a cancellation seen by users could be missed here, and the response
     // would keep the task alive.
-    if (!this.mayRespond) return respond(out, rid, 503, {}, 1);
+    if (!this.mayRespond) return respond(out, requestId, 503, {}, 1);
     const machine = replica.machines.get(heartbeat.host);
-    if (!machine) return this.routeUnknownMachine(rid, heartbeat, out);
+    if (!machine) return this.routeUnknownMachine(requestId, heartbeat, out);
     const owner = replica.responsibleController(machine);
-    if (!owner || !this.isSelf(owner)) return this.routeToOwner(rid, heartbeat, owner, forwardedBy, out);
+    if (!owner || !this.isSelf(owner))
+      return this.routeToOwner(requestId, heartbeat, owner, forwardedBy, out);
     this.redirectedAt.delete(heartbeat.host);
     // A newer token was granted to another process: this one is the stale owner and has not learned of it yet.
-    if (heartbeat.fencingToken > owner.token) return respond(out, rid, 421, redirectOut(null));
+    if (heartbeat.fencingToken > owner.token) return respond(out, requestId, 421, encodeRedirect(null));
     loadSharing.recordHeartbeat(forwardedBy);
     if (machine.shard < 0) {
       autoscaler.recordHeartbeat(machine.host);
-      return respond(out, rid, 200, answerOut(owner.token, []));
+      return respond(out, requestId, 200, encodeHeartbeatResponse(owner.token, []));
     }
-    this.answer(rid, heartbeat, owner.token, forwardedBy, out);
+    this.answer(requestId, heartbeat, owner.token, forwardedBy, out);
   }
 
   private get mayRespond(): boolean {
@@ -82,16 +83,16 @@
     return member === this.options.settings.member && run === this.options.instanceId;
   }
 
-  private routeUnknownMachine(rid: number, heartbeat: Heartbeat, out: Effect[]): void {
+  private routeUnknownMachine(requestId: number, heartbeat: Heartbeat, out: Effect[]): void {
     const { replica, autoscaler, isLeader } = this.options;
-    if (!isLeader()) return respond(out, rid, 421, redirectOut(replica.leader?.member ?? null));
+    if (!isLeader()) return respond(out, requestId, 421, encodeRedirect(replica.leader?.member ?? null));
     autoscaler.adoptReportingMachine(heartbeat);
-    respond(out, rid, 503, {}, 1);
+    respond(out, requestId, 503, {}, 1);
   }
 
   /** Answers the heartbeat of a machine of ours. */
   private answer(
-    rid: number,
+    requestId: number,
     heartbeat: Heartbeat,
     token: number,
     forwardedBy: string | null,
@@ -100,11 +101,11 @@
     const { shardManager, autoscaler, loadSharing, areWritesScarce } = this.options;
     const { host } = heartbeat;
     const machine = shardManager.machines.get(host);
-    if (!machine) return respond(out, rid, 503, {}, 1);
+    if (!machine) return respond(out, requestId, 503, {}, 1);
     // Only a worker that has seen the current token may be redirected: its machine has been proven then.
     const mayRedirect = forwardedBy === null && heartbeat.fencingToken === token;
     const helper = mayRedirect ? loadSharing.takeRedirectTarget() : null;
-    if (helper !== null) return respond(out, rid, 421, redirectOut(helper));
+    if (helper !== null) return respond(out, requestId, 421, encodeRedirect(helper));
     autoscaler.recordHeartbeat(host);
     // A late copy is no newer heartbeat: the worker may still wait for the response that is held.
     const isNewer = isNewerHeartbeat(heartbeat, [machine.agentEpoch, machine.heartbeatSeq]);
@@ -114,13 +115,13 @@
     // Where time or writes are scarce, starts are late anyway.
     const hasSlack = !loadSharing.isBusy && !areWritesScarce();
     const mayHold = isNewer && forwardedBy === null && orders.length === 0 && hasSlack;
-    if (mayHold && this.heldResponses.tryHold(machine, heartbeat, token, rid)) return;
-    respond(out, rid, 200, answerOut(token, orders));
+    if (mayHold && this.heldResponses.tryHold(machine, heartbeat, token, requestId)) return;
+    respond(out, requestId, 200, encodeHeartbeatResponse(token, orders));
   }
 
   /** Redirects a worker to the owner of its machine, or forwards its heartbeat there. */
   private routeToOwner(
-    rid: number,
+    requestId: number,
     heartbeat: Heartbeat,
     owner: MachineOwner | null,
     forwardedBy: string | null,
@@ -129,7 +130,7 @@
     const { settings, replica, peers, clock, maxForwarded } = this.options;
     const { host } = heartbeat;
     if (owner === null || owner.member === settings.member || !replica.isAlive(owner.member, owner.run))
-      return respond(out, rid, 421, redirectOut(null));
+      return respond(out, requestId, 421, encodeRedirect(null));
     // A worker that was redirected and is here again cannot reach the owner: its heartbeat is forwarded, so that a
     // partition between two zones does not cost its lease. So is that of a worker whose owner is offloading.
     const redirectedAt = this.redirectedAt.get(host) ?? -Infinity;
@@ -137,26 +138,26 @@
     const shouldForward = forwardedBy === null && (cannotReachOwner || peers.wantsForwarding(owner.member));
     if (shouldForward && this.forwardedAt.size < maxForwarded) {
       if (cannotReachOwner) this.redirectedAt.set(host, clock.now);
-      this.forwardedAt.set(rid, clock.now);
-      out.push({ type: 'forward-heartbeat', to: owner.member, rid, report: heartbeat });
+      this.forwardedAt.set(requestId, clock.now);
+      out.push({ type: 'forward-heartbeat', to: owner.member, requestId, report: heartbeat });
       return;
     }
     this.redirectedAt.set(host, clock.now);
-    respond(out, rid, 421, redirectOut(owner.member));
+    respond(out, requestId, 421, encodeRedirect(owner.member));
   }
 
   /** The owner's response to a forwarded heartbeat. */
-  onForwardedResponse(rid: number, status: number, body: object | string, out: Effect[]): void {
-    if (this.forwardedAt.delete(rid)) respond(out, rid, status, body);
+  onForwardedResponse(requestId: number, status: number, body: object | string, out: Effect[]): void {
+    if (this.forwardedAt.delete(requestId)) respond(out, requestId, status, body);
   }
 
   /** One step: times out forwarded heartbeats, and releases held responses. */
   tick(out: Effect[]): void {
     const { now } = this.options.clock;
-    for (const [rid, at] of this.forwardedAt) {
+    for (const [requestId, at] of this.forwardedAt) {
       if (now - at <= forwardTimeoutMs) break;
-      this.forwardedAt.delete(rid);
-      respond(out, rid, 503, {});
+      this.forwardedAt.delete(requestId);
+      respond(out, requestId, 503, {});
     }
     const due = this.heldResponses.releaseDue((machine, token) => this.stillOwns(machine, token));
     for (const released of due) respondReleased(out, released);
@@ -175,15 +176,15 @@
 
 function respond(
   out: Effect[],
-  rid: number,
+  requestId: number,
   status: number,
   body: object | string,
   retryAfterS?: number,
 ): void {
-  out.push({ type: 'respond', rid, status, body, retryAfterS });
+  out.push({ type: 'respond', requestId, status, body, retryAfterS });
 }
 
-function respondReleased(out: Effect[], { rid, token, orders }: ReleasedResponse): void {
-  if (orders === null) respond(out, rid, 503, {}, 1);
-  else respond(out, rid, 200, answerOut(token, orders));
+function respondReleased(out: Effect[], { requestId, token, orders }: ReleasedResponse): void {
+  if (orders === null) respond(out, requestId, 503, {}, 1);
+  else respond(out, requestId, 200, encodeHeartbeatResponse(token, orders));
 }
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -9,7 +9,7 @@
 const holdTimeoutMs = 4000 * 0.5;
 
 interface HeldResponse {
-  readonly rid: number;
+  readonly requestId: number;
   readonly machine: ScheduledMachine;
   readonly heartbeat: Heartbeat;
   readonly token: number;
@@ -18,7 +18,7 @@
 
 /** A response that is held no longer. */
 export interface ReleasedResponse {
-  readonly rid: number;
+  readonly requestId: number;
   readonly token: number;
   /** null: this process no longer answers for the machine, the worker is to retry. */
   readonly orders: TaskOrder[] | null;
@@ -40,7 +40,7 @@
   ) {}
 
   /** Holds the response to a heartbeat that no order answers, if that may be of use; whether it is held. */
-  tryHold(machine: ScheduledMachine, heartbeat: Heartbeat, token: number, rid: number): boolean {
+  tryHold(machine: ScheduledMachine, heartbeat: Heartbeat, token: number, requestId: number): boolean {
     // In a pool, agents are asked for a heartbeat when there is something to start.
     if (this.settings.pool) return false;
     // A machine that is about to go must not wait for its next heartbeat.
@@ -53,7 +53,7 @@
       ? this.heartbeatReconciler.awaitsDurableStart(machine)
       : heartbeat.tasks.length === 0;
     if (!isOfUse) return false;
-    this.held.set(machine.host, { rid, machine, heartbeat, token, heldAt: this.clock.now });
+    this.held.set(machine.host, { requestId, machine, heartbeat, token, heldAt: this.clock.now });
     return true;
   }
 
@@ -62,7 +62,7 @@
     const held = this.held.get(host);
     if (!held) return null;
     this.held.delete(host);
-    return { rid: held.rid, token: held.token, orders: [] };
+    return { requestId: held.requestId, token: held.token, orders: [] };
   }
 
   /**
@@ -70,7 +70,7 @@
    * answers for the machine under this token.
    */
   *releaseDue(stillOwns: (machine: ScheduledMachine, token: number) => boolean): Generator<ReleasedResponse> {
-    for (const [host, { rid, machine, heartbeat, token, heldAt }] of this.held) {
+    for (const [host, { requestId, machine, heartbeat, token, heldAt }] of this.held) {
       const hasTimedOut = this.clock.now - heldAt >= holdTimeoutMs;
       const isWaiting = machine.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(machine);
       if (!hasTimedOut && isWaiting) continue;
@@ -78,7 +78,7 @@
       const orders = stillOwns(machine, token)
         ? this.heartbeatReconciler.currentOrders(machine, heartbeat)
         : null;
-      yield { rid, token, orders };
+      yield { requestId, token, orders };
     }
   }
 }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,5 +1,5 @@
 /** Membership of this process in the group of controllers: presence, leader election, shard assignment, shutdown. */
-import type { Operators } from '../../config/operators.js';
+import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Random, RetryPolicy } from '../../retry/index.js';
 import type { Effect, Log } from '../effects.js';
@@ -16,7 +16,7 @@
 
 export interface MembershipOptions {
   readonly settings: Settings;
-  readonly operators: Operators;
+  readonly operators: OperatorSettings;
   /** Identifies this process among all that have run under its member's name. */
   readonly instanceId: string;
   readonly replica: Replica;
--- a/src/core/membership/shard-assignment.ts
+++ b/src/core/membership/shard-assignment.ts
@@ -1,5 +1,5 @@
 /** Shard assignment by the leader: which teams form a shard, and which process owns it. */
-import type { Operators } from '../../config/operators.js';
+import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import { canParticipate } from '../../feature-levels/index.js';
 import type { Log } from '../effects.js';
@@ -22,7 +22,7 @@
 
 export interface ShardAssignmentOptions {
   readonly settings: Settings;
-  readonly operators: Operators;
+  readonly operators: OperatorSettings;
   readonly leaseTtlMs: number;
   readonly replica: Replica;
   readonly writes: PendingWrites;
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -1,5 +1,5 @@
 /** Takes up and lets go of shards, and gives placement rounds and upkeep their turns. */
-import type { Operators } from '../config/operators.js';
+import type { OperatorSettings } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import type { Matcher } from '../policy/matching.js';
 import { ShardState } from './shard-state/shard-state.js';
@@ -46,7 +46,7 @@
 
   constructor(
     private readonly settings: Settings,
-    private readonly operators: Operators,
+    private readonly operators: OperatorSettings,
     private readonly run: string,
     private readonly replica: Replica,
     batcher: Committer,
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -1,5 +1,5 @@
 /** A machine as it is scheduled, and what is free on it. */
-import type { Operators } from '../../config/operators.js';
+import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Resources, MachineType } from '../../model/machine.js';
 import type { Clock } from '../effects.js';
@@ -40,7 +40,7 @@
 
 interface SchedulingContext {
   settings: Settings;
-  operators: Operators;
+  operators: OperatorSettings;
   clock: Clock;
 }
 
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -1,6 +1,6 @@
 /** The jobs and machines of this process's shards in memory, and what is placed where. */
 import { MinimumShares } from '../../admission/index.js';
-import type { Operators } from '../../config/operators.js';
+import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import { taskKey, urgencyRank, type JobSpec } from '../../model/job.js';
 import { fits, type Resources } from '../../model/machine.js';
@@ -86,7 +86,7 @@
 
   constructor(
     readonly settings: Settings,
-    readonly operators: Operators,
+    readonly operators: OperatorSettings,
     readonly replica: Replica,
     batcher: Committer,
     readonly clock: Clock,
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -1,7 +1,7 @@
 /** The write budget: groups changes into transactions by rank, and finds out what became of each. */
 import { RateMeter } from '../../admission/index.js';
 import type { Condition, Transaction, Write } from '../../wire/store.js';
-import { txnOut } from '../../wire/store.js';
+import { encodeTransaction } from '../../wire/store.js';
 import { RetryBackoff, backoffDelayMs, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { CommitOutcome, Effect, Log } from '../effects.js';
 import { incarnationKey, incarnationPrefix, levelKey } from './keys.js';
@@ -221,7 +221,7 @@
           pending.onConflict(unreadableKeys, this.replica.watchRevision);
           continue;
         }
-        const size = JSON.stringify(txnOut(transaction)).length;
+        const size = JSON.stringify(encodeTransaction(transaction)).length;
         const clashes =
           transaction.writes.some((w) => touched.has(w.key)) ||
           transaction.conditions.some(
@@ -311,30 +311,30 @@
           );
         // Our own writes are seen at once, not only when the watch delivers them.
         for (const w of inFlight.txn.writes)
-          this.replica.apply({ key: w.key, data: w.data, stamp: outcome.epoch });
-        for (const b of inFlight.built) b.pending.onCommitted(outcome.epoch);
+          this.replica.apply({ key: w.key, data: w.data, stamp: outcome.revision });
+        for (const b of inFlight.built) b.pending.onCommitted(outcome.revision);
         break;
       case 'conflict':
         if (outcome.failed.some((key) => key === levelKey || key.startsWith(incarnationPrefix))) {
-          this.blockedUntilRevision = outcome.epoch;
-          effects.push({ type: 'catch-up', epoch: outcome.epoch });
+          this.blockedUntilRevision = outcome.revision;
+          effects.push({ type: 'catch-up', revision: outcome.revision });
         }
         if (inFlight.unsure) {
           // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
-          this.unresolvedConflict = { epoch: outcome.epoch, failed: outcome.failed };
-          effects.push({ type: 'catch-up', epoch: outcome.epoch });
-          if (this.replica.watchRevision >= outcome.epoch)
-            this.resolveConflict(outcome.failed, outcome.epoch);
+          this.unresolvedConflict = { epoch: outcome.revision, failed: outcome.failed };
+          effects.push({ type: 'catch-up', revision: outcome.revision });
+          if (this.replica.watchRevision >= outcome.revision)
+            this.resolveConflict(outcome.failed, outcome.revision);
         } else {
           this.inFlight = null;
           const failed = new Set(outcome.failed);
           this.onConditionsFailed(
             inFlight.txn.conditions.filter((c) => failed.has(c.key)),
-            outcome.epoch,
+            outcome.revision,
           );
           for (const b of inFlight.built) {
             const mine = b.transaction.conditions.filter((c) => failed.has(c.key)).map((c) => c.key);
-            if (mine.length > 0) b.pending.onConflict(mine, outcome.epoch);
+            if (mine.length > 0) b.pending.onConflict(mine, outcome.revision);
             else this.enqueue(b.pending);
           }
         }
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,6 +1,11 @@
 /** The library: everything a program needs to run, embed or test a controller. */
 export { parseSettings, loadSettings, SettingsError, type Settings } from './config/settings.js';
-export { parseOperators, loadOperators, defaults, type Operators } from './config/operators.js';
+export {
+  parseOperatorSettings as parseOperators,
+  loadOperatorSettings as loadOperators,
+  operatorDefaults as defaults,
+  type OperatorSettings as Operators,
+} from './config/operators.js';
 export { Controller } from './core/controller.js';
 export { Service } from './service.js';
 export type { Command, Effect, Clock, Log } from './core/effects.js';
--- a/src/log.ts
+++ b/src/log.ts
@@ -4,7 +4,7 @@
 const levels = new Set(['trace', 'debug', 'info', 'warn', 'error', 'fatal', 'silent']);
 
 /** Logs to standard error, at the level of LOG_LEVEL. */
-export function makeLog(member: string): Log {
+export function createLogger(member: string): Log {
   const wanted = process.env['LOG_LEVEL'] ?? 'info';
   const logger = pino(
     { level: levels.has(wanted) ? wanted : 'info', base: { member } },
--- a/src/matching/machine-ad.ts
+++ b/src/matching/machine-ad.ts
@@ -1,7 +1,7 @@
 /** Machines as ClassAd records. */
 import { Ad, literal, type Value } from '../classad/index.js';
 import type { MachineAttributes } from '../policy/matching.js';
-import type { Joining } from '../wire/agent-side.js';
+import type { JoinRequest } from '../wire/agent-side.js';
 
 const toValue = (v: string | number | boolean): Value =>
   typeof v === 'number' && Number.isInteger(v) ? BigInt(v) : v;
@@ -11,7 +11,9 @@
   new Ad(Object.entries(attributes).map(([name, v]) => ({ name, expr: literal(toValue(v)) })));
 
 /** The attributes of an agent's machine: its own, overridden by those that the control service knows. */
-export const machineAttributes = (machine: Omit<Joining, 'id'> & { host: string }): MachineAttributes => ({
+export const machineAttributes = (
+  machine: Omit<JoinRequest, 'id'> & { host: string },
+): MachineAttributes => ({
   ...machine.attrs,
   Name: machine.name,
   Machine: machine.host,
--- a/src/memory-usage.ts
+++ b/src/memory-usage.ts
@@ -5,41 +5,41 @@
 import type { Limits } from './limits/index.js';
 
 /** A collection that was asked for costs much: so long after one none is asked for again. */
-const restMs = 20_000;
+const collectionIntervalMs = 20_000;
 const pageKb = 4;
 
 /**
  * Keeps what the process holds below what the settings give it. The engine takes its own limit from the command line,
  * which is the same for all deployments; so it is told to collect when the deployment's limit is near.
  */
-export class Memory {
+export class MemoryUsage {
   private collectedAt = -Infinity;
   private collect: (() => void) | null = null;
-  private tight = false;
+  private short = false;
   /** Of what may be held before only what is needed most is taken in. */
-  share = 0;
+  utilization = 0;
 
   constructor(
     private readonly limits: Limits['memory'],
     private readonly log: Log,
-    private readonly heldMb: () => number = ownMb,
+    private readonly measureMb: () => number = residentMb,
   ) {}
 
   /** Whether only what is needed most should be taken in now. */
-  look(now: number): boolean {
-    let held = this.heldMb();
-    if (held > this.limits.collectGarbageAboveMb && now - this.collectedAt > restMs) {
+  check(now: number): boolean {
+    let held = this.measureMb();
+    if (held > this.limits.collectGarbageAboveMb && now - this.collectedAt > collectionIntervalMs) {
       this.collectedAt = now;
       this.collector()();
       const before = held;
-      held = this.heldMb();
+      held = this.measureMb();
       this.log('info', 'memory collected', { before: Math.round(before), after: Math.round(held) });
     }
-    this.share = held / this.limits.shedLoadAboveMb;
+    this.utilization = held / this.limits.shedLoadAboveMb;
     const tight = held > this.limits.shedLoadAboveMb;
-    if (tight !== this.tight)
+    if (tight !== this.short)
       this.log('warn', tight ? 'memory is short' : 'memory is enough again', { held: Math.round(held) });
-    this.tight = tight;
+    this.short = tight;
     return tight;
   }
 
@@ -53,7 +53,7 @@
 }
 
 /** What the process holds itself, without the program's pages, which all processes of a machine share. */
-function ownMb(): number {
+function residentMb(): number {
   try {
     const [, resident, shared] = readFileSync('/proc/self/statm', 'latin1').split(' ').map(Number);
     return ((resident - shared) * pageKb) / 1024;
--- a/src/net/client.ts
+++ b/src/net/client.ts
@@ -1,5 +1,5 @@
 import { Agent, request, type IncomingMessage } from 'node:http';
-import { splitAddr } from '../config/settings.js';
+import { splitAddress } from '../config/settings.js';
 
 export interface JsonResponse {
   status: number;
@@ -20,7 +20,7 @@
   body: object | null,
   timeoutMs: number,
 ): Promise<JsonResponse | null> {
-  const { host, port } = splitAddr(addr);
+  const { host, port } = splitAddress(addr);
   return new Promise((resolve) => {
     let settled = false;
     const settle = (reply: JsonResponse | null) => {
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -1,6 +1,6 @@
 /** The mesh of connections between the controllers. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import { splitAddr, type Settings } from '../config/settings.js';
+import { splitAddress, type Settings } from '../config/settings.js';
 import type { Log } from '../core/effects.js';
 import { common, messageFormats } from '../formats/index.js';
 import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
@@ -52,7 +52,7 @@
   /** Listens for peers, and dials all of them. */
   async start(): Promise<void> {
     const { settings } = this.options;
-    const { host, port } = splitAddr(settings.peerAddr);
+    const { host, port } = splitAddress(settings.peerAddr);
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
       this.server.listen(port, host, () => resolve());
@@ -93,7 +93,7 @@
     let failures = 0;
     const open = (isReconnect: boolean): void => {
       if (this.isStopped) return;
-      const socket = connect(splitAddr(addr));
+      const socket = connect(splitAddress(addr));
       link.socket = socket;
       socket.setNoDelay(true);
       socket.setTimeout(retry.timeoutMs, () => {
--- a/src/policy/pricing.ts
+++ b/src/policy/pricing.ts
@@ -1,12 +1,12 @@
 /** Prices and start delays of machine types, as the placement policy weighs them. */
-import type { Operators } from '../config/operators.js';
+import type { OperatorSettings } from '../config/operators.js';
 import type { JobSpec } from '../model/job.js';
 import { hourlyPrice, type MachineType } from '../model/machine.js';
 import { typeAllowed } from './admission.js';
 import type { MachineCandidate, ScoreWeights } from './helios.js';
 
 /** The weights that the operators have set. */
-export const scoreWeights = (operators: Operators): ScoreWeights => ({
+export const scoreWeights = (operators: OperatorSettings): ScoreWeights => ({
   hazard: operators['hazard-weight'],
   anchor: operators['anchor-weight'],
 });
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -80,6 +80,12 @@
   private later(c: Request): Effect {
     const spread = this.settings.workers.report_s * spreadShare * this.random();
     const body = { error: 'too much at once, try again later' };
-    return { type: 'respond', rid: c.rid, status: 503, body, retryAfterS: 1 + Math.floor(spread) };
+    return {
+      type: 'respond',
+      requestId: c.requestId,
+      status: 503,
+      body,
+      retryAfterS: 1 + Math.floor(spread),
+    };
   }
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -2,13 +2,13 @@
 import { performance } from 'node:perf_hooks';
 import { HttpCloudProvider, type CloudProvider } from './cloud/cloud-provider.js';
 import { WorkerClient } from './workers/worker-client.js';
-import type { Operators } from './config/operators.js';
-import { splitAddr, type Settings } from './config/settings.js';
+import type { OperatorSettings } from './config/operators.js';
+import { splitAddress, type Settings } from './config/settings.js';
 import { Controller } from './core/controller.js';
 import type { Command, Effect, Log } from './core/effects.js';
 import { RequestQueue } from './request-queue.js';
 import { limitsOf, type Limits } from './limits/index.js';
-import { Memory } from './memory-usage.js';
+import { MemoryUsage } from './memory-usage.js';
 import type { PeerMesh } from './peers/mesh.js';
 import type { RecoveryRecords } from './core/recovery-records.js';
 import type { Frame } from './peers/frames.js';
@@ -17,21 +17,21 @@
 import { Follower } from './state/follower.js';
 import type { StateService } from './state/service.js';
 import { Store } from './state/store.js';
-import { PublicServer, type FrontHooks } from './users/server.js';
+import { PublicServer, type ServerHooks } from './users/server.js';
 import { decodeChanges, encodeChanges } from './wire/store.js';
 
 const tickMs = 50;
-const measureMs = 1000;
+const loadReportIntervalMs = 1000;
 /** The longest that anybody waits for an answer. */
-const answersMs = 5000;
+const drainTimeoutMs = 5000;
 /** Polls may use this share of the request budget that is this controller's share; the first reading all of it. */
-const pollShare = 1 / 3;
+const watchRequestShare = 1 / 3;
 
 /** What stands in the place of the platform's state service and cloud. */
-export interface Parts {
+export interface ServiceDependencies {
   state: StateService;
   cloud: CloudProvider;
-  hooks: FrontHooks;
+  hooks: ServerHooks;
   matcher: Matcher;
 }
 
@@ -40,30 +40,30 @@
   controller: Controller;
   private readonly store: StateService;
   private run: string;
-  private rebirths = 0;
+  private restarts = 0;
   private readonly random: Random;
   private readonly retry: RetryPolicies;
   private readonly limits: Limits;
   private readonly cloud: CloudProvider;
   private readonly workerClient: WorkerClient;
   private readonly follower: Follower;
-  private readonly front: PublicServer;
+  private readonly publicServer: PublicServer;
   private readonly requestQueue: RequestQueue;
-  private readonly memory: Memory;
-  private mesh: PeerMesh | null = null;
+  private readonly memoryUsage: MemoryUsage;
+  private peerMesh: PeerMesh | null = null;
   /** Answers owed to peers that relayed a report: by our request number. */
-  private readonly owed = new Map<number, { to: string; id: number }>();
-  private owedCount = 0;
+  private readonly forwardedRequests = new Map<number, { to: string; id: number }>();
+  private forwardedCount = 0;
   private scheduled = false;
-  private left: Promise<void> | null = null;
+  private shutdown: Promise<void> | null = null;
   private readonly timers: NodeJS.Timeout[] = [];
   private utilization = performance.eventLoopUtilization();
 
   constructor(
     private readonly settings: Settings,
-    private readonly operators: Operators,
+    private readonly operators: OperatorSettings,
     private readonly log: Log,
-    private readonly parts: Partial<Parts> = {},
+    private readonly dependencies: Partial<ServiceDependencies> = {},
     /** Which program this is. */
     private readonly program = '?',
   ) {
@@ -73,36 +73,37 @@
     const stateLeaseMs = settings.workers.lease_s * 1000 * operators['node-lease-ratio'];
     this.retry = retryPolicies({ ...settings, stateLeaseMs });
     this.limits = limitsOf(settings);
-    this.controller = this.make(null);
-    this.store = parts.state ?? new Store(settings.endpoints.state, this.retry.state.timeoutMs);
-    this.cloud = parts.cloud ?? new HttpCloudProvider(settings.endpoints.cloud, this.retry.cloud.timeoutMs);
+    this.controller = this.createController(null);
+    this.store = dependencies.state ?? new Store(settings.endpoints.state, this.retry.state.timeoutMs);
+    this.cloud =
+      dependencies.cloud ?? new HttpCloudProvider(settings.endpoints.cloud, this.retry.cloud.timeoutMs);
     this.workerClient = new WorkerClient(this.retry.workers.timeoutMs, this.limits.sockets.outgoingOrders);
-    this.memory = new Memory(this.limits.memory, log);
+    this.memoryUsage = new MemoryUsage(this.limits.memory, log);
     this.requestQueue = new RequestQueue(settings, this.limits, this.random);
     const share = settings.state.rps / (1 + settings.peers.length);
     this.follower = new Follower(
       this.store,
-      { everyMs: 1000 / (share * pollShare), pageMs: 1000 / share, burst: share / 2 },
+      { everyMs: 1000 / (share * watchRequestShare), pageMs: 1000 / share, burst: share / 2 },
       new RetryBackoff(this.retry.state, this.random),
       () => performance.now(),
       {
-        reading: (keys) => this.push({ type: 'snapshot-progress', keys }),
-        loaded: (items, epoch) => this.push({ type: 'snapshot-loaded', items, epoch }),
-        changed: (changes, epoch) => this.push({ type: 'changes', changes, epoch }),
-        read: (sentAt, epoch) => this.push({ type: 'revision-read', sentAt, epoch }),
+        reading: (keys) => this.enqueue({ type: 'snapshot-progress', keys }),
+        loaded: (items, revision) => this.enqueue({ type: 'snapshot-loaded', items, revision }),
+        changed: (changes, revision) => this.enqueue({ type: 'changes', changes, revision }),
+        read: (sentAt, revision) => this.enqueue({ type: 'revision-read', sentAt, revision }),
       },
     );
-    this.front = new PublicServer(
-      (c) => this.push(c),
+    this.publicServer = new PublicServer(
+      (c) => this.enqueue(c),
       () => this.controller.healthy,
       this.limits.sockets,
       settings.workers.report_s * 1000,
-      parts.hooks ?? null,
+      dependencies.hooks ?? null,
     );
   }
 
-  private make(recoveryRecords: RecoveryRecords | null): Controller {
-    const { settings, operators, run, random, log, parts, program } = this;
+  private createController(recoveryRecords: RecoveryRecords | null): Controller {
+    const { settings, operators, run, random, log, dependencies: parts, program } = this;
     return new Controller(
       settings,
       operators,
@@ -116,23 +117,23 @@
   }
 
   /** The state service has lost data: the core begins anew with what it knew, as another process would. */
-  private rebear(recoveryRecords: RecoveryRecords): void {
-    this.run = `${this.run.split('.')[0]}.${++this.rebirths}`;
+  private restartController(recoveryRecords: RecoveryRecords): void {
+    this.run = `${this.run.split('.')[0]}.${++this.restarts}`;
     this.requestQueue.discardResponses();
     this.follower.restart();
-    this.controller = this.make(recoveryRecords);
+    this.controller = this.createController(recoveryRecords);
   }
 
   async start(): Promise<void> {
-    const { host, port } = splitAddr(this.settings.publicAddr);
+    const { host, port } = splitAddress(this.settings.publicAddr);
     await new Promise<void>((resolve, reject) => {
-      this.front.server.once('error', reject);
-      this.front.server.listen(port, host, () => resolve());
+      this.publicServer.server.once('error', reject);
+      this.publicServer.server.listen(port, host, () => resolve());
     });
     this.log('info', 'listening', { member: this.settings.member, addr: this.settings.publicAddr });
     void this.follower.run();
-    this.timers.push(setInterval(() => this.push({ type: 'tick' }), tickMs));
-    this.timers.push(setInterval(() => this.measure(), measureMs));
+    this.timers.push(setInterval(() => this.enqueue({ type: 'tick' }), tickMs));
+    this.timers.push(setInterval(() => this.reportLoad(), loadReportIntervalMs));
     if (this.settings.peers.length === 0) return;
     // Loaded only now: start-up time counts, and nobody waits for the talk between controllers.
     const { PeerMesh } = await import('./peers/mesh.js');
@@ -144,36 +145,36 @@
       maxInboundConnections: this.limits.sockets.peers,
       log: this.log,
       onFrame: (from, frame) => this.onPeerFrame(from, frame),
-      onPeerLost: (member) => this.push({ type: 'peer-lost', member }),
+      onPeerLost: (member) => this.enqueue({ type: 'peer-lost', member }),
     });
     await mesh.start();
-    this.mesh = mesh;
+    this.peerMesh = mesh;
   }
 
   /** Where it listens. */
   get address(): { port: number } {
-    return this.front.server.address() as { port: number };
+    return this.publicServer.server.address() as { port: number };
   }
 
   /**
    * Leaves in order: users are sent elsewhere, shards and leadership are handed on, what is under way is answered. What
    * cannot be handed on is left to the lease's end, as after a kill.
    */
-  async leave(): Promise<void> {
-    if (this.left === null) {
-      this.push({ type: 'shut-down' });
-      this.left = new Promise((resolve) => {
+  async shutDown(): Promise<void> {
+    if (this.shutdown === null) {
+      this.enqueue({ type: 'shut-down' });
+      this.shutdown = new Promise((resolve) => {
         const timer = setInterval(() => {
-          if (this.controller.phase !== 'gone') return;
+          if (this.controller.shutdownPhase !== 'gone') return;
           clearInterval(timer);
           // New connections are refused; open ones end with the answers that they wait for.
-          this.front.server.close(() => resolve());
-          this.front.server.closeIdleConnections();
-          setTimeout(resolve, answersMs).unref();
+          this.publicServer.server.close(() => resolve());
+          this.publicServer.server.closeIdleConnections();
+          setTimeout(resolve, drainTimeoutMs).unref();
         }, tickMs);
       });
     }
-    await this.left;
+    await this.shutdown;
     this.log('info', 'left');
     this.stop();
   }
@@ -182,22 +183,22 @@
   stop(): void {
     for (const t of this.timers) clearInterval(t);
     this.follower.stop();
-    this.mesh?.stop();
-    this.front.server.close();
-    this.front.server.closeAllConnections();
+    this.peerMesh?.stop();
+    this.publicServer.server.close();
+    this.publicServer.server.closeAllConnections();
   }
 
-  private measure(): void {
+  private reportLoad(): void {
     const now = performance.eventLoopUtilization();
     const { utilization: busy } = performance.eventLoopUtilization(now, this.utilization);
     this.utilization = now;
-    this.requestQueue.memoryShort = this.memory.look(performance.now());
-    const connections = this.front.tend(performance.now());
-    this.push({
+    this.requestQueue.memoryShort = this.memoryUsage.check(performance.now());
+    const connections = this.publicServer.trimConnections(performance.now());
+    this.enqueue({
       type: 'load',
       busy,
       connections,
-      memory: this.memory.share,
+      memory: this.memoryUsage.utilization,
       waiting: this.requestQueue.submissionFillRatio,
     });
   }
@@ -207,23 +208,28 @@
       case 'hello':
         break;
       case 'rejected-jobs':
-        this.push({ type: 'rejected-jobs', list: [...frame.rejections] });
+        this.enqueue({ type: 'rejected-jobs', list: [...frame.rejections] });
         break;
       case 'peer-status':
-        this.push({ type: 'peer-status', from, status: frame.status });
+        this.enqueue({ type: 'peer-status', from, status: frame.status });
         break;
       case 'forwarded-heartbeat': {
         // Below zero, so that they never meet the numbers of our own server's requests.
-        const rid = -++this.owedCount;
-        this.owed.set(rid, { to: from, id: frame.id });
-        this.push({ type: 'heartbeat', rid, report: frame.heartbeat, from });
+        const requestId = -++this.forwardedCount;
+        this.forwardedRequests.set(requestId, { to: from, id: frame.id });
+        this.enqueue({ type: 'heartbeat', requestId, report: frame.heartbeat, from });
         break;
       }
       case 'forwarded-response':
-        this.push({ type: 'forwarded-response', rid: frame.id, status: frame.status, body: frame.body });
+        this.enqueue({
+          type: 'forwarded-response',
+          requestId: frame.id,
+          status: frame.status,
+          body: frame.body,
+        });
         break;
       case 'freshness-query':
-        this.push({ type: 'freshness-query', from, query: frame.query });
+        this.enqueue({ type: 'freshness-query', from, query: frame.query });
         break;
       case 'freshness-answer':
         this.onFreshnessAnswer(from, frame);
@@ -234,65 +240,65 @@
   private onFreshnessAnswer(from: string, answer: Extract<Frame, { type: 'freshness-answer' }>): void {
     const { query, run } = answer;
     try {
-      this.push({ type: 'freshness-confirmed', from, run, query, known: decodeChanges(answer.changes) });
+      this.enqueue({ type: 'freshness-confirmed', from, run, query, known: decodeChanges(answer.changes) });
     } catch (e) {
       this.log('warn', 'malformed peer frame', { from, error: String((e as Error).message) });
     }
   }
 
-  push(c: Command): void {
-    for (const e of this.requestQueue.offer(c, performance.now())) this.carryOut(e);
+  enqueue(c: Command): void {
+    for (const e of this.requestQueue.offer(c, performance.now())) this.execute(e);
     this.schedule();
   }
 
   private schedule(): void {
     if (this.scheduled || this.requestQueue.empty) return;
     this.scheduled = true;
-    setImmediate(() => this.work());
+    setImmediate(() => this.runStep());
   }
 
-  private work(): void {
+  private runStep(): void {
     this.scheduled = false;
     const now = performance.now();
     const { commands, answers } = this.requestQueue.take(now);
-    for (const e of answers) this.carryOut(e);
+    for (const e of answers) this.execute(e);
     const effects = this.controller.step(commands, { now, wall: Date.now() });
-    for (const e of effects) this.carryOut(e);
+    for (const e of effects) this.execute(e);
     this.schedule();
   }
 
-  private carryOut(e: Effect): void {
-    const { rebirths } = this;
+  private execute(e: Effect): void {
+    const { restarts: rebirths } = this;
     // Guards against answers to what was asked for before this process began anew.
-    const back = (c: Command): void => void (rebirths === this.rebirths && this.push(c));
+    const back = (c: Command): void => void (rebirths === this.restarts && this.enqueue(c));
     switch (e.type) {
       case 'forward-heartbeat':
-        if (!this.mesh?.send(e.to, { type: 'forwarded-heartbeat', id: e.rid, heartbeat: e.report }))
-          this.push({ type: 'forwarded-response', rid: e.rid, status: 503, body: {} });
+        if (!this.peerMesh?.send(e.to, { type: 'forwarded-heartbeat', id: e.requestId, heartbeat: e.report }))
+          this.enqueue({ type: 'forwarded-response', requestId: e.requestId, status: 503, body: {} });
         break;
       case 'peer-status':
-        this.mesh?.broadcast({ type: 'peer-status', status: e.status });
+        this.peerMesh?.broadcast({ type: 'peer-status', status: e.status });
         break;
       case 'rejected-jobs':
-        this.mesh?.broadcast({ type: 'rejected-jobs', rejections: e.list });
+        this.peerMesh?.broadcast({ type: 'rejected-jobs', rejections: e.list });
         break;
       case 'query-freshness':
-        this.mesh?.broadcast({ type: 'freshness-query', query: e.query });
+        this.peerMesh?.broadcast({ type: 'freshness-query', query: e.query });
         break;
       case 'confirm-freshness': {
         const changes = encodeChanges(e.known);
-        this.mesh?.send(e.to, { type: 'freshness-answer', query: e.query, run: this.run, changes });
+        this.peerMesh?.send(e.to, { type: 'freshness-answer', query: e.query, run: this.run, changes });
         break;
       }
       case 'respond': {
-        const owed = this.owed.get(e.rid);
+        const owed = this.forwardedRequests.get(e.requestId);
         if (owed) {
-          this.owed.delete(e.rid);
+          this.forwardedRequests.delete(e.requestId);
           const body = typeof e.body === 'string' ? e.body : JSON.stringify(e.body);
-          this.mesh?.send(owed.to, { type: 'forwarded-response', id: owed.id, status: e.status, body });
+          this.peerMesh?.send(owed.to, { type: 'forwarded-response', id: owed.id, status: e.status, body });
           break;
         }
-        this.front.answer(e.rid, e.status, e.body, e.retryAfterS);
+        this.publicServer.respond(e.requestId, e.status, e.body, e.retryAfterS);
         break;
       }
       case 'commit':
@@ -302,18 +308,18 @@
         this.follower.ask();
         break;
       case 'catch-up':
-        this.follower.hurry(e.epoch);
+        this.follower.hurry(e.revision);
         break;
       case 'audit': {
         const { from, keys } = e;
         void this.store.part(from, keys).then((page) => {
-          const { items, more, epoch } = page ?? { items: [], more: false, epoch: null };
-          back({ type: 'audit-result', from, items, more, epoch });
+          const { items, more, revision: epoch } = page ?? { items: [], more: false, revision: null };
+          back({ type: 'audit-result', from, items, more, revision: epoch });
         });
         break;
       }
       case 'restart':
-        this.rebear(e.recoveryRecords);
+        this.restartController(e.recoveryRecords);
         break;
       case 'grant-lease':
         void this.store.lease(e.ttlMs).then((hold) => back({ type: 'lease-granted', leaseId: hold }));
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -8,9 +8,9 @@
 export interface FollowerEvents {
   /** A page of the first reading has come. */
   reading(keys: number): void;
-  loaded(items: Change[], epoch: number): void;
-  changed(changes: Change[], epoch: number): void;
-  read(sentAt: number, epoch: number | null): void;
+  loaded(items: Change[], revision: number): void;
+  changed(changes: Change[], revision: number): void;
+  read(sentAt: number, revision: number | null): void;
 }
 
 export interface FollowerPace {
@@ -46,9 +46,9 @@
   ) {}
 
   /** Somebody waits for this revision. */
-  hurry(epoch: number): void {
-    if (epoch <= this.from) return;
-    this.wanted = Math.max(this.wanted, epoch);
+  hurry(revision: number): void {
+    if (revision <= this.from) return;
+    this.wanted = Math.max(this.wanted, revision);
     this.ask();
   }
 
@@ -93,7 +93,7 @@
   private async load(): Promise<void> {
     const { restarts } = this;
     const items: Change[] = [];
-    let epoch = -1;
+    let revision = -1;
     let left = this.pace.burst;
     for (let from = ''; !this.stopped;) {
       const page = await this.source.page(from);
@@ -107,7 +107,7 @@
       }
       this.attempts.onSuccess();
       // Changes made since the first page are read behind it.
-      if (epoch < 0) epoch = page.epoch;
+      if (revision < 0) revision = page.revision;
       for (const i of page.items) items.push(i);
       if (!page.more || page.items.length === 0) break;
       this.events.reading(items.length);
@@ -115,8 +115,8 @@
       if (--left <= 0) await this.sleep(this.pace.pageMs);
     }
     if (this.stopped || restarts !== this.restarts) return;
-    this.from = epoch;
-    this.events.loaded(items, epoch);
+    this.from = revision;
+    this.events.loaded(items, revision);
   }
 
   private schedule(): void {
@@ -152,9 +152,9 @@
       if (blockMs === 0) this.events.read(sentAt, null);
     } else {
       this.attempts.onSuccess();
-      if (this.from >= 0) this.from = Math.max(this.from, r.epoch);
-      this.events.changed(r.changes, r.epoch);
-      this.events.read(sentAt, r.epoch);
+      if (this.from >= 0) this.from = Math.max(this.from, r.revision);
+      this.events.changed(r.changes, r.revision);
+      this.events.read(sentAt, r.revision);
     }
   }
 
--- a/src/state/service.ts
+++ b/src/state/service.ts
@@ -4,12 +4,12 @@
 export interface Page {
   items: Change[];
   more: boolean;
-  epoch: number;
+  revision: number;
 }
 
 export interface Changes {
   changes: Change[];
-  epoch: number;
+  revision: number;
 }
 
 /** What the follower reads from. */
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -4,14 +4,14 @@
 import { JsonClient } from '../net/client.js';
 import type { Changes, Page, StateService } from './service.js';
 import {
-  leaseOut,
-  parseEpoch,
-  parseFailed,
-  parseHold,
-  parseItems,
-  parseLog,
+  encodeLeaseRequest,
+  parseRevision,
+  parseConflict,
+  parseLeaseId,
+  parsePage,
+  parseChangeLog,
   scanPath,
-  txnOut,
+  encodeTransaction,
   watchPath,
   type Change,
   type Transaction,
@@ -34,14 +34,14 @@
   }
 
   async commit(txn: Transaction): Promise<CommitOutcome> {
-    const r = await this.calls.call('POST', '/commit', txnOut(txn), this.timeoutMs);
+    const r = await this.calls.call('POST', '/commit', encodeTransaction(txn), this.timeoutMs);
     if (r === null) return { type: 'unknown' };
     if (r.status === 200) {
-      const epoch = parseEpoch(r.body);
-      return epoch === null ? { type: 'unknown' } : { type: 'ok', epoch };
+      const revision = parseRevision(r.body);
+      return revision === null ? { type: 'unknown' } : { type: 'ok', revision };
     }
     if (r.status === 409) {
-      const f = parseFailed(r.body);
+      const f = parseConflict(r.body);
       return f === null ? { type: 'unknown' } : { type: 'conflict', ...f };
     }
     if (r.status === 400) {
@@ -53,8 +53,8 @@
   }
 
   async lease(ttlMs: number): Promise<number | null> {
-    const r = await this.calls.call('POST', '/leases', leaseOut(ttlMs), this.timeoutMs);
-    return r?.status === 200 ? parseHold(r.body) : null;
+    const r = await this.calls.call('POST', '/leases', encodeLeaseRequest(ttlMs), this.timeoutMs);
+    return r?.status === 200 ? parseLeaseId(r.body) : null;
   }
 
   async renew(hold: number): Promise<'ok' | 'gone' | 'failed'> {
@@ -70,12 +70,12 @@
   async page(from: string): Promise<Page | 'busy' | null> {
     const r = await this.calls.call('GET', scanPath(keyPrefix, from, pageItems), null, this.timeoutMs * 2);
     if (r?.status === 429) return 'busy';
-    return r?.status === 200 ? parseItems(r.body) : null;
+    return r?.status === 200 ? parsePage(r.body) : null;
   }
 
   async part(from: string, keys: number): Promise<Page | null> {
     const r = await this.calls.call('GET', scanPath(keyPrefix, from, keys), null, this.timeoutMs);
-    return r?.status === 200 ? parseItems(r.body) : null;
+    return r?.status === 200 ? parsePage(r.body) : null;
   }
 
   /** All keys under a prefix of somebody else's; null: no answer. */
@@ -83,7 +83,7 @@
     const all: Change[] = [];
     for (let from = ''; ;) {
       const r = await this.calls.call('GET', scanPath(starts, from, pageItems), null, this.timeoutMs * 2);
-      const page = r?.status === 200 ? parseItems(r.body) : null;
+      const page = r?.status === 200 ? parsePage(r.body) : null;
       if (!page) return null;
       for (const i of page.items) all.push(i);
       if (!page.more || page.items.length === 0) return all;
@@ -100,6 +100,6 @@
     const r = await this.watches.call('GET', path, null, blockMs + this.timeoutMs);
     if (r?.status === 410) return 'old';
     if (r?.status === 429) return 'busy';
-    return r?.status === 200 ? parseLog(r.body) : null;
+    return r?.status === 200 ? parseChangeLog(r.body) : null;
   }
 }
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -6,8 +6,8 @@
 import { Keyspace, scan, type Delta, type Entry, type View } from './keyspace.js';
 
 export type Outcome =
-  | { type: 'ok'; epoch: number }
-  | { type: 'conflict'; failed: string[]; epoch: number }
+  | { type: 'ok'; revision: number }
+  | { type: 'conflict'; failed: string[]; revision: number }
   | { type: 'lease-expired' }
   /** The disk failed: it may be durable or not. */
   | { type: 'unknown' };
@@ -85,7 +85,9 @@
     // A refusal, too, tells of changes that may not be durable yet.
     if (v.type === 'conflict' || v.delta === null)
       return this.behind().then((ok) => (ok ? strip(v) : { type: 'unknown' }));
-    return this.durable(v.delta).then((ok) => (ok ? { type: 'ok', epoch: v.epoch } : { type: 'unknown' }));
+    return this.durable(v.delta).then((ok) =>
+      ok ? { type: 'ok', revision: v.revision } : { type: 'unknown' },
+    );
   }
 
   async lease(ttlMs: number): Promise<number | null> {
@@ -109,13 +111,13 @@
     return delta !== null && this.durable(delta);
   }
 
-  get(key: string): { entry: Entry | undefined; epoch: number } {
-    return { entry: this.seen.keys.get(key), epoch: this.seen.epoch };
+  get(key: string): { entry: Entry | undefined; revision: number } {
+    return { entry: this.seen.keys.get(key), revision: this.seen.epoch };
   }
 
-  scan(starts: string, from: string, limit: number): { items: Change[]; more: boolean; epoch: number } {
+  scan(starts: string, from: string, limit: number): { items: Change[]; more: boolean; revision: number } {
     const page = scan(this.seen, starts, from, Math.min(limit, mostItems), mostBytes);
-    return { ...page, epoch: this.seen.epoch };
+    return { ...page, revision: this.seen.epoch };
   }
 
   /** Changes after a revision, at once or when there are any; 'old': not remembered any more. */
@@ -123,10 +125,10 @@
     starts: string,
     from: number,
     blockMs: number,
-  ): Promise<{ changes: Change[]; epoch: number } | 'old'> {
-    const now = (): { changes: Change[]; epoch: number } | 'old' => {
+  ): Promise<{ changes: Change[]; revision: number } | 'old'> {
+    const now = (): { changes: Change[]; revision: number } | 'old' => {
       const changes = this.space.changes(starts, from, this.seen.epoch);
-      return changes === null ? 'old' : { changes, epoch: this.seen.epoch };
+      return changes === null ? 'old' : { changes, revision: this.seen.epoch };
     };
     const first = now();
     if (first === 'old' || first.changes.length > 0 || blockMs <= 0 || this.closed)
@@ -217,6 +219,8 @@
 }
 
 const strip = (
-  v: { type: 'ok'; epoch: number } | { type: 'conflict'; failed: string[]; epoch: number },
+  v: { type: 'ok'; revision: number } | { type: 'conflict'; failed: string[]; revision: number },
 ): Outcome =>
-  v.type === 'ok' ? { type: 'ok', epoch: v.epoch } : { type: 'conflict', failed: v.failed, epoch: v.epoch };
+  v.type === 'ok'
+    ? { type: 'ok', revision: v.revision }
+    : { type: 'conflict', failed: v.failed, revision: v.revision };
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -1,15 +1,15 @@
 /** The state service's protocol over HTTP. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import {
-  changesOut,
-  conflictOut,
-  entryOut,
-  epochOut,
-  holdOut,
-  itemsOut,
-  noLease,
-  parseTtl,
-  parseTxn,
+  encodeChangeLog,
+  encodeConflict,
+  encodeEntry,
+  encodeRevision,
+  encodeLease,
+  encodePage,
+  leaseNotFound,
+  parseLeaseRequest,
+  parseTransaction,
 } from '../wire/store-side.js';
 import { readJson, sendJson as reply } from '../net/json.js';
 import type { Transaction } from '../wire/store.js';
@@ -61,27 +61,27 @@
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
   if (route === 'POST /commit') return commit(engine, gate, await readJson(req, mostBody), res);
   if (route === 'POST /leases') {
-    const ttl = parseTtl(await readJson(req, mostBody));
+    const ttl = parseLeaseRequest(await readJson(req, mostBody));
     if (typeof ttl === 'string') return reply(res, 400, { error: ttl });
     const hold = await engine.lease(ttl);
-    return hold === null ? reply(res, 503, { error: 'not written' }) : reply(res, 200, holdOut(hold));
+    return hold === null ? reply(res, 503, { error: 'not written' }) : reply(res, 200, encodeLease(hold));
   }
   if (lease) {
     const hold = Number(lease[2]);
     const ok = lease[1] === 'DELETE' ? await engine.end(hold) : lease[3] !== undefined && engine.renew(hold);
-    return reply(res, ok ? 200 : 404, ok ? {} : { error: noLease });
+    return reply(res, ok ? 200 : 404, ok ? {} : { error: leaseNotFound });
   }
   if (route === 'GET /kv') {
     const limit = Number(url.searchParams.get('limit') ?? 1000);
     if (!Number.isInteger(limit) || limit < 1)
       return reply(res, 400, { error: 'limit: must be a whole number' });
     const page = engine.scan(url.searchParams.get('starts') ?? '', url.searchParams.get('from') ?? '', limit);
-    return reply(res, 200, itemsOut(page.items, page.more, page.epoch));
+    return reply(res, 200, encodePage(page.items, page.more, page.revision));
   }
   if (route.startsWith('GET /kv/')) {
     const key = decodeURIComponent(url.pathname.slice('/kv/'.length));
-    const { entry, epoch } = engine.get(key);
-    return entry ? reply(res, 200, entryOut(key, entry)) : reply(res, 404, epochOut(epoch));
+    const { entry, revision: epoch } = engine.get(key);
+    return entry ? reply(res, 200, encodeEntry(key, entry)) : reply(res, 404, encodeRevision(epoch));
   }
   if (route === 'POST /snapshot') return reply(res, 200, await snapshotInto(engine, dir));
   if (route === 'GET /changes') return watch(engine, url.searchParams, res);
@@ -89,14 +89,14 @@
 }
 
 async function commit(engine: Engine, gate: RequestGate, value: unknown, res: ServerResponse): Promise<void> {
-  const txn = parseTxn(value);
+  const txn = parseTransaction(value);
   if (typeof txn === 'string') return reply(res, 400, { error: txn });
   const refusal = gate.transaction(txn);
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
   const o = await engine.commit(txn);
-  if (o.type === 'ok') reply(res, 200, epochOut(o.epoch));
-  else if (o.type === 'conflict') reply(res, 409, conflictOut(o.failed, o.epoch));
-  else if (o.type === 'lease-expired') reply(res, 400, { error: noLease });
+  if (o.type === 'ok') reply(res, 200, encodeRevision(o.revision));
+  else if (o.type === 'conflict') reply(res, 409, encodeConflict(o.failed, o.revision));
+  else if (o.type === 'lease-expired') reply(res, 400, { error: leaseNotFound });
   // It may be on disk or not: no answer says so.
   else res.destroy();
 }
@@ -109,5 +109,5 @@
     return reply(res, 400, { error: `blockMs: must be 0 to ${longestWatchMs}` });
   const r = await engine.changes(q.get('starts') ?? '', from, blockMs);
   if (r === 'old') reply(res, 410, { error: 'too old: read the keys again' });
-  else reply(res, 200, changesOut(r.changes, r.epoch));
+  else reply(res, 200, encodeChangeLog(r.changes, r.revision));
 }
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -32,8 +32,8 @@
 }
 
 export type Verdict =
-  | { type: 'ok'; epoch: number; delta: Delta | null }
-  | { type: 'conflict'; failed: string[]; epoch: number }
+  | { type: 'ok'; revision: number; delta: Delta | null }
+  | { type: 'conflict'; failed: string[]; revision: number }
   | { type: 'lease-expired' };
 
 /** What readers see: one moment of the keyspace. Taking it costs nothing, the tree is shared until it changes. */
@@ -83,8 +83,8 @@
     const failed = txn.conditions
       .filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp)
       .map((c) => c.key);
-    if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
-    if (txn.writes.length === 0) return { type: 'ok', epoch: this.epoch, delta: null };
+    if (failed.length > 0) return { type: 'conflict', failed, revision: this.epoch };
+    if (txn.writes.length === 0) return { type: 'ok', revision: this.epoch, delta: null };
     const delta = this.begin();
     for (const w of txn.writes)
       if (w.data === undefined) this.drop(w.key, delta);
@@ -94,7 +94,7 @@
           { data: w.data, stamp: this.epoch, ...(w.hold === undefined ? {} : { hold: w.hold }) },
           delta,
         );
-    return { type: 'ok', epoch: this.epoch, delta };
+    return { type: 'ok', revision: this.epoch, delta };
   }
 
   lease(ttlMs: number, now: number): { hold: number; delta: Delta } {
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -4,51 +4,51 @@
 import type { Limits } from '../limits/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { Heartbeat } from '../model/heartbeat.js';
-import { parseReport } from '../wire/worker.js';
-import { jobPath, parseSubmission, withdrawEnd } from '../wire/user.js';
-import { Connections, type Peer } from './connections.js';
+import { parseHeartbeat } from '../wire/worker.js';
+import { jobPath, parseSubmission, cancelSuffix } from '../wire/user.js';
+import { Connections, type ClientKind } from './connections.js';
 
-const mostBody = 64 * 1024;
-const noMatching = 'requirements, rank: only a control service with matching knows them';
+const maxBodyBytes = 64 * 1024;
+const matchingUnsupported = 'requirements, rank: only a control service with matching knows them';
 
 /** What a program around the core adds to the HTTP side. */
-export interface FrontHooks {
+export interface ServerHooks {
   /** Takes a request over; false: it is none of its own. */
-  serve(req: IncomingMessage, res: ServerResponse, path: string): boolean;
+  handle(req: IncomingMessage, res: ServerResponse, path: string): boolean;
   /** What is wrong with a job, beyond what the protocol knows; null: nothing. */
-  admit(spec: JobSpec): string | null;
+  rejectionReason(spec: JobSpec): string | null;
   /** Looks at a worker's report before the core does. `pass` hands it on, `refuse` answers instead. */
-  checkin(
+  heartbeat(
     raw: unknown,
     report: Heartbeat,
     pass: (report: Heartbeat) => void,
     refuse: (status: number, body: object) => void,
   ): void;
   /** The answer to a worker, as it goes out. */
-  answered(host: string, status: number, body: object): object;
+  transformResponse(host: string, status: number, body: object): object;
 }
 
 /** The HTTP side towards users, workers and health checks: requests become commands. */
 export class PublicServer {
   private readonly pending = new Map<number, ServerResponse>();
-  private count = 0;
+  private lastRequestId = 0;
   /** Whose report a request is, where somebody wants to see the answer. */
-  private readonly hosts = new Map<number, string>();
+  private readonly reportingHosts = new Map<number, string>();
   readonly server: Server;
   private readonly connections: Connections;
 
   constructor(
-    private readonly push: (c: Command) => void,
+    private readonly enqueue: (c: Command) => void,
     private readonly healthy: () => boolean,
     private readonly sockets: Pick<Limits['sockets'], 'most' | 'comfortable'>,
     /** Workers come again within this time, ms. */
     reportMs: number,
-    private readonly hooks: FrontHooks | null = null,
+    private readonly hooks: ServerHooks | null = null,
   ) {
     this.connections = new Connections(reportMs * 2);
     this.server = createServer(
       { keepAliveTimeout: 120_000, requestTimeout: 10_000, headersTimeout: 10_000 },
-      (req, res) => this.serve(req, res),
+      (req, res) => this.handle(req, res),
     );
     this.server.maxConnections = sockets.most;
     this.server.on('connection', (socket) => this.connections.opened(socket, performance.now()));
@@ -60,87 +60,91 @@
   }
 
   /** Closes what is needed least where there are too many connections; how many are open. */
-  tend(now: number): number {
+  trimConnections(now: number): number {
     this.connections.trim(this.sockets.comfortable, now);
     return this.connections.size;
   }
 
-  answer(rid: number, status: number, body: object | string, retryAfterS?: number): void {
-    const res = this.pending.get(rid);
-    const host = this.hosts.get(rid);
-    this.hosts.delete(rid);
+  respond(requestId: number, status: number, body: object | string, retryAfterS?: number): void {
+    const res = this.pending.get(requestId);
+    const host = this.reportingHosts.get(requestId);
+    this.reportingHosts.delete(requestId);
     if (!res) return;
-    this.pending.delete(rid);
+    this.pending.delete(requestId);
     const seen =
-      host !== undefined && typeof body === 'object' ? this.hooks!.answered(host, status, body) : body;
+      host !== undefined && typeof body === 'object'
+        ? this.hooks!.transformResponse(host, status, body)
+        : body;
     reply(res, status, seen, retryAfterS);
   }
 
-  private serve(req: IncomingMessage, res: ServerResponse): void {
+  private handle(req: IncomingMessage, res: ServerResponse): void {
     const path = (req.url ?? '').split('?', 1)[0];
     const method = req.method ?? '';
     const part = path.split('/');
-    this.note(req, res, path);
-    if (this.hooks?.serve(req, res, path)) return;
+    this.trackConnection(req, res, path);
+    if (this.hooks?.handle(req, res, path)) return;
     if (path === '/healthz') {
-      if (!allow(method, 'GET', res)) return;
+      if (!requireMethod(method, 'GET', res)) return;
       return reply(res, this.healthy() ? 200 : 503, {});
     }
     if (path === jobPath) {
-      if (!allow(method, 'POST', res)) return;
-      return this.read(req, res, (body) => {
+      if (!requireMethod(method, 'POST', res)) return;
+      return this.readBody(req, res, (body) => {
         const spec = parseSubmission(body);
         if (typeof spec === 'string') return reply(res, 400, { error: spec });
-        const wrong = this.hooks ? this.hooks.admit(spec) : spec.match ? noMatching : null;
+        const wrong = this.hooks ? this.hooks.rejectionReason(spec) : spec.match ? matchingUnsupported : null;
         if (wrong !== null) return reply(res, 400, { error: wrong });
-        this.push({ type: 'submit', rid: this.keep(res), spec });
+        this.enqueue({ type: 'submit', requestId: this.registerRequest(res), spec });
       });
     }
     if (path === '/checkin') {
-      if (!allow(method, 'POST', res)) return;
-      return this.read(req, res, (body) => {
-        const report = parseReport(body);
+      if (!requireMethod(method, 'POST', res)) return;
+      return this.readBody(req, res, (body) => {
+        const report = parseHeartbeat(body);
         if (typeof report === 'string') return reply(res, 400, { error: report });
-        this.checkin(body, report, res);
+        this.handleHeartbeat(body, report, res);
       });
     }
     if (`/${part[1]}` === jobPath && part.length === 3 && part[2] !== '') {
-      if (!allow(method, 'GET', res)) return;
-      return this.push({ type: 'query', rid: this.keep(res), id: part[2] });
+      if (!requireMethod(method, 'GET', res)) return;
+      return this.enqueue({ type: 'query', requestId: this.registerRequest(res), id: part[2] });
     }
-    if (`/${part[1]}` === jobPath && part.length === 4 && part[3] === withdrawEnd) {
-      if (!allow(method, 'POST', res)) return;
-      return this.read(req, res, null, () => this.push({ type: 'cancel', rid: this.keep(res), id: part[2] }));
+    if (`/${part[1]}` === jobPath && part.length === 4 && part[3] === cancelSuffix) {
+      if (!requireMethod(method, 'POST', res)) return;
+      return this.readBody(req, res, null, () =>
+        this.enqueue({ type: 'cancel', requestId: this.registerRequest(res), id: part[2] }),
+      );
     }
     reply(res, 404, { error: 'not found' });
   }
 
-  private checkin(raw: unknown, report: Heartbeat, res: ServerResponse): void {
+  private handleHeartbeat(raw: unknown, report: Heartbeat, res: ServerResponse): void {
     const pass = (seen: Heartbeat): void => {
-      const rid = this.keep(res);
-      if (this.hooks) this.hosts.set(rid, seen.host);
-      this.push({ type: 'heartbeat', rid, report: seen });
+      const requestId = this.registerRequest(res);
+      if (this.hooks) this.reportingHosts.set(requestId, seen.host);
+      this.enqueue({ type: 'heartbeat', requestId, report: seen });
     };
     if (!this.hooks) return pass(report);
-    this.hooks.checkin(raw, report, pass, (status, body) => reply(res, status, body));
+    this.hooks.heartbeat(raw, report, pass, (status, body) => reply(res, status, body));
   }
 
-  private note(req: IncomingMessage, res: ServerResponse, path: string): void {
-    const peer: Peer = path === '/healthz' ? 'probe' : path === '/checkin' ? 'worker' : 'user';
+  private trackConnection(req: IncomingMessage, res: ServerResponse, path: string): void {
+    const peer: ClientKind = path === '/healthz' ? 'probe' : path === '/checkin' ? 'worker' : 'user';
     const { socket } = req;
-    this.connections.used(socket, peer, performance.now());
-    res.on('close', () => this.connections.answered(socket, performance.now()));
+    this.connections.requestStarted(socket, peer, performance.now());
+    res.on('close', () => this.connections.requestFinished(socket, performance.now()));
   }
 
-  private keep(res: ServerResponse): number {
-    const rid = ++this.count;
-    this.pending.set(rid, res);
-    res.on('close', () => this.pending.delete(rid));
-    return rid;
+  private registerRequest(res: ServerResponse): number {
+    const requestId = ++this.lastRequestId;
+    this.pending.set(requestId, res);
+    res.on('close', () => this.pending.delete(requestId));
+    return requestId;
   }
 
   /** Reads a body of bounded size; `use` gets it as JSON, `skip` ignores what it says. */
-  private read(
+  private readBody(
     req: IncomingMessage,
     res: ServerResponse,
     use: ((body: unknown) => void) | null,
@@ -152,7 +156,7 @@
     req.on('data', (d: Buffer) => {
       size += d.length;
       if (refused) return;
-      if (size > mostBody) {
+      if (size > maxBodyBytes) {
         refused = true;
         res.setHeader('Connection', 'close');
         reply(res, 400, { error: 'body too large' });
@@ -175,7 +179,7 @@
   }
 }
 
-function allow(method: string, wanted: string, res: ServerResponse): boolean {
+function requireMethod(method: string, wanted: string, res: ServerResponse): boolean {
   if (method === wanted || (wanted === 'GET' && method === 'HEAD')) return true;
   res.setHeader('Allow', wanted);
   reply(res, 405, { error: `use ${wanted}` });
--- a/src/wire/agent-side.ts
+++ b/src/wire/agent-side.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { taskKey, parseTaskKey, type CommandSpec } from '../model/job.js';
 import type { ExitReason, TaskOrder, TaskPhase } from '../model/heartbeat.js';
-import { phaseName, whyName } from './worker.js';
+import { phaseName, exitReasonName } from './worker.js';
 
 /** The worker's side of its protocol: reports out, answers in; and what agents and a control service add to it. */
 
@@ -14,10 +14,18 @@
   startedAt: number;
   endedAt: number;
 }
-export const reasons = ['exited', 'wall time', 'memory', 'stopped', 'cannot run', 'lost', 'gang'] as const;
-export type ResultReason = (typeof reasons)[number];
-
-export interface HeldTask {
+export const resultReasons = [
+  'exited',
+  'wall time',
+  'memory',
+  'stopped',
+  'cannot run',
+  'lost',
+  'gang',
+] as const;
+export type ResultReason = (typeof resultReasons)[number];
+
+export interface AgentTask {
   job: string;
   index: number;
   attempt: number;
@@ -35,10 +43,10 @@
   session: number;
   seq: number;
   token: number;
-  tasks: HeldTask[];
+  tasks: AgentTask[];
 }
 
-export const agentReportOut = (r: AgentReport): object => ({
+export const encodeAgentReport = (r: AgentReport): object => ({
   host: r.host,
   endpoint: r.endpoint,
   flavour: r.type,
@@ -52,7 +60,7 @@
     piece: taskKey(t.job, t.index),
     try: t.attempt,
     status: phaseName(t.phase),
-    ...(t.why === null ? {} : { cause: whyName(t.why) }),
+    ...(t.why === null ? {} : { cause: exitReasonName(t.why) }),
     ...(t.phase === 'exited' ? { stored: t.saved } : {}),
     ...(t.result ? { result: t.result } : {}),
   })),
@@ -66,19 +74,19 @@
   windDownS: v.optional(v.nullable(v.number()), 0),
 });
 const orders = v.optional(v.nullable(v.array(order)), null);
-const answer = v.object({
+const heartbeatResponse = v.object({
   baton: v.optional(v.nullable(counter), null),
   orders,
   /** Gangs of which every task is there, as "JOB ATTEMPT". */
   gangs: v.optional(v.nullable(v.array(v.string())), null),
 });
-const direct = v.object({
+const directOrders = v.object({
   baton: v.optional(v.nullable(counter), null),
   tenure: v.optional(v.nullable(counter), null),
   orders,
 });
 
-function ordersIn(list: v.InferOutput<typeof orders>): TaskOrder[] {
+function decodeTaskOrders(list: v.InferOutput<typeof orders>): TaskOrder[] {
   const out: TaskOrder[] = [];
   for (const o of list ?? []) {
     const id = parseTaskKey(o.piece);
@@ -91,36 +99,36 @@
   return out;
 }
 
-export interface Answer {
+export interface HeartbeatResponse {
   token: number | null;
   orders: TaskOrder[];
   gangs: string[];
 }
 
-export function parseAnswer(body: unknown): Answer | null {
-  const r = v.safeParse(answer, body);
+export function parseHeartbeatResponse(body: unknown): HeartbeatResponse | null {
+  const r = v.safeParse(heartbeatResponse, body);
   if (!r.success) return null;
-  return { token: r.output.baton, orders: ordersIn(r.output.orders), gangs: r.output.gangs ?? [] };
+  return { token: r.output.baton, orders: decodeTaskOrders(r.output.orders), gangs: r.output.gangs ?? [] };
 }
 
-export function parseBoss(body: unknown): string | null {
+export function parseRedirect(body: unknown): string | null {
   const boss = (body as { boss?: unknown } | null)?.boss;
   return typeof boss === 'string' ? boss : null;
 }
 
-export function parseOrders(
+export function parseTaskOrders(
   body: unknown,
 ): { token: number | null; session: number | null; orders: TaskOrder[] } | null {
-  const r = v.safeParse(direct, body);
+  const r = v.safeParse(directOrders, body);
   return r.success
-    ? { token: r.output.baton, session: r.output.tenure, orders: ordersIn(r.output.orders) }
+    ? { token: r.output.baton, session: r.output.tenure, orders: decodeTaskOrders(r.output.orders) }
     : null;
 }
 
 const result = v.object({
   exit: v.nullable(v.number()),
   signal: v.nullable(v.string()),
-  reason: v.picklist(reasons),
+  reason: v.picklist(resultReasons),
   startedAt: v.number(),
   endedAt: v.number(),
 });
@@ -142,12 +150,12 @@
 // ---- joining ----
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const word = v.pipe(v.string(), v.regex(/^[A-Za-z0-9][\w.-]{0,39}$/, 'must be a short name'));
-const joining = v.object({
+const shortName = v.pipe(v.string(), v.regex(/^[A-Za-z0-9][\w.-]{0,39}$/, 'must be a short name'));
+const joinRequest = v.object({
   id: v.pipe(v.string(), v.regex(/^[0-9a-f]{8,64}$/)),
-  name: word,
-  type: word,
-  zone: word,
+  name: shortName,
+  type: shortName,
+  zone: shortName,
   cpus: v.pipe(amount, v.gtValue(0)),
   gpus: amount,
   memGb: v.pipe(amount, v.gtValue(0)),
@@ -155,7 +163,7 @@
 });
 
 /** What an agent says of itself when it joins. */
-export interface Joining {
+export interface JoinRequest {
   /** Made once, with its directory: tells it from another with the same name. */
   id: string;
   name: string;
@@ -167,26 +175,26 @@
   attrs: Record<string, string | number | boolean>;
 }
 
-export function parseJoining(body: unknown): Joining | string {
-  const r = v.safeParse(joining, body);
+export function parseJoinRequest(body: unknown): JoinRequest | string {
+  const r = v.safeParse(joinRequest, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
   return { ...r.output, attrs: r.output.attrs ?? {} };
 }
 
-const joined = v.object({
+const joinResponse = v.object({
   host: v.string(),
   reportS: v.pipe(v.number(), v.gtValue(0)),
   leaseS: v.pipe(v.number(), v.gtValue(0)),
   gangWaitS: v.pipe(v.number(), v.gtValue(0)),
 });
-export type Joined = v.InferOutput<typeof joined>;
-export function parseJoined(body: unknown): Joined | null {
-  const r = v.safeParse(joined, body);
+export type JoinResponse = v.InferOutput<typeof joinResponse>;
+export function parseJoinResponse(body: unknown): JoinResponse | null {
+  const r = v.safeParse(joinResponse, body);
   return r.success ? r.output : null;
 }
 
 /** What a task of a job without a command does. */
-export interface StandIn {
+export interface SimulatedTask {
   sleepS: number;
   /** Of so many tasks out of one, the share that fails. */
   fail: number;
@@ -203,7 +211,7 @@
   saveS: number;
   checkpointS: number;
   command: CommandSpec | null;
-  standIn: StandIn;
+  standIn: SimulatedTask;
 }
 
 const job = v.object({
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -20,7 +20,7 @@
   ),
 });
 
-export function parseTypes(body: unknown): MachineType[] | null {
+export function parseMachineTypes(body: unknown): MachineType[] | null {
   const r = v.safeParse(types, body);
   if (!r.success) return null;
   return r.output.flavours.map((f) => ({
@@ -62,7 +62,7 @@
   hasNext: v.optional(v.nullable(v.boolean()), false),
 });
 
-export function parseList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
+export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const r = v.safeParse(list, body);
   if (!r.success) return null;
   return {
@@ -97,17 +97,17 @@
   /** No answer: it may have been executed, or may be executed later. */
   | { readonly type: 'unknown' };
 
-export const rentOut = (r: RentRequest): object => ({
+export const encodeRental = (r: RentRequest): object => ({
   hire: r.name,
   flavour: r.type,
   yard: r.zone,
   loaners: r.spot,
   howMany: r.count,
 });
-export const deleteOut = (hosts: string[]): object => ({ hosts });
+export const encodeDeletion = (hosts: string[]): object => ({ hosts });
 
 const rented = v.object({ hosts: v.array(v.string()) });
-export function parseRented(body: unknown): string[] | null {
+export function parseRental(body: unknown): string[] | null {
   const r = v.safeParse(rented, body);
   return r.success ? r.output.hosts : null;
 }
--- a/src/wire/store-side.ts
+++ b/src/wire/store-side.ts
@@ -22,10 +22,10 @@
   ),
 });
 
-const mostKeyBytes = 200;
+const maxKeyBytes = 200;
 
 /** The transaction asked for, or what is wrong with the request. */
-export function parseTxn(body: unknown): Transaction | string {
+export function parseTransaction(body: unknown): Transaction | string {
   const r = v.safeParse(txn, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
   const t: Transaction = {
@@ -37,35 +37,35 @@
     ),
   };
   for (const { key: k } of [...t.conditions, ...t.writes])
-    if (Buffer.byteLength(k) > mostKeyBytes)
-      return `key ${k.slice(0, 40)}...: longer than ${mostKeyBytes} bytes`;
+    if (Buffer.byteLength(k) > maxKeyBytes)
+      return `key ${k.slice(0, 40)}...: longer than ${maxKeyBytes} bytes`;
   return t;
 }
 
 const leaseBody = v.object({ ttlMs: v.pipe(v.number(), v.integer(), v.minValue(100), v.maxValue(600_000)) });
-export function parseTtl(body: unknown): number | string {
+export function parseLeaseRequest(body: unknown): number | string {
   const r = v.safeParse(leaseBody, body);
   return r.success ? r.output.ttlMs : `ttlMs: ${r.issues[0].message}`;
 }
 
-export const entryOut = (k: string, e: { data: unknown; stamp: number; hold?: number }): object => ({
+export const encodeEntry = (k: string, e: { data: unknown; stamp: number; hold?: number }): object => ({
   key: k,
   data: e.data,
   stamp: e.stamp,
   ...(e.hold === undefined ? {} : { hold: e.hold }),
 });
-export const itemsOut = (items: Change[], more: boolean, epoch: number): object => ({
+export const encodePage = (items: Change[], more: boolean, epoch: number): object => ({
   items,
   hasNext: more,
   epoch,
 });
-export const changesOut = (changes: Change[], epoch: number): object => ({
+export const encodeChangeLog = (changes: Change[], epoch: number): object => ({
   epoch,
   log: changes.map((c) =>
     c.data === undefined ? { drop: c.key, stamp: c.stamp } : { put: c.key, data: c.data, stamp: c.stamp },
   ),
 });
-export const epochOut = (epoch: number): object => ({ epoch });
-export const conflictOut = (failed: string[], epoch: number): object => ({ failed, epoch });
-export const holdOut = (hold: number): object => ({ hold });
-export const noLease = 'no such lease';
+export const encodeRevision = (epoch: number): object => ({ epoch });
+export const encodeConflict = (failed: string[], epoch: number): object => ({ failed, epoch });
+export const encodeLease = (hold: number): object => ({ hold });
+export const leaseNotFound = 'no such lease';
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -51,19 +51,19 @@
   return r.success ? r.output : null;
 };
 
-export const parseEpoch = (body: unknown): number | null => read(epochBody, body)?.epoch ?? null;
-export function parseFailed(body: unknown): { failed: string[]; epoch: number } | null {
+export const parseRevision = (body: unknown): number | null => read(epochBody, body)?.epoch ?? null;
+export function parseConflict(body: unknown): { failed: string[]; revision: number } | null {
   const r = read(failedBody, body);
-  return r && { failed: r.failed, epoch: r.epoch };
+  return r && { failed: r.failed, revision: r.epoch };
 }
-export const parseHold = (body: unknown): number | null => read(holdBody, body)?.hold ?? null;
+export const parseLeaseId = (body: unknown): number | null => read(holdBody, body)?.hold ?? null;
 
-export function parseItems(body: unknown): { items: Change[]; more: boolean; epoch: number } | null {
+export function parsePage(body: unknown): { items: Change[]; more: boolean; revision: number } | null {
   const r = read(itemsBody, body);
-  return r && { items: r.items as Change[], more: r.hasNext === true, epoch: r.epoch };
+  return r && { items: r.items as Change[], more: r.hasNext === true, revision: r.epoch };
 }
 
-export function parseLog(body: unknown): { changes: Change[]; epoch: number } | null {
+export function parseChangeLog(body: unknown): { changes: Change[]; revision: number } | null {
   const r = read(logBody, body);
   if (!r) return null;
   const changes = r.log.map((e) =>
@@ -71,10 +71,10 @@
       ? { key: e.put, data: e.data, stamp: e.stamp }
       : { key: e.drop ?? '', data: undefined, stamp: e.stamp },
   );
-  return { changes, epoch: r.epoch };
+  return { changes, revision: r.epoch };
 }
 
-export const txnOut = (txn: Transaction): object => ({
+export const encodeTransaction = (txn: Transaction): object => ({
   when: txn.conditions.map((c) => ({ key: c.key, stamp: c.stamp })),
   apply: txn.writes.map((w) =>
     w.data === undefined
@@ -84,7 +84,7 @@
         : { put: w.key, data: w.data, hold: w.hold },
   ),
 });
-export const leaseOut = (ttlMs: number): object => ({ ttlMs });
+export const encodeLeaseRequest = (ttlMs: number): object => ({ ttlMs });
 export const scanPath = (prefix: string, from: string, limit: number): string =>
   `/kv?starts=${prefix}${from === '' ? '' : `&from=${from}`}&limit=${limit}`;
 export const watchPath = (prefix: string, from: number, blockMs: number): string =>
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -3,7 +3,7 @@
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(120), v.regex(/^\S+$/));
-const maybe = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
+const optional = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
 
 const shapes: Record<string, JobShape> = { sweep: 'array', ensemble: 'gang', standing: 'service' };
 const urgencies: Record<string, Urgency> = {
@@ -15,22 +15,22 @@
 
 /** The fields of jobs that run commands on agents. */
 const commandFields = {
-  command: maybe(v.pipe(v.array(v.string()), v.minLength(1), v.maxLength(1000))),
-  env: maybe(v.record(v.pipe(v.string(), v.regex(/^[A-Za-z_]\w*$/, 'must be a name')), v.string())),
-  dir: maybe(v.pipe(v.string(), v.startsWith('/', 'must be an absolute path'))),
-  stdout: maybe(v.pipe(v.string(), v.minLength(1))),
-  stderr: maybe(v.pipe(v.string(), v.minLength(1))),
-  wallS: maybe(v.pipe(v.number(), v.finite(), v.gtValue(0))),
-  retries: maybe(v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000))),
-  numberFrom: maybe(v.pipe(v.number(), v.integer(), v.minValue(0))),
+  command: optional(v.pipe(v.array(v.string()), v.minLength(1), v.maxLength(1000))),
+  env: optional(v.record(v.pipe(v.string(), v.regex(/^[A-Za-z_]\w*$/, 'must be a name')), v.string())),
+  dir: optional(v.pipe(v.string(), v.startsWith('/', 'must be an absolute path'))),
+  stdout: optional(v.pipe(v.string(), v.minLength(1))),
+  stderr: optional(v.pipe(v.string(), v.minLength(1))),
+  wallS: optional(v.pipe(v.number(), v.finite(), v.gtValue(0))),
+  retries: optional(v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000))),
+  numberFrom: optional(v.pipe(v.number(), v.integer(), v.minValue(0))),
 };
 
 const expression = v.pipe(v.string(), v.minLength(1), v.maxLength(4096));
 /** The fields of jobs that look at machines' attributes. */
 const matchFields = {
-  requirements: maybe(expression),
-  rank: maybe(expression),
-  attributes: maybe(
+  requirements: optional(expression),
+  rank: optional(expression),
+  attributes: optional(
     v.pipe(
       v.record(
         v.pipe(v.string(), v.regex(/^[A-Za-z_]\w*$/, 'must be a name')),
@@ -55,15 +55,15 @@
   memGb: amount,
   bundle: text,
   pullGb: amount,
-  flavours: maybe(v.pipe(v.array(text), v.maxLength(500))),
-  yard: maybe(text),
+  flavours: optional(v.pipe(v.array(text), v.maxLength(500))),
+  yard: optional(text),
   oneZone: v.boolean(),
   apart: v.boolean(),
   loaners: v.boolean(),
   expectS: amount,
   snapshotS: amount,
   flushS: amount,
-  dueS: maybe(amount),
+  dueS: optional(amount),
 });
 
 /** The job asked for, or what is wrong with the request. */
@@ -132,7 +132,7 @@
 }
 
 /** A submission that asks for nothing special: no image, no place, no deadline. What it is and takes comes on top. */
-export const plainSubmission = {
+export const defaultSubmission = {
   urgency: 'normal',
   cpus: 1,
   cards: 0,
@@ -149,7 +149,7 @@
 };
 
 export const jobPath = '/work';
-export const withdrawEnd = 'withdraw';
+export const cancelSuffix = 'withdraw';
 
 /** Ids are kept in keys of the state service: anything else was never accepted. */
 export const isJobId = (id: string): boolean => /^req-\d{1,20}$/.test(id);
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -9,7 +9,7 @@
   saving: 'saving',
   exited: 'exited',
 };
-const whys: Record<string, ExitReason> = {
+const exitReasons: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -21,7 +21,7 @@
 };
 
 const counter = v.pipe(v.number(), v.integer(), v.minValue(0));
-const checkin = v.object({
+const heartbeat = v.object({
   host: v.pipe(v.string(), v.regex(/^[A-Za-z0-9][\w.-]{0,79}$/)),
   endpoint: v.pipe(v.string(), v.regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/)),
   flavour: v.string(),
@@ -42,8 +42,8 @@
   ),
 });
 
-export function parseReport(body: unknown): Heartbeat | string {
-  const r = v.safeParse(checkin, body);
+export function parseHeartbeat(body: unknown): Heartbeat | string {
+  const r = v.safeParse(heartbeat, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
   const b = r.output;
   const tasks: TaskStatus[] = [];
@@ -56,7 +56,7 @@
       index: id.index,
       attempt: p.try,
       phase: phases[p.status] ?? 'running',
-      exitReason: p.cause === null ? null : (whys[p.cause] ?? 'error'),
+      exitReason: p.cause === null ? null : (exitReasons[p.cause] ?? 'error'),
       saved: p.stored === true,
     });
   }
@@ -74,26 +74,26 @@
   };
 }
 
-function orderOut(o: TaskOrder): object {
+function encodeTaskOrder(o: TaskOrder): object {
   const piece = taskKey(o.job, o.index);
   if (o.op === 'start') return { verb: 'run', piece, try: o.attempt };
   if (o.op === 'stop') return { verb: 'kill', piece, try: o.attempt, windDownS: o.graceS };
   return { verb: 'clear', piece, try: o.attempt };
 }
 
-export const answerOut = (token: number, orders: TaskOrder[]): object => ({
+export const encodeHeartbeatResponse = (token: number, orders: TaskOrder[]): object => ({
   baton: token,
-  orders: orders.map(orderOut),
+  orders: orders.map(encodeTaskOrder),
 });
-export const ordersOut = (token: number, session: number, orders: TaskOrder[]): object => ({
+export const encodeTaskOrders = (token: number, session: number, orders: TaskOrder[]): object => ({
   baton: token,
   tenure: session,
-  orders: orders.map(orderOut),
+  orders: orders.map(encodeTaskOrder),
 });
-export const redirectOut = (owner: string | null): object => (owner === null ? {} : { boss: owner });
+export const encodeRedirect = (owner: string | null): object => (owner === null ? {} : { boss: owner });
 
 const nameOf = <T extends string>(table: Record<string, T>, value: T): string =>
   Object.keys(table).find((k) => table[k] === value) ?? value;
 
 export const phaseName = (phase: TaskPhase): string => nameOf(phases, phase);
-export const whyName = (why: ExitReason): string => nameOf(whys, why);
+export const exitReasonName = (why: ExitReason): string => nameOf(exitReasons, why);
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -2,7 +2,7 @@
 import { Agent } from 'node:http';
 import { requestJson } from '../net/client.js';
 import type { TaskOrder } from '../model/heartbeat.js';
-import { ordersOut } from '../wire/worker.js';
+import { encodeTaskOrders } from '../wire/worker.js';
 
 /**
  * Sends orders to workers. Only stops are sent this way: a late stop of an attempt does no harm, while a late start could run a
@@ -26,7 +26,7 @@
     agentEpoch: number,
     orders: TaskOrder[],
   ): Promise<boolean> {
-    const body = ordersOut(fencingToken, agentEpoch, orders);
+    const body = encodeTaskOrders(fencingToken, agentEpoch, orders);
     const reply = await requestJson(this.agent, endpoint, 'POST', '/orders', body, this.timeoutMs);
     return reply?.status === 200;
   }
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -235,12 +235,16 @@
     what: 'a storm of polls with it',
     quick: 0.98,
     during: (w) => {
-      let rid = 5_000_000;
+      let requestId = 5_000_000;
       const storm = (): void => {
         for (const n of w.nodes)
           for (let i = 0; i < 3; i++) {
-            n.responses.delete(rid - 3000);
-            n.push({ type: 'query', rid: ++rid, id: `req-${100_001 + ((rid * 7) % 2000)}` });
+            n.responses.delete(requestId - 3000);
+            n.push({
+              type: 'query',
+              requestId: ++requestId,
+              id: `req-${100_001 + ((requestId * 7) % 2000)}`,
+            });
           }
         if (w.now < 70_000) w.schedule(10, storm);
       };
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -12,7 +12,7 @@
 import { Worker, type WorkerEffect } from '../src/agent/worker.js';
 import { agentDefaults, parseAgentSettings } from '../src/agent/settings.js';
 import { parseControlSettings } from '../src/control/settings.js';
-import type { AgentJob, HeldTask, TaskResult } from '../src/wire/agent-side.js';
+import type { AgentJob, AgentTask, TaskResult } from '../src/wire/agent-side.js';
 import type { TaskOrder } from '../src/model/heartbeat.js';
 
 const self = { host: 'd.1', endpoint: '127.0.0.1:1', type: 't', zone: 'here' };
@@ -98,7 +98,7 @@
   },
   standIn: { sleepS: 0, fail: 0, hang: false, memMb: 0 },
 });
-const held = (index: number, attempt = 1): HeldTask => ({
+const held = (index: number, attempt = 1): AgentTask => ({
   job: 'req-1',
   index,
   attempt,
@@ -111,7 +111,7 @@
 class Bench {
   readonly dir = mkdtempSync(join(tmpdir(), 'dapplepick-agent-'));
   readonly records = new AgentDirectory(this.dir);
-  readonly ends = new Map<HeldTask, TaskResult & { saved: boolean }>();
+  readonly ends = new Map<AgentTask, TaskResult & { saved: boolean }>();
   runner = this.open();
   open(): CommandRunner {
     const settings = {
@@ -121,15 +121,15 @@
       agentId: `t${process.pid}${this.dir.slice(-4)}`,
     };
     const events = {
-      ended: (t: HeldTask, r: TaskResult, saved: boolean) => void this.ends.set(t, { ...r, saved }),
+      ended: (t: AgentTask, r: TaskResult, saved: boolean) => void this.ends.set(t, { ...r, saved }),
     };
     return new CommandRunner(this.records, settings, events, () => undefined);
   }
-  async end(t: HeldTask): Promise<TaskResult & { saved: boolean }> {
+  async end(t: AgentTask): Promise<TaskResult & { saved: boolean }> {
     for (let i = 0; i < 400 && !this.ends.has(t); i++) await new Promise((r) => setTimeout(r, 25));
     return this.ends.get(t) ?? assert.fail(`task ${t.index} did not end`);
   }
-  out(t: HeldTask, name = 'stdout'): string {
+  out(t: AgentTask, name = 'stdout'): string {
     return readFileSync(join(this.records.taskDirectory(t), name), 'utf8');
   }
   close(): void {
@@ -148,7 +148,7 @@
 
 test('runner: exit codes, signals, environment, output, limits, what is left behind', async () => {
   const b = new Bench();
-  const run = (index: number, j: AgentJob): HeldTask => {
+  const run = (index: number, j: AgentJob): AgentTask => {
     const t = held(index);
     b.runner.start(t, j, 'd.1', 'boot');
     return t;
@@ -220,7 +220,7 @@
   const found = b.records.loadTasks().sort((x, y) => x.task.index - y.task.index);
   assert.equal(found.length, 4);
   for (const r of found) b.runner.adopt(r, r.job!, 'boot');
-  const by = (i: number): HeldTask => found[i].task;
+  const by = (i: number): AgentTask => found[i].task;
   assert.deepEqual(
     [(await b.end(by(1))).exit, (await b.end(by(2))).reason, (await b.end(by(3))).reason],
     [6, 'lost', 'lost'],
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -1,7 +1,7 @@
 /** Machines that the cloud has deleted are not taken for unexpected ones, also when the whole fleet is deleted at once. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { defaults } from '../src/config/operators.js';
+import { operatorDefaults } from '../src/config/operators.js';
 import { parseSettings } from '../src/config/settings.js';
 import { Autoscaler } from '../src/core/autoscaler/autoscaler.js';
 import type { Effect } from '../src/core/effects.js';
@@ -73,7 +73,7 @@
   const clock = { now: 0, wall: 1_000_000 };
   const autoscaler = new Autoscaler({
     settings,
-    operators: defaults,
+    operators: operatorDefaults,
     replica,
     batcher,
     clock,
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -1,7 +1,7 @@
 /** Two failures at once: each meeting that the protocol's users have named, on seeded worlds with all rules checked. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { defaults } from '../src/config/operators.js';
+import { operatorDefaults } from '../src/config/operators.js';
 import {
   cancel,
   cancelS,
@@ -247,7 +247,7 @@
       w.schedule(200 + 4000 * w.random(), () => n.alive || n.boot());
     });
   at(108, () => {
-    for (const n of w.nodes) n.operators = { ...n.operators, 'level-most': defaults['level-most'] };
+    for (const n of w.nodes) n.operators = { ...n.operators, 'level-most': operatorDefaults['level-most'] };
     for (const n of w.nodes) if (n.alive) kill(w, n);
   });
   return 112;
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -14,7 +14,7 @@
   const front = new PublicServer(
     (c) => {
       got.push(c);
-      if ('rid' in c) front.answer(c.rid, 503, {}, 7);
+      if ('requestId' in c) front.respond(c.requestId, 503, {}, 7);
     },
     () => got.length === 0,
     { most: 50, comfortable: 40 },
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -21,7 +21,7 @@
   kill(w, was);
   assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined, 20));
   const owner = ownerOf(w)!;
-  owner.push({ type: 'heartbeat', rid: ++w.nextRequestId, report: old });
+  owner.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report: old });
   w.advance(0.1);
   for (const x of w.workers.values()) x.silent = false;
   was.boot();
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -7,10 +7,10 @@
   type WorkloadDemand,
   type MemberStatus,
 } from '../src/admission/index.js';
-import type { Operators } from '../src/config/operators.js';
+import type { OperatorSettings } from '../src/config/operators.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 
-const ways: [string, Partial<Operators>][] = [
+const ways: [string, Partial<OperatorSettings>][] = [
   ['today', {}],
   ['by pulses (level 2)', { 'fair-admission': 1, 'level-most': 2 }],
   ['by the plan (level 3)', { 'fair-admission': 1 }],
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -53,15 +53,15 @@
     if (w.now < end && sent < ((w.now - from) / 1000) * perS) {
       const n = w.nodes[sent % 3];
       const id = `req-${++sent}`;
-      n.push({ type: 'submit', rid: sent, spec: spec(id, { tasks: 1, team: 'blue', cpus: 0.5 }) });
+      n.push({ type: 'submit', requestId: sent, spec: spec(id, { tasks: 1, team: 'blue', cpus: 0.5 }) });
       open.set(sent, { at: w.now, n });
       submitted.set(id, w.now);
     }
     w.advance(0.01);
-    for (const [rid, o] of open) {
-      const a = o.n.responses.get(rid);
+    for (const [requestId, o] of open) {
+      const a = o.n.responses.get(requestId);
       if (!a && w.now - o.at < 10_000) continue;
-      open.delete(rid);
+      open.delete(requestId);
       if (a?.status === 201) took.push(w.now - o.at);
       else late++;
     }
@@ -95,7 +95,7 @@
   const at = w.now;
   if (orderly) {
     n.push({ type: 'shut-down' });
-    w.advanceUntil(() => n.controller.phase === 'gone', 20);
+    w.advanceUntil(() => n.controller.shutdownPhase === 'gone', 20);
   }
   const left = w.now - at;
   restart(w, n, () => undefined, 4);
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -23,12 +23,12 @@
     }
     w.heartbeatMs = 5000;
     w.advance(8);
-    let rid = 0;
+    let requestId = 0;
     // Some that are over, and some that run for long.
     for (let i = 0; i < 700; i++)
       w.nodes[i % 3].push({
         type: 'submit',
-        rid: ++rid,
+        requestId: ++requestId,
         spec: spec(`req-${1000 + i}`, { team: 'blue', tasks: 1, cpus: 0.1 }),
       });
     for (let i = 0; i < 60; i++) {
@@ -40,7 +40,7 @@
     for (let i = 0; i < 120; i++)
       w.nodes[i % 3].push({
         type: 'submit',
-        rid: ++rid,
+        requestId: ++requestId,
         spec: spec(`req-${3000 + i}`, { team: 'blue', tasks: 100, cpus: 1, estimateS: 1000 }),
       });
     for (let i = 0; i < 90; i++) {
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -40,7 +40,7 @@
   const beganAt = w.now;
   for (let i = 0; i < jobs; i++) {
     const job = spec(`req-${i + 1}`, { tasks: tasksPerJob, team: 'blue', cpus: 0.2 });
-    w.nodes[i % w.nodes.length].push({ type: 'submit', rid: firstRequest + i, spec: job });
+    w.nodes[i % w.nodes.length].push({ type: 'submit', requestId: firstRequest + i, spec: job });
   }
   w.advanceUntil(() => w.finished.length >= jobs * tasksPerJob, 600);
   const tookS = (w.now - beganAt) / 1000;
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -12,7 +12,7 @@
 import { JsonClient } from '../src/net/client.js';
 import { findFreePort } from '../src/net/port.js';
 import { seededRandom } from '../src/retry/index.js';
-import { plainSubmission } from '../src/wire/user.js';
+import { defaultSubmission } from '../src/wire/user.js';
 import { Engine, LevelDisk } from '../src/store/index.js';
 
 const quiet = (): undefined => undefined;
@@ -77,7 +77,7 @@
 
 const job = (id: number, pieces: number): object => ({
   nameId: `req-${id}`,
-  ...plainSubmission,
+  ...defaultSubmission,
   jobclass: 'one',
   owner: 'default',
   shape: 'sweep',
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -186,7 +186,7 @@
   withStore(async (kv) => {
     const grant = async (owner: string): Promise<number> => {
       const o = await kv.commit({ conditions: [], writes: [{ key: 'dp/shard/0', data: { owner } }] });
-      return o.type === 'ok' ? o.epoch : assert.fail(o.type);
+      return o.type === 'ok' ? o.revision : assert.fail(o.type);
     };
     const job = { id: 'req-1', retries: 0, gang: false };
     const result = { exit: 1, signal: null, reason: 'exited' as const, startedAt: 1, endedAt: 2 };
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { mayShareGpuMachine } from '../src/policy/gpu-sharing.js';
-import { parseOperators } from '../src/config/operators.js';
+import { parseOperatorSettings } from '../src/config/operators.js';
 import { parseSettings } from '../src/config/settings.js';
 import { jobsWithinGuarantee } from '../src/policy/admission.js';
 import { residentLongEnough, migrationBudget, spotAllowed } from '../src/policy/guardrails.js';
@@ -81,9 +81,9 @@
     /deployment\.workers\.lease_s: [^\n]+$/,
   );
   assert.throws(() => parseSettings('member = '), /not valid TOML/);
-  assert.throws(() => parseOperators('(dapplepick (nonsense 3))'), /nonsense: unknown setting/);
-  assert.throws(() => parseOperators('(dapplepick (round-s zero))'), /round-s: must be a number/);
-  assert.equal(parseOperators('; ours\n(dapplepick (round-s 5))')['round-s'], 5);
+  assert.throws(() => parseOperatorSettings('(dapplepick (nonsense 3))'), /nonsense: unknown setting/);
+  assert.throws(() => parseOperatorSettings('(dapplepick (round-s zero))'), /round-s: must be a number/);
+  assert.equal(parseOperatorSettings('; ours\n(dapplepick (round-s 5))')['round-s'], 5);
 });
 
 test('submissions: missing, wrong or surplus fields', () => {
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -145,7 +145,11 @@
     const w = new World(2, {}, seed);
     w.heartbeatMs = 1000;
     w.advance(1.2);
-    w.nodes[0].push({ type: 'submit', rid: 1, spec: spec('req-1', { team: 'blue', tasks: 8, cpus: 4 }) });
+    w.nodes[0].push({
+      type: 'submit',
+      requestId: 1,
+      spec: spec('req-1', { team: 'blue', tasks: 8, cpus: 4 }),
+    });
     w.advanceUntil(() => w.rentals.length > 0, 5);
     assert.ok(w.rentals.length > 0);
     const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -7,7 +7,7 @@
 import { RequestQueue } from '../src/request-queue.js';
 import { BoundedPriorityQueues } from '../src/queues/index.js';
 import { limitsOf } from '../src/limits/index.js';
-import { Memory } from '../src/memory-usage.js';
+import { MemoryUsage } from '../src/memory-usage.js';
 import { RetryBackoff, backoffDelayMs, retryPolicies, seededRandom } from '../src/retry/index.js';
 import { Follower } from '../src/state/follower.js';
 import type { Page } from '../src/state/service.js';
@@ -47,18 +47,18 @@
   const limits = limitsOf({ ...settings, quota: { mem_mb: 100, fd_limit: 500 } });
   const requestQueue = new RequestQueue(settings, limits, seededRandom(3));
   const after = new Set<number>();
-  for (let rid = 0; rid < 1500; rid++)
-    for (const e of requestQueue.offer({ type: 'query', rid, id: 'req-1' }, 0))
+  for (let requestId = 0; requestId < 1500; requestId++)
+    for (const e of requestQueue.offer({ type: 'query', requestId, id: 'req-1' }, 0))
       if (e.type === 'respond') {
         assert.equal(e.status, 503);
         after.add(e.retryAfterS!);
       }
   assert.deepEqual(after, new Set([1, 2]));
-  assert.deepEqual(requestQueue.offer({ type: 'cancel', rid: 9000, id: 'req-1' }, 0).length, 1);
+  assert.deepEqual(requestQueue.offer({ type: 'cancel', requestId: 9000, id: 'req-1' }, 0).length, 1);
   assert.ok(requestQueue.take(1).commands.some((c) => c.type === 'cancel'));
   requestQueue.memoryShort = true;
-  assert.equal(requestQueue.offer({ type: 'submit', rid: 9001, spec: spec('req-2') }, 1).length, 1);
-  assert.equal(requestQueue.offer({ type: 'cancel', rid: 9002, id: 'req-1' }, 1).length, 0);
+  assert.equal(requestQueue.offer({ type: 'submit', requestId: 9001, spec: spec('req-2') }, 1).length, 1);
+  assert.equal(requestQueue.offer({ type: 'cancel', requestId: 9002, id: 'req-1' }, 1).length, 0);
 });
 
 test('retries: an outage is met with few calls, pauses differ by seed and repeat with it, every one ends', () => {
@@ -102,7 +102,7 @@
     return Promise.resolve({
       items: [{ key: `k${n}`, data: {}, stamp: n + 1 }],
       more: n < 4,
-      epoch: 100 + n,
+      revision: 100 + n,
     });
   };
   const policy = { initialDelayMs: 1, maxDelayMs: 4, multiplier: 2, jitter: 0, timeoutMs: 10 };
@@ -126,17 +126,17 @@
 test('memory: near the limit garbage is collected, not again and again; what still is too much turns requests away', () => {
   const said: string[] = [];
   let held = 60;
-  const m = new Memory(
+  const m = new MemoryUsage(
     { collectGarbageAboveMb: 75, shedLoadAboveMb: 85 },
     (_, what) => said.push(what),
     () => held,
   );
-  assert.equal(m.look(0), false);
+  assert.equal(m.check(0), false);
   held = 90;
-  assert.equal(m.look(1000), true);
-  assert.equal(m.look(2000), true);
+  assert.equal(m.check(1000), true);
+  assert.equal(m.check(2000), true);
   held = 80;
-  assert.equal(m.look(30_000), false);
+  assert.equal(m.check(30_000), false);
   assert.deepEqual(said, [
     'memory collected',
     'memory is short',
@@ -175,8 +175,8 @@
   const bySide = there.map((s) => ends.findIndex((e) => e.localPort === s.remotePort));
   const use = (i: number, peer: 'user' | 'worker', at: number, answered = true): void => {
     const s = there[bySide.indexOf(i)];
-    c.used(s, peer, at);
-    if (answered) c.answered(s, at);
+    c.requestStarted(s, peer, at);
+    if (answered) c.requestFinished(s, at);
   };
   use(0, 'worker', 1);
   use(1, 'user', 5);
--- a/test/roll-processes.ts
+++ b/test/roll-processes.ts
@@ -12,7 +12,7 @@
 import { JsonClient } from '../src/net/client.js';
 import { readJson, sendJson } from '../src/net/json.js';
 import { findFreePort } from '../src/net/port.js';
-import { plainSubmission } from '../src/wire/user.js';
+import { defaultSubmission } from '../src/wire/user.js';
 
 const reportMs = 400;
 const leaseS = 6;
@@ -251,7 +251,7 @@
 
   private async one(nameId: string): Promise<void> {
     const job = {
-      ...plainSubmission,
+      ...defaultSubmission,
       nameId,
       jobclass: 'c',
       owner: 'blue',
--- a/test/roll.ts
+++ b/test/roll.ts
@@ -9,7 +9,7 @@
 import { existsSync, mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
-import { defaults } from '../src/config/operators.js';
+import { operatorDefaults } from '../src/config/operators.js';
 import { rollReal } from './roll-processes.js';
 import { scenarios, type Cast } from './support/rolls.js';
 import { thisProgram, type Program } from './support/controller-node.js';
@@ -92,8 +92,8 @@
   const program = await earlier(revision);
   const level = await levelOfBuild(revision);
   const cast: Cast = {
-    earlier: (n) => Object.assign(n, { program, operators: { ...defaults } }),
-    fresh: (n) => Object.assign(n, { program: thisProgram, operators: { ...defaults } }),
+    earlier: (n) => Object.assign(n, { program, operators: { ...operatorDefaults } }),
+    fresh: (n) => Object.assign(n, { program: thisProgram, operators: { ...operatorDefaults } }),
     level,
     knowsLevels: level > 1,
   };
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -192,7 +192,7 @@
   w.advance(5);
   w.nodes[0].push({
     type: 'heartbeat',
-    rid: 5,
+    requestId: 5,
     report: { ...old, host: host()!, fencingToken: w.workers.get(host()!)!.token },
   });
   w.advance(30);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -86,7 +86,7 @@
   for (let i = 0; i < 150; i++)
     w.nodes[0].push({
       type: 'submit',
-      rid: 900_000 + i,
+      requestId: 900_000 + i,
       spec: spec(`req-${1000 + i}`, { team: 'blue', tasks: 200, cpus: 1 + (i % 5) / 10 }),
     });
   w.advance(30);
@@ -131,7 +131,7 @@
   w.advance(3);
   const n = w.nodes[0];
   for (let i = 0; i < 400; i++)
-    n.push({ type: 'submit', rid: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
+    n.push({ type: 'submit', requestId: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
   w.advance(1);
   // 400 writes take the budget of some 11 s.
   assert.ok(w.advanceUntil(() => w.starts.length > 0, 9));
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -81,14 +81,14 @@
     withStore(async (s) => {
       assert.deepEqual(
         await s.commit({ conditions: [{ key: 'dp/a', stamp: 0 }], writes: [put('dp/a', 1), put('dp/b', 1)] }),
-        { type: 'ok', epoch: 1 },
+        { type: 'ok', revision: 1 },
       );
       assert.deepEqual(
         await s.commit({ conditions: [{ key: 'dp/a', stamp: 0 }], writes: [put('dp/a', 2)] }),
         {
           type: 'conflict',
           failed: ['dp/a'],
-          epoch: 1,
+          revision: 1,
         },
       );
       assert.deepEqual(
@@ -96,20 +96,24 @@
           conditions: [{ key: 'dp/a', stamp: 1 }],
           writes: [{ key: 'dp/b', data: undefined }],
         }),
-        { type: 'ok', epoch: 2 },
+        { type: 'ok', revision: 2 },
       );
       assert.deepEqual(await s.commit({ conditions: [{ key: 'dp/a', stamp: 1 }], writes: [] }), {
         type: 'ok',
-        epoch: 2,
+        revision: 2,
       });
       assert.deepEqual(await s.commit({ conditions: [], writes: [put('dp/c', 1, 99)] }), {
         type: 'lease-expired',
       });
       const page = await s.page('');
-      assert.deepEqual(page, { items: [{ key: 'dp/a', data: { n: 1 }, stamp: 1 }], more: false, epoch: 2 });
+      assert.deepEqual(page, {
+        items: [{ key: 'dp/a', data: { n: 1 }, stamp: 1 }],
+        more: false,
+        revision: 2,
+      });
       assert.deepEqual(await s.changes(1, 0), {
         changes: [{ key: 'dp/b', data: undefined, stamp: 2 }],
-        epoch: 2,
+        revision: 2,
       });
     }));
 
@@ -176,7 +180,7 @@
       const e = await Engine.open(await LevelDisk.open(process.argv[1]), () => {}, () => process.exit(9));
       const one = async (w) => { for (let i = 0; ; i++) {
         const r = await e.commit({ when: [], apply: [{ key: 'k/' + w + '/' + i, data: { i } }] });
-        process.stdout.write(r.epoch + ' k/' + w + '/' + i + '\\n');
+        process.stdout.write(r.revision + ' k/' + w + '/' + i + '\\n');
       } };
       for (let w = 0; w < 16; w++) void one(w);`;
     for (let round = 0; round < 3; round++) {
@@ -259,7 +263,7 @@
   const refused = engine.commit({ conditions: [{ key: 'a', stamp: 0 }], writes: [put('a', 2)] });
   assert.equal(engine.get('a').entry, undefined);
   assert.equal((await first).type, 'ok');
-  assert.deepEqual(await refused, { type: 'conflict', failed: ['a'], epoch: 1 });
+  assert.deepEqual(await refused, { type: 'conflict', failed: ['a'], revision: 1 });
   assert.equal(disk.epoch, 1);
 });
 
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -1,5 +1,5 @@
 /** One controller of the scripted world: steps its core, carries its effects out, and fails in the ways that tests ask for. */
-import type { Operators } from '../../src/config/operators.js';
+import type { OperatorSettings } from '../../src/config/operators.js';
 import type { Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/core/controller.js';
 import type { Command, CommitOutcome, Effect } from '../../src/core/effects.js';
@@ -49,7 +49,7 @@
   private processStarts = 0;
   /** The program that it runs from its next start on. */
   program: Program = thisProgram;
-  operators: Operators;
+  operators: OperatorSettings;
   /** What it has logged: level, message, fields. */
   readonly logLines: [string, string, Record<string, unknown>?][] = [];
   /** What its process died of, if it did. */
@@ -58,7 +58,7 @@
     readonly world: World,
     readonly member: string,
     readonly settings: Settings,
-    operators: Operators,
+    operators: OperatorSettings,
   ) {
     this.operators = operators;
     this.boot();
@@ -109,12 +109,13 @@
     const read =
       this.watchedRevision >= 0 || this.world.now >= this.snapshotStartedAt + this.world.snapshotMs;
     if (!off && read && this.world.now >= this.watchResumesAt) {
-      if (this.watchedRevision < 0) this.push({ type: 'snapshot-loaded', items: s.items(), epoch: s.epoch });
+      if (this.watchedRevision < 0)
+        this.push({ type: 'snapshot-loaded', items: s.items(), revision: s.epoch });
       else if (this.watchedRevision < s.epoch)
         this.push({
           type: 'changes',
           changes: s.log.filter((c) => c.stamp > this.watchedRevision),
-          epoch: s.epoch,
+          revision: s.epoch,
         });
       this.watchedRevision = s.epoch;
     }
@@ -147,7 +148,7 @@
     const off = this.cutFromState || w.state.unavailable || this.rateLimited;
     switch (e.type) {
       case 'respond':
-        this.responses.set(e.rid, {
+        this.responses.set(e.requestId, {
           status: e.status,
           body: e.body as Record<string, unknown>,
           retryAfterS: e.retryAfterS,
@@ -157,7 +158,11 @@
         this.commit(e.txn, reply);
         break;
       case 'read-revision':
-        reply({ type: 'revision-read', sentAt: w.now * this.clockRate, epoch: off ? null : w.state.epoch });
+        reply({
+          type: 'revision-read',
+          sentAt: w.now * this.clockRate,
+          revision: off ? null : w.state.epoch,
+        });
         break;
       case 'grant-lease':
         reply({ type: 'lease-granted', leaseId: off ? null : w.state.grantLease(e.ttlMs) });
@@ -221,7 +226,7 @@
           type: 'audit-result',
           from: e.from,
           ...this.auditPage(e.from, e.keys),
-          epoch: off ? null : w.state.epoch,
+          revision: off ? null : w.state.epoch,
         });
         break;
       case 'restart':
@@ -300,19 +305,19 @@
   }
 
   private forwardHeartbeat(
-    { to, rid, report }: Extract<Effect, { type: 'forward-heartbeat' }>,
+    { to, requestId, report }: Extract<Effect, { type: 'forward-heartbeat' }>,
     reply: Reply,
   ): void {
     const w = this.world;
     const owner = w.nodes.find((n) => n.member === to);
     const id = ++w.nextRequestId;
     if (!owner?.alive || this.isolatedFromPeers || owner.isolatedFromPeers)
-      return reply({ type: 'forwarded-response', rid, status: 503, body: {} });
-    owner.push({ type: 'heartbeat', rid: id, report, from: this.member });
+      return reply({ type: 'forwarded-response', requestId, status: 503, body: {} });
+    owner.push({ type: 'heartbeat', requestId: id, report, from: this.member });
     w.schedule(30, () => {
       const response = owner.responses.get(id);
       if (response)
-        this.push({ type: 'forwarded-response', rid, status: response.status, body: response.body });
+        this.push({ type: 'forwarded-response', requestId, status: response.status, body: response.body });
     });
   }
 
@@ -343,19 +348,19 @@
 
   private nextRequestId = 1000;
   /** Sends a request and plays until it is answered. */
-  request(c: (rid: number) => Command, withinMs = 6000) {
-    const rid = ++this.nextRequestId;
-    this.push(c(rid));
+  request(c: (requestId: number) => Command, withinMs = 6000) {
+    const requestId = ++this.nextRequestId;
+    this.push(c(requestId));
     const until = this.world.now + withinMs;
-    while (!this.responses.has(rid) && this.world.now < until) this.world.advance(0.01);
-    return this.responses.get(rid);
+    while (!this.responses.has(requestId) && this.world.now < until) this.world.advance(0.01);
+    return this.responses.get(requestId);
   }
   submit = (job: JobSpec) => {
     if (job.shape === 'service') this.world.serviceJobs.add(job.id);
     if (job.shape === 'gang') this.world.gangs.set(job.id, job.tasks);
     this.world.specs.set(job.id, job);
-    return this.request((rid) => ({ type: 'submit', rid, spec: job }));
+    return this.request((requestId) => ({ type: 'submit', requestId, spec: job }));
   };
-  status = (id: string) => this.request((rid) => ({ type: 'query', rid, id }));
-  cancel = (id: string) => this.request((rid) => ({ type: 'cancel', rid, id }));
+  status = (id: string) => this.request((requestId) => ({ type: 'query', requestId, id }));
+  cancel = (id: string) => this.request((requestId) => ({ type: 'cancel', requestId, id }));
 }
--- a/test/support/flood.ts
+++ b/test/support/flood.ts
@@ -1,5 +1,5 @@
 /** A flood of submissions for the tests and measurements of admission. */
-import type { Operators } from '../../src/config/operators.js';
+import type { OperatorSettings } from '../../src/config/operators.js';
 import type { JobSpec } from '../../src/model/job.js';
 import { thisProgram, type Node, type Program } from './controller-node.js';
 import { spec } from './fixtures.js';
@@ -28,7 +28,7 @@
 interface Asked {
   job: Job;
   node: Node;
-  rid: number;
+  requestId: number;
   at: number;
 }
 
@@ -39,7 +39,7 @@
   readonly answers = new Map<number, number>();
   private open: Asked[] = [];
   private turn = 0;
-  private rid = 7_000_000;
+  private requestId = 7_000_000;
   private readonly sent: number[];
   private n = 0;
   private readonly from: number;
@@ -86,9 +86,9 @@
     job.tries++;
     if (alive.length === 0) return this.again(job, 1000);
     const node = alive[this.turn++ % alive.length];
-    const rid = ++this.rid;
-    node.push({ type: 'submit', rid, spec: job.spec });
-    this.open.push({ job, node, rid, at: w.now });
+    const requestId = ++this.requestId;
+    node.push({ type: 'submit', requestId, spec: job.spec });
+    this.open.push({ job, node, requestId, at: w.now });
   }
 
   private again(job: Job, ms: number): void {
@@ -101,12 +101,12 @@
     const { w } = this;
     const left: Asked[] = [];
     for (const a of this.open) {
-      const answer = a.node.responses.get(a.rid);
+      const answer = a.node.responses.get(a.requestId);
       if (!answer && w.now - a.at < 5000 && a.node.alive) {
         left.push(a);
         continue;
       }
-      a.node.responses.delete(a.rid);
+      a.node.responses.delete(a.requestId);
       const status = answer?.status ?? 0;
       this.answers.set(status, (this.answers.get(status) ?? 0) + 1);
       if (status === 200 || status === 201) a.job.acceptedAt = w.now;
@@ -140,7 +140,7 @@
 
 /** Three controllers, and a state service that takes 30 writes a second; nothing is asked of them yet. */
 export function floodable(
-  operators: Partial<Operators> = { 'fair-admission': 1 },
+  operators: Partial<OperatorSettings> = { 'fair-admission': 1 },
   program: Program = thisProgram,
 ): World {
   const w = new World(3, { 'idle-boots': 1000, ...operators });
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -1,6 +1,6 @@
 /** Rolling upgrades on the scripted world: scenarios that play two builds of the controllers side by side. */
 import assert from 'node:assert/strict';
-import { defaults, type Operators } from '../../src/config/operators.js';
+import { operatorDefaults, type OperatorSettings } from '../../src/config/operators.js';
 import { levelData, levelKey, requestedLevelData } from '../../src/core/storage/index.js';
 import { newestLevel, noRequestedLevel, type RequestedLevel } from '../../src/feature-levels/index.js';
 import { Traffic } from './traffic.js';
@@ -19,7 +19,7 @@
 }
 
 /** This program, held at the old level: it writes what the earlier program wrote. */
-export const heldAt = (level: number): Operators => ({ ...defaults, 'level-most': level });
+export const heldAt = (level: number): OperatorSettings => ({ ...operatorDefaults, 'level-most': level });
 export const held = heldAt(1);
 
 export const levelOf = (w: World): { level: number; write: number } =>
@@ -161,7 +161,7 @@
       w.serviceJobs.add(id);
       w.nodes[0].push({
         type: 'submit',
-        rid: 1,
+        requestId: 1,
         spec: spec(id, { tasks: 1, team: 'blue', shape: 'service' }),
       });
     }
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -37,7 +37,7 @@
     const failed = txn.conditions
       .filter((c) => (this.entries.get(c.key)?.stamp ?? 0) !== c.stamp)
       .map((c) => c.key);
-    if (failed.length > 0) return { type: 'conflict', failed, epoch: this.epoch };
+    if (failed.length > 0) return { type: 'conflict', failed, revision: this.epoch };
     if (txn.writes.length > 0) this.epoch++;
     for (const w of txn.writes) {
       const change = { key: w.key, data: w.data && JSON.parse(JSON.stringify(w.data)), stamp: this.epoch };
@@ -45,7 +45,7 @@
       else this.entries.set(w.key, { ...change, hold: w.hold });
       this.log.push(change);
     }
-    return { type: 'ok', epoch: this.epoch };
+    return { type: 'ok', revision: this.epoch };
   }
 
   /** Puts and deletes that it takes in a second; bursts of a second's worth are allowed. */
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -141,15 +141,15 @@
     }
     const sentAt = w.now;
     const session = this.session;
-    const rid = ++w.nextRequestId;
+    const requestId = ++w.nextRequestId;
     const report = this.report();
     if (!node.controller.replica.machines.has(this.host)) w.heartbeatsBeforeRecord++;
-    node.push({ type: 'heartbeat', rid, report });
+    node.push({ type: 'heartbeat', requestId, report });
     if (w.random() < w.heldHeartbeatShare) w.heldHeartbeats.push(report);
     if (w.random() < w.duplicatedHeartbeatShare) {
       const to = w.nodes[Math.floor(w.random() * w.nodes.length)];
       w.schedule(2000 + 1.5 * w.leaseMs * w.random(), () =>
-        to.push({ type: 'heartbeat', rid: ++w.nextRequestId, report }),
+        to.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report }),
       );
     }
     if (this.losesResponses) {
@@ -160,21 +160,21 @@
     this.inFlight = true;
     const heldMs = w.responseDelayMs();
     if (heldMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + heldMs + 200);
-    w.schedule(100 + heldMs, () => this.receiveResponse(node, rid, sentAt, session));
+    w.schedule(100 + heldMs, () => this.receiveResponse(node, requestId, sentAt, session));
   }
 
-  private receiveResponse(node: Node, rid: number, sentAt: number, session: number): void {
+  private receiveResponse(node: Node, requestId: number, sentAt: number, session: number): void {
     const w = this.world;
     // A machine that goes on takes what came meanwhile, unless that is too old.
     if (this.hung && w.now - sentAt < 4000)
-      return w.schedule(50, () => this.receiveResponse(node, rid, sentAt, session));
+      return w.schedule(50, () => this.receiveResponse(node, requestId, sentAt, session));
     // One report at a time; an answer is waited for as long as its controller lives.
     const waits =
       !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
-    if (!node.responses.has(rid) && waits && w.now - sentAt < 4000)
-      return w.schedule(10, () => this.receiveResponse(node, rid, sentAt, session));
-    const a = node.responses.get(rid);
-    node.responses.delete(rid);
+    if (!node.responses.has(requestId) && waits && w.now - sentAt < 4000)
+      return w.schedule(10, () => this.receiveResponse(node, requestId, sentAt, session));
+    const a = node.responses.get(requestId);
+    node.responses.delete(requestId);
     this.inFlight = false;
     if (this.silent || this.hung || this.losesResponses || session !== this.session) return;
     this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -12,7 +12,7 @@
 import { JsonClient } from '../../src/net/client.js';
 import { findFreePort } from '../../src/net/port.js';
 import { seededRandom } from '../../src/retry/index.js';
-import { plainSubmission } from '../../src/wire/user.js';
+import { defaultSubmission } from '../../src/wire/user.js';
 
 const main = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const quiet = (): undefined => undefined;
@@ -172,7 +172,7 @@
     const note = `echo "$DAPPLEPICK_JOB/$DAPPLEPICK_INDEX $DAPPLEPICK_ATTEMPT" >> ${this.ran}`;
     return {
       nameId: `req-${id}`,
-      ...plainSubmission,
+      ...defaultSubmission,
       jobclass: 'c',
       owner: 'default',
       shape: 'sweep',
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -34,7 +34,7 @@
     if (outcome.type !== 'ok') continue;
     for (const write of txn.writes) {
       const ref = parseKey(write.key);
-      if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.epoch);
+      if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.revision);
       const log = /^dp\/log\/(\d+)\/(\d+)-/.exec(write.key);
       if (log && write.data && grants.get(log[1]) !== Number(log[2]))
         wrong.push(`${write.key}: grant is over`);
