--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -7,7 +7,7 @@
 interface Asked {
   id: string;
   node: Node;
-  rid: number;
+  requestId: number;
   at: number;
   what: 'submit' | 'query' | 'cancel';
 }
@@ -45,7 +45,7 @@
   private readonly endOf = new Map<string, number>();
   private seenEnds = 0;
   private turn = 0;
-  private rid = 5_000_000;
+  private requestId = 5_000_000;
   private on = true;
   private polledAt = 0;
   private polls = 0;
@@ -171,18 +171,18 @@
       if (what === 'submit') this.again.push({ at: this.w.now + 1000, id });
       return;
     }
-    const rid = ++this.rid;
+    const requestId = ++this.requestId;
     const job = this.jobs.get(id);
     if (!job) {
-      node.push({ type: 'query', rid, id });
-      this.open.push({ id, node, rid, at: this.w.now, what: 'query' });
+      node.push({ type: 'query', requestId, id });
+      this.open.push({ id, node, requestId, at: this.w.now, what: 'query' });
       return;
     }
     if (job.shape === 'gang') this.w.gangs.set(id, job.tasks);
     if (job.shape === 'service') this.w.serviceJobs.add(id);
     this.w.specs.set(id, job);
-    node.push(what === 'submit' ? { type: 'submit', rid, spec: job } : { type: what, rid, id });
-    this.open.push({ id, node, rid, at: this.w.now, what });
+    node.push(what === 'submit' ? { type: 'submit', requestId, spec: job } : { type: what, requestId, id });
+    this.open.push({ id, node, requestId, at: this.w.now, what });
   }
 
   private submit(id: string): void {
@@ -207,8 +207,8 @@
     const { w } = this;
     const left: Asked[] = [];
     for (const a of this.open) {
-      const answer = a.node.responses.get(a.rid);
-      if (answer) a.node.responses.delete(a.rid);
+      const answer = a.node.responses.get(a.requestId);
+      if (answer) a.node.responses.delete(a.requestId);
       else if (w.now - a.at < 5000 && a.node.alive) {
         left.push(a);
         continue;
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -3,7 +3,7 @@
  * Everything happens at set moments, so a test can put a failure just where it hurts. The world sees everything and notes each broken
  * rule in `violations`.
  */
-import { defaults, type Operators } from '../../src/config/operators.js';
+import { operatorDefaults, type OperatorSettings } from '../../src/config/operators.js';
 import { parseSettings } from '../../src/config/settings.js';
 import type { CommitOutcome } from '../../src/core/effects.js';
 import type { Heartbeat } from '../../src/model/heartbeat.js';
@@ -98,7 +98,7 @@
 
   constructor(
     nodes = 1,
-    operators: Partial<Operators> = {},
+    operators: Partial<OperatorSettings> = {},
     seed = 1,
     settingsOf: (text: string) => string = (text) => text,
   ) {
@@ -106,7 +106,7 @@
     this.random = seededRandom(seed * 7919 + 13);
     for (let i = 0; i < nodes; i++) {
       const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodes)));
-      this.nodes.push(new Node(this, `n${i}`, settings, { ...defaults, ...operators }));
+      this.nodes.push(new Node(this, `n${i}`, settings, { ...operatorDefaults, ...operators }));
     }
   }
 
@@ -204,7 +204,7 @@
       const ms = this.random() < 0.5 ? 100 * this.random() : 4000 * this.random();
       this.schedule(ms, () => {
         for (const n of this.nodes)
-          if (n.alive) n.push({ type: 'heartbeat', rid: ++this.nextRequestId, report });
+          if (n.alive) n.push({ type: 'heartbeat', requestId: ++this.nextRequestId, report });
         this.deliveredHeldHeartbeats++;
       });
     }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -255,7 +255,7 @@
     for (let i = 0; i < jobs; i++)
       w.nodes[i % 3].push({
         type: 'submit',
-        rid: 9000 + i,
+        requestId: 9000 + i,
         spec: spec(`req-${i + 1}`, { tasks, team: 'blue', cpus: 0.2 }),
       });
     assert.ok(w.advanceUntil(() => w.finished.length === jobs * tasks, 300));
@@ -378,7 +378,7 @@
   for (let i = 1; i <= 12; i++)
     w.nodes[i % 3].push({
       type: 'submit',
-      rid: 8000 + i,
+      requestId: 8000 + i,
       spec: spec(`req-${i}`, { tasks: 2, team: 'blue', cpus: 1 }),
     });
   // Somebody cancels one of them just before the owner's write comes to the state service.
@@ -421,7 +421,7 @@
     const cancelled = jobs.filter((_, i) => i % 2 === 0);
     for (const [i, id] of cancelled.entries())
       w.schedule(Math.round(w.random() * 3000), () =>
-        w.nodes[i % 3].push({ type: 'cancel', rid: 7000 + i, id }),
+        w.nodes[i % 3].push({ type: 'cancel', requestId: 7000 + i, id }),
       );
     w.advance(15);
     for (const [i, id] of cancelled.entries())
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -52,7 +52,7 @@
       for (const effect of out)
         if (effect.type === 'commit') {
           this.written.push(...effect.txn.writes.map((w) => w.key));
-          this.batcher.handleOutcome({ type: 'ok', epoch: ++this.epoch }, at, []);
+          this.batcher.handleOutcome({ type: 'ok', revision: ++this.epoch }, at, []);
         }
     }
   }
