--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -166,15 +166,15 @@
       random,
     );
     this.shardManager = new ShardManager(settings, operators, run, replica, batcher, clock, log, matcher);
-    this.featureLevelManager = new FeatureLevelManager(
+    this.featureLevelManager = new FeatureLevelManager({
       settings,
       replica,
       batcher,
-      this.membership,
+      membership: this.membership,
       clock,
-      ttlMs,
+      stateLeaseMs: ttlMs,
       log,
-    );
+    });
     this.autoscaler = new Autoscaler({
       settings,
       operators,
--- a/src/core/data-loss/data-loss-monitor.ts
+++ b/src/core/data-loss/data-loss-monitor.ts
@@ -4,6 +4,7 @@
   DataLossDetector,
   incarnationOf,
   maxIncarnations,
+  type KeyPage,
   type KeyRevision,
 } from '../../data-loss/index.js';
 import type { Clock, Effect, PeerStatus } from '../effects.js';
@@ -26,15 +27,6 @@
   readonly joinsExisting: boolean;
 }
 
-/** A page of the audit that waits until the watch has reached the revision it was read at. */
-interface AuditPage {
-  readonly from: string;
-  /** The last key that the page covers; null: it covers all that follow. */
-  readonly to: string | null;
-  readonly items: readonly KeyRevision[];
-  readonly epoch: number;
-}
-
 export interface DataLossMonitorOptions {
   readonly replica: Replica;
   readonly peers: Peers;
@@ -56,7 +48,8 @@
   private lastAuditAt = -Infinity;
   private auditCursor = '';
   private auditInFlight = false;
-  private pendingAudit: AuditPage | null = null;
+  /** A page that waits until the watch has reached the revision it was read at. */
+  private pendingAudit: KeyPage | null = null;
   private loadedAt = -1;
   private allPeersHeardAt = -1;
   private revisionRequestedAt = -Infinity;
@@ -172,7 +165,7 @@
     this.auditInFlight = false;
     if (revision === null) return;
     const to = more && items.length > 0 ? items[items.length - 1].key : null;
-    this.pendingAudit = { from, to, items, epoch: revision };
+    this.pendingAudit = { from, to, items, revision };
     this.auditCursor = to ?? '';
   }
 
@@ -184,7 +177,7 @@
     const { watchRevision } = replica;
     this.detector.revisionReached(watchRevision, clock.now);
     this.suspect(this.detector.checkFailedConditions(watchRevision, (key) => replica.modRevisionOf(key)));
-    if (this.pendingAudit && watchRevision >= this.pendingAudit.epoch) {
+    if (this.pendingAudit && watchRevision >= this.pendingAudit.revision) {
       const page = this.pendingAudit;
       this.pendingAudit = null;
       this.suspect(comparePage(page, replica.knownKeys()));
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -1,103 +1,102 @@
-/** The leader's care for the level in force. */
+/** The leader's part in feature levels: records what members can do, and raises or lowers the level in force. */
 import type { Settings } from '../config/settings.js';
-import {
-  decide,
-  features,
-  newestLevel,
-  type Capabilities,
-  type Decision,
-  type LevelState,
-} from '../feature-levels/index.js';
+import { decide, features, newestLevel, type Capabilities, type Decision } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
+import type { Clock, Log } from './effects.js';
+import type { Membership } from './membership/index.js';
+import { leaderPlaceholder } from './recovery-records.js';
+import type { Replica } from './replica.js';
 import {
   leaderKey,
-  type Committer,
-  machineTypesKey,
   legacyLeaderKey,
+  legacyMachineTypesKey,
   levelData,
   levelKey,
-  type LevelNote,
+  machineTypesData,
+  machineTypesKey,
   membersData,
   membersKey,
   presenceKey,
   Rank,
-  machineTypesData,
-  legacyMachineTypesKey,
   requestedLevelKey,
+  type Committer,
+  type LevelNote,
 } from './storage/index.js';
-import type { Clock, Log } from './effects.js';
-import { leaderPlaceholder } from './recovery-records.js';
-import type { Membership } from './membership/index.js';
-import type { Replica } from './replica.js';
 
-/** Looks, in a state lease. */
+/** How often the level is looked at, in a state lease. */
 const checksPerLease = 8;
 
-const decisionText = (d: Decision): string =>
-  JSON.stringify(d, (_, x: unknown) => (x instanceof Map ? [...(x as Map<string, unknown>)] : x));
+/** From this level on leadership and machine types are at other keys. */
+const keysMovedAtLevel = features['barred-lead'].level;
+
+/** Decisions are compared by this text. */
+const decisionText = (decision: Decision): string =>
+  JSON.stringify(decision, (_, value: unknown) =>
+    value instanceof Map ? [...(value as Map<string, unknown>)] : value,
+  );
+
+export interface FeatureLevelManagerOptions {
+  readonly settings: Settings;
+  readonly replica: Replica;
+  readonly batcher: Committer;
+  readonly membership: Membership;
+  readonly clock: Clock;
+  readonly stateLeaseMs: number;
+  readonly log: Log;
+}
 
 /**
- * The leader's care for the level: carries out what `decide` says, on condition that leadership, level, what members were last
- * seen with, who is present and what operators want have not changed meanwhile.
+ * Carries out what `decide` says, on condition that leadership, the level, members' recorded capabilities, who is present and
+ * what operators request have not changed meanwhile.
  */
 export class FeatureLevelManager {
   private checkedAt = -Infinity;
   private writeInFlight = false;
   private loggedReason = '';
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly replica: Replica,
-    private readonly batcher: Committer,
-    private readonly membership: Membership,
-    private readonly clock: Clock,
-    private readonly ttlMs: number,
-    private readonly log: Log,
-  ) {}
+  constructor(private readonly options: FeatureLevelManagerOptions) {}
 
+  /** As the leader: takes the next step of the level, if it is time for one. */
   tick(): void {
-    const { now } = this.clock;
-    if (this.writeInFlight || now - this.checkedAt < this.ttlMs / checksPerLease) return;
+    const { replica, clock, stateLeaseMs } = this.options;
+    if (this.writeInFlight || clock.now - this.checkedAt < stateLeaseMs / checksPerLease) return;
     // Guards against lowering while a record that was written just before the level changed has not been seen yet.
-    if (this.replica.watchRevision < this.replica.levels.state.modRevision) return;
-    this.checkedAt = now;
-    const decision = this.decide();
-    switch (decision.do) {
+    if (replica.watchRevision < replica.levels.state.modRevision) return;
+    this.checkedAt = clock.now;
+    this.carryOut(this.decide());
+  }
+
+  private carryOut(decision: Decision): void {
+    const { replica } = this.options;
+    switch (decision.type) {
       case 'stay':
-        this.logReason(decision.why);
-        break;
-      case 'note':
-        this.commitDecision('what members can do', decision, () => [
-          this.membersWrite(decision.seen, this.replica.members.note),
+        return this.logReason(decision.why);
+      case 'record-capabilities':
+        return this.commit('what members can do', decision, () => [
+          this.membersWrite(decision.capabilities, replica.members.note),
         ]);
-        break;
       case 'refuse':
-        this.refuse(decision.text);
-        break;
+        return this.refuse(decision.text);
       case 'raise':
-        this.commitDecision('level raised', decision, () => [
+        return this.commit('level raised', decision, () => [
           ...this.levelWrites(decision.to, decision.to),
-          this.membersWrite(decision.seen, null),
+          this.membersWrite(decision.capabilities, null),
         ]);
-        break;
-      case 'begin lowering':
-        this.commitDecision('level is being lowered', decision, () =>
-          this.levelWrites(this.replica.levels.state.level, decision.to),
+      case 'begin-lowering':
+        return this.commit('level is being lowered', decision, () =>
+          this.levelWrites(replica.levels.state.level, decision.to),
         );
-        break;
       case 'lower':
-        this.commitDecision('level lowered', decision, () => this.levelWrites(decision.to, decision.to));
-        break;
+        return this.commit('level lowered', decision, () => this.levelWrites(decision.to, decision.to));
     }
   }
 
   private decide(): Decision {
-    const { replica } = this;
-    const configured = this.requiredMembers();
+    const { replica } = this.options;
     return decide({
       state: replica.levels.state,
       newestLevel: Math.min(newestLevel, replica.levels.ownCapabilities.maxLevel),
-      configured,
+      configured: this.requiredMembers(),
       recordedCapabilities: replica.members.capabilities,
       observedCapabilities: replica.observedCapabilities,
       requested: replica.requestedLevel,
@@ -106,116 +105,133 @@
     });
   }
 
-  /** Records that the level to be gone back to cannot read. */
+  /** How many records the level that is being lowered to cannot express. */
   private unmigratedRecords(): number {
-    const { replica } = this;
-    const { writeLevel: write } = replica.levels.state;
-    if (write >= features['task-log'].level) return 0;
+    const { replica } = this.options;
+    const { writeLevel } = replica.levels.state;
+    if (writeLevel >= features['task-log'].level) return 0;
     const logged = replica.taskLog.size + replica.checkpointCount;
-    return write >= features['small-jobs'].level ? logged : logged + replica.jobsWithInlineTasks.size;
+    return writeLevel >= features['small-jobs'].level ? logged : logged + replica.jobsWithInlineTasks.size;
   }
 
   /**
-   * Whom a rise waits for: everybody that is configured or here. Where members share nothing but a store, nobody is
-   * configured, so it is everybody that was ever seen.
+   * The members that a rise waits for: all that are configured or present. Where members share nothing but a store, none is
+   * configured, so it is all that were ever seen.
    */
   private requiredMembers(): string[] {
-    const { settings, replica } = this;
-    const ever = settings.pool ? replica.members.capabilities.keys() : [];
+    const { settings, replica } = this.options;
+    const everSeen = settings.pool ? replica.members.capabilities.keys() : [];
     const peers = settings.peers.map((p) => p.member);
-    return [...new Set([settings.member, ...peers, ...replica.presences.keys(), ...ever])];
+    return [...new Set([settings.member, ...peers, ...replica.presences.keys(), ...everSeen])];
   }
 
   private logReason(why: string): void {
     if (why === this.loggedReason || why === '') return;
     this.loggedReason = why;
-    this.log('info', 'level stays', { level: this.replica.levels.state.level, why });
+    const { log, replica } = this.options;
+    log('info', 'level stays', { level: replica.levels.state.level, why });
   }
 
+  /** Records for operators, once, why their request is not fulfilled. */
   private refuse(text: string): void {
-    const { note, capabilities: seen } = this.replica.members;
-    const { modRevision: stamp } = this.replica.requestedLevel;
-    if (note?.wish === stamp && note.text === text) return;
-    this.log('warn', text, { level: this.replica.levels.state.level });
-    this.commitDecision('refusal', { do: 'refuse', text }, () => [
-      this.membersWrite(seen, { wish: stamp, text }),
+    const { replica, log } = this.options;
+    const { note, capabilities } = replica.members;
+    const { modRevision } = replica.requestedLevel;
+    if (note?.wish === modRevision && note.text === text) return;
+    log('warn', text, { level: replica.levels.state.level });
+    this.commit('refusal', { type: 'refuse', text }, () => [
+      this.membersWrite(capabilities, { wish: modRevision, text }),
     ]);
   }
 
-  private membersWrite(seen: ReadonlyMap<string, Capabilities>, note: LevelNote | null): Write {
-    return { key: membersKey, data: membersData(seen, note) };
-  }
-
-  /** Another level; where leadership and machine types are kept goes with it. */
-  private levelWrites(level: number, write: number): Write[] {
-    const { replica, membership, settings } = this;
-    const before: LevelState = replica.levels.state;
-    const apply: Write[] = [{ key: levelKey, data: levelData(level, write) }];
-    const was = before.level >= 2;
-    const is = level >= 2;
-    if (was === is) return apply;
-    const mine = { member: settings.member, run: membership.instanceId };
-    const hold = membership.leaseId ?? undefined;
-    const types = replica.machineTypes.length > 0 ? machineTypesData(replica.machineTypes) : undefined;
-    if (is)
-      apply.push(
-        { key: legacyLeaderKey, data: { ...leaderPlaceholder } },
-        { key: leaderKey, data: mine, hold },
-        { key: legacyMachineTypesKey, data: undefined },
-        { key: machineTypesKey, data: types },
-      );
-    else
-      apply.push(
-        { key: legacyLeaderKey, data: mine, hold },
-        { key: leaderKey, data: undefined },
-        { key: legacyMachineTypesKey, data: types },
-        { key: machineTypesKey, data: undefined },
-      );
+  private membersWrite(capabilities: ReadonlyMap<string, Capabilities>, note: LevelNote | null): Write {
+    return { key: membersKey, data: membersData(capabilities, note) };
+  }
+
+  /** What changes the level; leadership and machine types move to the keys that the new level has them at. */
+  private levelWrites(level: number, writeLevel: number): Write[] {
+    const { replica } = this.options;
+    const writes: Write[] = [{ key: levelKey, data: levelData(level, writeLevel) }];
+    const isMoved = replica.levels.state.level >= keysMovedAtLevel;
+    const toBeMoved = level >= keysMovedAtLevel;
+    if (toBeMoved === isMoved) return writes;
+    writes.push(...(toBeMoved ? this.moveKeys() : this.moveKeysBack()));
     // A key that is not there cannot be dropped.
-    return apply.filter((w) => w.data !== undefined || replica.modRevisionOf(w.key) > 0);
+    return writes.filter((w) => w.data !== undefined || replica.modRevisionOf(w.key) > 0);
+  }
+
+  /** Programs without levels see the old leadership taken by nobody, so that they do not act. */
+  private moveKeys(): Write[] {
+    return [
+      { key: legacyLeaderKey, data: { ...leaderPlaceholder } },
+      this.leadershipWrite(leaderKey),
+      { key: legacyMachineTypesKey, data: undefined },
+      { key: machineTypesKey, data: this.storedMachineTypes() },
+    ];
+  }
+
+  private moveKeysBack(): Write[] {
+    return [
+      this.leadershipWrite(legacyLeaderKey),
+      { key: leaderKey, data: undefined },
+      { key: legacyMachineTypesKey, data: this.storedMachineTypes() },
+      { key: machineTypesKey, data: undefined },
+    ];
   }
 
-  private commitDecision(what: string, decision: Decision, build: () => Write[]): void {
-    const { replica } = this;
+  private leadershipWrite(key: string): Write {
+    const { settings, membership } = this.options;
+    const data = { member: settings.member, run: membership.instanceId };
+    return { key, data, hold: membership.leaseId ?? undefined };
+  }
+
+  private storedMachineTypes(): Write['data'] {
+    const { machineTypes } = this.options.replica;
+    return machineTypes.length > 0 ? machineTypesData(machineTypes) : undefined;
+  }
+
+  private commit(message: string, decision: Decision, build: () => Write[]): void {
+    const { replica, membership, batcher } = this.options;
     const text = decisionText(decision);
     this.writeInFlight = true;
-    const done = (): void => void (this.writeInFlight = false);
-    this.batcher.enqueue({
+    const finish = (): void => void (this.writeInFlight = false);
+    batcher.enqueue({
       priority: Rank.membership,
       build: () => {
-        // Looked at again: it may have waited.
-        const again = this.membership.isLeader ? decisionText(this.decide()) : '';
+        // Decided once more: the write may have waited.
+        const isUnchanged = membership.isLeader && decisionText(this.decide()) === text;
         // Guards against a leadership without a lease, which nobody could ever take over.
-        if (again !== text || this.membership.leaseId === null) {
-          done();
+        if (!isUnchanged || membership.leaseId === null) {
+          finish();
           return null;
         }
-        const apply = build();
-        const keys = new Set([
-          replica.activeLeaderKey,
-          levelKey,
-          membersKey,
-          requestedLevelKey,
-          ...this.requiredMembers().map(presenceKey),
-        ]);
-        for (const w of apply) keys.add(w.key);
+        const writes = build();
+        const keys = new Set([...this.decidingKeys(), ...writes.map((w) => w.key)]);
         return {
           conditions: [...keys].map((key) => ({ key, stamp: replica.modRevisionOf(key) })),
-          writes: apply,
+          writes,
         };
       },
       onCommitted: () => {
-        done();
+        finish();
         this.loggedReason = '';
-        const { level, writeLevel, modRevision } = replica.levels.state;
-        this.log('info', what, {
-          level,
-          write: writeLevel,
-          stamp: modRevision,
-          can: Object.fromEntries([...replica.members.capabilities].map(([m, c]) => [m, c.maxLevel])),
-        });
+        this.logLevel(message);
       },
-      onConflict: done,
+      onConflict: finish,
     });
   }
+
+  /** The keys whose values a decision depends on. */
+  private decidingKeys(): string[] {
+    const members = this.requiredMembers().map(presenceKey);
+    return [this.options.replica.activeLeaderKey, levelKey, membersKey, requestedLevelKey, ...members];
+  }
+
+  private logLevel(message: string): void {
+    const { replica, log } = this.options;
+    const { level, writeLevel, modRevision } = replica.levels.state;
+    const maxLevels = [...replica.members.capabilities].map(([member, c]) => [member, c.maxLevel]);
+    const can = Object.fromEntries(maxLevels) as Record<string, number>;
+    log('info', message, { level, write: writeLevel, stamp: modRevision, can });
+  }
 }
--- a/src/data-loss/incarnation.ts
+++ b/src/data-loss/incarnation.ts
@@ -1,20 +1,22 @@
+/** Incarnations of the state, and the ranges of numbers that each of them uses. */
+
 /**
- * An incarnation of the state: from one loss of data to the next. Tokens, attempts and names of rentals are made from revisions
- * and counters that a loss sets back; they go on above all from before because each incarnation has a range of its own.
+ * The state from one loss of data to the next. Fencing tokens, attempts and names of rentals are made from revisions and counters
+ * that a loss sets back; they keep rising because each incarnation has a range of its own.
  */
 export interface Incarnation {
   /** From 1. */
-  number: number;
-  /** Who opened it. */
-  openedBy: string;
-  instanceId: string;
-  stage: IncarnationStage;
-  modRevision: number;
+  readonly number: number;
+  /** The member, and the process of it, that opened the incarnation or took its opening over. */
+  readonly openedBy: string;
+  readonly instanceId: string;
+  readonly stage: IncarnationStage;
+  readonly modRevision: number;
 }
 
 /**
- * `open`: what was known is being written again, nobody acts. `serving`: the fleet and the jobs that are not over are there, so
- * work goes on; who is asked about a job that is not there says 503. `whole`: all is there.
+ * `open`: records are being restored, no controller acts. `serving`: the machines and all jobs that are not finished are there, so
+ * work goes on; a query for a job that is not there is answered 503. `whole`: everything known has been restored.
  */
 export type IncarnationStage = 'open' | 'serving' | 'whole';
 
@@ -22,11 +24,13 @@
 const tokenRange = 2 ** 36;
 const attemptRange = 2 ** 20;
 
-/** Beyond this tokens would not be exact any more: whoever has seen one of them was told so by nobody here. */
+/** Tokens of later incarnations would not be exact any more: no controller has issued one. */
 export const maxIncarnations = 2 ** 17 - 2;
 
+/** Fencing tokens of an incarnation are above this. */
 export const tokenBase = (incarnation: number): number => Math.max(0, incarnation - 1) * tokenRange;
+/** Attempts at a task in an incarnation are above this. */
 export const attemptBase = (incarnation: number): number => Math.max(0, incarnation - 1) * attemptRange;
 
-/** The incarnation that a token came from. */
+/** The incarnation that a fencing token was issued in. */
 export const incarnationOf = (token: number): number => Math.floor(token / tokenRange) + 1;
--- a/src/data-loss/index.ts
+++ b/src/data-loss/index.ts
@@ -1,3 +1,4 @@
+/** Losses of data in the state service: noticing them, incarnations of the state, merging of records. Pure functions and state. */
 export {
   attemptBase,
   incarnationOf,
@@ -7,4 +8,4 @@
   type IncarnationStage,
 } from './incarnation.js';
 export { mergeRecords, sameRecord } from './merge.js';
-export { comparePage, DataLossDetector, type KeyRevision } from './data-loss-detector.js';
+export { comparePage, DataLossDetector, type KeyPage, type KeyRevision } from './data-loss-detector.js';
--- a/src/feature-levels/decide.ts
+++ b/src/feature-levels/decide.ts
@@ -1,14 +1,15 @@
+/** Decides when the feature level in force is raised or lowered. Pure; the leader carries decisions out. */
 import { legacyCapabilities, type Capabilities, type LevelState } from './feature-levels.js';
 
-/** What operators want; all of it is optional. */
+/** What operators request of the level; all of it is optional. */
 export interface RequestedLevel {
-  /** No level above this. */
-  maxLevel: number | null;
-  /** If the level is above that: go back to it. */
-  lower: boolean;
+  /** No level above this; null: no limit. */
+  readonly maxLevel: number | null;
+  /** If the level in force is above the limit: go back to it. */
+  readonly lower: boolean;
   /** Members that will not come back: they are not waited for. */
-  departedMembers: string[];
-  modRevision: number;
+  readonly departedMembers: readonly string[];
+  readonly modRevision: number;
 }
 
 export const noRequestedLevel: RequestedLevel = {
@@ -20,91 +21,107 @@
 
 /** What the leader decides from. */
 export interface LevelDecisionInput {
-  state: LevelState;
+  readonly state: LevelState;
   /** The newest level that this program knows. */
-  newestLevel: number;
-  /** Members by the leader's settings, itself included. */
-  configured: readonly string[];
-  /** What each was last seen with, as recorded, and as the leader itself has seen it, which is newer. */
-  recordedCapabilities: ReadonlyMap<string, Capabilities>;
-  observedCapabilities: ReadonlyMap<string, Capabilities>;
-  requested: RequestedLevel;
-  /** Records that only the level in force can express and that are still to be rewritten. */
-  unmigratedRecords: number;
-  /** Records that no lower level can express, by key. */
-  blockingKeys: readonly string[];
+  readonly newestLevel: number;
+  /** The members that a rise waits for, by the leader's settings, itself included. */
+  readonly configured: readonly string[];
+  /** What each member was last seen with, as recorded, and as the leader itself has seen it, which is newer. */
+  readonly recordedCapabilities: ReadonlyMap<string, Capabilities>;
+  readonly observedCapabilities: ReadonlyMap<string, Capabilities>;
+  readonly requested: RequestedLevel;
+  /** How many records that only the level in force can express are still to be rewritten. */
+  readonly unmigratedRecords: number;
+  /** Keys of records that no lower level can express. */
+  readonly blockingKeys: readonly string[];
 }
 
 export type Decision =
-  /** Why it stays; nothing: there is no newer one. */
-  | { do: 'stay'; why: string }
-  /** What members can do has changed: to be recorded. */
-  | { do: 'note'; seen: Map<string, Capabilities> }
-  | { do: 'raise'; to: number; seen: Map<string, Capabilities> }
-  /** Nothing that needs the level is written any more; what is stored is rewritten. */
-  | { do: 'begin lowering'; to: number }
-  | { do: 'lower'; to: number }
-  /** Operators want what cannot be done. */
-  | { do: 'refuse'; text: string };
+  /** `why` is empty if there is no newer level. */
+  | { readonly type: 'stay'; readonly why: string }
+  /** Members' capabilities have changed, and are to be recorded. */
+  | { readonly type: 'record-capabilities'; readonly capabilities: Map<string, Capabilities> }
+  | { readonly type: 'raise'; readonly to: number; readonly capabilities: Map<string, Capabilities> }
+  /** From now on nothing that needs the level is written, and what is stored is rewritten. */
+  | { readonly type: 'begin-lowering'; readonly to: number }
+  | { readonly type: 'lower'; readonly to: number }
+  /** Operators request what cannot be done. */
+  | { readonly type: 'refuse'; readonly text: string };
 
 const sameCapabilities = (a: Capabilities | undefined, b: Capabilities): boolean =>
   a !== undefined && a.program === b.program && a.minLevel === b.minLevel && a.maxLevel === b.maxLevel;
 
 /** What each member was last seen with. */
-export function latestCapabilities(s: LevelDecisionInput): Map<string, Capabilities> {
-  const seen = new Map(s.recordedCapabilities);
-  for (const [member, can] of s.observedCapabilities) seen.set(member, can);
-  return seen;
+const latestCapabilities = (input: LevelDecisionInput): Map<string, Capabilities> =>
+  new Map([...input.recordedCapabilities, ...input.observedCapabilities]);
+
+/** One step of the level, if it is time for one. It is carried out on condition that nothing of the input has changed. */
+export function decide(input: LevelDecisionInput): Decision {
+  const { state, requested } = input;
+  const capabilities = latestCapabilities(input);
+  if (state.writeLevel < state.level) return decideWhileLowering(input, capabilities);
+  if (state.level > (requested.maxLevel ?? Infinity)) return decideAboveLimit(input, capabilities);
+  return decideRise(input, capabilities);
 }
 
-/** The members that the level waits for, and those of them that cannot have a level. */
-const requiredMembers = (s: LevelDecisionInput): string[] =>
-  s.configured.filter((m) => !s.requested.departedMembers.includes(m));
+type CapabilitiesByMember = Map<string, Capabilities>;
 
-/** One step of the level, if it is time for one. The leader carries it out on condition that nothing here has changed. */
-export function decide(s: LevelDecisionInput): Decision {
-  const { state, requested: wish } = s;
-  const seen = latestCapabilities(s);
-  const changed = [...seen].some(([m, can]) => !sameCapabilities(s.recordedCapabilities.get(m), can));
-  const ceiling = wish.maxLevel ?? Infinity;
-  const unable = (level: number): string[] =>
-    requiredMembers(s).filter((m) => (seen.get(m) ?? legacyCapabilities).maxLevel < level);
-  if (state.writeLevel < state.level) {
-    // Operators have changed their mind, and nobody has come for whom it was lowered.
-    const wanted = wish.lower && state.level > ceiling;
-    if (!wanted && unable(state.level).length === 0) return { do: 'raise', to: state.level, seen };
-    return s.unmigratedRecords === 0 ? { do: 'lower', to: state.writeLevel } : stillLowering(s);
-  }
-  if (state.level > ceiling) {
-    if (!wish.lower)
-      return changed
-        ? { do: 'note', seen }
-        : { do: 'stay', why: `held at ${ceiling}, but ${state.level} is in force` };
-    if (s.blockingKeys.length > 0) return { do: 'refuse', text: refusalText(s) };
-    return { do: 'begin lowering', to: Math.max(1, state.level - 1) };
+/** Required members that do not have a level. */
+function membersWithout(level: number, input: LevelDecisionInput, latest: CapabilitiesByMember): string[] {
+  const { configured, requested } = input;
+  return configured
+    .filter((member) => !requested.departedMembers.includes(member))
+    .filter((member) => (latest.get(member) ?? legacyCapabilities).maxLevel < level);
+}
+
+const haveChanged = ({ recordedCapabilities }: LevelDecisionInput, latest: CapabilitiesByMember): boolean =>
+  [...latest].some(([member, c]) => !sameCapabilities(recordedCapabilities.get(member), c));
+
+function decideWhileLowering(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
+  const { state, requested, unmigratedRecords } = input;
+  const isStillRequested = requested.lower && state.level > (requested.maxLevel ?? Infinity);
+  // Operators have withdrawn the request, and no member has come that the level was being lowered for.
+  if (!isStillRequested && membersWithout(state.level, input, latest).length === 0)
+    return { type: 'raise', to: state.level, capabilities: latest };
+  if (unmigratedRecords === 0) return { type: 'lower', to: state.writeLevel };
+  return {
+    type: 'stay',
+    why: `being lowered to ${state.writeLevel}: ${unmigratedRecords} records are still to be rewritten`,
+  };
+}
+
+function decideAboveLimit(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
+  const { state, requested, blockingKeys } = input;
+  if (requested.lower) {
+    if (blockingKeys.length > 0) return { type: 'refuse', text: refusalText(input) };
+    return { type: 'begin-lowering', to: Math.max(1, state.level - 1) };
   }
-  const to = state.level + 1;
-  const lacking = unable(to);
-  if (to <= Math.min(s.newestLevel, ceiling) && lacking.length === 0) return { do: 'raise', to, seen };
-  if (changed) return { do: 'note', seen };
-  if (to > s.newestLevel) return { do: 'stay', why: '' };
-  if (to > ceiling) return { do: 'stay', why: `held at ${ceiling} by operators` };
-  const who = lacking.map((m) => `${m} (${seen.get(m)?.program ?? 'never seen'})`);
-  return { do: 'stay', why: `waits for ${who.join(', ')}` };
+  if (haveChanged(input, latest)) return { type: 'record-capabilities', capabilities: latest };
+  return { type: 'stay', why: `held at ${requested.maxLevel}, but ${state.level} is in force` };
 }
 
-const stillLowering = (s: LevelDecisionInput): Decision => ({
-  do: 'stay',
-  why: `being lowered to ${s.state.writeLevel}: ${s.unmigratedRecords} records are still to be rewritten`,
-});
+function decideRise(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
+  const { state, requested, newestLevel } = input;
+  const limit = requested.maxLevel ?? Infinity;
+  const to = state.level + 1;
+  const lacking = membersWithout(to, input, latest);
+  if (to <= Math.min(newestLevel, limit) && lacking.length === 0)
+    return { type: 'raise', to, capabilities: latest };
+  if (haveChanged(input, latest)) return { type: 'record-capabilities', capabilities: latest };
+  if (to > newestLevel) return { type: 'stay', why: '' };
+  if (to > limit) return { type: 'stay', why: `held at ${limit} by operators` };
+  const named = lacking.map((member) => `${member} (${latest.get(member)?.program ?? 'never seen'})`);
+  return { type: 'stay', why: `waits for ${named.join(', ')}` };
+}
 
+/** How many keys a refusal names. */
 const maxNamedKeys = 5;
 
-function refusalText(s: LevelDecisionInput): string {
-  const named = s.blockingKeys.slice(0, maxNamedKeys).join(' ');
+function refusalText({ blockingKeys, state }: LevelDecisionInput): string {
+  const named = blockingKeys.slice(0, maxNamedKeys).join(' ');
   return (
-    `not lowered: ${s.blockingKeys.length} records cannot be expressed at level ${s.state.level - 1}: ${named}` +
-    (s.blockingKeys.length > maxNamedKeys ? ' ...' : '') +
+    `not lowered: ${blockingKeys.length} records cannot be expressed at level ${state.level - 1}: ${named}` +
+    (blockingKeys.length > maxNamedKeys ? ' ...' : '') +
     '; start the newest program again on all members, or have these jobs end or drop these keys first'
   );
 }
--- a/src/feature-levels/feature-levels.ts
+++ b/src/feature-levels/feature-levels.ts
@@ -1,21 +1,21 @@
-/** FeatureLevels: what needs which, what a program can do, and what is in force. */
+/** Feature levels: which feature needs which level, what a program can do, and what is in force. */
 import { formats } from '../formats/index.js';
 
-/** What a program can do, as its presence tells. */
+/** What a program can do, as its member's presence says. */
 export interface Capabilities {
-  program: string;
-  /** The levels at which it takes part. */
-  minLevel: number;
-  maxLevel: number;
-  features: string[];
+  readonly program: string;
+  /** The levels at which it can participate. */
+  readonly minLevel: number;
+  readonly maxLevel: number;
+  readonly features: readonly string[];
   /** The newest format of each kind of record that has more than one. */
-  formats: Record<string, number>;
+  readonly formats: Readonly<Record<string, number>>;
 }
 
 /** The newest level that this program knows. */
 export const newestLevel = 5;
 
-/** Of a program whose presence tells nothing: it was written before there were levels. */
+/** Of a program whose presence says nothing: it is from before there were levels. */
 export const legacyCapabilities: Capabilities = {
   program: 'before levels',
   minLevel: 1,
@@ -24,64 +24,74 @@
   formats: {},
 };
 
-/** What needs a level. Whoever wants to know whether something is in force asks `FeatureLevels.has`. */
+interface FeatureRequirement {
+  /** The level from which on the feature is used. */
+  readonly level: number;
+  /** Whether it is still used while that level is being lowered, until the level has been left. */
+  readonly usedWhileLowering: boolean;
+}
+
+/** What needs a level. Whether a feature is in force says `FeatureLevels.isEnabled`. The names are stored in presences. */
 export const features = {
   /** Small jobs keep the state of their tasks in their own record. */
-  'small-jobs': { level: 2, stays: false },
-  /** Leadership and machine types are where programs that know no levels neither see nor take them. */
-  'barred-lead': { level: 2, stays: true },
-  /** Who may write how much is a stored plan; nothing else that is stored is new. */
-  'admission-plan': { level: 3, stays: false },
-  /** The state says which incarnation it is, and every write is on condition that it still is that one. */
-  incarnations: { level: 4, stays: true },
-  /** Placements and ends of many jobs may be in one record, which others follow. */
-  'task-log': { level: 5, stays: false },
-} as const satisfies Record<
-  string,
-  { level: number; /** Until the level is left, also while it is lowered. */ stays: boolean }
->;
+  'small-jobs': { level: 2, usedWhileLowering: false },
+  /** Leadership and machine types are at keys that programs without levels neither read nor write. */
+  'barred-lead': { level: 2, usedWhileLowering: true },
+  /** The division of the state service's writes among controllers is stored. */
+  'admission-plan': { level: 3, usedWhileLowering: false },
+  /** The state names its incarnation, and every write is on condition that it is unchanged. */
+  incarnations: { level: 4, usedWhileLowering: true },
+  /** Placements and completions of many jobs may be in one record, which other controllers follow. */
+  'task-log': { level: 5, usedWhileLowering: false },
+} as const satisfies Record<string, FeatureRequirement>;
 
 export type Feature = keyof typeof features;
 
-export const capabilitiesOf = (program: string, maxAllowed = 0): Capabilities => {
-  const most = maxAllowed > 0 ? Math.min(maxAllowed, newestLevel) : newestLevel;
-  const has = Object.entries(features).filter(([, f]) => f.level <= most);
-  const several = Object.entries(formats).filter(([, list]) => list.length > 1);
-  const newest = Object.fromEntries(several.map(([kind, list]) => [kind, list.length]));
-  return { program, minLevel: 1, maxLevel: most, features: has.map(([name]) => name), formats: newest };
-};
+/** The capabilities of this program; `maxAllowed`: the highest level that operators allow it, 0 for no limit. */
+export function capabilitiesOf(program: string, maxAllowed = 0): Capabilities {
+  const maxLevel = maxAllowed > 0 ? Math.min(maxAllowed, newestLevel) : newestLevel;
+  const available = Object.entries(features).filter(([, feature]) => feature.level <= maxLevel);
+  const versioned = Object.entries(formats).filter(([, versions]) => versions.length > 1);
+  return {
+    program,
+    minLevel: 1,
+    maxLevel,
+    features: available.map(([name]) => name),
+    formats: Object.fromEntries(versioned.map(([kind, versions]) => [kind, versions.length])),
+  };
+}
 
-/** The durable level. */
+/** The level that is stored. */
 export interface LevelState {
-  /** What is stored may need it: programs that do not know it stand by. */
-  level: number;
-  /** What is written needs no more than this; below the level while that is being lowered. */
-  writeLevel: number;
-  /** The revision that brought it: every write is on condition that it is unchanged. */
-  modRevision: number;
+  /** What is stored may need this level: programs that do not know it stand by. */
+  readonly level: number;
+  /** What is written needs no more than this level; below the other while that is being lowered. */
+  readonly writeLevel: number;
+  /** The revision at which it was written: every write is on condition that it is unchanged. */
+  readonly modRevision: number;
 }
 
 export const initialLevelState: LevelState = { level: 1, writeLevel: 1, modRevision: 0 };
 
-/** What is in force, seen by one program. */
+/** The level in force, as one program follows it. */
 export class FeatureLevels {
   state: LevelState = initialLevelState;
-  /** The level's record cannot be read: nobody knows what is in force. */
+  /** The level's record, or one that the level allowed, cannot be read: what is in force is unknown. */
   unreadable = false;
 
   constructor(readonly ownCapabilities: Capabilities) {}
 
   isEnabled(feature: Feature): boolean {
-    const f = features[feature];
-    return (f.stays ? this.state.level : this.state.writeLevel) >= f.level;
+    const { level, usedWhileLowering } = features[feature];
+    return (usedWhileLowering ? this.state.level : this.state.writeLevel) >= level;
   }
 
-  /** This program is older than what is in force: it must neither act nor write. */
+  /** Whether this program is older than what is in force: it must neither act nor write. */
   get mustStandBy(): boolean {
     return this.unreadable || !canParticipate(this.state, this.ownCapabilities);
   }
 }
 
-/** Whether a program may take part. */
+/** Whether a program may act and write at a level. */
 export const canParticipate = (state: LevelState, capabilities: Capabilities): boolean =>
   capabilities.maxLevel >= state.level && capabilities.minLevel <= state.writeLevel;
--- a/src/feature-levels/graceful-shutdown.ts
+++ b/src/feature-levels/graceful-shutdown.ts
@@ -1,29 +1,31 @@
-/** How far a controller is that was asked to leave. */
-export type ShutdownPhase = 'here' | 'handing on' | 'draining' | 'gone';
+/** The order in which a controller gives up its duties before its process ends. */
 
-/** What it looks at. */
+/** How far a graceful shutdown is; `running`: none was requested. */
+export type ShutdownPhase = 'running' | 'handing-over' | 'draining' | 'stopped';
+
+/** What a controller still has to do. */
 export interface ShutdownDuties {
   /** Shards that it owns. */
-  ownedShards: number;
-  leading: boolean;
-  /** Its presence is in the state service. */
-  present: boolean;
-  /** Calls to the cloud and writes under way. */
-  busy: boolean;
+  readonly ownedShards: number;
+  readonly leading: boolean;
+  /** Its presence is recorded in the state service. */
+  readonly present: boolean;
+  /** Calls to the cloud or writes are under way. */
+  readonly busy: boolean;
 }
 
 /**
- * GracefulShutdown in order: users are sent elsewhere first, then shards and leadership are handed on, then what is under way is
- * answered, then the process may end. Each step has its time: what cannot be handed on in it is left to the lease's end, as
- * after a kill.
+ * First users are sent elsewhere, then shards and leadership are handed over, then requests under way are answered, then the
+ * process may end. Each step has its time: what cannot be handed over in it is left to lease expiry, as after a kill.
  */
 export class GracefulShutdown {
   private requestedAt = -1;
   private handedOverAt = -1;
 
   constructor(
-    /** How long handing on may take, and how long answers are given after the load balancer was told, ms. */
+    /** How long handing over may take, ms. */
     private readonly handOverTimeoutMs: number,
+    /** How long users are still answered, so that the load balancer notices, ms. */
     private readonly drainTimeMs: number,
   ) {}
 
@@ -31,17 +33,18 @@
     return this.requestedAt >= 0;
   }
 
+  /** Starts the shutdown, unless it was started before. */
   begin(now: number): void {
     if (this.requestedAt < 0) this.requestedAt = now;
   }
 
   phase(now: number, duties: ShutdownDuties): ShutdownPhase {
-    if (this.requestedAt < 0) return 'here';
-    const isIdle = duties.ownedShards === 0 && !duties.leading && !duties.present;
+    if (this.requestedAt < 0) return 'running';
+    const hasHandedOver = duties.ownedShards === 0 && !duties.leading && !duties.present;
     const isOverdue = now - this.requestedAt > this.handOverTimeoutMs;
-    if (this.handedOverAt < 0 && (isIdle || isOverdue)) this.handedOverAt = now;
-    if (this.handedOverAt < 0) return 'handing on';
-    // Users come here until the load balancer has noticed.
-    return now - this.requestedAt < this.drainTimeMs || (duties.busy && !isOverdue) ? 'draining' : 'gone';
+    if (this.handedOverAt < 0 && (hasHandedOver || isOverdue)) this.handedOverAt = now;
+    if (this.handedOverAt < 0) return 'handing-over';
+    const isDraining = now - this.requestedAt < this.drainTimeMs || (duties.busy && !isOverdue);
+    return isDraining ? 'draining' : 'stopped';
   }
 }
--- a/src/feature-levels/index.ts
+++ b/src/feature-levels/index.ts
@@ -1,3 +1,4 @@
+/** Feature levels: what programs of different ages can do together, and how the level in force changes. Pure functions and state. */
 export {
   capabilitiesOf,
   canParticipate,
@@ -10,11 +11,10 @@
 export type { Capabilities, Feature, LevelState } from './feature-levels.js';
 export {
   decide,
-  latestCapabilities,
   noRequestedLevel,
   type Decision,
   type LevelDecisionInput,
   type RequestedLevel,
 } from './decide.js';
-export { RecordMigration } from './record-migration.js';
+export { RecordMigration, type MigrationProgress } from './record-migration.js';
 export { GracefulShutdown, type ShutdownDuties, type ShutdownPhase } from './graceful-shutdown.js';
--- a/src/feature-levels/record-migration.ts
+++ b/src/feature-levels/record-migration.ts
@@ -1,7 +1,16 @@
+/** The pace at which stored records are rewritten for another feature level. */
+
+/** Progress of a migration, as it is logged. */
+export interface MigrationProgress {
+  /** Records still to be rewritten. */
+  readonly remaining: number;
+  readonly writes: number;
+  readonly durationS: number;
+}
+
 /**
- * Paces the rewriting of records that no other write reaches: it takes a share of the state service's writes, and only what
- * nobody else needs. It keeps nothing that must survive: what is left to do is seen in the records themselves, so another
- * owner goes on where this one ended.
+ * Limits the rewriting of records that no other write reaches to a share of the state service's writes. It keeps nothing that
+ * must survive: what is still to be rewritten shows in the records themselves, so another owner continues where this one ended.
  */
 export class RecordMigration {
   private allowance = 0;
@@ -12,14 +21,15 @@
   private startedAt = 0;
 
   constructor(
-    /** Writes per second that the state service takes, and the share of them that a sweep may take. */
+    /** Writes per second that the state service takes. */
     private readonly writesPerS: number,
+    /** The share of them that the migration may take. */
     private readonly share: number,
-    /** Progress is told this often, ms. */
+    /** How often progress is reported, ms. */
     private readonly reportIntervalMs: number,
   ) {}
 
-  /** How many writes may be made now. They are to be told by `wrote`. */
+  /** How many writes may be made now. Those that are made are to be passed to `recordWrites`. */
   availableWrites(now: number): number {
     if (this.refilledAt >= 0)
       this.allowance = Math.min(
@@ -35,17 +45,20 @@
     this.writesDone += writes;
   }
 
-  /** What is to be told of the progress now, or null. `left`: records still to be rewritten. */
-  progress(now: number, remaining: number): { left: number; writes: number; forS: number } | null {
-    const ends = remaining === 0 && this.remaining > 0;
-    if (remaining > 0 && this.remaining <= 0) {
+  /** The progress to be reported now, with this many records still to be rewritten; null: nothing is to be reported. */
+  progress(now: number, remaining: number): MigrationProgress | null {
+    const isFinished = remaining === 0 && this.remaining > 0;
+    const isStarting = remaining > 0 && this.remaining <= 0;
+    if (isStarting) {
       this.startedAt = now;
       this.writesDone = 0;
       this.reportedAt = -Infinity;
     }
     this.remaining = remaining;
-    if (!ends && (remaining === 0 || now - this.reportedAt < this.reportIntervalMs)) return null;
+    const isDue = remaining > 0 && now - this.reportedAt >= this.reportIntervalMs;
+    if (!isFinished && !isDue) return null;
     this.reportedAt = now;
-    return { left: remaining, writes: this.writesDone, forS: Math.round((now - this.startedAt) / 100) / 10 };
+    const durationS = Math.round((now - this.startedAt) / 100) / 10;
+    return { remaining, writes: this.writesDone, durationS };
   }
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -165,7 +165,7 @@
       this.enqueue({ type: 'shut-down' });
       this.shutdown = new Promise((resolve) => {
         const timer = setInterval(() => {
-          if (this.controller.shutdownPhase !== 'gone') return;
+          if (this.controller.shutdownPhase !== 'stopped') return;
           clearInterval(timer);
           // New connections are refused; open ones end with the answers that they wait for.
           this.publicServer.server.close(() => resolve());
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -68,7 +68,7 @@
     { key: 'dp/c', stamp: 30 },
     { key: 'dp/d', stamp: 4 },
   ];
-  const page = (items: typeof mine, to: string | null = 'dp/c') => ({ items, from: '', to, epoch: 10 });
+  const page = (items: typeof mine, to: string | null = 'dp/c') => ({ items, from: '', to, revision: 10 });
   assert.equal(comparePage(page([mine[0], mine[1]]), mine), null);
   assert.match(comparePage(page([mine[1]]), mine)!, /dp\/a is gone/);
   assert.match(comparePage(page([mine[0], { key: 'dp/b', stamp: 8 }]), mine)!, /dp\/b is at 8 after 9/);
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -85,22 +85,25 @@
 });
 
 test('the level rises only when every configured member was last seen with it, here or not', () => {
-  assert.equal(decide(standing({ observedCapabilities: all(2) })).do, 'raise');
+  assert.equal(decide(standing({ observedCapabilities: all(2) })).type, 'raise');
   // Down or cut off just now, but last seen with it.
   const two = new Map([...all(2)].slice(0, 2));
-  assert.equal(decide(standing({ recordedCapabilities: all(2), observedCapabilities: two })).do, 'raise');
+  assert.equal(decide(standing({ recordedCapabilities: all(2), observedCapabilities: two })).type, 'raise');
   // Never seen, or last seen without.
   assert.deepEqual(decide(standing({ recordedCapabilities: two, observedCapabilities: two })), {
-    do: 'stay',
+    type: 'stay',
     why: 'waits for c (never seen)',
   });
   const old = new Map([...two, ['c', legacyCapabilities]]);
   assert.deepEqual(decide(standing({ recordedCapabilities: old, observedCapabilities: old })), {
-    do: 'stay',
+    type: 'stay',
     why: 'waits for c (before levels)',
   });
   // One that comes back older counts as it is now.
-  assert.equal(decide(standing({ recordedCapabilities: all(2), observedCapabilities: old })).do, 'note');
+  assert.equal(
+    decide(standing({ recordedCapabilities: all(2), observedCapabilities: old })).type,
+    'record-capabilities',
+  );
   // Two old versions at once; and one step at a time.
   const mixed = new Map([
     ['a', can(3)],
@@ -108,14 +111,15 @@
     ['c', can(1)],
   ]);
   assert.equal(
-    decide(standing({ newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed })).do,
+    decide(standing({ newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed })).type,
     'stay',
   );
   const up = decide(standing({ newestLevel: 3, observedCapabilities: all(3) }));
-  assert.ok(up.do === 'raise' && up.to === 2);
+  assert.ok(up.type === 'raise' && up.to === 2);
   const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
   assert.equal(
-    decide(standing({ state, newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed })).do,
+    decide(standing({ state, newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed }))
+      .type,
     'stay',
   );
 });
@@ -135,7 +139,7 @@
       }),
     ),
     {
-      do: 'stay',
+      type: 'stay',
       why: 'held at 1 by operators',
     },
   );
@@ -147,7 +151,7 @@
         observedCapabilities: two,
         requested: wish({ departedMembers: ['c'] }),
       }),
-    ).do,
+    ).type,
     'raise',
   );
   const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
@@ -155,32 +159,32 @@
   const lower = wish({ maxLevel: 1, lower: true });
   // Held below what is in force, without being asked to go back: it stays.
   assert.equal(
-    decide(standing({ state, recordedCapabilities: seen, requested: wish({ maxLevel: 1 }) })).do,
+    decide(standing({ state, recordedCapabilities: seen, requested: wish({ maxLevel: 1 }) })).type,
     'stay',
   );
   assert.deepEqual(decide(standing({ state, recordedCapabilities: seen, requested: lower })), {
-    do: 'begin lowering',
+    type: 'begin-lowering',
     to: 1,
   });
   const refused = decide(
     standing({ state, recordedCapabilities: seen, requested: lower, blockingKeys: ['dp/j/req-1'] }),
   );
-  assert.ok(refused.do === 'refuse' && /dp\/j\/req-1; start the newest program/.test(refused.text));
+  assert.ok(refused.type === 'refuse' && /dp\/j\/req-1; start the newest program/.test(refused.text));
   const lowering: LevelState = { level: 2, writeLevel: 1, modRevision: 10 };
   assert.equal(
     decide(standing({ state: lowering, recordedCapabilities: seen, requested: lower, unmigratedRecords: 3 }))
-      .do,
+      .type,
     'stay',
   );
   assert.deepEqual(decide(standing({ state: lowering, recordedCapabilities: seen, requested: lower })), {
-    do: 'lower',
+    type: 'lower',
     to: 1,
   });
   // They change their mind.
   assert.deepEqual(decide(standing({ state: lowering, recordedCapabilities: seen, unmigratedRecords: 3 })), {
-    do: 'raise',
+    type: 'raise',
     to: 2,
-    seen,
+    capabilities: seen,
   });
 });
 
@@ -222,10 +226,10 @@
     s.recordWrites(n);
   }
   assert.ok(writes >= 236 && writes <= 240, String(writes));
-  assert.deepEqual(s.progress(0, 10)?.left, 10);
+  assert.deepEqual(s.progress(0, 10)?.remaining, 10);
   assert.equal(s.progress(500, 9), null);
-  assert.equal(s.progress(1000, 8)?.left, 8);
-  assert.equal(s.progress(1100, 0)?.left, 0);
+  assert.equal(s.progress(1000, 8)?.remaining, 8);
+  assert.equal(s.progress(1100, 0)?.remaining, 0);
   assert.equal(s.progress(1200, 0), null);
 });
 
@@ -233,14 +237,14 @@
   const has: ShutdownDuties = { ownedShards: 1, leading: true, present: true, busy: false };
   const free: ShutdownDuties = { ownedShards: 0, leading: false, present: false, busy: false };
   const l = new GracefulShutdown(10_000, 4000);
-  assert.equal(l.phase(0, has), 'here');
+  assert.equal(l.phase(0, has), 'running');
   l.begin(0);
-  assert.equal(l.phase(100, has), 'handing on');
+  assert.equal(l.phase(100, has), 'handing-over');
   assert.equal(l.phase(200, free), 'draining');
   assert.equal(l.phase(4100, { ...free, busy: true }), 'draining');
-  assert.equal(l.phase(4200, free), 'gone');
+  assert.equal(l.phase(4200, free), 'stopped');
   const stuck = new GracefulShutdown(10_000, 4000);
   stuck.begin(0);
-  assert.equal(stuck.phase(9000, has), 'handing on');
-  assert.equal(stuck.phase(10_001, { ...has, busy: true }), 'gone');
+  assert.equal(stuck.phase(9000, has), 'handing-over');
+  assert.equal(stuck.phase(10_001, { ...has, busy: true }), 'stopped');
 });
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -95,7 +95,7 @@
   const at = w.now;
   if (orderly) {
     n.push({ type: 'shut-down' });
-    w.advanceUntil(() => n.controller.shutdownPhase === 'gone', 20);
+    w.advanceUntil(() => n.controller.shutdownPhase === 'stopped', 20);
   }
   const left = w.now - at;
   restart(w, n, () => undefined, 4);
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -276,7 +276,7 @@
     assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined && leaderOf(w) !== undefined, 2));
     assert.ok(w.now - from < 1500, `${w.now - from} ms`);
     assert.equal(n.controller.healthy, false);
-    assert.ok(w.advanceUntil(() => n.controller.shutdownPhase === 'gone', 15));
+    assert.ok(w.advanceUntil(() => n.controller.shutdownPhase === 'stopped', 15));
     n.alive = false;
     w.advance(10);
     assert.equal(users.failed - failed, 0);
