--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -226,7 +226,7 @@
     this.userRequests.sureOfAbsence = () => this.dataLossRecovery.canConfirmAbsence;
     batcher.onConditionsFailed = (failed, epoch) =>
       this.dataLossRecovery.monitor.conditionsFailed(failed, epoch);
-    this.maxConnections = limits.sockets.most;
+    this.maxConnections = limits.sockets.max;
     if (this.fairAdmission) this.shardManager.extraSummary = () => ({ admission: this.admissionSummary() });
     this.recovery = new RecoveryTracker(settings.workers.lease_s * 1000 * operators['recovery-leases']);
     const mayAnswerWorkers = (): boolean => this.freshness.mayAnswerWorkers && this.dataLossRecovery.mayAct;
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -1,58 +1,70 @@
-/** What the limits are derived from: the platform's settings. */
+/** Limits on what a controller uses: each is a share of what the platform's settings give it. */
+
+/** The settings that the limits are derived from. */
 export interface LimitSettings {
-  quota: { mem_mb: number; fd_limit: number };
-  peers: readonly unknown[];
+  readonly quota: { readonly mem_mb: number; readonly fd_limit: number };
+  readonly peers: readonly unknown[];
+}
+
+/** Limits on connections. */
+export interface SocketLimits {
+  /** The most connections of users, workers and probes; more are refused. */
+  readonly max: number;
+  /** Above so many connections the idle ones are closed. */
+  readonly closeIdleAbove: number;
+  /** Above so many connections workers are asked to report through another controller. */
+  readonly preferred: number;
+  /** The most connections to workers for orders. */
+  readonly outgoingOrders: number;
+  /** The most connections of other controllers. */
+  readonly peers: number;
+}
+
+/** Limits on memory, MB. */
+export interface MemoryLimits {
+  /** Above so much in use, garbage is collected at once. */
+  readonly collectGarbageAboveMb: number;
+  /** Above so much still in use after that, only the most important requests are accepted. */
+  readonly shedLoadAboveMb: number;
 }
 
-/** What a controller lets itself use. Everything is a share of what the platform gives it. */
 export interface Limits {
-  sockets: {
-    /** Users', workers' and probes' connections; more are refused. */
-    most: number;
-    /** Above so many, those that are needed least are closed. */
-    comfortable: number;
-    /** Above so many, workers are asked to report through another controller. */
-    preferred: number;
-    /** Orders under way to workers. */
-    outgoingOrders: number;
-    /** Connections from other controllers. */
-    peers: number;
-  };
-  /** Requests of users that wait for a reading of the state. */
-  maxWaitingRequests: number;
-  /** Reports under way to the owner of their machine. */
-  maxForwardedHeartbeats: number;
-  memory: {
-    /** Above so much held, MB, garbage is collected at once. */
-    collectGarbageAboveMb: number;
-    /** Above so much still held after that, MB, only what is needed most is taken in. */
-    shedLoadAboveMb: number;
-  };
+  readonly sockets: SocketLimits;
+  /** The most requests of users that wait for a reading of the state. */
+  readonly maxWaitingRequests: number;
+  /** The most heartbeats that wait for the response of their machine's owner. */
+  readonly maxForwardedHeartbeats: number;
+  readonly memory: MemoryLimits;
 }
 
-const maxShare = 0.8;
+/** Shares of the descriptors. */
+const maxSocketShare = 0.8;
 const closeIdleShare = 2 / 3;
 const preferredShare = 0.5;
-const ordersShare = 1 / 16;
-const collectShare = 0.75;
+const outgoingOrderShare = 1 / 16;
+/** Connections that each peer may have: a new one is opened before the end of an old one is noticed. */
+const connectionsPerPeer = 8;
+/** Shares of the memory. */
+const collectGarbageShare = 0.75;
 const shedLoadShare = 0.85;
-/** A request that waits holds some 10 kB: so many for each MB let them use a tenth of it. */
+/** A waiting request takes some 10 kB: so many for each MB use at most a tenth of the memory. */
 const waitingRequestsPerMb = 10;
 
+/** Derives the limits from the settings. */
 export function limitsOf({ quota, peers }: LimitSettings): Limits {
-  const at = (share: number): number => Math.max(1, Math.floor(quota.fd_limit * share));
+  const descriptors = (share: number): number => Math.max(1, Math.floor(quota.fd_limit * share));
   return {
     sockets: {
-      most: at(maxShare),
-      comfortable: at(closeIdleShare),
-      preferred: at(preferredShare),
-      outgoingOrders: at(ordersShare),
-      peers: 8 * Math.max(1, peers.length),
+      max: descriptors(maxSocketShare),
+      closeIdleAbove: descriptors(closeIdleShare),
+      preferred: descriptors(preferredShare),
+      outgoingOrders: descriptors(outgoingOrderShare),
+      peers: connectionsPerPeer * Math.max(1, peers.length),
     },
     maxWaitingRequests: Math.ceil(quota.mem_mb * waitingRequestsPerMb),
-    maxForwardedHeartbeats: at(preferredShare),
+    maxForwardedHeartbeats: descriptors(preferredShare),
     memory: {
-      collectGarbageAboveMb: quota.mem_mb * collectShare,
+      collectGarbageAboveMb: quota.mem_mb * collectGarbageShare,
       shedLoadAboveMb: quota.mem_mb * shedLoadShare,
     },
   };
--- a/src/net/client.ts
+++ b/src/net/client.ts
@@ -1,16 +1,18 @@
+/** JSON over HTTP: requests with a deadline. */
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { splitAddress } from '../config/settings.js';
 
+/** A response with a JSON body; null: the body is empty. */
 export interface JsonResponse {
-  status: number;
-  body: unknown;
+  readonly status: number;
+  readonly body: unknown;
 }
 
 const maxResponseBytes = 64 * 1024 * 1024;
 
 /**
- * One JSON request with a time limit on everything. null: no usable answer came; whether the request was
- * carried out is unknown.
+ * Sends one JSON request; `timeoutMs` bounds all of it. Null: there was no usable response, and whether the request was
+ * executed is unknown.
  */
 export function requestJson(
   agent: Agent,
@@ -21,39 +23,20 @@
   timeoutMs: number,
 ): Promise<JsonResponse | null> {
   const { host, port } = splitAddress(addr);
+  const text = body === null ? null : JSON.stringify(body);
+  const headers: Record<string, string | number> =
+    text === null ? {} : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) };
   return new Promise((resolve) => {
-    let settled = false;
-    const settle = (reply: JsonResponse | null) => {
-      if (settled) return;
-      settled = true;
+    let isSettled = false;
+    const settle = (response: JsonResponse | null): void => {
+      if (isSettled) return;
+      isSettled = true;
       clearTimeout(timer);
-      resolve(reply);
+      resolve(response);
     };
-    const text = body === null ? null : JSON.stringify(body);
-    const headers: Record<string, string | number> =
-      text === null ? {} : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) };
-    const req = request({ agent, host, port, method, path, headers }, (res: IncomingMessage) => {
-      const parts: Buffer[] = [];
-      let size = 0;
-      res.on('data', (d: Buffer) => {
-        size += d.length;
-        if (size > maxResponseBytes) req.destroy();
-        else parts.push(d);
-      });
-      res.on('end', () => {
-        let parsed: unknown = null;
-        try {
-          const raw = Buffer.concat(parts).toString('utf8');
-          if (raw !== '') parsed = JSON.parse(raw);
-        } catch {
-          // Garbage in place of JSON: as good as no answer.
-          return settle(null);
-        }
-        settle({ status: res.statusCode ?? 0, body: parsed });
-      });
-      res.on('error', () => settle(null));
-      res.on('close', () => settle(null));
-    });
+    const req = request({ agent, host, port, method, path, headers }, (res) =>
+      collectResponse(res, settle, () => req.destroy()),
+    );
     const timer = setTimeout(() => {
       settle(null);
       req.destroy();
@@ -63,7 +46,34 @@
   });
 }
 
-/** A small JSON client for one server: connections are kept open. */
+/** Reads a response to its end and parses it. `abort` ends the request if the response is too long. */
+function collectResponse(
+  res: IncomingMessage,
+  settle: (response: JsonResponse | null) => void,
+  abort: () => void,
+): void {
+  const parts: Buffer[] = [];
+  let size = 0;
+  res.on('data', (data: Buffer) => {
+    size += data.length;
+    if (size > maxResponseBytes) abort();
+    else parts.push(data);
+  });
+  res.on('end', () => settle(parseResponse(res.statusCode ?? 0, Buffer.concat(parts).toString('utf8'))));
+  res.on('error', () => settle(null));
+  res.on('close', () => settle(null));
+}
+
+/** A body that is not JSON is as good as no response. */
+function parseResponse(status: number, text: string): JsonResponse | null {
+  try {
+    return { status, body: text === '' ? null : (JSON.parse(text) as unknown) };
+  } catch {
+    return null;
+  }
+}
+
+/** A JSON client of one server, which keeps connections open. */
 export class JsonClient {
   private readonly agent: Agent;
 
@@ -73,12 +83,13 @@
   ) {
     this.agent = new Agent({
       keepAlive: true,
-      maxSockets: maxSockets,
+      maxSockets,
       maxFreeSockets: maxSockets,
       scheduling: 'fifo',
     });
   }
 
+  /** Sends one request, as `requestJson` does. */
   call(method: string, path: string, body: object | null, timeoutMs: number): Promise<JsonResponse | null> {
     return requestJson(this.agent, this.addr, method, path, body, timeoutMs);
   }
--- a/src/net/json.ts
+++ b/src/net/json.ts
@@ -1,3 +1,4 @@
+/** JSON bodies of HTTP requests and responses, on the server's side. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /** The body of a request as JSON; undefined: too long, or not JSON. */
--- a/src/net/port.ts
+++ b/src/net/port.ts
@@ -1,3 +1,4 @@
+/** Ports for tests and demonstrations. */
 import { createServer } from 'node:net';
 
 /** A port on loopback that nobody listens on just now. */
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -1,3 +1,4 @@
+/** Recovery of a controller after its start: phases and times, for operators. */
 export {
   phaseOf,
   RecoveryTracker,
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -1,107 +1,125 @@
 /**
- * What a controller goes through from its first instruction until it serves again:
+ * The phases of a controller's start, from its first instruction until it serves, and their times.
  *
- *     reading   the state, page by page; nobody can be answered from memory yet
- *     joining   has a view; its presence is being written
- *     standby   present, without a shard: answers users, sends workers to their owner
- *     proving   owns a shard; machines with tasks on them have to report under its token first
- *     serving   every machine that held tasks when the shard was taken up has reported or is proven gone
+ *     reading   reads the state, page by page; nothing can be answered from the replica yet
+ *     joining   has a complete replica; its presence record is being written
+ *     standby   present, without a shard: answers users, redirects workers to the owner of their machine
+ *     proving   owns a shard; machines with tasks on them have to report under its fencing token first
+ *     serving   every machine that held tasks when the shard was acquired has reported or is proven gone
  *
- * It goes back from any phase to an earlier one when what that rests on is lost.
+ * A controller returns from any phase to an earlier one when what that phase rests on is lost.
  */
 export type RecoveryPhase = 'reading' | 'joining' | 'standby' | 'proving' | 'serving';
 
-/** What is the case now. */
+/** What the phase depends on. */
 export interface RecoveryFacts {
-  /** The view has been read whole. */
-  isStateLoaded: boolean;
-  /** The state service holds our presence. */
-  isPresent: boolean;
-  /** Shards of ours. */
-  ownedShards: number;
-  /** Machines that held tasks when their shard was taken up and have neither reported nor gone since. */
-  unprovenMachines: number;
+  /** The first reading of the state is complete. */
+  readonly isStateLoaded: boolean;
+  /** The state service holds the presence record of this process. */
+  readonly isPresent: boolean;
+  /** How many shards this process owns. */
+  readonly ownedShards: number;
+  /** Machines that held tasks when their shard was acquired, and have neither reported nor gone since. */
+  readonly unprovenMachines: number;
   /** Placements that this process has decided so far. */
-  placementCount: number;
+  readonly placementCount: number;
 }
 
+/** A change of the phase, as it is logged. */
 export interface PhaseTransition {
-  from: RecoveryPhase;
-  to: RecoveryPhase;
-  /** Since the process began, ms. */
-  atMs: number;
+  readonly from: RecoveryPhase;
+  readonly to: RecoveryPhase;
+  /** Since the process started, ms. */
+  readonly atMs: number;
   /** How long the phase that ends has lasted, ms. */
-  lastedMs: number;
+  readonly lastedMs: number;
 }
 
+/** The times of a recovery, as they are logged. */
 export interface RecoverySummary {
-  /** From owning a shard to all of its machines proven, ms, and to all but a few of them: the dead take longest. */
-  provenMs: number;
-  mostProvenMs: number;
-  /** From the start of the process to its first placement, ms; null: nothing was placed yet. */
-  firstPlacementMs: number | null;
-  late: boolean;
+  /** From owning a shard to the proof of all of its machines, ms. */
+  readonly provenMs: number;
+  /** The same for all but a few machines, ms: those that have died take longest. */
+  readonly mostProvenMs: number;
+  /** From the start of the process to its first placement, ms; null: nothing has been placed yet. */
+  readonly firstPlacementMs: number | null;
+  /** Whether it took longer than the bound. */
+  readonly late: boolean;
 }
 
-export const phaseOf = (f: RecoveryFacts): RecoveryPhase => {
-  if (!f.isStateLoaded) return 'reading';
-  if (!f.isPresent) return 'joining';
-  if (f.ownedShards === 0) return 'standby';
-  return f.unprovenMachines > 0 ? 'proving' : 'serving';
-};
+/** The phase that a controller is in. */
+export function phaseOf(facts: RecoveryFacts): RecoveryPhase {
+  if (!facts.isStateLoaded) return 'reading';
+  if (!facts.isPresent) return 'joining';
+  if (facts.ownedShards === 0) return 'standby';
+  return facts.unprovenMachines > 0 ? 'proving' : 'serving';
+}
+
+/** This share of a shard's machines may have died or be cut off without the recovery counting as late. */
+const maxUnprovenShare = 0.05;
 
-/** Of the machines of a shard, so many may be gone or cut off without the start counting as late. */
-const fewShare = 0.05;
+/** The proof of the machines since this process came to own a shard. */
+interface ProvingProgress {
+  readonly startedAt: number;
+  /** Machines to be proven at the start. */
+  readonly machineCount: number;
+  mostProvenMs: number | null;
+  overdueTaken: boolean;
+  summaryTaken: boolean;
+}
 
-/** Follows a process through the phases and keeps the times. Times are since the process began, ms. */
+/** Follows a process through the phases and keeps the times. Times are since the process started, ms. */
 export class RecoveryTracker {
   phase: RecoveryPhase = 'reading';
-  private since = 0;
-  private ownedAt: number | null = null;
+  private phaseSince = 0;
   private firstPlacementMs: number | null = null;
-  private reported = false;
-  private overdueTold = false;
-  private toProve = 0;
-  private mostProvenMs: number | null = null;
+  /** null: this process owns no shard. */
+  private proving: ProvingProgress | null = null;
 
-  /** `boundMs`: so long after it began to own a shard, all machines should be proven. */
+  /** `boundMs`: all machines should be proven this long after the process came to own a shard. */
   constructor(private readonly boundMs: number) {}
 
+  /** Takes in the facts of a step; the change of the phase, if there is one. */
   update(now: number, facts: RecoveryFacts): PhaseTransition | null {
-    if (facts.ownedShards === 0) {
-      this.ownedAt = null;
-      this.reported = false;
-      this.overdueTold = false;
-      this.mostProvenMs = null;
-    } else if (this.ownedAt === null) {
-      this.ownedAt = now;
-      this.toProve = facts.unprovenMachines;
-    }
-    if (this.ownedAt !== null && facts.unprovenMachines <= this.toProve * fewShare)
-      this.mostProvenMs ??= now - this.ownedAt;
+    if (facts.ownedShards === 0) this.proving = null;
+    else
+      this.proving ??= {
+        startedAt: now,
+        machineCount: facts.unprovenMachines,
+        mostProvenMs: null,
+        overdueTaken: false,
+        summaryTaken: false,
+      };
+    const { proving } = this;
+    if (proving && facts.unprovenMachines <= proving.machineCount * maxUnprovenShare)
+      proving.mostProvenMs ??= now - proving.startedAt;
     if (this.firstPlacementMs === null && facts.placementCount > 0) this.firstPlacementMs = now;
-    const to = phaseOf(facts);
-    if (to === this.phase) return null;
-    const t: PhaseTransition = { from: this.phase, to, atMs: now, lastedMs: now - this.since };
-    this.phase = to;
-    this.since = now;
-    return t;
+    return this.enter(phaseOf(facts), now);
+  }
+
+  private enter(phase: RecoveryPhase, now: number): PhaseTransition | null {
+    if (phase === this.phase) return null;
+    const transition = { from: this.phase, to: phase, atMs: now, lastedMs: now - this.phaseSince };
+    this.phase = phase;
+    this.phaseSince = now;
+    return transition;
   }
 
-  /** Once for each time that a shard was taken up and not all of it was proven within the bound. */
+  /** True once for each time that this process came to own a shard and not all of it was proven within the bound. */
   takeOverdue(now: number): boolean {
-    if (this.phase !== 'proving' || this.overdueTold || this.ownedAt === null) return false;
-    this.overdueTold = now - this.ownedAt > this.boundMs;
-    return this.overdueTold;
+    const { proving } = this;
+    if (this.phase !== 'proving' || proving === null || proving.overdueTaken) return false;
+    proving.overdueTaken = now - proving.startedAt > this.boundMs;
+    return proving.overdueTaken;
   }
 
-  /** Once for each time that a shard was taken up and all of it is proven. */
+  /** The times, once for each time that this process came to own a shard and all of it is proven. */
   takeSummary(now: number): RecoverySummary | null {
-    if (this.phase !== 'serving' || this.reported || this.ownedAt === null) return null;
-    this.reported = true;
-    const provenMs = now - this.ownedAt;
-    const mostProvenMs = this.mostProvenMs ?? provenMs;
-    const { firstPlacementMs } = this;
+    const { proving, firstPlacementMs } = this;
+    if (this.phase !== 'serving' || proving === null || proving.summaryTaken) return null;
+    proving.summaryTaken = true;
+    const provenMs = now - proving.startedAt;
+    const mostProvenMs = proving.mostProvenMs ?? provenMs;
     return { provenMs, mostProvenMs, firstPlacementMs, late: mostProvenMs > this.boundMs };
   }
 }
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -32,7 +32,7 @@
     limits: Limits,
     private readonly random: Random,
   ) {
-    const { most } = limits.sockets;
+    const { max: most } = limits.sockets;
     const { maxWaitingRequests: waiting } = limits;
     // In order of need. How long senders wait is what the protocol says.
     this.lanes = new BoundedPriorityQueues(
--- a/src/retry/attempts.ts
+++ b/src/retry/attempts.ts
@@ -1,31 +1,31 @@
+/** Exponential backoff with jitter for failed calls. */
 import type { Random } from './random.js';
 
-/** How failed calls of one kind are tried again. Times in ms. */
+/** How failed calls of one kind are retried. Times in ms. */
 export interface RetryPolicy {
-  initialDelayMs: number;
-  maxDelayMs: number;
-  /** Each pause is so many times the one before. */
-  multiplier: number;
-  /** The share of a pause that is left to chance, so that those who failed together do not come back together. */
-  jitter: number;
+  readonly initialDelayMs: number;
+  readonly maxDelayMs: number;
+  /** Each delay is so many times the one before. */
+  readonly multiplier: number;
+  /** The random share of a delay, so that callers that failed together do not retry together. */
+  readonly jitter: number;
   /** A call without an answer counts as failed after this long. */
-  timeoutMs: number;
+  readonly timeoutMs: number;
 }
 
-/** The pause after so many failures in a row (one or more). */
-export function backoffDelayMs(p: RetryPolicy, failures: number, random: Random): number {
+/** The delay after so many consecutive failures (one or more). */
+export function backoffDelayMs(policy: RetryPolicy, failures: number, random: Random): number {
   // Bounded before the power is taken: after an outage of hours it would be infinite.
-  const steps = Math.min(
-    failures - 1,
-    Math.ceil(Math.log(p.maxDelayMs / p.initialDelayMs) / Math.log(p.multiplier)),
-  );
-  const pause = Math.min(p.maxDelayMs, p.initialDelayMs * p.multiplier ** Math.max(0, steps));
-  return pause * (1 - p.jitter * random());
+  const { initialDelayMs, maxDelayMs, multiplier, jitter } = policy;
+  const stepsToMax = Math.ceil(Math.log(maxDelayMs / initialDelayMs) / Math.log(multiplier));
+  const steps = Math.min(failures - 1, stepsToMax);
+  const delayMs = Math.min(maxDelayMs, initialDelayMs * multiplier ** Math.max(0, steps));
+  return delayMs * (1 - jitter * random());
 }
 
 /**
- * When calls of one kind may go out. While they succeed: always. After a failure: one probe at a time, after pauses that
- * grow, so that an outage is met with few calls and its end with few more. A success ends it.
+ * When calls of one kind may go out. While they succeed: always. After a failure: one probe at a time, after growing
+ * delays, so that an outage is met with few calls, and its end is noticed by one. A success ends the backoff.
  */
 export class RetryBackoff {
   private consecutiveFailures = 0;
@@ -37,6 +37,7 @@
     private readonly random: Random,
   ) {}
 
+  /** Failures since the last success. */
   get failureCount(): number {
     return this.consecutiveFailures;
   }
@@ -46,23 +47,24 @@
     return this.blockedUntil;
   }
 
-  /** Whether a call may go out now; if so it is taken to go out. */
+  /** Whether a call may go out now. If so, the caller is to make it. */
   tryAcquire(now: number): boolean {
     if (this.consecutiveFailures === 0) return true;
     if (now < this.blockedUntil) return false;
     this.probing = true;
-    // Guards against the probe whose answer never comes: another may follow when its time is over.
+    // Guards against the probe whose answer never comes: another may follow after the timeout.
     this.blockedUntil = now + this.policy.timeoutMs;
     return true;
   }
 
+  /** A call succeeded. */
   onSuccess(): void {
     this.consecutiveFailures = 0;
     this.blockedUntil = -Infinity;
     this.probing = false;
   }
 
-  /** A call failed. Of calls that went out together only the first failure lengthens the pause. */
+  /** A call failed. Of calls that went out together only the first failure lengthens the delay. */
   onFailure(now: number): void {
     if (this.consecutiveFailures > 0 && !this.probing && now < this.blockedUntil) return;
     this.consecutiveFailures++;
--- a/src/retry/policies.ts
+++ b/src/retry/policies.ts
@@ -1,35 +1,59 @@
+/** Retry policies of all outgoing calls, derived from the platform's settings. */
 import type { RetryPolicy } from './attempts.js';
 
-/** What the policies are derived from: the platform's settings. */
+/** The settings that the policies are derived from. */
 export interface RetrySettings {
-  workers: { report_s: number; lease_s: number };
-  cloud: { list_lag_s: number };
+  readonly workers: { readonly report_s: number; readonly lease_s: number };
+  readonly cloud: { readonly list_lag_s: number };
   /** A controller's state lease, ms. */
-  stateLeaseMs: number;
+  readonly stateLeaseMs: number;
 }
 
 export interface RetryPolicies {
-  /** Commits, renewals, readings. A state lease must survive two lost tries. */
-  state: RetryPolicy;
-  cloud: RetryPolicy;
+  /** Commits, lease renewals, readings. A state lease must survive two failed attempts. */
+  readonly state: RetryPolicy;
+  readonly cloud: RetryPolicy;
   /** Connections to the other controllers. */
-  peers: RetryPolicy;
-  /** Orders sent straight to workers: never repeated, the next check-in tells the same. */
-  workers: RetryPolicy;
+  readonly peers: RetryPolicy;
+  /** Orders sent directly to workers: never repeated, the next heartbeat's response carries the same. */
+  readonly workers: RetryPolicy;
 }
 
 const multiplier = 2;
 const jitter = 0.3;
 
-/** One policy for every outgoing call; all times are ratios to settings. */
-export function retryPolicies(s: RetrySettings): RetryPolicies {
-  const lease = s.stateLeaseMs;
-  const report = s.workers.report_s * 1000;
-  const lag = Math.max(s.cloud.list_lag_s, s.workers.report_s) * 1000;
+/** One policy for every kind of outgoing call. All times are ratios to settings. */
+export function retryPolicies({ workers, cloud, stateLeaseMs }: RetrySettings): RetryPolicies {
+  const heartbeatMs = workers.report_s * 1000;
+  const listLagMs = Math.max(cloud.list_lag_s, workers.report_s) * 1000;
   return {
-    state: { initialDelayMs: lease / 24, maxDelayMs: lease / 4, multiplier, jitter, timeoutMs: lease / 2 },
-    cloud: { initialDelayMs: lag / 20, maxDelayMs: lag / 4, multiplier, jitter, timeoutMs: lag },
-    peers: { initialDelayMs: report / 10, maxDelayMs: report, multiplier, jitter, timeoutMs: report * 2 },
-    workers: { initialDelayMs: report, maxDelayMs: report, multiplier: 1, jitter, timeoutMs: report * 0.8 },
+    state: {
+      initialDelayMs: stateLeaseMs / 24,
+      maxDelayMs: stateLeaseMs / 4,
+      multiplier,
+      jitter,
+      timeoutMs: stateLeaseMs / 2,
+    },
+    cloud: {
+      initialDelayMs: listLagMs / 20,
+      maxDelayMs: listLagMs / 4,
+      multiplier,
+      jitter,
+      timeoutMs: listLagMs,
+    },
+    peers: {
+      initialDelayMs: heartbeatMs / 10,
+      maxDelayMs: heartbeatMs,
+      multiplier,
+      jitter,
+      timeoutMs: heartbeatMs * 2,
+    },
+    workers: {
+      initialDelayMs: heartbeatMs,
+      maxDelayMs: heartbeatMs,
+      multiplier: 1,
+      jitter,
+      timeoutMs: heartbeatMs * 0.8,
+    },
   };
 }
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -40,7 +40,7 @@
   constructor(
     private readonly enqueue: (c: Command) => void,
     private readonly healthy: () => boolean,
-    private readonly sockets: Pick<Limits['sockets'], 'most' | 'comfortable'>,
+    private readonly sockets: Pick<Limits['sockets'], 'max' | 'closeIdleAbove'>,
     /** Workers come again within this time, ms. */
     reportMs: number,
     private readonly hooks: ServerHooks | null = null,
@@ -50,7 +50,7 @@
       { keepAliveTimeout: 120_000, requestTimeout: 10_000, headersTimeout: 10_000 },
       (req, res) => this.handle(req, res),
     );
-    this.server.maxConnections = sockets.most;
+    this.server.maxConnections = sockets.max;
     this.server.on('connection', (socket) => this.connections.opened(socket, performance.now()));
     this.server.on('clientError', (_, socket) => {
       if (socket.writable)
@@ -61,7 +61,7 @@
 
   /** Closes what is needed least where there are too many connections; how many are open. */
   trimConnections(now: number): number {
-    this.connections.trim(this.sockets.comfortable, now);
+    this.connections.trim(this.sockets.closeIdleAbove, now);
     return this.connections.size;
   }
 
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -17,7 +17,7 @@
       if ('requestId' in c) front.respond(c.requestId, 503, {}, 7);
     },
     () => got.length === 0,
-    { most: 50, comfortable: 40 },
+    { max: 50, closeIdleAbove: 40 },
     100,
   );
   front.server.listen(0, '127.0.0.1');
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -152,8 +152,8 @@
   ]) {
     const l = limitsOf({ quota: { mem_mb, fd_limit }, peers: [1, 2] });
     const { sockets } = l;
-    assert.ok(sockets.preferred < sockets.comfortable && sockets.comfortable < sockets.most);
-    assert.ok(sockets.most + sockets.outgoingOrders + sockets.peers + 20 < fd_limit);
+    assert.ok(sockets.preferred < sockets.closeIdleAbove && sockets.closeIdleAbove < sockets.max);
+    assert.ok(sockets.max + sockets.outgoingOrders + sockets.peers + 20 < fd_limit);
     assert.ok(l.memory.collectGarbageAboveMb < l.memory.shedLoadAboveMb && l.memory.shedLoadAboveMb < mem_mb);
   }
   const c = new Connections(10);
