--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -1,101 +1,111 @@
+/** Admission control: which submissions are accepted next, and which are rejected with a time to retry. */
 import { FairQueue, type QueueEntry } from './fair-queue.js';
 import { RetryTickets, type Rejection } from './retry-tickets.js';
 
-/** Who is told to come later, and in how many seconds. */
+/** An entry that was rejected, and when its user may retry. */
 export interface RejectedEntry<T> {
-  entry: T;
-  retryAfterS: number;
+  readonly entry: T;
+  readonly retryAfterS: number;
 }
 
+/** The limits of an admission queue. */
 export interface AdmissionLimits {
-  /** So many may wait at once. */
-  most: number;
-  /** Whoever would wait longer than this is told so at once, ms. */
-  patienceMs: number;
-  /** How long users try, and the longest that they can be told to wait, ms. */
-  tryMs: number;
-  longestMs: number;
-  /** So many are remembered that were turned away. */
-  tickets: number;
+  /** Entries that may wait at the same time. */
+  readonly maxQueued: number;
+  /** An entry that would wait longer than this is rejected at once, ms. */
+  readonly maxQueueWaitMs: number;
+  /** For how long users retry, ms. */
+  readonly retryWindowMs: number;
+  /** The longest pause that a user heeds, ms. */
+  readonly maxRetryAfterMs: number;
+  /** Rejected jobs that are remembered. */
+  readonly maxTickets: number;
 }
 
-/** How much of a pause is left to chance, so that those who are turned away together do not come back together. */
+/** Random share of a pause, so that users who are rejected together do not retry together. */
 const retryJitter = 0.25;
-/** So many of a class may wait whatever its pace. */
+/** Entries of a class that may wait whatever its rate. */
 const minClassCapacity = 2;
-/** The last try is to come so long before its user gives up, ms. */
+/** The last retry is to come so long before the user stops trying, ms. */
 const finalRetryMarginMs = 3000;
+/** A shorter time until the last retry does not shorten the pause, ms. */
+const minRetryLeftMs = 1000;
+const minRate = 1e-3;
+const minRetryAfterS = 1;
 
 /**
- * Takes jobs in at the pace at which they can be written, fairly by team and class. What cannot be taken within the patience
- * is turned away at once, with when to come again; who has tried longest goes first, and takes the place of the youngest of
- * its class.
+ * Admits jobs at the rate at which they can be written, fairly by team and class. What cannot be admitted within the longest
+ * wait is rejected at once, with a time to retry. Within a class the oldest first attempt is admitted first, and displaces the
+ * newest.
  */
 export class AdmissionQueue<T extends QueueEntry> {
   private readonly queue: FairQueue<T>;
   readonly tickets: RetryTickets;
-  /** Jobs a second that this controller may take in; and that all may together. */
+  /** Jobs a second that this controller may admit, and that all controllers together may. */
   rate = 1;
   totalRate = 1;
 
   constructor(
     private readonly limits: AdmissionLimits,
     teamWeight: (team: string) => number,
-    classWeight: (e: T) => number,
+    classWeight: (entry: T) => number,
     private readonly random: () => number,
   ) {
     this.queue = new FairQueue(teamWeight, classWeight);
-    this.tickets = new RetryTickets(limits.tickets, limits.tryMs);
+    this.tickets = new RetryTickets(limits.maxTickets, limits.retryWindowMs);
   }
 
+  /** How many entries wait. */
   get size(): number {
     return this.queue.size;
   }
 
-  /** Somebody wants in. Who is turned away for it: itself, or one of its class that has tried for less long. */
-  offer(e: T, now: number): RejectedEntry<T> | null {
-    e.firstAt = Math.min(e.firstAt, this.tickets.firstAttemptAt(e.id) ?? Infinity);
-    const whole = this.rate * (this.limits.patienceMs / 1000);
-    const full = this.queue.size >= this.limits.most;
-    // While all that wait can be taken in within the patience, it does not matter whose they are.
-    const crowded = full || this.queue.size >= whole;
-    const room = crowded ? Math.max(minClassCapacity, whole * this.queue.shareOf(e)) : Infinity;
-    const { older, all } = this.queue.position(e);
-    if (older >= room || (full && all === 0)) return this.reject(e, now);
-    const youngest = all + 1 > room || full ? this.queue.newest(e) : undefined;
-    this.queue.enqueue(e);
-    if (!youngest) return null;
-    this.queue.remove(youngest);
-    return this.reject(youngest, now);
+  /** Offers an entry. Returns the one that is rejected for it: itself, a newer one of its class, or none. */
+  offer(entry: T, now: number): RejectedEntry<T> | null {
+    entry.firstAttemptAt = Math.min(entry.firstAttemptAt, this.tickets.firstAttemptAt(entry.id) ?? Infinity);
+    const capacity = this.rate * (this.limits.maxQueueWaitMs / 1000);
+    const isFull = this.queue.size >= this.limits.maxQueued;
+    // While all that wait can be admitted in time, shares do not matter.
+    const isCrowded = isFull || this.queue.size >= capacity;
+    const classCapacity = isCrowded
+      ? Math.max(minClassCapacity, capacity * this.queue.shareOf(entry))
+      : Infinity;
+    const { ahead, total } = this.queue.position(entry);
+    if (ahead >= classCapacity || (isFull && total === 0)) return this.reject(entry, now);
+    const displaced = total + 1 > classCapacity || isFull ? this.queue.newest(entry) : undefined;
+    this.queue.enqueue(entry);
+    if (!displaced) return null;
+    this.queue.remove(displaced);
+    return this.reject(displaced, now);
   }
 
-  /** Who is taken in next. */
+  /** Removes and returns the entry that is admitted next. */
   dequeue(): T | null {
     return this.queue.dequeue();
   }
 
-  /** It has waited for too long: the pace has fallen since it came. */
-  expire(e: T, now: number): RejectedEntry<T> {
-    this.queue.remove(e);
-    return this.reject(e, now);
+  /** Rejects an entry that has waited for too long: the rate has fallen since it was offered. */
+  expire(entry: T, now: number): RejectedEntry<T> {
+    this.queue.remove(entry);
+    return this.reject(entry, now);
   }
 
-  /** When to come again: when those of its class that were turned away before it will have had their turn. */
-  private reject(e: T, now: number): RejectedEntry<T> {
-    const ageMs = Math.max(0, now - e.firstAt);
-    this.tickets.record({ ...e, ageMs }, now);
-    const { tryMs, longestMs } = this.limits;
-    const pace = Math.max(1e-3, this.totalRate * this.queue.shareOf(e));
-    const turnMs =
-      (1000 * this.tickets.outstandingCount(e.team, e.class) * Math.max(0, 1 - ageMs / tryMs)) / pace;
-    const some = turnMs * (1 + retryJitter * (2 * this.random() - 1));
-    const left = tryMs - ageMs - finalRetryMarginMs;
-    const pause = Math.min(longestMs, some, left > 1000 ? left : longestMs);
-    return { entry: e, retryAfterS: Math.max(1, Math.round(pause / 100) / 10) };
+  /** Its user is to retry when the jobs of its class that were rejected before it have been admitted. */
+  private reject(entry: T, now: number): RejectedEntry<T> {
+    const { retryWindowMs, maxRetryAfterMs } = this.limits;
+    const ageMs = Math.max(0, now - entry.firstAttemptAt);
+    this.tickets.record({ ...entry, ageMs }, now);
+    const classRate = Math.max(minRate, this.totalRate * this.queue.shareOf(entry));
+    const outstanding = this.tickets.outstandingCount(entry.team, entry.class);
+    const turnMs = (1000 * outstanding * Math.max(0, 1 - ageMs / retryWindowMs)) / classRate;
+    const jitteredMs = turnMs * (1 + retryJitter * (2 * this.random() - 1));
+    const leftMs = retryWindowMs - ageMs - finalRetryMarginMs;
+    const pauseMs = Math.min(maxRetryAfterMs, jitteredMs, leftMs > minRetryLeftMs ? leftMs : maxRetryAfterMs);
+    return { entry, retryAfterS: Math.max(minRetryAfterS, Math.round(pauseMs / 100) / 10) };
   }
 
-  /** What another controller has turned away. */
-  recordPeerRejections(list: readonly Rejection[], now: number): void {
-    for (const t of list) this.tickets.record(t, now);
+  /** Records what another controller has rejected. */
+  recordPeerRejections(rejections: readonly Rejection[], now: number): void {
+    for (const rejection of rejections) this.tickets.record(rejection, now);
   }
 }
--- a/src/admission/demand-estimates.ts
+++ b/src/admission/demand-estimates.ts
@@ -1,50 +1,66 @@
+/** Estimates of how many jobs users of each team and class submit. */
+import { maxNamedWorkloads, workloadKey, type WorkloadDemand } from './workloads.js';
 import { RateMeter } from './rate-limiter.js';
-import { workloadKey, maxNamedWorkloads, type WorkloadDemand } from './allocation.js';
 
 interface WorkloadEstimate {
-  team: string;
-  class: string;
+  readonly team: string;
+  readonly class: string;
   weight: number;
-  arrivals: RateMeter;
-  seenAt: number;
+  readonly arrivals: RateMeter;
+  lastArrivalAt: number;
 }
 
-/** What stands for the classes of a team that are too many to be told apart. */
+/** Counts the classes of a team that are too many to be counted each. */
 const otherClasses = '*';
+const arrivalWindowMs = 3000;
+/** Smaller rates are not reported, jobs a second. */
+const minJobsPerS = 0.05;
 
-/** What users of each team and class bring, a second. Bounded: classes that are too many count together, by team. */
+/** Arrival rates by workload (team and class). Bounded: classes beyond the limit are counted together, by team. */
 export class DemandEstimates {
-  private readonly kinds = new Map<string, WorkloadEstimate>();
+  private readonly estimates = new Map<string, WorkloadEstimate>();
 
   constructor(
-    private readonly most: number,
-    /** One that nobody brought for so long is forgotten, ms. */
-    private readonly keepMs: number,
+    private readonly maxWorkloads: number,
+    /** A workload without arrivals for this long is forgotten, ms. */
+    private readonly retentionMs: number,
   ) {}
 
-  recordArrival(team: string, cls: string, weight: number, now: number): void {
-    let kind = workloadKey(team, cls);
-    if (!this.kinds.has(kind) && this.kinds.size >= this.most) {
+  /** A job of a team and class was submitted. */
+  recordArrival(team: string, jobClass: string, weight: number, now: number): void {
+    let countedClass = jobClass;
+    if (!this.estimates.has(workloadKey(team, jobClass)) && this.estimates.size >= this.maxWorkloads) {
       this.prune(now);
-      if (this.kinds.size >= this.most) kind = workloadKey(team, (cls = otherClasses));
+      if (this.estimates.size >= this.maxWorkloads) countedClass = otherClasses;
     }
-    let w = this.kinds.get(kind);
-    if (!w)
-      this.kinds.set(kind, (w = { team, class: cls, weight, arrivals: new RateMeter(3000), seenAt: now }));
-    w.weight = Math.max(w.weight, weight);
-    w.seenAt = now;
-    w.arrivals.add(1, now);
+    const key = workloadKey(team, countedClass);
+    let estimate = this.estimates.get(key);
+    if (!estimate) {
+      const arrivals = new RateMeter(arrivalWindowMs);
+      estimate = { team, class: countedClass, weight, arrivals, lastArrivalAt: now };
+      this.estimates.set(key, estimate);
+    }
+    estimate.weight = Math.max(estimate.weight, weight);
+    estimate.lastArrivalAt = now;
+    estimate.arrivals.add(1, now);
   }
 
-  /** Those that bring most, a second; who brings least goes first among those that are left out. */
+  /** The workloads with the highest rates, in that order; as many as an allocation names. */
   largest(now: number): WorkloadDemand[] {
-    const all = [...this.kinds.values()]
-      .map((w) => ({ team: w.team, class: w.class, weight: w.weight, want: w.arrivals.rate(now) }))
-      .filter((w) => w.want > 0.05);
-    return all.sort((a, b) => b.want - a.want).slice(0, maxNamedWorkloads);
+    return [...this.estimates.values()]
+      .map(({ team, class: jobClass, weight, arrivals }) => ({
+        team,
+        class: jobClass,
+        weight,
+        jobsPerS: arrivals.rate(now),
+      }))
+      .filter(({ jobsPerS }) => jobsPerS > minJobsPerS)
+      .sort((a, b) => b.jobsPerS - a.jobsPerS)
+      .slice(0, maxNamedWorkloads);
   }
 
   private prune(now: number): void {
-    for (const [kind, w] of this.kinds) if (now - w.seenAt > this.keepMs) this.kinds.delete(kind);
+    for (const [key, { lastArrivalAt }] of this.estimates)
+      if (now - lastArrivalAt > this.retentionMs) this.estimates.delete(key);
   }
 }
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,107 +1,120 @@
+/** A fair queue in two levels: teams are served in turn, and within each team its classes. */
 import { StrideScheduler, type Flow } from './stride-scheduler.js';
 
-/** What waits to be taken in. */
+/** What waits in the queue. */
 export interface QueueEntry {
-  id: string;
-  team: string;
-  class: string;
+  readonly id: string;
+  readonly team: string;
+  readonly class: string;
   /** When its user first tried, ms. */
-  firstAt: number;
+  firstAttemptAt: number;
 }
 
 interface ClassFlow<T> extends Flow {
-  items: T[];
+  /** Oldest first attempt first. */
+  readonly entries: T[];
 }
 interface TeamFlow<T> extends Flow {
-  classes: StrideScheduler<ClassFlow<T>>;
+  readonly classes: StrideScheduler<ClassFlow<T>>;
 }
 
 /**
- * Waiting entries by team, then by class. Who has got least for its weight goes next, so whoever floods waits behind its own,
- * and whoever had nothing waiting goes next; within a class whoever tried first goes first. Memory is bounded by what waits.
+ * Entries by team, then by class. The flow that was served least for its weight is next, so a flood waits behind its own
+ * entries, and a flow that had none waiting is served at once; within a class the oldest first attempt is first. Memory is bounded by
+ * what waits.
  */
 export class FairQueue<T extends QueueEntry> {
   private readonly teams = new StrideScheduler<TeamFlow<T>>();
-  private count = 0;
+  private entryCount = 0;
 
   constructor(
     private readonly teamWeight: (team: string) => number,
-    private readonly classWeight: (e: T) => number,
+    private readonly classWeight: (entry: T) => number,
   ) {}
 
+  /** How many entries wait. */
   get size(): number {
-    return this.count;
+    return this.entryCount;
   }
 
-  /** How many of its class wait that tried before it; and all of its class. */
-  position(e: QueueEntry): { older: number; all: number } {
-    const items = this.teams.get(e.team)?.classes.get(e.class)?.items ?? [];
-    return { older: insertionIndex(items, e.firstAt), all: items.length };
+  /** How many entries of its class an entry would wait behind, and how many entries its class has. */
+  position(entry: QueueEntry): { ahead: number; total: number } {
+    const entries = this.classOf(entry)?.entries ?? [];
+    return { ahead: insertionIndex(entries, entry.firstAttemptAt), total: entries.length };
   }
 
-  /** The share of what is taken that this class gets now, if all that wait want more. */
-  shareOf(e: T): number {
-    const team = this.teams.get(e.team);
-    const ofTeams = this.teams.shareOf(e.team, this.teamWeight(e.team));
-    const weight = this.classWeight(e);
-    return ofTeams * (team ? team.classes.shareOf(e.class, weight) : 1);
+  /** The share of the turns that an entry's class has now, if all waiting flows stay backlogged. */
+  shareOf(entry: T): number {
+    const team = this.teams.get(entry.team);
+    const teamShare = this.teams.shareOf(entry.team, this.teamWeight(entry.team));
+    const weight = this.classWeight(entry);
+    return teamShare * (team ? team.classes.shareOf(entry.class, weight) : 1);
   }
 
-  enqueue(e: T): void {
-    const team = this.teams.addEntry(e.team, this.teamWeight(e.team), (lane) => ({
-      ...lane,
+  /** Adds an entry. */
+  enqueue(entry: T): void {
+    const team = this.teams.addEntry(entry.team, this.teamWeight(entry.team), (flow) => ({
+      ...flow,
       classes: new StrideScheduler<ClassFlow<T>>(),
     }));
-    const lane = team.classes.addEntry(e.class, this.classWeight(e), (l) => ({ ...l, items: [] }));
-    lane.items.splice(insertionIndex(lane.items, e.firstAt), 0, e);
-    this.count++;
+    const { entries } = team.classes.addEntry(entry.class, this.classWeight(entry), (flow) => ({
+      ...flow,
+      entries: [],
+    }));
+    entries.splice(insertionIndex(entries, entry.firstAttemptAt), 0, entry);
+    this.entryCount++;
   }
 
-  /** The youngest of a class. */
-  newest(e: QueueEntry): T | undefined {
-    return this.teams.get(e.team)?.classes.get(e.class)?.items.at(-1);
+  /** The entry of the same class with the latest first attempt. */
+  newest(entry: QueueEntry): T | undefined {
+    return this.classOf(entry)?.entries.at(-1);
   }
 
-  remove(e: T): boolean {
-    const team = this.teams.get(e.team);
-    const lane = team?.classes.get(e.class);
-    const at = lane?.items.indexOf(e) ?? -1;
-    if (!team || !lane || at < 0) return false;
-    lane.items.splice(at, 1);
-    this.entryRemoved(team, lane);
+  /** Removes an entry. Returns whether it was there. */
+  remove(entry: T): boolean {
+    const team = this.teams.get(entry.team);
+    const flow = team?.classes.get(entry.class);
+    const index = flow?.entries.indexOf(entry) ?? -1;
+    if (!team || !flow || index < 0) return false;
+    flow.entries.splice(index, 1);
+    this.entryRemoved(team, flow);
     return true;
   }
 
-  /** Who goes next. */
+  /** Removes and returns the next entry; null: none waits. */
   dequeue(): T | null {
     const team = this.teams.selectNext();
-    const lane = team?.classes.selectNext();
-    const e = lane?.items.shift();
-    if (!team || !lane || !e) return null;
-    this.entryRemoved(team, lane);
-    return e;
+    const flow = team?.classes.selectNext();
+    const entry = flow?.entries.shift();
+    if (!team || !flow || !entry) return null;
+    this.entryRemoved(team, flow);
+    return entry;
+  }
+
+  private classOf(entry: QueueEntry): ClassFlow<T> | undefined {
+    return this.teams.get(entry.team)?.classes.get(entry.class);
   }
 
-  private entryRemoved(team: TeamFlow<T>, lane: ClassFlow<T>): void {
-    team.classes.removeEntry(lane);
+  private entryRemoved(team: TeamFlow<T>, flow: ClassFlow<T>): void {
+    team.classes.removeEntry(flow);
     this.teams.removeEntry(team);
-    this.count--;
+    this.entryCount--;
   }
 
-  /** All entries, of no order. */
+  /** All entries, in no particular order. */
   *[Symbol.iterator](): Generator<T> {
-    for (const t of this.teams) for (const c of t.classes) yield* c.items;
+    for (const team of this.teams) for (const flow of team.classes) yield* flow.entries;
   }
 }
 
-/** Where one that tried at this time belongs: behind those that tried before or at the same time. */
-function insertionIndex(items: readonly QueueEntry[], firstAt: number): number {
-  let lo = 0;
-  let hi = items.length;
-  while (lo < hi) {
-    const mid = (lo + hi) >> 1;
-    if (items[mid].firstAt <= firstAt) lo = mid + 1;
-    else hi = mid;
+/** The place of a first attempt at this time: behind earlier and equal ones. */
+function insertionIndex(entries: readonly QueueEntry[], firstAttemptAt: number): number {
+  let low = 0;
+  let high = entries.length;
+  while (low < high) {
+    const middle = (low + high) >> 1;
+    if (entries[middle].firstAttemptAt <= firstAttemptAt) low = middle + 1;
+    else high = middle;
   }
-  return lo;
+  return low;
 }
--- a/src/admission/fairness-index.ts
+++ b/src/admission/fairness-index.ts
@@ -1,4 +1,6 @@
-/** Jain's index of fairness: 1 if all have alike, 1/n if one has all. */
+/** Jain's fairness index. */
+
+/** 1 if all shares are equal, 1/n if one of n has everything. */
 export function jainIndex(shares: readonly number[]): number {
   const sum = shares.reduce((a, b) => a + b, 0);
   const squares = shares.reduce((a, b) => a + b * b, 0);
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,27 +1,24 @@
+/** Admission control, overload control and fair sharing of what is scarce. */
 export { AdmissionQueue, type AdmissionLimits, type RejectedEntry } from './admission.js';
-export { FairQueue, type QueueEntry } from './fair-queue.js';
-export { MinimumShares, maxStarvationS, type WorkloadUsage, type ShareDeficit } from './minimum-shares.js';
-export { jainIndex } from './fairness-index.js';
-export { maxMinShares, type Claim } from './max-min-fairness.js';
-export { TokenBucket, RateMeter } from './rate-limiter.js';
-export { equalShare, divideWrites, type WriteShare, type WriteDemand } from './member-allocation.js';
 export {
+  allocatableWrites,
+  fallbackWrites,
   isWorthWriting,
   minMemberWrites,
-  workloadKey,
-  maxNamedWorkloads,
   nextAllocation,
-  allocatableWrites,
-  fallbackWrites,
+  type MemberAllocation,
+  type MemberDemand,
+  type MemberStatus,
+  type WriteAllocation,
 } from './allocation.js';
-export type {
-  MemberDemand,
-  WorkloadDemand,
-  MemberStatus,
-  WriteAllocation,
-  MemberAllocation,
-} from './allocation.js';
-export { OverloadMonitor, type ResourceLoad, type OverloadSnapshot } from './overload.js';
+export { DemandEstimates } from './demand-estimates.js';
+export { FairQueue, type QueueEntry } from './fair-queue.js';
+export { jainIndex } from './fairness-index.js';
+export { maxMinShares, type ShareClaim } from './max-min-fairness.js';
+export { divideWrites, equalShare, type WriteDemand, type WriteShare } from './member-allocation.js';
+export { maxStarvationS, MinimumShares, type ShareDeficit, type WorkloadUsage } from './minimum-shares.js';
+export { OverloadMonitor, type OverloadSnapshot, type ResourceLoad } from './overload.js';
+export { RateMeter, TokenBucket } from './rate-limiter.js';
 export { RetryTickets, type Rejection } from './retry-tickets.js';
 export { teamWeights } from './weights.js';
-export { DemandEstimates } from './demand-estimates.js';
+export { maxNamedWorkloads, workloadKey, type WorkloadDemand } from './workloads.js';
--- a/src/admission/max-min-fairness.ts
+++ b/src/admission/max-min-fairness.ts
@@ -1,35 +1,41 @@
-/** Somebody who wants a part of what is scarce. */
-export interface Claim {
-  want: number;
-  /** Of what is left beyond the floors, in proportion to others'. */
-  weight: number;
-  /** What it gets first, if it wants that much. */
-  floor: number;
+/** Weighted max-min fairness. */
+
+/** A claim on a part of something scarce. */
+export interface ShareClaim {
+  readonly demand: number;
+  /** Of what is left beyond the minimums, in proportion to the others' weights. */
+  readonly weight: number;
+  /** What it gets first, up to its demand. */
+  readonly minimum: number;
 }
 
-const tiny = 1e-9;
+const tolerance = 1e-9;
+
+/** The sum of numbers. */
+export const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
 
 /**
- * Weighted max-min: floors first (all alike less if together they are too much), then the rest in proportion to the weights;
- * what one does not want goes to the others. The parts never exceed the whole.
+ * Divides `total` by weighted max-min fairness: minimums first (all scaled down alike if together they exceed the total), then
+ * the rest in proportion to the weights; what one claim does not need goes to the others. The shares never exceed the total.
  */
-export function maxMinShares(total: number, claims: readonly Claim[]): number[] {
-  const firsts = claims.map((c) => Math.max(0, Math.min(c.want, c.floor)));
-  const sum = firsts.reduce((a, b) => a + b, 0);
-  const scale = sum > total ? Math.max(0, total) / sum : 1;
-  const parts = firsts.map((f) => f * scale);
-  let left = Math.max(0, total) - parts.reduce((a, b) => a + b, 0);
-  let open = claims.map((_, i) => i).filter((i) => claims[i].want > parts[i] + tiny && claims[i].weight > 0);
-  while (left > tiny && open.length > 0) {
-    const weights = open.reduce((a, i) => a + claims[i].weight, 0);
-    // As far as the one that is satisfied first goes.
+export function maxMinShares(total: number, claims: readonly ShareClaim[]): number[] {
+  const minimums = claims.map((claim) => Math.max(0, Math.min(claim.demand, claim.minimum)));
+  const minimumSum = sum(minimums);
+  const scale = minimumSum > total ? Math.max(0, total) / minimumSum : 1;
+  const shares = minimums.map((minimum) => minimum * scale);
+  let left = Math.max(0, total) - sum(shares);
+  const isUnmet = (i: number): boolean => claims[i].demand > shares[i] + tolerance;
+  let unmet = claims.map((_, i) => i).filter((i) => isUnmet(i) && claims[i].weight > 0);
+  while (left > tolerance && unmet.length > 0) {
+    const weights = sum(unmet.map((i) => claims[i].weight));
+    // Raised together until the first claim is met.
     const level = Math.min(
       left / weights,
-      ...open.map((i) => (claims[i].want - parts[i]) / claims[i].weight),
+      ...unmet.map((i) => (claims[i].demand - shares[i]) / claims[i].weight),
     );
-    for (const i of open) parts[i] += level * claims[i].weight;
+    for (const i of unmet) shares[i] += level * claims[i].weight;
     left -= level * weights;
-    open = open.filter((i) => claims[i].want > parts[i] + tiny);
+    unmet = unmet.filter(isUnmet);
   }
-  return parts;
+  return shares;
 }
--- a/src/admission/member-allocation.ts
+++ b/src/admission/member-allocation.ts
@@ -1,75 +1,86 @@
-import { maxMinShares } from './max-min-fairness.js';
+/** Division of the state service's write budget among the controllers. */
+import { maxMinShares, sum } from './max-min-fairness.js';
 
-/** What a controller wants of the state service's writes, a second. */
+/** The writes a second that a controller needs. */
 export interface WriteDemand {
-  /** For what was accepted already, and for the fleet. */
-  tasks: number;
-  /** For jobs that users bring. */
-  users: number;
-  /** How long what waits to be written for accepted work will take, s. */
-  behindS: number;
+  /** For accepted jobs, and for the fleet. */
+  readonly acceptedWork: number;
+  /** For jobs that users submit. */
+  readonly newJobs: number;
+  /** How long it will take to write what is queued for accepted work, s. */
+  readonly backlogS: number;
 }
 
-/** Of the writes, so many are planned; the rest is slack for clocks and for what nobody foresaw. */
+/** The writes a second that a controller may make. */
+export interface WriteShare {
+  readonly total: number;
+  /** Of the total, for jobs that users submit. */
+  readonly newJobs: number;
+}
+
+/** The part of the write budget that is allocated; the rest is slack for clocks and for what was not foreseen. */
 export const allocatableShare = 0.94;
 /**
- * What was accepted goes first up to this share: up to the first while nothing waits, up to the second once it is so far
- * behind. A job of one task takes one write to be accepted and two afterwards, so in a lasting flood the two find their
- * balance at two thirds; a passing crowd of users is taken in at once, and its tasks follow seconds later.
+ * Accepted work has priority up to this share: the first while it has no backlog, the second from the given backlog on. A job of
+ * one task takes one write to be accepted and two afterwards, so in a lasting flood the balance is at two thirds; a short burst of
+ * submissions is admitted at once, and its tasks follow seconds later.
  */
-const tasksLeast = 0.45;
-const tasksMost = 0.7;
-const behindMostS = 8;
+const minAcceptedWorkShare = 0.45;
+const maxAcceptedWorkShare = 0.7;
+const fullBacklogS = 8;
+/** Submissions come in bursts: so many times their mean rate is allocated. */
 export const burstFactor = 1.5;
-/** Of an equal share: what each gets in any case. */
-const floorShare = 0.25;
-
-export interface WriteShare {
-  /** All writes that it may make, and those of them for jobs that users bring. */
-  total: number;
-  users: number;
-}
+/** Share of an equal share that each controller gets in any case. */
+const minEqualShare = 0.25;
 
 /**
- * What each controller may write, worked out by every one of them from the same figures: what was accepted goes first, what is
- * left is divided among those to whom users come; what nobody wants is shared out, for what comes next. `crowd`: how many
- * users' jobs each is to take in, where teams and classes decide that.
+ * Divides the writes, in the same way on every controller that has the same figures: accepted work has priority; what is left is
+ * divided among the controllers to which users come; what remains is divided equally. `newJobsByMember`: how many jobs each is to
+ * admit, where that follows from the shares of teams and classes.
  */
 export function divideWrites(
   writesPerS: number,
-  wants: readonly WriteDemand[],
-  crowd: readonly number[] | null = null,
+  demands: readonly WriteDemand[],
+  newJobsByMember: readonly number[] | null = null,
 ): WriteShare[] {
-  const n = wants.length;
-  const whole = writesPerS * allocatableShare;
-  const floor = (whole / n) * floorShare;
-  const behind = Math.min(1, Math.max(0, ...wants.map((w) => w.behindS)) / behindMostS);
-  const tasks = maxMinShares(
-    whole * (tasksLeast + (tasksMost - tasksLeast) * behind),
-    wants.map((w) => ({ want: w.tasks, weight: 1, floor })),
+  const total = writesPerS * allocatableShare;
+  const minimum = (total / demands.length) * minEqualShare;
+  const acceptedWork = maxMinShares(
+    total * acceptedWorkShare(demands),
+    demands.map((d) => ({ demand: d.acceptedWork, weight: 1, minimum })),
   );
-  const rest = whole - tasks.reduce((a, b) => a + b, 0);
-  const users = maxMinShares(
-    rest,
-    // Users come in bunches: more than they brought of late, and never nothing.
-    wants.map((w, i) => ({
-      want: Math.max(floor, crowd ? crowd[i] : w.users * burstFactor),
-      weight: 1,
-      floor,
-    })),
+  const forNewJobs = total - sum(acceptedWork);
+  const newJobs = maxMinShares(
+    forNewJobs,
+    demands.map((d, i) => {
+      const demand = newJobsByMember ? newJobsByMember[i] : d.newJobs * burstFactor;
+      return { demand: Math.max(minimum, demand), weight: 1, minimum };
+    }),
   );
-  // What users leave is for accepted work that wants more than came first; the rest is for whatever comes next.
-  const left = Math.max(0, rest - users.reduce((a, b) => a + b, 0));
-  const more = maxMinShares(
+  // What new jobs leave is for accepted work beyond its priority share; the rest is for whatever comes next.
+  const left = Math.max(0, forNewJobs - sum(newJobs));
+  const moreAcceptedWork = maxMinShares(
     left,
-    wants.map((w, i) => ({ want: Math.max(0, w.tasks - tasks[i]), weight: 1, floor: 0 })),
+    demands.map((d, i) => ({
+      demand: Math.max(0, d.acceptedWork - acceptedWork[i]),
+      weight: 1,
+      minimum: 0,
+    })),
   );
-  const idle = Math.max(0, left - more.reduce((a, b) => a + b, 0)) / n;
-  return wants.map((_, i) => ({ total: tasks[i] + more[i] + users[i] + idle, users: users[i] + idle }));
+  const spare = Math.max(0, left - sum(moreAcceptedWork)) / demands.length;
+  return demands.map((_, i) => ({
+    total: acceptedWork[i] + moreAcceptedWork[i] + newJobs[i] + spare,
+    newJobs: newJobs[i] + spare,
+  }));
+}
+
+function acceptedWorkShare(demands: readonly WriteDemand[]): number {
+  const backlog = Math.min(1, Math.max(0, ...demands.map((d) => d.backlogS)) / fullBacklogS);
+  return minAcceptedWorkShare + (maxAcceptedWorkShare - minAcceptedWorkShare) * backlog;
 }
 
-/** Knowing nothing of the others: an equal share, half of it for jobs that users bring. */
-export const equalShare = (writesPerS: number, n: number): WriteShare => ({
-  total: (writesPerS * allocatableShare) / n,
-  users: (writesPerS * allocatableShare) / n / 2,
+/** The share of a controller that knows nothing of the others: an equal one, half of it for new jobs. */
+export const equalShare = (writesPerS: number, memberCount: number): WriteShare => ({
+  total: (writesPerS * allocatableShare) / memberCount,
+  newJobs: (writesPerS * allocatableShare) / memberCount / 2,
 });
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -1,6 +1,8 @@
-/** How much of what is scarce is used here, each as a share of what there is. */
+/** Overload control: one measure of everything that is scarce, in place of limits that are independent of each other. */
+
+/** How much of each scarce resource is in use or wanted here, as a share of what there is. */
 export interface ResourceLoad {
-  /** Writes that are wanted, of this controller's part. */
+  /** Writes that are wanted, of this controller's share. */
   writes: number;
   /** Requests to the state service, of an equal share. */
   requests: number;
@@ -8,45 +10,54 @@
   time: number;
   sockets: number;
   memory: number;
-  /** Requests that wait to be worked off, of as many as may. */
+  /** Queued requests, of as many as may be queued. */
   waiting: number;
 }
 
+/** The smoothed load, and what follows from it for admission. */
 export interface OverloadSnapshot {
-  load: ResourceLoad;
-  /** What is nearest to its end. */
-  bottleneck: keyof ResourceLoad;
-  /** Of the jobs that the writes allow, so many may be taken in. */
-  admissionFactor: number;
+  readonly load: Readonly<ResourceLoad>;
+  /** The resource with the highest load. */
+  readonly bottleneck: keyof ResourceLoad;
+  /** Share of the jobs within the write budget that may be admitted. */
+  readonly admissionFactor: number;
 }
 
-/** From this share on less is taken in; at the whole, this share of what the writes allow. */
-const tightAt = 0.85;
-const leastFactor = 0.25;
-/** Of a difference that is taken up with each look: one full moment is not yet a shortage. */
-const follow = 0.2;
+/** Above this load fewer jobs are admitted; at full load, the smallest factor. */
+const overloadThreshold = 0.85;
+const minAdmissionFactor = 0.25;
+/** Weight of a new observation: one moment of full load is not overload yet. */
+const smoothing = 0.2;
 
 /**
- * One picture of what is scarce, in place of limits that know nothing of each other. What the writes allow is decided by the
- * plan; whatever else runs short slows the taking in of new jobs, so that polls, cancellations, reports and what was accepted
- * keep what they need.
+ * Watches the load. The writes are limited by their allocation; when any other resource runs short, fewer jobs are admitted, so
+ * that polls, cancellations, heartbeats and accepted work keep what they need.
  */
 export class OverloadMonitor {
-  private smooth: ResourceLoad = { writes: 0, requests: 0, time: 0, sockets: 0, memory: 0, waiting: 0 };
+  private readonly smoothed: ResourceLoad = {
+    writes: 0,
+    requests: 0,
+    time: 0,
+    sockets: 0,
+    memory: 0,
+    waiting: 0,
+  };
 
-  observe(now: ResourceLoad): OverloadSnapshot {
-    for (const name of Object.keys(now) as (keyof ResourceLoad)[])
-      this.smooth[name] += (now[name] - this.smooth[name]) * follow;
+  /** Adds an observation. */
+  observe(load: Readonly<ResourceLoad>): OverloadSnapshot {
+    for (const name of Object.keys(load) as (keyof ResourceLoad)[])
+      this.smoothed[name] += (load[name] - this.smoothed[name]) * smoothing;
     return this.snapshot;
   }
 
+  /** The present state. */
   get snapshot(): OverloadSnapshot {
-    const load = { ...this.smooth };
+    const load = { ...this.smoothed };
     const names = Object.keys(load) as (keyof ResourceLoad)[];
-    const tightest = names.reduce((a, b) => (load[b] > load[a] ? b : a));
-    // Writes are shared by the plan already.
-    const other = Math.max(...names.filter((n) => n !== 'writes').map((n) => load[n]));
-    const over = Math.min(1, Math.max(0, (other - tightAt) / (1 - tightAt)));
-    return { load, bottleneck: tightest, admissionFactor: 1 - (1 - leastFactor) * over };
+    const bottleneck = names.reduce((a, b) => (load[b] > load[a] ? b : a));
+    // Writes are divided by the allocation already.
+    const highest = Math.max(...names.filter((name) => name !== 'writes').map((name) => load[name]));
+    const excess = Math.min(1, Math.max(0, (highest - overloadThreshold) / (1 - overloadThreshold)));
+    return { load, bottleneck, admissionFactor: 1 - (1 - minAdmissionFactor) * excess };
   }
 }
--- a/src/admission/rate-limiter.ts
+++ b/src/admission/rate-limiter.ts
@@ -1,46 +1,51 @@
-/** A rate over about a second, and what may be done at a pace. Times in ms. */
+/** Measuring and limiting rates. Times in ms. */
+
+/** A rate, averaged exponentially over a window. */
 export class RateMeter {
-  private value = 0;
-  private at = -1;
+  private average = 0;
+  private updatedAt = -1;
 
-  constructor(private readonly overMs = 1000) {}
+  constructor(private readonly windowMs = 1000) {}
 
-  add(n: number, now: number): void {
-    this.settle(now);
-    this.value += (n * 1000) / this.overMs;
+  /** Counts `count` events at `now`. */
+  add(count: number, now: number): void {
+    this.decay(now);
+    this.average += (count * 1000) / this.windowMs;
   }
 
-  /** A second. */
+  /** Events per second. */
   rate(now: number): number {
-    this.settle(now);
-    return this.value;
+    this.decay(now);
+    return this.average;
   }
 
-  private settle(now: number): void {
-    if (this.at >= 0) this.value *= Math.exp(-(now - this.at) / this.overMs);
-    this.at = now;
+  private decay(now: number): void {
+    if (this.updatedAt >= 0) this.average *= Math.exp(-(now - this.updatedAt) / this.windowMs);
+    this.updatedAt = now;
   }
 }
 
-/** Lets so much through a second; what was not used for a while may be used at once. */
+/** A token bucket whose rate may change with each refill. */
 export class TokenBucket {
   private tokens = 0;
-  private at = -1;
+  private refilledAt = -1;
 
-  /** `overS`: what was not used is kept for so long, s. */
-  constructor(private readonly overS = 1) {}
+  /** `burstS`: it holds the tokens of so many seconds, and one at least. */
+  constructor(private readonly burstS = 1) {}
 
-  /** Whole tokens that are there now. */
+  /** Adds the tokens since the last refill, `rate` a second. Returns how many whole ones there are. */
   refill(rate: number, now: number): number {
-    this.tokens =
-      this.at < 0
-        ? rate
-        : Math.min(Math.max(1, rate * this.overS), this.tokens + ((now - this.at) / 1000) * rate);
-    this.at = now;
+    if (this.refilledAt < 0) this.tokens = rate;
+    else {
+      const earned = ((now - this.refilledAt) / 1000) * rate;
+      this.tokens = Math.min(Math.max(1, rate * this.burstS), this.tokens + earned);
+    }
+    this.refilledAt = now;
     return Math.floor(this.tokens);
   }
 
-  take(n: number): void {
-    this.tokens -= n;
+  /** Takes tokens. */
+  take(count: number): void {
+    this.tokens -= count;
   }
 }
--- a/src/admission/retry-tickets.ts
+++ b/src/admission/retry-tickets.ts
@@ -1,69 +1,73 @@
-/** A job that was turned away, as controllers tell each other. */
+/** Retry tickets: since when the users of rejected jobs have tried. */
+import { workloadKey } from './workloads.js';
+
+/** A rejected job, as controllers report it to each other. */
 export interface Rejection {
-  id: string;
-  team: string;
-  class: string;
-  /** Since its user first tried, ms. */
-  ageMs: number;
+  readonly id: string;
+  readonly team: string;
+  readonly class: string;
+  /** Time since its user's first attempt, ms. */
+  readonly ageMs: number;
 }
 
-interface Ticket {
-  kind: string;
+interface RetryTicket {
+  readonly workload: string;
   firstAttemptAt: number;
 }
 
-const kindOf = (team: string, cls: string): string => `${team} ${cls}`;
-
 /**
- * Who was turned away and may come back, here or at another controller: since when it tries. Bounded: the oldest tickets go
- * first, whose users have given up by then.
+ * The jobs that were rejected, here or by another controller, and that may be submitted again. Bounded: the oldest tickets are
+ * dropped first; their users have stopped trying by then.
  */
 export class RetryTickets {
-  private readonly byId = new Map<string, Ticket>();
-  private readonly waiting = new Map<string, number>();
+  /** By job, in the order of the first rejection. */
+  private readonly tickets = new Map<string, RetryTicket>();
+  private readonly countByWorkload = new Map<string, number>();
 
   constructor(
-    private readonly most: number,
-    /** How long a user tries, ms. */
-    private readonly tryMs: number,
+    private readonly maxTickets: number,
+    /** For how long a user tries, ms. */
+    private readonly retryWindowMs: number,
   ) {}
 
-  /** How many of a class were turned away and have not been taken in since. */
-  outstandingCount(team: string, cls: string): number {
-    return this.waiting.get(kindOf(team, cls)) ?? 0;
+  /** How many jobs of a class were rejected and have not been accepted since. */
+  outstandingCount(team: string, jobClass: string): number {
+    return this.countByWorkload.get(workloadKey(team, jobClass)) ?? 0;
   }
 
   /** When a job's user first tried, if that is known. */
   firstAttemptAt(id: string): number | undefined {
-    return this.byId.get(id)?.firstAttemptAt;
+    return this.tickets.get(id)?.firstAttemptAt;
   }
 
-  record({ id, team, class: cls, ageMs }: Rejection, now: number): void {
-    const firstAt = now - ageMs;
-    const known = this.byId.get(id);
+  /** Records a rejection, here or by another controller. */
+  record({ id, team, class: jobClass, ageMs }: Rejection, now: number): void {
+    const firstAttemptAt = now - ageMs;
+    const known = this.tickets.get(id);
     if (known) {
-      known.firstAttemptAt = Math.min(known.firstAttemptAt, firstAt);
+      known.firstAttemptAt = Math.min(known.firstAttemptAt, firstAttemptAt);
       return;
     }
-    const kind = kindOf(team, cls);
-    this.byId.set(id, { kind, firstAttemptAt: firstAt });
-    this.waiting.set(kind, (this.waiting.get(kind) ?? 0) + 1);
+    const workload = workloadKey(team, jobClass);
+    this.tickets.set(id, { workload, firstAttemptAt });
+    this.countByWorkload.set(workload, (this.countByWorkload.get(workload) ?? 0) + 1);
     this.prune(now);
   }
 
-  /** It was taken in, or is known not to be wanted any more. */
+  /** The job was accepted, or will not be submitted again. */
   remove(id: string): void {
-    const t = this.byId.get(id);
-    if (!t) return;
-    this.byId.delete(id);
-    const left = this.waiting.get(t.kind)! - 1;
-    if (left > 0) this.waiting.set(t.kind, left);
-    else this.waiting.delete(t.kind);
+    const ticket = this.tickets.get(id);
+    if (!ticket) return;
+    this.tickets.delete(id);
+    const left = this.countByWorkload.get(ticket.workload)! - 1;
+    if (left > 0) this.countByWorkload.set(ticket.workload, left);
+    else this.countByWorkload.delete(ticket.workload);
   }
 
+  /** Drops the oldest tickets: those beyond the limit, and those whose users have stopped trying. */
   prune(now: number): void {
-    for (const [id, t] of this.byId) {
-      if (this.byId.size <= this.most && now - t.firstAttemptAt <= this.tryMs) break;
+    for (const [id, { firstAttemptAt }] of this.tickets) {
+      if (this.tickets.size <= this.maxTickets && now - firstAttemptAt <= this.retryWindowMs) break;
       this.remove(id);
     }
   }
--- a/src/admission/stride-scheduler.ts
+++ b/src/admission/stride-scheduler.ts
@@ -1,9 +1,10 @@
+/** Stride scheduling: flows are served in proportion to their weights. */
 import TinyQueue from 'tinyqueue';
 
-/** Somebody who takes turns. */
+/** A flow of entries that are served in turn with those of other flows. */
 export interface Flow {
   readonly name: string;
-  /** Tells lanes apart that are to go at the same time. */
+  /** Decides between flows of the same pass. */
   readonly sequence: number;
   /** The virtual time at which its next turn begins. */
   pass: number;
@@ -12,85 +13,93 @@
   queued: number;
 }
 
-/** A lane's place in a queue; it holds for as long as the lane's pass is the same and it still belongs there. */
-interface HeapEntry<L> {
-  flow: L;
-  pass: number;
+/** A flow's place in a heap; outdated once the flow's pass has changed, or the flow belongs into the other heap. */
+interface HeapEntry<F> {
+  readonly flow: F;
+  readonly pass: number;
 }
 
 const byPass = (a: HeapEntry<Flow>, b: HeapEntry<Flow>): number =>
   a.pass - b.pass || a.flow.sequence - b.flow.sequence;
 
 /**
- * Start-time fair queueing: a turn of a lane lasts 1 / weight of virtual time, the earliest goes next, and who comes back after
- * having had nothing begins now, not with what it did not use. A lane that is empty is remembered until its last turn is over:
- * otherwise it would come back as new. Nothing here looks through all lanes: there may be ten thousand.
+ * Start-time fair queueing: a turn of a flow takes 1 / weight of virtual time, and the earliest pass is next. A flow that was
+ * empty begins at the present virtual time: it does not catch up on what it did not use. An empty flow is remembered until its
+ * last turn is over, otherwise it would come back as a new one. No operation visits all flows: there may be ten thousand.
  */
-export class StrideScheduler<L extends Flow> {
-  private readonly flows = new Map<string, L>();
-  /** Those that have entries, and those that have none, by when they would go; places that hold no more are passed over. */
-  private readonly backlogged = new TinyQueue<HeapEntry<L>>([], byPass);
-  private readonly idle = new TinyQueue<HeapEntry<L>>([], byPass);
+export class StrideScheduler<F extends Flow> {
+  private readonly flows = new Map<string, F>();
+  /** Flows with entries, and flows without, by pass; outdated heap entries are skipped. */
+  private readonly backlogged = new TinyQueue<HeapEntry<F>>([], byPass);
+  private readonly idle = new TinyQueue<HeapEntry<F>>([], byPass);
   private activeWeight = 0;
   private activeCount = 0;
   private virtualTime = 0;
   private createdCount = 0;
 
-  get(name: string): L | undefined {
+  /** A flow that has entries, or that had one lately. */
+  get(name: string): F | undefined {
     return this.flows.get(name);
   }
 
-  /** A lane gets an entry; its weight is what it is from now on. */
-  addEntry(name: string, weight: number, make: (lane: Flow) => L): L {
-    let lane = this.flows.get(name);
-    if (!lane) {
-      lane = make({ name, sequence: ++this.createdCount, pass: 0, weight, queued: 0 });
-      this.flows.set(name, lane);
+  /** Counts an entry of a flow, and gives the flow this weight from now on. */
+  addEntry(name: string, weight: number, create: (flow: Flow) => F): F {
+    let flow = this.flows.get(name);
+    if (!flow) {
+      flow = create({ name, sequence: ++this.createdCount, pass: 0, weight, queued: 0 });
+      this.flows.set(name, flow);
     }
-    if (lane.queued === 0) {
-      lane.pass = Math.max(lane.pass, this.virtualTime);
-      this.backlogged.push({ flow: lane, pass: lane.pass });
+    if (flow.queued === 0) {
+      flow.pass = Math.max(flow.pass, this.virtualTime);
+      this.backlogged.push({ flow, pass: flow.pass });
       this.activeCount++;
-    } else this.activeWeight -= lane.weight;
+    } else this.activeWeight -= flow.weight;
     this.activeWeight += weight;
-    lane.weight = weight;
-    lane.queued++;
-    return lane;
+    flow.weight = weight;
+    flow.queued++;
+    return flow;
   }
 
-  /** A lane has an entry less. */
-  removeEntry(lane: L): void {
-    if (--lane.queued > 0) return;
-    this.activeWeight = --this.activeCount === 0 ? 0 : this.activeWeight - lane.weight;
-    this.idle.push({ flow: lane, pass: lane.pass });
+  /** A flow has one entry less. */
+  removeEntry(flow: F): void {
+    if (--flow.queued > 0) return;
+    this.activeWeight = --this.activeCount === 0 ? 0 : this.activeWeight - flow.weight;
+    this.idle.push({ flow, pass: flow.pass });
   }
 
-  /** The share of the turns that a lane has now, or would have with this weight if it came. */
+  /** The share of the turns that a flow has now, or would have with this weight if it had entries. */
   shareOf(name: string, weight: number): number {
-    const lane = this.flows.get(name);
-    if (lane && lane.queued > 0) return lane.weight / this.activeWeight;
+    const flow = this.flows.get(name);
+    if (flow && flow.queued > 0) return flow.weight / this.activeWeight;
     return weight / (this.activeWeight + weight);
   }
 
-  /** Whose turn it is; it is taken. */
-  selectNext(): L | null {
-    let place = this.backlogged.pop();
-    while (place && !(place.flow.queued > 0 && place.flow.pass === place.pass)) place = this.backlogged.pop();
-    if (!place) return null;
-    const best = place.flow;
-    this.virtualTime = best.pass;
-    best.pass += 1 / best.weight;
-    this.backlogged.push({ flow: best, pass: best.pass });
-    for (let over = this.idle.peek(); over && over.pass <= this.virtualTime; over = this.idle.peek()) {
+  /** Selects the flow whose turn it is, and counts the turn; null: no flow has entries. */
+  selectNext(): F | null {
+    let entry = this.backlogged.pop();
+    while (entry && !(entry.flow.queued > 0 && entry.flow.pass === entry.pass)) entry = this.backlogged.pop();
+    if (!entry) return null;
+    const { flow } = entry;
+    this.virtualTime = flow.pass;
+    flow.pass += 1 / flow.weight;
+    this.backlogged.push({ flow, pass: flow.pass });
+    this.forgetIdle();
+    return flow;
+  }
+
+  /** Forgets empty flows whose last turn is over. */
+  private forgetIdle(): void {
+    let entry = this.idle.peek();
+    for (; entry && entry.pass <= this.virtualTime; entry = this.idle.peek()) {
       this.idle.pop();
-      const { flow: lane, pass } = over;
-      if (lane.queued === 0 && lane.pass === pass && this.flows.get(lane.name) === lane)
-        this.flows.delete(lane.name);
+      const { flow, pass } = entry;
+      if (flow.queued === 0 && flow.pass === pass && this.flows.get(flow.name) === flow)
+        this.flows.delete(flow.name);
     }
-    return best;
   }
 
-  [Symbol.iterator](): Iterator<L> {
+  /** All flows that are remembered. */
+  [Symbol.iterator](): Iterator<F> {
     return this.flows.values();
   }
 }
--- a/src/admission/weights.ts
+++ b/src/admission/weights.ts
@@ -1,6 +1,10 @@
-/** By how much teams count when they take turns: 1 to 2, by their guarantees. */
+/** Weights of teams in fair queueing. */
+
+/** A team's weight, from 1 to 2: by its part of all guaranteed CPUs. Of an unknown team: 1. */
 export function teamWeights(teams: readonly { name: string; cpus: number }[]): (team: string) => number {
-  const guaranteed = teams.reduce((sum, t) => sum + t.cpus, 0);
-  const of = new Map(teams.map((t) => [t.name, 1 + (guaranteed > 0 ? t.cpus / guaranteed : 0)]));
-  return (team) => of.get(team) ?? 1;
+  const guaranteed = teams.reduce((sum, { cpus }) => sum + cpus, 0);
+  const weights = new Map(
+    teams.map(({ name, cpus }) => [name, 1 + (guaranteed > 0 ? cpus / guaranteed : 0)]),
+  );
+  return (team) => weights.get(team) ?? 1;
 }
--- /dev/null
+++ b/src/admission/workload-division.ts
@@ -0,0 +1,117 @@
+/** Division of the jobs that may be admitted: by team, then by class, then among the controllers to which their users come. */
+import { burstFactor } from './member-allocation.js';
+import { maxMinShares, sum } from './max-min-fairness.js';
+import { workloadKey, type WorkloadDemand } from './workloads.js';
+
+/** What a controller may admit. */
+export interface AdmissionShare {
+  /** Jobs a second of the workloads that it has named. */
+  jobsPerS: number;
+  /** The rates by which teams (`workloadKey(team, '')`), and the classes of each, take turns there. */
+  readonly workloadRates: Map<string, number>;
+}
+
+interface ClassDemand {
+  readonly weight: number;
+  total: number;
+  readonly byMember: number[];
+}
+
+/** A flow whose whole demand is met, and the rates of the flows with which it takes turns on a controller. */
+interface SatisfiedFlow {
+  readonly member: number;
+  readonly key: string;
+  readonly rates: ReadonlyMap<string, number>;
+}
+
+/** Teams and classes with demand get at least this share of an equal one, whatever their weights. */
+const minEqualShare = 0.5;
+/** Smallest rate by which a flow takes turns, jobs a second. */
+const minRate = 0.01;
+const tolerance = 1e-6;
+
+/** Rounds down to two digits: they are enough, and the sum never exceeds what there is. */
+export const roundDown = (value: number): number => Math.floor(value * 100) / 100;
+
+/**
+ * Divides the jobs a second that may be admitted. `demands`: the workloads that each controller has named. Weighted max-min
+ * fairness between teams and between the classes of each, with a minimum for each that has demand.
+ */
+export function divideAmongWorkloads(
+  jobsPerS: number,
+  demands: readonly (readonly WorkloadDemand[])[],
+  teamWeight: (team: string) => number,
+): AdmissionShare[] {
+  const teams = [...collectTeams(demands)];
+  const shares = demands.map((): AdmissionShare => ({ jobsPerS: 0, workloadRates: new Map() }));
+  const teamRates = demands.map(() => new Map<string, number>());
+  const satisfied: SatisfiedFlow[] = [];
+  const jobsByTeam = divideFairly(
+    jobsPerS,
+    teams.map(([team, classes]) => ({ demand: totalOf(classes), weight: teamWeight(team) })),
+  );
+  teams.forEach(([team, classes], t) => {
+    const teamKey = workloadKey(team, '');
+    const jobsByClass = divideFairly(
+      jobsByTeam[t],
+      [...classes.values()].map(({ total, weight }) => ({ demand: total, weight })),
+    );
+    const classRates = demands.map(() => new Map<string, number>());
+    [...classes].forEach(([jobClass, { total, byMember }], c) =>
+      byMember.forEach((demand, member) => {
+        if (demand <= 0) return;
+        const rate = (jobsByClass[c] * demand) / total;
+        const key = workloadKey(team, jobClass);
+        const rates = classRates[member];
+        shares[member].jobsPerS += rate;
+        rates.set(key, rate);
+        teamRates[member].set(teamKey, (teamRates[member].get(teamKey) ?? 0) + rate);
+        if (jobsByClass[c] > total - tolerance) satisfied.push({ member, key, rates });
+      }),
+    );
+    const isSatisfied = jobsByTeam[t] > totalOf(classes) - tolerance;
+    classRates.forEach((rates, member) => {
+      if (isSatisfied && rates.size > 0) satisfied.push({ member, key: teamKey, rates: teamRates[member] });
+      for (const [key, rate] of rates) shares[member].workloadRates.set(key, rate);
+    });
+  });
+  teamRates.forEach((rates, member) =>
+    rates.forEach((rate, key) => shares[member].workloadRates.set(key, rate)),
+  );
+  // A flow whose demand is met is to be served at once: in proportion to its few jobs it would wait among many.
+  for (const { member, key, rates } of satisfied)
+    shares[member].workloadRates.set(key, Math.max(...rates.values()));
+  for (const { workloadRates } of shares)
+    for (const [key, rate] of workloadRates) workloadRates.set(key, Math.max(minRate, roundDown(rate)));
+  return shares;
+}
+
+/** The demand by team and class, in the order in which it was first named. */
+function collectTeams(
+  demands: readonly (readonly WorkloadDemand[])[],
+): Map<string, Map<string, ClassDemand>> {
+  const teams = new Map<string, Map<string, ClassDemand>>();
+  demands.forEach((workloads, member) => {
+    for (const { team, class: jobClass, weight, jobsPerS } of workloads) {
+      let classes = teams.get(team);
+      if (!classes) teams.set(team, (classes = new Map()));
+      let demand = classes.get(jobClass);
+      if (!demand) classes.set(jobClass, (demand = { weight, total: 0, byMember: demands.map(() => 0) }));
+      demand.total += jobsPerS * burstFactor;
+      demand.byMember[member] += jobsPerS * burstFactor;
+    }
+  });
+  return teams;
+}
+
+const totalOf = (classes: ReadonlyMap<string, ClassDemand>): number =>
+  sum([...classes.values()].map(({ total }) => total));
+
+/** Weighted max-min fairness with the same minimum for each claim. */
+function divideFairly(total: number, claims: readonly { demand: number; weight: number }[]): number[] {
+  const minimum = (minEqualShare * total) / Math.max(1, claims.length);
+  return maxMinShares(
+    total,
+    claims.map((claim) => ({ ...claim, minimum })),
+  );
+}
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -75,7 +75,7 @@
   private loggedLevel = '';
   private rejectionsLoggedAt = -Infinity;
   private readonly fairAdmission: boolean;
-  private readonly planning: WriteBudget;
+  private readonly writeBudget: WriteBudget;
   private readonly dataLossRecovery: DataLossRecovery;
   private superseded = false;
   private readonly overloadMonitor = new OverloadMonitor();
@@ -194,16 +194,16 @@
       this.shardManager.shardState.maxReplicaAgeMs,
       log,
     );
-    this.planning = new WriteBudget(
+    this.writeBudget = new WriteBudget({
       settings,
       replica,
       batcher,
-      this.freshness,
-      this.peers,
-      this.membership,
+      freshness: this.freshness,
+      peers: this.peers,
+      membership: this.membership,
       clock,
       log,
-    );
+    });
     this.dataLossRecovery = new DataLossRecovery({
       settings,
       instanceId: run,
@@ -315,7 +315,7 @@
       this.dataLossRecovery.monitor.requestAudit(out);
       this.autoscaler.tick(out);
       this.featureLevelManager.tick();
-      if (this.fairAdmission) this.planning.proposeNext(this.demand);
+      if (this.fairAdmission) this.writeBudget.proposeNext(this.demand);
     }
     if (this.shutdown.requested) this.membership.shutDown(out);
     this.shardManager.tick(out);
@@ -399,18 +399,18 @@
   private get demand(): MemberDemand {
     const { now } = this.clock;
     return {
-      tasks: Math.round(this.batcher.taskWriteDemand(now)),
-      users: Math.round(this.userRequests.writeDemand()),
-      behindS: this.batcher.backlogS,
-      kinds: this.fairAdmission ? this.userRequests.groupDemand() : [],
-      follows: this.planning.followedVersion,
+      acceptedWork: Math.round(this.batcher.taskWriteDemand(now)),
+      newJobs: Math.round(this.userRequests.writeDemand()),
+      backlogS: this.batcher.backlogS,
+      workloads: this.fairAdmission ? this.userRequests.groupDemand() : [],
+      allocationVersion: this.writeBudget.followedVersion,
     };
   }
 
   /** This controller's part of the writes, and those that it takes in with it. */
   private applyWriteBudget(out: Effect[]): void {
-    this.planning.observe();
-    const share = this.planning.localShare(this.demand);
+    this.writeBudget.observe();
+    const share = this.writeBudget.localShare(this.demand);
     this.batcher.setAllocation(share.total);
     // The state service may take less than it is said to.
     const { health } = this.batcher;
@@ -421,7 +421,7 @@
   /** Looks at all that is scarce here; as often as the process tells of itself. */
   private measureOverload(): void {
     const { now } = this.clock;
-    const { tasks, users } = this.demand;
+    const { acceptedWork: tasks, newJobs: users } = this.demand;
     const { rps } = this.settings.state;
     const equal = rps / (1 + this.settings.peers.length);
     const picture = this.overloadMonitor.observe({
@@ -437,7 +437,7 @@
     const round = (x: number): number => Math.round(100 * x) / 100;
     const { load, bottleneck: tightest, admissionFactor: factor } = this.overloadMonitor.snapshot;
     return {
-      plan: this.planning.followedVersion,
+      plan: this.writeBudget.followedVersion,
       pressure: Object.fromEntries(Object.entries(load).map(([k, x]) => [k, round(x as number)])),
       tightest,
       factor: round(factor),
@@ -502,14 +502,14 @@
     for (const [kind, n] of by)
       if (kind in this.rejectionTotals || Object.keys(this.rejectionTotals).length < maxLoggedItems * 4)
         this.rejectionTotals[kind] = (this.rejectionTotals[kind] ?? 0) + n;
-    const { tasks, users, behindS } = this.demand;
+    const { acceptedWork: tasks, newJobs: users, backlogS: behindS } = this.demand;
     this.log('info', 'turned away', {
       total,
       by: Object.fromEntries(by),
       tasks,
       users,
       behindS: Math.round(behindS * 10) / 10,
-      plan: this.planning.followedVersion,
+      plan: this.writeBudget.followedVersion,
     });
     away.clear();
   }
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -128,11 +128,11 @@
     const { replica, clock, leaseTtlMs } = this.options;
     return new Map(
       this.members.map((member) => {
-        const here = replica.watchRevision < 0 || replica.presences.has(member);
-        if (here) this.presentAt.set(member, clock.now);
+        const isPresent = replica.watchRevision < 0 || replica.presences.has(member);
+        if (isPresent) this.presentAt.set(member, clock.now);
         const absentMs = clock.now - (this.presentAt.get(member) ?? -Infinity);
-        const fallen = absentMs > leaseTtlMs * presenceLossKnownLeases;
-        return [member, { here, fallen, demand: here ? this.recentDemand(member) : null }];
+        const hasFallenBack = absentMs > leaseTtlMs * presenceLossKnownLeases;
+        return [member, { isPresent, hasFallenBack, demand: isPresent ? this.recentDemand(member) : null }];
       }),
     );
   }
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -28,7 +28,7 @@
   const kindOf = ({ spec: { team, class: cls } }: ScheduledJob): WorkKind => {
     const kind = workloadKey(team, cls);
     let k = kinds.get(kind);
-    if (!k) kinds.set(kind, (k = { kind, team, share: 0, waiting: false, jobs: [] }));
+    if (!k) kinds.set(kind, (k = { workload: kind, team, share: 0, waiting: false, jobs: [] }));
     return k;
   };
   for (const job of shardState.jobs.values())
@@ -41,8 +41,8 @@
     kind.jobs.push(job);
   }
   for (const owed of shardState.minimumShares.findDeficits(shardState.clock.now, [...kinds.values()])) {
-    let left = owed.share;
-    for (const job of kinds.get(owed.kind)!.jobs.sort((a, b) => a.acceptedAt - b.acceptedAt)) {
+    let left = owed.deficit;
+    for (const job of kinds.get(owed.workload)!.jobs.sort((a, b) => a.acceptedAt - b.acceptedAt)) {
       if (left <= 0) break;
       const each = shareOf(job);
       // A gang whole or not at all, and something in any case: a floor may be less than a task.
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -327,7 +327,7 @@
 
 export function allocationData({ version: number, members: parts }: WriteAllocation, valueKb: number): Data {
   const named = [...parts].flatMap(([member, p]) =>
-    [...p.kinds].map(([kind, rate]) => ({ member, kind, rate })),
+    [...p.workloadRates].map(([kind, rate]) => ({ member, kind, rate })),
   );
   named.sort((a, b) => b.rate - a.rate);
   const of = (list: typeof named): Data => ({
@@ -337,8 +337,8 @@
         member,
         [
           p.total,
-          p.users,
-          p.most,
+          p.newJobs,
+          p.maxInUse,
           Object.fromEntries(list.filter((x) => x.member === member).map((x) => [x.kind, x.rate])),
         ],
       ]),
@@ -358,8 +358,8 @@
 export function readAllocation(data: unknown): WriteAllocation {
   const d = data as { n: number; p: Record<string, [number, number, number, Record<string, number>]> };
   const parts = Object.entries(d.p).map(
-    ([member, [total, users, most, kinds]]) =>
-      [member, { total, users, most, kinds: new Map(Object.entries(kinds)) }] as const,
+    ([member, [total, newJobs, maxInUse, rates]]) =>
+      [member, { total, newJobs, maxInUse, workloadRates: new Map(Object.entries(rates)) }] as const,
   );
   return { version: d.n, members: new Map(parts) };
 }
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -110,11 +110,11 @@
     this.demandEstimates = new DemandEstimates(maxPending / 8, clientRetryPeriodMs);
     this.admission = new AdmissionQueue(
       {
-        most: maxPending,
-        patienceMs: maxAdmissionDelayMs,
-        tryMs: clientRetryPeriodMs,
-        longestMs: maxRetryAfterMs,
-        tickets: maxPending,
+        maxQueued: maxPending,
+        maxQueueWaitMs: maxAdmissionDelayMs,
+        retryWindowMs: clientRetryPeriodMs,
+        maxRetryAfterMs,
+        maxTickets: maxPending,
       },
       (team) => (this.groupRates.size > 0 ? this.groupRate(workloadKey(team, '')) : weightOf(team)),
       (e) =>
@@ -152,7 +152,7 @@
       id: spec.id,
       team: spec.team,
       class: spec.class,
-      firstAt: now,
+      firstAttemptAt: now,
       spec,
       rids: [requestId],
       since: now,
@@ -203,8 +203,8 @@
     this.backloggedAt = this.clock.now;
     const kind = `${workloadKey(entry.team, entry.class)}: ${this.bottleneck}`;
     this.rejections.set(kind, (this.rejections.get(kind) ?? 0) + 1);
-    const { id, team, class: cls, firstAt } = entry;
-    this.newlyRejected.push({ id, team, class: cls, ageMs: Math.round(this.clock.now - firstAt) });
+    const { id, team, class: cls, firstAttemptAt } = entry;
+    this.newlyRejected.push({ id, team, class: cls, ageMs: Math.round(this.clock.now - firstAttemptAt) });
     for (const requestId of entry.rids)
       out.push({
         type: 'respond',
@@ -221,11 +221,11 @@
   /** Takes in as many as may be written now. `factor`: of them, so many where something else runs short. */
   admit(share: LocalWriteShare, factor: number, out: Effect[]): void {
     const { now } = this.clock;
-    this.admission.rate = share.users * factor;
-    this.admission.totalRate = share.totalUsers * factor;
-    if (share.kinds !== this.groupRates) {
-      this.groupRates = share.kinds;
-      this.defaultGroupRate = Math.max(0.01, ...share.kinds.values());
+    this.admission.rate = share.newJobs * factor;
+    this.admission.totalRate = share.totalNewJobs * factor;
+    if (share.workloadRates !== this.groupRates) {
+      this.groupRates = share.workloadRates;
+      this.defaultGroupRate = Math.max(0.01, ...share.workloadRates.values());
     }
     let room = Math.min(this.burstLimiter.refill(this.admission.rate, now), this.batcher.userCapacity);
     for (; room > 0; room--) {
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -1,162 +1,189 @@
-/** The plan that divides the write budget among controllers, teams and classes, and who follows it. */
+/** The write budget: its allocation to controllers, teams and classes, and this controller's share of it. */
 import {
+  divideWrites,
   equalShare,
+  fallbackWrites,
   isWorthWriting,
   nextAllocation,
-  divideWrites,
   teamWeights,
-  fallbackWrites,
   type MemberDemand,
-  type WriteShare,
+  type MemberStatus,
   type WriteAllocation,
+  type WriteShare,
 } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
-import { type Committer, allocationData, allocationKey, Rank } from './storage/index.js';
 import type { Clock, Log } from './effects.js';
 import type { Membership } from './membership/index.js';
 import type { Peers } from './peers.js';
-import type { Replica } from './replica.js';
 import type { ReplicaFreshness } from './replica-freshness.js';
+import type { Replica } from './replica.js';
+import { allocationData, allocationKey } from './storage/index.js';
+import { WritePriority, type TransactionBatcher } from './storage/transaction-batcher.js';
 
-/** Looks, and plans at most, in a state lease. */
-const looksPerLease = 4;
-const plansPerLease = 2;
-/** Whoever does not follow the last plan after so many state leases has fallen back to its floor. */
+/** How often the leader works out a new allocation, and writes one at most, in a state lease. */
+const evaluationsPerLease = 4;
+const writesPerLease = 2;
+/** A controller that does not follow the last allocation after so many state leases has fallen back to its minimum. */
 const settledLeases = 1.25;
 
-/** What this controller may write, and what all may take in together, a second. */
+/** What this controller may write, and what all controllers together may admit, a second. */
 export interface LocalWriteShare extends WriteShare {
-  totalUsers: number;
-  /** In which proportion team and class take turns; none: by guarantee and urgency. */
-  kinds: ReadonlyMap<string, number>;
+  readonly totalNewJobs: number;
+  /** The rates by which teams and classes take turns here; none: by guarantee and urgency. */
+  readonly workloadRates: ReadonlyMap<string, number>;
 }
 
-const noKinds: ReadonlyMap<string, number> = new Map();
+/** What the write budget works with. */
+export interface WriteBudgetOptions {
+  readonly settings: Settings;
+  readonly replica: Replica;
+  readonly batcher: TransactionBatcher;
+  readonly freshness: ReplicaFreshness;
+  readonly peers: Peers;
+  readonly membership: Membership;
+  readonly clock: Clock;
+  readonly log: Log;
+}
+
+const noRates: ReadonlyMap<string, number> = new Map();
 
 /**
- * The plan of who may write how much. The leader works it out from what all report and stores it; every controller applies its
- * part of the newest that it knows. One whose view is older than its state lease falls back to its floor: so a plan that is
- * older than that is followed by nobody, and no clock but its own says so to each.
+ * The leader works out the allocation from what all controllers report, and stores it; every controller applies its share of the
+ * newest that it knows. A controller whose replica is older than its state lease falls back to its minimum: so an allocation
+ * that is older than that is followed by none, and each controller needs its own clock only.
  */
 export class WriteBudget {
-  private lookedAt = -Infinity;
-  private busy = false;
-  private wroteAt = -Infinity;
-  /** Since when the plan in force is known here, ms. */
-  private known = { number: -1, at: -Infinity };
-  private readonly weightOf: (team: string) => number;
+  private evaluatedAt = -Infinity;
+  private writtenAt = -Infinity;
+  private isWriting = false;
+  /** Since when the allocation in force is known here, ms. */
+  private known = { version: -1, since: -Infinity };
+  private readonly teamWeight: (team: string) => number;
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly replica: Replica,
-    private readonly batcher: Committer,
-    private readonly freshness: ReplicaFreshness,
-    private readonly peers: Peers,
-    private readonly membership: Membership,
-    private readonly clock: Clock,
-    private readonly log: Log,
-  ) {
-    this.weightOf = teamWeights(settings.teams);
+  constructor(private readonly options: WriteBudgetOptions) {
+    this.teamWeight = teamWeights(options.settings.teams);
   }
 
-  private get inForce(): boolean {
-    return this.replica.levels.isEnabled('admission-plan');
+  private get isEnabled(): boolean {
+    return this.options.replica.levels.isEnabled('admission-plan');
   }
 
-  /** The plan that this controller follows, or would if its view were new. */
+  /** The version of the allocation that this controller follows if its replica is fresh; 0: none. */
   get followedVersion(): number {
-    return this.inForce ? (this.replica.writeAllocation?.version ?? 0) : 0;
+    return this.isEnabled ? (this.options.replica.writeAllocation?.version ?? 0) : 0;
   }
 
-  private get members(): string[] {
-    return [this.settings.member, ...this.settings.peers.map((p) => p.member)];
+  private get memberNames(): string[] {
+    const { member, peers } = this.options.settings;
+    return [member, ...peers.map((peer) => peer.member)];
   }
 
-  /** Looks at what is there; in each step, so that whoever comes to lead knows how old the plan is. */
+  /** Notes the allocation in force and the peers' presence; in each step, so that a new leader knows how old they are. */
   observe(): void {
-    const number = this.replica.writeAllocation?.version ?? 0;
-    if (number !== this.known.number) this.known = { number, at: this.clock.now };
-    this.peers.demands();
+    const { replica, clock, peers } = this.options;
+    const version = replica.writeAllocation?.version ?? 0;
+    if (version !== this.known.version) this.known = { version, since: clock.now };
+    peers.demands();
   }
 
-  /** This controller's share. Without a plan that is in force all work it out from the same pulses; knowing nothing, it is equal. */
-  localShare(mine: MemberDemand): LocalWriteShare {
-    const writes = this.settings.state.write_rps;
-    const { members } = this;
-    const n = members.length;
-    if (!this.inForce) {
-      const alone = equalShare(writes, n);
-      const heard = [...this.peers.demands().values()].map(
-        (m) => m.demand ?? { tasks: m.here ? alone.total : 0, users: 0, behindS: 0 },
-      );
-      const parts = divideWrites(writes, [mine, ...heard]);
-      return { ...parts[0], totalUsers: parts.reduce((sum, p) => sum + p.users, 0), kinds: noKinds };
+  /** This controller's share. */
+  localShare(local: MemberDemand): LocalWriteShare {
+    const { settings, replica, freshness, membership } = this.options;
+    if (!this.isEnabled) return this.shareByReports(local);
+    const { writeAllocation } = replica;
+    const allocated = writeAllocation?.members.get(settings.member);
+    const isFresh = !freshness.isStale && membership.isPresent;
+    if (writeAllocation && allocated && isFresh) {
+      const totalNewJobs = [...writeAllocation.members.values()].reduce((sum, m) => sum + m.newJobs, 0);
+      return { ...allocated, totalNewJobs };
     }
-    const { writeAllocation: plan } = this.replica;
-    const part = plan?.members.get(this.settings.member);
-    const fresh = !this.freshness.isStale && this.membership.isPresent;
-    if (plan && part && fresh)
-      return { ...part, totalUsers: [...plan.members.values()].reduce((sum, p) => sum + p.users, 0) };
-    // Guards against following a plan that was replaced while nothing was heard of it, or one that counts this controller as
-    // gone, or that cannot be read.
-    const fallen = !fresh || plan !== null || this.replica.unreadableRecords.has(allocationKey);
-    const parts = fallbackWrites(writes, n, fallen);
-    return { ...parts, totalUsers: parts.users * n, kinds: noKinds };
+    // Guards against following an allocation that was replaced while this controller was cut off, that counts it as gone, or that
+    // cannot be read.
+    const mayBeInForce = !isFresh || writeAllocation !== null || replica.unreadableRecords.has(allocationKey);
+    const memberCount = this.memberNames.length;
+    const share = fallbackWrites(settings.state.write_rps, memberCount, mayBeInForce);
+    return { ...share, totalNewJobs: share.newJobs * memberCount, workloadRates: noRates };
+  }
+
+  /** Without allocations all controllers divide the budget by the same reports. One that has not reported counts as equal. */
+  private shareByReports(local: MemberDemand): LocalWriteShare {
+    const { settings, peers } = this.options;
+    const writesPerS = settings.state.write_rps;
+    const equal = equalShare(writesPerS, this.memberNames.length);
+    const reported = [...peers.demands().values()].map(
+      ({ demand, isPresent }) =>
+        demand ?? { acceptedWork: isPresent ? equal.total : 0, newJobs: 0, backlogS: 0 },
+    );
+    const shares = divideWrites(writesPerS, [local, ...reported]);
+    const totalNewJobs = shares.reduce((sum, share) => sum + share.newJobs, 0);
+    return { ...shares[0], totalNewJobs, workloadRates: noRates };
+  }
+
+  /** As the leader: writes the next allocation, if it is worth it. */
+  proposeNext(local: MemberDemand): void {
+    const { settings, replica, membership, clock } = this.options;
+    const { leaseTtlMs } = membership;
+    const { now } = clock;
+    if (!this.isEnabled || this.isWriting) return;
+    if (now - this.evaluatedAt < leaseTtlMs / evaluationsPerLease) return;
+    this.evaluatedAt = now;
+    if (now - this.writtenAt < leaseTtlMs / writesPerLease) return;
+    if (replica.unreadableRecords.has(allocationKey)) return;
+    if (!isWorthWriting(replica.writeAllocation, this.next(local), settings.state.write_rps)) return;
+    this.writtenAt = now;
+    this.write(local);
   }
 
-  /** As the leader: the next plan, if it is worth a write. */
-  proposeNext(mine: MemberDemand): void {
-    const { now } = this.clock;
-    const { writeAllocation: plan } = this.replica;
-    const { leaseTtlMs: ttlMs } = this.membership;
-    if (!this.inForce || this.busy || now - this.lookedAt < ttlMs / looksPerLease) return;
-    this.lookedAt = now;
-    if (now - this.wroteAt < ttlMs / plansPerLease || this.replica.unreadableRecords.has(allocationKey))
-      return;
-    const next = (): WriteAllocation => this.next(mine);
-    if (!isWorthWriting(plan, next(), this.settings.state.write_rps)) return;
-    this.busy = true;
-    this.wroteAt = now;
-    const done = (): void => void (this.busy = false);
-    this.batcher.enqueue({
-      priority: Rank.membership,
+  private write(local: MemberDemand): void {
+    const { settings, replica, batcher, membership, log } = this.options;
+    const valueKb = settings.state.value_kb;
+    this.isWriting = true;
+    const settle = (): void => void (this.isWriting = false);
+    batcher.enqueue({
+      priority: WritePriority.membership,
       build: () => {
-        const { leader: lead } = this.replica;
-        // Guards against a leader of before, which knows neither who follows what nor the newest plan.
-        if (!lead || !this.membership.isLeader || !this.inForce) {
-          done();
+        const { leader } = replica;
+        // Guards against a former leader, which knows neither what the others follow nor the newest allocation.
+        if (!leader || !membership.isLeader || !this.isEnabled) {
+          settle();
           return null;
         }
         return {
           conditions: [
-            { key: allocationKey, stamp: this.replica.modRevisionOf(allocationKey) },
-            { key: this.replica.activeLeaderKey, stamp: lead.modRevision },
+            { key: allocationKey, stamp: replica.modRevisionOf(allocationKey) },
+            { key: replica.activeLeaderKey, stamp: leader.modRevision },
           ],
-          writes: [{ key: allocationKey, data: allocationData(next(), this.settings.state.value_kb) }],
+          writes: [{ key: allocationKey, data: allocationData(this.next(local), valueKb) }],
         };
       },
       onCommitted: () => {
-        done();
-        const p = this.replica.writeAllocation;
-        if (p)
-          this.log('debug', 'plan', {
-            number: p.version,
-            ...allocationData(p, this.settings.state.value_kb),
+        settle();
+        const { writeAllocation } = replica;
+        if (writeAllocation)
+          log('debug', 'write allocation', {
+            number: writeAllocation.version,
+            ...allocationData(writeAllocation, valueKb),
           });
       },
-      onConflict: done,
+      onConflict: settle,
     });
   }
 
-  private next(mine: MemberDemand): WriteAllocation {
-    const { writeAllocation: plan } = this.replica;
-    const others = this.peers.demands();
-    const members = this.members.map((name) =>
-      name === this.settings.member
-        ? { name, here: true, fallen: false, demand: { ...mine, follows: this.followedVersion } }
-        : { name, ...others.get(name)! },
+  private next(local: MemberDemand): WriteAllocation {
+    const { settings, replica, peers, membership, clock } = this.options;
+    const reported = peers.demands();
+    const members = this.memberNames.map((name): MemberStatus => {
+      if (name !== settings.member) return { name, ...reported.get(name)! };
+      const demand = { ...local, allocationVersion: this.followedVersion };
+      return { name, isPresent: true, hasFallenBack: false, demand };
+    });
+    const isSettled = clock.now - this.known.since > settledLeases * membership.leaseTtlMs;
+    return nextAllocation(
+      replica.writeAllocation,
+      settings.state.write_rps,
+      members,
+      isSettled,
+      this.teamWeight,
     );
-    const settled = this.clock.now - this.known.at > settledLeases * this.membership.leaseTtlMs;
-    return nextAllocation(plan, this.settings.state.write_rps, members, settled, this.weightOf);
   }
 }
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -119,21 +119,21 @@
   return {
     ...status,
     says: true,
-    tasks: d.tasks,
-    users: d.users,
-    behind: Math.round(d.behindS * 10),
-    follows: d.follows,
-    kinds: d.kinds.map((k) => ({ team: k.team, class: k.class, weight: k.weight, want: k.want })),
+    tasks: d.acceptedWork,
+    users: d.newJobs,
+    behind: Math.round(d.backlogS * 10),
+    follows: d.allocationVersion,
+    kinds: d.workloads.map((k) => ({ team: k.team, class: k.class, weight: k.weight, want: k.jobsPerS })),
   };
 }
 
 function decodeDemand(p: WirePulse): MemberDemand {
   return {
-    tasks: p.tasks,
-    users: p.users,
-    behindS: p.behind / 10,
-    follows: p.follows,
-    kinds: p.kinds.map((k) => ({ team: k.team, class: k.class, weight: k.weight, want: k.want })),
+    acceptedWork: p.tasks,
+    newJobs: p.users,
+    backlogS: p.behind / 10,
+    allocationVersion: p.follows,
+    workloads: p.kinds.map((k) => ({ team: k.team, class: k.class, weight: k.weight, jobsPerS: k.want })),
   };
 }
 
--- a/src/queues/bounded-priority-queues.ts
+++ b/src/queues/bounded-priority-queues.ts
@@ -1,100 +1,124 @@
-/** One kind of work and what it may take. */
+/** Bounded queues that share their service by weight and shed load by priority. */
+
+/** The limits of one queue. */
 export interface QueueLimits {
-  /** Its share of what is worked off while others wait too; shares are relative. */
-  share: number;
-  /** How many may wait in it. */
-  most: number;
-  /** Whoever waits longer than this has given up; ms. */
-  patienceMs: number;
+  /** Its share of the service while other queues have items too, relative to theirs. */
+  readonly share: number;
+  /** Items that may wait in it. */
+  readonly maxWaiting: number;
+  /** After this long the sender of an item does not wait for the answer any more, ms. */
+  readonly maxWaitMs: number;
+}
+
+interface WaitingItem<T> {
+  readonly item: T;
+  readonly since: number;
 }
 
-interface Waiting<T> {
-  item: T;
-  since: number;
+interface Queue<K, T> {
+  readonly name: K;
+  readonly limits: QueueLimits;
+  items: WaitingItem<T>[];
+  /** Service that it has earned and not used yet, in items. */
+  credit: number;
 }
 
 /**
- * Bounded queues side by side. Each is worked off by its share, so that none starves; what is not used by one is there
- * for the others. Names are in order of need: when all of them together hold too much, the newest of the least needed
- * is turned away.
+ * Queues of decreasing priority. Each is served by its share, so that none starves; what one does not use is there for the
+ * others. If together they hold too many items, the newest of the lowest priority is rejected.
  */
 export class BoundedPriorityQueues<K extends string, T> {
-  private readonly queues: { name: K; lane: QueueLimits; items: Waiting<T>[]; credit: number }[];
-  private queued = 0;
+  /** Highest priority first. */
+  private readonly queues: Queue<K, T>[];
+  private waitingCount = 0;
 
+  /** `limits`: by name, in order of priority. */
   constructor(
-    lanes: Record<K, QueueLimits>,
-    /** How many may wait in all of them together. */
-    private readonly most: number,
+    limits: Record<K, QueueLimits>,
+    /** Items that may wait in all queues together. */
+    private readonly maxWaitingTotal: number,
   ) {
-    this.queues = (Object.entries(lanes) as [K, QueueLimits][]).map(([name, lane]) => ({
+    this.queues = (Object.entries(limits) as [K, QueueLimits][]).map(([name, queueLimits]) => ({
       name,
-      lane,
+      limits: queueLimits,
       items: [],
       credit: 0,
     }));
   }
 
+  /** Items that wait in all queues together. */
   get size(): number {
-    return this.queued;
+    return this.waitingCount;
   }
 
-  /** How much of what may wait in a lane does. */
+  /** How full a queue is, as a share of its limit. */
   fillRatio(name: K): number {
-    const q = this.queues.find((x) => x.name === name)!;
-    return q.items.length / q.lane.most;
+    const { items, limits } = this.queueOf(name);
+    return items.length / limits.maxWaiting;
   }
 
-  /** Takes an item in. Returns whom that turns away: itself, or another that is needed less. */
+  /** Adds an item. Returns the items that are rejected for it: itself, one of lower priority, or none. */
   offer(name: K, item: T, now: number): T[] {
-    const q = this.queues.find((x) => x.name === name)!;
-    if (q.items.length >= q.lane.most) return [item];
-    q.items.push({ item, since: now });
-    this.queued++;
-    if (this.queued <= this.most) return [];
+    const queue = this.queueOf(name);
+    if (queue.items.length >= queue.limits.maxWaiting) return [item];
+    queue.items.push({ item, since: now });
+    this.waitingCount++;
+    if (this.waitingCount <= this.maxWaitingTotal) return [];
     for (let i = this.queues.length - 1; i >= 0; i--) {
-      const last = this.queues[i].items.pop();
-      if (last === undefined) continue;
-      this.queued--;
-      return [last.item];
+      const newest = this.queues[i].items.pop();
+      if (newest === undefined) continue;
+      this.waitingCount--;
+      return [newest.item];
     }
     return [];
   }
 
-  /** The next items, so many at most, and those whose senders have given up meanwhile. */
+  /** Removes the next items, `count` at most, and those whose senders do not wait any more. */
   take(count: number, now: number): { items: T[]; expired: T[] } {
+    const expired = this.removeExpired(now);
+    if (this.waitingCount <= count) return { items: this.removeAll(), expired };
     const items: T[] = [];
+    while (items.length < count) this.serveRound(items, count);
+    return { items, expired };
+  }
+
+  private queueOf(name: K): Queue<K, T> {
+    return this.queues.find((queue) => queue.name === name)!;
+  }
+
+  private removeExpired(now: number): T[] {
     const expired: T[] = [];
-    for (const q of this.queues) {
-      let late = 0;
-      while (late < q.items.length && now - q.items[late].since > q.lane.patienceMs) late++;
-      for (const w of q.items.splice(0, late)) expired.push(w.item);
-      this.queued -= late;
+    for (const { items, limits } of this.queues) {
+      let count = 0;
+      while (count < items.length && now - items[count].since > limits.maxWaitMs) count++;
+      for (const { item } of items.splice(0, count)) expired.push(item);
+      this.waitingCount -= count;
     }
-    if (this.queued <= count) {
-      for (const q of this.queues) {
-        for (const w of q.items) items.push(w.item);
-        q.items = [];
-        q.credit = 0;
-      }
-      this.queued = 0;
-      return { items, expired };
+    return expired;
+  }
+
+  private removeAll(): T[] {
+    const items: T[] = [];
+    for (const queue of this.queues) {
+      for (const { item } of queue.items) items.push(item);
+      queue.items = [];
+      queue.credit = 0;
     }
-    while (items.length < count) this.serveRound(items, count);
-    return { items, expired };
+    this.waitingCount = 0;
+    return items;
   }
 
-  /** Each lane that has work gets what its share of the rest is worth; what it cannot use is kept for its next turn. */
+  /** Gives each queue that has items its share of the remaining service; a fraction of an item is kept as credit. */
   private serveRound(items: T[], count: number): void {
-    const busy = this.queues.filter((q) => q.items.length > 0);
-    const shares = busy.reduce((sum, q) => sum + q.lane.share, 0);
-    const rest = count - items.length;
-    for (const q of busy) {
-      q.credit += (rest * q.lane.share) / shares;
-      const n = Math.min(Math.floor(q.credit), q.items.length, count - items.length);
-      q.credit = q.items.length > n ? q.credit - n : 0;
-      for (const w of q.items.splice(0, n)) items.push(w.item);
-      this.queued -= n;
+    const backlogged = this.queues.filter((queue) => queue.items.length > 0);
+    const shareSum = backlogged.reduce((sum, { limits }) => sum + limits.share, 0);
+    const remaining = count - items.length;
+    for (const queue of backlogged) {
+      queue.credit += (remaining * queue.limits.share) / shareSum;
+      const served = Math.min(Math.floor(queue.credit), queue.items.length, count - items.length);
+      queue.credit = queue.items.length > served ? queue.credit - served : 0;
+      for (const { item } of queue.items.splice(0, served)) items.push(item);
+      this.waitingCount -= served;
     }
   }
 }
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -1,30 +1,40 @@
+/** The queue of commands that wait for the next step of the core. */
 import type { Settings } from './config/settings.js';
 import type { Command, Effect } from './core/effects.js';
-import { BoundedPriorityQueues } from './queues/index.js';
 import type { Limits } from './limits/index.js';
+import { BoundedPriorityQueues } from './queues/index.js';
 import type { Random } from './retry/index.js';
 
-type Request = Extract<Command, { type: 'submit' | 'query' | 'cancel' | 'heartbeat' }>;
-const laneNames = { cancel: 'cancel', heartbeat: 'heartbeat', submit: 'submit', query: 'query' } as const;
-type LaneName = keyof typeof laneNames;
+/** Commands that are requests of users and workers, by decreasing priority. */
+const requestTypes = ['cancel', 'heartbeat', 'submit', 'query'] as const;
+type RequestType = (typeof requestTypes)[number];
+type Request = Extract<Command, { type: RequestType }>;
 
-/** What requests may take of a step together: the next step sees what has come meanwhile. */
-const perStep = 128;
-/** After this share of the time for which its sender waits, an answer would come too late. */
-const patience = 0.75;
-/** Who is turned away comes back within this share of the workers' report interval, and not all at once. */
-const spreadShare = 1;
+/** Requests that one step handles at most: the next step sees what has come meanwhile. */
+const maxRequestsPerStep = 128;
+/** After this share of the time for which its sender waits, a response would come too late. */
+const usableWaitShare = 0.75;
+/** How long senders wait for a response by the protocol, ms. */
+const senderWaitMs: Record<RequestType, number> = {
+  cancel: 5000,
+  heartbeat: 4000,
+  submit: 5000,
+  query: 2000,
+};
+/** Rejected requests are repeated after 1 s, plus a random share of this many heartbeat intervals. */
+const retrySpreadIntervals = 1;
 
-const isRequest = (c: Command): c is Request => c.type in laneNames;
+const isRequest = (command: Command): command is Request =>
+  (requestTypes as readonly string[]).includes(command.type);
 
 /**
- * What waits to be worked off. What our own calls brought goes first and is never turned away; requests come through
- * lanes, so that a thousand workers and hundreds of users that come at once do not starve each other.
+ * Commands that wait. Results of the core's own effects are handled first and never rejected; requests go through bounded priority
+ * queues, so that thousands of workers and hundreds of users that come at once do not starve each other.
  */
 export class RequestQueue {
-  private inner: Command[] = [];
-  private readonly lanes: BoundedPriorityQueues<LaneName, Request>;
-  /** Memory is short: only what stops work or keeps it alive is taken in. */
+  private internal: Command[] = [];
+  private readonly requests: BoundedPriorityQueues<RequestType, Request>;
+  /** Memory is short: only requests that stop work or keep it alive are accepted. */
   memoryShort = false;
 
   constructor(
@@ -32,60 +42,61 @@
     limits: Limits,
     private readonly random: Random,
   ) {
-    const { max: most } = limits.sockets;
-    const { maxWaitingRequests: waiting } = limits;
-    // In order of need. How long senders wait is what the protocol says.
-    this.lanes = new BoundedPriorityQueues(
+    const maxConnections = limits.sockets.max;
+    const { maxWaitingRequests } = limits;
+    const queue = (type: RequestType, share: number, maxWaiting: number) => ({
+      share,
+      maxWaiting,
+      maxWaitMs: senderWaitMs[type] * usableWaitShare,
+    });
+    this.requests = new BoundedPriorityQueues(
       {
-        cancel: { share: 4, most: waiting, patienceMs: 5000 * patience },
-        heartbeat: { share: 4, most, patienceMs: 4000 * patience },
-        submit: { share: 3, most: waiting, patienceMs: 5000 * patience },
-        query: { share: 1, most: waiting, patienceMs: 2000 * patience },
+        cancel: queue('cancel', 4, maxWaitingRequests),
+        heartbeat: queue('heartbeat', 4, maxConnections),
+        submit: queue('submit', 3, maxWaitingRequests),
+        query: queue('query', 1, maxWaitingRequests),
       },
-      most,
+      maxConnections,
     );
   }
 
+  /** Whether no command waits. */
   get empty(): boolean {
-    return this.inner.length === 0 && this.lanes.size === 0;
+    return this.internal.length === 0 && this.requests.size === 0;
   }
 
-  /** Takes a command in; the answers to those that are turned away for it. */
-  offer(c: Command, now: number): Effect[] {
-    if (!isRequest(c)) {
-      this.inner.push(c);
+  /** Adds a command. Returns the responses to the requests that are rejected for it. */
+  offer(command: Command, now: number): Effect[] {
+    if (!isRequest(command)) {
+      this.internal.push(command);
       return [];
     }
-    if (this.memoryShort && (c.type === 'query' || c.type === 'submit')) return [this.later(c)];
-    return this.lanes.offer(c.type, c, now).map((x) => this.later(x));
+    if (this.memoryShort && (command.type === 'query' || command.type === 'submit'))
+      return [this.rejection(command)];
+    return this.requests.offer(command.type, command, now).map((request) => this.rejection(request));
   }
 
-  /** Of the submissions that may wait to be worked off, so many do. */
+  /** How full the queue of submissions is, as a share of its limit. */
   get submissionFillRatio(): number {
-    return this.lanes.fillRatio('submit');
+    return this.requests.fillRatio('submit');
   }
 
-  /** Answers to what was asked before count no more; requests wait on. */
+  /** Drops results of effects: the core restarts. Requests stay. */
   discardResponses(): void {
-    this.inner = [];
+    this.internal = [];
   }
 
+  /** Removes the commands of the next step. `answers`: the responses to requests that have waited for too long. */
   take(now: number): { commands: Command[]; answers: Effect[] } {
-    const { items, expired } = this.lanes.take(perStep, now);
-    const commands = this.inner.concat(items);
-    this.inner = [];
-    return { commands, answers: expired.map((x) => this.later(x)) };
+    const { items, expired } = this.requests.take(maxRequestsPerStep, now);
+    const commands = this.internal.concat(items);
+    this.internal = [];
+    return { commands, answers: expired.map((request) => this.rejection(request)) };
   }
 
-  private later(c: Request): Effect {
-    const spread = this.settings.workers.report_s * spreadShare * this.random();
+  private rejection({ requestId }: Request): Effect {
+    const spreadS = this.settings.workers.report_s * retrySpreadIntervals * this.random();
     const body = { error: 'too much at once, try again later' };
-    return {
-      type: 'respond',
-      requestId: c.requestId,
-      status: 503,
-      body,
-      retryAfterS: 1 + Math.floor(spread),
-    };
+    return { type: 'respond', requestId, status: 503, body, retryAfterS: 1 + Math.floor(spreadS) };
   }
 }
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -17,9 +17,9 @@
 
 const amount = fc.double({ min: 0, max: 100, noNaN: true });
 const claim = fc.record({
-  want: amount,
+  demand: amount,
   weight: fc.double({ min: 0.1, max: 9, noNaN: true }),
-  floor: amount,
+  minimum: amount,
 });
 
 test('max-min: never more than the whole or than wanted, floors first, nobody could get more without one who has less', () => {
@@ -28,7 +28,7 @@
       const parts = maxMinShares(total, claims);
       const sum = parts.reduce((a, b) => a + b, 0);
       assert.ok(sum <= total + 1e-6);
-      const floors = claims.map((c) => Math.min(c.want, c.floor));
+      const floors = claims.map((c) => Math.min(c.demand, c.minimum));
       const scale = Math.min(
         1,
         total /
@@ -38,21 +38,21 @@
           ),
       );
       claims.forEach((c, i) => {
-        assert.ok(parts[i] <= c.want + 1e-6);
+        assert.ok(parts[i] <= c.demand + 1e-6);
         assert.ok(parts[i] >= floors[i] * scale - 1e-6);
       });
-      const wanted = claims.reduce((a, c) => a + c.want, 0);
+      const wanted = claims.reduce((a, c) => a + c.demand, 0);
       assert.ok(sum >= Math.min(total, wanted) - 1e-6);
       // Of two that are short, neither has more beyond its floor, for its weight, than the other.
       const level = (i: number) => (parts[i] - floors[i] * scale) / claims[i].weight;
-      const short = claims.map((_, i) => i).filter((i) => parts[i] < claims[i].want - 1e-6);
+      const short = claims.map((_, i) => i).filter((i) => parts[i] < claims[i].demand - 1e-6);
       for (const i of short) for (const j of short) assert.ok(Math.abs(level(i) - level(j)) < 1e-4);
     }),
   );
 });
 
-test('parts: all controllers together stay below the whole, whatever they want, and each has something', () => {
-  const wants = fc.array(fc.record({ tasks: amount, users: amount, behindS: amount }), {
+test('write shares: all controllers together stay below the whole, whatever they want, and each has something', () => {
+  const wants = fc.array(fc.record({ acceptedWork: amount, newJobs: amount, backlogS: amount }), {
     minLength: 1,
     maxLength: 7,
   });
@@ -60,8 +60,8 @@
     fc.property(fc.double({ min: 1, max: 200, noNaN: true }), wants, (writes, list) => {
       const parts = divideWrites(writes, list);
       assert.ok(parts.reduce((a, p) => a + p.total, 0) <= writes);
-      for (const p of parts) assert.ok(p.users <= p.total + 1e-9);
-      parts.forEach((p, i) => assert.ok(p.users > 0 || list[i].users === 0));
+      for (const p of parts) assert.ok(p.newJobs <= p.total + 1e-9);
+      parts.forEach((p, i) => assert.ok(p.newJobs > 0 || list[i].newJobs === 0));
     }),
   );
   assert.ok(equalShare(40, 3).total * 3 <= 40);
@@ -74,7 +74,7 @@
   id: `${team}${cls}${n}`,
   team,
   class: cls,
-  firstAt,
+  firstAttemptAt: firstAt,
   n,
 });
 
@@ -102,7 +102,7 @@
   // One that tried longer than all goes first in its class, and can be taken out.
   const old = item('a', 'flood', 99, -5);
   q.enqueue(old);
-  assert.deepEqual(q.position(item('a', 'flood', 98, -4)).older, 1);
+  assert.deepEqual(q.position(item('a', 'flood', 98, -4)).ahead, 1);
   assert.ok(q.remove(old) && !q.remove(old));
   const size = q.size;
   assert.equal([...q].length, size);
@@ -110,7 +110,7 @@
   assert.equal(q.size, 0);
 });
 
-test('tickets: bounded, told by others, and gone when the job is taken in or its user has given up', () => {
+test('retry tickets: bounded, told by others, and gone when the job is taken in or its user has given up', () => {
   const t = new RetryTickets(100, 60_000);
   const turned = (n: number, ageMs = 0) => ({ id: `req-${n}`, team: 'a', class: 'c', ageMs });
   for (let n = 0; n < 150; n++) t.record(turned(n), n);
@@ -126,7 +126,13 @@
 });
 
 test('who is turned away is told when to come, spread, at most 30 s and before its user gives up; the oldest gets in', () => {
-  const limits = { most: 100, patienceMs: 1000, tryMs: 60_000, longestMs: 30_000, tickets: 5000 };
+  const limits = {
+    maxQueued: 100,
+    maxQueueWaitMs: 1000,
+    retryWindowMs: 60_000,
+    maxRetryAfterMs: 30_000,
+    maxTickets: 5000,
+  };
   let n = 0;
   const a = new AdmissionQueue<Item>(
     limits,
@@ -293,7 +299,13 @@
 });
 
 test('10,000 classes in one team: each gets its turn, and a decision stays cheap', () => {
-  const limits = { most: 20_000, patienceMs: 1000, tryMs: 60_000, longestMs: 30_000, tickets: 5000 };
+  const limits = {
+    maxQueued: 20_000,
+    maxQueueWaitMs: 1000,
+    retryWindowMs: 60_000,
+    maxRetryAfterMs: 30_000,
+    maxTickets: 5000,
+  };
   const cost: number[] = [];
   for (const classes of [10, 1000, 10_000]) {
     const a = new AdmissionQueue<Item>(
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -28,16 +28,16 @@
 import { World } from './support/world.js';
 
 const demand = (tasks: number, users: number, follows = 0, kinds: WorkloadDemand[] = []): MemberDemand => ({
-  tasks,
-  users,
-  behindS: 0,
-  kinds,
-  follows,
+  acceptedWork: tasks,
+  newJobs: users,
+  backlogS: 0,
+  workloads: kinds,
+  allocationVersion: follows,
 });
 const alike = (): number => 1;
 const rate = fc.double({ min: 0, max: 80, noNaN: true });
 
-test('plans: whichever plan each follows, all of them together never write more than the whole', () => {
+test('allocations: whichever plan each follows, all of them together never write more than the whole', () => {
   // Each step: what each wants, who has caught up with the newest plan, who has told the leader so, who is gone, time passes.
   const step = fc.record({
     wants: fc.array(fc.tuple(rate, rate), { minLength: 4, maxLength: 4 }),
@@ -69,8 +69,8 @@
           });
           const members = names.map((name, i): MemberStatus => ({
             name,
-            here: s.here[i],
-            fallen: !s.here[i] && s.fallen[i],
+            isPresent: s.here[i],
+            hasFallenBack: !s.here[i] && s.fallen[i],
             demand: s.here[i] ? demand(s.wants[i][0], s.wants[i][1], told[i]) : null,
           }));
           plan = nextAllocation(plan, writes, members, s.settled, alike);
@@ -88,8 +88,8 @@
           for (const p of plan.members.values()) {
             assert.ok(
               p.total >= minMemberWrites(writes, n) - 1e-9 &&
-                p.users <= p.total + 1e-9 &&
-                p.total <= p.most + 1e-9,
+                p.newJobs <= p.total + 1e-9 &&
+                p.total <= p.maxInUse + 1e-9,
             );
           }
         }
@@ -99,10 +99,10 @@
   );
 });
 
-test('plans: what is taken from one is given to another only when the first follows', () => {
+test('allocations: what is taken from one is given to another only when the first follows', () => {
   const members = (follows: number): MemberStatus[] => [
-    { name: 'a', here: true, fallen: false, demand: demand(40, 5, follows) },
-    { name: 'b', here: true, fallen: false, demand: demand(0, 2, follows) },
+    { name: 'a', isPresent: true, hasFallenBack: false, demand: demand(40, 5, follows) },
+    { name: 'b', isPresent: true, hasFallenBack: false, demand: demand(0, 2, follows) },
   ];
   const first = nextAllocation(null, 40, members(0), false, alike);
   const of = (p: WriteAllocation, name: string) => p.members.get(name)!.total;
@@ -114,30 +114,33 @@
   // Another leader knows of nobody what it follows, until it is told or time has passed.
   assert.ok(of(nextAllocation(second, 40, members(0), false, alike), 'a') >= of(second, 'a') - 1e-9);
   // Who is gone keeps its floor, the others get the rest once it is settled.
-  const gone: MemberStatus[] = [members(9)[0], { name: 'b', here: false, fallen: true, demand: null }];
+  const gone: MemberStatus[] = [
+    members(9)[0],
+    { name: 'b', isPresent: false, hasFallenBack: true, demand: null },
+  ];
   const third = nextAllocation(second, 40, gone, true, alike);
   assert.ok(Math.abs(of(third, 'b') - minMemberWrites(40, 2)) < 1e-9);
   assert.equal(isWorthWriting(third, nextAllocation(third, 40, gone, true, alike), 40), false);
 });
 
-test('plans: team first, then class, and those to whom their users come; who wants little takes its turn at once', () => {
+test('allocations: team first, then class, and those to whom their users come; who wants little takes its turn at once', () => {
   const kind = (team: string, cls: string, want: number, weight = 1): WorkloadDemand => ({
     team,
     class: cls,
     weight,
-    want,
+    jobsPerS: want,
   });
   const members: MemberStatus[] = [
     {
       name: 'a',
-      here: true,
-      fallen: false,
+      isPresent: true,
+      hasFallenBack: false,
       demand: demand(0, 45, 1, [kind('x', 'flood', 20), kind('y', 'flood', 10)]),
     },
     {
       name: 'b',
-      here: true,
-      fallen: false,
+      isPresent: true,
+      hasFallenBack: false,
       demand: demand(0, 12, 1, [kind('y', 'flood', 10), kind('y', 'small', 1)]),
     },
   ];
@@ -145,22 +148,22 @@
   const { members: parts } = nextAllocation(before, 20, members, true, alike);
   const [a, b] = [parts.get('a')!, parts.get('b')!];
   // Half of all for x, which comes to a alone; of y's half its small class gets all it wants.
-  assert.ok(a.users > b.users * 1.5, `${a.users} ${b.users}`);
-  assert.ok(a.kinds.get('x flood')! > a.kinds.get('y flood')! * 1.7);
-  assert.ok(b.kinds.get('y small')! >= b.kinds.get('y flood')!);
+  assert.ok(a.newJobs > b.newJobs * 1.5, `${a.newJobs} ${b.newJobs}`);
+  assert.ok(a.workloadRates.get('x flood')! > a.workloadRates.get('y flood')! * 1.7);
+  assert.ok(b.workloadRates.get('y small')! >= b.workloadRates.get('y flood')!);
 });
 
-test('plans are records like others: their format, what fits into a value, damaged ones', () => {
+test('allocations are records like others: their format, what fits into a value, damaged ones', () => {
   const kinds = Array.from({ length: 16 }, (_, i) => ({
     team: 't',
     class: `${'c'.repeat(150)}${i}`,
     weight: 1,
-    want: i + 1,
+    jobsPerS: i + 1,
   }));
   const members: MemberStatus[] = ['a', 'b', 'c'].map((name) => ({
     name,
-    here: true,
-    fallen: false,
+    isPresent: true,
+    hasFallenBack: false,
     demand: demand(9, 9, 0, kinds),
   }));
   const plan = nextAllocation(null, 40, members, false, alike);
@@ -178,7 +181,7 @@
   for (let i = 0; i < 300; i++) w.recordArrival('u', 'one', 1, 10_000 + i * 10);
   const list = w.largest(13_000);
   assert.ok(list.length <= 16 && list.some((k) => k.team === 't' && k.class === '*'));
-  assert.ok(list.some((k) => k.team === 'u' && k.want > 20));
+  assert.ok(list.some((k) => k.team === 'u' && k.jobsPerS > 20));
   const p = new OverloadMonitor();
   const load = { writes: 3, requests: 0.2, time: 0.3, sockets: 0.1, memory: 0.4, waiting: 0 };
   for (let i = 0; i < 50; i++) p.observe(load);
@@ -290,12 +293,14 @@
     wish(w, { maxLevel: 2, lower: true });
     assert.ok(w.advanceUntil(() => levelOf(w).level === 2, 20));
     w.advance(5);
-    assert.ok(w.nodes.every((n) => n.controller['planning'].followedVersion === 0));
+    assert.ok(w.nodes.every((n) => n.controller['writeBudget'].followedVersion === 0));
     wish(w, {});
     assert.ok(w.advanceUntil(() => levelOf(w).level === newestLevel, 20));
     w.advance(100);
     assert.ok(
-      w.nodes.every((n) => n.controller['planning'].followedVersion === (planOf(w).data as { n: number }).n),
+      w.nodes.every(
+        (n) => n.controller['writeBudget'].followedVersion === (planOf(w).data as { n: number }).n,
+      ),
     );
     served(users, 0.9);
     assert.deepEqual(w.violations, []);
@@ -314,23 +319,23 @@
     assert.equal((planOf(w).data as { v: number }).v, 9);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
     w.advance(4);
-    for (const n of w.nodes) assert.ok(n.controller['planning'].followedVersion > 0);
+    for (const n of w.nodes) assert.ok(n.controller['writeBudget'].followedVersion > 0);
   },
 );
 
-test('floors: owed after a whole window with less, up to the floor, by team and then by class, those that waited longest first', () => {
+test('minimum shares: a deficit after a whole window with less, up to the floor, by team and then by class, those that waited longest first', () => {
   const f = new MinimumShares(10_000, 0.5);
   const uses = (small: number, waits = true): WorkloadUsage[] => [
-    { kind: 'a big', team: 'a', share: 1 - small, waiting: true },
-    { kind: 'b small', team: 'b', share: small, waiting: waits },
-    { kind: 'b other', team: 'b', share: 0, waiting: false },
+    { workload: 'a big', team: 'a', share: 1 - small, waiting: true },
+    { workload: 'b small', team: 'b', share: small, waiting: waits },
+    { workload: 'b other', team: 'b', share: 0, waiting: false },
   ];
   assert.deepEqual(f.findDeficits(0, uses(0)), []);
   assert.deepEqual(f.findDeficits(9000, uses(0)), []);
   // Half of an equal part: a quarter for the team, all of it for its only class that has work.
-  assert.deepEqual(f.findDeficits(10_000, uses(0)), [{ kind: 'b small', share: 0.25 }]);
+  assert.deepEqual(f.findDeficits(10_000, uses(0)), [{ workload: 'b small', deficit: 0.25 }]);
   assert.deepEqual(
-    f.findDeficits(11_000, uses(0.2)).map((o) => Math.round(o.share * 100)),
+    f.findDeficits(11_000, uses(0.2)).map((o) => Math.round(o.deficit * 100)),
     [5],
   );
   assert.deepEqual(f.findDeficits(12_000, uses(0.25)), []);
@@ -338,7 +343,7 @@
   f.findDeficits(20_000, uses(0, false));
   assert.deepEqual(f.findDeficits(29_000, uses(0)), []);
   const many = Array.from({ length: 10_000 }, (_, i) => ({
-    kind: `c ${i}`,
+    workload: `c ${i}`,
     team: 'c',
     share: 0,
     waiting: true,
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -20,7 +20,7 @@
 const owed = (perS: number): number[] =>
   maxMinShares(
     perS,
-    flooding.map((s) => ({ want: s.perS, weight: 1, floor: 0 })),
+    flooding.map((s) => ({ demand: s.perS, weight: 1, minimum: 0 })),
   );
 
 /** Measures admission under a flood of submissions. */
@@ -61,13 +61,19 @@
       team: `t${i % 5}`,
       class: `c${i}`,
       weight: 1,
-      want: 1,
+      jobsPerS: 1,
     }));
-    const demand: MemberDemand = { tasks: 20, users: 20, behindS: 1, follows: 1, kinds };
+    const demand: MemberDemand = {
+      acceptedWork: 20,
+      newJobs: 20,
+      backlogS: 1,
+      allocationVersion: 1,
+      workloads: kinds,
+    };
     const members: MemberStatus[] = ['a', 'b', 'c'].map((name) => ({
       name,
-      here: true,
-      fallen: false,
+      isPresent: true,
+      hasFallenBack: false,
       demand,
     }));
     const from = performance.now();
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -14,8 +14,8 @@
 import { Connections } from '../src/users/connections.js';
 import { settingsText, spec } from './support/fixtures.js';
 
-test('lanes: a flood in one does not starve the others, and what is needed least is turned away first', () => {
-  const lane = (share: number, most = 100) => ({ share, most, patienceMs: 1000 });
+test('bounded priority queues: a flood in one does not starve the others, and what is needed least is turned away first', () => {
+  const lane = (share: number, maxWaiting = 100) => ({ share, maxWaiting, maxWaitMs: 1000 });
   const l = new BoundedPriorityQueues({ stop: lane(4), report: lane(4), poll: lane(1) }, 60);
   for (let i = 0; i < 58; i++) assert.deepEqual(l.offer('poll', `p${i}`, 0), []);
   assert.deepEqual(l.offer('report', 'r0', 0), []);
@@ -33,8 +33,8 @@
   assert.equal(l.size, 0);
 });
 
-test('lanes: shares hold over many turns, down to one item a turn', () => {
-  const lane = (share: number) => ({ share, most: 1000, patienceMs: 1e9 });
+test('bounded priority queues: shares hold over many turns, down to one item a turn', () => {
+  const lane = (share: number) => ({ share, maxWaiting: 1000, maxWaitMs: 1e9 });
   const l = new BoundedPriorityQueues({ a: lane(3), b: lane(1) }, 2000);
   for (let i = 0; i < 400; i++) for (const n of ['a', 'b'] as const) l.offer(n, n, 0);
   const got = { a: 0, b: 0 };
@@ -42,7 +42,7 @@
   assert.ok(Math.abs(got.a - 300) <= 4, JSON.stringify(got));
 });
 
-test('intake: in a storm of polls a cancellation gets through, polls are told when to come back, not all at once', () => {
+test('request queue: in a storm of polls a cancellation gets through, polls are told when to come back, not all at once', () => {
   const settings = parseSettings(settingsText('n0', 3));
   const limits = limitsOf({ ...settings, quota: { mem_mb: 100, fd_limit: 500 } });
   const requestQueue = new RequestQueue(settings, limits, seededRandom(3));
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -482,17 +482,20 @@
     incarnation: 3,
     jobCount: 12,
     demand: {
-      tasks: 3,
-      users: 4,
-      behindS: 1.5,
-      follows: 7,
-      kinds: [{ team: 'a', class: 'b', weight: 2, want: 0.5 }],
+      acceptedWork: 3,
+      newJobs: 4,
+      backlogS: 1.5,
+      allocationVersion: 7,
+      workloads: [{ team: 'a', class: 'b', weight: 2, jobsPerS: 0.5 }],
     },
   };
   const got = reader.push(Buffer.concat([frame.subarray(3), encodeFrame({ type: 'peer-status', status })]));
   assert.deepEqual(got, [response, { type: 'peer-status', status }]);
   // Guards against zeros, which are not sent: who wants nothing was taken for one that does not say what it wants.
-  for (const demand of [{ tasks: 0, users: 0, behindS: 0, follows: 0, kinds: [] }, null]) {
+  for (const demand of [
+    { acceptedWork: 0, newJobs: 0, backlogS: 0, allocationVersion: 0, workloads: [] },
+    null,
+  ]) {
     const status = {
       revision: 1,
       run: 'a',
