--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -179,7 +179,7 @@
       import { Engine, LevelDisk } from ${JSON.stringify(new URL('../src/store/index.js', import.meta.url).href)};
       const e = await Engine.open(await LevelDisk.open(process.argv[1]), () => {}, () => process.exit(9));
       const one = async (w) => { for (let i = 0; ; i++) {
-        const r = await e.commit({ when: [], apply: [{ key: 'k/' + w + '/' + i, data: { i } }] });
+        const r = await e.commit({ conditions: [], writes: [{ key: 'k/' + w + '/' + i, data: { i } }] });
         process.stdout.write(r.revision + ' k/' + w + '/' + i + '\\n');
       } };
       for (let w = 0; w < 16; w++) void one(w);`;
