--- a/test/roll.ts
+++ b/test/roll.ts
@@ -13,6 +13,7 @@
 import { rollReal } from './roll-processes.js';
 import { scenarios, type Cast } from './support/rolls.js';
 import { thisProgram, type Program } from './support/controller-node.js';
+import { adaptEarlierController, type EarlierControllerClass } from './support/earlier-build.js';
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
@@ -44,16 +45,24 @@
   return dir;
 }
 
+/** Builds from before this module existed use other names for commands, effects and members: they need an adapter. */
+const firstWithTodaysNames = join('core', 'data-loss', 'record-restorer.js');
+
 export async function earlier(revision: string): Promise<Program> {
-  const at = pathToFileURL(join(build(revision), 'js', 'core', 'controller.js')).href;
+  const js = join(build(revision), 'js');
+  const at = pathToFileURL(join(js, 'core', 'controller.js')).href;
   const { Controller } = (await import(at)) as Pick<Program, 'Controller'>;
-  return { name: revision, Controller };
+  if (existsSync(join(js, firstWithTodaysNames))) return { name: revision, Controller };
+  const earlierClass = Controller as unknown as EarlierControllerClass;
+  return { name: revision, Controller: adaptEarlierController(earlierClass) };
 }
 
 /** The newest level that a build knows; before levels: 1. */
 async function levelOfBuild(revision: string): Promise<number> {
-  const at = join(build(revision), 'js', 'levels', 'index.js');
-  if (!existsSync(at)) return 1;
+  const js = join(build(revision), 'js');
+  const places = [join(js, 'feature-levels', 'index.js'), join(js, 'levels', 'index.js')];
+  const at = places.find((place) => existsSync(place));
+  if (at === undefined) return 1;
   return ((await import(pathToFileURL(at).href)) as { newestLevel: number }).newestLevel;
 }
 
