--- a/src/admission/workload-division.ts
+++ b/src/admission/workload-division.ts
@@ -33,6 +33,13 @@
 /** Rounds down to two digits: they are enough, and the sum never exceeds what there is. */
 export const roundDown = (value: number): number => Math.floor(value * 100) / 100;
 
+/** The division as it is built up: by controller, and the satisfied flows of all. */
+interface Division {
+  readonly shares: AdmissionShare[];
+  readonly teamRates: Map<string, number>[];
+  readonly satisfied: SatisfiedFlow[];
+}
+
 /**
  * Divides the jobs a second that may be admitted. `demands`: the workloads that each controller has named. Weighted max-min
  * fairness between teams and between the classes of each, with a minimum for each that has demand.
@@ -43,38 +50,17 @@
   teamWeight: (team: string) => number,
 ): AdmissionShare[] {
   const teams = [...collectTeams(demands)];
-  const shares = demands.map((): AdmissionShare => ({ jobsPerS: 0, workloadRates: new Map() }));
-  const teamRates = demands.map(() => new Map<string, number>());
-  const satisfied: SatisfiedFlow[] = [];
+  const division: Division = {
+    shares: demands.map(() => ({ jobsPerS: 0, workloadRates: new Map() })),
+    teamRates: demands.map(() => new Map()),
+    satisfied: [],
+  };
   const jobsByTeam = divideFairly(
     jobsPerS,
     teams.map(([team, classes]) => ({ demand: totalOf(classes), weight: teamWeight(team) })),
   );
-  teams.forEach(([team, classes], t) => {
-    const teamKey = workloadKey(team, '');
-    const jobsByClass = divideFairly(
-      jobsByTeam[t],
-      [...classes.values()].map(({ total, weight }) => ({ demand: total, weight })),
-    );
-    const classRates = demands.map(() => new Map<string, number>());
-    [...classes].forEach(([jobClass, { total, byMember }], c) =>
-      byMember.forEach((demand, member) => {
-        if (demand <= 0) return;
-        const rate = (jobsByClass[c] * demand) / total;
-        const key = workloadKey(team, jobClass);
-        const rates = classRates[member];
-        shares[member].jobsPerS += rate;
-        rates.set(key, rate);
-        teamRates[member].set(teamKey, (teamRates[member].get(teamKey) ?? 0) + rate);
-        if (jobsByClass[c] > total - tolerance) satisfied.push({ member, key, rates });
-      }),
-    );
-    const isSatisfied = jobsByTeam[t] > totalOf(classes) - tolerance;
-    classRates.forEach((rates, member) => {
-      if (isSatisfied && rates.size > 0) satisfied.push({ member, key: teamKey, rates: teamRates[member] });
-      for (const [key, rate] of rates) shares[member].workloadRates.set(key, rate);
-    });
-  });
+  teams.forEach(([team, classes], t) => divideAmongClasses(division, team, classes, jobsByTeam[t]));
+  const { shares, teamRates, satisfied } = division;
   teamRates.forEach((rates, member) =>
     rates.forEach((rate, key) => shares[member].workloadRates.set(key, rate)),
   );
@@ -86,6 +72,38 @@
   return shares;
 }
 
+/** Divides a team's jobs by class, and each class's by the controllers that have named it. */
+function divideAmongClasses(
+  { shares, teamRates, satisfied }: Division,
+  team: string,
+  classes: ReadonlyMap<string, ClassDemand>,
+  jobsPerS: number,
+): void {
+  const teamKey = workloadKey(team, '');
+  const classRates = shares.map(() => new Map<string, number>());
+  const jobsByClass = divideFairly(
+    jobsPerS,
+    [...classes.values()].map(({ total, weight }) => ({ demand: total, weight })),
+  );
+  [...classes].forEach(([jobClass, { total, byMember }], c) =>
+    byMember.forEach((demand, member) => {
+      if (demand <= 0) return;
+      const rate = (jobsByClass[c] * demand) / total;
+      const key = workloadKey(team, jobClass);
+      const rates = classRates[member];
+      shares[member].jobsPerS += rate;
+      rates.set(key, rate);
+      teamRates[member].set(teamKey, (teamRates[member].get(teamKey) ?? 0) + rate);
+      if (jobsByClass[c] > total - tolerance) satisfied.push({ member, key, rates });
+    }),
+  );
+  const isSatisfied = jobsPerS > totalOf(classes) - tolerance;
+  classRates.forEach((rates, member) => {
+    if (isSatisfied && rates.size > 0) satisfied.push({ member, key: teamKey, rates: teamRates[member] });
+    for (const [key, rate] of rates) shares[member].workloadRates.set(key, rate);
+  });
+}
+
 /** The demand by team and class, in the order in which it was first named. */
 function collectTeams(
   demands: readonly (readonly WorkloadDemand[])[],
--- a/src/cloud/cloud-provider.ts
+++ b/src/cloud/cloud-provider.ts
@@ -39,11 +39,13 @@
     this.client = new JsonClient(address, maxSockets);
   }
 
+  /** See {@link CloudProvider}. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const reply = await this.client.call('GET', '/machine_types', null, this.timeoutMs);
     return reply?.status === 200 ? parseMachineTypes(reply.body) : null;
   }
 
+  /** See {@link CloudProvider}. */
   async rentMachines(request: RentRequest): Promise<RentalOutcome> {
     const reply = await this.client.call('POST', '/rentals', encodeRental(request), this.timeoutMs);
     switch (reply?.status) {
@@ -63,11 +65,13 @@
     }
   }
 
+  /** See {@link CloudProvider}. */
   async deleteMachines(hosts: string[]): Promise<boolean> {
     const reply = await this.client.call('POST', '/rentals/delete', encodeDeletion(hosts), this.timeoutMs);
     return reply?.status === 200;
   }
 
+  /** See {@link CloudProvider}. */
   async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     for (let from = ''; ;) {
--- a/src/core/autoscaler/provisioning.ts
+++ b/src/core/autoscaler/provisioning.ts
@@ -6,7 +6,8 @@
 import type { AutoscalerContext } from './context.js';
 import type { UnmetDemand } from './demand.js';
 import type { FleetRecords } from './fleet-records.js';
-import { bestOffer, offerKey, type MachineOffer, type OfferAvailability } from './offers.js';
+import { bestOffer } from './offer-selection.js';
+import { offerKey, type MachineOffer, type OfferAvailability } from './offers.js';
 import type { CloudRequestBudget } from './request-budget.js';
 
 /** Machines that one request asks for at most. */
@@ -110,8 +111,8 @@
     const scaleOuts = new Map<string, ScaleOut>();
     for (const demand of unmet) {
       if (demand.count <= 0) continue;
-      const hazard = this.hazardPerStep();
-      const offer = bestOffer(this.context, this.availability, demand, machinesPerZone, hazard);
+      const fleet = { machinesPerZone, hazardPerStep: this.hazardPerStep() };
+      const offer = bestOffer(this.context, this.availability, demand, fleet);
       if (!offer) continue;
       const { shard } = demand;
       const key = `${shard} ${offerKey(offer.type.name, offer.zone, offer.spot)}`;
