--- /dev/null
+++ b/src/core/controller/command-handlers.ts
@@ -0,0 +1,150 @@
+/** Dispatch of commands to the components of a controller. */
+import type { Matcher } from '../../policy/matching.js';
+import type { Clock, Command, Effect, Log } from '../effects.js';
+import type { ControllerComponents } from './components.js';
+
+/** What handlers work with besides the components. */
+export interface CommandContext {
+  readonly components: ControllerComponents;
+  readonly clock: Readonly<Clock>;
+  readonly log: Log;
+  readonly matcher: Matcher | null;
+  /** Shard assignments have to be compared with the replica. */
+  readonly onShardsChanged: () => void;
+  /** Tells the peers at once that the state has reached a revision. */
+  readonly announceRevision: (revision: number, effects: Effect[]) => void;
+}
+
+type Handler<C extends Command> = (command: C, context: CommandContext, effects: Effect[]) => void;
+type Handlers = { readonly [T in Command['type']]: Handler<Extract<Command, { type: T }>> };
+type HandlersOf<T extends Command['type']> = Pick<Handlers, T>;
+
+/** Requests of users and workers. */
+const requestHandlers: HandlersOf<'submit' | 'query' | 'cancel' | 'heartbeat' | 'forwarded-response'> = {
+  submit: (c, { components }, effects) => components.userRequests.submit(c.requestId, c.spec, effects),
+  query: (c, { components }, effects) => components.userRequests.query(c.requestId, c.id, effects),
+  cancel: (c, { components }, effects) => components.userRequests.cancel(c.requestId, c.id, effects),
+  heartbeat: (c, { components }, effects) =>
+    components.heartbeatRouter.route(c.requestId, c.report, c.from ?? null, effects),
+  'forwarded-response': (c, { components }, effects) =>
+    components.heartbeatRouter.onForwardedResponse(c.requestId, c.status, c.body, effects),
+};
+
+/** Messages of other controllers, and the loss of their connections. */
+const peerHandlers: HandlersOf<
+  'peer-status' | 'peer-lost' | 'rejected-jobs' | 'freshness-query' | 'freshness-confirmed'
+> = {
+  'peer-status': (c, { components }, effects) => {
+    const { dataLossRecovery, freshnessExchange, peers, replica } = components;
+    freshnessExchange.notePeerProcess(c.from, c.status.run);
+    peers.onStatus(c.from, c.status);
+    dataLossRecovery.monitor.peerHeard(c.status);
+    if (c.status.revision > replica.watchRevision)
+      effects.push({ type: 'catch-up', revision: c.status.revision });
+  },
+  'peer-lost': (c, { components, log }, effects) => {
+    // Most likely its process ended: its lease is revoked rather than awaited. If it lives after all, it is granted
+    // a new one, and the fencing tokens protect both meanwhile.
+    const presence = components.replica.presences.get(c.member);
+    if (!presence || components.freshness.isStale) return;
+    log('info', 'peer lost', { member: c.member });
+    effects.push({ type: 'revoke-lease', leaseId: presence.leaseId });
+  },
+  'rejected-jobs': (c, { components }) => components.userRequests.rejectedElsewhere(c.list),
+  'freshness-query': (c, { components }, effects) =>
+    components.freshnessExchange.onQuery(c.from, c.query, effects),
+  'freshness-confirmed': (c, { components: { freshness, freshnessExchange } }) =>
+    freshness.onConfirmedByPeers(
+      freshnessExchange.onAnswer(c.from, c.run, c.query, c.known, freshness.completeUpTo),
+    ),
+};
+
+/** Results of requests to the state service, and what its watch delivers. */
+const stateServiceHandlers: HandlersOf<
+  | 'snapshot-progress'
+  | 'snapshot-loaded'
+  | 'changes'
+  | 'commit-result'
+  | 'revision-read'
+  | 'audit-result'
+  | 'lease-granted'
+  | 'lease-renewal-result'
+> = {
+  'snapshot-progress': (c, { log }) => log('info', 'reading state', { keys: c.keys }),
+  'snapshot-loaded': (c, { components, log, onShardsChanged }) => {
+    components.dataLossRecovery.monitor.snapshotLoaded(c.items, c.revision);
+    components.replica.loadSnapshot(c.items, c.revision);
+    components.freshnessExchange.onStateLoaded(c.revision);
+    log('info', 'state loaded', { epoch: c.revision, keys: c.items.length });
+    onShardsChanged();
+  },
+  changes: (c, { components }) => components.replica.applyWatch(c.changes, c.revision),
+  'commit-result': ({ outcome }, { announceRevision, clock, components }, effects) => {
+    if (outcome.type === 'ok') components.dataLossRecovery.monitor.revisionReached(outcome.revision);
+    components.batcher.handleOutcome(outcome, clock.now, effects);
+    // The peers need not wait for what their own watch delivers next.
+    if (outcome.type === 'ok') announceRevision(outcome.revision, effects);
+  },
+  'revision-read': (c, { components }, effects) => {
+    const { dataLossRecovery, freshness, userRequests } = components;
+    dataLossRecovery.monitor.revisionRead(c.sentAt, c.revision);
+    freshness.onRevisionRead(c.sentAt, c.revision);
+    userRequests.revisionRead(c.sentAt, c.revision, effects, freshness.isConfirmedByPeers);
+  },
+  'audit-result': (c, { components }) =>
+    components.dataLossRecovery.monitor.auditPageRead(c.from, c.items, c.more, c.revision),
+  'lease-granted': (c, { clock, components }) => components.membership.onLeaseGranted(c.leaseId, clock.now),
+  'lease-renewal-result': (c, { clock, components }) =>
+    components.membership.onLeaseRenewed(c.leaseId, c.outcome, clock.now),
+};
+
+/** Results of requests to the cloud, and what is known of machines otherwise. */
+const machineHandlers: HandlersOf<
+  | 'machine-attributes'
+  | 'forget-machine'
+  | 'machine-types'
+  | 'rental-result'
+  | 'deletion-result'
+  | 'machine-list'
+> = {
+  'machine-attributes': (c, { matcher }) => matcher?.setAttributes(c.host, c.attributes),
+  'forget-machine': (c, { components }) => components.autoscaler.abandonMachine(c.host),
+  'machine-types': (c, { components }) => components.autoscaler.handleMachineTypes(c.types),
+  'rental-result': (c, { components }) => components.autoscaler.handleRental(c.request, c.outcome),
+  'deletion-result': (c, { components }) => components.autoscaler.handleDeletion(c.hosts, c.ok),
+  'machine-list': (c, { components }) => components.autoscaler.handleListing(c.machines, c.askedAt),
+};
+
+/** What the process itself reports or asks for. */
+const processHandlers: HandlersOf<'tick' | 'load' | 'shut-down' | 'stop-gang'> = {
+  tick: () => undefined,
+  load: (c, { components }) => {
+    components.loadSharing.onLoadMeasured(c.busy, c.connections);
+    components.admission.onLoadMeasured(c);
+  },
+  'shut-down': (_, { clock, components, log }) => {
+    const { membership, shardManager, shutdown } = components;
+    if (shutdown.requested) return;
+    shutdown.begin(clock.now);
+    log('info', 'leaving', { shards: [...shardManager.ownedShards], leading: membership.isLeader });
+  },
+  'stop-gang': (c, { components: { shardManager } }) => {
+    const job = shardManager.shardState.jobs.get(c.id);
+    if (job) shardManager.shardState.stopGang(job);
+  },
+};
+
+const handlers: Handlers = {
+  ...requestHandlers,
+  ...peerHandlers,
+  ...stateServiceHandlers,
+  ...machineHandlers,
+  ...processHandlers,
+};
+
+/** Carries out one command; what it wants done is appended to `effects`. */
+export function handleCommand(command: Command, context: CommandContext, effects: Effect[]): void {
+  // The table maps each type to the handler of just that command, which the compiler cannot relate to the union.
+  const handler = handlers[command.type] as Handler<Command>;
+  handler(command, context, effects);
+}
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -43,7 +43,6 @@
   | { type: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
   /** A peer's connection broke and a new one was refused at once. */
   | { type: 'peer-lost'; member: string }
-  | { type: 'task-commands-result'; host: string; report: Heartbeat | null }
   /** So many keys of the first reading are here. */
   | { type: 'snapshot-progress'; keys: number }
   | { type: 'snapshot-loaded'; items: Change[]; revision: number }
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -65,12 +65,34 @@
 const readTimeoutMs = 1500;
 const writeTimeoutMs = 4000;
 
+/** What user requests are handled with. */
+export interface UserRequestsOptions {
+  readonly settings: Settings;
+  readonly replica: Replica;
+  readonly batcher: Committer;
+  readonly clock: Readonly<Clock>;
+  /** Requests that may wait at a time. */
+  readonly maxPending: number;
+  /** Jobs are admitted by the fair shares of teams and classes. */
+  readonly fairAdmission: boolean;
+  readonly random: Random;
+  /** Whether it is certain of every job whether it was ever accepted. */
+  readonly canConfirmAbsence: () => boolean;
+}
+
 /**
  * The users' requests. Final states are answered from memory. Any other answer is given only after the
  * state's revision was read later than the request came and the watch has reached it: no user may be told
  * something older than another node has told them already.
  */
 export class UserRequests {
+  private readonly settings: Settings;
+  private readonly replica: Replica;
+  private readonly batcher: Committer;
+  private readonly clock: Readonly<Clock>;
+  private readonly maxPending: number;
+  private readonly fairAdmission: boolean;
+  private readonly canConfirmAbsence: () => boolean;
   private pendingReads: PendingRead[] = [];
   private revisionRequested = false;
   private nextRevisionReadAt = -Infinity;
@@ -93,17 +115,15 @@
   private defaultGroupRate = 1;
   private readonly cancellationWrites = new Map<string, { rids: number[]; since: number }>();
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly replica: Replica,
-    private readonly batcher: Committer,
-    private readonly clock: Clock,
-    /** How many requests may wait. */
-    private readonly maxPending: number,
-    /** Jobs are taken in fairly by team and class. */
-    private readonly fairAdmission: boolean,
-    random: Random,
-  ) {
+  constructor(options: UserRequestsOptions) {
+    const { settings, maxPending, random } = options;
+    this.settings = settings;
+    this.replica = options.replica;
+    this.batcher = options.batcher;
+    this.clock = options.clock;
+    this.maxPending = maxPending;
+    this.fairAdmission = options.fairAdmission;
+    this.canConfirmAbsence = options.canConfirmAbsence;
     const { rps } = settings.state;
     this.revisionReadIntervalMs = (1000 * (1 + settings.peers.length)) / (rps * revisionReadShare);
     const weightOf = teamWeights(settings.teams);
@@ -123,9 +143,6 @@
     );
   }
 
-  /** Whether it is known of every job whether it was accepted. */
-  sureOfAbsence: () => boolean = () => true;
-
   submit(requestId: number, spec: JobSpec, out: Effect[]): void {
     if (this.replica.watchRevision < 0 || this.replica.machineTypes.length === 0)
       return this.respondRetryLater(requestId, out);
@@ -338,7 +355,7 @@
   private presenceUnknown(id: string): boolean {
     return (
       this.replica.unreadableRecords.has(jobKey(id)) ||
-      ((this.replica.levels.mustStandBy || !this.sureOfAbsence()) && !this.replica.jobs.has(id))
+      ((this.replica.levels.mustStandBy || !this.canConfirmAbsence()) && !this.replica.jobs.has(id))
     );
   }
 
--- a/src/service.ts
+++ b/src/service.ts
@@ -103,17 +103,19 @@
   }
 
   private createController(recoveryRecords: RecoveryRecords | null): Controller {
-    const { settings, operators, run, random, log, dependencies: parts, program } = this;
-    return new Controller(
+    const { settings, operators, random, log, program } = this;
+    const matcher = this.dependencies.matcher ?? null;
+    const instanceId = this.run;
+    return new Controller({
       settings,
       operators,
-      run,
+      instanceId,
       random,
       log,
-      parts.matcher ?? null,
+      matcher,
       program,
       recoveryRecords,
-    );
+    });
   }
 
   /** The state service has lost data: the core begins anew with what it knew, as another process would. */
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -226,7 +226,7 @@
     old.paused = false;
     w.advance(0.05);
     // It acts on what it had: within its floor, and no plan of it gets through.
-    assert.ok(old.controller['batcher'].writesPerS <= minMemberWrites(30, 3) + 1e-9);
+    assert.ok(old.controller['components'].batcher.writesPerS <= minMemberWrites(30, 3) + 1e-9);
     w.advance(10);
     const plans = w.commits.slice(mark).filter((c) => c.txn.writes.some((a) => a.key === 'dp/plan'));
     assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
@@ -293,13 +293,13 @@
     wish(w, { maxLevel: 2, lower: true });
     assert.ok(w.advanceUntil(() => levelOf(w).level === 2, 20));
     w.advance(5);
-    assert.ok(w.nodes.every((n) => n.controller['writeBudget'].followedVersion === 0));
+    assert.ok(w.nodes.every((n) => n.controller['components'].writeBudget.followedVersion === 0));
     wish(w, {});
     assert.ok(w.advanceUntil(() => levelOf(w).level === newestLevel, 20));
     w.advance(100);
     assert.ok(
       w.nodes.every(
-        (n) => n.controller['writeBudget'].followedVersion === (planOf(w).data as { n: number }).n,
+        (n) => n.controller['components'].writeBudget.followedVersion === (planOf(w).data as { n: number }).n,
       ),
     );
     served(users, 0.9);
@@ -315,11 +315,12 @@
     const { data } = planOf(w);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: { v: 9, x: 1 } }] });
     w.advance(2);
-    for (const n of w.nodes) assert.ok(n.controller['batcher'].writesPerS <= minMemberWrites(30, 3) + 1e-9);
+    for (const n of w.nodes)
+      assert.ok(n.controller['components'].batcher.writesPerS <= minMemberWrites(30, 3) + 1e-9);
     assert.equal((planOf(w).data as { v: number }).v, 9);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
     w.advance(4);
-    for (const n of w.nodes) assert.ok(n.controller['writeBudget'].followedVersion > 0);
+    for (const n of w.nodes) assert.ok(n.controller['components'].writeBudget.followedVersion > 0);
   },
 );
 
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -78,16 +78,15 @@
   private start(recoveryRecords: RecoveryRecords | null): void {
     this.snapshotStartedAt = this.world.now;
     this.watchedRevision = -1;
-    this.controller = new this.program.Controller(
-      this.settings,
-      this.operators,
-      `${this.member}r${++this.processStarts}`,
-      seededRandom(this.world.seed + this.processStarts),
-      (...line) => void this.logLines.push(line),
-      null,
-      this.program.name,
+    this.controller = new this.program.Controller({
+      settings: this.settings,
+      operators: this.operators,
+      instanceId: `${this.member}r${++this.processStarts}`,
+      random: seededRandom(this.world.seed + this.processStarts),
+      log: (...line) => void this.logLines.push(line),
+      program: this.program.name,
       recoveryRecords,
-    );
+    });
   }
 
   /** Queues a command for the next step. */
