--- a/test/support/earlier-build.ts
+++ b/test/support/earlier-build.ts
@@ -5,7 +5,7 @@
  * say stays undefined, as ever.
  */
 import type { MemberDemand, Rejection } from '../../src/admission/index.js';
-import type { Controller } from '../../src/core/controller.js';
+import type { Controller, ControllerOptions } from '../../src/core/controller.js';
 import type { Clock, Command, CommitOutcome, Effect, PeerStatus } from '../../src/core/effects.js';
 import type { RecoveryRecords } from '../../src/core/recovery-records.js';
 import type { FreshnessQuery } from '../../src/freshness/index.js';
@@ -233,12 +233,6 @@
     }
     case 'peer-lost':
       return { c: 'peer-lost', member: command.member };
-    case 'task-commands-result':
-      return {
-        c: 'ordered',
-        host: command.host,
-        report: command.report && toEarlierReport(command.report),
-      };
     case 'snapshot-progress':
       return { c: 'reading', keys: command.keys };
     case 'snapshot-loaded':
@@ -342,10 +336,19 @@
 class EarlierControllerAdapter {
   private readonly controller: EarlierController;
 
-  constructor(EarlierBuild: EarlierControllerClass, args: ConstructorParameters<typeof Controller>) {
-    const [settings, operators, run, random, log, matcher, program, recoveryRecords] = args;
+  constructor(EarlierBuild: EarlierControllerClass, options: ControllerOptions) {
+    const { settings, operators, instanceId, random, log, matcher, program, recoveryRecords } = options;
     const legacy = recoveryRecords ? toEarlierLegacy(recoveryRecords) : null;
-    this.controller = new EarlierBuild(settings, operators, run, random, log, matcher, program, legacy);
+    this.controller = new EarlierBuild(
+      settings,
+      operators,
+      instanceId,
+      random,
+      log,
+      matcher ?? null,
+      program,
+      legacy,
+    );
   }
 
   step(commands: readonly Command[], clock: Clock): Effect[] {
@@ -378,8 +381,8 @@
 /** The controller's class of an earlier build, as the scripted world takes it. */
 export function adaptEarlierController(EarlierBuild: EarlierControllerClass): typeof Controller {
   class AdaptedController extends EarlierControllerAdapter {
-    constructor(...args: ConstructorParameters<typeof Controller>) {
-      super(EarlierBuild, args);
+    constructor(options: ControllerOptions) {
+      super(EarlierBuild, options);
     }
   }
   return AdaptedController as unknown as typeof Controller;
