--- a/src/condor/index.ts
+++ b/src/condor/index.ts
@@ -1,3 +1,4 @@
+/** HTCondor's submit files: their jobs as ClassAd records and as native submissions. */
 export { SubmitError } from './errors.js';
 export { Submission, adToJson } from './jobs.js';
 export { nativeSubmission, type JobGroup } from './native.js';
--- /dev/null
+++ b/src/condor/job-attributes.ts
@@ -0,0 +1,47 @@
+/** The attributes of a job that no command sets: defaults, and what follows from other attributes. */
+import { literal, parseExpr, printExpr, textOf } from '../classad/index.js';
+import { integerLiteral, textLiteral, type CommandContext } from './command-handlers.js';
+
+/** Adds the attributes that follow from others, after all commands were applied. */
+export function addDerivedAttributes(context: CommandContext): void {
+  const { ad } = context;
+  const isSet = (name: string): boolean => ad.has(name);
+  const retries = ad.get('JobMaxRetries');
+  if (!isSet('OnExitRemove') && (retries || isSet('RetryUntil') || isSet('JobSuccessExitCode'))) {
+    if (!retries) ad.set('JobMaxRetries', integerLiteral(2));
+    const code = ad.get('JobSuccessExitCode');
+    const succeeded = code ? `ExitCode =?= ${printExpr(code)}` : 'ExitCode =?= 0';
+    const until = ad.get('RetryUntil');
+    const alternative = until ? ` || ${printExpr(until, 3)}` : '';
+    ad.set('OnExitRemove', parseExpr(`NumJobCompletions > JobMaxRetries || ${succeeded}${alternative}`));
+  }
+  const group = ad.get('AcctGroup');
+  const user = ad.get('AcctGroupUser');
+  if (group?.k === 'lit') {
+    const name = textOf(user) ?? context.environment.user;
+    ad.set('AccountingGroup', textLiteral(`${String(group.v)}.${name}`));
+  }
+}
+
+/** Adds the attributes that every job has, before commands are applied. */
+export function addDefaultAttributes(context: CommandContext): void {
+  const { ad } = context;
+  ad.set('JobUniverse', integerLiteral(5));
+  ad.set('Owner', textLiteral(context.environment.user));
+  ad.set('JobStatus', integerLiteral(1));
+  ad.set('JobPrio', integerLiteral(0));
+  ad.set('Iwd', textLiteral(context.environment.cwd));
+  ad.set('In', textLiteral('/dev/null'));
+  ad.set('Out', textLiteral('/dev/null'));
+  ad.set('Err', textLiteral('/dev/null'));
+  ad.set('RequestCpus', integerLiteral(1));
+  ad.set('RequestMemory', integerLiteral(128));
+  ad.set('RequestDisk', integerLiteral(1024));
+  ad.set('Requirements', literal(true));
+  ad.set('Rank', literal(0));
+  ad.set('LeaveJobInQueue', literal(false));
+  ad.set('PeriodicHold', literal(false));
+  ad.set('PeriodicRelease', literal(false));
+  ad.set('PeriodicRemove', literal(false));
+  ad.set('OnExitHold', literal(false));
+}
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -1,36 +1,36 @@
+/** The jobs of a submit file as ClassAd records. */
 import { Ad, literal, printExpr, type Attribute, type Expr } from '../classad/index.js';
-import {
-  aliases,
-  commands,
-  addDefaultAttributes,
-  parseExpression,
-  addDerivedAttributes,
-  ignoredCommands,
-  unsupportedCommands,
-  type CommandContext,
-} from './commands.js';
+import { parseExpression, type CommandContext } from './command-handlers.js';
+import { aliases, ignoredCommands, unsupportedCommands } from './command-tables.js';
+import { commands } from './commands.js';
 import { SubmitError, type SourcePosition } from './errors.js';
 import type { SubmitEnvironment } from './submit-environment.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
+import { addDefaultAttributes, addDerivedAttributes } from './job-attributes.js';
 import type { JobGroup } from './native.js';
 import { SubmitFile, type QueueBlock } from './submit-file.js';
 
+/** A command, or an attribute of the user's own, to be applied to each job of a queue statement. */
 interface AttributeStep {
-  command: string;
-  name: string;
-  value: string;
-  position: SourcePosition;
+  /** The command's canonical name; `my` for a custom attribute. */
+  readonly command: string;
+  /** The name as the file has it. */
+  readonly name: string;
+  /** The value, not expanded. */
+  readonly value: string;
+  readonly position: SourcePosition;
 }
 
+/** What is applied to each job of a queue statement, in order. */
 interface JobPlan {
-  commands: AttributeStep[];
-  custom: AttributeStep[];
+  readonly commands: AttributeStep[];
+  readonly custom: AttributeStep[];
 }
 
 const commandOrder = Object.keys(commands);
 const canonicalName = (name: string): string => aliases[name] ?? name;
 
-/** The jobs of a submit file, one after the other: they may be many. */
+/** A submit file and its jobs, which are generated one by one because there may be many. */
 export class Submission {
   readonly file: SubmitFile;
   private readonly environment: SubmitEnvironment;
@@ -41,10 +41,12 @@
     this.file = new SubmitFile(text, name, outside);
   }
 
+  /** The warnings so far; those about single jobs come while they are generated. */
   get warnings(): string[] {
     return this.file.warnings.all;
   }
 
+  /** All jobs, one record each. */
   *jobs(): Generator<Ad> {
     let proc = 0;
     for (const block of this.file.blocks) {
@@ -62,8 +64,9 @@
   }
 
   /**
-   * The jobs in groups that differ by their numbers only, so that ten thousand go as one. Found by expanding with a mark in
-   * the number's place, and proven by comparing with every job: where the mark gives something else, each goes alone.
+   * The jobs in groups whose jobs differ by their numbers only, so that ten thousand can be submitted as one. A group is found
+   * by expanding its values with a mark in place of the number, and verified by comparing the result with every job; if they
+   * differ otherwise, each job is a group of its own.
    */
   *groups(): Generator<JobGroup> {
     const jobs = this.jobs();
@@ -83,7 +86,7 @@
         first += count;
       }
     }
-    // What the generator says at its end belongs to it.
+    // Runs the generator to its end, where it adds warnings.
     jobs.next();
   }
 
@@ -92,13 +95,13 @@
     try {
       return this.buildJob(block, this.planOf(block), new Map(), perJob, 0);
     } catch (e) {
-      // It is worked with as a number somewhere.
+      // Some expression needs the number's value.
       if (e instanceof SubmitError) return null;
       throw e;
     }
   }
 
-  /** What is to be done for each job, in the order in which it is. */
+  /** The plan of a queue statement, made once. */
   private planOf(block: QueueBlock): JobPlan {
     let known = this.plans.get(block);
     if (!known) this.plans.set(block, (known = this.plan(block)));
@@ -158,7 +161,7 @@
       const { dependsOnJob: varied } = block.macros;
       context.position = s.position;
       if (value === '' && s.command !== 'executable' && s.command !== 'my') continue;
-      // What differs from job to job in no way is worked out once.
+      // Attributes that do not depend on the job are computed once.
       const before = varied ? null : new Map([...ad].map((a) => [a.name, a.expr]));
       if (s.command === 'my') ad.set(s.name, parseExpression(value, context, s.name));
       else commands[s.command](value, context, s.name);
@@ -173,7 +176,7 @@
     return ad;
   }
 
-  /** Names that are set and mean nothing: most likely misspelt. */
+  /** Warns about names that are set without effect: most likely they are misspelt. */
   private warnUnused(): void {
     const used = new Set(this.file.blocks.flatMap((b) => [...b.macros.used]));
     for (const { name, position: at } of this.file.macros.all) {
@@ -197,7 +200,7 @@
   }
 }
 
-/** The values that differ from job to job. */
+/** The macros whose values differ from job to job. */
 function perJobValues(block: QueueBlock, row: number, proc: string, step: string): Map<string, string> {
   const perJob = new Map([
     ['process', proc],
@@ -211,7 +214,7 @@
   return perJob;
 }
 
-/** Whether a job is what the marked one says of its number. */
+/** Whether a job equals the numbered record with its number filled in. */
 function matchesNumbered(numbered: Ad, job: Ad, proc: number): boolean {
   if (numbered.size !== job.size) return false;
   for (const { name, expr } of numbered) {
@@ -223,7 +226,7 @@
   return true;
 }
 
-/** An attribute as JSON: values as they are, expressions as HTCondor's tools show them. */
+/** A record as JSON: values as they are, expressions as HTCondor's tools show them. */
 export function adToJson(ad: Ad): Record<string, unknown> {
   const out: Record<string, unknown> = {};
   for (const { name, expr } of ad) out[name] = valueToJson(expr);
--- a/src/condor/lines.ts
+++ b/src/condor/lines.ts
@@ -1,14 +1,15 @@
+/** Splits submit files into statements. */
 import { SubmitError, type SourcePosition } from './errors.js';
 
-/** A line of a submit file with what continues it. */
+/** A logical line: a line of a submit file with its continuation lines. */
 export interface Statement {
-  text: string;
-  position: SourcePosition;
+  readonly text: string;
+  readonly position: SourcePosition;
 }
 
 /** LineReader one after the other; whoever reads a statement may take those that belong to it. */
 export class LineReader {
-  private next = 0;
+  private nextIndex = 0;
   private readonly lines: string[];
 
   constructor(
@@ -18,18 +19,18 @@
     this.lines = text.split(/\r?\n/);
   }
 
-  /** The next statement; comments and empty lines are left out. null: none is left. */
+  /** The next statement, without comments and empty lines; null at the end of the file. */
   nextStatement(): Statement | null {
-    while (this.next < this.lines.length) {
-      const position = { file: this.file, line: this.next + 1 };
-      let text = this.lines[this.next++];
+    while (this.nextIndex < this.lines.length) {
+      const position = { file: this.file, line: this.nextIndex + 1 };
+      let text = this.lines[this.nextIndex++];
       if (text.trim() === '' || text.trimStart().startsWith('#')) continue;
       while (/\\\s*$/.test(text)) {
         const before = text.replace(/\\\s*$/, '');
-        // A comment among continued lines is left out.
-        while (this.lines[this.next]?.trimStart().startsWith('#')) this.next++;
-        const continuation = this.lines[this.next++] ?? '';
-        // However much space stands where they meet, it is one.
+        // Comments between continuation lines are skipped.
+        while (this.lines[this.nextIndex]?.trimStart().startsWith('#')) this.nextIndex++;
+        const continuation = this.lines[this.nextIndex++] ?? '';
+        // Any amount of white space where two lines are joined counts as one space.
         const separator = /\s$/.test(before) || /^\s/.test(continuation) ? ' ' : '';
         text = before.trimEnd() + separator + continuation.trimStart();
       }
@@ -38,13 +39,13 @@
     return null;
   }
 
-  /** What stands before a line that ends it; the lines as they are. */
+  /** The raw lines before the line that satisfies `isEnd`; throws `message` if there is none. */
   readUntil(isEnd: (line: string) => boolean, position: SourcePosition, message: string): string {
-    const taken: string[] = [];
-    while (this.next < this.lines.length) {
-      const line = this.lines[this.next++];
-      if (isEnd(line)) return taken.join('\n');
-      taken.push(line);
+    const lines: string[] = [];
+    while (this.nextIndex < this.lines.length) {
+      const line = this.lines[this.nextIndex++];
+      if (isEnd(line)) return lines.join('\n');
+      lines.push(line);
     }
     throw new SubmitError(position, message);
   }
--- a/src/condor/native.ts
+++ b/src/condor/native.ts
@@ -1,3 +1,4 @@
+/** Jobs of submit files as native submissions. */
 import { resolve } from 'node:path';
 import { printExpr, textOf, type Ad, type Expr } from '../classad/index.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
@@ -5,18 +6,19 @@
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
 import { parseNewSyntaxVariables, parseEnvironment, splitWords } from './quoting.js';
 
-/** Jobs of one queue statement that go as one: their first number and how many they are. */
+/** Jobs of one queue statement that are submitted as one job. */
 export interface JobGroup {
-  ad: Ad;
-  first: number;
-  count: number;
-  /** Their numbers stand as marks in it; else it is one job alone. */
-  numbered: boolean;
-  position: SourcePosition;
+  readonly ad: Ad;
+  /** The number of the first one. */
+  readonly first: number;
+  readonly count: number;
+  /** Whether marks stand for their numbers in the record; if not, it is a single job. */
+  readonly numbered: boolean;
+  readonly position: SourcePosition;
 }
 
 const nullDevice = '/dev/null';
-/** Attributes that are the command itself, or long: expressions do not look at them. */
+/** Attributes that expressions of the job cannot refer to: they are the command itself, or long. */
 const unlistedAttributes =
   /^(ClusterId|ProcId|Cmd|Args|Arguments|Env|Environment|Iwd|In|Out|Err|UserLog|Requirements|Rank|Periodic.*|OnExit.*)$/;
 const maxAttributeChars = 500;
@@ -25,7 +27,7 @@
   e?.k === 'lit' && (typeof e.v === 'bigint' || typeof e.v === 'number') ? Number(e.v) : null;
 const isFalse = (e: Expr | undefined): boolean => e === undefined || (e.k === 'lit' && e.v === false);
 
-/** A group as a native submission: the same priorities, limits and ways of failing as any other job. */
+/** A group as a native submission. Throws for attributes that a control service does not support. */
 export function nativeSubmission(group: JobGroup, team: string, warnings: Warnings): Record<string, unknown> {
   const { ad, position } = group;
   const reject = (what: string): never => {
--- a/src/condor/quoting.ts
+++ b/src/condor/quoting.ts
@@ -1,41 +1,44 @@
-/** ParsedArguments and environments, in both syntaxes of the manual. Problems are thrown as text. */
+/** Arguments and environments, in the old and the new syntax of HTCondor's manual. */
+import { QuotingError } from './errors.js';
 
 const isNewSyntax = (text: string): boolean => text.startsWith('"');
 
-/** What stands between the double quotes of the new syntax, with `""` for one of them. */
+/** The text between the outer double quotes of the new syntax, in which `""` stands for a double quote. */
 function unquote(text: string): string {
-  if (text.length < 2 || !text.endsWith('"')) throw new Error('a double quote is not closed');
+  if (text.length < 2 || !text.endsWith('"')) throw new QuotingError('a double quote is not closed');
   const inside = text.slice(1, -1);
   if (/"/.test(inside.replaceAll('""', '')))
-    throw new Error('a double quote inside double quotes must be doubled');
+    throw new QuotingError('a double quote inside double quotes must be doubled');
   return inside.replaceAll('""', '"');
 }
 
-/** Words of the new syntax: spaces part them, single quotes keep them together, and `''` in them is one. */
+/** The words of the new syntax: white space separates them, single quotes group, `''` between them is a single quote. */
 export function splitWords(text: string): string[] {
   const words: string[] = [];
   let word: string | null = null;
   for (let i = 0; i < text.length; i++) {
-    const c = text[i];
-    if (/\s/.test(c)) {
+    const character = text[i];
+    if (/\s/.test(character)) {
       if (word !== null) words.push(word);
       word = null;
-    } else if (c === "'") {
+    } else if (character === "'") {
       word ??= '';
       for (i++; ; i++) {
-        if (i >= text.length) throw new Error('a single quote is not closed');
+        if (i >= text.length) throw new QuotingError('a single quote is not closed');
         if (text[i] !== "'") word += text[i];
         else if (text[i + 1] === "'") word += text[i++];
         else break;
       }
-    } else word = (word ?? '') + c;
+    } else word = (word ?? '') + character;
   }
   if (word !== null) words.push(word);
   return words;
 }
 
 const joinWords = (words: readonly string[]): string =>
-  words.map((w) => (w === '' || /[\s']/.test(w) ? `'${w.replaceAll("'", "''")}'` : w)).join(' ');
+  words
+    .map((word) => (word === '' || /[\s']/.test(word) ? `'${word.replaceAll("'", "''")}'` : word))
+    .join(' ');
 
 export interface ParsedArguments {
   /** As it goes into the job's record: `Args` in the old syntax, `ParsedArguments` in the new one. */
@@ -44,23 +47,30 @@
   argv: string[];
 }
 
+/** Parses the arguments of a command. */
 export function parseArguments(value: string): ParsedArguments {
   if (isNewSyntax(value)) {
     const text = unquote(value);
     return { text, isNew: true, argv: splitWords(text) };
   }
   if (/(^|[^\\])"/.test(value))
-    throw new Error('a double quote in the old syntax must be written \\" (or the whole in double quotes)');
+    throw new QuotingError(
+      'a double quote in the old syntax must be written \\" (or the whole in double quotes)',
+    );
   const text = value.replaceAll('\\"', '"');
-  return { text, isNew: false, argv: text.split(/\s+/).filter((w) => w !== '') };
+  return { text, isNew: false, argv: text.split(/\s+/).filter((word) => word !== '') };
 }
 
+/** A parsed environment of a command. */
 export interface ParsedEnvironment {
-  text: string;
-  isNew: boolean;
-  vars: [string, string][];
+  /** As the job's record has it. */
+  readonly text: string;
+  /** Whether it is in the new syntax. */
+  readonly isNew: boolean;
+  readonly vars: [string, string][];
 }
 
+/** Parses the environment of a command. */
 export function parseEnvironment(value: string): ParsedEnvironment {
   if (!isNewSyntax(value)) {
     const entries = value.split(';').filter((e) => e.trim() !== '');
@@ -70,16 +80,17 @@
   return { text, isNew: true, vars: parseNewSyntaxVariables(text) };
 }
 
-/** Of the new syntax, without its outer quotes. */
+/** The variables of an environment in the new syntax, without its outer quotes. */
 export const parseNewSyntaxVariables = (text: string): [string, string][] =>
   splitWords(text).map(parseVariable);
 
+/** Variables in the new syntax, without outer quotes. */
 export const joinVariables = (vars: readonly [string, string][]): string =>
-  joinWords(vars.map(([n, v]) => `${n}=${v}`));
+  joinWords(vars.map(([name, value]) => `${name}=${value}`));
 
 function parseVariable(entry: string): [string, string] {
   const separator = entry.indexOf('=');
   const name = entry.slice(0, Math.max(separator, 0)).trim();
-  if (!/^[A-Za-z_]\w*$/.test(name)) throw new Error(`${entry}: expected NAME=VALUE`);
+  if (!/^[A-Za-z_]\w*$/.test(name)) throw new QuotingError(`${entry}: expected NAME=VALUE`);
   return [name, entry.slice(separator + 1)];
 }
--- a/src/condor/submit-host.ts
+++ b/src/condor/submit-host.ts
@@ -1,9 +1,10 @@
+/** The machine on which a submit file is submitted. */
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
 import { globSync } from 'tinyglobby';
 import type { SubmitEnvironment } from './submit-environment.js';
 
-/** This machine, as submit files see it. */
+/** This machine as the environment of submit files. */
 export function submitHost(): SubmitEnvironment {
   const cwd = process.cwd();
   return {
