--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -111,21 +111,21 @@
   private plan(block: QueueBlock): JobPlan {
     const steps: AttributeStep[] = [];
     const custom: AttributeStep[] = [];
-    for (const { name, value, position: at } of block.macros.all) {
+    for (const { name, value, position } of block.macros.all) {
       const key = name.toLowerCase();
       if (key.startsWith('my.')) {
-        custom.push({ command: 'my', name: name.slice(3), value: value, position: at });
+        custom.push({ command: 'my', name: name.slice(3), value, position });
         continue;
       }
       if (unsupportedCommands[key] !== undefined)
-        throw new SubmitError(at, `${name}: ${unsupportedCommands[key]}`);
+        throw new SubmitError(position, `${name}: ${unsupportedCommands[key]}`);
       if (ignoredCommands[key] !== undefined) {
-        this.file.warnings.add(at, `${name}: ${ignoredCommands[key]}`);
+        this.file.warnings.add(position, `${name}: ${ignoredCommands[key]}`);
         continue;
       }
       const command = canonicalName(key);
-      if (commands[command]) steps.push({ command, name, value: value, position: at });
-      else if (key.includes('.')) throw new SubmitError(at, `${name}: not a submit command`);
+      if (commands[command]) steps.push({ command, name, value, position });
+      else if (key.includes('.')) throw new SubmitError(position, `${name}: not a submit command`);
     }
     steps.sort((a, b) => commandOrder.indexOf(a.command) - commandOrder.indexOf(b.command));
     if (!steps.some((s) => s.command === 'executable'))
@@ -179,7 +179,7 @@
   /** Warns about names that are set without effect: most likely they are misspelt. */
   private warnUnused(): void {
     const used = new Set(this.file.blocks.flatMap((b) => [...b.macros.used]));
-    for (const { name, position: at } of this.file.macros.all) {
+    for (const { name, position } of this.file.macros.all) {
       const key = name.toLowerCase();
       if (
         commands[canonicalName(key)] ||
@@ -188,15 +188,15 @@
         used.has(key)
       )
         continue;
-      this.file.warnings.add(at, `${name}: not a submit command, and nothing refers to it`);
+      this.file.warnings.add(position, `${name}: not a submit command, and nothing refers to it`);
     }
     const last = Math.max(
       ...this.file.blocks.filter((b) => b.position.file === this.file.file).map((b) => b.position.line),
       0,
     );
-    for (const { name, position: at } of this.file.macros.all)
-      if (at.file === this.file.file && at.line > last && last > 0)
-        this.file.warnings.add(at, `${name}: after the last queue: not used`);
+    for (const { name, position } of this.file.macros.all)
+      if (position.file === this.file.file && position.line > last && last > 0)
+        this.file.warnings.add(position, `${name}: after the last queue: not used`);
   }
 }
 
--- a/src/condor/native.ts
+++ b/src/condor/native.ts
@@ -17,14 +17,21 @@
   readonly position: SourcePosition;
 }
 
+/** Values of the attribute JobUniverse. */
+const universes = { local: 12, parallel: 11 };
+/** The value of the attribute JobStatus for a job on hold. */
+const heldStatus = 5;
 const nullDevice = '/dev/null';
 /** Attributes that expressions of the job cannot refer to: they are the command itself, or long. */
 const unlistedAttributes =
   /^(ClusterId|ProcId|Cmd|Args|Arguments|Env|Environment|Iwd|In|Out|Err|UserLog|Requirements|Rank|Periodic.*|OnExit.*)$/;
+/** Longer attributes are not sent. */
 const maxAttributeChars = 500;
 
+/** The number that an expression is; null if it is none. */
 const numberOf = (e: Expr | undefined): number | null =>
   e?.k === 'lit' && (typeof e.v === 'bigint' || typeof e.v === 'number') ? Number(e.v) : null;
+/** Whether an attribute is missing or false. */
 const isFalse = (e: Expr | undefined): boolean => e === undefined || (e.k === 'lit' && e.v === false);
 
 /** A group as a native submission. Throws for attributes that a control service does not support. */
@@ -33,6 +40,37 @@
   const reject = (what: string): never => {
     throw new SubmitError(position, `${what}: not supported by a control service yet (--dry-run shows it)`);
   };
+  rejectUnsupported(ad, reject);
+  if (ad.has('UserLog')) warnings.add(position, 'log: its events are not written yet');
+  const amount = (attr: string, name: string): number =>
+    numberOf(ad.get(attr)) ?? reject(`${name} that depends on other attributes`);
+  const universe = numberOf(ad.get('JobUniverse'));
+  if (universe === universes.local) warnings.add(position, 'universe: local: run on an agent like any other');
+  const gang = universe === universes.parallel;
+  if (gang && group.count > 1 && group.numbered)
+    throw new SubmitError(position, 'universe: parallel: one job for each gang');
+  const priority = numberOf(ad.get('JobPrio')) ?? 0;
+  const wallS = numberOf(ad.get('AllowedExecuteDuration'));
+  return {
+    ...defaultSubmission,
+    jobclass: 'condor',
+    owner: textOf(ad.get('AcctGroup')) ?? team,
+    shape: gang ? 'ensemble' : 'sweep',
+    urgency: priority > 0 ? 'urgent' : priority < 0 ? 'low' : 'normal',
+    pieces: gang ? (numberOf(ad.get('MinHosts')) ?? 1) : group.count,
+    cpus: amount('RequestCpus', 'request_cpus'),
+    cards: ad.has('RequestGPUs') ? amount('RequestGPUs', 'request_gpus') : 0,
+    memGb: amount('RequestMemory', 'request_memory') / 1024,
+    retries: numberOf(ad.get('JobMaxRetries')) ?? 0,
+    ...(wallS === null || wallS <= 0 ? {} : { wallS }),
+    ...commandFields(ad),
+    ...(group.numbered ? { numberFrom: group.first } : {}),
+    ...matchFields(ad),
+  };
+}
+
+/** Rejects the attributes that would make it another job on a control service. */
+function rejectUnsupported(ad: Ad, reject: (what: string) => never): void {
   for (const [attr, name] of [
     ['PeriodicHold', 'periodic_hold'],
     ['PeriodicRelease', 'periodic_release'],
@@ -45,61 +83,37 @@
   if (ad.has('RetryUntil')) reject('retry_until');
   if (ad.has('JobSuccessExitCode')) reject('success_exit_code');
   if (ad.has('OnExitRemove') && !ad.has('JobMaxRetries')) reject('on_exit_remove');
-  if (numberOf(ad.get('JobStatus')) === 5) reject('hold');
-  if (ad.has('UserLog')) warnings.add(position, 'log: its events are not written yet');
-  const amount = (attr: string, name: string): number =>
-    numberOf(ad.get(attr)) ?? reject(`${name} that depends on other attributes`);
-  const universe = numberOf(ad.get('JobUniverse'));
-  if (universe === 12) warnings.add(position, 'universe: local: run on an agent like any other');
-  const gang = universe === 11;
-  if (gang && group.count > 1 && group.numbered)
-    throw new SubmitError(position, 'universe: parallel: one job for each gang');
-  const prio = numberOf(ad.get('JobPrio')) ?? 0;
+  if (numberOf(ad.get('JobStatus')) === heldStatus) reject('hold');
+}
+
+/** The expressions of the job, and if it has any, the attributes that they may refer to. */
+function matchFields(ad: Ad): Record<string, unknown> {
   const requirements = ad.get('Requirements');
   const rank = ad.get('Rank');
+  const matchesAll = requirements === undefined || (requirements.k === 'lit' && requirements.v === true);
+  const hasRank = rank !== undefined && !(rank.k === 'lit' && Number(rank.v) === 0);
+  if (matchesAll && !hasRank) return {};
   const attributes: Record<string, string> = {};
   for (const { name, expr } of ad) {
     const text = printExpr(expr);
-    if (
-      !unlistedAttributes.test(name) &&
-      text.length <= maxAttributeChars &&
-      !text.includes(taskIndexPlaceholder)
-    )
-      attributes[name] = text;
+    const listed = !unlistedAttributes.test(name) && text.length <= maxAttributeChars;
+    if (listed && !text.includes(taskIndexPlaceholder)) attributes[name] = text;
   }
-  const matchesAll = requirements === undefined || (requirements.k === 'lit' && requirements.v === true);
-  const hasRank = rank !== undefined && !(rank.k === 'lit' && Number(rank.v) === 0);
-  const matching = {
+  return {
     ...(matchesAll ? {} : { requirements: printExpr(requirements) }),
     ...(hasRank ? { rank: printExpr(rank) } : {}),
-  };
-  const wall = numberOf(ad.get('AllowedExecuteDuration'));
-  return {
-    ...defaultSubmission,
-    jobclass: 'condor',
-    owner: textOf(ad.get('AcctGroup')) ?? team,
-    shape: gang ? 'ensemble' : 'sweep',
-    urgency: prio > 0 ? 'urgent' : prio < 0 ? 'low' : 'normal',
-    pieces: gang ? (numberOf(ad.get('MinHosts')) ?? 1) : group.count,
-    cpus: amount('RequestCpus', 'request_cpus'),
-    cards: ad.has('RequestGPUs') ? amount('RequestGPUs', 'request_gpus') : 0,
-    memGb: amount('RequestMemory', 'request_memory') / 1024,
-    retries: numberOf(ad.get('JobMaxRetries')) ?? 0,
-    ...(wall === null || wall <= 0 ? {} : { wallS: wall }),
-    ...commandFields(ad),
-    ...(group.numbered ? { numberFrom: group.first } : {}),
-    ...matching,
-    ...(Object.keys(matching).length > 0 ? { attributes } : {}),
+    attributes,
   };
 }
 
+/** The command with its files and environment. */
 function commandFields(ad: Ad): Record<string, unknown> {
   const iwd = textOf(ad.get('Iwd')) ?? '/';
   const newArguments = textOf(ad.get('Arguments'));
   const argv =
     newArguments !== null
       ? splitWords(newArguments)
-      : (textOf(ad.get('Args')) ?? '').split(/\s+/).filter((w) => w !== '');
+      : (textOf(ad.get('Args')) ?? '').split(/\s+/).filter((word) => word !== '');
   const newEnvironment = textOf(ad.get('Environment'));
   const vars =
     newEnvironment !== null
@@ -113,7 +127,7 @@
     return name === null || name === nullDevice ? null : resolve(iwd, name);
   };
   return {
-    // The agent gives no input: a shell opens it, and becomes the command.
+    // Agents do not supply standard input: a shell opens the file, and then executes the command.
     command:
       inputPath === null ? command : ['/bin/sh', '-c', 'exec "$0" "$@" < "$DAPPLEPICK_INPUT"', ...command],
     env: { ...Object.fromEntries(vars), ...(inputPath === null ? {} : { DAPPLEPICK_INPUT: inputPath }) },
--- a/src/condor/quoting.ts
+++ b/src/condor/quoting.ts
@@ -40,11 +40,13 @@
     .map((word) => (word === '' || /[\s']/.test(word) ? `'${word.replaceAll("'", "''")}'` : word))
     .join(' ');
 
+/** Parsed arguments of a command. */
 export interface ParsedArguments {
-  /** As it goes into the job's record: `Args` in the old syntax, `ParsedArguments` in the new one. */
-  text: string;
-  isNew: boolean;
-  argv: string[];
+  /** As the job's record has them: in `Args` in the old syntax, in `Arguments` in the new one. */
+  readonly text: string;
+  /** Whether they are in the new syntax. */
+  readonly isNew: boolean;
+  readonly argv: string[];
 }
 
 /** Parses the arguments of a command. */
--- a/src/condor/submit-file.ts
+++ b/src/condor/submit-file.ts
@@ -1,3 +1,4 @@
+/** Reads submit files: statements, conditionals, includes, and the queue statements. */
 import { dirname, relative, resolve } from 'node:path';
 import { Ad, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
 import { SubmitError, Warnings, type SourcePosition } from './errors.js';
@@ -6,19 +7,33 @@
 import type { SubmitEnvironment } from './submit-environment.js';
 import { parseQueue, type QueueRequest } from './queue.js';
 
-/** Jobs of one queue statement: what was set when it was reached, and its rows. */
+/** A queue statement, and the macros as they were set when it was reached. */
 export interface QueueBlock {
-  macros: Macros;
-  request: QueueRequest;
-  position: SourcePosition;
+  readonly macros: Macros;
+  readonly request: QueueRequest;
+  readonly position: SourcePosition;
 }
 
+/** The number of the cluster is not known before the submission. */
 const clusterId = '1';
 const maxIncludes = 20;
-/** What it is compared with in `if version`. */
+/** The version of HTCondor that `if version` conditions are compared with. */
 const supportedVersion = [24, 0, 0];
 
-/** Reads a submit file, statement by statement, as far as its queue statements. */
+/** An open `if` of a submit file. */
+interface Conditional {
+  /** Whether the current branch is taken, and with it all enclosing ones. */
+  active: boolean;
+  /** Whether a branch was taken already. */
+  taken: boolean;
+  /** Whether all enclosing branches are taken. */
+  readonly outer: boolean;
+  /** Whether its `else` was reached. */
+  closed: boolean;
+  readonly position: SourcePosition;
+}
+
+/** A submit file, read statement by statement up to its queue statements. */
 export class SubmitFile {
   readonly blocks: QueueBlock[] = [];
   readonly warnings = new Warnings();
@@ -63,42 +78,36 @@
   }
 
   private read(lines: LineReader): void {
-    /** One for each `if` that is open: whether this part counts, and whether one before it did. */
-    const conditionals: {
-      counts: boolean;
-      taken: boolean;
-      outer: boolean;
-      closed: boolean;
-      at: SourcePosition;
-    }[] = [];
-    const isActive = (): boolean => conditionals.every((o) => o.counts);
+    const conditionals: Conditional[] = [];
+    const isActive = (): boolean => conditionals.every((conditional) => conditional.active);
     for (let line = lines.nextStatement(); line; line = lines.nextStatement()) {
-      const { text, position: at } = line;
+      const { text, position } = line;
       const word = /^(if|elif|else|endif)\b\s*(?!\s*=)(.*)$/is.exec(text);
       if (word) {
         const [, kind, condition] = word;
         const last = conditionals.at(-1);
         if (kind.toLowerCase() === 'if') {
           const outer = isActive();
-          const active = outer && this.evaluateCondition(condition, at);
-          conditionals.push({ counts: active, taken: active, outer, closed: false, at });
-        } else if (!last) throw new SubmitError(at, `${kind}: without if`);
+          const active = outer && this.evaluateCondition(condition, position);
+          conditionals.push({ active, taken: active, outer, closed: false, position });
+        } else if (!last) throw new SubmitError(position, `${kind}: without if`);
         else if (kind.toLowerCase() === 'endif') conditionals.pop();
         else {
-          if (last.closed) throw new SubmitError(at, `${kind}: after else`);
+          if (last.closed) throw new SubmitError(position, `${kind}: after else`);
           last.closed = kind.toLowerCase() === 'else';
-          last.counts = last.outer && !last.taken && (last.closed || this.evaluateCondition(condition, at));
-          last.taken ||= last.counts;
+          last.active =
+            last.outer && !last.taken && (last.closed || this.evaluateCondition(condition, position));
+          last.taken ||= last.active;
         }
         continue;
       }
-      this.statement(text, at, lines, isActive());
+      this.statement(text, position, lines, isActive());
     }
     const unclosed = conditionals.at(-1);
-    if (unclosed) throw new SubmitError(unclosed.at, 'if: without endif');
+    if (unclosed) throw new SubmitError(unclosed.position, 'if: without endif');
   }
 
-  /** `counts` false: it stands in a part that is left out, and is only read over. */
+  /** Executes a statement, or only consumes its lines if it stands in a branch that is not taken. */
   private statement(text: string, position: SourcePosition, lines: LineReader, active: boolean): void {
     const queue = /^queue\b(?!\s*=)\s*(.*)$/is.exec(text);
     if (queue) return this.queue(queue[1], position, lines, active);
@@ -125,13 +134,13 @@
     this.assign(set[1], set[2].trim(), position);
   }
 
-  /** Attributes of one's own are kept as `My.NAME`, however they were written. */
+  /** Custom attributes are set as `My.NAME`, in whichever of their two forms they are written. */
   private assign(name: string, value: string, position: SourcePosition): void {
     this.macros.assign(name.startsWith('+') ? `My.${name.slice(1)}` : name, value, position);
   }
 
   private queue(rest: string, position: SourcePosition, lines: LineReader, active: boolean): void {
-    // What is in brackets may go on over lines; it is a table after `from`.
+    // The text in parentheses may extend over several lines; after `from` it is a table.
     const open = /^(.*?(?:^|\s)(?:in|from|matching)\b[^(]*)\((.*)$/is.exec(rest);
     let inline: string | null = null;
     let head = rest;
@@ -146,7 +155,7 @@
     this.blocks.push({ macros, request: queued, position });
   }
 
-  /** What stands in the brackets of a queue statement. A table's rows may have brackets of their own: a line alone ends it. */
+  /** The text in the parentheses of a queue statement. Rows of a table may contain parentheses: a line with nothing else ends it. */
   private readBracket(first: string, table: boolean, lines: LineReader, position: SourcePosition): string {
     const unclosed = 'queue: bracket not closed';
     const end = table ? (/^.*\)\s*$/.test(first) ? first.lastIndexOf(')') : -1) : closingBracket(first, 0);
@@ -195,14 +204,14 @@
       return this.macros.get(defined[1].replace(/^\+/, 'My.')) !== undefined;
     }
     if (/^defined\s*$/i.test(text)) return false;
-    const v = /^version\s*(<=|>=|==|!=|<|>)\s*(\d+(?:\.\d+){0,2})$/i.exec(text);
-    if (v) return versionHolds(v[1], v[2].split('.').map(Number));
+    const versionTest = /^version\s*(<=|>=|==|!=|<|>)\s*(\d+(?:\.\d+){0,2})$/i.exec(text);
+    if (versionTest) return versionHolds(versionTest[1], versionTest[2].split('.').map(Number));
     try {
       const value = evaluate(parseExpr(text), new Ad());
       if (typeof value === 'boolean') return value;
       if (typeof value === 'bigint' || typeof value === 'number') return Number(value) !== 0;
-    } catch (e) {
-      if (!(e instanceof ClassAdError)) throw e;
+    } catch (error) {
+      if (!(error instanceof ClassAdError)) throw error;
     }
     if (/^(yes|t)$/i.test(text)) return true;
     if (/^(no|f)$/i.test(text)) return false;
@@ -210,6 +219,7 @@
   }
 }
 
+/** Whether the supported version compares so with the requested one. */
 function versionHolds(op: string, requested: number[]): boolean {
   let order = 0;
   for (let i = 0; i < requested.length && order === 0; i++) order = supportedVersion[i] - requested[i];
