--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -4,7 +4,7 @@
 import { functions } from './functions/index.js';
 import { binaryOp, unaryOp } from './operators.js';
 import { parseExpr } from './parse.js';
-import { ErrorValue, RecordValue, truth, typeOf, type Value } from './values.js';
+import { ErrorValue, RecordValue, toTruth, typeOf, type Value } from './values.js';
 
 export interface EvaluationLimits {
   /** Evaluations of single expressions. */
@@ -57,7 +57,7 @@
   attribute(name: string, scope: Scope): Value {
     const expr = scope.ad.get(name);
     if (!expr) return undefined;
-    if (expr.k === 'lit') return expr.v;
+    if (expr.kind === 'literal') return expr.value;
     const key = name.toLowerCase();
     let active = this.active.get(scope.ad);
     if (!active) this.active.set(scope.ad, (active = new Set()));
@@ -71,30 +71,30 @@
   }
 
   private evaluateExpr(expr: Expr, scope: Scope): Value {
-    switch (expr.k) {
-      case 'lit':
-        return expr.v;
-      case 'ref':
+    switch (expr.kind) {
+      case 'literal':
+        return expr.value;
+      case 'reference':
         return this.resolveReference(expr.name, expr.absolute ? outermostScope(scope) : scope);
-      case 'sel':
+      case 'selection':
         return this.selectAttribute(this.run(expr.of, scope), expr.name);
-      case 'at':
+      case 'subscript':
         return this.subscript(this.run(expr.of, scope), this.run(expr.index, scope));
-      case 'un': {
-        const a = this.run(expr.a, scope);
+      case 'unary': {
+        const a = this.run(expr.operand, scope);
         if (expr.op !== '!') return unaryOp(expr.op, a);
-        const t = truth(a);
+        const t = toTruth(a);
         return typeof t === 'boolean' ? !t : t;
       }
-      case 'bin':
-        if (expr.op === '&&') return this.evaluateLogical(expr.a, expr.b, scope, false);
-        if (expr.op === '||') return this.evaluateLogical(expr.a, expr.b, scope, true);
-        return binaryOp(expr.op, this.run(expr.a, scope), this.run(expr.b, scope));
-      case 'if': {
-        const c = this.run(expr.c, scope);
-        if (expr.a === null) return c === undefined ? this.run(expr.b, scope) : c;
-        const t = truth(c);
-        return typeof t === 'boolean' ? this.run(t ? expr.a : expr.b, scope) : t;
+      case 'binary':
+        if (expr.op === '&&') return this.evaluateLogical(expr.left, expr.right, scope, false);
+        if (expr.op === '||') return this.evaluateLogical(expr.left, expr.right, scope, true);
+        return binaryOp(expr.op, this.run(expr.left, scope), this.run(expr.right, scope));
+      case 'conditional': {
+        const c = this.run(expr.condition, scope);
+        if (expr.whenTrue === null) return c === undefined ? this.run(expr.whenFalse, scope) : c;
+        const t = toTruth(c);
+        return typeof t === 'boolean' ? this.run(t ? expr.whenTrue : expr.whenFalse, scope) : t;
       }
       case 'call': {
         const fn = functions.get(expr.name.toLowerCase());
@@ -105,7 +105,7 @@
       }
       case 'list':
         return expr.items.map((i) => this.run(i, scope));
-      case 'rec':
+      case 'record':
         return new RecordValue(expr.ad, { ad: expr.ad, parent: scope, target: null });
     }
   }
@@ -142,9 +142,9 @@
 
   /** `&&` with `end` false, `||` with `end` true: what decides them needs no other side. */
   private evaluateLogical(a: Expr, b: Expr, scope: Scope, decisive: boolean): Value {
-    const left = truth(this.run(a, scope));
+    const left = toTruth(this.run(a, scope));
     if (left === decisive || left instanceof ErrorValue) return left;
-    const right = truth(this.run(b, scope));
+    const right = toTruth(this.run(b, scope));
     if (right === decisive || right instanceof ErrorValue) return right;
     return left === undefined || right === undefined ? undefined : !decisive;
   }
--- a/src/classad/expr.ts
+++ b/src/classad/expr.ts
@@ -24,17 +24,17 @@
 
 /** An expression of the language, as the grammar makes it. Never changed. */
 export type Expr =
-  | { k: 'lit'; v: Value }
-  | { k: 'ref'; name: string; absolute: boolean }
-  | { k: 'sel'; of: Expr; name: string }
-  | { k: 'at'; of: Expr; index: Expr }
-  | { k: 'un'; op: UnaryOp; a: Expr }
-  | { k: 'bin'; op: BinaryOp; a: Expr; b: Expr }
+  | { kind: 'literal'; value: Value }
+  | { kind: 'reference'; name: string; absolute: boolean }
+  | { kind: 'selection'; of: Expr; name: string }
+  | { kind: 'subscript'; of: Expr; index: Expr }
+  | { kind: 'unary'; op: UnaryOp; operand: Expr }
+  | { kind: 'binary'; op: BinaryOp; left: Expr; right: Expr }
   /** `a` null: `c ?: b`. */
-  | { k: 'if'; c: Expr; a: Expr | null; b: Expr }
-  | { k: 'call'; name: string; args: Expr[] }
-  | { k: 'list'; items: Expr[] }
-  | { k: 'rec'; ad: Ad };
+  | { kind: 'conditional'; condition: Expr; whenTrue: Expr | null; whenFalse: Expr }
+  | { kind: 'call'; name: string; args: Expr[] }
+  | { kind: 'list'; items: Expr[] }
+  | { kind: 'record'; ad: Ad };
 
 export interface Attribute {
   name: string;
@@ -43,7 +43,7 @@
 
 /** A record of attributes. Names are the same in any case; they are shown as they were first written. */
 export class Ad {
-  private readonly attrs = new Map<string, Attribute>();
+  private readonly attributes = new Map<string, Attribute>();
 
   constructor(attributes: Iterable<Attribute> = []) {
     for (const a of attributes) this.set(a.name, a.expr);
@@ -51,67 +51,69 @@
 
   /** The last one of a name holds. */
   set(name: string, expr: Expr): void {
-    this.attrs.set(name.toLowerCase(), { name, expr });
+    this.attributes.set(name.toLowerCase(), { name, expr });
   }
 
   get(name: string): Expr | undefined {
-    return this.attrs.get(name.toLowerCase())?.expr;
+    return this.attributes.get(name.toLowerCase())?.expr;
   }
 
   has(name: string): boolean {
-    return this.attrs.has(name.toLowerCase());
+    return this.attributes.has(name.toLowerCase());
   }
 
   delete(name: string): void {
-    this.attrs.delete(name.toLowerCase());
+    this.attributes.delete(name.toLowerCase());
   }
 
   get size(): number {
-    return this.attrs.size;
+    return this.attributes.size;
   }
 
   [Symbol.iterator](): Iterator<Attribute> {
-    return this.attrs.values();
+    return this.attributes.values();
   }
 }
 
-export const literal = (v: Value): Expr => ({ k: 'lit', v });
+export const literal = (value: Value): Expr => ({ kind: 'literal', value });
 
 /** The text of an expression that is nothing but text. */
-export const textOf = (e: Expr | undefined): string | null =>
-  e?.k === 'lit' && typeof e.v === 'string' ? e.v : null;
+export const textOf = (expr: Expr | undefined): string | null =>
+  expr?.kind === 'literal' && typeof expr.value === 'string' ? expr.value : null;
 
 /** A minus before a number is part of it. */
-export function unary(op: UnaryOp, a: Expr): Expr {
-  if (op === '-' && a.k === 'lit') {
-    if (typeof a.v === 'bigint') return literal(BigInt.asIntN(64, -a.v));
-    if (typeof a.v === 'number') return literal(-a.v);
+export function unary(op: UnaryOp, operand: Expr): Expr {
+  if (op === '-' && operand.kind === 'literal') {
+    if (typeof operand.value === 'bigint') return literal(BigInt.asIntN(64, -operand.value));
+    if (typeof operand.value === 'number') return literal(-operand.value);
   }
-  return { k: 'un', op, a };
+  return { kind: 'unary', op, operand };
 }
 
 /** The expressions right inside another. */
-export function children(e: Expr): Expr[] {
-  switch (e.k) {
-    case 'lit':
-    case 'ref':
+export function children(expr: Expr): Expr[] {
+  switch (expr.kind) {
+    case 'literal':
+    case 'reference':
       return [];
-    case 'sel':
-      return [e.of];
-    case 'at':
-      return [e.of, e.index];
-    case 'un':
-      return [e.a];
-    case 'bin':
-      return [e.a, e.b];
-    case 'if':
-      return e.a ? [e.c, e.a, e.b] : [e.c, e.b];
+    case 'selection':
+      return [expr.of];
+    case 'subscript':
+      return [expr.of, expr.index];
+    case 'unary':
+      return [expr.operand];
+    case 'binary':
+      return [expr.left, expr.right];
+    case 'conditional':
+      return expr.whenTrue
+        ? [expr.condition, expr.whenTrue, expr.whenFalse]
+        : [expr.condition, expr.whenFalse];
     case 'call':
-      return e.args;
+      return expr.args;
     case 'list':
-      return e.items;
-    case 'rec':
-      return [...e.ad].map((a) => a.expr);
+      return expr.items;
+    case 'record':
+      return [...expr.ad].map((a) => a.expr);
   }
 }
 
--- a/src/classad/functions/define.ts
+++ b/src/classad/functions/define.ts
@@ -20,14 +20,14 @@
   name: string,
   least: number,
   most: number,
-  f: (args: Value[], ev: Evaluator) => Value,
+  implementation: (args: Value[], ev: Evaluator) => Value,
 ): NamedFunction => [
   name,
   {
     minArgs: least,
     maxArgs: most,
     call: (args, frame, ev) =>
-      f(
+      implementation(
         args.map((a) => ev.run(a, frame)),
         ev,
       ),
@@ -39,12 +39,12 @@
   name: string,
   least: number,
   most: number,
-  f: (args: Exclude<Value, undefined | ErrorValue>[], ev: Evaluator) => Value,
+  implementation: (args: Exclude<Value, undefined | ErrorValue>[], ev: Evaluator) => Value,
 ): NamedFunction =>
   lenientFunction(name, least, most, (args, ev) => {
-    const odd = exceptional(...args);
-    if (odd) return odd === 'undefined' ? undefined : odd;
-    return f(args as Exclude<Value, undefined | ErrorValue>[], ev);
+    const exception = exceptional(...args);
+    if (exception) return exception === 'undefined' ? undefined : exception;
+    return implementation(args as Exclude<Value, undefined | ErrorValue>[], ev);
   });
 
 export const typeError = (name: string, v: Value): ErrorValue =>
@@ -55,9 +55,9 @@
   name: string,
   least: number,
   most: number,
-  f: (args: string[], ev: Evaluator) => Value,
+  implementation: (args: string[], ev: Evaluator) => Value,
 ): NamedFunction =>
   strictFunction(name, least, most, (args, ev) => {
-    const bad = args.find((a) => typeof a !== 'string');
-    return bad === undefined ? f(args as string[], ev) : typeError(name, bad);
+    const notText = args.find((a) => typeof a !== 'string');
+    return notText === undefined ? implementation(args as string[], ev) : typeError(name, notText);
   });
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -1,5 +1,5 @@
 import { binaryOp, exceptional } from '../operators.js';
-import { ErrorValue, int, numeric, type Value } from '../values.js';
+import { ErrorValue, toInt64, toNumber, type Value } from '../values.js';
 import { strictFunction, typeError, type NamedFunction } from './define.js';
 import { toReal } from './types.js';
 
@@ -8,7 +8,7 @@
     if (typeof v === 'bigint') return v;
     const n = toReal(v);
     if (typeof n !== 'number') return n;
-    return Number.isFinite(n) ? int(f(n)) : new ErrorValue(`${name} of a number that is not finite`);
+    return Number.isFinite(n) ? toInt64(f(n)) : new ErrorValue(`${name} of a number that is not finite`);
   });
 
 /** Half away from even: to the even one, as the C library does by default. */
@@ -25,7 +25,7 @@
     if (!Array.isArray(list)) return typeError(name, list);
     const odd = exceptional(...list);
     if (odd) return odd === 'undefined' ? undefined : odd;
-    const all = list.map(numeric);
+    const all = list.map(toNumber);
     if (all.includes(null)) return new ErrorValue(`${name} takes a list of numbers`);
     return all.length === 0 ? empty : f(all as (bigint | number)[]);
   });
@@ -40,7 +40,7 @@
   if (Number(b) === 0) return a;
   if (typeof a === 'bigint' && typeof b === 'bigint') {
     const times = a / b + (a % b !== 0n && a > 0n === b > 0n ? 1n : 0n);
-    return int(times * b);
+    return toInt64(times * b);
   }
   return Math.ceil(Number(a) / Number(b)) * Number(b);
 }
@@ -50,25 +50,25 @@
   roundingFunction('ceiling', Math.ceil),
   roundingFunction('round', roundHalfToEven),
   strictFunction('pow', 2, 2, ([a, b]) => {
-    const [x, y] = [numeric(a), numeric(b)];
+    const [x, y] = [toNumber(a), toNumber(b)];
     if (x === null || y === null) return typeError('pow', x === null ? a : b);
     // Guards against a power that is a number of a million digits.
-    if (typeof x === 'bigint' && typeof y === 'bigint' && y >= 0n && y <= 64n) return int(x ** y);
+    if (typeof x === 'bigint' && typeof y === 'bigint' && y >= 0n && y <= 64n) return toInt64(x ** y);
     return Number(x) ** Number(y);
   }),
   strictFunction('quantize', 2, 2, ([a, b]) => {
-    const x = numeric(a);
+    const x = toNumber(a);
     if (x === null) return typeError('quantize', a);
     if (Array.isArray(b)) {
       for (const step of b) {
-        const n = numeric(step);
+        const n = toNumber(step);
         if (n === null) return typeError('quantize', step);
         if (n >= x) return n;
       }
-      const last = b.length > 0 ? numeric(b[b.length - 1]) : null;
+      const last = b.length > 0 ? toNumber(b[b.length - 1]) : null;
       return last === null ? new ErrorValue('quantize by an empty list') : quantize(x, last);
     }
-    const y = numeric(b);
+    const y = toNumber(b);
     return y === null ? typeError('quantize', b) : quantize(x, y);
   }),
   [
@@ -81,7 +81,7 @@
         const n = args.length === 0 ? 1 : ev.run(args[0], f);
         if (n === undefined || n instanceof ErrorValue) return n;
         if (typeof n === 'bigint')
-          return n > 0n ? int(ev.context.random() * Number(n)) : new ErrorValue('random of nothing');
+          return n > 0n ? toInt64(ev.context.random() * Number(n)) : new ErrorValue('random of nothing');
         return typeof n === 'number' ? ev.context.random() * n : typeError('random', n);
       },
     },
--- a/src/classad/functions/time.ts
+++ b/src/classad/functions/time.ts
@@ -1,5 +1,5 @@
 import strftime from 'strftime';
-import { ErrorValue, int, numeric } from '../values.js';
+import { ErrorValue, toInt64, toNumber } from '../values.js';
 import { strictFunction, typeError, type FunctionSpec, type NamedFunction } from './define.js';
 
 const formatDuration = (total: bigint): string => {
@@ -14,7 +14,7 @@
   minArgs: 0,
   maxArgs: 0,
   nonDeterministic: true,
-  call: (_, __, ev) => int(ev.context.nowS),
+  call: (_, __, ev) => toInt64(ev.context.nowS),
 };
 
 export const time: NamedFunction[] = [
@@ -26,11 +26,11 @@
       maxArgs: 2,
       nonDeterministic: true,
       call: (args, f, ev) => {
-        const at = args.length > 0 ? ev.run(args[0], f) : int(ev.context.nowS);
+        const at = args.length > 0 ? ev.run(args[0], f) : toInt64(ev.context.nowS);
         const format = args.length > 1 ? ev.run(args[1], f) : '%c';
         if (at === undefined || at instanceof ErrorValue) return at;
         if (format === undefined || format instanceof ErrorValue) return format;
-        const s = numeric(at);
+        const s = toNumber(at);
         if (s === null) return typeError('formatTime', at);
         if (typeof format !== 'string') return typeError('formatTime', format);
         const date = new Date(Number(s) * 1000);
@@ -39,9 +39,9 @@
     },
   ],
   strictFunction('interval', 1, 1, ([v]) => {
-    const n = numeric(v);
+    const n = toNumber(v);
     if (n === null || !Number.isFinite(Number(n))) return typeError('interval', v);
-    const total = int(n);
+    const total = toInt64(n);
     return total < 0n ? `-${formatDuration(-total)}` : formatDuration(total);
   }),
 ];
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -1,5 +1,5 @@
 import { printExpr, printValue } from '../print.js';
-import { ErrorValue, RecordValue, truth, typeOf, type TypeName, type Value } from '../values.js';
+import { ErrorValue, RecordValue, toTruth, typeOf, type TypeName, type Value } from '../values.js';
 import { strictFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
 
 const typeTestFunction = (name: string, type: TypeName): NamedFunction =>
@@ -61,7 +61,7 @@
   strictFunction('real', 1, 1, ([v]) => toReal(v)),
   strictFunction('string', 1, 1, ([v]) => toText(v)),
   strictFunction('bool', 1, 1, ([v]) => {
-    if (typeof v !== 'string') return truth(v);
+    if (typeof v !== 'string') return toTruth(v);
     return /^true$/i.test(v)
       ? true
       : /^false$/i.test(v)
@@ -74,7 +74,7 @@
       minArgs: 3,
       maxArgs: 3,
       call: ([c, a, b], f, ev) => {
-        const t = truth(ev.run(c, f));
+        const t = toTruth(ev.run(c, f));
         return typeof t === 'boolean' ? ev.run(t ? a : b, f) : t;
       },
     },
@@ -99,7 +99,7 @@
       unevaluatedArgs: true,
       // Of an attribute: how it is written; of anything else: itself.
       call: ([a], f) => {
-        const own = a.k === 'ref' ? f.ad.get(a.name) : undefined;
+        const own = a.kind === 'reference' ? f.ad.get(a.name) : undefined;
         return printExpr(own ?? a);
       },
     },
--- a/src/classad/grammar.peggy
+++ b/src/classad/grammar.peggy
@@ -1,6 +1,6 @@
 // The language of match expressions, by HTCondor's manual. Levels bind tighter from top to bottom.
 {{
-const bin = (first, rest) => rest.reduce((a, [op, b]) => ({ k: 'bin', op, a, b }), first);
+const bin = (first, rest) => rest.reduce((left, [op, right]) => ({ kind: 'binary', op, left, right }), first);
 const escapes = { b: '\b', t: '\t', n: '\n', f: '\f', r: '\r' };
 const keywords = { true: true, false: false, undefined: undefined };
 }}
@@ -21,8 +21,8 @@
 Down = &{ if (++depth > maxDepth) error(`nested more than ${maxDepth} deep`); return true; }
 Up = &{ depth--; return true; }
 
-Cond = c:Or rest:(_ '?' _ @(':' _ b:Expr { return { a: null, b }; } / a:Expr _ ':' _ b:Expr { return { a, b }; }))?
-  { return rest ? { k: 'if', c, a: rest.a, b: rest.b } : c; }
+Cond = c:Or rest:(_ '?' _ @(':' _ b:Expr { return { whenTrue: null, whenFalse: b }; } / a:Expr _ ':' _ b:Expr { return { whenTrue: a, whenFalse: b }; }))?
+  { return rest ? { kind: 'conditional', condition: c, ...rest } : c; }
 Or = a:And r:(_ @'||' _ @And)* { return row(a, r); }
 And = a:BitOr r:(_ @'&&' _ @BitOr)* { return row(a, r); }
 BitOr = a:BitXor r:(_ @$('|' !'|') _ @BitXor)* { return row(a, r); }
@@ -41,7 +41,7 @@
 Postfix = of:Primary rest:(_ @(Select / Subscript))*
   {
     if (rest.length > maxRow) error(`more than ${maxRow} operators in a row`);
-    return rest.reduce((e, r) => (r.name !== undefined ? { k: 'sel', of: e, name: r.name } : { k: 'at', of: e, index: r.index }), of);
+    return rest.reduce((e, r) => (r.name !== undefined ? { kind: 'selection', of: e, name: r.name } : { kind: 'subscript', of: e, index: r.index }), of);
   }
 Select = '.' _ name:Name { return { name }; }
 Subscript = '[' _ index:Expr _ ']' { return { index }; }
@@ -54,13 +54,13 @@
   / Rec
   / w:$('true'i / 'false'i / 'undefined'i) !NameChar { return literal(keywords[w.toLowerCase()]); }
   / 'error'i !NameChar { return literal(fault('error')); }
-  / '.' _ name:Name { return { k: 'ref', name, absolute: true }; }
-  / name:Name _ '(' _ args:Args? _ ')' { return { k: 'call', name, args: args ?? [] }; }
-  / name:Name { return { k: 'ref', name, absolute: false }; }
+  / '.' _ name:Name { return { kind: 'reference', name, absolute: true }; }
+  / name:Name _ '(' _ args:Args? _ ')' { return { kind: 'call', name, args: args ?? [] }; }
+  / name:Name { return { kind: 'reference', name, absolute: false }; }
 
-List = '{' _ items:Args? _ '}' { return { k: 'list', items: items ?? [] }; }
+List = '{' _ items:Args? _ '}' { return { kind: 'list', items: items ?? [] }; }
 Args = a:Expr r:(_ ',' _ @Expr)* { return [a, ...r]; }
-Rec = '[' _ all:Attributes? _ ']' { return { k: 'rec', ad: record(all ?? []) }; }
+Rec = '[' _ all:Attributes? _ ']' { return { kind: 'record', ad: record(all ?? []) }; }
 Attributes = a:Attribute r:(_ ';' _ @Attribute)* (_ ';')* { return [a, ...r]; }
 Attribute = name:Name _ '=' ![=?!] _ expr:Expr { return { name, expr }; }
 
--- a/src/classad/index.ts
+++ b/src/classad/index.ts
@@ -1,5 +1,5 @@
 export { Ad, children, literal, textOf, type Attribute, type Expr } from './expr.js';
-export { ErrorValue, RecordValue, typeOf, truth, type Value } from './values.js';
+export { ErrorValue, RecordValue, typeOf, toTruth as truth, type Value } from './values.js';
 export { ClassAdError, parseAd, parseExpr } from './parse.js';
 export { printAd, printExpr, printName, printValue } from './print.js';
 export { Evaluation, evaluate } from './evaluate.js';
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -1,6 +1,6 @@
 import type { BinaryOp, UnaryOp } from './expr.js';
 import { printAd } from './print.js';
-import { ErrorValue, int, numeric, RecordValue, typeOf, type Value } from './values.js';
+import { ErrorValue, toInt64, toNumber, RecordValue, typeOf, type Value } from './values.js';
 
 /** `error` before `undefined`, and both before anything else. */
 export function exceptional(...args: Value[]): ErrorValue | 'undefined' | null {
@@ -12,10 +12,10 @@
   const odd = exceptional(a);
   if (odd) return odd === 'undefined' ? undefined : odd;
   if (op === '~') return typeof a === 'bigint' ? ~a : typeError(op, a);
-  const n = numeric(a);
+  const n = toNumber(a);
   if (n === null) return typeError(op, a);
   if (op === '+') return n;
-  return typeof n === 'bigint' ? int(-n) : -n;
+  return typeof n === 'bigint' ? toInt64(-n) : -n;
 }
 
 const typeError = (op: string, ...args: Value[]): ErrorValue =>
@@ -66,7 +66,7 @@
     const [x, y] = [a.toLowerCase(), b.toLowerCase()];
     return x < y ? -1 : x > y ? 1 : 0;
   }
-  const [x, y] = [numeric(a), numeric(b)];
+  const [x, y] = [toNumber(a), toNumber(b)];
   if (x === null || y === null) return null;
   return x < y ? -1 : x > y ? 1 : x == y ? 0 : NaN;
 }
@@ -97,26 +97,26 @@
   if (op === '^') return a ^ b;
   // Guards against a shift that makes a number of as many digits.
   if (b < 0n || b > 63n) return new ErrorValue(`${op}: a shift by ${b}`);
-  if (op === '<<') return int(a << b);
-  return op === '>>' ? a >> b : int(BigInt.asUintN(64, a) >> b);
+  if (op === '<<') return toInt64(a << b);
+  return op === '>>' ? a >> b : toInt64(BigInt.asUintN(64, a) >> b);
 }
 
 function arithmetic(op: '+' | '-' | '*' | '/' | '%', a: Value, b: Value): Value {
-  const [x, y] = [numeric(a), numeric(b)];
+  const [x, y] = [toNumber(a), toNumber(b)];
   if (x === null || y === null) return typeError(op, a, b);
   if (typeof x === 'bigint' && typeof y === 'bigint') {
     if ((op === '/' || op === '%') && y === 0n) return new ErrorValue('division by zero');
     switch (op) {
       case '+':
-        return int(x + y);
+        return toInt64(x + y);
       case '-':
-        return int(x - y);
+        return toInt64(x - y);
       case '*':
-        return int(x * y);
+        return toInt64(x * y);
       case '/':
-        return int(x / y);
+        return toInt64(x / y);
       case '%':
-        return int(x % y);
+        return toInt64(x % y);
     }
   }
   const [p, q] = [Number(x), Number(y)];
--- a/src/classad/partial.ts
+++ b/src/classad/partial.ts
@@ -10,7 +10,7 @@
  * What is left of an expression once one side is known: all of it that does not depend on the other side, the time or chance
  * is evaluated. Evaluated against any other side, what is left comes to the same as the whole.
  */
-export function partiallyEvaluate(e: Expr, my: Ad, around?: EvaluationContext): Expr {
+export function partiallyEvaluate(expr: Expr, my: Ad, around?: EvaluationContext): Expr {
   const active = new Set<string>();
   const frame = matchScopes(my);
 
@@ -26,63 +26,73 @@
     active.add(key);
     const left = reduce(expr);
     active.delete(key);
-    return left.k === 'lit' ? left : null;
+    return left.kind === 'literal' ? left : null;
   };
-  const reduce = (x: Expr): Expr => {
-    switch (x.k) {
-      case 'lit':
-      case 'rec':
-        return x;
-      case 'ref':
-        return (my.has(x.name) ? ownAttribute(x.name) : null) ?? x;
-      case 'sel': {
-        const side = matchSideOf(x.of);
-        if (side === 'target' || (side === 'my' && my.has('my'))) return x;
-        if (side === 'my') return my.has(x.name) ? (ownAttribute(x.name) ?? x) : literal(undefined);
-        return { ...x, of: reduce(x.of) };
+  const reduce = (expr: Expr): Expr => {
+    switch (expr.kind) {
+      case 'literal':
+      case 'record':
+        return expr;
+      case 'reference':
+        return (my.has(expr.name) ? ownAttribute(expr.name) : null) ?? expr;
+      case 'selection': {
+        const side = matchSideOf(expr.of);
+        if (side === 'target' || (side === 'my' && my.has('my'))) return expr;
+        if (side === 'my') return my.has(expr.name) ? (ownAttribute(expr.name) ?? expr) : literal(undefined);
+        return { kind: 'selection', of: reduce(expr.of), name: expr.name };
       }
-      case 'at': {
-        const y: Expr = { k: 'at', of: reduce(x.of), index: reduce(x.index) };
+      case 'subscript': {
+        const y: Expr = { kind: 'subscript', of: reduce(expr.of), index: reduce(expr.index) };
         return isConstant(y.of) && isConstant(y.index) ? fold(y) : y;
       }
-      case 'un': {
-        const y: Expr = { ...x, a: reduce(x.a) };
-        return isConstant(y.a) ? fold(y) : y;
+      case 'unary': {
+        const y: Expr = { kind: 'unary', op: expr.op, operand: reduce(expr.operand) };
+        return isConstant(y.operand) ? fold(y) : y;
       }
-      case 'bin': {
-        const y: Expr = { ...x, a: reduce(x.a), b: reduce(x.b) };
-        if (isConstant(y.a) && isConstant(y.b)) return fold(y);
+      case 'binary': {
+        const y: Expr = { kind: 'binary', op: expr.op, left: reduce(expr.left), right: reduce(expr.right) };
+        if (isConstant(y.left) && isConstant(y.right)) return fold(y);
         // Decided by its left side alone, whatever the right one is.
-        if ((x.op === '&&' || x.op === '||') && isConstant(y.a)) {
-          const alone = fold({ k: 'bin', op: x.op, a: y.a, b: literal(undefined) });
-          if (alone.k === 'lit' && alone.v !== undefined) return alone;
+        if ((expr.op === '&&' || expr.op === '||') && isConstant(y.left)) {
+          const alone = fold({ kind: 'binary', op: expr.op, left: y.left, right: literal(undefined) });
+          if (alone.kind === 'literal' && alone.value !== undefined) return alone;
         }
         return y;
       }
-      case 'if': {
-        const c = reduce(x.c);
-        const a = x.a && reduce(x.a);
-        const b = reduce(x.b);
-        if (!isConstant(c)) return { k: 'if', c, a, b };
-        if (a === null) return c.k === 'lit' && c.v === undefined ? b : c;
-        const which = fold({ k: 'if', c, a: literal(true), b: literal(false) });
-        return which.k === 'lit' && which.v === true ? a : which.k === 'lit' && which.v === false ? b : which;
+      case 'conditional': {
+        const c = reduce(expr.condition);
+        const a = expr.whenTrue && reduce(expr.whenTrue);
+        const b = reduce(expr.whenFalse);
+        if (!isConstant(c)) return { kind: 'conditional', condition: c, whenTrue: a, whenFalse: b };
+        if (a === null) return c.kind === 'literal' && c.value === undefined ? b : c;
+        const which = fold({
+          kind: 'conditional',
+          condition: c,
+          whenTrue: literal(true),
+          whenFalse: literal(false),
+        });
+        return which.kind === 'literal' && which.value === true
+          ? a
+          : which.kind === 'literal' && which.value === false
+            ? b
+            : which;
       }
       case 'call': {
-        const args = x.args.map(reduce);
-        const fn = functions.get(x.name.toLowerCase());
-        const y: Expr = { k: 'call', name: x.name, args };
+        const args = expr.args.map(reduce);
+        const fn = functions.get(expr.name.toLowerCase());
+        const y: Expr = { kind: 'call', name: expr.name, args };
         // Some see their arguments as they are written.
-        if (fn?.unevaluatedArgs) return x;
+        if (fn?.unevaluatedArgs) return expr;
         return args.every(isConstant) && !fn?.nonDeterministic ? fold(y) : y;
       }
       case 'list':
-        return { k: 'list', items: x.items.map(reduce) };
+        return { kind: 'list', items: expr.items.map(reduce) };
     }
   };
-  return reduce(e);
+  return reduce(expr);
 }
 
-const isConstant = (e: Expr): boolean => e.k === 'lit' || (e.k === 'list' && e.items.every(isConstant));
-const isPrintable = (v: Value): boolean =>
-  !(v instanceof RecordValue) && !(Array.isArray(v) && !v.every(isPrintable));
+const isConstant = (expr: Expr): boolean =>
+  expr.kind === 'literal' || (expr.kind === 'list' && expr.items.every(isConstant));
+const isPrintable = (value: Value): boolean =>
+  !(value instanceof RecordValue) && !(Array.isArray(value) && !value.every(isPrintable));
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -25,9 +25,9 @@
   '/': 11,
   '%': 11,
 };
-const ternary = 1;
-const prefix = 12;
-const postfix = 13;
+const conditionalPrecedence = 1;
+const prefixPrecedence = 12;
+const postfixPrecedence = 13;
 
 const escapes: Record<string, string> = {
   '\b': '\\b',
@@ -38,38 +38,38 @@
   '\\': '\\\\',
 };
 
-function quoted(s: string, mark: '"' | "'"): string {
-  let out = mark as string;
-  for (const c of s) {
+function quote(text: string, delimiter: '"' | "'"): string {
+  let out = delimiter as string;
+  for (const c of text) {
     const code = c.charCodeAt(0);
-    if (c === mark) out += `\\${mark}`;
+    if (c === delimiter) out += `\\${delimiter}`;
     else if (escapes[c] !== undefined) out += escapes[c];
     else if (code < 32 || code === 127) out += `\\${code.toString(8).padStart(3, '0')}`;
     else out += c;
   }
-  return out + mark;
+  return out + delimiter;
 }
 
 const reserved = /^(true|false|undefined|error|is|isnt)$/i;
-export const printName = (n: string): string =>
-  /^[A-Za-z_][A-Za-z0-9_]*$/.test(n) && !reserved.test(n) ? n : quoted(n, "'");
+export const printName = (name: string): string =>
+  /^[A-Za-z_][A-Za-z0-9_]*$/.test(name) && !reserved.test(name) ? name : quote(name, "'");
 
-function printReal(n: number): string {
-  if (Number.isNaN(n)) return 'real("NaN")';
-  if (!Number.isFinite(n)) return n > 0 ? 'real("INF")' : 'real("-INF")';
-  if (Object.is(n, -0)) return '-0.0';
-  const text = String(n);
+function printReal(value: number): string {
+  if (Number.isNaN(value)) return 'real("NaN")';
+  if (!Number.isFinite(value)) return value > 0 ? 'real("INF")' : 'real("-INF")';
+  if (Object.is(value, -0)) return '-0.0';
+  const text = String(value);
   return /[.e]/.test(text) ? text.replace(/^(-?\d+)e/, '$1.0e') : `${text}.0`;
 }
 
 /** A value in the language's own syntax. */
-export function printValue(v: Value): string {
-  if (v === undefined) return 'undefined';
-  if (v instanceof ErrorValue) return 'error';
-  if (v instanceof RecordValue) return printAd(v.ad);
-  if (Array.isArray(v)) return v.length === 0 ? '{ }' : `{ ${v.map(printValue).join(', ')} }`;
-  if (typeof v === 'string') return quoted(v, '"');
-  return typeof v === 'number' ? printReal(v) : String(v);
+export function printValue(value: Value): string {
+  if (value === undefined) return 'undefined';
+  if (value instanceof ErrorValue) return 'error';
+  if (value instanceof RecordValue) return printAd(value.ad);
+  if (Array.isArray(value)) return value.length === 0 ? '{ }' : `{ ${value.map(printValue).join(', ')} }`;
+  if (typeof value === 'string') return quote(value, '"');
+  return typeof value === 'number' ? printReal(value) : String(value);
 }
 
 export function printAd(ad: Ad): string {
@@ -77,49 +77,57 @@
   return all.length === 0 ? '[ ]' : `[ ${all.join('; ')} ]`;
 }
 
-const negative = (v: Value): boolean =>
+const isNegative = (v: Value): boolean =>
   (typeof v === 'bigint' && v < 0n) || (typeof v === 'number' && (v < 0 || Object.is(v, -0)));
 
 /** An expression; what is read of it is the same again. */
-export function printExpr(e: Expr, minPrecedence = 0): string {
-  const [text, level] = print(e);
+export function printExpr(expr: Expr, minPrecedence = 0): string {
+  const [text, level] = printWithPrecedence(expr);
   return level < minPrecedence ? `(${text})` : text;
 }
 
-function print(e: Expr): [string, number] {
-  switch (e.k) {
-    case 'lit':
-      return [printValue(e.v), negative(e.v) ? prefix : postfix];
-    case 'ref':
-      return [`${e.absolute ? '.' : ''}${printName(e.name)}`, postfix];
-    case 'sel':
-      return [`${printOperand(e.of)}.${printName(e.name)}`, postfix];
-    case 'at':
-      return [`${printOperand(e.of)}[${printExpr(e.index)}]`, postfix];
-    case 'un':
-      return [`${e.op}${printExpr(e.a, prefix)}`, prefix];
-    case 'bin': {
-      const level = precedence[e.op];
-      return [`${printExpr(e.a, level)} ${e.op} ${printExpr(e.b, level + 1)}`, level];
+function printWithPrecedence(expr: Expr): [string, number] {
+  switch (expr.kind) {
+    case 'literal':
+      return [printValue(expr.value), isNegative(expr.value) ? prefixPrecedence : postfixPrecedence];
+    case 'reference':
+      return [`${expr.absolute ? '.' : ''}${printName(expr.name)}`, postfixPrecedence];
+    case 'selection':
+      return [`${printOperand(expr.of)}.${printName(expr.name)}`, postfixPrecedence];
+    case 'subscript':
+      return [`${printOperand(expr.of)}[${printExpr(expr.index)}]`, postfixPrecedence];
+    case 'unary':
+      return [`${expr.op}${printExpr(expr.operand, prefixPrecedence)}`, prefixPrecedence];
+    case 'binary': {
+      const level = precedence[expr.op];
+      return [`${printExpr(expr.left, level)} ${expr.op} ${printExpr(expr.right, level + 1)}`, level];
     }
-    case 'if': {
-      const c = printExpr(e.c, ternary + 1);
-      const b = printExpr(e.b);
-      return [e.a ? `${c} ? ${printExpr(e.a)} : ${b}` : `${c} ?: ${b}`, ternary];
+    case 'conditional': {
+      const c = printExpr(expr.condition, conditionalPrecedence + 1);
+      const b = printExpr(expr.whenFalse);
+      return [
+        expr.whenTrue ? `${c} ? ${printExpr(expr.whenTrue)} : ${b}` : `${c} ?: ${b}`,
+        conditionalPrecedence,
+      ];
     }
     case 'call':
-      return [`${printName(e.name)}(${e.args.map((a) => printExpr(a)).join(', ')})`, postfix];
+      return [`${printName(expr.name)}(${expr.args.map((a) => printExpr(a)).join(', ')})`, postfixPrecedence];
     case 'list':
-      return [e.items.length === 0 ? '{ }' : `{ ${e.items.map((i) => printExpr(i)).join(', ')} }`, postfix];
-    case 'rec':
-      return [printAd(e.ad), postfix];
+      return [
+        expr.items.length === 0 ? '{ }' : `{ ${expr.items.map((i) => printExpr(i)).join(', ')} }`,
+        postfixPrecedence,
+      ];
+    case 'record':
+      return [printAd(expr.ad), postfixPrecedence];
   }
 }
 
 /** A number before a dot would be read as another number. */
-function printOperand(e: Expr): string {
-  const text = printExpr(e, postfix);
-  return e.k === 'lit' && (typeof e.v === 'bigint' || typeof e.v === 'number') && !text.startsWith('(')
+function printOperand(operand: Expr): string {
+  const text = printExpr(operand, postfixPrecedence);
+  return operand.kind === 'literal' &&
+    (typeof operand.value === 'bigint' || typeof operand.value === 'number') &&
+    !text.startsWith('(')
     ? `(${text})`
     : text;
 }
--- a/src/classad/refs.ts
+++ b/src/classad/refs.ts
@@ -2,9 +2,9 @@
 import { functions } from './functions/index.js';
 
 /** Whether a selection is of one of the two sides: `MY.x`, `TARGET.x`. */
-export function matchSideOf(e: Expr): 'my' | 'target' | null {
-  if (e.k !== 'ref' || e.absolute) return null;
-  const name = e.name.toLowerCase();
+export function matchSideOf(expr: Expr): 'my' | 'target' | null {
+  if (expr.kind !== 'reference' || expr.absolute) return null;
+  const name = expr.name.toLowerCase();
   return name === 'my' || name === 'target' ? name : null;
 }
 
@@ -12,7 +12,7 @@
  * The names that an expression of one record asks of the other, through its own attributes, in lower case. What is only known
  * when it is evaluated (`eval`, a subscript of TARGET) is told by '*': anything.
  */
-export function referencedAttributes(e: Expr, my: Ad): Set<string> {
+export function referencedAttributes(expr: Expr, my: Ad): Set<string> {
   const found = new Set<string>();
   const seen = new Set<string>();
   const visitOwnAttribute = (name: string): void => {
@@ -23,12 +23,12 @@
     if (own) visit(own);
   };
   const visit = (x: Expr): void => {
-    if (x.k === 'sel') {
+    if (x.kind === 'selection') {
       const side = matchSideOf(x.of);
       if (side === 'target') return void found.add(x.name.toLowerCase());
       if (side === 'my') return visitOwnAttribute(x.name);
     }
-    if (x.k === 'ref') {
+    if (x.kind === 'reference') {
       const side = matchSideOf(x);
       if (side === 'target') found.add('*');
       else if (side === null) {
@@ -36,16 +36,16 @@
         else if (!x.absolute) found.add(x.name.toLowerCase());
       }
     }
-    if (x.k === 'call' && x.name.toLowerCase() === 'eval') found.add('*');
+    if (x.kind === 'call' && x.name.toLowerCase() === 'eval') found.add('*');
     // Inside a nested record its own names come first; asking for too many only costs.
     for (const c of children(x)) visit(c);
   };
-  visit(e);
+  visit(expr);
   return found;
 }
 
 /** Whether time or chance decide what it comes to, as far as it is written there. */
-export function isNonDeterministic(e: Expr): boolean {
-  if (e.k === 'call' && functions.get(e.name.toLowerCase())?.nonDeterministic) return true;
-  return children(e).some(isNonDeterministic);
+export function isNonDeterministic(expr: Expr): boolean {
+  if (expr.kind === 'call' && functions.get(expr.name.toLowerCase())?.nonDeterministic) return true;
+  return children(expr).some(isNonDeterministic);
 }
--- a/src/classad/values.ts
+++ b/src/classad/values.ts
@@ -4,12 +4,12 @@
 
 export type TypeName = 'undefined' | 'error' | 'boolean' | 'integer' | 'real' | 'string' | 'list' | 'classad';
 
-export function typeOf(v: Value): TypeName {
-  if (v === undefined) return 'undefined';
-  if (v instanceof ErrorValue) return 'error';
-  if (Array.isArray(v)) return 'list';
-  if (v instanceof RecordValue) return 'classad';
-  switch (typeof v) {
+export function typeOf(value: Value): TypeName {
+  if (value === undefined) return 'undefined';
+  if (value instanceof ErrorValue) return 'error';
+  if (Array.isArray(value)) return 'list';
+  if (value instanceof RecordValue) return 'classad';
+  switch (typeof value) {
     case 'boolean':
       return 'boolean';
     case 'bigint':
@@ -21,19 +21,19 @@
   }
 }
 
-export const int = (n: number | bigint): bigint =>
-  BigInt.asIntN(64, typeof n === 'bigint' ? n : BigInt(Math.trunc(n)));
+export const toInt64 = (value: number | bigint): bigint =>
+  BigInt.asIntN(64, typeof value === 'bigint' ? value : BigInt(Math.trunc(value)));
 
 /** Numbers, and booleans as 1 and 0; null: it is none. */
-export function numeric(v: Value): bigint | number | null {
-  if (typeof v === 'bigint' || typeof v === 'number') return v;
-  return typeof v === 'boolean' ? (v ? 1n : 0n) : null;
+export function toNumber(value: Value): bigint | number | null {
+  if (typeof value === 'bigint' || typeof value === 'number') return value;
+  return typeof value === 'boolean' ? (value ? 1n : 0n) : null;
 }
 
 /** As `&&`, `!` and `?` see it: numbers other than zero are true. */
-export function truth(v: Value): boolean | undefined | ErrorValue {
-  if (typeof v === 'boolean' || v === undefined || v instanceof ErrorValue) return v;
-  if (typeof v === 'bigint') return v !== 0n;
-  if (typeof v === 'number') return v !== 0;
-  return new ErrorValue(`a ${typeOf(v)} is neither true nor false`);
+export function toTruth(value: Value): boolean | undefined | ErrorValue {
+  if (typeof value === 'boolean' || value === undefined || value instanceof ErrorValue) return value;
+  if (typeof value === 'bigint') return value !== 0n;
+  if (typeof value === 'number') return value !== 0;
+  return new ErrorValue(`a ${typeOf(value)} is neither true nor false`);
 }
--- a/src/condor/command-handlers.ts
+++ b/src/condor/command-handlers.ts
@@ -86,7 +86,8 @@
     if (result < 0) throw new SubmitError(context.position, `${name}: ${value}: must not be below zero`);
     return literal(result);
   }
-  if (expression.k === 'lit') throw new SubmitError(context.position, `${name}: ${value}: must be a number`);
+  if (expression.kind === 'literal')
+    throw new SubmitError(context.position, `${name}: ${value}: must be a number`);
   return expression;
 }
 
@@ -95,7 +96,7 @@
   (attr: string, min: number): CommandHandler =>
   (value, context, name) => {
     const count = parseCount(value, context, name);
-    if (count.k === 'lit' && Number(count.v) < min)
+    if (count.kind === 'literal' && Number(count.value) < min)
       throw new SubmitError(context.position, `${name}: ${value}: must be at least ${min}`);
     context.ad.set(attr, count);
   };
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -105,8 +105,8 @@
     const condition = parseExpression(value, context, name);
     context.ad.set(
       'RetryUntil',
-      condition.k === 'lit' && typeof condition.v === 'bigint'
-        ? parseExpression(`ExitCode =?= ${condition.v}`, context, name)
+      condition.kind === 'literal' && typeof condition.value === 'bigint'
+        ? parseExpression(`ExitCode =?= ${condition.value}`, context, name)
         : condition,
     );
   },
--- a/src/condor/job-attributes.ts
+++ b/src/condor/job-attributes.ts
@@ -17,9 +17,9 @@
   }
   const group = ad.get('AcctGroup');
   const user = ad.get('AcctGroupUser');
-  if (group?.k === 'lit') {
+  if (group?.kind === 'literal') {
     const name = textOf(user) ?? context.environment.user;
-    ad.set('AccountingGroup', textLiteral(`${String(group.v)}.${name}`));
+    ad.set('AccountingGroup', textLiteral(`${String(group.value)}.${name}`));
   }
 }
 
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -234,6 +234,7 @@
 }
 
 function valueToJson(e: Expr): unknown {
-  if (e.k !== 'lit' || e.v === undefined || typeof e.v === 'object') return `/Expr(${printExpr(e)})/`;
-  return typeof e.v === 'bigint' ? Number(e.v) : e.v;
+  if (e.kind !== 'literal' || e.value === undefined || typeof e.value === 'object')
+    return `/Expr(${printExpr(e)})/`;
+  return typeof e.value === 'bigint' ? Number(e.value) : e.value;
 }
--- a/src/condor/native.ts
+++ b/src/condor/native.ts
@@ -30,9 +30,12 @@
 
 /** The number that an expression is; null if it is none. */
 const numberOf = (e: Expr | undefined): number | null =>
-  e?.k === 'lit' && (typeof e.v === 'bigint' || typeof e.v === 'number') ? Number(e.v) : null;
+  e?.kind === 'literal' && (typeof e.value === 'bigint' || typeof e.value === 'number')
+    ? Number(e.value)
+    : null;
 /** Whether an attribute is missing or false. */
-const isFalse = (e: Expr | undefined): boolean => e === undefined || (e.k === 'lit' && e.v === false);
+const isFalse = (e: Expr | undefined): boolean =>
+  e === undefined || (e.kind === 'literal' && e.value === false);
 
 /** A group as a native submission. Throws for attributes that a control service does not support. */
 export function nativeSubmission(group: JobGroup, team: string, warnings: Warnings): Record<string, unknown> {
@@ -90,8 +93,9 @@
 function matchFields(ad: Ad): Record<string, unknown> {
   const requirements = ad.get('Requirements');
   const rank = ad.get('Rank');
-  const matchesAll = requirements === undefined || (requirements.k === 'lit' && requirements.v === true);
-  const hasRank = rank !== undefined && !(rank.k === 'lit' && Number(rank.v) === 0);
+  const matchesAll =
+    requirements === undefined || (requirements.kind === 'literal' && requirements.value === true);
+  const hasRank = rank !== undefined && !(rank.kind === 'literal' && Number(rank.value) === 0);
   if (matchesAll && !hasRank) return {};
   const attributes: Record<string, string> = {};
   for (const { name, expr } of ad) {
--- a/src/matching/analysis.ts
+++ b/src/matching/analysis.ts
@@ -3,8 +3,8 @@
 
 /** The operands of a condition's `&&` operators, all of which must hold. */
 export function splitConjuncts(condition: Expr): Expr[] {
-  return condition.k === 'bin' && condition.op === '&&'
-    ? [...splitConjuncts(condition.a), ...splitConjuncts(condition.b)]
+  return condition.kind === 'binary' && condition.op === '&&'
+    ? [...splitConjuncts(condition.left), ...splitConjuncts(condition.right)]
     : [condition];
 }
 
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -173,7 +173,7 @@
       ...(rank ? referencedAttributes(rank, my) : []),
     ];
     // A constant rank prefers no machine.
-    const variableRank = rank !== null && rank.k !== 'lit' ? rank : null;
+    const variableRank = rank !== null && rank.kind !== 'literal' ? rank : null;
     return { my, requirements, rank: variableRank, projection: this.projection(names), verdicts: new Map() };
   }
 
--- a/test/classad.test.ts
+++ b/test/classad.test.ts
@@ -293,38 +293,51 @@
     { maxDepth: 5, withCrossShrink: true },
     literals,
     fc.record(
-      { k: fc.constant('ref' as const), name: names, absolute: fc.boolean() },
+      { kind: fc.constant('reference' as const), name: names, absolute: fc.boolean() },
       { noNullPrototype: true },
     ),
-    fc.record({ k: fc.constant('sel' as const), of: tie('expr'), name: names }, { noNullPrototype: true }),
     fc.record(
-      { k: fc.constant('at' as const), of: tie('expr'), index: tie('expr') },
+      { kind: fc.constant('selection' as const), of: tie('expr'), name: names },
+      { noNullPrototype: true },
+    ),
+    fc.record(
+      { kind: fc.constant('subscript' as const), of: tie('expr'), index: tie('expr') },
       { noNullPrototype: true },
     ),
     fc.tuple(fc.constantFrom('-', '+', '!', '~'), tie('expr')).map(([op, a]) => unary(op, a)),
     fc.record(
-      { k: fc.constant('bin' as const), op: fc.constantFrom(...operators), a: tie('expr'), b: tie('expr') },
+      {
+        kind: fc.constant('binary' as const),
+        op: fc.constantFrom(...operators),
+        left: tie('expr'),
+        right: tie('expr'),
+      },
       { noNullPrototype: true },
     ),
     fc.record(
-      { k: fc.constant('if' as const), c: tie('expr'), a: fc.option(tie('expr')), b: tie('expr') },
+      {
+        kind: fc.constant('conditional' as const),
+        condition: tie('expr'),
+        whenTrue: fc.option(tie('expr')),
+        whenFalse: tie('expr'),
+      },
       { noNullPrototype: true },
     ),
     fc.record(
       {
-        k: fc.constant('call' as const),
+        kind: fc.constant('call' as const),
         name: fc.constantFrom(...calls),
         args: fc.array(tie('expr'), { maxLength: 3 }),
       },
       { noNullPrototype: true },
     ),
     fc.record(
-      { k: fc.constant('list' as const), items: fc.array(tie('expr'), { maxLength: 3 }) },
+      { kind: fc.constant('list' as const), items: fc.array(tie('expr'), { maxLength: 3 }) },
       { noNullPrototype: true },
     ),
     fc
       .array(fc.record({ name: names, expr: tie('expr') }, { noNullPrototype: true }), { maxLength: 3 })
-      .map((all): Expr => ({ k: 'rec', ad: new Ad(all) })),
+      .map((all): Expr => ({ kind: 'record', ad: new Ad(all) })),
   ),
 }));
 const ads = fc.array(fc.record({ name: names, expr }), { maxLength: 4 }).map((all) => new Ad(all));
