--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -1,3 +1,4 @@
+/** Evaluates expressions between two records. */
 import type { Ad, Expr, Scope } from './expr.js';
 import { matchScopes, outermostScope } from './scopes.js';
 import { defaultContext, type Evaluator, type EvaluationContext } from './evaluation-context.js';
@@ -6,20 +7,22 @@
 import { parseExpr } from './parse.js';
 import { ErrorValue, RecordValue, toTruth, typeOf, type Value } from './values.js';
 
+/** Bounds on the cost of an evaluation. */
 export interface EvaluationLimits {
-  /** Evaluations of single expressions. */
-  maxSteps: number;
-  /** How deep they may stand in each other. */
-  maxDepth: number;
+  /** How many expressions may be evaluated, nested ones included. */
+  readonly maxSteps: number;
+  /** How deep they may be nested. */
+  readonly maxDepth: number;
 }
 
+/** The limits unless others are given. */
 export const defaultLimits: EvaluationLimits = { maxSteps: 100_000, maxDepth: 500 };
 
-/** Evaluates expressions, with bounds on what that may take. One for each question that is asked. */
+/** One evaluation, whose cost is limited. */
 export class Evaluation implements Evaluator {
   private steps = 0;
   private depth = 0;
-  /** Attributes that are being evaluated. */
+  /** By record: the attributes that are being evaluated. */
   private readonly active = new Map<Ad, Set<string>>();
 
   constructor(
@@ -27,6 +30,7 @@
     private readonly limits: EvaluationLimits = defaultLimits,
   ) {}
 
+  /** Evaluates an expression in a scope. */
   run(expr: Expr, scope: Scope): Value {
     if (++this.steps > this.limits.maxSteps) return new ErrorValue(`more than ${this.limits.maxSteps} steps`);
     if (this.depth >= this.limits.maxDepth) return new ErrorValue(`more than ${this.limits.maxDepth} deep`);
@@ -38,22 +42,22 @@
     }
   }
 
-  /** Work that a function does besides: counted like steps. */
+  /** Counts work of a function as steps; false: more than the limit. */
   spend(steps: number): boolean {
     this.steps += steps;
     return this.steps <= this.limits.maxSteps;
   }
 
-  /** Text that is evaluated as an expression here. */
+  /** Parses a text as an expression and evaluates it in a scope. */
   evaluateText(text: string, scope: Scope): Value {
     try {
       return this.run(parseExpr(text), scope);
-    } catch (e) {
-      return new ErrorValue(String((e as Error).message));
+    } catch (error) {
+      return new ErrorValue(String((error as Error).message));
     }
   }
 
-  /** An attribute of this very record; undefined: there is none. */
+  /** The value of an attribute of the scope's own record; undefined if it has none. */
   attribute(name: string, scope: Scope): Value {
     const expr = scope.ad.get(name);
     if (!expr) return undefined;
@@ -81,46 +85,46 @@
       case 'subscript':
         return this.subscript(this.run(expr.of, scope), this.run(expr.index, scope));
       case 'unary': {
-        const a = this.run(expr.operand, scope);
-        if (expr.op !== '!') return unaryOp(expr.op, a);
-        const t = toTruth(a);
-        return typeof t === 'boolean' ? !t : t;
+        const operand = this.run(expr.operand, scope);
+        if (expr.op !== '!') return unaryOp(expr.op, operand);
+        const truth = toTruth(operand);
+        return typeof truth === 'boolean' ? !truth : truth;
       }
       case 'binary':
         if (expr.op === '&&') return this.evaluateLogical(expr.left, expr.right, scope, false);
         if (expr.op === '||') return this.evaluateLogical(expr.left, expr.right, scope, true);
         return binaryOp(expr.op, this.run(expr.left, scope), this.run(expr.right, scope));
       case 'conditional': {
-        const c = this.run(expr.condition, scope);
-        if (expr.whenTrue === null) return c === undefined ? this.run(expr.whenFalse, scope) : c;
-        const t = toTruth(c);
-        return typeof t === 'boolean' ? this.run(t ? expr.whenTrue : expr.whenFalse, scope) : t;
+        const condition = this.run(expr.condition, scope);
+        if (expr.whenTrue === null)
+          return condition === undefined ? this.run(expr.whenFalse, scope) : condition;
+        const truth = toTruth(condition);
+        return typeof truth === 'boolean' ? this.run(truth ? expr.whenTrue : expr.whenFalse, scope) : truth;
       }
       case 'call': {
-        const fn = functions.get(expr.name.toLowerCase());
-        if (!fn) return new ErrorValue(`no function ${expr.name}`);
-        if (expr.args.length < fn.minArgs || expr.args.length > fn.maxArgs)
-          return new ErrorValue(`${expr.name} takes ${fn.minArgs} to ${fn.maxArgs} arguments`);
-        return fn.call(expr.args, scope, this);
+        const spec = functions.get(expr.name.toLowerCase());
+        if (!spec) return new ErrorValue(`no function ${expr.name}`);
+        if (expr.args.length < spec.minArgs || expr.args.length > spec.maxArgs)
+          return new ErrorValue(`${expr.name} takes ${spec.minArgs} to ${spec.maxArgs} arguments`);
+        return spec.call(expr.args, scope, this);
       }
       case 'list':
-        return expr.items.map((i) => this.run(i, scope));
+        return expr.items.map((item) => this.run(item, scope));
       case 'record':
         return new RecordValue(expr.ad, { ad: expr.ad, parent: scope, target: null });
     }
   }
 
-  /** In its record, in those around it, then in the other side's. */
+  /** Looks a name up in the scope's record, in the enclosing records, and then in the other side's record. */
   private resolveReference(name: string, from: Scope): Value {
-    let at: Scope | null = from;
     let root = from;
-    for (; at; at = at.parent) {
-      if (at.ad.has(name)) return this.attribute(name, at);
-      root = at;
+    for (let scope: Scope | null = from; scope; scope = scope.parent) {
+      if (scope.ad.has(name)) return this.attribute(name, scope);
+      root = scope;
     }
-    const which = name.toLowerCase();
-    if (which === 'my') return new RecordValue(root.ad, root);
-    if (which === 'target') return root.target ? new RecordValue(root.target.ad, root.target) : undefined;
+    const key = name.toLowerCase();
+    if (key === 'my') return new RecordValue(root.ad, root);
+    if (key === 'target') return root.target ? new RecordValue(root.target.ad, root.target) : undefined;
     return root.target ? this.attribute(name, root.target) : undefined;
   }
 
@@ -140,16 +144,16 @@
     return new ErrorValue(`a ${typeOf(of)} has no element by a ${typeOf(index)}`);
   }
 
-  /** `&&` with `end` false, `||` with `end` true: what decides them needs no other side. */
-  private evaluateLogical(a: Expr, b: Expr, scope: Scope, decisive: boolean): Value {
-    const left = toTruth(this.run(a, scope));
+  /** `&&` and `||`: an operand with the decisive value, false and true respectively, decides alone. */
+  private evaluateLogical(leftExpr: Expr, rightExpr: Expr, scope: Scope, decisive: boolean): Value {
+    const left = toTruth(this.run(leftExpr, scope));
     if (left === decisive || left instanceof ErrorValue) return left;
-    const right = toTruth(this.run(b, scope));
+    const right = toTruth(this.run(rightExpr, scope));
     if (right === decisive || right instanceof ErrorValue) return right;
     return left === undefined || right === undefined ? undefined : !decisive;
   }
 }
 
-/** The value of an expression between two records. */
+/** The value of an expression of one record, seen with another one as its target. */
 export const evaluate = (expr: Expr, my: Ad, target: Ad | null = null, context = defaultContext): Value =>
   new Evaluation(context).run(expr, matchScopes(my, target));
--- a/src/classad/evaluation-context.ts
+++ b/src/classad/evaluation-context.ts
@@ -1,19 +1,24 @@
+/** What evaluations depend on beside records, and what they offer to functions. */
 import type { Expr, Scope, Value } from './expr.js';
 
-/** What an evaluation takes from outside; the same gives the same. */
+/** Time and chance. Evaluations with the same context give the same results. */
 export interface EvaluationContext {
   /** Time of day, s. */
-  nowS: number;
+  readonly nowS: number;
+  /** A random number from 0 to 1. */
   random(): number;
 }
 
+/** For expressions that depend on neither. */
 export const defaultContext: EvaluationContext = { nowS: 0, random: () => 0 };
 
-/** An evaluation under way, as functions see it. */
+/** An evaluation, as functions see it. */
 export interface Evaluator {
   readonly context: EvaluationContext;
-  run(e: Expr, f: Scope): Value;
-  evaluateText(text: string, f: Scope): Value;
-  /** False: that is more than may be spent. */
+  /** Evaluates an expression in a scope. */
+  run(expr: Expr, scope: Scope): Value;
+  /** Parses a text as an expression and evaluates it in a scope. */
+  evaluateText(text: string, scope: Scope): Value;
+  /** Counts work of a function as steps; false: more than the limit. */
   spend(steps: number): boolean;
 }
--- a/src/classad/functions/define.ts
+++ b/src/classad/functions/define.ts
@@ -1,63 +1,68 @@
+/** How functions of the language are defined. */
 import type { Evaluator } from '../evaluation-context.js';
 import type { Expr, Scope } from '../expr.js';
 import { exceptional } from '../operators.js';
 import { ErrorValue, typeOf, type Value } from '../values.js';
 
+/** A function of the language. */
 export interface FunctionSpec {
-  minArgs: number;
-  maxArgs: number;
-  call(args: readonly Expr[], f: Scope, ev: Evaluator): Value;
-  /** Time or chance decide, too. */
-  nonDeterministic?: boolean;
-  /** Sees its arguments as they are written, or evaluates them elsewhere. */
-  unevaluatedArgs?: boolean;
+  readonly minArgs: number;
+  readonly maxArgs: number;
+  /** Calls the function; its arguments are not evaluated yet. */
+  call(args: readonly Expr[], scope: Scope, evaluator: Evaluator): Value;
+  /** Whether its result depends on time or chance. */
+  readonly nonDeterministic?: boolean;
+  /** Whether it uses its arguments as they are written, or evaluates them in another scope. */
+  readonly unevaluatedArgs?: boolean;
 }
 
+/** A function with its name. */
 export type NamedFunction = [string, FunctionSpec];
 
-/** Its arguments are evaluated first, whatever they come to. */
+/** A function that gets the values of its arguments, errors and undefined ones included. */
 export const lenientFunction = (
   name: string,
-  least: number,
-  most: number,
-  implementation: (args: Value[], ev: Evaluator) => Value,
+  minArgs: number,
+  maxArgs: number,
+  implementation: (args: Value[], evaluator: Evaluator) => Value,
 ): NamedFunction => [
   name,
   {
-    minArgs: least,
-    maxArgs: most,
-    call: (args, frame, ev) =>
+    minArgs,
+    maxArgs,
+    call: (args, scope, evaluator) =>
       implementation(
-        args.map((a) => ev.run(a, frame)),
-        ev,
+        args.map((arg) => evaluator.run(arg, scope)),
+        evaluator,
       ),
   },
 ];
 
-/** `error` and `undefined` among its arguments go through it. */
+/** A function whose result is an error or undefined if one of its arguments is. */
 export const strictFunction = (
   name: string,
-  least: number,
-  most: number,
-  implementation: (args: Exclude<Value, undefined | ErrorValue>[], ev: Evaluator) => Value,
+  minArgs: number,
+  maxArgs: number,
+  implementation: (args: Exclude<Value, undefined | ErrorValue>[], evaluator: Evaluator) => Value,
 ): NamedFunction =>
-  lenientFunction(name, least, most, (args, ev) => {
+  lenientFunction(name, minArgs, maxArgs, (args, evaluator) => {
     const exception = exceptional(...args);
     if (exception) return exception === 'undefined' ? undefined : exception;
-    return implementation(args as Exclude<Value, undefined | ErrorValue>[], ev);
+    return implementation(args as Exclude<Value, undefined | ErrorValue>[], evaluator);
   });
 
-export const typeError = (name: string, v: Value): ErrorValue =>
-  new ErrorValue(`${name} does not take a ${typeOf(v)}`);
+/** The error of a function that gets a value of the wrong type. */
+export const typeError = (name: string, value: Value): ErrorValue =>
+  new ErrorValue(`${name} does not take a ${typeOf(value)}`);
 
-/** A function of strings alone; the optional ones are undefined where they are not given. */
+/** A function whose arguments all are strings; optional ones that are missing are undefined. */
 export const stringFunction = (
   name: string,
-  least: number,
-  most: number,
-  implementation: (args: string[], ev: Evaluator) => Value,
+  minArgs: number,
+  maxArgs: number,
+  implementation: (args: string[], evaluator: Evaluator) => Value,
 ): NamedFunction =>
-  strictFunction(name, least, most, (args, ev) => {
-    const notText = args.find((a) => typeof a !== 'string');
-    return notText === undefined ? implementation(args as string[], ev) : typeError(name, notText);
+  strictFunction(name, minArgs, maxArgs, (args, evaluator) => {
+    const notText = args.find((arg) => typeof arg !== 'string');
+    return notText === undefined ? implementation(args as string[], evaluator) : typeError(name, notText);
   });
--- a/src/classad/functions/index.ts
+++ b/src/classad/functions/index.ts
@@ -1,3 +1,4 @@
+/** All functions of the language. */
 import type { FunctionSpec } from './define.js';
 import { lists } from './lists.js';
 import { numbers } from './numbers.js';
--- a/src/classad/functions/lists.ts
+++ b/src/classad/functions/lists.ts
@@ -1,3 +1,4 @@
+/** Functions of lists, and of strings that contain lists. */
 import type { BinaryOp } from '../expr.js';
 import { binaryOp, identical } from '../operators.js';
 import { ErrorValue, type Value } from '../values.js';
@@ -31,7 +32,7 @@
     return holds(list, (x) => binaryOp(comparisons[op], x, v) === true);
   });
 
-/** Of words in a string; a separator is any of the characters given. */
+/** The words in a string; any of the delimiters' characters separates them. */
 const words = (s: string, delims: string | undefined): string[] =>
   splitBy(s, delims ?? ' ,').map((w) => w.trim());
 
@@ -64,7 +65,8 @@
 const identity = (s: string): string => s;
 const lowerCase = (s: string): string => s.toLowerCase();
 
-export const lists: NamedFunction[] = [
+/** The functions of this module. */
+export const lists: readonly NamedFunction[] = [
   lenientFunction('member', 2, 2, ([v, list]) => {
     if (list instanceof ErrorValue || list === undefined) return list;
     if (v instanceof ErrorValue || v === undefined) return v;
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -1,3 +1,4 @@
+/** Functions of numbers. */
 import { binaryOp, exceptional } from '../operators.js';
 import { ErrorValue, toInt64, toNumber, type Value } from '../values.js';
 import { strictFunction, typeError, type NamedFunction } from './define.js';
@@ -11,7 +12,7 @@
     return Number.isFinite(n) ? toInt64(f(n)) : new ErrorValue(`${name} of a number that is not finite`);
   });
 
-/** Half away from even: to the even one, as the C library does by default. */
+/** Rounds to the nearest integer, and halves to the even one, as the C library does by default. */
 function roundHalfToEven(n: number): number {
   const down = Math.floor(n);
   const part = n - down;
@@ -19,23 +20,27 @@
   return down % 2 === 0 ? down : down + 1;
 }
 
-/** A function of a list of numbers; `undefined` among them makes it undefined. */
+/** A function of a list of numbers; its result is undefined if one of them is. */
 const listFunction = (name: string, empty: Value, f: (all: (bigint | number)[]) => Value): NamedFunction =>
   strictFunction(name, 1, 1, ([list]) => {
     if (!Array.isArray(list)) return typeError(name, list);
-    const odd = exceptional(...list);
-    if (odd) return odd === 'undefined' ? undefined : odd;
+    const exception = exceptional(...list);
+    if (exception) return exception === 'undefined' ? undefined : exception;
     const all = list.map(toNumber);
     if (all.includes(null)) return new ErrorValue(`${name} takes a list of numbers`);
     return all.length === 0 ? empty : f(all as (bigint | number)[]);
   });
 
+/** The sum. */
 export const sumOf = (all: readonly Value[]): Value => all.reduce((a: Value, b) => binaryOp('+', a, b), 0n);
+/** The least. */
 export const minOf = (all: readonly Value[]): Value =>
   all.reduce((a, b) => (binaryOp('<', b, a) === true ? b : a));
+/** The greatest. */
 export const maxOf = (all: readonly Value[]): Value =>
   all.reduce((a, b) => (binaryOp('>', b, a) === true ? b : a));
 
+/** The least multiple of `b` that is not below `a`. */
 function quantize(a: bigint | number, b: bigint | number): Value {
   if (Number(b) === 0) return a;
   if (typeof a === 'bigint' && typeof b === 'bigint') {
@@ -45,14 +50,15 @@
   return Math.ceil(Number(a) / Number(b)) * Number(b);
 }
 
-export const numbers: NamedFunction[] = [
+/** The functions of this module. */
+export const numbers: readonly NamedFunction[] = [
   roundingFunction('floor', Math.floor),
   roundingFunction('ceiling', Math.ceil),
   roundingFunction('round', roundHalfToEven),
   strictFunction('pow', 2, 2, ([a, b]) => {
     const [x, y] = [toNumber(a), toNumber(b)];
     if (x === null || y === null) return typeError('pow', x === null ? a : b);
-    // Guards against a power that is a number of a million digits.
+    // Larger powers would be numbers of up to millions of digits.
     if (typeof x === 'bigint' && typeof y === 'bigint' && y >= 0n && y <= 64n) return toInt64(x ** y);
     return Number(x) ** Number(y);
   }),
@@ -77,12 +83,14 @@
       minArgs: 0,
       maxArgs: 1,
       nonDeterministic: true,
-      call: (args, f, ev) => {
-        const n = args.length === 0 ? 1 : ev.run(args[0], f);
+      call: (args, scope, evaluator) => {
+        const n = args.length === 0 ? 1 : evaluator.run(args[0], scope);
         if (n === undefined || n instanceof ErrorValue) return n;
         if (typeof n === 'bigint')
-          return n > 0n ? toInt64(ev.context.random() * Number(n)) : new ErrorValue('random of nothing');
-        return typeof n === 'number' ? ev.context.random() * n : typeError('random', n);
+          return n > 0n
+            ? toInt64(evaluator.context.random() * Number(n))
+            : new ErrorValue('random of nothing');
+        return typeof n === 'number' ? evaluator.context.random() * n : typeError('random', n);
       },
     },
   ],
--- a/src/classad/functions/patterns.ts
+++ b/src/classad/functions/patterns.ts
@@ -1,3 +1,4 @@
+/** Functions of regular expressions. */
 import { RE2JS } from 're2js';
 import { ErrorValue, type Value } from '../values.js';
 import { strictFunction, stringFunction, typeError, type NamedFunction } from './define.js';
@@ -5,18 +6,19 @@
 
 const maxPatternChars = 2000;
 const maxTextChars = 64 * 1024;
-/** A long pattern over a long text: each character of the one may have to look at all of the other. */
+/** The work of a match, in characters of the text times characters of the pattern, that counts as one step. */
 const charsPerStep = 1000;
 
+/** A compiled pattern with its options. */
 interface Pattern {
-  compiled: RE2JS;
-  /** All matches are replaced, not the first alone. */
-  all: boolean;
-  /** Only the replaced part is given back. */
-  part: boolean;
+  readonly compiled: RE2JS;
+  /** Replace all matches, not only the first one. */
+  readonly all: boolean;
+  /** Return only what replaces the match, not the text around it. */
+  readonly part: boolean;
 }
 
-/** Patterns without backtracking: time in proportion to pattern and text, whatever they are. */
+/** Compiles a pattern for an engine without backtracking, whose time is linear in pattern and text. */
 function compile(pattern: string, options = ''): Pattern | ErrorValue {
   if (pattern.length > maxPatternChars)
     return new ErrorValue(`a pattern of more than ${maxPatternChars} characters`);
@@ -37,7 +39,7 @@
   }
 }
 
-/** `\1` and `$1` in a substitute stand for groups. */
+/** Replaces `\1` and the like in a substitute by the groups of the match. */
 const expandGroups = (substitute: string, group: (n: number) => string): string =>
   substitute.replace(/\\(\d)|\\\\/g, (m, n: string | undefined) => (n === undefined ? m : group(Number(n))));
 
@@ -62,26 +64,27 @@
       : new ErrorValue('too much work for patterns');
 
 const substitutionFunction = (name: string, whole: boolean, all: boolean): NamedFunction =>
-  stringFunction(name, 3, 4, ([pattern, text, substitute, options], ev): Value => {
+  stringFunction(name, 3, 4, ([pattern, text, substitute, options], evaluator): Value => {
     const p = compile(pattern, options);
     if (p instanceof ErrorValue) return p;
-    const bad = checkCost(text, pattern, (n) => ev.spend(n));
+    const bad = checkCost(text, pattern, (n) => evaluator.spend(n));
     if (bad) return bad;
     const full = whole || !p.part;
     if (!p.compiled.matcher(text).find()) return full ? text : '';
     return replaceMatches(p, text, substitute, all || p.all, full);
   });
 
-export const patterns: NamedFunction[] = [
-  stringFunction('regexp', 2, 3, ([pattern, text, options], ev): Value => {
+/** The functions of this module. */
+export const patterns: readonly NamedFunction[] = [
+  stringFunction('regexp', 2, 3, ([pattern, text, options], evaluator): Value => {
     const p = compile(pattern, options);
     if (p instanceof ErrorValue) return p;
-    return checkCost(text, pattern, (n) => ev.spend(n)) ?? p.compiled.matcher(text).find();
+    return checkCost(text, pattern, (n) => evaluator.spend(n)) ?? p.compiled.matcher(text).find();
   }),
   substitutionFunction('regexps', false, false),
   substitutionFunction('replace', true, false),
   substitutionFunction('replaceAll', true, true),
-  strictFunction('regexpMember', 2, 3, ([pattern, list, options], ev): Value => {
+  strictFunction('regexpMember', 2, 3, ([pattern, list, options], evaluator): Value => {
     if (typeof pattern !== 'string') return typeError('regexpMember', pattern);
     if (!Array.isArray(list)) return typeError('regexpMember', list);
     if (options !== undefined && typeof options !== 'string') return typeError('regexpMember', options);
@@ -89,16 +92,16 @@
     if (p instanceof ErrorValue) return p;
     for (const v of list) {
       if (typeof v !== 'string') continue;
-      const bad = checkCost(v, pattern, (n) => ev.spend(n));
+      const bad = checkCost(v, pattern, (n) => evaluator.spend(n));
       if (bad) return bad;
       if (p.compiled.matcher(v).find()) return true;
     }
     return false;
   }),
-  stringFunction('stringList_regexpMember', 2, 4, ([pattern, list, delims, options], ev): Value => {
+  stringFunction('stringList_regexpMember', 2, 4, ([pattern, list, delims, options], evaluator): Value => {
     const p = compile(pattern, options);
     if (p instanceof ErrorValue) return p;
-    const bad = checkCost(list, pattern, (n) => ev.spend(n));
+    const bad = checkCost(list, pattern, (n) => evaluator.spend(n));
     return bad ?? splitBy(list, delims ?? ' ,').some((w) => p.compiled.matcher(w.trim()).find());
   }),
 ];
--- a/src/classad/functions/strings.ts
+++ b/src/classad/functions/strings.ts
@@ -1,3 +1,4 @@
+/** Functions of strings. */
 import { ErrorValue, RecordValue, type Value } from '../values.js';
 import { strictFunction, stringFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
 import { exceptional } from '../operators.js';
@@ -5,7 +6,7 @@
 
 const compareText = (a: string, b: string): bigint => (a < b ? -1n : a > b ? 1n : 0n);
 
-/** Versions: runs of digits by their number, everything else letter by letter. */
+/** The order of two versions: runs of digits are compared as numbers, everything else character by character. */
 export function versionOrder(a: string, b: string): number {
   const parts = (s: string): string[] => s.match(/\d+|\D/g) ?? [];
   const [x, y] = [parts(a), parts(b)];
@@ -23,6 +24,7 @@
 const versionFunction = (name: string, holds: (order: number) => boolean): NamedFunction =>
   stringFunction(name, 2, 2, ([a, b]) => holds(versionOrder(a, b)));
 
+/** The parts of a text between any of the delimiters, without empty ones. */
 export const splitBy = (s: string, delims: string): string[] => {
   const out: string[] = [];
   let word = '';
@@ -42,15 +44,16 @@
     return at < 0 ? alone(s) : [s.slice(0, at), s.slice(at + 1)];
   });
 
-export const strings: NamedFunction[] = [
+/** The functions of this module. */
+export const strings: readonly NamedFunction[] = [
   lenientFunction('strcat', 0, 1000, (args) => {
-    const odd = exceptional(...args);
-    if (odd) return odd === 'undefined' ? undefined : odd;
+    const exception = exceptional(...args);
+    if (exception) return exception === 'undefined' ? undefined : exception;
     return args.map(toText).join('');
   }),
   lenientFunction('join', 1, 1000, ([separator, ...rest]) => {
     const items = rest.length === 1 && Array.isArray(rest[0]) ? rest[0] : rest;
-    // One list alone is joined with nothing between.
+    // With a list as the only argument, its items are joined without a separator.
     const [by, all] = Array.isArray(separator) && rest.length === 0 ? ['', separator] : [separator, items];
     if (by === undefined || by instanceof ErrorValue) return by;
     if (typeof by !== 'string') return typeError('join', by);
--- a/src/classad/functions/time.ts
+++ b/src/classad/functions/time.ts
@@ -1,3 +1,4 @@
+/** Functions of time. */
 import strftime from 'strftime';
 import { ErrorValue, toInt64, toNumber } from '../values.js';
 import { strictFunction, typeError, type FunctionSpec, type NamedFunction } from './define.js';
@@ -14,10 +15,11 @@
   minArgs: 0,
   maxArgs: 0,
   nonDeterministic: true,
-  call: (_, __, ev) => toInt64(ev.context.nowS),
+  call: (_, __, evaluator) => toInt64(evaluator.context.nowS),
 };
 
-export const time: NamedFunction[] = [
+/** The functions of this module. */
+export const time: readonly NamedFunction[] = [
   ['time', now],
   [
     'formatTime',
@@ -25,9 +27,9 @@
       minArgs: 0,
       maxArgs: 2,
       nonDeterministic: true,
-      call: (args, f, ev) => {
-        const at = args.length > 0 ? ev.run(args[0], f) : toInt64(ev.context.nowS);
-        const format = args.length > 1 ? ev.run(args[1], f) : '%c';
+      call: (args, scope, evaluator) => {
+        const at = args.length > 0 ? evaluator.run(args[0], scope) : toInt64(evaluator.context.nowS);
+        const format = args.length > 1 ? evaluator.run(args[1], scope) : '%c';
         if (at === undefined || at instanceof ErrorValue) return at;
         if (format === undefined || format instanceof ErrorValue) return format;
         const s = toNumber(at);
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -1,3 +1,4 @@
+/** Functions of types, and functions that evaluate their arguments themselves. */
 import { printExpr, printValue } from '../print.js';
 import { ErrorValue, RecordValue, toTruth, typeOf, type TypeName, type Value } from '../values.js';
 import { strictFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
@@ -5,9 +6,10 @@
 const typeTestFunction = (name: string, type: TypeName): NamedFunction =>
   lenientFunction(name, 1, 1, ([v]) => typeOf(v) === type);
 
-/** Digits, as `int` and `real` read them. */
+/** Numbers, as `int` and `real` parse them. */
 const numberPattern = /^\s*[-+]?(\d+\.?\d*|\.\d+)([eE][-+]?\d+)?\s*$/;
 
+/** Converts a value to a real. */
 export function toReal(v: Value): Value {
   if (typeof v === 'number') return v;
   if (typeof v === 'bigint') return Number(v);
@@ -18,6 +20,7 @@
   return numberPattern.test(v) ? Number(v) : new ErrorValue(`${printValue(v)} is no number`);
 }
 
+/** Converts a value to an integer. */
 export function toInt(v: Value): Value {
   if (typeof v === 'bigint') return v;
   if (typeof v === 'string' && /^\s*[-+]?\d+\s*$/.test(v)) return BigInt.asIntN(64, BigInt(v.trim()));
@@ -28,27 +31,31 @@
     : new ErrorValue('not a finite number');
 }
 
+/** Converts a value to a string. */
 export const toText = (v: Value): string => (typeof v === 'string' ? v : printValue(v));
 
-/** An expression, evaluated in each record of a list. */
+/** A function that evaluates an expression in the scope of each record of a list. */
 const eachRecordFunction = (name: string, f: (values: Value[]) => Value): NamedFunction => [
   name,
   {
     minArgs: 2,
     maxArgs: 2,
     unevaluatedArgs: true,
-    call: ([e, list], frame, ev) => {
-      const all = ev.run(list, frame);
+    call: ([e, list], scope, evaluator) => {
+      const all = evaluator.run(list, scope);
       if (all === undefined || all instanceof ErrorValue) return all;
       if (!Array.isArray(all)) return typeError(name, all);
       return f(
-        all.map((r) => (r instanceof RecordValue ? ev.run(e, r.scope) : new ErrorValue('not a record'))),
+        all.map((r) =>
+          r instanceof RecordValue ? evaluator.run(e, r.scope) : new ErrorValue('not a record'),
+        ),
       );
     },
   },
 ];
 
-export const types: NamedFunction[] = [
+/** The functions of this module. */
+export const types: readonly NamedFunction[] = [
   typeTestFunction('isUndefined', 'undefined'),
   typeTestFunction('isError', 'error'),
   typeTestFunction('isString', 'string'),
@@ -73,9 +80,9 @@
     {
       minArgs: 3,
       maxArgs: 3,
-      call: ([c, a, b], f, ev) => {
-        const t = toTruth(ev.run(c, f));
-        return typeof t === 'boolean' ? ev.run(t ? a : b, f) : t;
+      call: ([c, a, b], scope, evaluator) => {
+        const t = toTruth(evaluator.run(c, scope));
+        return typeof t === 'boolean' ? evaluator.run(t ? a : b, scope) : t;
       },
     },
   ],
@@ -85,9 +92,9 @@
       minArgs: 1,
       maxArgs: 1,
       unevaluatedArgs: true,
-      call: ([a], f, ev) => {
-        const text = ev.run(a, f);
-        return typeof text === 'string' ? ev.evaluateText(text, f) : text;
+      call: ([a], scope, evaluator) => {
+        const text = evaluator.run(a, scope);
+        return typeof text === 'string' ? evaluator.evaluateText(text, scope) : text;
       },
     },
   ],
@@ -97,7 +104,7 @@
       minArgs: 1,
       maxArgs: 1,
       unevaluatedArgs: true,
-      // Of an attribute: how it is written; of anything else: itself.
+      // The expression of an own attribute that is named, else the argument itself.
       call: ([a], f) => {
         const own = a.kind === 'reference' ? f.ad.get(a.name) : undefined;
         return printExpr(own ?? a);
--- a/src/classad/index.ts
+++ b/src/classad/index.ts
@@ -1,3 +1,4 @@
+/** HTCondor's match language (ClassAds): expressions, records, their evaluation. */
 export { Ad, children, literal, textOf, type Attribute, type Expr } from './expr.js';
 export { ErrorValue, RecordValue, typeOf, toTruth as truth, type Value } from './values.js';
 export { ClassAdError, parseAd, parseExpr } from './parse.js';
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -1,16 +1,18 @@
+/** The operators, except the logical ones, whose operands are evaluated on demand. */
 import type { BinaryOp, UnaryOp } from './expr.js';
 import { printAd } from './print.js';
 import { ErrorValue, toInt64, toNumber, RecordValue, typeOf, type Value } from './values.js';
 
-/** `error` before `undefined`, and both before anything else. */
+/** The first error among the arguments, else 'undefined' if one is undefined; null: neither. */
 export function exceptional(...args: Value[]): ErrorValue | 'undefined' | null {
   for (const a of args) if (a instanceof ErrorValue) return a;
   return args.some((a) => a === undefined) ? 'undefined' : null;
 }
 
+/** Applies a unary operator. */
 export function unaryOp(op: Exclude<UnaryOp, '!'>, a: Value): Value {
-  const odd = exceptional(a);
-  if (odd) return odd === 'undefined' ? undefined : odd;
+  const exception = exceptional(a);
+  if (exception) return exception === 'undefined' ? undefined : exception;
   if (op === '~') return typeof a === 'bigint' ? ~a : typeError(op, a);
   const n = toNumber(a);
   if (n === null) return typeError(op, a);
@@ -18,15 +20,16 @@
   return typeof n === 'bigint' ? toInt64(-n) : -n;
 }
 
+/** The error of an operator whose operands have the wrong types. */
 const typeError = (op: string, ...args: Value[]): ErrorValue =>
   new ErrorValue(`${op} does not take ${args.map((a) => `a ${typeOf(a)}`).join(' and ')}`);
 
-/** All operators that are the same for every operand: `error` and `undefined` go through them. */
+/** Applies a binary operator. Except for `=?=` and `=!=`, errors and undefined operands are its result. */
 export function binaryOp(op: Exclude<BinaryOp, '&&' | '||'>, a: Value, b: Value): Value {
   if (op === '=?=') return identical(a, b);
   if (op === '=!=') return !identical(a, b);
-  const odd = exceptional(a, b);
-  if (odd) return odd === 'undefined' ? undefined : odd;
+  const exception = exceptional(a, b);
+  if (exception) return exception === 'undefined' ? undefined : exception;
   switch (op) {
     case '==':
     case '!=':
@@ -49,7 +52,7 @@
   }
 }
 
-/** Same type and same value; strings by case. */
+/** Whether two values have the same type and the same value; strings are compared case-sensitively. */
 export function identical(a: Value, b: Value): boolean {
   if (typeOf(a) !== typeOf(b)) return false;
   if (a instanceof ErrorValue) return true;
@@ -60,7 +63,10 @@
   return a === b;
 }
 
-/** Below zero, zero, above; NaN: neither; null: they cannot be compared. Strings without regard to case. */
+/**
+ * The order of two values: negative, zero, positive, or NaN if neither holds; null if they cannot be compared. Strings are
+ * compared case-insensitively.
+ */
 function compare(a: Value, b: Value): number | null {
   if (typeof a === 'string' && typeof b === 'string') {
     const [x, y] = [a.toLowerCase(), b.toLowerCase()];
@@ -71,6 +77,7 @@
   return x < y ? -1 : x > y ? 1 : x == y ? 0 : NaN;
 }
 
+/** Whether a comparison holds for values in that order. */
 function comparisonHolds(op: '==' | '!=' | '<' | '<=' | '>' | '>=', order: number): boolean {
   switch (op) {
     case '==':
@@ -88,6 +95,7 @@
   }
 }
 
+/** Bitwise operators and shifts. */
 function bitwise(op: '&' | '|' | '^' | '<<' | '>>' | '>>>', a: Value, b: Value): Value {
   if (typeof a === 'boolean' && typeof b === 'boolean' && (op === '&' || op === '|' || op === '^'))
     return op === '&' ? a && b : op === '|' ? a || b : a !== b;
@@ -95,12 +103,13 @@
   if (op === '&') return a & b;
   if (op === '|') return a | b;
   if (op === '^') return a ^ b;
-  // Guards against a shift that makes a number of as many digits.
+  // A larger shift would allocate a number with as many digits.
   if (b < 0n || b > 63n) return new ErrorValue(`${op}: a shift by ${b}`);
   if (op === '<<') return toInt64(a << b);
   return op === '>>' ? a >> b : toInt64(BigInt.asUintN(64, a) >> b);
 }
 
+/** Arithmetic on integers of 64 bits, or on reals if one operand is real. */
 function arithmetic(op: '+' | '-' | '*' | '/' | '%', a: Value, b: Value): Value {
   const [x, y] = [toNumber(a), toNumber(b)];
   if (x === null || y === null) return typeError(op, a, b);
--- a/src/classad/parse.ts
+++ b/src/classad/parse.ts
@@ -1,8 +1,9 @@
+/** Parses expressions and records. */
 import { Ad, literal, unary, type Attribute, type Expr } from './expr.js';
 import { parse, SyntaxError as GrammarError, type GrammarOptions } from './grammar.js';
 import { ErrorValue } from './values.js';
 
-/** What is wrong with a text, and where. Lines and columns begin with 1. */
+/** A syntax error, with its position. Lines and columns are counted from 1. */
 export class ClassAdError extends Error {
   constructor(
     readonly reason: string,
@@ -10,6 +11,7 @@
     readonly column: number,
   ) {
     super(`line ${line}, column ${column}: ${reason}`);
+    this.name = 'ClassAdError';
   }
 }
 
@@ -27,24 +29,24 @@
       fault: (why) => new ErrorValue(why),
       record: (all) => new Ad(all),
     });
-  } catch (e) {
-    if (!(e instanceof GrammarError)) throw e;
-    const { line, column } = e.location.start;
-    const what = /^(nested|more than)/.test(e.message)
-      ? e.message
-      : e.found === null
+  } catch (error) {
+    if (!(error instanceof GrammarError)) throw error;
+    const { line, column } = error.location.start;
+    const what = /^(nested|more than)/.test(error.message)
+      ? error.message
+      : error.found === null
         ? 'unexpected end'
-        : `unexpected ${JSON.stringify(e.found)}`;
+        : `unexpected ${JSON.stringify(error.found)}`;
     throw new ClassAdError(what, line, column);
   }
 }
 
-/** An expression. */
+/** Parses an expression. */
 export const parseExpr = (text: string): Expr => parseWith(text, 'Expression') as Expr;
 
 const attributeLine = /^\s*([A-Za-z_][A-Za-z0-9_]*|'[^']+')\s*=(?![=?!])/;
 
-/** A record: in brackets, or one `Attr = expression` a line, where lines that begin with # are comments. */
+/** Parses a record: in brackets, or one `NAME = expression` on each line, where lines that begin with # are comments. */
 export function parseAd(text: string): Ad {
   if (/^\s*\[/.test(text)) return parseWith(text, 'Record') as Ad;
   const all: Attribute[] = [];
@@ -54,9 +56,9 @@
     if (!m) throw new ClassAdError('expected NAME = expression', i + 1, 1);
     try {
       all.push({ name: m[1].replace(/^'|'$/g, ''), expr: parseExpr(line.slice(m[0].length)) });
-    } catch (e) {
-      if (!(e instanceof ClassAdError)) throw e;
-      throw new ClassAdError(e.reason, i + 1, e.column + m[0].length);
+    } catch (error) {
+      if (!(error instanceof ClassAdError)) throw error;
+      throw new ClassAdError(error.reason, i + 1, error.column + m[0].length);
     }
   });
   return new Ad(all);
--- a/src/classad/partial.ts
+++ b/src/classad/partial.ts
@@ -1,95 +1,127 @@
+/** Partial evaluation: simplifies an expression as far as one of the two records decides it. */
 import { Evaluation } from './evaluate.js';
 import type { EvaluationContext } from './evaluation-context.js';
 import { literal, type Ad, type Expr } from './expr.js';
-import { matchScopes } from './scopes.js';
 import { functions } from './functions/index.js';
 import { matchSideOf } from './refs.js';
+import { matchScopes } from './scopes.js';
 import { RecordValue, type Value } from './values.js';
 
 /**
- * What is left of an expression once one side is known: all of it that does not depend on the other side, the time or chance
- * is evaluated. Evaluated against any other side, what is left comes to the same as the whole.
+ * Evaluates the parts of an expression that depend neither on the other record nor on time or chance. Against any other
+ * record, the result evaluates to the same as the whole expression.
  */
-export function partiallyEvaluate(expr: Expr, my: Ad, around?: EvaluationContext): Expr {
-  const active = new Set<string>();
-  const frame = matchScopes(my);
+export const partiallyEvaluate = (expr: Expr, my: Ad, context?: EvaluationContext): Expr =>
+  new PartialEvaluator(my, context).reduce(expr);
 
-  const fold = (x: Expr): Expr => {
-    const v = new Evaluation(around).run(x, frame);
-    return isPrintable(v) ? literal(v) : x;
-  };
-  /** One of my own attributes; null: it stays as it is written. */
-  const ownAttribute = (name: string): Expr | null => {
-    const key = name.toLowerCase();
-    const expr = my.get(name);
-    if (!expr || active.has(key)) return null;
-    active.add(key);
-    const left = reduce(expr);
-    active.delete(key);
-    return left.kind === 'literal' ? left : null;
-  };
-  const reduce = (expr: Expr): Expr => {
+type ExprOf<Kind extends Expr['kind']> = Extract<Expr, { kind: Kind }>;
+
+class PartialEvaluator {
+  /** Own attributes that are being reduced. */
+  private readonly active = new Set<string>();
+  private readonly scope;
+
+  constructor(
+    private readonly my: Ad,
+    private readonly context: EvaluationContext | undefined,
+  ) {
+    this.scope = matchScopes(my);
+  }
+
+  reduce(expr: Expr): Expr {
     switch (expr.kind) {
       case 'literal':
       case 'record':
         return expr;
       case 'reference':
-        return (my.has(expr.name) ? ownAttribute(expr.name) : null) ?? expr;
-      case 'selection': {
-        const side = matchSideOf(expr.of);
-        if (side === 'target' || (side === 'my' && my.has('my'))) return expr;
-        if (side === 'my') return my.has(expr.name) ? (ownAttribute(expr.name) ?? expr) : literal(undefined);
-        return { kind: 'selection', of: reduce(expr.of), name: expr.name };
-      }
+        return (this.my.has(expr.name) ? this.ownAttribute(expr.name) : null) ?? expr;
+      case 'selection':
+        return this.reduceSelection(expr);
       case 'subscript': {
-        const y: Expr = { kind: 'subscript', of: reduce(expr.of), index: reduce(expr.index) };
-        return isConstant(y.of) && isConstant(y.index) ? fold(y) : y;
+        const [of, index] = [this.reduce(expr.of), this.reduce(expr.index)];
+        return this.foldIf(isConstant(of) && isConstant(index), { kind: 'subscript', of, index });
       }
       case 'unary': {
-        const y: Expr = { kind: 'unary', op: expr.op, operand: reduce(expr.operand) };
-        return isConstant(y.operand) ? fold(y) : y;
-      }
-      case 'binary': {
-        const y: Expr = { kind: 'binary', op: expr.op, left: reduce(expr.left), right: reduce(expr.right) };
-        if (isConstant(y.left) && isConstant(y.right)) return fold(y);
-        // Decided by its left side alone, whatever the right one is.
-        if ((expr.op === '&&' || expr.op === '||') && isConstant(y.left)) {
-          const alone = fold({ kind: 'binary', op: expr.op, left: y.left, right: literal(undefined) });
-          if (alone.kind === 'literal' && alone.value !== undefined) return alone;
-        }
-        return y;
-      }
-      case 'conditional': {
-        const c = reduce(expr.condition);
-        const a = expr.whenTrue && reduce(expr.whenTrue);
-        const b = reduce(expr.whenFalse);
-        if (!isConstant(c)) return { kind: 'conditional', condition: c, whenTrue: a, whenFalse: b };
-        if (a === null) return c.kind === 'literal' && c.value === undefined ? b : c;
-        const which = fold({
-          kind: 'conditional',
-          condition: c,
-          whenTrue: literal(true),
-          whenFalse: literal(false),
-        });
-        return which.kind === 'literal' && which.value === true
-          ? a
-          : which.kind === 'literal' && which.value === false
-            ? b
-            : which;
-      }
-      case 'call': {
-        const args = expr.args.map(reduce);
-        const fn = functions.get(expr.name.toLowerCase());
-        const y: Expr = { kind: 'call', name: expr.name, args };
-        // Some see their arguments as they are written.
-        if (fn?.unevaluatedArgs) return expr;
-        return args.every(isConstant) && !fn?.nonDeterministic ? fold(y) : y;
+        const operand = this.reduce(expr.operand);
+        return this.foldIf(isConstant(operand), { kind: 'unary', op: expr.op, operand });
       }
+      case 'binary':
+        return this.reduceBinary(expr);
+      case 'conditional':
+        return this.reduceConditional(expr);
+      case 'call':
+        return this.reduceCall(expr);
       case 'list':
-        return { kind: 'list', items: expr.items.map(reduce) };
+        return { kind: 'list', items: expr.items.map((item) => this.reduce(item)) };
     }
-  };
-  return reduce(expr);
+  }
+
+  /** Evaluates an expression to a literal, if its value can be written as one. */
+  private fold(expr: Expr): Expr {
+    const value = new Evaluation(this.context).run(expr, this.scope);
+    return isPrintable(value) ? literal(value) : expr;
+  }
+
+  private foldIf(constant: boolean, expr: Expr): Expr {
+    return constant ? this.fold(expr) : expr;
+  }
+
+  /** The value of an own attribute; null if it is not constant. */
+  private ownAttribute(name: string): Expr | null {
+    const key = name.toLowerCase();
+    const expr = this.my.get(name);
+    if (!expr || this.active.has(key)) return null;
+    this.active.add(key);
+    const reduced = this.reduce(expr);
+    this.active.delete(key);
+    return reduced.kind === 'literal' ? reduced : null;
+  }
+
+  private reduceSelection(expr: ExprOf<'selection'>): Expr {
+    const side = matchSideOf(expr.of);
+    if (side === 'target' || (side === 'my' && this.my.has('my'))) return expr;
+    if (side === 'my')
+      return this.my.has(expr.name) ? (this.ownAttribute(expr.name) ?? expr) : literal(undefined);
+    return { kind: 'selection', of: this.reduce(expr.of), name: expr.name };
+  }
+
+  private reduceBinary(expr: ExprOf<'binary'>): Expr {
+    const { op } = expr;
+    const [left, right] = [this.reduce(expr.left), this.reduce(expr.right)];
+    const reduced: Expr = { kind: 'binary', op, left, right };
+    if (isConstant(left) && isConstant(right)) return this.fold(reduced);
+    // The left operand alone may decide a logical operator.
+    if ((op === '&&' || op === '||') && isConstant(left)) {
+      const decided = this.fold({ kind: 'binary', op, left, right: literal(undefined) });
+      if (decided.kind === 'literal' && decided.value !== undefined) return decided;
+    }
+    return reduced;
+  }
+
+  private reduceConditional(expr: ExprOf<'conditional'>): Expr {
+    const condition = this.reduce(expr.condition);
+    const whenTrue = expr.whenTrue && this.reduce(expr.whenTrue);
+    const whenFalse = this.reduce(expr.whenFalse);
+    if (!isConstant(condition)) return { kind: 'conditional', condition, whenTrue, whenFalse };
+    if (whenTrue === null)
+      return condition.kind === 'literal' && condition.value === undefined ? whenFalse : condition;
+    const choice = this.fold({
+      kind: 'conditional',
+      condition,
+      whenTrue: literal(true),
+      whenFalse: literal(false),
+    });
+    if (choice.kind === 'literal' && choice.value === true) return whenTrue;
+    return choice.kind === 'literal' && choice.value === false ? whenFalse : choice;
+  }
+
+  private reduceCall(expr: ExprOf<'call'>): Expr {
+    const spec = functions.get(expr.name.toLowerCase());
+    const args = expr.args.map((arg) => this.reduce(arg));
+    if (spec?.unevaluatedArgs) return expr;
+    const constant = args.every(isConstant) && !spec?.nonDeterministic;
+    return this.foldIf(constant, { kind: 'call', name: expr.name, args });
+  }
 }
 
 const isConstant = (expr: Expr): boolean =>
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -1,7 +1,8 @@
+/** Prints expressions, records and values in the syntax of the language. */
 import type { Ad, BinaryOp, Expr } from './expr.js';
 import { ErrorValue, RecordValue, type Value } from './values.js';
 
-/** How tight an operator binds; what binds less is put in brackets. */
+/** The precedence of operators: an operand of lower precedence is put in parentheses. */
 const precedence: Record<BinaryOp, number> = {
   '||': 2,
   '&&': 3,
@@ -51,6 +52,7 @@
 }
 
 const reserved = /^(true|false|undefined|error|is|isnt)$/i;
+/** A name, quoted if necessary. */
 export const printName = (name: string): string =>
   /^[A-Za-z_][A-Za-z0-9_]*$/.test(name) && !reserved.test(name) ? name : quote(name, "'");
 
@@ -62,7 +64,7 @@
   return /[.e]/.test(text) ? text.replace(/^(-?\d+)e/, '$1.0e') : `${text}.0`;
 }
 
-/** A value in the language's own syntax. */
+/** A value as an expression that evaluates to it. */
 export function printValue(value: Value): string {
   if (value === undefined) return 'undefined';
   if (value instanceof ErrorValue) return 'error';
@@ -72,6 +74,7 @@
   return typeof value === 'number' ? printReal(value) : String(value);
 }
 
+/** A record in brackets. */
 export function printAd(ad: Ad): string {
   const all = [...ad].map((a) => `${printName(a.name)} = ${printExpr(a.expr)}`);
   return all.length === 0 ? '[ ]' : `[ ${all.join('; ')} ]`;
@@ -80,7 +83,7 @@
 const isNegative = (v: Value): boolean =>
   (typeof v === 'bigint' && v < 0n) || (typeof v === 'number' && (v < 0 || Object.is(v, -0)));
 
-/** An expression; what is read of it is the same again. */
+/** An expression, in parentheses if its precedence is below `minPrecedence`. Parsing the text gives the expression again. */
 export function printExpr(expr: Expr, minPrecedence = 0): string {
   const [text, level] = printWithPrecedence(expr);
   return level < minPrecedence ? `(${text})` : text;
@@ -122,7 +125,7 @@
   }
 }
 
-/** A number before a dot would be read as another number. */
+/** The operand of a selection or subscript: a number before a dot would be parsed as part of another number. */
 function printOperand(operand: Expr): string {
   const text = printExpr(operand, postfixPrecedence);
   return operand.kind === 'literal' &&
--- a/src/classad/refs.ts
+++ b/src/classad/refs.ts
@@ -1,7 +1,8 @@
+/** Analyses what expressions refer to. */
 import { children, type Ad, type Expr } from './expr.js';
 import { functions } from './functions/index.js';
 
-/** Whether a selection is of one of the two sides: `MY.x`, `TARGET.x`. */
+/** Which of the two records an expression names, as in `MY.x` and `TARGET.x`; null: neither. */
 export function matchSideOf(expr: Expr): 'my' | 'target' | null {
   if (expr.kind !== 'reference' || expr.absolute) return null;
   const name = expr.name.toLowerCase();
@@ -9,8 +10,8 @@
 }
 
 /**
- * The names that an expression of one record asks of the other, through its own attributes, in lower case. What is only known
- * when it is evaluated (`eval`, a subscript of TARGET) is told by '*': anything.
+ * The names, in lower case, of the other record's attributes that an expression refers to, directly or through attributes of
+ * its own record. `*` stands for any, where that is known only on evaluation (`eval`, a subscript of TARGET).
  */
 export function referencedAttributes(expr: Expr, my: Ad): Set<string> {
   const found = new Set<string>();
@@ -22,29 +23,29 @@
     const own = my.get(name);
     if (own) visit(own);
   };
-  const visit = (x: Expr): void => {
-    if (x.kind === 'selection') {
-      const side = matchSideOf(x.of);
-      if (side === 'target') return void found.add(x.name.toLowerCase());
-      if (side === 'my') return visitOwnAttribute(x.name);
+  const visit = (part: Expr): void => {
+    if (part.kind === 'selection') {
+      const side = matchSideOf(part.of);
+      if (side === 'target') return void found.add(part.name.toLowerCase());
+      if (side === 'my') return visitOwnAttribute(part.name);
     }
-    if (x.kind === 'reference') {
-      const side = matchSideOf(x);
+    if (part.kind === 'reference') {
+      const side = matchSideOf(part);
       if (side === 'target') found.add('*');
       else if (side === null) {
-        if (my.has(x.name)) visitOwnAttribute(x.name);
-        else if (!x.absolute) found.add(x.name.toLowerCase());
+        if (my.has(part.name)) visitOwnAttribute(part.name);
+        else if (!part.absolute) found.add(part.name.toLowerCase());
       }
     }
-    if (x.kind === 'call' && x.name.toLowerCase() === 'eval') found.add('*');
-    // Inside a nested record its own names come first; asking for too many only costs.
-    for (const c of children(x)) visit(c);
+    if (part.kind === 'call' && part.name.toLowerCase() === 'eval') found.add('*');
+    // Names of a nested record's own attributes are included, too: a superset is correct.
+    for (const child of children(part)) visit(child);
   };
   visit(expr);
   return found;
 }
 
-/** Whether time or chance decide what it comes to, as far as it is written there. */
+/** Whether an expression itself depends on time or chance; attributes that it refers to are not considered. */
 export function isNonDeterministic(expr: Expr): boolean {
   if (expr.kind === 'call' && functions.get(expr.name.toLowerCase())?.nonDeterministic) return true;
   return children(expr).some(isNonDeterministic);
--- a/src/classad/values.ts
+++ b/src/classad/values.ts
@@ -1,9 +1,12 @@
+/** Types and conversions of values. */
 import { ErrorValue, RecordValue, type Value } from './expr.js';
 
 export { ErrorValue, RecordValue, type Value };
 
+/** The names of the types, as functions and messages have them. */
 export type TypeName = 'undefined' | 'error' | 'boolean' | 'integer' | 'real' | 'string' | 'list' | 'classad';
 
+/** The type of a value. */
 export function typeOf(value: Value): TypeName {
   if (value === undefined) return 'undefined';
   if (value instanceof ErrorValue) return 'error';
@@ -21,16 +24,17 @@
   }
 }
 
+/** An integer, wrapped to 64 bits; a real is truncated. */
 export const toInt64 = (value: number | bigint): bigint =>
   BigInt.asIntN(64, typeof value === 'bigint' ? value : BigInt(Math.trunc(value)));
 
-/** Numbers, and booleans as 1 and 0; null: it is none. */
+/** A value as a number, with booleans as 1 and 0; null for other types. */
 export function toNumber(value: Value): bigint | number | null {
   if (typeof value === 'bigint' || typeof value === 'number') return value;
   return typeof value === 'boolean' ? (value ? 1n : 0n) : null;
 }
 
-/** As `&&`, `!` and `?` see it: numbers other than zero are true. */
+/** A value as a condition of `&&`, `!` and `?`: numbers other than zero are true. */
 export function toTruth(value: Value): boolean | undefined | ErrorValue {
   if (typeof value === 'boolean' || value === undefined || value instanceof ErrorValue) return value;
   if (typeof value === 'bigint') return value !== 0n;
