--- a/src/classad/functions/index.ts
+++ b/src/classad/functions/index.ts
@@ -9,8 +9,8 @@
 
 /** All functions of the language, by their names in lower case. */
 export const functions: ReadonlyMap<string, FunctionSpec> = new Map(
-  [...types, ...numbers, ...strings, ...lists, ...patterns, ...time].map(([name, f]) => [
+  [...types, ...numbers, ...strings, ...lists, ...patterns, ...time].map(([name, spec]) => [
     name.toLowerCase(),
-    f,
+    spec,
   ]),
 );
--- a/src/classad/functions/lists.ts
+++ b/src/classad/functions/lists.ts
@@ -23,13 +23,13 @@
 
 const comparisonFunction = (
   name: string,
-  holds: (list: Value[], f: (v: Value) => boolean) => boolean,
+  quantifier: (list: Value[], f: (v: Value) => boolean) => boolean,
 ): NamedFunction =>
   strictFunction(name, 3, 3, ([op, list, v]) => {
     if (typeof op !== 'string' || !Object.hasOwn(comparisons, op))
       return new ErrorValue(`${name}: no such comparison`);
     if (!Array.isArray(list)) return typeError(name, list);
-    return holds(list, (x) => binaryOp(comparisons[op], x, v) === true);
+    return quantifier(list, (x) => binaryOp(comparisons[op], x, v) === true);
   });
 
 /** The words in a string; any of the delimiters' characters separates them. */
@@ -39,28 +39,30 @@
 const numberListFunction = (
   name: string,
   empty: Value,
-  f: (all: number[], whole: boolean) => Value,
+  implementation: (all: number[], allIntegers: boolean) => Value,
 ): NamedFunction =>
   stringFunction(name, 1, 2, ([s, delims]) => {
-    const all = words(s, delims);
-    const read = all.map(toReal);
-    if (read.some((n) => typeof n !== 'number')) return new ErrorValue(`${name} takes a list of numbers`);
-    return all.length === 0
+    const items = words(s, delims);
+    const numbers = items.map(toReal);
+    if (numbers.some((n) => typeof n !== 'number')) return new ErrorValue(`${name} takes a list of numbers`);
+    return items.length === 0
       ? empty
-      : f(
-          read as number[],
-          all.every((w) => /^[-+]?\d+$/.test(w)),
+      : implementation(
+          numbers as number[],
+          items.every((w) => /^[-+]?\d+$/.test(w)),
         );
   });
 const integerIfWhole = (n: Value, whole: boolean): Value =>
   whole && typeof n === 'number' && Number.isFinite(n) ? BigInt(n) : n;
 
-const membershipFunction = (name: string, same: (s: string) => string): NamedFunction =>
-  stringFunction(name, 2, 3, ([one, list, delims]) => words(list, delims).map(same).includes(same(one)));
-const subsetFunction = (name: string, same: (s: string) => string): NamedFunction =>
+const membershipFunction = (name: string, normalize: (s: string) => string): NamedFunction =>
+  stringFunction(name, 2, 3, ([one, list, delims]) =>
+    words(list, delims).map(normalize).includes(normalize(one)),
+  );
+const subsetFunction = (name: string, normalize: (s: string) => string): NamedFunction =>
   stringFunction(name, 2, 3, ([some, all, delims]) => {
-    const there = new Set(words(all, delims).map(same));
-    return words(some, delims).every((w) => there.has(same(w)));
+    const available = new Set(words(all, delims).map(normalize));
+    return words(some, delims).every((w) => available.has(normalize(w)));
   });
 const identity = (s: string): string => s;
 const lowerCase = (s: string): string => s.toLowerCase();
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -4,50 +4,55 @@
 import { strictFunction, typeError, type NamedFunction } from './define.js';
 import { toReal } from './types.js';
 
-const roundingFunction = (name: string, f: (n: number) => number): NamedFunction =>
+const roundingFunction = (name: string, round: (n: number) => number): NamedFunction =>
   strictFunction(name, 1, 1, ([v]) => {
     if (typeof v === 'bigint') return v;
     const n = toReal(v);
     if (typeof n !== 'number') return n;
-    return Number.isFinite(n) ? toInt64(f(n)) : new ErrorValue(`${name} of a number that is not finite`);
+    return Number.isFinite(n) ? toInt64(round(n)) : new ErrorValue(`${name} of a number that is not finite`);
   });
 
 /** Rounds to the nearest integer, and halves to the even one, as the C library does by default. */
-function roundHalfToEven(n: number): number {
-  const down = Math.floor(n);
-  const part = n - down;
-  if (part !== 0.5) return Math.round(n);
+function roundHalfToEven(value: number): number {
+  const down = Math.floor(value);
+  const fraction = value - down;
+  if (fraction !== 0.5) return Math.round(value);
   return down % 2 === 0 ? down : down + 1;
 }
 
 /** A function of a list of numbers; its result is undefined if one of them is. */
-const listFunction = (name: string, empty: Value, f: (all: (bigint | number)[]) => Value): NamedFunction =>
+const listFunction = (
+  name: string,
+  empty: Value,
+  implementation: (all: (bigint | number)[]) => Value,
+): NamedFunction =>
   strictFunction(name, 1, 1, ([list]) => {
     if (!Array.isArray(list)) return typeError(name, list);
     const exception = exceptional(...list);
     if (exception) return exception === 'undefined' ? undefined : exception;
-    const all = list.map(toNumber);
-    if (all.includes(null)) return new ErrorValue(`${name} takes a list of numbers`);
-    return all.length === 0 ? empty : f(all as (bigint | number)[]);
+    const numbers = list.map(toNumber);
+    if (numbers.includes(null)) return new ErrorValue(`${name} takes a list of numbers`);
+    return numbers.length === 0 ? empty : implementation(numbers as (bigint | number)[]);
   });
 
 /** The sum. */
-export const sumOf = (all: readonly Value[]): Value => all.reduce((a: Value, b) => binaryOp('+', a, b), 0n);
+export const sumOf = (values: readonly Value[]): Value =>
+  values.reduce((a: Value, b) => binaryOp('+', a, b), 0n);
 /** The least. */
-export const minOf = (all: readonly Value[]): Value =>
-  all.reduce((a, b) => (binaryOp('<', b, a) === true ? b : a));
+export const minOf = (values: readonly Value[]): Value =>
+  values.reduce((a, b) => (binaryOp('<', b, a) === true ? b : a));
 /** The greatest. */
-export const maxOf = (all: readonly Value[]): Value =>
-  all.reduce((a, b) => (binaryOp('>', b, a) === true ? b : a));
+export const maxOf = (values: readonly Value[]): Value =>
+  values.reduce((a, b) => (binaryOp('>', b, a) === true ? b : a));
 
 /** The least multiple of `b` that is not below `a`. */
-function quantize(a: bigint | number, b: bigint | number): Value {
-  if (Number(b) === 0) return a;
-  if (typeof a === 'bigint' && typeof b === 'bigint') {
-    const times = a / b + (a % b !== 0n && a > 0n === b > 0n ? 1n : 0n);
-    return toInt64(times * b);
+function quantize(value: bigint | number, unit: bigint | number): Value {
+  if (Number(unit) === 0) return value;
+  if (typeof value === 'bigint' && typeof unit === 'bigint') {
+    const multiple = value / unit + (value % unit !== 0n && value > 0n === unit > 0n ? 1n : 0n);
+    return toInt64(multiple * unit);
   }
-  return Math.ceil(Number(a) / Number(b)) * Number(b);
+  return Math.ceil(Number(value) / Number(unit)) * Number(unit);
 }
 
 /** The functions of this module. */
--- a/src/classad/functions/patterns.ts
+++ b/src/classad/functions/patterns.ts
@@ -24,13 +24,13 @@
     return new ErrorValue(`a pattern of more than ${maxPatternChars} characters`);
   let flags = 0;
   let source = pattern;
-  for (const o of options.toLowerCase())
-    if (o === 'i') flags |= RE2JS.CASE_INSENSITIVE;
-    else if (o === 'm') flags |= RE2JS.MULTILINE;
-    else if (o === 's') flags |= RE2JS.DOTALL;
-    else if (o === 'x')
+  for (const option of options.toLowerCase())
+    if (option === 'i') flags |= RE2JS.CASE_INSENSITIVE;
+    else if (option === 'm') flags |= RE2JS.MULTILINE;
+    else if (option === 's') flags |= RE2JS.DOTALL;
+    else if (option === 'x')
       source = source.replace(/\\#|\\\s|#[^\n]*|\s+/g, (m) => (m.startsWith('\\') ? m : ''));
-    else if (o !== 'g' && o !== 'f') return new ErrorValue(`no option ${o} of patterns`);
+    else if (option !== 'g' && option !== 'f') return new ErrorValue(`no option ${option} of patterns`);
   try {
     const part = !options.toLowerCase().includes('f');
     return { compiled: RE2JS.compile(source, flags), all: options.toLowerCase().includes('g'), part };
@@ -43,17 +43,25 @@
 const expandGroups = (substitute: string, group: (n: number) => string): string =>
   substitute.replace(/\\(\d)|\\\\/g, (m, n: string | undefined) => (n === undefined ? m : group(Number(n))));
 
-function replaceMatches(p: Pattern, text: string, substitute: string, all: boolean, whole: boolean): string {
-  const m = p.compiled.matcher(text);
-  let out = '';
+function replaceMatches(
+  pattern: Pattern,
+  text: string,
+  substitute: string,
+  all: boolean,
+  whole: boolean,
+): string {
+  const match = pattern.compiled.matcher(text);
+  let result = '';
   let from = 0;
-  while (m.find()) {
-    const put = expandGroups(substitute, (n) => (n <= m.groupCount() ? (m.group(n) ?? '') : ''));
-    out += (whole ? text.slice(from, m.start()) : '') + put;
-    from = m.end();
+  while (match.find()) {
+    const replacement = expandGroups(substitute, (n) =>
+      n <= match.groupCount() ? (match.group(n) ?? '') : '',
+    );
+    result += (whole ? text.slice(from, match.start()) : '') + replacement;
+    from = match.end();
     if (!all) break;
   }
-  return whole ? out + text.slice(from) : out;
+  return whole ? result + text.slice(from) : result;
 }
 
 const checkCost = (text: string, pattern: string, spend: (n: number) => boolean): ErrorValue | null =>
@@ -65,13 +73,13 @@
 
 const substitutionFunction = (name: string, whole: boolean, all: boolean): NamedFunction =>
   stringFunction(name, 3, 4, ([pattern, text, substitute, options], evaluator): Value => {
-    const p = compile(pattern, options);
-    if (p instanceof ErrorValue) return p;
-    const bad = checkCost(text, pattern, (n) => evaluator.spend(n));
-    if (bad) return bad;
-    const full = whole || !p.part;
-    if (!p.compiled.matcher(text).find()) return full ? text : '';
-    return replaceMatches(p, text, substitute, all || p.all, full);
+    const compiled = compile(pattern, options);
+    if (compiled instanceof ErrorValue) return compiled;
+    const costError = checkCost(text, pattern, (n) => evaluator.spend(n));
+    if (costError) return costError;
+    const full = whole || !compiled.part;
+    if (!compiled.compiled.matcher(text).find()) return full ? text : '';
+    return replaceMatches(compiled, text, substitute, all || compiled.all, full);
   });
 
 /** The functions of this module. */
--- a/src/classad/functions/strings.ts
+++ b/src/classad/functions/strings.ts
@@ -8,7 +8,7 @@
 
 /** The order of two versions: runs of digits are compared as numbers, everything else character by character. */
 export function versionOrder(a: string, b: string): number {
-  const parts = (s: string): string[] => s.match(/\d+|\D/g) ?? [];
+  const parts = (version: string): string[] => version.match(/\d+|\D/g) ?? [];
   const [x, y] = [parts(a), parts(b)];
   for (let i = 0; i < Math.max(x.length, y.length); i++) {
     const [p, q] = [x[i], y[i]];
@@ -21,21 +21,21 @@
   return 0;
 }
 
-const versionFunction = (name: string, holds: (order: number) => boolean): NamedFunction =>
-  stringFunction(name, 2, 2, ([a, b]) => holds(versionOrder(a, b)));
+const versionFunction = (name: string, test: (order: number) => boolean): NamedFunction =>
+  stringFunction(name, 2, 2, ([a, b]) => test(versionOrder(a, b)));
 
 /** The parts of a text between any of the delimiters, without empty ones. */
-export const splitBy = (s: string, delims: string): string[] => {
-  const out: string[] = [];
+export const splitBy = (text: string, delims: string): string[] => {
+  const parts: string[] = [];
   let word = '';
-  for (const c of s) {
-    if (delims.includes(c)) {
-      if (word !== '') out.push(word);
+  for (const character of text) {
+    if (delims.includes(character)) {
+      if (word !== '') parts.push(word);
       word = '';
-    } else word += c;
+    } else word += character;
   }
-  if (word !== '') out.push(word);
-  return out;
+  if (word !== '') parts.push(word);
+  return parts;
 };
 
 const splitAtSignFunction = (name: string, alone: (s: string) => [string, string]): NamedFunction =>
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -10,32 +10,33 @@
 const numberPattern = /^\s*[-+]?(\d+\.?\d*|\.\d+)([eE][-+]?\d+)?\s*$/;
 
 /** Converts a value to a real. */
-export function toReal(v: Value): Value {
-  if (typeof v === 'number') return v;
-  if (typeof v === 'bigint') return Number(v);
-  if (typeof v === 'boolean') return v ? 1 : 0;
-  if (typeof v !== 'string') return typeError('real', v);
-  if (/^[-+]?inf(inity)?$/i.test(v)) return v.startsWith('-') ? -Infinity : Infinity;
-  if (/^nan$/i.test(v)) return NaN;
-  return numberPattern.test(v) ? Number(v) : new ErrorValue(`${printValue(v)} is no number`);
+export function toReal(value: Value): Value {
+  if (typeof value === 'number') return value;
+  if (typeof value === 'bigint') return Number(value);
+  if (typeof value === 'boolean') return value ? 1 : 0;
+  if (typeof value !== 'string') return typeError('real', value);
+  if (/^[-+]?inf(inity)?$/i.test(value)) return value.startsWith('-') ? -Infinity : Infinity;
+  if (/^nan$/i.test(value)) return NaN;
+  return numberPattern.test(value) ? Number(value) : new ErrorValue(`${printValue(value)} is no number`);
 }
 
 /** Converts a value to an integer. */
-export function toInt(v: Value): Value {
-  if (typeof v === 'bigint') return v;
-  if (typeof v === 'string' && /^\s*[-+]?\d+\s*$/.test(v)) return BigInt.asIntN(64, BigInt(v.trim()));
-  const r = toReal(v);
-  if (typeof r !== 'number') return r;
-  return Number.isFinite(r)
-    ? BigInt.asIntN(64, BigInt(Math.trunc(r)))
+export function toInt(value: Value): Value {
+  if (typeof value === 'bigint') return value;
+  if (typeof value === 'string' && /^\s*[-+]?\d+\s*$/.test(value))
+    return BigInt.asIntN(64, BigInt(value.trim()));
+  const real = toReal(value);
+  if (typeof real !== 'number') return real;
+  return Number.isFinite(real)
+    ? BigInt.asIntN(64, BigInt(Math.trunc(real)))
     : new ErrorValue('not a finite number');
 }
 
 /** Converts a value to a string. */
-export const toText = (v: Value): string => (typeof v === 'string' ? v : printValue(v));
+export const toText = (value: Value): string => (typeof value === 'string' ? value : printValue(value));
 
 /** A function that evaluates an expression in the scope of each record of a list. */
-const eachRecordFunction = (name: string, f: (values: Value[]) => Value): NamedFunction => [
+const eachRecordFunction = (name: string, implementation: (values: Value[]) => Value): NamedFunction => [
   name,
   {
     minArgs: 2,
@@ -45,7 +46,7 @@
       const all = evaluator.run(list, scope);
       if (all === undefined || all instanceof ErrorValue) return all;
       if (!Array.isArray(all)) return typeError(name, all);
-      return f(
+      return implementation(
         all.map((r) =>
           r instanceof RecordValue ? evaluator.run(e, r.scope) : new ErrorValue('not a record'),
         ),
@@ -105,9 +106,9 @@
       maxArgs: 1,
       unevaluatedArgs: true,
       // The expression of an own attribute that is named, else the argument itself.
-      call: ([a], f) => {
-        const own = a.kind === 'reference' ? f.ad.get(a.name) : undefined;
-        return printExpr(own ?? a);
+      call: ([expr], scope) => {
+        const own = expr.kind === 'reference' ? scope.ad.get(expr.name) : undefined;
+        return printExpr(own ?? expr);
       },
     },
   ],
