--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -1,5 +1,5 @@
 /** What a write to the state service is for, by its key and by what was stored there before. */
-import { parseKey, readLog } from '../src/core/storage/index.js';
+import { parseKey, decodeLogRecord } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 
 /** What a write is for. */
@@ -63,7 +63,7 @@
 }
 
 const placedByLog = (data: unknown): string[] =>
-  readLog(data).flatMap((entry) => (entry.placements.length > 0 ? [entry.job] : []));
+  decodeLogRecord(data).flatMap((entry) => (entry.placements.length > 0 ? [entry.job] : []));
 
 function kindOfJobWrite(key: string, data: StoredJob, stored: StoredTasks): WriteKind {
   if (data.s === 'done') {
--- a/src/core/controller/admission-controller.ts
+++ b/src/core/controller/admission-controller.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../../config/settings.js';
 import type { Clock, Command, Effect, Log } from '../effects.js';
 import type { LoadSharing } from '../load-sharing.js';
-import type { Committer } from '../storage/index.js';
+import type { TransactionBatcher } from '../storage/index.js';
 import type { UserRequests } from '../user-requests.js';
 import type { WriteBudget } from '../write-budget.js';
 
@@ -28,7 +28,7 @@
 /** What an admission controller works with. */
 export interface AdmissionControllerOptions {
   readonly settings: Settings;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly userRequests: UserRequests;
   readonly writeBudget: WriteBudget;
   readonly loadSharing: LoadSharing;
--- a/src/core/controller/components.ts
+++ b/src/core/controller/components.ts
@@ -19,7 +19,7 @@
 import { ReplicaFreshness } from '../replica-freshness.js';
 import { Replica } from '../replica.js';
 import { ShardManager } from '../shard-manager.js';
-import { Committer, conditionsPerOperation } from '../storage/index.js';
+import { TransactionBatcher, conditionsPerOperation } from '../storage/index.js';
 import { UserRequests } from '../user-requests.js';
 import { WriteBudget } from '../write-budget.js';
 import { AdmissionController } from './admission-controller.js';
@@ -61,7 +61,7 @@
   readonly levels: FeatureLevels;
   readonly shutdown: GracefulShutdown;
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly membership: Membership;
   readonly peers: Peers;
   readonly freshnessExchange: FreshnessExchange;
@@ -111,7 +111,7 @@
     },
     levels,
   );
-  const batcher = new Committer(
+  const batcher = new TransactionBatcher(
     instanceId,
     {
       maxOperations: settings.state.txn_ops,
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -8,13 +8,13 @@
 import type { Peers } from './peers.js';
 import { collectRecoveryRecords, type RecoveryRecords } from './recovery-records.js';
 import type { Replica } from './replica.js';
-import type { Committer } from './storage/index.js';
+import type { TransactionBatcher } from './storage/index.js';
 
 export interface DataLossRecoveryOptions {
   readonly settings: Settings;
   readonly instanceId: string;
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly stateLeaseMs: number;
--- a/src/core/data-loss/incarnation-manager.ts
+++ b/src/core/data-loss/incarnation-manager.ts
@@ -13,9 +13,9 @@
   levelKey,
   machineTypesKey,
   parseKey,
-  Rank,
+  WritePriority,
   recordKindOf,
-  type Committer,
+  type TransactionBatcher,
   type ParsedKey,
 } from '../storage/index.js';
 
@@ -48,7 +48,7 @@
   readonly settings: Settings;
   readonly instanceId: string;
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly stateLeaseMs: number;
@@ -170,7 +170,7 @@
     const { settings, instanceId, replica, batcher, log } = this.options;
     const finish = (): void => void (this.writeInFlight = false);
     batcher.enqueue({
-      priority: Rank.membership,
+      priority: WritePriority.membership,
       build: () => {
         if ((replica.incarnation?.modRevision ?? 0) !== (previous?.modRevision ?? 0)) {
           finish();
--- a/src/core/data-loss/record-restorer.ts
+++ b/src/core/data-loss/record-restorer.ts
@@ -4,7 +4,7 @@
 import type { Clock, Log } from '../effects.js';
 import { isFinishedJob, storedRecordOf, type RecoveryRecords } from '../recovery-records.js';
 import type { Replica } from '../replica.js';
-import { jobKey, parseKey, Rank, recordKindOf, type Committer } from '../storage/index.js';
+import { jobKey, parseKey, WritePriority, recordKindOf, type TransactionBatcher } from '../storage/index.js';
 
 /** How many records are being written at a time. */
 const maxWritesInFlight = 48;
@@ -13,7 +13,7 @@
 
 export interface RecordRestorerOptions {
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly clock: Clock;
   /** Progress is logged this often, ms. */
   readonly progressIntervalMs: number;
@@ -105,7 +105,7 @@
     const { replica, batcher } = this.options;
     this.writesInFlight++;
     batcher.enqueue({
-      priority: isFinishedJob(key, known) ? Rank.cleanup : Rank.membership,
+      priority: isFinishedJob(key, known) ? WritePriority.cleanup : WritePriority.membership,
       build: () => {
         // Merged once more: other controllers restore the same records.
         const data = this.isDone ? null : this.recordToWrite(key, known);
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -17,9 +17,9 @@
   membersData,
   membersKey,
   presenceKey,
-  Rank,
+  WritePriority,
   requestedLevelKey,
-  type Committer,
+  type TransactionBatcher,
   type LevelNote,
 } from './storage/index.js';
 
@@ -38,7 +38,7 @@
 export interface FeatureLevelManagerOptions {
   readonly settings: Settings;
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly membership: Membership;
   readonly clock: Clock;
   readonly stateLeaseMs: number;
@@ -196,7 +196,7 @@
     this.writeInFlight = true;
     const finish = (): void => void (this.writeInFlight = false);
     batcher.enqueue({
-      priority: Rank.membership,
+      priority: WritePriority.membership,
       build: () => {
         // Decided once more: the write may have waited.
         const isUnchanged = membership.isLeader && decisionText(this.decide()) === text;
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -1,6 +1,12 @@
 /** Machines that are given up or back. */
 import type { MachineType } from '../model/machine.js';
-import { type Committer, machineData, machineKey, Rank, shardKey } from './storage/index.js';
+import {
+  type TransactionBatcher,
+  machineData,
+  machineKey,
+  WritePriority,
+  shardKey,
+} from './storage/index.js';
 import type { ShardState } from './shard-state/shard-state.js';
 import type { ScheduledMachine } from './shard-state/types.js';
 
@@ -8,7 +14,7 @@
 export class MachineLifecycle {
   constructor(
     private readonly shardState: ShardState,
-    private readonly batcher: Committer,
+    private readonly batcher: TransactionBatcher,
   ) {}
 
   /** Machines that fell silent, never came up, stand idle or are given up. */
@@ -83,7 +89,7 @@
     this.shardState.log('info', 'releasing machine', { host: machine.host, standing, why });
     const key = machineKey(machine.host);
     this.batcher.enqueue({
-      priority: Rank.provisioning,
+      priority: WritePriority.provisioning,
       build: () => {
         const grant = this.shardState.replica.shards.get(machine.record.shard);
         const usable =
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -4,7 +4,7 @@
 import type { Random, RetryPolicy } from '../../retry/index.js';
 import type { Effect, Log } from '../effects.js';
 import type { Replica } from '../replica.js';
-import { type Committer, presenceKey } from '../storage/index.js';
+import { type TransactionBatcher, presenceKey } from '../storage/index.js';
 import { LeaderElection } from './leader-election.js';
 import { PendingWrites } from './pending-writes.js';
 import { Presence } from './presence.js';
@@ -20,7 +20,7 @@
   /** Identifies this process among all that have run under its member's name. */
   readonly instanceId: string;
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   /** How long this process's state lease lasts without being renewed. */
   readonly leaseTtlMs: number;
   readonly retry: RetryPolicy;
--- a/src/core/membership/pending-writes.ts
+++ b/src/core/membership/pending-writes.ts
@@ -1,6 +1,6 @@
 /** Writes of membership records, with at most one pending write per name. */
 import type { Transaction } from '../../wire/store.js';
-import { type Committer, Rank } from '../storage/index.js';
+import { type TransactionBatcher, WritePriority } from '../storage/index.js';
 
 /**
  * Enqueues writes of membership records. While a write is pending, others of the same name are dropped: the caller
@@ -9,7 +9,7 @@
 export class PendingWrites {
   private readonly pending = new Set<string>();
 
-  constructor(private readonly batcher: Committer) {}
+  constructor(private readonly batcher: TransactionBatcher) {}
 
   /** Whether a write of this name has been enqueued and has no outcome yet. */
   has(name: string): boolean {
@@ -22,7 +22,7 @@
     this.pending.add(name);
     const settle = (): void => void this.pending.delete(name);
     this.batcher.enqueue({
-      priority: Rank.membership,
+      priority: WritePriority.membership,
       build: () => {
         const transaction = build();
         if (transaction === null) settle();
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -5,7 +5,7 @@
 import { ShardState } from './shard-state/shard-state.js';
 import type { ScheduledJob, ScheduledMachine } from './shard-state/types.js';
 import { HeartbeatReconciler } from './heartbeat-reconciler.js';
-import type { Committer } from './storage/index.js';
+import type { TransactionBatcher } from './storage/index.js';
 import type { Clock, Effect, Log } from './effects.js';
 import type { Replica } from './replica.js';
 import { RecordMigration } from '../feature-levels/index.js';
@@ -49,7 +49,7 @@
     private readonly operators: OperatorSettings,
     private readonly run: string,
     private readonly replica: Replica,
-    batcher: Committer,
+    batcher: TransactionBatcher,
     private readonly clock: Clock,
     private readonly log: Log,
     matcher: Matcher | null = null,
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -9,7 +9,12 @@
 import { zoneAllows } from '../../policy/guardrails.js';
 import { SpotHazardEstimate } from '../../policy/hazard.js';
 import { imageFetchS } from '../../policy/pricing.js';
-import { type Committer, type JobRecord, type PlacementRecord, TaskWriter } from '../storage/index.js';
+import {
+  type TransactionBatcher,
+  type JobRecord,
+  type PlacementRecord,
+  TaskWriter,
+} from '../storage/index.js';
 import type { Clock, Log } from '../effects.js';
 import type { VersionedMachine, Replica } from '../replica.js';
 import { Reservations } from './reservations.js';
@@ -88,7 +93,7 @@
     readonly settings: Settings,
     readonly operators: OperatorSettings,
     readonly replica: Replica,
-    batcher: Committer,
+    batcher: TransactionBatcher,
     readonly clock: Clock,
     readonly log: Log,
     private readonly listener: ShardStateListener,
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -3,7 +3,7 @@
 import type { Resources, MachineType } from '../../model/machine.js';
 import type { MachineMatch } from '../../policy/matching.js';
 import type { TaskPhase } from '../../model/heartbeat.js';
-import type { BitSet, Rank } from '../storage/index.js';
+import type { BitSet, WritePriority } from '../storage/index.js';
 import type { VersionedMachine } from '../replica.js';
 
 /** A task's present attempt. It exists from the decision to place until it is proven gone. */
@@ -44,7 +44,7 @@
   placedVersion: number;
   durableVersion: number;
   /** Its write that waits or is under way. */
-  queuedWrite: { rank: Rank } | null;
+  queuedWrite: { rank: WritePriority } | null;
   /** Not to be written before the view has reached this revision. */
   writeBlockedUntilRevision: number;
 }
--- a/src/core/storage/index.ts
+++ b/src/core/storage/index.ts
@@ -5,11 +5,11 @@
 export * from './keys.js';
 export * from './records.js';
 export {
-  TransactionBatcher as Committer,
+  TransactionBatcher,
   conditionsPerOperation,
-  WritePriority as Rank,
-  type BatchLimits as CommitLimits,
-  type PendingWrite as Intent,
+  WritePriority,
+  type BatchLimits,
+  type PendingWrite,
 } from './transaction-batcher.js';
 export { TaskWriter, type TaskOwner } from './task-writer.js';
 export * from './task-log/index.js';
--- a/src/core/storage/task-log/index.ts
+++ b/src/core/storage/task-log/index.ts
@@ -4,18 +4,13 @@
  */
 export {
   applyEntry,
-  deltaBetween as difference,
+  deltaBetween,
   emptyChunk,
-  encodeLogRecord as logData,
-  decodeLogRecord as readLog,
+  encodeLogRecord,
+  decodeLogRecord,
   type LogEntry,
 } from './entry.js';
-export {
-  LogReader,
-  type EntryRef as LogItem,
-  type LogRecord,
-  type ChunkStates as TaskStates,
-} from './reader.js';
-export { isObsolete, TruncationPlanner as Truncation, type Checkpoints } from './truncation.js';
+export { LogReader, type EntryRef, type LogRecord, type ChunkStates } from './reader.js';
+export { isObsolete, TruncationPlanner, type Checkpoints } from './truncation.js';
 export { LogTruncator } from './truncator.js';
 export { LogWriter, type LoggedTasks } from './writer.js';
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -19,12 +19,12 @@
 import {
   chunkData,
   chunkKey,
-  type Committer,
+  type TransactionBatcher,
   cancelledJobDataOf,
   openJobData,
   jobKey,
   type JobRecord,
-  Rank,
+  WritePriority,
   inlineCancelledJobData,
 } from './storage/index.js';
 import type { Clock, Effect } from './effects.js';
@@ -69,7 +69,7 @@
 export interface UserRequestsOptions {
   readonly settings: Settings;
   readonly replica: Replica;
-  readonly batcher: Committer;
+  readonly batcher: TransactionBatcher;
   readonly clock: Readonly<Clock>;
   /** Requests that may wait at a time. */
   readonly maxPending: number;
@@ -88,7 +88,7 @@
 export class UserRequests {
   private readonly settings: Settings;
   private readonly replica: Replica;
-  private readonly batcher: Committer;
+  private readonly batcher: TransactionBatcher;
   private readonly clock: Readonly<Clock>;
   private readonly maxPending: number;
   private readonly fairAdmission: boolean;
@@ -275,7 +275,7 @@
       mine.rids.forEach(f);
     };
     this.batcher.enqueue({
-      priority: Rank.user,
+      priority: WritePriority.user,
       build: () => ({
         conditions: [{ key: jobKey(spec.id), stamp: 0 }],
         writes: [{ key: jobKey(spec.id), data: openJobData(spec, this.clock.wall) }],
@@ -329,7 +329,7 @@
       mine.rids.forEach(f);
     };
     this.batcher.enqueue({
-      priority: Rank.user,
+      priority: WritePriority.user,
       build: () => {
         const now = this.replica.jobs.get(id);
         if (now?.state !== 'open') {
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -196,7 +196,7 @@
       const group = this.waiting;
       this.waiting = [];
       // Taken now: what is committed during the write is not durable with it.
-      const freshness = this.space.view();
+      const view = this.space.view();
       const deltas = group.flatMap((w) => (w.delta ? [w.delta] : []));
       try {
         if (deltas.length > 0) await this.disk.write(deltas);
@@ -204,7 +204,7 @@
         this.fail(e as StoreError, group);
         return;
       }
-      this.seen = freshness;
+      this.seen = view;
       for (const w of group) w.done(true);
       for (const w of [...this.watchers]) w.wake();
     }
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -184,7 +184,7 @@
 
 /** Keys under a prefix in order, beginning after `from`. */
 export function scan(
-  freshness: View,
+  view: View,
   starts: string,
   from: string,
   most: number,
@@ -193,11 +193,11 @@
   const items: Change[] = [];
   let bytes = 0;
   let at: [string, Entry] | undefined;
-  if (from >= starts && from !== '') at = freshness.keys.nextHigherPair(from);
-  else if (freshness.keys.has(starts)) at = [starts, freshness.keys.get(starts)!];
+  if (from >= starts && from !== '') at = view.keys.nextHigherPair(from);
+  else if (view.keys.has(starts)) at = [starts, view.keys.get(starts)!];
   // Every other key with the prefix comes behind the prefix itself.
-  else at = freshness.keys.nextHigherPair(starts === '' ? undefined : starts);
-  for (; at !== undefined && at[0].startsWith(starts); at = freshness.keys.nextHigherPair(at[0])) {
+  else at = view.keys.nextHigherPair(starts === '' ? undefined : starts);
+  for (; at !== undefined && at[0].startsWith(starts); at = view.keys.nextHigherPair(at[0])) {
     const [key, { data, stamp }] = at;
     const size = JSON.stringify(data).length + key.length;
     if (items.length >= most || (items.length > 0 && bytes + size > mostBytes)) return { items, more: true };
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -24,7 +24,7 @@
  * Writes one moment of the store to a file, while the store goes on: a line that says what it is, a line a key, a line
  * with the digest of all before it. The file has its name only once it is whole and on disk.
  */
-export async function writeSnapshot(freshness: View, path: string): Promise<{ keys: number; epoch: number }> {
+export async function writeSnapshot(view: View, path: string): Promise<{ keys: number; epoch: number }> {
   const part = `${path}.part`;
   const file = openSync(part, 'w', 0o600);
   const digest = createHash('sha256');
@@ -34,9 +34,9 @@
     writeSync(file, text);
   };
   try {
-    line({ dapplepick: 'snapshot', format, epoch: freshness.epoch, keys: freshness.keys.size });
+    line({ dapplepick: 'snapshot', format, epoch: view.epoch, keys: view.keys.size });
     let n = 0;
-    for (const [key, { data, stamp }] of freshness.keys.entries()) {
+    for (const [key, { data, stamp }] of view.keys.entries()) {
       line([key, data, stamp]);
       if (++n % together === 0) await new Promise((resolve) => setImmediate(resolve));
     }
@@ -48,7 +48,7 @@
     closeSync(file);
   }
   renameSync(part, path);
-  return { keys: freshness.keys.size, epoch: freshness.epoch };
+  return { keys: view.keys.size, epoch: view.epoch };
 }
 
 /** A snapshot of an open store, in its directory, named by its revision. */
@@ -56,11 +56,11 @@
   engine: Engine,
   dir: string,
 ): Promise<{ path: string; keys: number; epoch: number }> {
-  const freshness = engine.view();
+  const view = engine.view();
   const folder = join(dir, 'snapshots');
   mkdirSync(folder, { recursive: true, mode: 0o700 });
-  const path = join(folder, `${String(freshness.epoch).padStart(12, '0')}.jsonl`);
-  return { path, ...(await writeSnapshot(freshness, path)) };
+  const path = join(folder, `${String(view.epoch).padStart(12, '0')}.jsonl`);
+  return { path, ...(await writeSnapshot(view, path)) };
 }
 
 /**
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -14,8 +14,8 @@
   machineKey,
   machineTypesData,
   legacyMachineTypesKey,
-  type Committer,
-  type Intent,
+  type TransactionBatcher,
+  type PendingWrite,
 } from '../src/core/storage/index.js';
 import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
 import { retryPolicies, seededRandom } from '../src/retry/index.js';
@@ -61,14 +61,14 @@
   assert.equal(replica.machines.size, 4000);
   let stamp = 1;
   const batcher = {
-    enqueue(intent: Intent): void {
+    enqueue(intent: PendingWrite): void {
       const txn = intent.build();
       if (!txn) return;
       stamp++;
       for (const w of txn.writes) replica.apply({ ...w, stamp });
       intent.onCommitted(stamp);
     },
-  } as unknown as Committer;
+  } as unknown as TransactionBatcher;
   const unexpected: unknown[] = [];
   const clock = { now: 0, wall: 1_000_000 };
   const autoscaler = new Autoscaler({
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -252,7 +252,7 @@
   assert.equal(again.get('a49').entry?.stamp, 50);
   assert.deepEqual(await again.commit({ conditions: [{ key: 'b', stamp: 0 }], writes: [put('b', 1)] }), {
     type: 'ok',
-    epoch: 51,
+    revision: 51,
   });
 });
 
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -1,5 +1,5 @@
 /** What the transactions of a world must say of the task log, whatever happened in it. */
-import { parseKey, readLog } from '../../src/core/storage/index.js';
+import { parseKey, decodeLogRecord } from '../../src/core/storage/index.js';
 import { taskKey } from '../../src/model/job.js';
 import type { Write } from '../../src/wire/store.js';
 import type { World } from './world.js';
@@ -16,7 +16,7 @@
   const ref = parseKey(key);
   if (!data || !ref) return [];
   if (ref.kind === 'log')
-    return readLog(data).flatMap(({ job, placements: placed }) =>
+    return decodeLogRecord(data).flatMap(({ job, placements: placed }) =>
       placed.map(({ index, host }) => ({ job, index, host })),
     );
   if (ref.kind !== 'chunk' && ref.kind !== 'job') return [];
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -7,22 +7,22 @@
   BitSet,
   chunkData,
   type ChunkRecord,
-  type Committer,
-  difference,
+  type TransactionBatcher,
+  deltaBetween,
   emptyChunk,
-  type Intent,
+  type PendingWrite,
   cancelledJobDataOf,
   openJobData,
-  logData,
+  encodeLogRecord,
   type LogEntry,
-  type LogItem,
+  type EntryRef,
   LogReader,
   LogWriter,
   type PlacementRecord,
-  Rank,
+  WritePriority,
   readChunk,
-  readLog,
-  Truncation,
+  decodeLogRecord,
+  TruncationPlanner,
 } from '../src/core/storage/index.js';
 import type { Transaction, Write } from '../src/wire/store.js';
 import { Replica } from '../src/core/replica.js';
@@ -67,7 +67,7 @@
       if (step % 3 === 0) done.add(index);
     } else if (!done.has(index)) placed = [...placed, { index, attempt: ++last, host: `n-${step % 5}` }];
     const revision = before.version + 1 + (step % 2);
-    const changes = difference(before, {
+    const changes = deltaBetween(before, {
       lastAttempt: last,
       done,
       placements: placed,
@@ -81,7 +81,14 @@
       toVersion: revision,
       ...changes,
     });
-    const state = { ...before, last, done, placed, revision, doneCount: done.count() };
+    const state: ChunkRecord = {
+      ...before,
+      lastAttempt: last,
+      done,
+      placements: placed,
+      version: revision,
+      doneCount: done.count(),
+    };
     history.states.push(state);
   }
   return history;
@@ -105,7 +112,7 @@
   }
 
   put(n: number, entry: LogEntry): void {
-    this.reader.put(`dp/log/0/1-${n}`, 0, JSON.parse(JSON.stringify(logData([entry]))), n);
+    this.reader.put(`dp/log/0/1-${n}`, 0, JSON.parse(JSON.stringify(encodeLogRecord([entry]))), n);
   }
 }
 
@@ -161,14 +168,14 @@
 
 test('an entry survives being stored', () => {
   const { entries, states } = historyOf([1, 2, 1, 3, 3]);
-  const read = readLog(JSON.parse(JSON.stringify(logData(entries))));
+  const read = decodeLogRecord(JSON.parse(JSON.stringify(encodeLogRecord(entries))));
   const state = read.reduce(applyEntry, { ...emptyChunk, done: new BitSet() });
   assert.deepEqual(plain(state), plain(states.at(-1)!));
 });
 
 test('a log is truncated from its oldest end; what keeps an old record there is checkpointed', () => {
-  const item = (job: string, to: number): LogItem => ({ job, chunk: 0, toVersion: to });
-  const record = (n: number, items: LogItem[]) => ({
+  const item = (job: string, to: number): EntryRef => ({ job, chunk: 0, toVersion: to });
+  const record = (n: number, items: EntryRef[]) => ({
     key: `k${n}`,
     shard: 0,
     modRevision: n,
@@ -181,7 +188,7 @@
     jobStatus: (job: string) => (over.has(job) ? ('over' as const) : ('followed' as const)),
     checkpointVersionOf: () => checkpoint,
   };
-  const truncation = new Truncation(10_000, 4);
+  const truncation = new TruncationPlanner(10_000, 4);
   const keys = (now: number): string[] => truncation.plan(records, known, now).deletable.map((r) => r.key);
   // The third is over as well, but the second stays.
   assert.deepEqual(keys(0), ['k1']);
@@ -200,7 +207,7 @@
   const job = openJobData(spec('req-1', { tasks: size }), 1);
   replica.apply({ key: 'dp/j/req-1', data: job, stamp: 1 });
   entries.forEach((entry, n) =>
-    replica.apply({ key: `dp/log/0/1-${n}`, data: logData([entry]), stamp: n + 2 }),
+    replica.apply({ key: `dp/log/0/1-${n}`, data: encodeLogRecord([entry]), stamp: n + 2 }),
   );
   const [, , old] = states;
   replica.apply({ key: 'dp/t/req-1/0', data: chunkData(old, old.version), stamp: 20 });
@@ -290,8 +297,11 @@
   const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
   const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
-  const intents: Intent[] = [];
-  const batcher = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
+  const intents: PendingWrite[] = [];
+  const batcher = {
+    isBudgetLow: false,
+    enqueue: (intent: PendingWrite) => intents.push(intent),
+  } as unknown as TransactionBatcher;
   const valueKb = 1;
   const writer = new LogWriter(0, { valueKb, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
     isOwned: () => true,
@@ -311,7 +321,7 @@
     writer.tick(now);
     const { data } = intents.at(-1)!.build()!.writes[0];
     assert.ok(JSON.stringify(data).length <= valueKb * 1024);
-    cleared.push(...readLog(data).map((e) => e.job));
+    cleared.push(...decodeLogRecord(data).map((e) => e.job));
     intents.at(-1)!.onCommitted(8);
   }
   assert.deepEqual(cleared, jobs);
@@ -323,8 +333,11 @@
   const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
   const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
-  const intents: Intent[] = [];
-  const batcher = { isShort: false, add: (intent: Intent) => intents.push(intent) } as unknown as Committer;
+  const intents: PendingWrite[] = [];
+  const batcher = {
+    isBudgetLow: false,
+    enqueue: (intent: PendingWrite) => intents.push(intent),
+  } as unknown as TransactionBatcher;
   const blocked: string[] = [];
   let owned = true;
   const writer = new LogWriter(0, { valueKb: 32, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
@@ -337,13 +350,14 @@
     replica.apply({ key: `dp/j/${id}`, data: openJobData(spec(id, { tasks: 2 }), 1), stamp: 6 });
     const job = createScheduledJob(replica.jobs.get(id)!, spec(id, { tasks: 2 }), 0, undefined, 16);
     const [chunk] = job.chunks;
-    chunk.queuedWrite = { rank: Rank.task };
+    chunk.queuedWrite = { rank: WritePriority.task };
     chunk.version = 1;
     job.placements.set(0, { index: 0, attempt: 1, host: 'n-1', chunk } as Placement);
     writer.markChanged(job, chunk, chunk.queuedWrite, 0);
   }
   replica.applyWatch([], 6);
-  const jobsOf = (txn: Transaction | null): string[] => readLog(txn!.writes[0].data).map((e) => e.job);
+  const jobsOf = (txn: Transaction | null): string[] =>
+    decodeLogRecord(txn!.writes[0].data).map((e) => e.job);
   writer.tick(0);
   assert.deepEqual(jobsOf(intents[0].build()), ['req-1', 'req-2', 'req-3']);
   intents[0].onConflict(['dp/j/req-2'], 99);
@@ -362,11 +376,11 @@
     placements: placed,
     ...nothing,
   };
-  replica.apply({ key: 'dp/log/0/5-9', data: logData([entry]), stamp: 7 });
+  replica.apply({ key: 'dp/log/0/5-9', data: encodeLogRecord([entry]), stamp: 7 });
   intents[1].onConflict(['dp/shard/0'], 100);
   writer.clearJob('req-1', 0);
   writer.tick(10_000);
-  assert.deepEqual(readLog(intents[2].build()!.writes[0].data)[0].removed, [0]);
+  assert.deepEqual(decodeLogRecord(intents[2].build()!.writes[0].data)[0].removed, [0]);
   owned = false;
   assert.equal(intents[2].build(), null);
 });
@@ -386,7 +400,7 @@
   w.state.beforeCommit = (txn) => {
     const record = txn.writes.find((a) => a.key.startsWith('dp/log/') && a.data);
     if (!record || hit !== '') return;
-    const { job } = readLog(record.data).find((e) => e.placements.length > 0)!;
+    const { job } = decodeLogRecord(record.data).find((e) => e.placements.length > 0)!;
     hit = job;
     const { data } = w.state.entries.get(`dp/j/${job}`)!;
     const { spec: s, at } = data as { spec: JobSpec; at: number };
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -1,7 +1,7 @@
 /** What the committer writes first when the state service's budget is short. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Committer, Rank } from '../src/core/storage/index.js';
+import { TransactionBatcher, WritePriority } from '../src/core/storage/index.js';
 import type { Effect } from '../src/core/effects.js';
 import { Replica } from '../src/core/replica.js';
 import { capabilitiesOf, FeatureLevels } from '../src/feature-levels/index.js';
@@ -24,7 +24,7 @@
 class AnsweredCommitter {
   readonly written: string[] = [];
   private epoch = 1;
-  private readonly batcher: Committer;
+  private readonly batcher: TransactionBatcher;
 
   constructor(writesPerS: number) {
     const replica = new Replica(listener, new FeatureLevels(capabilitiesOf('test')));
@@ -37,10 +37,10 @@
       workers: { report_s: 2.5, lease_s: 18, gang_wait_s: 30, gang_peer_s: 5, cancel_s: 38 },
       stateLeaseMs: 3600,
     } as unknown as Parameters<typeof retryPolicies>[0]);
-    this.batcher = new Committer('run', limits, replica, retry.state, seededRandom(1), quiet);
+    this.batcher = new TransactionBatcher('run', limits, replica, retry.state, seededRandom(1), quiet);
   }
 
-  add(key: string, rank: Rank): void {
+  add(key: string, rank: WritePriority): void {
     const txn: Transaction = { conditions: [], writes: [{ key, data: {} }] };
     this.batcher.enqueue({ priority: rank, build: () => txn, onCommitted: quiet, onConflict: quiet });
   }
@@ -61,9 +61,9 @@
 test('a placement of urgent work does not wait for hundreds of others', () => {
   const writesPerS = 10;
   const committer = new AnsweredCommitter(writesPerS);
-  for (let i = 0; i < 300; i++) committer.add(`dp/t/req-${i}/0`, Rank.task);
+  for (let i = 0; i < 300; i++) committer.add(`dp/t/req-${i}/0`, WritePriority.task);
   committer.playUntil(2000);
-  committer.add('dp/t/req-999/0', Rank.urgent);
+  committer.add('dp/t/req-999/0', WritePriority.urgent);
   const before = committer.written.length;
   committer.playUntil(4000);
   const place = committer.written.indexOf('dp/t/req-999/0') - before;
@@ -72,8 +72,8 @@
 
 test('urgent placements do not keep everything else from being written', () => {
   const committer = new AnsweredCommitter(10);
-  for (let i = 0; i < 300; i++) committer.add(`dp/t/req-${i}/0`, Rank.urgent);
-  for (let i = 0; i < 300; i++) committer.add(`dp/t/other-${i}/0`, Rank.task);
+  for (let i = 0; i < 300; i++) committer.add(`dp/t/req-${i}/0`, WritePriority.urgent);
+  for (let i = 0; i < 300; i++) committer.add(`dp/t/other-${i}/0`, WritePriority.task);
   committer.playUntil(10_000);
   const others = committer.written.filter((key) => key.includes('other')).length;
   assert.ok(others >= committer.written.length / 3, `${others} of ${committer.written.length}`);
