--- a/src/core/controller/command-handlers.ts
+++ b/src/core/controller/command-handlers.ts
@@ -36,7 +36,7 @@
 > = {
   'peer-status': (c, { components }, effects) => {
     const { dataLossRecovery, freshnessExchange, peers, replica } = components;
-    freshnessExchange.notePeerProcess(c.from, c.status.run);
+    freshnessExchange.notePeerProcess(c.from, c.status.instanceId);
     peers.onStatus(c.from, c.status);
     dataLossRecovery.monitor.peerHeard(c.status);
     if (c.status.revision > replica.watchRevision)
@@ -55,7 +55,7 @@
     components.freshnessExchange.onQuery(c.from, c.query, effects),
   'freshness-confirmed': (c, { components: { freshness, freshnessExchange } }) =>
     freshness.onConfirmedByPeers(
-      freshnessExchange.onAnswer(c.from, c.run, c.query, c.known, freshness.completeUpTo),
+      freshnessExchange.onAnswer(c.from, c.instanceId, c.query, c.known, freshness.completeUpTo),
     ),
 };
 
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -8,21 +8,22 @@
 import type { ListedMachine, RentalOutcome, RentRequest } from '../wire/cloud.js';
 import type { Change, Transaction } from '../wire/store.js';
 
-/** What a controller tells the others of itself. */
+/** What a controller broadcasts to its peers. */
 export interface PeerStatus {
   /** The newest revision that it knows of. */
-  revision: number;
-  run: string;
-  /** How busy it is, in thousandths of what it has. */
-  utilizationPermille: number;
-  /** Its workers may stay at whoever they reach: their reports are to be relayed. */
-  wantsForwarding: boolean;
-  /** What it wants of the state service's writes, a second; null: it is of a program that does not say. */
-  demand: MemberDemand | null;
-  /** The incarnation that it follows; 0: none. */
-  incarnation: number;
+  readonly revision: number;
+  /** Identifies the process among all that have run under its member's name. */
+  readonly instanceId: string;
+  /** The share of its time that it is busy, in thousandths. */
+  readonly utilizationPermille: number;
+  /** Whether peers are asked to keep its workers that reach them, and to forward their heartbeats. */
+  readonly wantsForwarding: boolean;
+  /** The writes a second that it wants; null: its program does not report a demand. */
+  readonly demand: MemberDemand | null;
+  /** The incarnation of the state that it follows; 0: none. */
+  readonly incarnation: number;
   /** How many jobs it knows. */
-  jobCount: number;
+  readonly jobCount: number;
 }
 
 /** What the adapters bring to the core. `rid` names a request that waits for its answer. */
@@ -36,9 +37,9 @@
   | { type: 'peer-status'; from: string; status: PeerStatus }
   /** Jobs that another controller has turned away. */
   | { type: 'rejected-jobs'; list: Rejection[] }
-  /** What a peer wants to know, and what another has answered us. */
+  /** A peer's freshness query, and the answer of another to ours. */
   | { type: 'freshness-query'; from: string; query: FreshnessQuery }
-  | { type: 'freshness-confirmed'; from: string; run: string; query: FreshnessQuery; known: Change[] }
+  | { type: 'freshness-confirmed'; from: string; instanceId: string; query: FreshnessQuery; known: Change[] }
   /** What the process has been doing lately: share of its time, connections that are open, shares of memory and waiting room. */
   | { type: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
   /** A peer's connection broke and a new one was refused at once. */
@@ -89,7 +90,7 @@
   | { type: 'commit'; txn: Transaction }
   | { type: 'read-revision' }
   | { type: 'catch-up'; revision: number }
-  /** Hand a worker's report to the controller that owns its machine; its answer comes as 'relayed'. */
+  /** Forwards a heartbeat to the owner of its machine; the answer comes as 'forwarded-response'. */
   | { type: 'forward-heartbeat'; to: string; requestId: number; report: Heartbeat }
   | { type: 'peer-status'; status: PeerStatus }
   | { type: 'rejected-jobs'; list: Rejection[] }
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -53,7 +53,7 @@
   onStatus(from: string, status: PeerStatus): void {
     const { now } = this.options.clock;
     // A process that has just started waits to hear from everybody.
-    if (this.statuses.get(from)?.status.run !== status.run) this.broadcastAt = -Infinity;
+    if (this.statuses.get(from)?.status.instanceId !== status.instanceId) this.broadcastAt = -Infinity;
     this.statuses.set(from, { status, receivedAt: now });
     this.newestKnown = { revision: Math.max(this.newestKnown.revision, status.revision), at: now };
   }
@@ -61,7 +61,7 @@
   /** Peers that are present and were heard recently, and how busy they are. */
   *livePeers(): Generator<{ member: string; busy: number }> {
     for (const [member, received] of this.statuses) {
-      const { run, utilizationPermille } = received.status;
+      const { instanceId: run, utilizationPermille } = received.status;
       if (this.isRecent(received) && this.options.replica.isAlive(member, run))
         yield { member, busy: utilizationPermille / 1000 };
     }
@@ -84,7 +84,7 @@
 
   /** The process that was last heard under a peer's name. */
   instanceIdOf(member: string): string | undefined {
-    return this.statuses.get(member)?.status.run;
+    return this.statuses.get(member)?.status.instanceId;
   }
 
   /** Whether a peer asks the others to keep its workers and to forward their heartbeats. */
@@ -112,7 +112,7 @@
     this.broadcastAt = clock.now;
     const status: PeerStatus = {
       revision: Math.max(replica.watchRevision, newRevision ?? -1),
-      run: instanceId,
+      instanceId: instanceId,
       ...ownStatus(),
       incarnation: replica.incarnation?.number ?? 0,
       jobCount: this.ownJobCount(),
--- a/src/freshness/freshness-quorum.ts
+++ b/src/freshness/freshness-quorum.ts
@@ -3,7 +3,7 @@
 /** Asks a peer for the changes that it knows above a revision. */
 export interface FreshnessQuery {
   /** The process that asks. */
-  readonly run: string;
+  readonly instanceId: string;
   readonly nonce: number;
   readonly revision: number;
   /** The incarnation of the state that it follows; 0: none. What is known of another one says nothing. */
@@ -11,7 +11,7 @@
 }
 
 interface PeerProcess {
-  readonly run: string;
+  readonly instanceId: string;
   /** When the process was first heard, ms. */
   readonly heardSince: number;
   /** The newest query of ours that it has answered. */
@@ -37,15 +37,15 @@
   private sentAt = -Infinity;
 
   constructor(
-    private readonly run: string,
+    private readonly instanceId: string,
     private readonly members: readonly string[],
     private readonly intervalMs: number,
   ) {}
 
   /** A process was heard under a peer's name. */
-  notePeerProcess(member: string, run: string, now: number): void {
-    if (this.processes.get(member)?.run !== run)
-      this.processes.set(member, { run, heardSince: now, answeredNonce: 0 });
+  notePeerProcess(member: string, instanceId: string, now: number): void {
+    if (this.processes.get(member)?.instanceId !== instanceId)
+      this.processes.set(member, { instanceId, heardSince: now, answeredNonce: 0 });
   }
 
   /** A new query, if one is due. */
@@ -54,17 +54,22 @@
     this.sentAt = now;
     this.outstanding.push({ nonce: ++this.lastNonce, sentAt: now });
     this.outstanding = this.outstanding.slice(-maxOutstandingQueries);
-    return { run: this.run, nonce: this.lastNonce, revision, incarnation };
+    return { instanceId: this.instanceId, nonce: this.lastNonce, revision, incarnation };
   }
 
   /**
    * A peer has handed over all that it knew, and the replica holds it by now. Returns the moment up to which the replica is
    * known to be complete by that, or null. `completeUpTo`: the moment up to which it was known to be complete before.
    */
-  onAnswer(member: string, run: string, query: FreshnessQuery, completeUpTo: number): number | null {
+  onAnswer(member: string, instanceId: string, query: FreshnessQuery, completeUpTo: number): number | null {
     const answering = this.processes.get(member);
     // Guards against the late answer to a query of this process's predecessor, whose replica and nonces were others.
-    if (answering?.run !== run || query.run !== this.run || query.nonce > this.lastNonce) return null;
+    if (
+      answering?.instanceId !== instanceId ||
+      query.instanceId !== this.instanceId ||
+      query.nonce > this.lastNonce
+    )
+      return null;
     answering.answeredNonce = Math.max(answering.answeredNonce, query.nonce);
     let oldestNonce = this.lastNonce;
     for (const peer of this.members) {
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -11,18 +11,18 @@
 import type { FreshnessQuery } from '../freshness/index.js';
 import {
   frameType,
-  type WireAsk,
-  type WireAway,
   type WireFrame,
+  type WireFreshnessQuery,
+  type WireHeartbeat,
   type WireHello,
-  type WirePulse,
-  type WireReport,
+  type WirePeerStatus,
+  type WireRejection,
 } from './frame-schema.js';
 
 /** A message between controllers. */
 export type Frame =
   /** The first frame of a connection: who sends, and which message formats the sender reads. */
-  | { readonly type: 'hello'; readonly member: string; readonly run: string; readonly speaks: Speaks }
+  | { readonly type: 'hello'; readonly member: string; readonly instanceId: string; readonly speaks: Speaks }
   | { readonly type: 'forwarded-heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
   /** The response to a forwarded heartbeat, as the worker is to get it. */
   | {
@@ -37,11 +37,13 @@
   | {
       readonly type: 'freshness-answer';
       readonly query: FreshnessQuery;
-      readonly run: string;
+      readonly instanceId: string;
       readonly changes: string;
     }
   | { readonly type: 'rejected-jobs'; readonly rejections: readonly Rejection[] };
 
+export type HelloFrame = Extract<Frame, { type: 'hello' }>;
+
 /** The length in front of every frame, bytes. */
 export const lengthBytes = 4;
 
@@ -60,147 +62,166 @@
   'unknown',
 ];
 
-function encodeHeartbeat(r: Heartbeat): WireReport {
+function encodeHeartbeat(heartbeat: Heartbeat): WireHeartbeat {
   return {
-    host: r.host,
-    endpoint: r.endpoint,
-    type: r.type,
-    zone: r.zone,
-    spot: r.spot,
-    session: r.agentEpoch,
-    seq: r.sequence,
-    token: r.fencingToken,
-    noticeS: r.noticeS ?? -1,
-    tasks: r.tasks.map((t) => ({
-      job: t.job,
-      index: t.index,
-      attempt: t.attempt,
-      phase: phases.indexOf(t.phase),
-      why: exitReasons.indexOf(t.exitReason),
-      saved: t.saved,
+    host: heartbeat.host,
+    endpoint: heartbeat.endpoint,
+    machineType: heartbeat.type,
+    zone: heartbeat.zone,
+    spot: heartbeat.spot,
+    agentEpoch: heartbeat.agentEpoch,
+    sequence: heartbeat.sequence,
+    fencingToken: heartbeat.fencingToken,
+    noticeS: heartbeat.noticeS ?? -1,
+    tasks: heartbeat.tasks.map((task) => ({
+      job: task.job,
+      index: task.index,
+      attempt: task.attempt,
+      phase: phases.indexOf(task.phase),
+      exitReason: exitReasons.indexOf(task.exitReason),
+      saved: task.saved,
     })),
   };
 }
 
-function decodeHeartbeat(r: WireReport): Heartbeat {
+function decodeHeartbeat(wire: WireHeartbeat): Heartbeat {
   return {
-    host: r.host,
-    endpoint: r.endpoint,
-    type: r.type,
-    zone: r.zone,
-    spot: r.spot,
-    agentEpoch: r.session,
-    sequence: r.seq,
-    fencingToken: r.token,
-    noticeS: r.noticeS < 0 ? null : r.noticeS,
-    tasks: r.tasks.map((t) => ({
-      job: t.job,
-      index: t.index,
-      attempt: t.attempt,
-      // A state that this version does not know still means that the task is on the machine.
-      phase: phases[t.phase] ?? 'running',
-      exitReason: t.why < exitReasons.length ? exitReasons[t.why] : 'error',
-      saved: t.saved,
+    host: wire.host,
+    endpoint: wire.endpoint,
+    type: wire.machineType,
+    zone: wire.zone,
+    spot: wire.spot,
+    agentEpoch: wire.agentEpoch,
+    sequence: wire.sequence,
+    fencingToken: wire.fencingToken,
+    noticeS: wire.noticeS < 0 ? null : wire.noticeS,
+    tasks: wire.tasks.map((task) => ({
+      job: task.job,
+      index: task.index,
+      attempt: task.attempt,
+      // A phase that this program does not know still means that the task is on the machine.
+      phase: phases[task.phase] ?? 'running',
+      exitReason: task.exitReason < exitReasons.length ? exitReasons[task.exitReason] : 'error',
+      saved: task.saved,
     })),
   };
 }
 
-function encodeStatus(p: PeerStatus): Partial<WirePulse> {
-  const status = {
-    epoch: p.revision,
-    run: p.run,
-    busy: p.utilizationPermille,
-    front: p.wantsForwarding,
-    inc: p.incarnation,
-    jobs: p.jobCount,
+function encodeStatus(status: PeerStatus): Partial<WirePeerStatus> {
+  const { demand } = status;
+  const wire = {
+    revision: status.revision,
+    instanceId: status.instanceId,
+    utilizationPermille: status.utilizationPermille,
+    wantsForwarding: status.wantsForwarding,
+    hasDemand: demand !== null,
+    backlogTenthsS: Math.round((demand?.backlogS ?? 0) * 10),
+    incarnation: status.incarnation,
+    jobCount: status.jobCount,
   };
-  const d = p.demand;
-  if (d === null) return { ...status, says: false, behind: 0 };
+  if (demand === null) return wire;
   return {
-    ...status,
-    says: true,
-    tasks: d.acceptedWork,
-    users: d.newJobs,
-    behind: Math.round(d.backlogS * 10),
-    follows: d.allocationVersion,
-    kinds: d.workloads.map((k) => ({ team: k.team, class: k.class, weight: k.weight, want: k.jobsPerS })),
+    ...wire,
+    acceptedWork: demand.acceptedWork,
+    newJobs: demand.newJobs,
+    allocationVersion: demand.allocationVersion,
+    workloads: demand.workloads.map((workload) => ({
+      team: workload.team,
+      class: workload.class,
+      weight: workload.weight,
+      jobsPerS: workload.jobsPerS,
+    })),
   };
 }
 
-function decodeDemand(p: WirePulse): MemberDemand {
+function decodeStatus(wire: WirePeerStatus): PeerStatus {
   return {
-    acceptedWork: p.tasks,
-    newJobs: p.users,
-    backlogS: p.behind / 10,
-    allocationVersion: p.follows,
-    workloads: p.kinds.map((k) => ({ team: k.team, class: k.class, weight: k.weight, jobsPerS: k.want })),
+    revision: wire.revision,
+    instanceId: wire.instanceId,
+    utilizationPermille: wire.utilizationPermille,
+    wantsForwarding: wire.wantsForwarding,
+    demand: wire.hasDemand ? decodeDemand(wire) : null,
+    incarnation: wire.incarnation,
+    jobCount: wire.jobCount,
   };
 }
 
-function decodeStatus(p: WirePulse): PeerStatus {
+function decodeDemand(wire: WirePeerStatus): MemberDemand {
   return {
-    revision: p.epoch,
-    run: p.run,
-    utilizationPermille: p.busy,
-    wantsForwarding: p.front,
-    demand: p.says ? decodeDemand(p) : null,
-    incarnation: p.inc,
-    jobCount: p.jobs,
+    acceptedWork: wire.acceptedWork,
+    newJobs: wire.newJobs,
+    backlogS: wire.backlogTenthsS / 10,
+    allocationVersion: wire.allocationVersion,
+    workloads: wire.workloads.map((workload) => ({
+      team: workload.team,
+      class: workload.class,
+      weight: workload.weight,
+      jobsPerS: workload.jobsPerS,
+    })),
   };
 }
 
-const encodeHello = (member: string, run: string, speaks: Speaks): WireHello => ({
+const encodeHello = ({ member, instanceId, speaks }: HelloFrame): WireHello => ({
   member,
-  run,
-  least: speaks.least,
-  most: speaks.most,
+  instanceId,
+  minFormat: speaks.least,
+  maxFormat: speaks.most,
 });
 
-/** A sender that names no formats knows only the first. */
-const decodeFormats = (h: WireHello): Speaks => ({ least: h.least || 1, most: h.most || 1 });
+/** A sender that names no formats reads only the first. */
+const decodeHello = ({ member, instanceId, minFormat, maxFormat }: WireHello): HelloFrame => ({
+  type: 'hello',
+  member,
+  instanceId,
+  speaks: { least: minFormat || 1, most: maxFormat || 1 },
+});
 
-const encodeRejection = (t: Rejection): WireAway => ({
-  id: t.id,
-  team: t.team,
-  class: t.class,
-  ageMs: t.ageMs,
+const encodeRejection = (rejection: Rejection): WireRejection => ({
+  id: rejection.id,
+  team: rejection.team,
+  class: rejection.class,
+  ageMs: rejection.ageMs,
 });
-const decodeRejection = (t: WireAway): Rejection => ({
-  id: t.id,
-  team: t.team,
-  class: t.class,
-  ageMs: t.ageMs,
+
+const decodeRejection = (wire: WireRejection): Rejection => ({
+  id: wire.id,
+  team: wire.team,
+  class: wire.class,
+  ageMs: wire.ageMs,
 });
 
-const encodeQuery = (q: FreshnessQuery): WireAsk => ({
-  nonce: q.nonce,
-  epoch: q.revision,
-  run: q.run,
-  inc: q.incarnation,
+const encodeQuery = (query: FreshnessQuery): WireFreshnessQuery => ({
+  nonce: query.nonce,
+  revision: query.revision,
+  instanceId: query.instanceId,
+  incarnation: query.incarnation,
 });
-const decodeQuery = (q: WireAsk): FreshnessQuery => ({
-  run: q.run,
-  nonce: q.nonce,
-  revision: q.epoch,
-  incarnation: q.inc,
+
+const decodeQuery = (wire: WireFreshnessQuery): FreshnessQuery => ({
+  instanceId: wire.instanceId,
+  nonce: wire.nonce,
+  revision: wire.revision,
+  incarnation: wire.incarnation,
 });
 
 function encodeMessage(frame: Frame): object {
   switch (frame.type) {
     case 'hello':
-      return { hello: encodeHello(frame.member, frame.run, frame.speaks) };
+      return { hello: encodeHello(frame) };
     case 'forwarded-heartbeat':
-      return { relay: { id: frame.id, report: encodeHeartbeat(frame.heartbeat) } };
+      return { forwardedHeartbeat: { id: frame.id, heartbeat: encodeHeartbeat(frame.heartbeat) } };
     case 'forwarded-response':
-      return { relayed: { id: frame.id, status: frame.status, body: frame.body } };
+      return { forwardedResponse: { id: frame.id, status: frame.status, body: frame.body } };
     case 'peer-status':
-      return { pulse: encodeStatus(frame.status) };
+      return { peerStatus: encodeStatus(frame.status) };
     case 'freshness-query':
-      return { ask: encodeQuery(frame.query) };
-    case 'freshness-answer':
-      return { vouch: { ask: encodeQuery(frame.query), run: frame.run, known: frame.changes } };
+      return { freshnessQuery: encodeQuery(frame.query) };
+    case 'freshness-answer': {
+      const { query, instanceId, changes } = frame;
+      return { freshnessAnswer: { query: encodeQuery(query), instanceId, changes } };
+    }
     case 'rejected-jobs':
-      return { turned: { list: frame.rejections.map(encodeRejection) } };
+      return { rejectedJobs: { rejections: frame.rejections.map(encodeRejection) } };
   }
 }
 
@@ -215,20 +236,23 @@
 
 /** Decodes a frame without its length. Null: a message that this program does not know, or that lacks its content. */
 export function decodeFrame(body: Uint8Array): Frame | null {
-  const { hello, relay, relayed, pulse, turned, ask, vouch } = frameType.decode(body) as WireFrame;
-  if (hello) return { type: 'hello', member: hello.member, run: hello.run, speaks: decodeFormats(hello) };
-  if (relay) {
-    const { id, report } = relay;
-    return report ? { type: 'forwarded-heartbeat', id, heartbeat: decodeHeartbeat(report) } : null;
+  const message = frameType.decode(body) as WireFrame;
+  if (message.hello) return decodeHello(message.hello);
+  if (message.forwardedHeartbeat) {
+    const { id, heartbeat } = message.forwardedHeartbeat;
+    return heartbeat ? { type: 'forwarded-heartbeat', id, heartbeat: decodeHeartbeat(heartbeat) } : null;
+  }
+  if (message.forwardedResponse) {
+    const { id, status, body: text } = message.forwardedResponse;
+    return { type: 'forwarded-response', id, status, body: text };
   }
-  if (relayed)
-    return { type: 'forwarded-response', id: relayed.id, status: relayed.status, body: relayed.body };
-  if (pulse) return { type: 'peer-status', status: decodeStatus(pulse) };
-  if (turned) return { type: 'rejected-jobs', rejections: turned.list.map(decodeRejection) };
-  if (ask) return { type: 'freshness-query', query: decodeQuery(ask) };
-  if (vouch) {
-    const { ask: query, run, known } = vouch;
-    return query ? { type: 'freshness-answer', query: decodeQuery(query), run, changes: known } : null;
+  if (message.peerStatus) return { type: 'peer-status', status: decodeStatus(message.peerStatus) };
+  if (message.rejectedJobs)
+    return { type: 'rejected-jobs', rejections: message.rejectedJobs.rejections.map(decodeRejection) };
+  if (message.freshnessQuery) return { type: 'freshness-query', query: decodeQuery(message.freshnessQuery) };
+  if (message.freshnessAnswer) {
+    const { query, instanceId, changes } = message.freshnessAnswer;
+    return query ? { type: 'freshness-answer', query: decodeQuery(query), instanceId, changes } : null;
   }
   return null;
 }
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -5,7 +5,7 @@
 import { common, messageFormats } from '../formats/index.js';
 import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
 import { FrameReader } from './frame-reader.js';
-import { encodeFrame, type Frame } from './frames.js';
+import { encodeFrame, type Frame, type HelloFrame } from './frames.js';
 
 /**
  * Above so many bytes that a connection has not taken yet, frames are dropped: a status or an answer that waited behind
@@ -13,8 +13,6 @@
  */
 const maxQueuedBytes = 1024 * 1024;
 
-type HelloFrame = Extract<Frame, { type: 'hello' }>;
-
 export interface PeerMeshOptions {
   readonly settings: Settings;
   /** Identifies this process. */
@@ -103,9 +101,7 @@
         link.isConnected = true;
         failures = 0;
         const { member: ownMember } = settings;
-        socket.write(
-          encodeFrame({ type: 'hello', member: ownMember, run: instanceId, speaks: messageFormats }),
-        );
+        socket.write(encodeFrame({ type: 'hello', member: ownMember, instanceId, speaks: messageFormats }));
       });
       // Peers send on connections of their own; reading lets the end of this one be noticed.
       socket.on('data', () => undefined);
--- a/src/service.ts
+++ b/src/service.ts
@@ -240,9 +240,15 @@
   }
 
   private onFreshnessAnswer(from: string, answer: Extract<Frame, { type: 'freshness-answer' }>): void {
-    const { query, run } = answer;
+    const { query, instanceId } = answer;
     try {
-      this.enqueue({ type: 'freshness-confirmed', from, run, query, known: decodeChanges(answer.changes) });
+      this.enqueue({
+        type: 'freshness-confirmed',
+        from,
+        instanceId,
+        query,
+        known: decodeChanges(answer.changes),
+      });
     } catch (e) {
       this.log('warn', 'malformed peer frame', { from, error: String((e as Error).message) });
     }
@@ -289,7 +295,12 @@
         break;
       case 'confirm-freshness': {
         const changes = encodeChanges(e.known);
-        this.peerMesh?.send(e.to, { type: 'freshness-answer', query: e.query, run: this.run, changes });
+        this.peerMesh?.send(e.to, {
+          type: 'freshness-answer',
+          query: e.query,
+          instanceId: this.run,
+          changes,
+        });
         break;
       }
       case 'respond': {
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -65,10 +65,10 @@
 
 test('vouching: every peer, the same process as before, and all it knows', () => {
   const v = new FreshnessQuorum('a1', ['b', 'c'], 100);
-  const q = (nonce: number, run = 'a1') => ({ run, nonce, revision: 7, incarnation: 0 });
+  const q = (nonce: number, instanceId = 'a1') => ({ instanceId, nonce, revision: 7, incarnation: 0 });
   v.notePeerProcess('b', 'b1', 10);
   v.notePeerProcess('c', 'c1', 10);
-  assert.deepEqual(v.nextQuery(1000, 7), { run: 'a1', nonce: 1, revision: 7, incarnation: 0 });
+  assert.deepEqual(v.nextQuery(1000, 7), { instanceId: 'a1', nonce: 1, revision: 7, incarnation: 0 });
   assert.equal(v.nextQuery(1050, 7), null);
   assert.equal(v.onAnswer('b', 'b1', q(1), 500), null);
   assert.equal(v.onAnswer('c', 'c1', q(1), 500), 1000);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -476,7 +476,7 @@
   assert.deepEqual(reader.push(frame.subarray(0, 3)), []);
   const status = {
     revision: 2 ** 40,
-    run: 'a',
+    instanceId: 'a',
     utilizationPermille: 7,
     wantsForwarding: true,
     incarnation: 3,
@@ -498,7 +498,7 @@
   ]) {
     const status = {
       revision: 1,
-      run: 'a',
+      instanceId: 'a',
       utilizationPermille: 0,
       wantsForwarding: false,
       demand,
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -211,7 +211,7 @@
         const confirmation = {
           type: 'freshness-confirmed',
           from: this.member,
-          run: this.run,
+          instanceId: this.run,
           query,
           known,
         } as const;
