--- a/test/support/earlier-build.ts
+++ b/test/support/earlier-build.ts
@@ -116,7 +116,7 @@
 
 const toEarlierPulse = (status: PeerStatus): EarlierPulse => ({
   epoch: status.revision,
-  run: status.run,
+  run: status.instanceId,
   busy: status.utilizationPermille,
   front: status.wantsForwarding,
   wants: status.demand,
@@ -126,7 +126,7 @@
 
 const fromEarlierPulse = (pulse: EarlierPulse): PeerStatus => ({
   revision: pulse.epoch,
-  run: pulse.run,
+  instanceId: pulse.run,
   utilizationPermille: pulse.busy,
   wantsForwarding: pulse.front,
   demand: pulse.wants,
@@ -134,15 +134,20 @@
   jobCount: pulse.jobs,
 });
 
-const toEarlierQuestion = ({ run, nonce, revision, incarnation }: FreshnessQuery): EarlierQuestion => ({
-  run,
+const toEarlierQuestion = ({
+  instanceId,
+  nonce,
+  revision,
+  incarnation,
+}: FreshnessQuery): EarlierQuestion => ({
+  run: instanceId,
   nonce,
   epoch: revision,
   inc: incarnation,
 });
 
 const fromEarlierQuestion = ({ run, nonce, epoch, inc }: EarlierQuestion): FreshnessQuery => ({
-  run,
+  instanceId: run,
   nonce,
   revision: epoch,
   incarnation: inc,
@@ -223,7 +228,7 @@
       return {
         c: 'vouched',
         from: command.from,
-        run: command.run,
+        run: command.instanceId,
         question: toEarlierQuestion(command.query),
         known: command.known,
       };
