--- a/src/service.ts
+++ b/src/service.ts
@@ -1,3 +1,4 @@
+/** The process of a controller: joins the core and the adapters. */
 import { randomBytes } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
 import { HttpCloudProvider, type CloudProvider } from './cloud/cloud-provider.js';
@@ -6,6 +7,7 @@
 import { splitAddress, type Settings } from './config/settings.js';
 import { Controller } from './core/controller.js';
 import type { Command, Effect, Log } from './core/effects.js';
+import { executeEffect, type EffectContext } from './effect-handlers.js';
 import { RequestQueue } from './request-queue.js';
 import { limitsOf, type Limits } from './limits/index.js';
 import { MemoryUsage } from './memory-usage.js';
@@ -18,16 +20,16 @@
 import type { StateService } from './state/service.js';
 import { Store } from './state/store.js';
 import { PublicServer, type ServerHooks } from './users/server.js';
-import { decodeChanges, encodeChanges } from './wire/store.js';
+import { decodeChanges } from './wire/store.js';
 
 const tickMs = 50;
 const loadReportIntervalMs = 1000;
-/** The longest that anybody waits for an answer. */
+/** No client waits longer than this for a response. */
 const drainTimeoutMs = 5000;
-/** Polls may use this share of the request budget that is this controller's share; the first reading all of it. */
+/** Of this controller's share of the request budget, the watch may use this much; the first snapshot all of it. */
 const watchRequestShare = 1 / 3;
 
-/** What stands in the place of the platform's state service and cloud. */
+/** Replacements for the adapters of the platform's state service and cloud, and extensions of the HTTP server. */
 export interface ServiceDependencies {
   state: StateService;
   cloud: CloudProvider;
@@ -35,11 +37,11 @@
   matcher: Matcher;
 }
 
-/** Wires the core to the world: commands are queued and worked off in batches, effects carried out. */
+/** Runs the core in a process: queues commands, lets it step over them in batches, and executes the effects. */
 export class Service {
   controller: Controller;
   private readonly store: StateService;
-  private run: string;
+  private instanceId: string;
   private restarts = 0;
   private readonly random: Random;
   private readonly retry: RetryPolicies;
@@ -51,9 +53,10 @@
   private readonly requestQueue: RequestQueue;
   private readonly memoryUsage: MemoryUsage;
   private peerMesh: PeerMesh | null = null;
-  /** Answers owed to peers that relayed a report: by our request number. */
+  /** Heartbeats that peers forwarded and that have no response yet, by our request id. */
   private readonly forwardedRequests = new Map<number, { to: string; id: number }>();
   private forwardedCount = 0;
+  private effectContext: EffectContext;
   private scheduled = false;
   private shutdown: Promise<void> | null = null;
   private readonly timers: NodeJS.Timeout[] = [];
@@ -64,11 +67,11 @@
     private readonly operators: OperatorSettings,
     private readonly log: Log,
     private readonly dependencies: Partial<ServiceDependencies> = {},
-    /** Which program this is. */
+    /** Version of this program. */
     private readonly program = '?',
   ) {
     const seed = randomBytes(4);
-    this.run = seed.toString('hex');
+    this.instanceId = seed.toString('hex');
     this.random = seededRandom(seed.readInt32LE());
     const stateLeaseMs = settings.workers.lease_s * 1000 * operators['node-lease-ratio'];
     this.retry = retryPolicies({ ...settings, stateLeaseMs });
@@ -100,12 +103,12 @@
       settings.workers.report_s * 1000,
       dependencies.hooks ?? null,
     );
+    this.effectContext = this.createEffectContext();
   }
 
   private createController(recoveryRecords: RecoveryRecords | null): Controller {
-    const { settings, operators, random, log, program } = this;
+    const { settings, operators, instanceId, random, log, program } = this;
     const matcher = this.dependencies.matcher ?? null;
-    const instanceId = this.run;
     return new Controller({
       settings,
       operators,
@@ -118,14 +121,16 @@
     });
   }
 
-  /** The state service has lost data: the core begins anew with what it knew, as another process would. */
+  /** Replaces the core after the state service has lost data: it starts as a new process would, with what it knew. */
   private restartController(recoveryRecords: RecoveryRecords): void {
-    this.run = `${this.run.split('.')[0]}.${++this.restarts}`;
+    this.instanceId = `${this.instanceId.split('.')[0]}.${++this.restarts}`;
     this.requestQueue.discardResponses();
     this.follower.restart();
     this.controller = this.createController(recoveryRecords);
+    this.effectContext = this.createEffectContext();
   }
 
+  /** Listens, follows the state service and connects to the peers. */
   async start(): Promise<void> {
     const { host, port } = splitAddress(this.settings.publicAddr);
     await new Promise<void>((resolve, reject) => {
@@ -137,11 +142,11 @@
     this.timers.push(setInterval(() => this.enqueue({ type: 'tick' }), tickMs));
     this.timers.push(setInterval(() => this.reportLoad(), loadReportIntervalMs));
     if (this.settings.peers.length === 0) return;
-    // Loaded only now: start-up time counts, and nobody waits for the talk between controllers.
+    // Imported late: it is needed only now, and the time until the first response counts.
     const { PeerMesh } = await import('./peers/mesh.js');
     const mesh = new PeerMesh({
       settings: this.settings,
-      instanceId: this.run,
+      instanceId: this.instanceId,
       retry: this.retry.peers,
       random: this.random,
       maxInboundConnections: this.limits.sockets.peers,
@@ -151,16 +156,17 @@
     });
     await mesh.start();
     this.peerMesh = mesh;
+    this.effectContext = this.createEffectContext();
   }
 
-  /** Where it listens. */
+  /** The port on which users and workers reach it. */
   get address(): { port: number } {
     return this.publicServer.server.address() as { port: number };
   }
 
   /**
-   * Leaves in order: users are sent elsewhere, shards and leadership are handed on, what is under way is answered. What
-   * cannot be handed on is left to the lease's end, as after a kill.
+   * Graceful shutdown: health checks fail, shards and leadership are handed over, open requests are answered. What cannot
+   * be handed over is acquired by others after lease expiry, as after a crash.
    */
   async shutDown(): Promise<void> {
     if (this.shutdown === null) {
@@ -169,7 +175,7 @@
         const timer = setInterval(() => {
           if (this.controller.shutdownPhase !== 'stopped') return;
           clearInterval(timer);
-          // New connections are refused; open ones end with the answers that they wait for.
+          // New connections are refused; open ones close with their last response.
           this.publicServer.server.close(() => resolve());
           this.publicServer.server.closeIdleConnections();
           setTimeout(resolve, drainTimeoutMs).unref();
@@ -177,11 +183,11 @@
       });
     }
     await this.shutdown;
-    this.log('info', 'left');
+    this.log('info', 'graceful shutdown complete');
     this.stop();
   }
 
-  /** Ends what this process does; what is under way elsewhere goes on. */
+  /** Stops at once and closes all connections. */
   stop(): void {
     for (const t of this.timers) clearInterval(t);
     this.follower.stop();
@@ -216,7 +222,7 @@
         this.enqueue({ type: 'peer-status', from, status: frame.status });
         break;
       case 'forwarded-heartbeat': {
-        // Below zero, so that they never meet the numbers of our own server's requests.
+        // Negative, so that they never collide with the ids of our own server's requests.
         const requestId = -++this.forwardedCount;
         this.forwardedRequests.set(requestId, { to: from, id: frame.id });
         this.enqueue({ type: 'heartbeat', requestId, report: frame.heartbeat, from });
@@ -254,8 +260,9 @@
     }
   }
 
-  enqueue(c: Command): void {
-    for (const e of this.requestQueue.offer(c, performance.now())) this.execute(e);
+  /** Queues a command for the next step of the core. */
+  enqueue(command: Command): void {
+    for (const response of this.requestQueue.offer(command, performance.now())) this.execute(response);
     this.schedule();
   }
 
@@ -269,103 +276,41 @@
     this.scheduled = false;
     const now = performance.now();
     const { commands, answers } = this.requestQueue.take(now);
-    for (const e of answers) this.execute(e);
+    for (const response of answers) this.execute(response);
     const effects = this.controller.step(commands, { now, wall: Date.now() });
-    for (const e of effects) this.execute(e);
+    for (const effect of effects) this.execute(effect);
     this.schedule();
   }
 
-  private execute(e: Effect): void {
-    const { restarts: rebirths } = this;
-    // Guards against answers to what was asked for before this process began anew.
-    const back = (c: Command): void => void (rebirths === this.restarts && this.enqueue(c));
-    switch (e.type) {
-      case 'forward-heartbeat':
-        if (!this.peerMesh?.send(e.to, { type: 'forwarded-heartbeat', id: e.requestId, heartbeat: e.report }))
-          this.enqueue({ type: 'forwarded-response', requestId: e.requestId, status: 503, body: {} });
-        break;
-      case 'peer-status':
-        this.peerMesh?.broadcast({ type: 'peer-status', status: e.status });
-        break;
-      case 'rejected-jobs':
-        this.peerMesh?.broadcast({ type: 'rejected-jobs', rejections: e.list });
-        break;
-      case 'query-freshness':
-        this.peerMesh?.broadcast({ type: 'freshness-query', query: e.query });
-        break;
-      case 'confirm-freshness': {
-        const changes = encodeChanges(e.known);
-        this.peerMesh?.send(e.to, {
-          type: 'freshness-answer',
-          query: e.query,
-          instanceId: this.run,
-          changes,
-        });
-        break;
-      }
-      case 'respond': {
-        const owed = this.forwardedRequests.get(e.requestId);
-        if (owed) {
-          this.forwardedRequests.delete(e.requestId);
-          const body = typeof e.body === 'string' ? e.body : JSON.stringify(e.body);
-          this.peerMesh?.send(owed.to, { type: 'forwarded-response', id: owed.id, status: e.status, body });
-          break;
-        }
-        this.publicServer.respond(e.requestId, e.status, e.body, e.retryAfterS);
-        break;
-      }
-      case 'commit':
-        void this.store.commit(e.txn).then((outcome) => back({ type: 'commit-result', outcome }));
-        break;
-      case 'read-revision':
-        this.follower.ask();
-        break;
-      case 'catch-up':
-        this.follower.hurry(e.revision);
-        break;
-      case 'audit': {
-        const { from, keys } = e;
-        void this.store.part(from, keys).then((page) => {
-          const { items, more, revision: epoch } = page ?? { items: [], more: false, revision: null };
-          back({ type: 'audit-result', from, items, more, revision: epoch });
-        });
-        break;
-      }
-      case 'restart':
-        this.restartController(e.recoveryRecords);
-        break;
-      case 'grant-lease':
-        void this.store.lease(e.ttlMs).then((hold) => back({ type: 'lease-granted', leaseId: hold }));
-        break;
-      case 'renew-lease':
-        void this.store
-          .renew(e.leaseId)
-          .then((outcome) => back({ type: 'lease-renewal-result', leaseId: e.leaseId, outcome }));
-        break;
-      case 'revoke-lease':
-        void this.store.unlease(e.leaseId);
-        break;
-      case 'list-machine-types':
-        void this.cloud.listMachineTypes().then((types) => back({ type: 'machine-types', types }));
-        break;
-      case 'rent-machines':
-        void this.cloud
-          .rentMachines(e.request)
-          .then((outcome) => back({ type: 'rental-result', request: e.request, outcome }));
-        break;
-      case 'delete-machines':
-        void this.cloud
-          .deleteMachines(e.hosts)
-          .then((ok) => back({ type: 'deletion-result', hosts: e.hosts, ok }));
-        break;
-      case 'list-machines': {
-        const askedAt = performance.now();
-        void this.cloud.listMachines().then((machines) => back({ type: 'machine-list', machines, askedAt }));
-        break;
-      }
-      case 'send-task-commands':
-        void this.workerClient.sendOrders(e.endpoint, e.token, e.session, e.orders);
-        break;
-    }
+  private execute(effect: Effect): void {
+    executeEffect(effect, this.effectContext);
+  }
+
+  /** What effects are executed with until the core is restarted or the mesh started. */
+  private createEffectContext(): EffectContext {
+    const { store, cloud, workerClient, follower, peerMesh, instanceId, restarts } = this;
+    return {
+      store,
+      cloud,
+      workerClient,
+      follower,
+      peerMesh,
+      instanceId,
+      enqueue: (command) => this.enqueue(command),
+      // Results of requests made before a restart of the core are dropped.
+      complete: (command) => void (restarts === this.restarts && this.enqueue(command)),
+      respond: (response) => this.respond(response),
+      restart: (recoveryRecords) => this.restartController(recoveryRecords),
+    };
+  }
+
+  /** Responds to a request of our own server, or through the peer that forwarded it. */
+  private respond(response: Extract<Effect, { type: 'respond' }>): void {
+    const { requestId, status, body, retryAfterS } = response;
+    const forwarded = this.forwardedRequests.get(requestId);
+    if (!forwarded) return this.publicServer.respond(requestId, status, body, retryAfterS);
+    this.forwardedRequests.delete(requestId);
+    const text = typeof body === 'string' ? body : JSON.stringify(body);
+    this.peerMesh?.send(forwarded.to, { type: 'forwarded-response', id: forwarded.id, status, body: text });
   }
 }
