--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -162,7 +162,9 @@
     let left = count;
     for (const pool of eligible) left -= takeHeadroom(pool, spec, left, machineTypes);
     left -= this.takeFutureHeadroom(job, left, eligible);
-    if (left <= 0) return null;
+    // Not `left <= 0`: the count is NaN where a slack without end meets run times without end (a service's). That demand
+    // counts as met.
+    if (!(left > 0)) return null;
     if (spec.shape === 'gang') this.reserveEmptiest(spec, shard, eligible, left);
     return { spec, shard, count: left, zones };
   }
