--- a/src/core/controller/components.ts
+++ b/src/core/controller/components.ts
@@ -135,16 +135,7 @@
     fairAdmission,
     canConfirmAbsence: () => dataLossRecovery.canConfirmAbsence,
   });
-  const shardManager = new ShardManager(
-    settings,
-    operators,
-    instanceId,
-    replica,
-    batcher,
-    clock,
-    log,
-    options.matcher ?? null,
-  );
+  const shardManager = new ShardManager({ ...shared, matcher: options.matcher ?? null });
   const { shardState } = shardManager;
   const featureLevelManager = new FeatureLevelManager({ ...shared, membership, stateLeaseMs: leaseTtlMs });
   const autoscaler = new Autoscaler({ ...shared, retry: retry.cloud });
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -1,366 +1,279 @@
-/** Workers' reports: what they prove of placements, and the orders that they are answered with. */
+/** Reconciliation of workers' heartbeats with the placements, and the orders that heartbeats are answered with. */
 import { taskKey } from '../model/job.js';
-import type { TaskOrder, Heartbeat, TaskStatus } from '../model/heartbeat.js';
-import { quarantineEvidence, evidenceAgainst, isSuspect, suspectHostCount } from './failure-attribution.js';
-import type { ShardState } from './shard-state/shard-state.js';
-import { chunkOf } from './shard-state/jobs.js';
-import type { Effect } from './effects.js';
+import type { Heartbeat, TaskOrder, TaskStatus } from '../model/heartbeat.js';
 import { imageFetchS } from '../policy/pricing.js';
-import type { TaskChunk, ScheduledJob, ScheduledMachine, Placement } from './shard-state/types.js';
+import type { MachineHealth } from './machine-health.js';
+import { chunkOf } from './shard-state/jobs.js';
+import type { ShardState } from './shard-state/shard-state.js';
+import type {
+  HeartbeatPosition,
+  Placement,
+  ScheduledJob,
+  ScheduledMachine,
+  TaskChunk,
+} from './shard-state/types.js';
+import { maxOrdersPerMessage, stopOrder } from './task-orders.js';
+
+/** For how many report intervals nothing is placed on a machine that had no room for a task. */
+const fullMachineCooldownReports = 2;
 
-const maxOrdersPerResponse = 400;
-/** A job that fails wherever it goes is tried again after so many worker leases at the latest. */
-const maxRetryDelayLeases = 2.5;
+/** The end of a task, which its worker may forget once it is durable. */
+interface UnwrittenEnd {
+  readonly job: ScheduledJob;
+  readonly chunk: TaskChunk;
+  /** The chunk's version that holds the end. */
+  readonly version: number;
+}
+
+/** The tasks that a heartbeat lists, by their keys. */
+type ReportedTasks = ReadonlyMap<string, TaskStatus>;
 
-/** What workers report and are told: takes reports in as proof, and turns what is durable into orders. */
+/**
+ * Takes heartbeats as evidence of what runs, and turns durable placements into orders. A heartbeat that carries the fencing token of
+ * the current owner is proof also of what does not run: no earlier owner can have anything started after it.
+ */
 export class HeartbeatReconciler {
-  /** Exited tasks that are to be forgotten once their end is durable. */
-  private readonly pendingForget = new Map<
-    string,
-    { chunk: TaskChunk; version: number; job: ScheduledJob }
-  >();
+  /** Ends of tasks that their workers still list, by machine and attempt. */
+  private readonly unwrittenEnds = new Map<string, UnwrittenEnd>();
+
+  constructor(
+    private readonly shardState: ShardState,
+    private readonly machineHealth: MachineHealth,
+  ) {}
+
+  /** Takes in the heartbeat of a machine of this process's shards; returns the orders to answer with. */
+  reconcile(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): TaskOrder[] {
+    const isProof = heartbeat.fencingToken === token;
+    this.noteContact(machine, heartbeat, token);
+    // Guards against the late heartbeat: its list is as old as itself, and its response will be dropped.
+    if (!isNewerHeartbeat(heartbeat, machine)) return [];
+    this.notePosition(machine, heartbeat, isProof);
+    if (heartbeat.noticeS !== null && machine.reclaimAt === 0)
+      this.handleReclaimNotice(machine, heartbeat.noticeS);
+    const reported = reportedTasks(heartbeat);
+    this.reconcilePlacements(machine, heartbeat, reported, isProof);
+    const orders: TaskOrder[] = [];
+    for (const [key, status] of reported) this.addOrderFor(machine, key, status, isProof, orders);
+    if (isProof) this.addStarts(machine, heartbeat, reported, orders);
+    return orders.slice(0, maxOrdersPerMessage);
+  }
 
-  constructor(private readonly shardState: ShardState) {}
+  /** The orders for a machine as of now, in response to its newest heartbeat, which was reconciled before. */
+  currentOrders(machine: ScheduledMachine, heartbeat: Heartbeat): TaskOrder[] {
+    const orders: TaskOrder[] = [];
+    const reported = reportedTasks(heartbeat);
+    for (const status of heartbeat.tasks) {
+      const placement = machine.placements.get(taskKey(status.job, status.index));
+      if (placement?.attempt === status.attempt) addStop(placement, status, orders);
+    }
+    this.addStarts(machine, heartbeat, reported, orders);
+    return orders;
+  }
 
-  /** Takes in a report of a machine of ours; returns the orders to answer with. */
-  reconcile(machine: ScheduledMachine, report: Heartbeat, token: number): TaskOrder[] {
-    const now = this.shardState.clock.now;
-    machine.endpoint = report.endpoint;
-    machine.lastHeartbeatAt = now;
+  /** Whether a machine has placements whose start waits until they are durable. */
+  awaitsDurableStart(machine: ScheduledMachine): boolean {
+    for (const placement of machine.placements.values()) {
+      const { placedByThisProcess, startSentWith, stopRequest } = placement;
+      if (!placedByThisProcess || startSentWith !== null || stopRequest !== null) continue;
+      if (!this.shardState.mayStart(placement)) return true;
+    }
+    return false;
+  }
+
+  /** Any heartbeat renews the worker's lease, also a late one. */
+  private noteContact(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): void {
+    const { clock, settings } = this.shardState;
+    machine.endpoint = heartbeat.endpoint;
+    machine.lastHeartbeatAt = clock.now;
     if (machine.fencingToken !== token) {
       machine.fencingToken = token;
       machine.confirmedAt = 0;
     }
-    // Under our token no earlier owner can renew the lease any more.
-    const proof = report.fencingToken === token;
-    const leaseEnd = now + this.shardState.settings.workers.lease_s * 1000;
-    machine.earliestLeaseExpiry = proof ? leaseEnd : Math.max(machine.earliestLeaseExpiry, leaseEnd);
-    // Guards against the late report: its list is as old as itself, and its answer will be dropped.
-    if (!isNewerHeartbeat(report, [machine.agentEpoch, machine.heartbeatSeq])) return [];
-    machine.agentEpoch = report.agentEpoch;
-    machine.heartbeatSeq = report.sequence;
-    if (proof) {
-      // Guards against returning a machine for having been idle while it booted.
-      if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
-      machine.confirmedAt = now;
-    }
-    if (report.noticeS !== null && machine.reclaimAt === 0) this.handleReclaimNotice(machine, report.noticeS);
-    const orders: TaskOrder[] = [];
-    const listed = new Map<string, TaskStatus>();
-    for (const t of report.tasks) listed.set(taskKey(t.job, t.index), t);
-    for (const [piece, placement] of [...machine.placements]) {
+    const leaseExpiry = clock.now + settings.workers.lease_s * 1000;
+    // Under the current token no earlier owner can renew the lease any more.
+    machine.earliestLeaseExpiry =
+      heartbeat.fencingToken === token ? leaseExpiry : Math.max(machine.earliestLeaseExpiry, leaseExpiry);
+  }
+
+  private notePosition(machine: ScheduledMachine, heartbeat: Heartbeat, isProof: boolean): void {
+    const { now } = this.shardState.clock;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.heartbeatSeq = heartbeat.sequence;
+    if (!isProof) return;
+    // Guards against releasing a machine for having been idle while it booted.
+    if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
+    machine.confirmedAt = now;
+  }
+
+  /** Updates a machine's placements by what its heartbeat lists and does not list. */
+  private reconcilePlacements(
+    machine: ScheduledMachine,
+    heartbeat: Heartbeat,
+    reported: ReportedTasks,
+    isProof: boolean,
+  ): void {
+    for (const [key, placement] of [...machine.placements]) {
       if (placement.job.unreadable) continue;
-      const t = listed.get(piece);
-      // Guards against the old copy that a new owner hears first: a gang that was mended has the same attempt there again.
-      // That a task was completed stays true; that it ended otherwise counts only under our token.
-      const ended = t?.phase === 'exited' && t.exitReason !== 'done';
-      if (t?.attempt === placement.attempt) {
-        if (proof || !ended) this.applyTaskStatus(machine, placement, t);
-      } else if (
-        proof &&
-        (placement.startSentWith === null || isNewerHeartbeat(report, placement.startSentWith))
-      )
-        this.handleMissingTask(machine, placement);
-    }
-    for (const [piece, t] of listed) {
-      const placement = machine.placements.get(piece);
-      // Guards against stopping, or forgetting the result of, what a newer program has placed here.
-      if (placement?.job.unreadable || this.shardState.replica.isJobUnreadable(t.job)) continue;
-      if (placement?.attempt === t.attempt) {
-        if (placement.stopRequest && t.phase !== 'exited')
-          orders.push(stopOrder(placement, placement.stopRequest.graceS));
-      } else if (t.phase === 'exited') {
-        const held = this.pendingForget.get(forgetKey(machine.host, piece, t.attempt));
-        // Guards against losing a result: a task is forgotten only after its end is durable.
-        if (
-          !held ||
-          held.chunk.durableVersion >= held.version ||
-          this.shardState.jobs.get(held.job.id) !== held.job
-        ) {
-          if (
-            !held ||
-            this.shardState.replica.jobs.get(t.job)?.state !== 'open' ||
-            held.chunk.durableVersion >= held.version
-          )
-            orders.push({ op: 'forget', job: t.job, index: t.index, attempt: t.attempt });
-          this.pendingForget.delete(forgetKey(machine.host, piece, t.attempt));
-        }
-      } else if (proof) {
-        this.shardState.log('warn', 'stray task', { piece, attempt: t.attempt, host: machine.host });
-        const job = this.shardState.jobs.get(t.job);
-        if (job && t.index < job.spec.tasks)
-          this.shardState.onUnknownAttempt(piece, t.attempt, chunkOf(job, t.index).lastAttempt);
-        orders.push({ op: 'stop', job: t.job, index: t.index, attempt: t.attempt, graceS: 0 });
+      const status = reported.get(key);
+      if (status?.attempt === placement.attempt) {
+        // Guards against the old copy that a new owner hears of first: a repaired gang has the same attempt there again.
+        // That a task completed stays true; that it ended otherwise counts only under the current token.
+        const endedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
+        if (isProof || !endedIncomplete) this.applyTaskStatus(machine, placement, status);
+      } else if (isProof) {
+        const { startSentWith } = placement;
+        if (startSentWith === null || isNewerHeartbeat(heartbeat, startSentWith))
+          this.handleMissingTask(machine, placement);
       }
     }
-    if (proof) this.addStarts(machine, report, listed, orders);
-    return orders.slice(0, maxOrdersPerResponse);
+  }
+
+  /** Adds the order that a task which a worker lists asks for, if any: that it stops, or that the worker forgets it. */
+  private addOrderFor(
+    machine: ScheduledMachine,
+    key: string,
+    status: TaskStatus,
+    isProof: boolean,
+    orders: TaskOrder[],
+  ): void {
+    const placement = machine.placements.get(key);
+    // Guards against stopping, or forgetting the result of, what a newer program has placed here.
+    if (placement?.job.unreadable || this.shardState.replica.isJobUnreadable(status.job)) return;
+    if (placement?.attempt === status.attempt) addStop(placement, status, orders);
+    else if (status.phase === 'exited') this.addForget(machine, key, status, orders);
+    else if (isProof) this.addStopOfUnknownTask(machine, key, status, orders);
+  }
+
+  /** Guards against losing a result: a task is forgotten only after its end is durable. */
+  private addForget(machine: ScheduledMachine, key: string, status: TaskStatus, orders: TaskOrder[]): void {
+    const { jobs, replica } = this.shardState;
+    const { job, index, attempt } = status;
+    const endKey = unwrittenEndKey(machine.host, key, attempt);
+    const end = this.unwrittenEnds.get(endKey);
+    const isDurable = !end || end.chunk.durableVersion >= end.version;
+    if (!isDurable && jobs.get(end.job.id) === end.job) return;
+    if (isDurable || replica.jobs.get(job)?.state !== 'open')
+      orders.push({ op: 'forget', job, index, attempt });
+    this.unwrittenEnds.delete(endKey);
+  }
+
+  private addStopOfUnknownTask(
+    machine: ScheduledMachine,
+    key: string,
+    { job: id, index, attempt }: TaskStatus,
+    orders: TaskOrder[],
+  ): void {
+    this.shardState.log('warn', 'unknown task reported', { piece: key, attempt, host: machine.host });
+    const job = this.shardState.jobs.get(id);
+    if (job && index < job.spec.tasks)
+      this.shardState.onUnknownAttempt(key, attempt, chunkOf(job, index).lastAttempt);
+    orders.push({ op: 'stop', job: id, index, attempt, graceS: 0 });
   }
 
   private addStarts(
     machine: ScheduledMachine,
-    report: Heartbeat,
-    listed: ReadonlyMap<string, TaskStatus>,
+    heartbeat: Heartbeat,
+    reported: ReportedTasks,
     orders: TaskOrder[],
   ): void {
     if (machine.reclaimAt > 0) return;
-    for (const [piece, placement] of machine.placements) {
-      if (orders.length >= maxOrdersPerResponse) break;
+    for (const [key, placement] of machine.placements) {
+      if (orders.length >= maxOrdersPerMessage) break;
+      const { job, index, attempt, placedByThisProcess, startSentWith } = placement;
+      const isUnsent = placedByThisProcess && startSentWith === null;
       // Guards against a machine that has changed since it was chosen. What may have been sent stays where it is.
-      if (
-        placement.placedByThisProcess &&
-        placement.startSentWith === null &&
-        placement.job.match?.allows(machine.host) === false
-      ) {
+      if (isUnsent && job.match?.allows(machine.host) === false) {
         this.shardState.removePlacement(placement, 'the machine matches no longer');
         continue;
       }
-      if (
-        listed.get(piece)?.attempt === placement.attempt ||
-        placement.stopRequest ||
-        !this.mayStart(placement)
-      )
-        continue;
-      placement.startSentWith = [report.agentEpoch, report.sequence];
-      orders.push({ op: 'start', job: placement.job.id, index: placement.index, attempt: placement.attempt });
+      const isReported = reported.get(key)?.attempt === attempt;
+      if (isReported || placement.stopRequest || !this.shardState.mayStart(placement)) continue;
+      const { agentEpoch, sequence: heartbeatSeq } = heartbeat;
+      placement.startSentWith = { agentEpoch, heartbeatSeq };
+      orders.push({ op: 'start', job: job.id, index, attempt });
     }
   }
 
-  /** Placements of a machine that are on their way to being durable. */
-  awaitsDurableStart(machine: ScheduledMachine): boolean {
-    for (const placement of machine.placements.values())
-      if (
-        placement.placedByThisProcess &&
-        placement.startSentWith === null &&
-        placement.stopRequest === null &&
-        !this.mayStart(placement)
-      )
-        return true;
-    return false;
+  private applyTaskStatus(machine: ScheduledMachine, placement: Placement, status: TaskStatus): void {
+    if (status.phase === 'exited') return this.handleTaskExit(machine, placement, status);
+    const { now } = this.shardState.clock;
+    const { spec } = placement.job;
+    placement.phase = status.phase;
+    machine.images.set(spec.image, imageFetchS(spec, machine.type));
+    if (status.phase === 'running' && placement.runningSince === 0) placement.runningSince = now;
+    if (status.phase === 'waiting' && placement.waitingSince === 0) placement.waitingSince = now;
   }
 
-  /** What a machine is to be told now, in answer to the newest report of it that was taken in before. */
-  currentOrders(machine: ScheduledMachine, report: Heartbeat): TaskOrder[] {
-    const orders: TaskOrder[] = [];
-    const listed = new Map<string, TaskStatus>();
-    for (const t of report.tasks) {
-      const piece = taskKey(t.job, t.index);
-      listed.set(piece, t);
-      const placement = machine.placements.get(piece);
-      if (placement?.attempt === t.attempt && placement.stopRequest && t.phase !== 'exited')
-        orders.push(stopOrder(placement, placement.stopRequest.graceS));
-    }
-    this.addStarts(machine, report, listed, orders);
-    return orders;
-  }
-
-  /** Guards against starting what a crash could forget: durable first, and a gang's attempt as a whole. */
-  private mayStart(placement: Placement): boolean {
-    if (
-      placement.job.cancelled ||
-      placement.job.finalizing ||
-      placement.job.unreadable ||
-      !this.shardState.mayStartTasks()
-    )
-      return false;
-    if (placement.job.spec.shape !== 'gang') return placement.chunk.durableVersion >= placement.chunkVersion;
-    for (const q of placement.job.placements.values())
-      if (q.chunk.durableVersion < q.chunkVersion) return false;
-    return true;
-  }
-
-  private applyTaskStatus(machine: ScheduledMachine, placement: Placement, t: TaskStatus): void {
-    const now = this.shardState.clock.now;
-    if (t.phase !== 'exited') {
-      placement.phase = t.phase;
-      machine.images.set(placement.job.spec.image, imageFetchS(placement.job.spec, machine.type));
-      if (t.phase === 'running' && placement.runningSince === 0) placement.runningSince = now;
-      if (t.phase === 'waiting' && placement.waitingSince === 0) placement.waitingSince = now;
-      return;
-    }
-    const { job } = placement;
-    if (t.exitReason === 'done') {
+  private handleTaskExit(
+    machine: ScheduledMachine,
+    placement: Placement,
+    { exitReason: reason }: TaskStatus,
+  ): void {
+    const { now } = this.shardState.clock;
+    const reportMs = this.shardState.settings.workers.report_s * 1000;
+    const { host } = machine;
+    const { job, chunk, index, attempt } = placement;
+    const key = taskKey(job.id, index);
+    if (reason === 'done') {
       machine.failuresByJob.clear();
-      this.shardState.removePlacement(placement, 'done', 'done');
+      this.shardState.removePlacement(placement, 'done', 'completed');
     } else {
-      this.shardState.log('debug', 'task ended', {
-        piece: taskKey(job.id, placement.index),
-        host: machine.host,
-        why: t.exitReason,
-      });
-      if (t.exitReason === 'error') this.handleTaskError(machine, job);
-      if (t.exitReason === 'full' || t.exitReason === 'busy')
-        machine.cooldownUntil = now + this.shardState.settings.workers.report_s * 2000;
-      if (t.exitReason === 'unknown')
-        job.retryNotBefore = now + this.shardState.settings.workers.report_s * 1000;
-      this.shardState.removePlacement(placement, t.exitReason ?? 'exited');
+      this.shardState.log('debug', 'task ended', { piece: key, host, why: reason });
+      if (reason === 'error') this.machineHealth.noteTaskError(machine, job);
+      if (reason === 'full' || reason === 'busy')
+        machine.cooldownUntil = now + reportMs * fullMachineCooldownReports;
+      if (reason === 'unknown') job.retryNotBefore = now + reportMs;
+      this.shardState.removePlacement(placement, reason ?? 'exited');
     }
-    this.pendingForget.set(forgetKey(machine.host, taskKey(job.id, placement.index), placement.attempt), {
-      chunk: placement.chunk,
-      version: placement.chunk.version,
-      job,
-    });
+    this.unwrittenEnds.set(unwrittenEndKey(host, key, attempt), { job, chunk, version: chunk.version });
   }
 
-  /** A newer report under our token does not list the attempt: it is not on the machine. */
+  /** A heartbeat that is proof, and newer than the start, does not list the attempt: it is not on the machine. */
   private handleMissingTask(machine: ScheduledMachine, placement: Placement): void {
+    const { shardState } = this;
     if (placement.stopRequest || placement.job.cancelled)
-      return this.shardState.removePlacement(placement, 'absent');
-    if (placement.phase === 'placed') {
-      // Never seen there; its start is sent (again) with this answer. A machine under notice gets none.
-      if (machine.reclaimAt > 0 || machine.quarantined)
-        this.shardState.removePlacement(placement, 'machine not to be used');
-      else if (
-        !placement.placedByThisProcess &&
-        placement.startSentWith === null &&
-        !this.shardState.mayStillStart(placement)
-      )
-        this.shardState.removePlacement(placement, 'given up by the owner before');
-      return;
-    }
-    this.shardState.removePlacement(placement, 'vanished', 'lost');
+      return shardState.removePlacement(placement, 'absent');
+    if (placement.phase !== 'placed') return shardState.removePlacement(placement, 'vanished', 'lost');
+    // The worker never listed it: its start is sent (again) with this response, unless the machine is to take none.
+    const isUnsentOfEarlierOwner = !placement.placedByThisProcess && placement.startSentWith === null;
+    if (machine.reclaimAt > 0 || machine.quarantined)
+      shardState.removePlacement(placement, 'machine not to be used');
+    else if (isUnsentOfEarlierOwner && !shardState.mayStillStart(placement))
+      shardState.removePlacement(placement, 'dropped by the earlier owner');
   }
 
+  /** The cloud will reclaim a spot machine: gangs, and tasks that can save in time, are stopped; others may still finish. */
   private handleReclaimNotice(machine: ScheduledMachine, noticeS: number): void {
-    machine.reclaimAt = this.shardState.clock.now + noticeS * 1000;
-    this.shardState.hazard.recordInterruption();
-    this.shardState.log('info', 'notice', { host: machine.host, noticeS });
+    const { shardState } = this;
+    machine.reclaimAt = shardState.clock.now + noticeS * 1000;
+    shardState.hazard.recordInterruption();
+    shardState.log('info', 'notice', { host: machine.host, noticeS });
     for (const placement of machine.placements.values()) {
       const { spec } = placement.job;
-      // What can save, saves; what cannot may still finish in time.
-      if (spec.checkpointS > 0 && spec.shape !== 'gang' && spec.saveS <= noticeS)
-        this.shardState.requestStop(placement, spec.saveS);
-      if (spec.shape === 'gang') this.shardState.stopGang(placement.job);
-    }
-  }
-
-  private handleTaskError(machine: ScheduledMachine, job: ScheduledJob): void {
-    machine.failuresByJob.set(job.id, (machine.failuresByJob.get(job.id) ?? 0) + 1);
-    const before = job.failedHosts.size;
-    job.failedHosts.add(machine.host);
-    if (!isSuspect(job)) return this.reassessMachine(machine);
-    // Guards against a crowd of first tries that all fail at about the same time: together they are one.
-    if (job.placements.size <= 1) job.failedProbes++;
-    const w = this.shardState.settings.workers;
-    const waitS = Math.min(maxRetryDelayLeases * w.lease_s, w.report_s * 2 ** job.failedProbes);
-    job.retryNotBefore = this.shardState.clock.now + waitS * 1000;
-    // The machines that it failed on first are cleared.
-    if (before < job.failedHosts.size && job.failedHosts.size === suspectHostCount) {
-      this.shardState.log('info', 'job fails on several machines', {
-        job: job.id,
-        hosts: [...job.failedHosts],
-      });
-      this.reassessFailedHosts(job);
-      job.chunks[0].version++;
-      this.shardState.taskWriter.noteTermination(job, job.chunks[0]);
-    }
-  }
-
-  reassessFailedHosts(job: ScheduledJob): void {
-    for (const host of job.failedHosts) {
-      const machine = this.shardState.machines.get(host);
-      if (machine) this.reassessMachine(machine);
-    }
-  }
-
-  /** Weighs what failed on a machine: it is given up, rests for a while, or is cleared. */
-  private reassessMachine(machine: ScheduledMachine): void {
-    const against = evidenceAgainst(machine.failuresByJob, (id) => this.shardState.jobs.get(id));
-    if (against < quarantineEvidence) {
-      machine.cooldownUntil =
-        against > 0 ? this.shardState.clock.now + this.shardState.settings.workers.report_s * 4000 : 0;
-      return;
-    }
-    if (machine.quarantined) return;
-    this.shardState.log('warn', 'machine fails its tasks', {
-      host: machine.host,
-      failures: Object.fromEntries(machine.failuresByJob),
-    });
-    machine.quarantined = true;
-    for (const placement of machine.placements.values())
-      if (placement.job.spec.shape !== 'gang')
-        this.shardState.requestStop(placement, placement.job.spec.saveS);
-  }
-
-  /**
-   * In a pool, machines are asked for a report when there is something to start on them. The starts themselves go with its
-   * answer: sent straight, one could be carried out after a report that was on its way then, and that lists nothing, had
-   * been taken for proof that it is not there.
-   */
-  requestHeartbeats(out: Effect[]): void {
-    const { unsentStarts } = this.shardState;
-    if (unsentStarts.size === 0) return;
-    const wanted = new Set<ScheduledMachine>();
-    for (const placement of unsentStarts) {
-      const gone = placement.job.placements.get(placement.index) !== placement;
-      if (!gone && placement.startSentWith === null && !this.mayStart(placement)) continue;
-      unsentStarts.delete(placement);
-      const machine = this.shardState.machines.get(placement.host);
-      if (
-        !gone &&
-        placement.startSentWith === null &&
-        machine &&
-        machine.endpoint !== '' &&
-        machine.confirmedAt > 0
-      )
-        wanted.add(machine);
+      if (spec.shape === 'gang') shardState.stopGang(placement.job);
+      else if (spec.checkpointS > 0 && spec.saveS <= noticeS) shardState.requestStop(placement, spec.saveS);
     }
-    for (const machine of wanted) out.push(directOrder(machine, []));
-  }
-
-  /**
-   * Stops that a worker has not been told yet, to be sent straight to it: a cancelled task is of no use to
-   * anybody, and a gang's tasks must hear of an orderly stop at about the same time.
-   */
-  sendStopOrders(out: Effect[]): void {
-    if (this.shardState.unsentStops.size === 0) return;
-    const byMachine = new Map<ScheduledMachine, TaskOrder[]>();
-    for (const placement of this.shardState.unsentStops) {
-      const machine = this.shardState.machines.get(placement.host);
-      if (placement.job.placements.get(placement.index) !== placement || placement.stopRequest === null) {
-        this.shardState.unsentStops.delete(placement);
-        continue;
-      }
-      if (placement.job.unreadable) continue;
-      if (
-        !machine ||
-        machine.endpoint === '' ||
-        machine.confirmedAt === 0 ||
-        (placement.startSentWith === null && placement.phase === 'placed')
-      )
-        continue;
-      const orders = byMachine.get(machine) ?? [];
-      if (orders.length >= maxOrdersPerResponse) continue;
-      this.shardState.unsentStops.delete(placement);
-      byMachine.set(machine, orders);
-      orders.push(stopOrder(placement, placement.stopRequest.graceS));
-    }
-    for (const [machine, orders] of byMachine) out.push(directOrder(machine, orders));
   }
 }
 
-const stopOrder = ({ job, index, attempt }: Placement, graceS: number): TaskOrder => ({
-  op: 'stop',
-  job: job.id,
-  index,
-  attempt,
-  graceS,
-});
+function reportedTasks(heartbeat: Heartbeat): Map<string, TaskStatus> {
+  const reported = new Map<string, TaskStatus>();
+  for (const status of heartbeat.tasks) reported.set(taskKey(status.job, status.index), status);
+  return reported;
+}
 
-const directOrder = (
-  { host, endpoint, fencingToken: token, agentEpoch: session }: ScheduledMachine,
-  orders: TaskOrder[],
-): Effect => ({
-  type: 'send-task-commands',
-  host,
-  endpoint,
-  token,
-  session,
-  orders,
-});
+/** Adds the stop of a task that a worker lists as active, if it was requested. */
+function addStop(placement: Placement, status: TaskStatus, orders: TaskOrder[]): void {
+  if (placement.stopRequest && status.phase !== 'exited')
+    orders.push(stopOrder(placement, placement.stopRequest));
+}
 
-/** Whether a report is newer than what was seen up to this session and number. */
-export const isNewerHeartbeat = (r: Heartbeat, [session, seq]: [number, number]): boolean =>
-  r.agentEpoch > session || (r.agentEpoch === session && r.sequence > seq);
+/** Whether a heartbeat is newer than the one at a position. */
+export const isNewerHeartbeat = (
+  heartbeat: Heartbeat,
+  { agentEpoch, heartbeatSeq }: HeartbeatPosition,
+): boolean =>
+  heartbeat.agentEpoch > agentEpoch ||
+  (heartbeat.agentEpoch === agentEpoch && heartbeat.sequence > heartbeatSeq);
 
-const forgetKey = (host: string, piece: string, attempt: number): string => `${host} ${piece} ${attempt}`;
+const unwrittenEndKey = (host: string, key: string, attempt: number): string => `${host} ${key} ${attempt}`;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -108,7 +108,7 @@
     if (helper !== null) return respond(out, requestId, 421, encodeRedirect(helper));
     autoscaler.recordHeartbeat(host);
     // A late copy is no newer heartbeat: the worker may still wait for the response that is held.
-    const isNewer = isNewerHeartbeat(heartbeat, [machine.agentEpoch, machine.heartbeatSeq]);
+    const isNewer = isNewerHeartbeat(heartbeat, machine);
     const superseded = isNewer ? this.heldResponses.releaseSuperseded(host) : null;
     if (superseded) respondReleased(out, superseded);
     const orders = shardManager.heartbeatReconciler.reconcile(machine, heartbeat, token);
--- /dev/null
+++ b/src/core/machine-health.ts
@@ -0,0 +1,72 @@
+/** The judgement of machines on which tasks fail, and of jobs that fail on several machines. */
+import { evidenceAgainst, isSuspect, quarantineEvidence, suspectHostCount } from './failure-attribution.js';
+import type { ShardState } from './shard-state/shard-state.js';
+import type { ScheduledJob, ScheduledMachine } from './shard-state/types.js';
+
+/** A suspect job is tried again after so many worker leases at the latest. */
+const maxRetryDelayLeases = 2.5;
+
+/** For how many report intervals nothing is placed on a machine with evidence against it. */
+const failureCooldownReports = 4;
+
+/** Notes failures of tasks; cools down and quarantines machines, and slows down suspect jobs. */
+export class MachineHealth {
+  constructor(private readonly shardState: ShardState) {}
+
+  /** Notes that a task of a job failed on a machine. */
+  noteTaskError(machine: ScheduledMachine, job: ScheduledJob): void {
+    machine.failuresByJob.set(job.id, (machine.failuresByJob.get(job.id) ?? 0) + 1);
+    const hostsBefore = job.failedHosts.size;
+    job.failedHosts.add(machine.host);
+    if (!isSuspect(job)) return this.reassessMachine(machine);
+    this.delayRetry(job);
+    const becameSuspect = hostsBefore < job.failedHosts.size && job.failedHosts.size === suspectHostCount;
+    if (becameSuspect) this.noteSuspectJob(job);
+  }
+
+  /** Judges anew the machines that a job failed on: what is known of the job has changed. */
+  reassessFailedHosts(job: ScheduledJob): void {
+    for (const host of job.failedHosts) {
+      const machine = this.shardState.machines.get(host);
+      if (machine) this.reassessMachine(machine);
+    }
+  }
+
+  private delayRetry(job: ScheduledJob): void {
+    const { clock, settings } = this.shardState;
+    const { lease_s, report_s } = settings.workers;
+    // Guards against many first tries that all fail at about the same time: together they count as one.
+    if (job.placements.size <= 1) job.failedProbes++;
+    const delayS = Math.min(maxRetryDelayLeases * lease_s, report_s * 2 ** job.failedProbes);
+    job.retryNotBefore = clock.now + delayS * 1000;
+  }
+
+  /** Clears the machines that the job failed on first, and has its failed hosts written. */
+  private noteSuspectJob(job: ScheduledJob): void {
+    const { log, taskWriter } = this.shardState;
+    log('info', 'job fails on several machines', { job: job.id, hosts: [...job.failedHosts] });
+    this.reassessFailedHosts(job);
+    const [firstChunk] = job.chunks;
+    firstChunk.version++;
+    taskWriter.noteTermination(job, firstChunk);
+  }
+
+  /** Quarantines a machine, lets it cool down, or clears it, by the evidence against it. */
+  private reassessMachine(machine: ScheduledMachine): void {
+    const { clock, jobs, log, settings } = this.shardState;
+    const evidence = evidenceAgainst(machine.failuresByJob, (id) => jobs.get(id));
+    if (evidence < quarantineEvidence) {
+      const cooldownMs = settings.workers.report_s * (1000 * failureCooldownReports);
+      machine.cooldownUntil = evidence > 0 ? clock.now + cooldownMs : 0;
+      return;
+    }
+    if (machine.quarantined) return;
+    const { host } = machine;
+    log('warn', 'machine fails its tasks', { host, failures: Object.fromEntries(machine.failuresByJob) });
+    machine.quarantined = true;
+    for (const placement of machine.placements.values()) {
+      const { shape, saveS } = placement.job.spec;
+      if (shape !== 'gang') this.shardState.requestStop(placement, saveS);
+    }
+  }
+}
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -1,5 +1,8 @@
-/** Machines that are given up or back. */
+/** The lifecycle of machines: expiry of their workers' leases, and release of machines that are idle or lost. */
 import type { MachineType } from '../model/machine.js';
+import type { Settings } from '../config/settings.js';
+import type { ShardState } from './shard-state/shard-state.js';
+import type { ScheduledMachine } from './shard-state/types.js';
 import {
   type TransactionBatcher,
   machineData,
@@ -7,106 +10,138 @@
   WritePriority,
   shardKey,
 } from './storage/index.js';
-import type { ShardState } from './shard-state/shard-state.js';
-import type { ScheduledMachine } from './shard-state/types.js';
 
-/** The care for the machines of the shards of this process. */
+/** Steady clocks differ by up to 0.05%: the margin for that, ms per second of the lease. */
+const clockDriftMsPerS = 1.5;
+
+/** The margin for a worker's lease check that comes late, ms. */
+const lateLeaseCheckMs = 1000;
+
+/** For how many of its boots a machine that never reported is waited for. */
+const maxBoots = 4;
+
+/** The least share of the replacement time for which the most expensive machines are kept idle. */
+const minIdleShare = 0.5;
+
+/** What becomes of a machine that a shard releases: `free` goes to the leader for other shards, `dead` is deleted. */
+type ReleasedState = 'free' | 'dead';
+
+/** Why a machine is released, and to what. */
+interface ReleaseDecision {
+  readonly state: ReleasedState;
+  readonly why: string;
+}
+
+/** Supervises the machines of this process's shards. */
 export class MachineLifecycle {
+  private readonly workers: Settings['workers'];
+
   constructor(
     private readonly shardState: ShardState,
     private readonly batcher: TransactionBatcher,
-  ) {}
+  ) {
+    this.workers = shardState.settings.workers;
+  }
 
-  /** Machines that fell silent, never came up, stand idle or are given up. */
+  /** Removes placements whose leases expired, and releases machines that are silent, quarantined, reclaimed or idle. */
   sweep(elapsedS: number): void {
-    const now = this.shardState.clock.now;
-    const w = this.shardState.settings.workers;
-    let spot = 0;
-    this.shardState.dropExpiredPlacements();
-    for (const machine of this.shardState.machines.values()) {
-      if (machine.record.spot && machine.lastHeartbeatAt > 0) spot++;
-      const silentS = (now - machine.lastHeartbeatAt) / 1000;
-      // Steady clocks differ by up to 0.05%; the margin also covers a lease check that comes late.
-      if (machine.placements.size > 0 && now > machine.earliestLeaseExpiry + w.lease_s * 1.5 + 1000) {
-        this.shardState.log('info', 'lease of a silent machine ended', { host: machine.host, silentS });
-        for (const placement of [...machine.placements.values()])
-          this.shardState.removePlacement(placement, 'lease ended', 'lost');
-      }
-      // Guards against giving the fleet back for having stood idle through an outage: work waits for it.
-      // And against giving back, and being given again at once, what is kept for a gang that waits.
-      if (
-        machine.placements.size === 0 &&
-        (!this.shardState.canPlaceTasks() || this.shardState.reservations.byHost.has(machine.host))
-      )
-        machine.idleSince = now;
+    const { shardState } = this;
+    let spotMachines = 0;
+    shardState.removeExpiredPlacements();
+    for (const machine of shardState.machines.values()) {
+      if (machine.record.spot && machine.lastHeartbeatAt > 0) spotMachines++;
+      this.removeIfLeaseExpired(machine);
+      if (machine.placements.size === 0 && this.isKeptWhileIdle(machine))
+        machine.idleSince = shardState.clock.now;
       if (machine.record.state !== 'use' || machine.releasing) continue;
-      const { pool } = this.shardState.settings;
-      // Guards against a hasty new owner: before it was heard, a machine may be up under the earlier one.
-      const quietS = (now - machine.acquiredAt) / 1000;
-      if (
-        !pool &&
-        (machine.lastHeartbeatAt > 0
-          ? silentS > w.lease_s + 2 * w.report_s
-          : quietS > machine.type.bootS * 4 + w.lease_s)
-      ) {
-        if (machine.record.spot && machine.lastHeartbeatAt > 0 && machine.reclaimAt === 0)
-          this.shardState.hazard.recordInterruption();
-        this.release(machine, 'dead', machine.lastHeartbeatAt > 0 ? 'silent' : 'never came up');
-      } else if (machine.quarantined && machine.placements.size === 0)
-        this.release(machine, 'dead', 'failing');
-      else if (machine.reclaimAt > 0 && machine.placements.size === 0)
-        this.release(machine, 'dead', 'notice');
-      else if (
-        !pool &&
-        machine.placements.size === 0 &&
-        machine.confirmedAt > 0 &&
-        now - machine.idleSince > this.maxIdleMs(machine)
-      )
-        this.release(machine, 'free', 'idle');
+      const decision = this.decideRelease(machine);
+      if (decision) this.release(machine, decision);
     }
-    this.shardState.hazard.observe(spot, elapsedS);
+    shardState.hazard.observe(spotMachines, elapsedS);
+  }
+
+  private removeIfLeaseExpired(machine: ScheduledMachine): void {
+    const { clock, log } = this.shardState;
+    const driftMs = this.workers.lease_s * clockDriftMsPerS;
+    const isExpired = clock.now > machine.earliestLeaseExpiry + driftMs + lateLeaseCheckMs;
+    if (machine.placements.size === 0 || !isExpired) return;
+    log('info', 'lease of a silent machine expired', { host: machine.host, silentS: this.silentS(machine) });
+    for (const placement of [...machine.placements.values()])
+      this.shardState.removePlacement(placement, 'lease expired', 'lost');
+  }
+
+  /**
+   * Guards against releasing the fleet for having been idle through an outage: work waits for it. And against releasing, and
+   * getting back at once, what is reserved for a gang that waits.
+   */
+  private isKeptWhileIdle({ host }: ScheduledMachine): boolean {
+    return !this.shardState.canPlaceTasks() || this.shardState.reservations.byHost.has(host);
+  }
+
+  private silentS(machine: ScheduledMachine): number {
+    return (this.shardState.clock.now - machine.lastHeartbeatAt) / 1000;
+  }
+
+  /** Whether a machine is to be released. Machines of a pool are not released for being silent or idle. */
+  private decideRelease(machine: ScheduledMachine): ReleaseDecision | null {
+    const { clock, hazard, settings } = this.shardState;
+    const hasReported = machine.lastHeartbeatAt > 0;
+    const isEmpty = machine.placements.size === 0;
+    if (!settings.pool && this.isSilent(machine)) {
+      if (machine.record.spot && hasReported && machine.reclaimAt === 0) hazard.recordInterruption();
+      return { state: 'dead', why: hasReported ? 'silent' : 'never came up' };
+    }
+    if (machine.quarantined && isEmpty) return { state: 'dead', why: 'failing' };
+    if (machine.reclaimAt > 0 && isEmpty) return { state: 'dead', why: 'notice' };
+    if (settings.pool || !isEmpty || machine.confirmedAt <= 0) return null;
+    return clock.now - machine.idleSince > this.maxIdleMs(machine) ? { state: 'free', why: 'idle' } : null;
+  }
+
+  private isSilent(machine: ScheduledMachine): boolean {
+    const { lease_s, report_s } = this.workers;
+    if (machine.lastHeartbeatAt > 0) return this.silentS(machine) > lease_s + 2 * report_s;
+    // Guards against a hasty new owner: a machine may be up under the earlier owner, and not have reported here yet.
+    const ownedS = (this.shardState.clock.now - machine.acquiredAt) / 1000;
+    return ownedS > machine.type.bootS * maxBoots + lease_s;
   }
 
   /**
-   * How long an idle machine is worth keeping: in proportion to what its replacement would take to be of use,
-   * boot and largest image, and down to half of that for the dearest.
+   * How long an idle machine is worth keeping: in proportion to the time until a replacement could be used, boot and largest image,
+   * and down to half of that for the most expensive machines.
    */
   private maxIdleMs(machine: ScheduledMachine): number {
-    const perCpu = (t: MachineType): number => t.price / Math.max(t.cpus, 1);
-    const cheapest = Math.min(...this.shardState.replica.machineTypes.map(perCpu));
+    const { operators, replica } = this.shardState;
+    const pricePerCpu = (type: MachineType): number => type.price / Math.max(type.cpus, 1);
+    const cheapest = Math.min(...replica.machineTypes.map(pricePerCpu));
     const replacementS = machine.type.bootS + Math.max(0, ...machine.images.values());
-    return (
-      this.shardState.operators['idle-boots'] *
-      Math.max(0.5, cheapest / perCpu(machine.type)) *
-      replacementS *
-      1000
-    );
+    const idleShare = Math.max(minIdleShare, cheapest / pricePerCpu(machine.type));
+    return operators['idle-boots'] * idleShare * replacementS * 1000;
   }
 
-  /** Gives a machine back to the leader: idle ones to be used elsewhere, dead ones to be returned. */
-  private release(machine: ScheduledMachine, standing: 'free' | 'dead', why: string): void {
+  /** Releases a machine to the leader, which assigns free ones to other shards and deletes dead ones. */
+  private release(machine: ScheduledMachine, { state, why }: ReleaseDecision): void {
+    const { host } = machine;
+    const { log, machines, ownedShards, replica } = this.shardState;
     machine.releasing = true;
-    this.shardState.log('info', 'releasing machine', { host: machine.host, standing, why });
-    const key = machineKey(machine.host);
+    log('info', 'releasing machine', { host, standing: state, why });
+    const key = machineKey(host);
     this.batcher.enqueue({
       priority: WritePriority.provisioning,
       build: () => {
-        const grant = this.shardState.replica.shards.get(machine.record.shard);
-        const usable =
-          this.shardState.machines.get(machine.host) === machine &&
-          grant &&
-          this.shardState.ownedShards.has(machine.record.shard);
-        if (!usable || (standing === 'free' && machine.placements.size > 0)) {
+        const { record, placements } = machine;
+        const grant = replica.shards.get(record.shard);
+        const isOurs = machines.get(host) === machine && ownedShards.has(record.shard);
+        if (!grant || !isOurs || (state === 'free' && placements.size > 0)) {
           machine.releasing = false;
           return null;
         }
-        const shard = standing === 'free' ? -1 : machine.record.shard;
+        const shard = state === 'free' ? -1 : record.shard;
         return {
           conditions: [
-            { key, stamp: this.shardState.replica.modRevisionOf(key) },
-            { key: shardKey(machine.record.shard), stamp: grant.modRevision },
+            { key, stamp: replica.modRevisionOf(key) },
+            { key: shardKey(record.shard), stamp: grant.modRevision },
           ],
-          writes: [{ key, data: machineData({ ...machine.record, shard, state: standing }) }],
+          writes: [{ key, data: machineData({ ...record, shard, state }) }],
         };
       },
       onCommitted: () => undefined,
--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -141,9 +141,7 @@
     yield capacityIndex.examined;
     capacityIndex.examined = 0;
   }
-  shardState.quotaReservations = new Map(
-    [...shards.values()].flatMap((round) => [...round.quotaReservations]),
-  );
+  shardState.reserveQuotas(new Map([...shards.values()].flatMap((round) => [...round.quotaReservations])));
   shardState.withheldHosts = new Map([...shards.values()].flatMap((round) => [...round.minUrgencyByHost]));
 }
 
--- a/src/core/scheduling/shard-cycle.ts
+++ b/src/core/scheduling/shard-cycle.ts
@@ -2,7 +2,8 @@
 import type { JobSpec } from '../../model/job.js';
 import { fits, type Resources, type MachineType } from '../../model/machine.js';
 import type { GpuReserve } from '../../policy/gpu-sharing.js';
-import type { ShardState, QuotaReservation } from '../shard-state/shard-state.js';
+import type { ShardState } from '../shard-state/shard-state.js';
+import type { QuotaReservation } from '../shard-state/team-quotas.js';
 import { freeCapacity, acceptsTasks } from '../shard-state/machines.js';
 import { CapacityIndex } from '../capacity-index.js';
 import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -1,17 +1,23 @@
-/** A job as it is scheduled: made from its records, and which of its tasks waits next. */
+/** Jobs as they are scheduled: entered from their records, and which of their tasks wait. */
 import type { JobSpec } from '../../model/job.js';
 import { BitSet, type ChunkRecord, type JobRecord, type JobUsage } from '../storage/index.js';
 import type { TaskChunk, ScheduledJob } from './types.js';
 
-/** A job as its records tell it; what is placed is entered by the books. */
+/** What a job is entered with, beside its record. */
+interface JobContext {
+  readonly shard: number;
+  /** The states of its tasks' chunks, by number; undefined: none is stored. */
+  readonly stored: ReadonlyMap<number, ChunkRecord> | undefined;
+  readonly tasksPerChunk: number;
+  /** Attempts are numbered above this. */
+  readonly attemptBase: number;
+}
+
+/** A job as its records say; its placements are entered by the shard state. */
 export function createScheduledJob(
   record: JobRecord,
   spec: JobSpec,
-  shard: number,
-  stored: ReadonlyMap<number, ChunkRecord> | undefined,
-  tasksPerChunk: number,
-  /** Attempts go on above this. */
-  attemptBase = 0,
+  { shard, stored, tasksPerChunk, attemptBase }: JobContext,
 ): ScheduledJob {
   const job: ScheduledJob = {
     id: record.id,
@@ -39,57 +45,61 @@
     fullyWaitingSince: record.acceptedAt,
     match: null,
   };
-  for (let base = 0, n = 0; base < record.taskCount; base += tasksPerChunk, n++) {
-    const c = stored?.get(n);
-    const revision = c?.version ?? 0;
+  for (let firstTask = 0, index = 0; firstTask < record.taskCount; firstTask += tasksPerChunk, index++) {
+    const chunk = stored?.get(index);
+    const version = chunk?.version ?? 0;
     job.chunks.push({
-      index: n,
-      firstTask: base,
-      size: Math.min(tasksPerChunk, record.taskCount - base),
-      modRevision: c?.modRevision ?? 0,
-      lastAttempt: Math.max(c?.lastAttempt ?? 0, attemptBase),
-      completed: c?.done.copy() ?? new BitSet(),
-      version: revision,
-      placedVersion: revision,
-      durableVersion: revision,
+      index,
+      firstTask,
+      size: Math.min(tasksPerChunk, record.taskCount - firstTask),
+      modRevision: chunk?.modRevision ?? 0,
+      lastAttempt: Math.max(chunk?.lastAttempt ?? 0, attemptBase),
+      completed: chunk?.done.copy() ?? new BitSet(),
+      version,
+      placedVersion: version,
+      durableVersion: version,
       queuedWrite: null,
       writeBlockedUntilRevision: 0,
     });
-    job.completedCount += c?.done.count() ?? 0;
+    job.completedCount += chunk?.done.count() ?? 0;
   }
   return job;
 }
 
+/** The chunk that a task belongs to. */
 export const chunkOf = (job: ScheduledJob, index: number): TaskChunk =>
   job.chunks[Math.floor(index / job.tasksPerChunk)];
 
+/** Whether a task has completed. */
 export function isCompleted(job: ScheduledJob, index: number): boolean {
   const chunk = chunkOf(job, index);
   return chunk.completed.has(index - chunk.firstTask);
 }
 
+/** How many tasks wait to be placed. */
 export const waitingTaskCount = (job: ScheduledJob): number =>
   job.spec.tasks - job.completedCount - job.placements.size;
 
-/** The next task that waits for a place, or -1. */
+/** Hands out the next task that waits to be placed; -1: there is none. */
 export function takeNextWaiting(job: ScheduledJob): number {
-  const waits = (i: number) => !job.placements.has(i) && !isCompleted(job, i);
-  for (const i of job.requeued) {
-    job.requeued.delete(i);
-    if (waits(i)) return i;
+  const isWaiting = (index: number): boolean => !job.placements.has(index) && !isCompleted(job, index);
+  for (const index of job.requeued) {
+    job.requeued.delete(index);
+    if (isWaiting(index)) return index;
   }
   while (job.nextUnplaced < job.spec.tasks) {
-    const i = job.nextUnplaced++;
-    if (waits(i)) return i;
+    const index = job.nextUnplaced++;
+    if (isWaiting(index)) return index;
   }
   return -1;
 }
 
+/** The number of a gang's next attempt: above those of all its tasks. */
 export const nextGangAttempt = (job: ScheduledJob): number =>
   Math.max(...job.chunks.map((chunk) => chunk.lastAttempt)) + 1;
 
-/** Stands in for the description of a cancelled job: only what its last tasks take matters now. */
-export const cancelledJobSpec = (record: JobRecord, use: JobUsage): JobSpec => ({
+/** Stands in for the specification of a cancelled job, of which only what its last tasks take is stored. */
+export const cancelledJobSpec = (record: JobRecord, usage: JobUsage): JobSpec => ({
   id: record.id,
   class: '',
   shape: 'array',
@@ -106,5 +116,5 @@
   checkpointS: 0,
   saveS: 0,
   deadlineS: null,
-  ...use,
+  ...usage,
 });
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -1,4 +1,4 @@
-/** A machine as it is scheduled, and what is free on it. */
+/** Machines as they are scheduled: entered from their records, whether they accept tasks, and their free capacity. */
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Resources, MachineType } from '../../model/machine.js';
@@ -6,7 +6,7 @@
 import type { VersionedMachine } from '../replica.js';
 import type { ScheduledMachine } from './types.js';
 
-/** A machine that this process has just taken up. `earliestLeaseExpiry`: not before can its worker's lease have ended. */
+/** A machine that this process has just acquired. `earliestLeaseExpiry`: its worker's lease cannot have expired before, ms. */
 export const createScheduledMachine = (
   record: VersionedMachine,
   type: MachineType,
@@ -38,13 +38,17 @@
   releasing: false,
 });
 
+/** What decides about machines beside their own state. */
 interface SchedulingContext {
-  settings: Settings;
-  operators: OperatorSettings;
-  clock: Clock;
+  readonly settings: Settings;
+  readonly operators: OperatorSettings;
+  readonly clock: Clock;
 }
 
-/** Whether a machine may take tasks at all now. */
+/** For how many report intervals a silent machine still gets tasks. */
+const maxSilentReports = 2.5;
+
+/** Whether a machine accepts tasks at all now. */
 export function acceptsTasks(
   { settings, clock: { now } }: SchedulingContext,
   machine: ScheduledMachine,
@@ -54,12 +58,13 @@
     !machine.quarantined &&
     !machine.releasing &&
     machine.confirmedAt !== 0 &&
-    now - machine.lastHeartbeatAt <= settings.workers.report_s * 2500 &&
+    now - machine.lastHeartbeatAt <= settings.workers.report_s * (1000 * maxSilentReports) &&
     machine.reclaimAt === 0 &&
     machine.cooldownUntil <= now
   );
 }
 
+/** What is free on a machine, less the headroom of its CPUs that stays unused. */
 export const freeCapacity = ({ operators }: SchedulingContext, machine: ScheduledMachine): Resources => ({
   cpus: machine.type.cpus * (1 - operators.headroom) - machine.used.cpus,
   gpus: machine.type.gpus - machine.used.gpus,
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -1,120 +1,177 @@
-/** The forms of jobs, chunks of their tasks, placements and machines while they are scheduled. */
+/** Jobs, chunks of their tasks, placements and machines as they are scheduled. */
 import type { JobSpec } from '../../model/job.js';
+import type { TaskPhase } from '../../model/heartbeat.js';
 import type { Resources, MachineType } from '../../model/machine.js';
 import type { MachineMatch } from '../../policy/matching.js';
-import type { TaskPhase } from '../../model/heartbeat.js';
-import type { BitSet, WritePriority } from '../storage/index.js';
 import type { VersionedMachine } from '../replica.js';
+import type { BitSet, WritePriority } from '../storage/index.js';
 
-/** A task's present attempt. It exists from the decision to place until it is proven gone. */
+/** A heartbeat's position among those of its machine. */
+export interface HeartbeatPosition {
+  /** The epoch of the agent that sent it: rises with each start of an agent. */
+  readonly agentEpoch: number;
+  /** Its sequence number within the epoch. */
+  readonly heartbeatSeq: number;
+}
+
+/** Where a task is to be placed. */
+export interface TaskAssignment {
+  readonly index: number;
+  readonly host: string;
+}
+
+/**
+ * What became of a placement that is removed: its task completed; it ended or never ran, and the task waits again; or it was lost
+ * with its machine, and the task waits again.
+ */
+export type PlacementOutcome = 'completed' | 'requeue' | 'lost';
+
+/** A request that a task stops. */
+export interface StopRequest {
+  /** The time that the task gets to save, s. */
+  readonly graceS: number;
+  /** When the request was made, ms. */
+  readonly since: number;
+}
+
+/** A task's current attempt. It exists from the decision to place the task until the attempt is proven gone. */
 export interface Placement {
-  job: ScheduledJob;
-  index: number;
-  attempt: number;
-  host: string;
-  /** The zone of its machine, as far as that was known when it was entered. */
-  zone: string | null;
-  chunk: TaskChunk;
-  /** The chunk's version that first holds it: durable once that version is. */
-  chunkVersion: number;
-  /** Decided by this process, so nobody else can have sent its start. */
-  placedByThisProcess: boolean;
-  /** The (session, seq) of the report whose answer carried the start. */
-  startSentWith: [number, number] | null;
+  readonly job: ScheduledJob;
+  /** The task's index in its job. */
+  readonly index: number;
+  readonly attempt: number;
+  readonly host: string;
+  /** The zone of its machine, as far as that was known when the placement was entered. */
+  readonly zone: string | null;
+  readonly chunk: TaskChunk;
+  /** The first version of the chunk that holds the placement: it is durable once that version is. */
+  readonly chunkVersion: number;
+  /** Whether it was decided by this process, so that nobody else can have sent its start. */
+  readonly placedByThisProcess: boolean;
+  /** The heartbeat whose response carried the start; null: none yet. */
+  startSentWith: HeartbeatPosition | null;
   phase: TaskPhase | 'placed';
   /** When it was first seen to run, ms; 0: not yet. */
   runningSince: number;
-  /** Gang: when it was first seen to wait for the others, ms; 0: not yet. */
+  /** Of a gang: when it was first seen to wait for the others, ms; 0: not yet. */
   waitingSince: number;
-  placedAt: number;
-  /** Wanted off its machine, with this much time to save. */
-  stopRequest: { graceS: number; since: number } | null;
+  readonly placedAt: number;
+  /** Set once the task is to stop. */
+  stopRequest: StopRequest | null;
 }
 
+/** Consecutive tasks of a job whose state is stored together. */
 export interface TaskChunk {
-  index: number;
-  firstTask: number;
-  size: number;
+  /** Its number in its job, from 0. */
+  readonly index: number;
+  /** The index of its first task. */
+  readonly firstTask: number;
+  /** How many tasks it has. */
+  readonly size: number;
+  /** The revision of the record that holds its state; 0: there is none. */
   modRevision: number;
+  /** The highest attempt number used in it. */
   lastAttempt: number;
-  completed: BitSet;
-  /** Version in memory, and the newest version known to be durable. */
+  /** Which of its tasks have completed, counted from the first. */
+  readonly completed: BitSet;
+  /** Rises with each change of its state in memory. */
   version: number;
-  /** The version that holds the newest placement. */
+  /** The version with the newest placement. */
   placedVersion: number;
+  /** The newest version known to be durable. */
   durableVersion: number;
   /** Its write that waits or is under way. */
-  queuedWrite: { rank: WritePriority } | null;
-  /** Not to be written before the view has reached this revision. */
+  queuedWrite: { readonly rank: WritePriority } | null;
+  /** It is not written before the replica has reached this revision. */
   writeBlockedUntilRevision: number;
 }
 
+/** A job of this process's shards. */
 export interface ScheduledJob {
-  id: string;
-  spec: JobSpec;
-  shard: number;
-  acceptedAt: number;
+  readonly id: string;
+  readonly spec: JobSpec;
+  readonly shard: number;
+  /** Time of day at which the job was accepted, ms. */
+  readonly acceptedAt: number;
+  /** The revision of its record. */
   modRevision: number;
   cancelled: boolean;
-  chunks: TaskChunk[];
+  readonly chunks: TaskChunk[];
   /** How many tasks each chunk but the last has. */
-  tasksPerChunk: number;
-  placements: Map<number, Placement>;
-  /** Tasks that wait for a place: those never placed from `fresh` on, and those to be placed again. */
+  readonly tasksPerChunk: number;
+  /** The current placements, by the index of the task. */
+  readonly placements: Map<number, Placement>;
+  /** Tasks from this index on were not handed out for placement yet. */
   nextUnplaced: number;
-  requeued: Set<number>;
-  tasksByZone: Map<string, number>;
-  /** Tasks on machines of which no record says in which zone they are. */
+  /** Tasks below `nextUnplaced` that are to be placed again. */
+  readonly requeued: Set<number>;
+  /** How many tasks have completed. */
+  completedCount: number;
+  /** How many placements there are in each zone. */
+  readonly tasksByZone: Map<string, number>;
+  /** How many placements are on machines whose zone is not known. */
   unknownZoneTasks: number;
+  /** Whether its completion is being written. */
   finalizing: boolean;
-  /** Something of it cannot be read (any more): what is placed stays counted, and nothing is done about it. */
+  /** Whether a record of it cannot be read: its placements stay counted, and nothing is done about them. */
   unreadable: boolean;
-  /** Gang: an attempt is being taken down; nothing starts until all of it is gone. */
+  /** Of a gang: an attempt is being torn down; nothing starts until all of it is gone. */
   tearingDown: boolean;
-  /** Gang: tasks that were lost before it started are placed anew with this attempt, which the others wait with. */
+  /** Of a gang: the attempt in which tasks that were lost before the start are replaced; null: there are none. */
   repairAttempt: number | null;
   /** Machines on which its tasks failed. */
-  failedHosts: Set<string>;
-  /** How often it was tried in vain since it is suspected of a mistake. */
+  readonly failedHosts: Set<string>;
+  /** How often it failed since it is suspect. */
   failedProbes: number;
-  /** It found no place where it has not failed yet: it may be tried on any machine. */
+  /** Whether it may run on machines on which it failed: there was no place on others. */
   anyHostAllowed: boolean;
-  completedCount: number;
+  /** Nothing of it is placed before this moment, ms. */
   retryNotBefore: number;
-  /** Since when all of it waits, if it does: time of day, ms. */
+  /** Time of day since which none of its tasks is placed, ms; while some are, it has no meaning. */
   fullyWaitingSince: number;
-  /** What it asks of machines beyond type and place; null: nothing. */
+  /** What it asks of machines beyond type and zone; null: nothing. */
   match: MachineMatch | null;
 }
 
-export interface ScheduledMachine {
-  host: string;
+/** A machine of this process's shards; also the position of its last heartbeat. */
+export interface ScheduledMachine extends HeartbeatPosition {
+  readonly host: string;
   record: VersionedMachine;
-  type: MachineType;
-  zone: string;
-  spot: boolean;
-  used: Resources;
-  placements: Map<string, Placement>;
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** What its placements take. */
+  readonly used: Resources;
+  /** Its placements, by the key of the task. */
+  readonly placements: Map<string, Placement>;
+  /** Where its worker takes orders; empty: not known yet. */
   endpoint: string;
   agentEpoch: number;
   heartbeatSeq: number;
-  /** Last report under our present token, ms; 0: none yet. */
+  /** When the last heartbeat under the current fencing token came, ms; 0: none yet. */
   confirmedAt: number;
+  /** When the last heartbeat came, ms; 0: none yet. */
   lastHeartbeatAt: number;
-  /** Not before this can its worker's lease have ended. */
+  /** The lease of its worker cannot have expired before this moment, ms. */
   earliestLeaseExpiry: number;
+  /** The token of the last response to its worker. */
   fencingToken: number;
+  /** When the cloud will reclaim it, ms; 0: it gave no notice. */
   reclaimAt: number;
+  /** Nothing is placed on it before this moment, ms. */
   cooldownUntil: number;
+  /** Since when it has had no placement, ms; while it has some, it has no meaning. */
   idleSince: number;
-  /** Since when it has had room for something that waits, ms; 0: it has none. */
+  /** Since when it has had capacity for a waiting task, ms; 0: it has none. */
   freeCapacitySince: number;
   /** How many tasks of which jobs failed on it since it last completed one. */
-  failuresByJob: Map<string, number>;
+  readonly failuresByJob: Map<string, number>;
   /** Images seen on it, and how long they take to fetch, s. */
-  images: Map<string, number>;
-  /** When this process took it up, ms. */
-  acquiredAt: number;
+  readonly images: Map<string, number>;
+  /** When this process acquired it, ms. */
+  readonly acquiredAt: number;
+  /** Whether it is to be deleted once nothing runs on it, and takes no more tasks. */
   quarantined: boolean;
+  /** Whether its release is being written. */
   releasing: boolean;
 }
--- /dev/null
+++ b/src/core/task-orders.ts
@@ -0,0 +1,77 @@
+/** Orders to workers, and those that are sent without waiting for a heartbeat. */
+import type { TaskOrder } from '../model/heartbeat.js';
+import type { Effect } from './effects.js';
+import type { ShardState } from './shard-state/shard-state.js';
+import type { Placement, ScheduledMachine, StopRequest } from './shard-state/types.js';
+
+/** How many orders go to a worker in one message at most. */
+export const maxOrdersPerMessage = 400;
+
+/** The order that stops a task. */
+export const stopOrder = ({ job, index, attempt }: Placement, { graceS }: StopRequest): TaskOrder => ({
+  op: 'stop',
+  job: job.id,
+  index,
+  attempt,
+  graceS,
+});
+
+/**
+ * Sends the stops that workers have not received yet: a cancelled task is of no use to anybody, and a gang's tasks must receive
+ * an orderly stop at about the same time.
+ */
+export function sendStops({ unsentStops, machines }: ShardState, out: Effect[]): void {
+  if (unsentStops.size === 0) return;
+  const ordersByMachine = new Map<ScheduledMachine, TaskOrder[]>();
+  for (const placement of unsentStops) {
+    const { stopRequest } = placement;
+    if (!isPlaced(placement) || stopRequest === null) {
+      unsentStops.delete(placement);
+      continue;
+    }
+    if (placement.job.unreadable) continue;
+    const machine = machines.get(placement.host);
+    const isUnsent = placement.startSentWith === null && placement.phase === 'placed';
+    if (!machine || !isReachable(machine) || isUnsent) continue;
+    const orders = ordersByMachine.get(machine) ?? [];
+    if (orders.length >= maxOrdersPerMessage) continue;
+    unsentStops.delete(placement);
+    ordersByMachine.set(machine, orders);
+    orders.push(stopOrder(placement, stopRequest));
+  }
+  for (const [machine, orders] of ordersByMachine) out.push(sendOrders(machine, orders));
+}
+
+/**
+ * In a pool, asks machines for a heartbeat when there is something to start on them. The starts themselves go with its response:
+ * one that was sent at once could be carried out after a heartbeat that was on its way then, and that lists nothing, had been taken
+ * for proof that the task is not there.
+ */
+export function requestHeartbeats(shardState: ShardState, out: Effect[]): void {
+  const { unsentStarts } = shardState;
+  if (unsentStarts.size === 0) return;
+  const requested = new Set<ScheduledMachine>();
+  for (const placement of unsentStarts) {
+    const isWaiting = isPlaced(placement) && placement.startSentWith === null;
+    if (isWaiting && !shardState.mayStart(placement)) continue;
+    unsentStarts.delete(placement);
+    const machine = shardState.machines.get(placement.host);
+    if (isWaiting && machine && isReachable(machine)) requested.add(machine);
+  }
+  for (const machine of requested) out.push(sendOrders(machine, []));
+}
+
+const isPlaced = (placement: Placement): boolean =>
+  placement.job.placements.get(placement.index) === placement;
+
+const isReachable = ({ endpoint, confirmedAt }: ScheduledMachine): boolean =>
+  endpoint !== '' && confirmedAt > 0;
+
+const sendOrders = (machine: ScheduledMachine, orders: TaskOrder[]): Effect => ({
+  type: 'send-task-commands',
+  host: machine.host,
+  endpoint: machine.endpoint,
+  token: machine.fencingToken,
+  session: machine.agentEpoch,
+  orders,
+});
