--- a/src/control/job-views.ts
+++ b/src/control/job-views.ts
@@ -4,7 +4,8 @@
 import { jobStatus } from '../wire/user.js';
 import { succeeded, type ResultStore, type StoredResult } from './result-store.js';
 
-const maxListedJobs = 1000;
+/** More than a fleet has machines, so that the jobs that run on it fit into one list. */
+const maxListedJobs = 10_000;
 const defaultListedJobs = 100;
 
 /** Where an attempt of a task was placed. */
--- a/test/control.test.ts
+++ b/test/control.test.ts
@@ -3,6 +3,10 @@
 import { existsSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
+import { listJobs } from '../src/control/job-views.js';
+import { ResultStore } from '../src/control/result-store.js';
+import type { Replica } from '../src/core/replica.js';
+import type { JobRecord } from '../src/core/storage/index.js';
 import { seededRandom } from '../src/retry/index.js';
 import { pause, withSite } from './support/site.js';
 
@@ -225,3 +229,21 @@
     const one = await s.over(1, 60);
     assert.deepEqual([one.status, one.failed, one.done], ['done', 0, 800]);
   }));
+
+test('control: the jobs of 4,000 machines fit into one list, newest first', () => {
+  const jobs = new Map<string, JobRecord>();
+  for (let i = 0; i < 4000; i++) {
+    const id = `req-${i}`;
+    const open = { state: 'open' as const, spec: null, usage: null, tasksInline: false, modRevision: 1 };
+    jobs.set(id, { id, acceptedAt: i, taskCount: 1, ...open });
+  }
+  const replica = { jobs, taskCounts: () => ({ done: 0, running: 1 }) } as unknown as Replica;
+  const results = new ResultStore({ commit: () => assert.fail(), list: () => assert.fail() });
+  const list = (query: string) =>
+    listJobs(replica, results, new URLSearchParams(query)) as { jobs: { nameId: string }[]; more: boolean };
+  const all = list('status=running&limit=4000');
+  assert.deepEqual([all.jobs.length, all.more], [4000, false]);
+  assert.deepEqual([all.jobs[0].nameId, all.jobs[3999].nameId], ['req-3999', 'req-0']);
+  const some = list('limit=3999');
+  assert.deepEqual([some.jobs.length, some.more], [3999, true]);
+});
