--- a/src/core/recovery-records.ts
+++ b/src/core/recovery-records.ts
@@ -1,4 +1,4 @@
-/** What a controller knows, as records: told to others after the state service has lost data. */
+/** What a controller knows of the state, as records: the state is restored from it after a loss of data. */
 import type { Data } from '../formats/index.js';
 import { mergeRecords } from '../data-loss/index.js';
 import {
@@ -13,6 +13,7 @@
   levelData,
   machineData,
   membersData,
+  jobKey,
   parseKey,
   recordKindOf,
   teamShardsData,
@@ -22,25 +23,30 @@
 } from './storage/index.js';
 import type { Replica } from './replica.js';
 
-/** What a controller knew when it saw that the state service had lost data. */
+/** What a controller knew when it noticed that the state service had lost data. */
 export interface RecoveryRecords {
   /** The incarnation that it followed. */
-  incarnation: number;
-  /** The revision up to which it had followed it. */
-  revision: number;
-  /** By key, in the order in which they are to be written again. */
-  records: Map<string, Data>;
-  reason: string;
+  readonly incarnation: number;
+  /** The revision up to which it had followed the state. */
+  readonly revision: number;
+  /** By key, in the order in which they are to be restored. */
+  readonly records: Map<string, Data>;
+  readonly reason: string;
 }
 
-/** Leadership as programs that know no levels see it from level 2 on: taken, for ever, by nobody. */
+/** Leadership as programs without levels see it from level 2 on: held for ever, by no member. */
 export const leaderPlaceholder = { member: 'level-2', run: 'barred' };
 
-/** Needed before anybody can act; then what the fleet does; what is over comes last. */
+const jobPrefix = jobKey('');
+
+/** Finished jobs are restored last: nothing that runs depends on them. */
 export const isFinishedJob = (key: string, data: Data): boolean =>
-  key.startsWith('dp/j/') && data['s'] === 'done';
+  key.startsWith(jobPrefix) && data['s'] === 'done';
 
-/** A record as it is stored, or undefined; leases' keys, grants and the plan are not restored: they are made anew. */
+/**
+ * A record in its stored form; undefined: the replica has none, or it is not restored. Presences, grants, leadership and the
+ * division of writes are not: they are made anew.
+ */
 export function storedRecordOf(replica: Replica, key: string): Data | undefined {
   const ref = parseKey(key);
   if (ref === null || replica.unreadableRecords.has(key)) return undefined;
@@ -65,41 +71,38 @@
       return teamShardsData(replica.teamsByShard);
     case 'lead':
       return replica.levels.state.level >= 2 ? { ...leaderPlaceholder } : undefined;
-    case 'block': {
-      const b = replica.blocks.get(ref.block);
-      return b && blockData(b);
-    }
-    case 'machine': {
-      const m = replica.machines.get(ref.host);
-      return m && machineData(m);
-    }
-    case 'job': {
-      const job = replica.jobs.get(ref.id);
-      return job && storedJob(replica, job);
-    }
-    case 'chunk': {
-      const c = replica.jobsWithInlineTasks.has(ref.id)
-        ? undefined
-        : replica.chunks.get(ref.id)?.get(ref.chunk);
-      return c && chunkData(c, c.version);
-    }
+    case 'block':
+      return storedIfKnown(replica.blocks.get(ref.block), blockData);
+    case 'machine':
+      return storedIfKnown(replica.machines.get(ref.host), machineData);
+    case 'job':
+      return storedIfKnown(replica.jobs.get(ref.id), (job) => storedJob(replica, job));
+    case 'chunk':
+      if (replica.jobsWithInlineTasks.has(ref.id)) return undefined;
+      return storedIfKnown(replica.chunks.get(ref.id)?.get(ref.chunk), (c) => chunkData(c, c.version));
     default:
       return undefined;
   }
 }
 
-function storedJob(
-  replica: Replica,
-  { id, state, spec, acceptedAt: at, taskCount: tasks, usage: use, tasksInline: whole }: JobRecord,
-): Data {
-  const own = whole ? replica.chunks.get(id)?.get(0) : undefined;
-  if (state === 'done') return doneJobData(at, tasks);
-  if (state === 'open' && spec) return own ? inlineJobData(spec, at, chunkData(own)) : openJobData(spec, at);
-  const data = cancelledJobData(at, tasks, use ?? { team: '', cpus: 0, gpus: 0, memGb: 0 });
-  return own ? { ...data, v: 2, t: chunkData(own) } : data;
+const storedIfKnown = <T>(record: T | undefined, toData: (record: T) => Data): Data | undefined =>
+  record && toData(record);
+
+function storedJob(replica: Replica, job: JobRecord): Data {
+  const { id, state, spec, acceptedAt, taskCount } = job;
+  if (state === 'done') return doneJobData(acceptedAt, taskCount);
+  const inlineTasks = job.tasksInline ? replica.chunks.get(id)?.get(0) : undefined;
+  if (state === 'open' && spec)
+    return inlineTasks
+      ? inlineJobData(spec, acceptedAt, chunkData(inlineTasks))
+      : openJobData(spec, acceptedAt);
+  const usage = job.usage ?? { team: '', cpus: 0, gpus: 0, memGb: 0 };
+  const data = cancelledJobData(acceptedAt, taskCount, usage);
+  return inlineTasks ? { ...data, v: 2, t: chunkData(inlineTasks) } : data;
 }
 
-const restoreOrder = [
+/** Kinds of records in the order in which they are restored. */
+const restoreOrder: readonly ParsedKey['kind'][] = [
   'level',
   'lead',
   'kinds',
@@ -113,13 +116,13 @@
   'chunk',
 ];
 
-/** Keys of the states that the task log tells, also of those that have no record of their own. */
+/** Keys of the chunks that the task log has led to, including those without a record of their own. */
 function* loggedChunkKeys(replica: Replica): Generator<string> {
   for (const [id, chunks] of replica.chunks)
-    for (const [number, { version: revision }] of chunks) if (revision > 0) yield chunkKey(id, number);
+    for (const [index, { version }] of chunks) if (version > 0) yield chunkKey(id, index);
 }
 
-/** Everything that a controller knows, put together with what it still had to write of an earlier loss. */
+/** Everything that a controller knows, merged with what it had still to restore after an earlier loss. */
 export function collectRecoveryRecords(
   replica: Replica,
   earlier: RecoveryRecords | null,
@@ -127,23 +130,21 @@
   reason: string,
 ): RecoveryRecords {
   const records = new Map<string, Data>();
-  for (const { key } of replica.knownKeys()) {
+  const collect = (key: string): void => {
     const data = storedRecordOf(replica, key);
     if (data) records.set(key, data);
-  }
-  for (const key of loggedChunkKeys(replica)) {
-    const data = storedRecordOf(replica, key);
-    if (data) records.set(key, data);
-  }
+  };
+  for (const { key } of replica.knownKeys()) collect(key);
+  for (const key of loggedChunkKeys(replica)) collect(key);
   for (const [key, data] of earlier?.records ?? [])
     records.set(key, mergeRecords(recordKindOf(parseKey(key)!), records.get(key), data));
-  const rank = ([key, data]: [string, Data]): number =>
-    restoreOrder.indexOf(parseKey(key)!.kind) + (isFinishedJob(key, data) ? restoreOrder.length : 0);
-  const sorted = [...records].sort((a, b) => rank(a) - rank(b));
   return {
     incarnation,
     revision: Math.max(replica.watchRevision, earlier?.revision ?? -1),
-    records: new Map(sorted),
+    records: new Map([...records].sort((a, b) => restoreRank(...a) - restoreRank(...b))),
     reason,
   };
 }
+
+const restoreRank = (key: string, data: Data): number =>
+  restoreOrder.indexOf(parseKey(key)!.kind) + (isFinishedJob(key, data) ? restoreOrder.length : 0);
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -1,11 +1,20 @@
-/** What operators are told of the fleet and of what waits, in the log. */
+/** The summary of a shard that is logged for operators: how its machines are used, and what waiting tasks wait for. */
 import { fitCount } from '../model/machine.js';
 import { isSuspect } from './failure-attribution.js';
-import type { ShardState } from './shard-state/shard-state.js';
 import { waitingTaskCount } from './shard-state/jobs.js';
+import type { ShardState } from './shard-state/shard-state.js';
 import type { ScheduledJob } from './shard-state/types.js';
 
-/** Of a class, in the log: its tasks by state, and what the waiting ones wait for. */
+/** Of a type of machines: how many are up, being started and idle, and the share of their resources in use. */
+interface MachineSummary {
+  up: number;
+  coming: number;
+  idle: number;
+  cpus: number;
+  gpus: number;
+}
+
+/** Of a class of jobs: its tasks by state, and what the waiting ones wait for. */
 interface ClassSummary {
   jobs: number;
   waiting: number;
@@ -15,7 +24,7 @@
   because: Record<string, number>;
 }
 
-/** Of a team, in the log: its jobs since the shard was taken up, what they wait for and what they use of its limit. */
+/** Of a team: its jobs since the shard was acquired, its tasks, and what they use of its limit. */
 interface TeamSummary {
   open: number;
   done: number;
@@ -25,47 +34,45 @@
   gpus: number;
 }
 
-/** For operators: how the fleet is used and what waits. `looked`: machines that placement has looked at; `more`: of others. */
-export function summarize(shardState: ShardState, looked: number, more: object): void {
-  const fleet: Record<string, { up: number; coming: number; idle: number; cpus: number; gpus: number }> = {};
-  for (const machine of shardState.machines.values()) {
-    const f = (fleet[`${machine.type.name}${machine.spot ? ' spot' : ''}`] ??= {
+/** Logs the summary. `looked`: how many machines placement has examined; `extraFields` are logged along with it. */
+export function summarize(shardState: ShardState, looked: number, extraFields: object): void {
+  shardState.log('info', 'summary', {
+    fleet: summarizeMachines(shardState),
+    jobs: summarizeClasses(shardState),
+    teams: summarizeTeams(shardState),
+    looked,
+    ...extraFields,
+  });
+}
+
+function summarizeMachines({ machines }: ShardState): Record<string, MachineSummary> {
+  const byType: Record<string, MachineSummary> = {};
+  for (const { type, spot, used, placements, confirmedAt } of machines.values()) {
+    const summary = (byType[`${type.name}${spot ? ' spot' : ''}`] ??= {
       up: 0,
       coming: 0,
       idle: 0,
       cpus: 0,
       gpus: 0,
     });
-    if (machine.confirmedAt === 0) f.coming++;
-    else f.up++;
-    if (machine.confirmedAt > 0 && machine.placements.size === 0) f.idle++;
-    f.cpus += machine.used.cpus / machine.type.cpus;
-    if (machine.type.gpus > 0) f.gpus += machine.used.gpus / machine.type.gpus;
+    if (confirmedAt === 0) summary.coming++;
+    else summary.up++;
+    if (confirmedAt > 0 && placements.size === 0) summary.idle++;
+    summary.cpus += used.cpus / type.cpus;
+    if (type.gpus > 0) summary.gpus += used.gpus / type.gpus;
   }
-  for (const f of Object.values(fleet)) {
-    f.cpus = Math.round((100 * f.cpus) / (f.up + f.coming)) / 100;
-    f.gpus = Math.round((100 * f.gpus) / (f.up + f.coming)) / 100;
+  for (const summary of Object.values(byType)) {
+    const count = summary.up + summary.coming;
+    summary.cpus = Math.round((100 * summary.cpus) / count) / 100;
+    summary.gpus = Math.round((100 * summary.gpus) / count) / 100;
   }
-  const jobs: Record<string, ClassSummary> = {};
-  const teams: Record<string, TeamSummary> = {};
-  const teamOf = (name: string): TeamSummary => {
-    const use = shardState.usageByTeam.get(name);
-    return (teams[name] ??= {
-      open: 0,
-      done: shardState.finishedJobsByTeam.get(name) ?? 0,
-      waiting: 0,
-      active: 0,
-      cpus: Math.round(use?.cpus ?? 0),
-      gpus: Math.round(use?.gpus ?? 0),
-    });
-  };
-  for (const name of shardState.finishedJobsByTeam.keys()) teamOf(name);
+  return byType;
+}
+
+function summarizeClasses(shardState: ShardState): Record<string, ClassSummary> {
+  const byClass: Record<string, ClassSummary> = {};
   for (const job of shardState.jobs.values()) {
-    const team = teamOf(job.spec.team);
-    team.open++;
-    team.waiting += waitingTaskCount(job);
-    team.active += job.placements.size;
-    const c = (jobs[job.spec.class] ??= {
+    const summary = (byClass[job.spec.class] ??= {
       jobs: 0,
       waiting: 0,
       placed: 0,
@@ -73,29 +80,52 @@
       running: 0,
       because: {},
     });
-    c.jobs++;
+    summary.jobs++;
     const waiting = waitingTaskCount(job);
-    c.waiting += waiting;
+    summary.waiting += waiting;
     if (waiting > 0) {
-      const why = waitsFor(shardState, job);
-      c.because[why] = (c.because[why] ?? 0) + waiting;
+      const reason = waitingReason(shardState, job);
+      summary.because[reason] = (summary.because[reason] ?? 0) + waiting;
     }
-    for (const placement of job.placements.values()) {
-      if (placement.phase === 'running') c.running++;
-      else if (placement.phase === 'placed') c.placed++;
-      else c.fetching++;
+    for (const { phase } of job.placements.values()) {
+      if (phase === 'running') summary.running++;
+      else if (phase === 'placed') summary.placed++;
+      else summary.fetching++;
     }
   }
-  shardState.log('info', 'summary', { fleet, jobs, teams, looked, ...more });
+  return byClass;
+}
+
+function summarizeTeams(shardState: ShardState): Record<string, TeamSummary> {
+  const byTeam: Record<string, TeamSummary> = {};
+  const summaryOf = (team: string): TeamSummary => {
+    const usage = shardState.usageByTeam.get(team);
+    return (byTeam[team] ??= {
+      open: 0,
+      done: shardState.finishedJobsByTeam.get(team) ?? 0,
+      waiting: 0,
+      active: 0,
+      cpus: Math.round(usage?.cpus ?? 0),
+      gpus: Math.round(usage?.gpus ?? 0),
+    });
+  };
+  for (const team of shardState.finishedJobsByTeam.keys()) summaryOf(team);
+  for (const job of shardState.jobs.values()) {
+    const summary = summaryOf(job.spec.team);
+    summary.open++;
+    summary.waiting += waitingTaskCount(job);
+    summary.active += job.placements.size;
+  }
+  return byTeam;
 }
 
-/** What a job's waiting tasks wait for, in an operator's words. */
-function waitsFor(shardState: ShardState, job: ScheduledJob): string {
+/** What a job's waiting tasks wait for, in words for operators. */
+function waitingReason(shardState: ShardState, job: ScheduledJob): string {
   if (job.cancelled) return 'cancelled';
   if (job.finalizing) return 'its end being recorded';
   if (job.tearingDown) return 'its attempt being taken down';
   if (job.retryNotBefore > shardState.clock.now) return isSuspect(job) ? 'fails everywhere' : 'pause';
-  const all = job.spec.shape === 'gang' ? waitingTaskCount(job) : 1;
-  if (fitCount(job.spec, shardState.availableQuota(job.spec)) < all) return 'team limit';
+  const neededAtOnce = job.spec.shape === 'gang' ? waitingTaskCount(job) : 1;
+  if (fitCount(job.spec, shardState.availableQuota(job.spec)) < neededAtOnce) return 'team limit';
   return 'machine';
 }
