--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -1,4 +1,4 @@
-/** Users' requests: submissions, polls and cancellations, and when each may be answered. */
+/** User requests: submissions, status queries and cancellations, and when each may be answered (read-your-writes). */
 import {
   AdmissionQueue,
   TokenBucket,
@@ -32,36 +32,36 @@
 import type { Replica } from './replica.js';
 import type { Transaction } from '../wire/store.js';
 
-/** What to do with a request once the view is known to be as new as the request. */
+/** A request that is answered once the replica is known to be as new as the request. */
 interface PendingRead {
   requestId: number;
   id: string;
   since: number;
-  /** Revision that the view must have reached; null: still being read. */
+  /** Revision that the replica must have reached; null: not read yet. */
   revision: number | null;
-  action: 'status' | 'withdraw' | { status: number; body: object };
+  action: 'status' | 'cancel' | { status: number; body: object };
 }
 
-/** A submission that waits to be taken in. */
+/** A submission that waits for admission. */
 interface PendingSubmission extends QueueEntry {
   spec: JobSpec;
-  rids: number[];
+  requestIds: number[];
   since: number;
 }
 
-/** Whoever would wait longer than this, of the 5 s that users wait for an answer, is told so at once. */
+/** A submission that would wait longer than this is rejected at once; users wait 5 s for a response. */
 const maxAdmissionDelayMs = 3000;
-/** How long users try, and the longest `Retry-After` that they heed. */
+/** How long users retry, and the longest `Retry-After` that they respect. */
 const clientRetryPeriodMs = 60_000;
 const maxRetryAfterMs = 30_000;
 
-/** Of an equal share of the state service's requests: what readings for users may take. */
+/** Of an equal share of the state service's requests: what revision reads for users may take. */
 const revisionReadShare = 0.5;
-/** For so long after somebody had to wait it is told which teams and classes bring how much, ms. */
+/** For this long after a submission had to wait, the demand of each team and class is reported to the peers, ms. */
 const backlogMemoryMs = 10_000;
 const urgencyWeight = (spec: JobSpec): number => 2 ** urgencyRank[spec.urgency];
 
-/** Answers that the users' time limits (2 s for a poll, 5 s for the others) leave no room to wait longer for. */
+/** Timeouts within those of users: 2 s for a status query, 5 s for other requests. */
 const readTimeoutMs = 1500;
 const writeTimeoutMs = 4000;
 
@@ -81,9 +81,9 @@
 }
 
 /**
- * The users' requests. Final states are answered from memory. Any other answer is given only after the
- * state's revision was read later than the request came and the watch has reached it: no user may be told
- * something older than another node has told them already.
+ * Handles user requests. Final states are answered from the replica. Any other response waits until the revision was read
+ * after the request arrived and the watch has reached it: no user may see a state older than what another controller has
+ * already shown.
  */
 export class UserRequests {
   private readonly settings: Settings;
@@ -96,24 +96,24 @@
   private pendingReads: PendingRead[] = [];
   private revisionRequested = false;
   private nextRevisionReadAt = -Infinity;
-  /** Guards against a storm of polls that uses up the state service's requests: readings take half of an equal share at most. */
+  /** Limits revision reads to half of an equal share of the state service's requests, however many users poll. */
   private readonly revisionReadIntervalMs: number;
-  /** Submissions that wait to be taken in, and those whose write is under way. */
+  /** Submissions that wait for admission, and those whose write is in flight, by job. */
   private readonly pendingSubmissions = new Map<string, PendingSubmission>();
-  private readonly submissionWrites = new Map<string, { rids: number[]; since: number }>();
+  private readonly submissionWrites = new Map<string, { requestIds: number[]; since: number }>();
   private readonly admission: AdmissionQueue<PendingSubmission>;
   private readonly arrivals = new RateMeter();
-  /** Guards against waits of users who come in a bunch, as they do, beside a part that is right on the average. */
+  /** Admits bursts of submissions within the rate that is allowed on average. */
   private readonly burstLimiter = new TokenBucket(maxAdmissionDelayMs / 1000);
   private newlyRejected: Rejection[] = [];
-  /** Who was turned away, by team, class and reason. */
+  /** Rejected submissions since the last log line, by team, class and bottleneck. */
   readonly rejections = new Map<string, number>();
   private readonly demandEstimates: DemandEstimates;
   private backloggedAt = -Infinity;
-  /** In which proportion team and class take turns, as the plan has it; empty: by guarantee and urgency. */
+  /** Rates of teams and classes in the allocation; empty: their weights are quota and urgency. */
   private groupRates: ReadonlyMap<string, number> = new Map();
   private defaultGroupRate = 1;
-  private readonly cancellationWrites = new Map<string, { rids: number[]; since: number }>();
+  private readonly cancellationWrites = new Map<string, { requestIds: number[]; since: number }>();
 
   constructor(options: UserRequestsOptions) {
     const { settings, maxPending, random } = options;
@@ -143,25 +143,26 @@
     );
   }
 
-  submit(requestId: number, spec: JobSpec, out: Effect[]): void {
+  /** Handles a submission; a repeated one is idempotent. */
+  submit(requestId: number, spec: JobSpec, effects: Effect[]): void {
     if (this.replica.watchRevision < 0 || this.replica.machineTypes.length === 0)
-      return this.respondRetryLater(requestId, out);
+      return this.respondRetryLater(requestId, effects);
     if (this.replica.levels.mustStandBy || this.replica.isJobUnreadable(spec.id))
-      return this.respondRetryLater(requestId, out);
-    if (this.replica.jobs.has(spec.id)) return this.query(requestId, spec.id, out);
-    if (this.presenceUnknown(spec.id)) return this.respondRetryLater(requestId, out);
+      return this.respondRetryLater(requestId, effects);
+    if (this.replica.jobs.has(spec.id)) return this.query(requestId, spec.id, effects);
+    if (this.presenceUnknown(spec.id)) return this.respondRetryLater(requestId, effects);
     const bad = rejectionReason(spec, this.replica.machineTypes, this.settings);
     // A job that was accepted must never get 422, so look once more whether it is known.
     if (bad !== null)
-      return this.awaitRevision(requestId, spec.id, { status: 422, body: { error: bad } }, out);
+      return this.awaitRevision(requestId, spec.id, { status: 422, body: { error: bad } }, effects);
     const pending = this.submissionWrites.get(spec.id);
     if (pending) {
-      pending.rids.push(requestId);
+      pending.requestIds.push(requestId);
       return;
     }
     const waits = this.pendingSubmissions.get(spec.id);
     if (waits) {
-      waits.rids.push(requestId);
+      waits.requestIds.push(requestId);
       return;
     }
     const { now } = this.clock;
@@ -171,38 +172,38 @@
       class: spec.class,
       firstAttemptAt: now,
       spec,
-      rids: [requestId],
+      requestIds: [requestId],
       since: now,
     };
     if (!this.fairAdmission) {
-      if (this.submissionWrites.size >= this.maxPending) return this.respondRetryLater(requestId, out);
+      if (this.submissionWrites.size >= this.maxPending) return this.respondRetryLater(requestId, effects);
       return this.writeJob(e);
     }
     this.arrivals.add(1, now);
     this.demandEstimates.recordArrival(e.team, e.class, urgencyWeight(spec), now);
     this.pendingSubmissions.set(e.id, e);
     const away = this.admission.offer(e, now);
-    if (away) this.reject(away, out);
+    if (away) this.reject(away, effects);
   }
 
-  /** What users want of the writes, a second. */
+  /** Writes per second that new jobs need. */
   writeDemand(): number {
     return this.arrivals.rate(this.clock.now) + this.admission.size;
   }
 
-  /** Somebody has had to wait of late until his job could be written. */
+  /** Whether a submission had to wait recently until it could be written. */
   get backlogged(): boolean {
     return this.clock.now - this.backloggedAt < backlogMemoryMs;
   }
 
-  /** By team and class, while somebody has to wait. */
+  /** Demand by team and class while submissions wait, otherwise empty. */
   groupDemand(): WorkloadDemand[] {
     const { now } = this.clock;
     if (this.admission.size > 0) this.backloggedAt = now;
     return this.backlogged ? this.demandEstimates.largest(now) : [];
   }
 
-  /** Jobs that other controllers have turned away: here they are not the last either. */
+  /** Jobs that other controllers have rejected: they keep their place here, too. */
   rejectedElsewhere(list: readonly Rejection[]): void {
     this.admission.recordPeerRejections(
       list.filter((t) => !this.replica.jobs.has(t.id)),
@@ -210,20 +211,20 @@
     );
   }
 
-  /** A job is accepted, by whomever. */
+  /** A job was accepted, by any controller. */
   jobAccepted(id: string): void {
     this.admission.tickets.remove(id);
   }
 
-  private reject({ entry, retryAfterS }: RejectedEntry<PendingSubmission>, out: Effect[]): void {
+  private reject({ entry, retryAfterS }: RejectedEntry<PendingSubmission>, effects: Effect[]): void {
     this.pendingSubmissions.delete(entry.id);
     this.backloggedAt = this.clock.now;
     const kind = `${workloadKey(entry.team, entry.class)}: ${this.bottleneck}`;
     this.rejections.set(kind, (this.rejections.get(kind) ?? 0) + 1);
     const { id, team, class: cls, firstAttemptAt } = entry;
     this.newlyRejected.push({ id, team, class: cls, ageMs: Math.round(this.clock.now - firstAttemptAt) });
-    for (const requestId of entry.rids)
-      out.push({
+    for (const requestId of entry.requestIds)
+      effects.push({
         type: 'respond',
         requestId,
         status: 429,
@@ -232,11 +233,11 @@
       });
   }
 
-  /** What runs short, and is why jobs are turned away. */
+  /** The resource whose shortage makes jobs wait, for the log. */
   bottleneck = 'writes';
 
-  /** Takes in as many as may be written now. `factor`: of them, so many where something else runs short. */
-  admit(share: LocalWriteShare, factor: number, out: Effect[]): void {
+  /** Admits as many jobs as may be written now. `factor`: the share of them that other scarce resources allow. */
+  admit(share: LocalWriteShare, factor: number, effects: Effect[]): void {
     const { now } = this.clock;
     this.admission.rate = share.newJobs * factor;
     this.admission.totalRate = share.totalNewJobs * factor;
@@ -252,27 +253,27 @@
       this.pendingSubmissions.delete(e.id);
       this.writeJob(e);
     }
-    // They are in the order in which they came.
+    // In order of arrival.
     for (const e of this.pendingSubmissions.values()) {
       if (now - e.since <= writeTimeoutMs) break;
-      this.reject(this.admission.expire(e, now), out);
+      this.reject(this.admission.expire(e, now), effects);
     }
     if (this.newlyRejected.length === 0) return;
-    out.push({ type: 'rejected-jobs', list: this.newlyRejected });
+    effects.push({ type: 'rejected-jobs', list: this.newlyRejected });
     this.newlyRejected = [];
   }
 
-  /** What the plan says of a team or class; of one that it does not name little was seen, so it is as good as any. */
+  /** The rate of a team or class in the allocation; one that it does not name has had little demand and gets the highest. */
   private groupRate(kind: string): number {
     return this.groupRates.get(kind) ?? this.defaultGroupRate;
   }
 
-  private writeJob({ spec, rids }: PendingSubmission): void {
-    const mine = { rids, since: this.clock.now };
-    this.submissionWrites.set(spec.id, mine);
+  private writeJob({ spec, requestIds }: PendingSubmission): void {
+    const pendingWrite = { requestIds, since: this.clock.now };
+    this.submissionWrites.set(spec.id, pendingWrite);
     const answer = (f: (requestId: number) => void) => {
       this.submissionWrites.delete(spec.id);
-      mine.rids.forEach(f);
+      pendingWrite.requestIds.forEach(f);
     };
     this.batcher.enqueue({
       priority: WritePriority.user,
@@ -299,34 +300,36 @@
     });
   }
 
-  query(requestId: number, id: string, out: Effect[]): void {
-    if (this.respondIfFinal(requestId, id, out)) return;
+  /** Handles a status query. */
+  query(requestId: number, id: string, effects: Effect[]): void {
+    if (this.respondIfFinal(requestId, id, effects)) return;
     if (!isJobId(id))
-      return void out.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
+      return void effects.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
     if (this.replica.watchRevision < 0 || this.presenceUnknown(id))
-      return this.respondRetryLater(requestId, out);
-    this.awaitRevision(requestId, id, 'status', out);
+      return this.respondRetryLater(requestId, effects);
+    this.awaitRevision(requestId, id, 'status', effects);
   }
 
-  cancel(requestId: number, id: string, out: Effect[]): void {
-    if (this.respondIfFinal(requestId, id, out)) return;
+  /** Handles a cancellation. */
+  cancel(requestId: number, id: string, effects: Effect[]): void {
+    if (this.respondIfFinal(requestId, id, effects)) return;
     if (!isJobId(id))
-      return void out.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
-    // Guards against a cancellation that nobody can carry out, since what runs is not known.
+      return void effects.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
+    // Guards against a cancellation that nobody can carry effects, since what runs is not known.
     if (this.replica.watchRevision < 0 || this.replica.levels.mustStandBy || this.replica.isJobUnreadable(id))
-      return this.respondRetryLater(requestId, out);
+      return this.respondRetryLater(requestId, effects);
     const job = this.replica.jobs.get(id);
-    if (!job) return this.awaitRevision(requestId, id, 'withdraw', out);
+    if (!job) return this.awaitRevision(requestId, id, 'cancel', effects);
     const pending = this.cancellationWrites.get(id);
     if (pending) {
-      pending.rids.push(requestId);
+      pending.requestIds.push(requestId);
       return;
     }
-    const mine = { rids: [requestId], since: this.clock.now };
-    this.cancellationWrites.set(id, mine);
+    const pendingWrite = { requestIds: [requestId], since: this.clock.now };
+    this.cancellationWrites.set(id, pendingWrite);
     const answer = (f: (requestId: number) => void) => {
       this.cancellationWrites.delete(id);
-      mine.rids.forEach(f);
+      pendingWrite.requestIds.forEach(f);
     };
     this.batcher.enqueue({
       priority: WritePriority.user,
@@ -339,8 +342,8 @@
         return this.cancellation(now);
       },
       onCommitted: () => answer((r) => this.cancel(r, id, this.stepEffects)),
-      // The job came to its end meanwhile: say which once the watch has shown it.
-      onConflict: () => answer((r) => this.awaitRevision(r, id, 'withdraw', this.stepEffects)),
+      // The job reached a final state meanwhile: answered once the watch has delivered it.
+      onConflict: () => answer((r) => this.awaitRevision(r, id, 'cancel', this.stepEffects)),
       onUnavailable: () => {
         answer((r) => this.respondRetryLater(r, this.stepEffects));
         return true;
@@ -349,8 +352,8 @@
   }
 
   /**
-   * Whether nobody may be told that a job is not there: its record cannot be read, or this program is older than what is
-   * stored and may not know where to look.
+   * Whether it is unknown if a job exists, so that no user may be told that it does not: its record cannot be read, or
+   * this program is older than the stored records and may not know all of them.
    */
   private presenceUnknown(id: string): boolean {
     return (
@@ -359,7 +362,7 @@
     );
   }
 
-  /** A job's cancellation. Where its tasks may be stays with it until they are proven gone. */
+  /** The transaction that cancels a job. The record keeps its placements until their end is confirmed. */
   private cancellation({
     id,
     acceptedAt: at,
@@ -387,29 +390,29 @@
     };
   }
 
-  /** Everybody who waits is told to come again: this process begins anew. */
-  rejectAll(out: Effect[]): void {
-    for (const w of this.pendingReads) this.respondRetryLater(w.requestId, out);
+  /** Answers all waiting requests with a retry: the core is restarted. */
+  rejectAll(effects: Effect[]): void {
+    for (const w of this.pendingReads) this.respondRetryLater(w.requestId, effects);
     for (const list of [this.submissionWrites, this.cancellationWrites, this.pendingSubmissions])
-      for (const { rids } of list.values())
-        for (const requestId of rids) this.respondRetryLater(requestId, out);
+      for (const { requestIds } of list.values())
+        for (const requestId of requestIds) this.respondRetryLater(requestId, effects);
   }
 
-  /** Effects of the running step; set by the controller. */
+  /** Effects of the current step, for outcomes of writes; set by the controller. */
   stepEffects: Effect[] = [];
 
-  private respondIfFinal(requestId: number, id: string, out: Effect[]): boolean {
+  private respondIfFinal(requestId: number, id: string, effects: Effect[]): boolean {
     const job = this.replica.jobs.get(id);
     if (!job || job.state === 'open') return false;
-    this.respondWithStatus(requestId, id, out);
+    this.respondWithStatus(requestId, id, effects);
     return true;
   }
 
-  private respondWithStatus(requestId: number, id: string, out: Effect[]): void {
+  private respondWithStatus(requestId: number, id: string, effects: Effect[]): void {
     const job = this.replica.jobs.get(id)!;
     const c = job.state === 'done' ? { done: job.taskCount, running: 0 } : this.replica.taskCounts(id);
     const running = job.state === 'open' ? c.running : 0;
-    out.push({
+    effects.push({
       type: 'respond',
       requestId,
       status: 200,
@@ -417,72 +420,89 @@
     });
   }
 
-  private respondRetryLater(requestId: number, out: Effect[]): void {
-    out.push({ type: 'respond', requestId, status: 503, body: { error: 'try again later' }, retryAfterS: 1 });
+  private respondRetryLater(requestId: number, effects: Effect[]): void {
+    effects.push({
+      type: 'respond',
+      requestId,
+      status: 503,
+      body: { error: 'try again later' },
+      retryAfterS: 1,
+    });
   }
 
-  private awaitRevision(requestId: number, id: string, then: PendingRead['action'], out: Effect[]): void {
-    if (this.pendingReads.length >= this.maxPending) return this.respondRetryLater(requestId, out);
+  private awaitRevision(requestId: number, id: string, then: PendingRead['action'], effects: Effect[]): void {
+    if (this.pendingReads.length >= this.maxPending) return this.respondRetryLater(requestId, effects);
     this.pendingReads.push({ requestId, id, since: this.clock.now, revision: null, action: then });
   }
 
   /**
-   * A reading of the state's revision that was asked for at `sentAt`. Without an answer, users are told to come later; while
-   * the other controllers vouch for the view, those who ask about a known job wait for that.
+   * The result of a revision read that was sent at `sentAt`; null: it failed. Then requests are answered with a retry,
+   * except status queries about known jobs while peers confirm the replica's freshness: these wait for the confirmation.
    */
-  revisionRead(sentAt: number, revision: number | null, out: Effect[], vouched: boolean): void {
+  revisionRead(sentAt: number, revision: number | null, effects: Effect[], confirmedByPeers: boolean): void {
     this.revisionRequested = false;
     for (const w of this.pendingReads)
       if (w.revision === null && w.since <= sentAt) w.revision = revision ?? -1;
     if (revision === null) {
       for (const w of this.pendingReads)
         if (w.revision === -1) {
-          if (vouched && w.action === 'status' && this.replica.jobs.has(w.id)) w.revision = Infinity;
-          else this.respondRetryLater(w.requestId, out);
+          if (confirmedByPeers && w.action === 'status' && this.replica.jobs.has(w.id)) w.revision = Infinity;
+          else this.respondRetryLater(w.requestId, effects);
         }
       this.pendingReads = this.pendingReads.filter((w) => w.revision !== -1);
     }
   }
 
   /** `confirmedByPeersAt`: the view holds all ends of jobs that anybody had been told of by then. */
-  flush(out: Effect[], vouchedAt: number): void {
-    const now = this.clock.now;
-    if (this.pendingReads.length > 0) {
-      const left: PendingRead[] = [];
-      const ready: PendingRead[] = [];
-      for (const w of this.pendingReads) {
-        const vouched = w.action === 'status' && w.since <= vouchedAt && this.replica.jobs.has(w.id);
-        if (vouched || (w.revision !== null && this.replica.watchRevision >= w.revision)) ready.push(w);
-        else if (now - w.since > readTimeoutMs) this.respondRetryLater(w.requestId, out);
-        else left.push(w);
-      }
-      this.pendingReads = left;
-      for (const w of ready) {
-        const known = this.replica.jobs.has(w.id);
-        if (typeof w.action === 'object' && !known && !this.presenceUnknown(w.id))
-          out.push({ type: 'respond', requestId: w.requestId, status: w.action.status, body: w.action.body });
-        else if (!known && this.presenceUnknown(w.id)) this.respondRetryLater(w.requestId, out);
-        else if (!known)
-          out.push({ type: 'respond', requestId: w.requestId, status: 404, body: { error: 'no such job' } });
-        else if (w.action === 'withdraw') this.cancel(w.requestId, w.id, out);
-        else this.respondWithStatus(w.requestId, w.id, out);
-      }
-      if (
-        !this.revisionRequested &&
-        now >= this.nextRevisionReadAt &&
-        this.pendingReads.some((w) => w.revision === null)
-      ) {
-        this.revisionRequested = true;
-        this.nextRevisionReadAt = now + this.revisionReadIntervalMs;
-        out.push({ type: 'read-revision' });
-      }
+  flush(effects: Effect[], confirmedAt: number): void {
+    for (const request of this.takeReadyReads(effects, confirmedAt)) this.respondToRead(request, effects);
+    this.requestRevisionRead(effects);
+    this.expireWrites(effects);
+  }
+
+  /** Removes the reads that can be answered from those that wait; answers the ones that have timed out with a retry. */
+  private takeReadyReads(effects: Effect[], confirmedAt: number): PendingRead[] {
+    const ready: PendingRead[] = [];
+    if (this.pendingReads.length === 0) return ready;
+    const waiting: PendingRead[] = [];
+    for (const request of this.pendingReads) {
+      const { action, id, revision, since } = request;
+      const confirmedByPeers = action === 'status' && since <= confirmedAt && this.replica.jobs.has(id);
+      if (confirmedByPeers || (revision !== null && this.replica.watchRevision >= revision))
+        ready.push(request);
+      else if (this.clock.now - since > readTimeoutMs) this.respondRetryLater(request.requestId, effects);
+      else waiting.push(request);
     }
-    // Given up: answered at once. The write itself may still go through, and a repeated request finds it.
-    for (const pending of [this.submissionWrites, this.cancellationWrites])
-      for (const p of pending.values())
-        if (now - p.since > writeTimeoutMs && p.rids.length > 0) {
-          for (const requestId of p.rids.splice(0)) this.respondRetryLater(requestId, out);
-          p.since = now;
-        }
+    this.pendingReads = waiting;
+    return ready;
+  }
+
+  private respondToRead({ requestId, id, action }: PendingRead, effects: Effect[]): void {
+    if (this.replica.jobs.has(id)) {
+      if (action === 'cancel') this.cancel(requestId, id, effects);
+      else this.respondWithStatus(requestId, id, effects);
+    } else if (this.presenceUnknown(id)) this.respondRetryLater(requestId, effects);
+    else if (typeof action === 'object') effects.push({ type: 'respond', requestId, ...action });
+    else effects.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
+  }
+
+  private requestRevisionRead(effects: Effect[]): void {
+    const { now } = this.clock;
+    if (this.revisionRequested || now < this.nextRevisionReadAt) return;
+    if (!this.pendingReads.some((request) => request.revision === null)) return;
+    this.revisionRequested = true;
+    this.nextRevisionReadAt = now + this.revisionReadIntervalMs;
+    effects.push({ type: 'read-revision' });
+  }
+
+  private expireWrites(effects: Effect[]): void {
+    const { now } = this.clock;
+    for (const writes of [this.submissionWrites, this.cancellationWrites])
+      for (const write of writes.values()) {
+        if (now - write.since <= writeTimeoutMs || write.requestIds.length === 0) continue;
+        // Timed out: the write itself may still succeed, and an idempotent retry finds it.
+        for (const requestId of write.requestIds.splice(0)) this.respondRetryLater(requestId, effects);
+        write.since = now;
+      }
   }
 }
