--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -7,7 +7,7 @@
 import type { ListedMachine, RentalOutcome, RentRequest } from '../../wire/cloud.js';
 import type { Clock, Effect, Log } from '../effects.js';
 import type { Replica } from '../replica.js';
-import type { TransactionBatcher } from '../storage/transaction-batcher.js';
+import type { TransactionBatcher } from '../storage/index.js';
 import type { AutoscalerContext } from './context.js';
 import { DemandCalculator } from './demand.js';
 import { FleetRecords } from './fleet-records.js';
--- a/src/core/autoscaler/fleet-records.ts
+++ b/src/core/autoscaler/fleet-records.ts
@@ -3,8 +3,15 @@
 import type { RentRequest } from '../../wire/cloud.js';
 import type { Write } from '../../wire/store.js';
 import type { VersionedMachine } from '../replica.js';
-import { blockData, blockKey, machineData, machineKey, machineTypesData } from '../storage/index.js';
-import { WritePriority, type TransactionBatcher } from '../storage/transaction-batcher.js';
+import {
+  blockData,
+  blockKey,
+  machineData,
+  machineKey,
+  machineTypesData,
+  type TransactionBatcher,
+  WritePriority,
+} from '../storage/index.js';
 import type { AutoscalerContext } from './context.js';
 
 /**
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -17,8 +17,7 @@
 import type { Peers } from './peers.js';
 import type { ReplicaFreshness } from './replica-freshness.js';
 import type { Replica } from './replica.js';
-import { allocationData, allocationKey } from './storage/index.js';
-import { WritePriority, type TransactionBatcher } from './storage/transaction-batcher.js';
+import { allocationData, allocationKey, WritePriority, type TransactionBatcher } from './storage/index.js';
 
 /** How often the leader works out a new allocation, and writes one at most, in a state lease. */
 const evaluationsPerLease = 4;
