--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -99,10 +99,10 @@
 
 /** State that grows with the jobs by what it is: records and what is read off them. */
 const bounds = new Map([
-  ['components.freshnessExchange.recentChanges.changes', 512],
-  ['components.dataLossRecovery.monitor.detector.sightings', 256],
+  ['freshnessExchange.recentChanges.changes', 512],
+  ['dataLossRecovery.monitor.detector.sightings', 256],
 ]);
-const records = /^components\.(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
+const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
 meeting(
   'one-task jobs four a second, a quarter cancelled, some at their end; leaders change',
