--- a/src/core/scheduling/arrays.ts
+++ b/src/core/scheduling/arrays.ts
@@ -4,28 +4,58 @@
 import { isSuspect } from '../failure-attribution.js';
 import { takeNextWaiting, waitingTaskCount } from '../shard-state/jobs.js';
 import { freeCapacity } from '../shard-state/machines.js';
-import type { ScheduledJob } from '../shard-state/types.js';
+import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
 import { candidateMachines, rankedMachines, mayUseGpuReserve, usableRoom } from './feasibility.js';
 import { agedMachines, recordAgedPlacement } from './starvation.js';
-import type { ShardCycle } from './shard-cycle.js';
+import type { Assignment, ShardCycle } from './shard-cycle.js';
 
-export function placeTasks(job: ScheduledJob, cycle: ShardCycle, withImage = false): void {
+/** Places as many waiting tasks of a job as find room. A starving job that finds none gets one task onto aged room. */
+export function placeTasks(job: ScheduledJob, cycle: ShardCycle): void {
   const { spec } = job;
-  const { shardState, capacityIndex } = cycle;
-  let limit = Math.min(waitingTaskCount(job), fitCount(spec, shardState.availableQuota(spec)));
-  // A job that only ever failed is tried one task at a time.
-  limit = Math.min(limit, cycle.belowMinimumShare.get(job) ?? Infinity);
-  if (isSuspect(job)) limit = Math.min(limit, job.placements.size === 0 ? 1 : 0);
+  const limit = placementLimit(job, cycle);
   if (limit <= 0) return placeOnAgedRoom(job, cycle);
-  const assignments: { index: number; host: string }[] = [];
+  const placed = placeUpTo(limit, job, cycle, candidateMachines(job, cycle));
+  if (placed === 0) placeOnAgedRoom(job, cycle);
+  // A job that may not use all machines says nothing about the room that others find.
+  const usedAllMachines =
+    job.failedHosts.size === 0 && job.match === null && !cycle.reservedMachines.has(job.id);
+  if (placed < limit && usedAllMachines) cycle.capacityIndex.noteUnplaceable(spec);
+}
+
+/** Places waiting tasks of a job only on machines that have its image already. */
+export function placeTasksOnCachedImages(job: ScheduledJob, cycle: ShardCycle): void {
+  const limit = placementLimit(job, cycle);
+  if (limit <= 0) return placeOnAgedRoom(job, cycle);
+  placeUpTo(limit, job, cycle, rankedMachines(job, cycle, true));
+}
+
+/** How many tasks of a job may be placed now. */
+function placementLimit(job: ScheduledJob, { shardState, belowMinimumShare }: ShardCycle): number {
+  const { spec } = job;
+  const limit = Math.min(
+    waitingTaskCount(job),
+    fitCount(spec, shardState.availableQuota(spec)),
+    belowMinimumShare.get(job) ?? Infinity,
+  );
+  // A job that only ever failed is tried one task at a time.
+  return isSuspect(job) ? Math.min(limit, job.placements.size === 0 ? 1 : 0) : limit;
+}
+
+/** Places up to `limit` tasks on the first machines with room; returns how many. */
+function placeUpTo(
+  limit: number,
+  job: ScheduledJob,
+  cycle: ShardCycle,
+  machines: Iterable<ScheduledMachine>,
+): number {
+  const { spec } = job;
+  const { shardState, capacityIndex } = cycle;
+  const assignments: Assignment[] = [];
   const tasksByZone = new Map(job.tasksByZone);
   const mayUseReserve = mayUseGpuReserve(cycle, job);
-  const machines = withImage ? rankedMachines(job, cycle, true) : candidateMachines(job, cycle);
   for (const machine of machines) {
-    let count = Math.min(
-      limit - assignments.length,
-      fitCount(spec, usableRoom(cycle, job, freeCapacity(shardState, machine), mayUseReserve)),
-    );
+    const room = usableRoom(cycle, job, freeCapacity(shardState, machine), mayUseReserve);
+    let count = Math.min(limit - assignments.length, fitCount(spec, room));
     for (; count > 0 && zoneAllows(spec, machine.zone, tasksByZone); count--) {
       const index = takeNextWaiting(job);
       if (index < 0) break;
@@ -37,19 +67,10 @@
   if (assignments.length > 0) shardState.placeTasks(job, assignments, job.repairAttempt ?? undefined);
   capacityIndex.reposition(new Set(assignments.map((a) => a.host)));
   if (waitingTaskCount(job) === 0) shardState.reservations.release(job.id);
-  if (withImage) return;
-  if (assignments.length === 0) placeOnAgedRoom(job, cycle);
-  // What others ask for is not less because this job's machines are few.
-  if (
-    assignments.length < limit &&
-    job.failedHosts.size === 0 &&
-    job.match === null &&
-    !cycle.reservedMachines.has(job.id)
-  )
-    capacityIndex.noteUnplaceable(spec);
+  return assignments.length;
 }
 
-/** One task of a job that has waited for long, on a machine whose room nobody has taken for long. */
+/** Places one task of a starving job on a machine with aged room. */
 function placeOnAgedRoom(job: ScheduledJob, cycle: ShardCycle): void {
   const { spec } = job;
   const { shardState, capacityIndex } = cycle;
@@ -59,7 +80,7 @@
       continue;
     const index = takeNextWaiting(job);
     if (index < 0) return;
-    shardState.log('info', 'room left over', { job: job.id, host: machine.host });
+    shardState.log('info', 'reservation aged out', { job: job.id, host: machine.host });
     shardState.placeTasks(job, [{ index, host: machine.host }]);
     recordAgedPlacement(cycle, machine);
     return capacityIndex.reposition(new Set([machine.host]));
--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -1,5 +1,6 @@
-/** One placement round: in which order work is placed. */
+/** The scheduling cycle: which jobs are served, in which order, and what is done for those that find no room. */
 import { urgencyRank } from '../../model/job.js';
+import type { Resources } from '../../model/machine.js';
 import { jobsWithinGuarantee } from '../../policy/admission.js';
 import { hasGuaranteeStartObjective } from '../../policy/deadlines.js';
 import { gpuReserveFor } from '../../policy/gpu-sharing.js';
@@ -8,141 +9,191 @@
 import type { ShardState } from '../shard-state/shard-state.js';
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import type { ScheduledJob } from '../shard-state/types.js';
+import { placeTasks, placeTasksOnCachedImages } from './arrays.js';
+import { reserveForGang, reserveQuota } from './gang-reservations.js';
+import { awaitsRoom, placeGang } from './gangs.js';
 import { jobsBelowMinimumShare } from './minimum-shares.js';
-import { awaitsRoom, reserveQuota, placeGang, reserveForGang } from './gangs.js';
 import { hasStoppingTasks, preemptFor } from './preemption.js';
+import { beginShardCycle, takeExamined, type CycleContext, type ShardCycle } from './shard-cycle.js';
 import { isStarving } from './starvation.js';
-import { beginShardCycle, type CycleContext, type ShardCycle } from './shard-cycle.js';
-import { placeTasks } from './arrays.js';
 import { preemptsImmediately } from './victims.js';
 import { preemptVoluntarily } from './voluntary-preemption.js';
 
-/** Scans for tasks to preempt are dear: so many jobs get one in a round. */
+/** Scans for tasks to preempt are expensive: at most this many jobs get one in a cycle. */
 const maxPreemptionScans = 16;
-/** Scans of all machines for tasks of arrays that give way, in a round. */
+/** At most this many scans for array tasks to preempt voluntarily are made in a cycle. */
 const maxVoluntaryPreemptionScans = 4;
 
+/** Guaranteed work that may preempt at once is a level above all other work, whatever its urgency. */
+const immediateLevel = 10;
+
 /**
- * One placement round over all shards of this node, in steps: it yields how many machines it has looked at
- * since, so that reports and requests need not wait for all of it. Between two steps jobs and machines may
- * change; each is looked at anew when its turn comes.
+ * One scheduling cycle over all shards of this process, in steps: it yields how many machines it has examined since the last
+ * step, so that heartbeats and requests need not wait for all of it. Between two steps jobs and machines may change; each job
+ * is checked again when its turn comes.
  */
 export function* schedulingCycle(shardState: ShardState): Generator<number, void> {
-  const withinGuarantee = jobsWithinGuarantee(shardState.jobs.values(), shardState.settings);
-  const waiting = inPlacementOrder(
-    [...shardState.jobs.values()].filter((job) => isSchedulable(shardState, job)),
-    shardState.settings.objectives,
-    shardState.clock.wall,
-    criticalSlackS(shardState.settings),
-    hasGuaranteeStartObjective(shardState.settings.objectives) ? withinGuarantee : new Set(),
-  );
-  // Guards against a job with a mistake that has room kept for as long as it is tried.
-  const gpuReserve = gpuReserveFor(waiting.filter((job) => !isSuspect(job)));
-  const minRequest = { cpus: Infinity, gpus: 0, memGb: Infinity };
-  for (const { spec } of waiting) {
-    minRequest.cpus = Math.min(minRequest.cpus, spec.cpus);
-    minRequest.memGb = Math.min(minRequest.memGb, spec.memGb);
+  yield* new SchedulingCycle(shardState).run();
+}
+
+class SchedulingCycle {
+  /** The jobs that wait, in placement order. */
+  private readonly waiting: readonly ScheduledJob[];
+  /** Emptied once these jobs have been served: from then on the placement order alone decides. */
+  private readonly belowMinimumShare: Map<ScheduledJob, number>;
+  private readonly context: CycleContext;
+  private readonly shards = new Map<number, ShardCycle>();
+  private preemptionScans = 0;
+  private voluntaryPreemptionScans = 0;
+
+  constructor(private readonly shardState: ShardState) {
+    const { settings, clock } = shardState;
+    const withinGuarantee = jobsWithinGuarantee(shardState.jobs.values(), settings);
+    this.waiting = inPlacementOrder(
+      [...shardState.jobs.values()].filter((job) => isSchedulable(shardState, job)),
+      settings.objectives,
+      clock.wall,
+      criticalSlackS(settings),
+      hasGuaranteeStartObjective(settings.objectives) ? withinGuarantee : new Set(),
+    );
+    // Guards against a faulty job for which room is reserved for as long as it is retried.
+    const gpuReserve = gpuReserveFor(this.waiting.filter((job) => !isSuspect(job)));
+    const minRequest = smallestRequest(this.waiting);
+    this.belowMinimumShare = jobsBelowMinimumShare(shardState, this.waiting);
+    this.context = {
+      shardState,
+      withinGuarantee,
+      belowMinimumShare: this.belowMinimumShare,
+      gpuReserve,
+      minRequest,
+    };
   }
-  const belowMinimumShare = jobsBelowMinimumShare(shardState, waiting);
-  const context: CycleContext = {
-    shardState,
-    withinGuarantee,
-    belowMinimumShare: belowMinimumShare,
-    gpuReserve,
-    minRequest,
-  };
-  const shards = new Map<number, ShardCycle>();
-  const roundOf = (shard: number): ShardCycle => {
-    let round = shards.get(shard);
-    if (!round) shards.set(shard, (round = beginShardCycle(context, shard)));
-    return round;
-  };
-  let preemptionScans = 0;
-  let voluntaryPreemptionScans = 0;
-  shardState.reservations.prune(shardState.jobs, shardState.machines);
-  // Work of one level is of like urgency, and either all within its teams' guarantees or none.
-  const levelOf = (job: ScheduledJob): number =>
-    urgencyRank[job.spec.urgency] + (preemptsImmediately(context, job) ? 10 : 0);
-  let level = Infinity;
-  for (const job of belowMinimumShare.keys()) {
-    if (!isSchedulable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
-    const round = roundOf(job.shard);
-    const before = job.placements.size;
-    if (job.spec.shape === 'gang') {
-      if (!placeGang(job, round) && awaitsRoom(shardState, job)) reserveForGang(job, round);
-    } else placeTasks(job, round);
-    if (job.placements.size > before)
-      shardState.log('info', 'floor', {
-        job: job.id,
-        class: job.spec.class,
-        tasks: job.placements.size - before,
-      });
-    yield round.capacityIndex.examined;
-    round.capacityIndex.examined = 0;
+
+  *run(): Generator<number, void> {
+    this.shardState.reservations.prune(this.shardState.jobs, this.shardState.machines);
+    yield* this.serveMinimumShares();
+    yield* this.serveInOrder();
+    this.publishReservations();
   }
-  context.belowMinimumShare = new Map();
-  for (const round of shards.values()) round.belowMinimumShare = context.belowMinimumShare;
-  for (const job of waiting) {
-    if (levelOf(job) < level) {
-      level = levelOf(job);
-      // Among work of like urgency, a GPU machine that has an image takes first what needs it: a fetch can take
-      // longer than the task, and the GPU stands still meanwhile.
-      for (const other of waiting) {
-        const { spec } = other;
-        if (levelOf(other) !== level || spec.gpus <= 0 || spec.shape !== 'array') continue;
-        if (!isSchedulable(shardState, other) || shardState.jobs.get(other.id) !== other) continue;
-        const round = roundOf(other.shard);
-        placeTasks(other, round, true);
-        yield round.capacityIndex.examined;
-        round.capacityIndex.examined = 0;
-      }
-    }
-    if (!isSchedulable(shardState, job) || shardState.jobs.get(job.id) !== job) continue;
-    const round = roundOf(job.shard);
-    const { capacityIndex } = round;
-    const count = waitingTaskCount(job);
-    const late = round.agedCapacity.length > 0 && isStarving(shardState, job);
-    const hopeless =
-      !late && !round.reservedMachines.has(job.id) && capacityIndex.isUnplaceable(job.spec, count);
-    if (job.repairAttempt !== null) {
-      placeTasks(job, round);
-      continue;
+
+  /** Places work of teams and classes that had less than their minimum share, before all other work. */
+  private *serveMinimumShares(): Generator<number, void> {
+    for (const job of this.belowMinimumShare.keys()) {
+      if (!this.isStillWaiting(job)) continue;
+      const cycle = this.shardCycleOf(job);
+      const placedBefore = job.placements.size;
+      if (job.spec.shape === 'gang') {
+        if (placeGang(job, cycle) === 'no-room' && awaitsRoom(this.shardState, job))
+          reserveForGang(job, cycle);
+      } else placeTasks(job, cycle);
+      const tasks = job.placements.size - placedBefore;
+      if (tasks > 0)
+        this.shardState.log('info', 'minimum share applied', { job: job.id, class: job.spec.class, tasks });
+      yield takeExamined(cycle);
     }
-    if (job.spec.shape === 'gang') {
-      if (!hopeless && placeGang(job, round)) {
-        reserveQuota(job, round);
-        yield capacityIndex.examined;
-        capacityIndex.examined = 0;
+    this.belowMinimumShare.clear();
+  }
+
+  private *serveInOrder(): Generator<number, void> {
+    let level = Infinity;
+    for (const job of this.waiting) {
+      if (this.levelOf(job) < level) {
+        level = this.levelOf(job);
+        yield* this.serveCachedImages(level);
+      }
+      if (!this.isStillWaiting(job)) continue;
+      const cycle = this.shardCycleOf(job);
+      if (job.repairAttempt !== null) {
+        placeTasks(job, cycle);
         continue;
       }
-      reserveQuota(job, round);
-      if (awaitsRoom(shardState, job) && !isSuspect(job)) reserveForGang(job, round);
-    } else if (!hopeless) placeTasks(job, round);
+      if (job.spec.shape === 'gang') this.serveGang(job, cycle);
+      else this.serveTasks(job, cycle);
+      yield takeExamined(cycle);
+    }
+  }
+
+  /**
+   * Among work of one level, a GPU machine that has an image takes first the arrays that need it: fetching another image can
+   * take longer than a task, and the GPU is idle meanwhile.
+   */
+  private *serveCachedImages(level: number): Generator<number, void> {
+    for (const job of this.waiting) {
+      const { spec } = job;
+      if (this.levelOf(job) !== level || spec.gpus <= 0 || spec.shape !== 'array') continue;
+      if (!this.isStillWaiting(job)) continue;
+      const cycle = this.shardCycleOf(job);
+      placeTasksOnCachedImages(job, cycle);
+      yield takeExamined(cycle);
+    }
+  }
+
+  private serveGang(job: ScheduledJob, cycle: ShardCycle): void {
+    const placed = !this.isHopeless(job, cycle) && placeGang(job, cycle) !== 'no-room';
+    reserveQuota(job, cycle);
+    if (placed) return;
+    if (awaitsRoom(this.shardState, job) && !isSuspect(job)) reserveForGang(job, cycle);
+    this.makeRoom(job, cycle);
+  }
+
+  private serveTasks(job: ScheduledJob, cycle: ShardCycle): void {
+    if (!this.isHopeless(job, cycle)) placeTasks(job, cycle);
+    this.makeRoom(job, cycle);
+  }
+
+  /** Whether a job that asked for no more has found no room in this cycle. Aged room and reservations may still serve it. */
+  private isHopeless(job: ScheduledJob, cycle: ShardCycle): boolean {
+    if (cycle.agedCapacity.length > 0 && isStarving(this.shardState, job)) return false;
+    return (
+      !cycle.reservedMachines.has(job.id) &&
+      cycle.capacityIndex.isUnplaceable(job.spec, waitingTaskCount(job))
+    );
+  }
+
+  /** Preempts other tasks for what still waits of a job. */
+  private makeRoom(job: ScheduledJob, cycle: ShardCycle): void {
     // Guards against a job that has failed everywhere being tried nowhere any more.
     job.anyHostAllowed = isSuspect(job) && job.placements.size === 0;
-    if (
-      waitingTaskCount(job) > 0 &&
-      job.placements.size === 0 &&
-      preemptionScans < maxPreemptionScans &&
-      !isSuspect(job)
-    )
-      if (
-        !round.reservedMachines.get(job.id)?.some((machine) => hasStoppingTasks(machine)) &&
-        preemptFor(job, round)
-      )
-        preemptionScans++;
-    if (
-      job.spec.shape === 'array' &&
-      waitingTaskCount(job) > 0 &&
-      voluntaryPreemptionScans < maxVoluntaryPreemptionScans &&
-      !isSuspect(job)
-    )
-      if (preemptVoluntarily(job, round)) voluntaryPreemptionScans++;
-    yield capacityIndex.examined;
-    capacityIndex.examined = 0;
+    if (isSuspect(job) || waitingTaskCount(job) <= 0) return;
+    if (job.placements.size === 0 && this.preemptionScans < maxPreemptionScans) {
+      const roomIsBeingMade = cycle.reservedMachines.get(job.id)?.some(hasStoppingTasks) ?? false;
+      if (!roomIsBeingMade && preemptFor(job, cycle)) this.preemptionScans++;
+    }
+    if (job.spec.shape === 'array' && this.voluntaryPreemptionScans < maxVoluntaryPreemptionScans)
+      if (preemptVoluntarily(job, cycle)) this.voluntaryPreemptionScans++;
+  }
+
+  /** What is reserved for gangs that found no room holds for placements until the next cycle has ended. */
+  private publishReservations(): void {
+    const cycles = [...this.shards.values()];
+    this.shardState.reserveQuotas(new Map(cycles.flatMap((cycle) => [...cycle.quotaReservations])));
+    this.shardState.withheldHosts = new Map(cycles.flatMap((cycle) => [...cycle.withheldHosts]));
+  }
+
+  private shardCycleOf(job: ScheduledJob): ShardCycle {
+    let cycle = this.shards.get(job.shard);
+    if (!cycle) this.shards.set(job.shard, (cycle = beginShardCycle(this.context, job.shard)));
+    return cycle;
+  }
+
+  /** Work of one level is of the same urgency, and either all within its teams' guarantees or none. */
+  private levelOf(job: ScheduledJob): number {
+    return urgencyRank[job.spec.urgency] + (preemptsImmediately(this.context, job) ? immediateLevel : 0);
+  }
+
+  private isStillWaiting(job: ScheduledJob): boolean {
+    return isSchedulable(this.shardState, job) && this.shardState.jobs.get(job.id) === job;
+  }
+}
+
+/** The least CPUs and memory that any job's task requests. GPUs are left out: most work needs none. */
+function smallestRequest(jobs: readonly ScheduledJob[]): Resources {
+  const min = { cpus: Infinity, gpus: 0, memGb: Infinity };
+  for (const { spec } of jobs) {
+    min.cpus = Math.min(min.cpus, spec.cpus);
+    min.memGb = Math.min(min.memGb, spec.memGb);
   }
-  shardState.reserveQuotas(new Map([...shards.values()].flatMap((round) => [...round.quotaReservations])));
-  shardState.withheldHosts = new Map([...shards.values()].flatMap((round) => [...round.minUrgencyByHost]));
+  return min;
 }
 
 const isSchedulable = (shardState: ShardState, job: ScheduledJob): boolean =>
--- a/src/core/scheduling/reservation-ageing.ts
+++ b/src/core/scheduling/reservation-ageing.ts
@@ -1,8 +1,9 @@
-/** How long work waits for what is kept for others. */
+/** Ageing of reservations: how long work waits beside room that is kept for other work. */
 import type { Settings } from '../../config/settings.js';
 
-/** For so many worker leases room may be kept for others while work that it fits waits. */
+/** Room may be kept for other work for this many worker leases, while work that it fits waits. */
 const maxReservationLeases = 2.5;
 
+/** How long room may be kept for other work while work that it fits waits, ms. */
 export const maxReservationAgeMs = (settings: Settings): number =>
   settings.workers.lease_s * 1000 * maxReservationLeases;
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -1,3 +1,4 @@
+/** Migration of tasks off spot machines that cost more than on-demand machines, with the risk of interruptions priced in. */
 import { isPremium } from '../../model/job.js';
 import { fits } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
@@ -6,60 +7,49 @@
 import { anchorPrice, machineCandidate, scoreWeights } from '../../policy/pricing.js';
 import type { ShardState } from '../shard-state/shard-state.js';
 import { freeCapacity, acceptsTasks } from '../shard-state/machines.js';
-import type { ScheduledJob } from '../shard-state/types.js';
+import type { ScheduledJob, Placement } from '../shard-state/types.js';
 import { isFeasible } from './feasibility.js';
 
 /**
- * Moves tasks off spot machines that cost more than on-demand ones, hazard included. Guardrails: a budget
- * per window, residency, only tasks that save, and only when there is a place to go. `lastMigrationAt` tells when a move was
- * last ordered, ms; so does the answer.
+ * Stops tasks on spot machines that are worth migrating; they are placed again elsewhere. Guardrails: a budget per window, a
+ * minimum residency, only tasks that save checkpoints, and only while there is room for them on demand. Takes and returns the
+ * time of the last migration, ms.
  */
 export function migrateOffSpot(shardState: ShardState, lastMigrationAt: number): number {
-  const now = shardState.clock.now;
-  const weights = scoreWeights(shardState.operators);
-  const hazard = shardState.hazard.perStep(shardState.operators['hazard-step-s']);
-  if (now - lastMigrationAt < shardState.operators['move-window-s'] * 1000) return lastMigrationAt;
-  let latestAt = lastMigrationAt;
+  const { clock, operators, replica, machines } = shardState;
+  const { now } = clock;
+  if (now - lastMigrationAt < operators['move-window-s'] * 1000) return lastMigrationAt;
+  const weights = scoreWeights(operators);
+  const spotHazard = shardState.hazard.perStep(operators['hazard-step-s']);
   let runningTasks = 0;
-  for (const machine of shardState.machines.values()) runningTasks += machine.placements.size;
-  let budget = migrationBudget(shardState.operators['move-share'], runningTasks);
-  for (const machine of shardState.machines.values()) {
-    if (budget <= 0) break;
-    if (!machine.record.spot || machine.placements.size === 0) continue;
-    const candidate = machineCandidate(machine.type, true, { spotHazard: hazard, delayS: 0 });
+  for (const machine of machines.values()) runningTasks += machine.placements.size;
+  const budget = migrationBudget(operators['move-share'], runningTasks);
+  let migrations = 0;
+  for (const machine of machines.values()) {
+    if (migrations >= budget) break;
+    if (!machine.record.spot) continue;
+    const candidate = machineCandidate(machine.type, true, { spotHazard, delayS: 0 });
     for (const placement of machine.placements.values()) {
-      if (budget <= 0) break;
-      const { spec } = placement.job;
-      if (
-        placement.phase !== 'running' ||
-        placement.stopRequest ||
-        placement.job.unreadable ||
-        spec.checkpointS <= 0 ||
-        isPremium(spec)
-      )
-        continue;
-      if (!residentLongEnough((now - placement.runningSince) / 1000, shardState.operators['residency-s']))
-        continue;
-      if (
-        migrationUrgency(
-          candidate,
-          anchorPrice(spec, shardState.replica.machineTypes, () => true),
-          weights,
-        ) <= 0
-      )
-        continue;
-      if (!hasOnDemandRoom(shardState, placement.job)) continue;
-      shardState.requestStop(placement, spec.saveS);
-      budget--;
-      latestAt = now;
-      shardState.log('info', 'moving off spot', {
-        job: placement.job.id,
-        index: placement.index,
-        host: machine.host,
-      });
+      if (migrations >= budget) break;
+      const { job, index } = placement;
+      if (!isMigratable(shardState, placement)) continue;
+      if (migrationUrgency(candidate, anchorPrice(job.spec, replica.machineTypes), weights) <= 0) continue;
+      if (!hasOnDemandRoom(shardState, job)) continue;
+      shardState.requestStop(placement, job.spec.saveS);
+      migrations++;
+      shardState.log('info', 'migrating off spot', { job: job.id, index, host: machine.host });
     }
   }
-  return latestAt;
+  return migrations > 0 ? now : lastMigrationAt;
+}
+
+function isMigratable(
+  { clock, operators }: ShardState,
+  { job, phase, stopRequest, runningSince }: Placement,
+): boolean {
+  if (phase !== 'running' || stopRequest !== null || job.unreadable) return false;
+  if (job.spec.checkpointS <= 0 || isPremium(job.spec)) return false;
+  return residentLongEnough((clock.now - runningSince) / 1000, operators['residency-s']);
 }
 
 function hasOnDemandRoom(shardState: ShardState, job: ScheduledJob): boolean {
--- a/src/core/scheduling/victims.ts
+++ b/src/core/scheduling/victims.ts
@@ -1,41 +1,51 @@
-import { urgencyRank } from '../../model/job.js';
+/** Victims of preemption: which tasks a job may preempt, and what is lost by it. */
+import { urgencyRank, type JobSpec } from '../../model/job.js';
 import { hasGuaranteeStartObjective } from '../../policy/deadlines.js';
 import type { ShardState } from '../shard-state/shard-state.js';
 import type { ScheduledJob, ScheduledMachine, Placement } from '../shard-state/types.js';
 import type { CycleContext } from './shard-cycle.js';
 
-/** Whether a waiting job may have a running task stopped (the protocol's "Preemption"). */
+/** The tasks whose preemption makes room on a machine, and what is lost by it. */
+export interface PreemptionPlan {
+  readonly machine: ScheduledMachine;
+  readonly victims: readonly Placement[];
+  /** CPU-seconds of work that have to be repeated. */
+  readonly lostCpuS: number;
+}
+
+/** Plans in order of loss, least first. */
+export const byLoss = (a: PreemptionPlan, b: PreemptionPlan): number => a.lostCpuS - b.lostCpuS;
+
+/** Whether a waiting job may preempt a running task, as the protocol's section on preemption has it. */
 export function mayPreempt(
-  context: CycleContext,
+  { shardState, withinGuarantee }: CycleContext,
   job: ScheduledJob,
   victim: Placement,
-  withinGuarantee: boolean,
 ): boolean {
-  const { shardState } = context;
   if (victim.job.unreadable) return false;
-  if (urgencyRank[victim.job.spec.urgency] < urgencyRank[job.spec.urgency]) return true;
-  if (!withinGuarantee || victim.job.spec.team === job.spec.team || context.withinGuarantee.has(victim.job))
-    return false;
-  const guarantee = shardState.settings.teams.find((t) => t.name === victim.job.spec.team);
-  const use = shardState.usageByTeam.get(victim.job.spec.team);
-  return use !== undefined && (use.cpus > (guarantee?.cpus ?? 0) || use.gpus > (guarantee?.gpus ?? 0));
+  const { team, urgency } = victim.job.spec;
+  if (urgencyRank[urgency] < urgencyRank[job.spec.urgency]) return true;
+  if (!withinGuarantee.has(job) || team === job.spec.team || withinGuarantee.has(victim.job)) return false;
+  const guarantee = shardState.settings.teams.find((t) => t.name === team);
+  const usage = shardState.usageByTeam.get(team);
+  return usage !== undefined && (usage.cpus > (guarantee?.cpus ?? 0) || usage.gpus > (guarantee?.gpus ?? 0));
 }
 
-/** What stopping some tasks would free on a machine, and what would be lost by it. */
-export interface PreemptionPlan {
-  machine: ScheduledMachine;
-  victims: Placement[];
-  lostCpuS: number;
-}
+/** Whether any task of lower urgency than a job's is placed. */
+export const lowerUrgencyPlaced = ({ placementsByUrgency }: ShardState, spec: JobSpec): boolean =>
+  [...placementsByUrgency].some(([urgency, count]) => count > 0 && urgency < urgencyRank[spec.urgency]);
 
 /**
- * Whether a job within its team's guarantee has others stopped for it at once. Only where operators say by when such jobs
- * are to start; elsewhere its limits decide, like anybody's: stopping others early loses their work.
+ * Whether a job within its team's guarantee preempts at once. Only where operators say by when such jobs are to start;
+ * elsewhere its time limits decide, as for any other job: preempting early loses work.
  */
 export const preemptsImmediately = (context: CycleContext, job: ScheduledJob): boolean =>
   context.withinGuarantee.has(job) && hasGuaranteeStartObjective(context.shardState.settings.objectives);
 
-/** What is lost by stopping a task, in CPU-seconds: what it saves is not lost, but `restartS` to get going again. */
+/**
+ * What is lost by preempting a task, in CPU-seconds: all that it ran or, if it saves a checkpoint, only the time for saving
+ * and `restartS` for starting again.
+ */
 export function preemptionLoss(shardState: ShardState, placement: Placement, restartS: number): number {
   if (placement.stopRequest !== null || placement.runningSince === 0) return 0;
   const { spec } = placement.job;
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -400,8 +400,9 @@
     }
     assert.ok(most >= 3 && most <= 4, String(most));
     assert.equal(
-      w.nodes.flatMap((n) => n.logLines).filter((l) => l[1] === 'preempting' || l[1] === 'others give way')
-        .length,
+      w.nodes
+        .flatMap((n) => n.logLines)
+        .filter((l) => l[1] === 'preempting' || l[1] === 'voluntary preemption').length,
       0,
     );
     assert.deepEqual(w.violations, []);
