--- a/src/core/storage/index.ts
+++ b/src/core/storage/index.ts
@@ -5,11 +5,11 @@
 export * from './keys.js';
 export * from './records.js';
 export {
-  TransactionBatcher,
   conditionsPerOperation,
   WritePriority,
   type BatchLimits,
   type PendingWrite,
-} from './transaction-batcher.js';
+} from './pending-write.js';
+export { TransactionBatcher } from './transaction-batcher.js';
 export { TaskWriter, type TaskOwner } from './task-writer.js';
 export * from './task-log/index.js';
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -2,7 +2,8 @@
 import type { ScheduledJob } from '../shard-state/types.js';
 import type { Log } from '../effects.js';
 import type { Replica } from '../replica.js';
-import { WritePriority, type TransactionBatcher } from './transaction-batcher.js';
+import { WritePriority } from './pending-write.js';
+import type { TransactionBatcher } from './transaction-batcher.js';
 import { chunkKey, jobKey, shardKey } from './keys.js';
 import { cancelledJobData, doneJobData } from './records.js';
 import type { TaskOwner } from './task-writer.js';
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -2,7 +2,8 @@
 import type { TaskChunk, ScheduledJob } from '../../shard-state/types.js';
 import type { Clock } from '../../effects.js';
 import type { Replica } from '../../replica.js';
-import { WritePriority, type TransactionBatcher } from '../transaction-batcher.js';
+import { WritePriority } from '../pending-write.js';
+import type { TransactionBatcher } from '../transaction-batcher.js';
 import { shardKey } from '../keys.js';
 import type { EntryRef, LogRecord } from './reader.js';
 import { TruncationPlanner, type Checkpoints } from './truncation.js';
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -6,7 +6,8 @@
 import { urgencyRank } from '../../../model/job.js';
 import type { Condition, Transaction } from '../../../wire/store.js';
 import type { TaskChunk, ScheduledJob } from '../../shard-state/types.js';
-import { WritePriority, type TransactionBatcher } from '../transaction-batcher.js';
+import { WritePriority } from '../pending-write.js';
+import type { TransactionBatcher } from '../transaction-batcher.js';
 import { jobKey, taskLogKey, shardKey } from '../keys.js';
 import type { Replica } from '../../replica.js';
 import { chunkStateOf } from '../chunk-state.js';
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -2,7 +2,8 @@
 import type { Settings } from '../../config/settings.js';
 import { urgencyRank } from '../../model/job.js';
 import type { Transaction, Write } from '../../wire/store.js';
-import { conditionsPerOperation, WritePriority, type TransactionBatcher } from './transaction-batcher.js';
+import { conditionsPerOperation, WritePriority } from './pending-write.js';
+import type { TransactionBatcher } from './transaction-batcher.js';
 import type { Clock, Log } from '../effects.js';
 import { chunkKey, jobKey, shardKey } from './keys.js';
 import {
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -1,59 +1,34 @@
-/** The write budget: groups changes into transactions by rank, and finds out what became of each. */
+/** The write budget: groups writes into transactions by priority, and resolves the outcome of each. */
 import { RateMeter } from '../../admission/index.js';
-import type { Condition, Transaction, Write } from '../../wire/store.js';
-import { encodeTransaction } from '../../wire/store.js';
+import type { Condition, Transaction } from '../../wire/store.js';
 import { RetryBackoff, backoffDelayMs, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { CommitOutcome, Effect, Log } from '../effects.js';
-import { incarnationKey, incarnationPrefix, levelKey } from './keys.js';
+import { incarnationPrefix, levelKey } from './keys.js';
+import { WritePriority, type BatchLimits, type BuiltWrite, type PendingWrite } from './pending-write.js';
 import type { Replica } from '../replica.js';
+import { TransactionBuilder } from './transaction-builder.js';
 
-/** What waits first when the state service's budget is short. */
-export const enum WritePriority {
-  membership,
-  user,
-  /** Placements of urgent work. */
-  urgent,
-  task,
-  provisioning,
-  cleanup,
+/** The transaction that has been sent, and the writes that it is made of. */
+interface InFlight {
+  readonly built: readonly BuiltWrite[];
+  readonly transaction: Transaction;
+  /** Names the transaction in each value that it puts. */
+  readonly mark: string;
+  /** An answer was lost: it may have been carried out. */
+  isOutcomeUnknown: boolean;
 }
 
-/** A wish to change some keys together. Intents share transactions; each learns its own outcome. */
-export interface PendingWrite {
-  priority: WritePriority;
-  /** BuiltWrite as late as possible; null: no longer wanted. */
-  build(): Transaction | null;
-  onCommitted(revision: number): void;
-  /** Some of its conditions did not hold; the state was newer than `epoch` then. */
-  onConflict(failedKeys: string[], revision: number): void;
-  /** Certainly not executed. True: give it up; otherwise it is tried again. */
-  onUnavailable?(): boolean;
+interface Conflict {
+  readonly failed: string[];
+  readonly revision: number;
 }
 
-/** Conditions that a transaction may have for each operation (PROTOCOL). */
-export const conditionsPerOperation = 4;
-
-interface BuiltWrite {
-  pending: PendingWrite;
-  transaction: Transaction;
-}
-
-export interface BatchLimits {
-  maxOperations: number;
-  maxConditions: number;
-  maxBytes: number;
-  /** Puts and deletes per second that the state service takes from all controllers together. */
-  writesPerS: number;
-  /** Controllers that share them. */
-  controllers: number;
-}
-
-/** How the share of the common budget, or of its part of it, that a controller takes rises, and falls when refused. */
+/** Additive increase and multiplicative decrease of the share of the write budget that a controller takes. */
 const additiveIncrease = 0.02;
 const multiplicativeDecrease = 0.7;
 const maxBudgetShare = 0.9;
 const minHealth = 0.3;
-/** What the ranks get of the budget while all of them wait; what one does not use goes to the others, by rank. */
+/** Weights of the priorities while all of them have waiting writes; what one does not use goes to the others, in order. */
 const priorityWeights: Record<WritePriority, number> = {
   [WritePriority.membership]: 20,
   [WritePriority.user]: 12,
@@ -64,23 +39,21 @@
 };
 
 /**
- * Groups intents into transactions, one in flight at a time. When no answer comes, the same transaction is
- * sent until there is one: its conditions make sure that it takes effect once at most, and the writer's
- * mark in each value tells whether an earlier sending did it.
- *
- * Each is on condition that the level in force is the one it was built at: nobody writes an old format after a switch or a
- * new one before it, however late a transaction is carried out.
+ * Groups pending writes into transactions, one in flight at a time. When no answer comes, the same transaction is sent until
+ * there is one: its conditions make sure that it takes effect once at most, and the writer's mark in each value shows whether an
+ * earlier sending did it.
  */
 export class TransactionBatcher {
-  /** Intents that wait, by rank, each in order of arrival. */
+  /** Pending writes by priority, each in order of arrival. */
   private readonly queues: PendingWrite[][] = Array.from({ length: WritePriority.cleanup + 1 }, () => []);
-  private inFlight: { built: BuiltWrite[]; txn: Transaction; mark: string; unsure: boolean } | null = null;
-  private unresolvedConflict: { epoch: number; failed: string[] } | null = null;
+  private inFlight: InFlight | null = null;
+  /** Conditions that failed after a lost answer: resolved once the replica has reached the revision. */
+  private unresolvedConflict: Conflict | null = null;
   /** Only presence and what brings back lost data is written. */
   suspended = false;
-  /** Told of conditions of ours that failed. */
+  /** Called with the conditions of a transaction that failed. */
   onConditionsFailed: (failed: Condition[], epoch: number) => void = () => undefined;
-  /** Nothing is built before the view has reached this revision: it brought another level. */
+  /** Nothing is built before the replica has reached this revision: it brought another level. */
   private blockedUntilRevision = -1;
   private isSent = true;
   private resendAt = 0;
@@ -91,12 +64,13 @@
   private lastSentAt = -Infinity;
   private sendsSingly = false;
   private readonly taskWrites = new RateMeter(3000);
-  /** Its part of the writes, if they are divided; and the share of it that the state service let it have of late. */
+  /** Writes per second allocated to this controller; null: nothing is allocated. */
   private allocatedWritesPerS: number | null = null;
+  /** The share of its allocation that the state service has accepted of late, 0 to 1. */
   health = 1;
-  /** Writes per second found by trying, where nothing is divided. */
+  /** Writes per second found by probing, where nothing is allocated. */
   private probedWritesPerS: number;
-  /** What each rank has coming from transactions in which it got less than its share. */
+  /** By priority: operations carried over from transactions in which it got less than its share. */
   private readonly deficits: number[] = this.queues.map(() => 0);
 
   constructor(
@@ -114,11 +88,12 @@
     this.tokens = this.writesPerS;
   }
 
+  /** Adds a write, to be built and sent with the others of its priority. */
   enqueue(pending: PendingWrite): void {
     this.queues[pending.priority].push(pending);
   }
 
-  /** Submissions that may be handed over now: few, so that who goes next is decided as late as possible. */
+  /** How many submissions may be enqueued now: few, so that their order is decided as late as possible. */
   get userCapacity(): number {
     // Guards against a crowd that is handed over while a commit is under way: whoever comes meanwhile would wait behind it.
     if (this.inFlight) return 0;
@@ -128,12 +103,15 @@
     );
   }
 
-  /** What waits of all but users. */
+  /** How many writes wait, without those of users. */
   private get queuedTaskWrites(): number {
-    return this.queues.reduce((n, q, rank) => (rank === WritePriority.user ? n : n + q.length), 0);
+    return this.queues.reduce(
+      (n, queue, priority) => (priority === WritePriority.user ? n : n + queue.length),
+      0,
+    );
   }
 
-  /** Writes a second for all but users: those of late, and those that wait. */
+  /** Writes per second, without those of users: the recent rate, and half of those that wait. */
   taskWriteDemand(now: number): number {
     return this.taskWrites.rate(now) + this.queuedTaskWrites / 2;
   }
@@ -143,23 +121,25 @@
     return this.tokens < this.writesPerS / 2;
   }
 
-  /** How long what waits to be written for accepted work will take, s. */
+  /** How long the waiting writes of accepted work will take, s. */
   get backlogS(): number {
     return this.queuedTaskWrites / Math.max(1, this.writesPerS);
   }
 
-  /** What this controller may write, a second, as the division among all has it. */
+  /** Sets the writes per second that the allocation among all controllers gives this one. */
   setAllocation(writesPerS: number): void {
     this.allocatedWritesPerS = writesPerS;
   }
 
+  /** How many writes wait or are in flight. */
   get pendingCount(): number {
     return this.queues.reduce((n, q) => n + q.length, this.inFlight?.built.length ?? 0);
   }
 
+  /** To be called every step: refills the token bucket, resends, and sends the next transaction. */
   tick(now: number, effects: Effect[]): void {
     if (this.refilledAt < 0) this.refilledAt = now;
-    // Guards against a part of less than one write a second, with which there would never be a whole one.
+    // Guards against an allocation of less than one write per second, with which there would never be a whole one.
     this.tokens = Math.min(
       Math.max(1, this.writesPerS),
       this.tokens + ((now - this.refilledAt) / 1000) * this.writesPerS,
@@ -167,8 +147,8 @@
     this.refilledAt = now;
     if (this.inFlight) {
       if (this.unresolvedConflict) {
-        if (this.replica.watchRevision >= this.unresolvedConflict.epoch)
-          this.resolveConflict(this.unresolvedConflict.failed, this.unresolvedConflict.epoch);
+        if (this.replica.watchRevision >= this.unresolvedConflict.revision)
+          this.resolveConflict(this.unresolvedConflict.failed, this.unresolvedConflict.revision);
       } else if (!this.isSent && now >= this.resendAt) this.send(now, effects);
     }
     if (this.inFlight || now < this.resendAt || this.tokens < 1) return;
@@ -178,107 +158,59 @@
     if (first < 0) return;
     // Nothing that users wait for: let a few changes gather.
     if (first >= WritePriority.task && now - this.lastSentAt < 100) return;
-    this.buildTransaction(now, effects);
+    this.sendNext(now, effects);
   }
 
-  /** Older than what is in force: users are told to come later, and nothing but our presence is written. */
+  /** This program is older than the level in force: users are asked to retry later, and only its presence is written. */
   private rejectUserWrites(): void {
     for (const pending of this.queues[WritePriority.user].splice(0))
       if (!(pending.onUnavailable?.() ?? false)) this.enqueue(pending);
   }
 
-  private buildTransaction(now: number, effects: Effect[]): void {
-    const built: BuiltWrite[] = [];
-    const fence = { key: levelKey, stamp: this.replica.modRevisionOf(levelKey) };
-    const conditions = new Map<string, Condition>([[fence.key, fence]]);
-    const { incarnation: inc } = this.replica;
-    if (inc)
-      conditions.set(incarnationKey(inc.number), { key: incarnationKey(inc.number), stamp: inc.modRevision });
-    const writes: Write[] = [];
-    const touched = new Set<string>();
-    const maxWrites = Math.min(this.limits.maxOperations, Math.floor(this.tokens));
-    let bytes = 0;
-    // What was built and did not fit; a few are enough, or every commit would build the whole queue.
-    let skipped = 0;
-    const isFull = (): boolean =>
-      writes.length >= maxWrites ||
-      skipped >= this.limits.maxOperations ||
-      (this.sendsSingly && built.length > 0);
-    const takeFrom = (priority: WritePriority, maxTaken: number): void => {
-      const queue = this.queues[priority];
-      const remaining: PendingWrite[] = [];
-      const before = writes.length;
-      let i = 0;
-      for (; i < queue.length && writes.length - before < maxTaken && !isFull(); i++) {
-        const pending = queue[i];
-        const transaction = pending.build();
-        if (transaction === null) continue;
-        // Guards against writing over what a newer program wrote, or what is damaged: somebody may need it.
-        const unreadableKeys = transaction.writes
-          .filter((w) => this.replica.unreadableRecords.has(w.key))
-          .map((w) => w.key);
-        if (unreadableKeys.length > 0) {
-          pending.onConflict(unreadableKeys, this.replica.watchRevision);
-          continue;
-        }
-        const size = JSON.stringify(encodeTransaction(transaction)).length;
-        const clashes =
-          transaction.writes.some((w) => touched.has(w.key)) ||
-          transaction.conditions.some(
-            (c) => conditions.has(c.key) && conditions.get(c.key)!.stamp !== c.stamp,
-          );
-        const newConditions = transaction.conditions.filter((c) => !conditions.has(c.key)).length;
-        if (
-          clashes ||
-          (built.length > 0 &&
-            (writes.length + transaction.writes.length > maxWrites ||
-              conditions.size + newConditions > this.limits.maxConditions ||
-              bytes + size > this.limits.maxBytes))
-        ) {
-          remaining.push(pending);
-          skipped++;
-          continue;
-        }
-        bytes += size;
-        built.push({ pending, transaction });
-        for (const c of transaction.conditions) conditions.set(c.key, c);
-        for (const w of transaction.writes) touched.add(w.key);
-        writes.push(...transaction.writes);
-      }
-      // Builds may have added to the queue meanwhile: only what was looked at is replaced.
-      queue.splice(0, i, ...remaining);
-      this.deficits[priority] -= writes.length - before;
-    };
-    // Guards against a flood of one kind, of submissions or of ends, that starves the others.
-    const quotas = this.quotas(maxWrites);
-    for (const { rank, allowed } of quotas) takeFrom(rank, allowed);
-    for (const { rank } of quotas) if (!isFull()) takeFrom(rank, Infinity);
-    if (built.length === 0) return;
-    for (const b of built)
-      if (b.pending.priority !== WritePriority.user) this.taskWrites.add(b.transaction.writes.length, now);
+  /** Builds the next transaction from what waits, and sends it. */
+  private sendNext(now: number, effects: Effect[]): void {
+    const builder = new TransactionBuilder(this.replica, this.limits, {
+      maxWrites: Math.min(this.limits.maxOperations, Math.floor(this.tokens)),
+      singly: this.sendsSingly,
+    });
+    // Guards against a flood of one kind, of submissions or of terminations, that starves the others.
+    const quotas = this.quotas(builder.maxWrites);
+    for (const { priority, allowed } of quotas) this.takeFrom(builder, priority, allowed);
+    for (const { priority } of quotas) if (!builder.isFull) this.takeFrom(builder, priority, Infinity);
+    if (builder.built.length === 0) return;
+    for (const { pending, transaction } of builder.built)
+      if (pending.priority !== WritePriority.user) this.taskWrites.add(transaction.writes.length, now);
     const mark = `${this.instanceId}.${++this.sequence}`;
-    for (const w of writes)
-      if (w.data !== undefined) w.data = { ...this.replica.unknownFieldsOf(w.key), ...w.data, w: mark };
-    this.inFlight = { built, txn: { conditions: [...conditions.values()], writes }, mark, unsure: false };
+    const transaction = builder.finish(mark);
+    this.inFlight = { built: builder.built, transaction, mark, isOutcomeUnknown: false };
     this.unresolvedConflict = null;
     this.send(now, effects);
   }
 
-  /** The ranks that wait, and what each may take before the others had their turn. */
-  private quotas(maxWrites: number): { rank: WritePriority; allowed: number }[] {
+  private takeFrom(builder: TransactionBuilder, priority: WritePriority, maxTaken: number): void {
+    const queue = this.queues[priority];
+    const { taken, examined, skipped } = builder.takeFrom(queue, maxTaken);
+    // Builds may have added to the queue meanwhile: only what was looked at is replaced.
+    queue.splice(0, examined, ...skipped);
+    this.deficits[priority] -= taken;
+  }
+
+  /** The priorities that have waiting writes, and how many each may take before the others had their turn (deficit round robin). */
+  private quotas(maxWrites: number): { priority: WritePriority; allowed: number }[] {
     const lastPriority =
       this.replica.levels.mustStandBy || this.suspended ? WritePriority.membership : WritePriority.cleanup;
-    const waiting = this.queues.flatMap((q, rank) =>
-      q.length > 0 && rank <= lastPriority ? [rank as WritePriority] : [],
+    const waiting = this.queues.flatMap((queue, priority) =>
+      queue.length > 0 && priority <= lastPriority ? [priority as WritePriority] : [],
     );
-    const totalWeight = waiting.reduce((sum, rank) => sum + priorityWeights[rank], 0);
-    this.queues.forEach((q, rank) => {
-      if (q.length === 0) this.deficits[rank] = 0;
+    const totalWeight = waiting.reduce((sum, priority) => sum + priorityWeights[priority], 0);
+    this.queues.forEach((queue, priority) => {
+      if (queue.length === 0) this.deficits[priority] = 0;
     });
-    return waiting.map((rank) => {
-      const earned = Math.max(0, this.deficits[rank]) + (maxWrites * priorityWeights[rank]) / totalWeight;
-      this.deficits[rank] = Math.min(maxWrites, earned);
-      return { rank, allowed: Math.floor(this.deficits[rank]) };
+    return waiting.map((priority) => {
+      const earned =
+        Math.max(0, this.deficits[priority]) + (maxWrites * priorityWeights[priority]) / totalWeight;
+      this.deficits[priority] = Math.min(maxWrites, earned);
+      return { priority, allowed: Math.floor(this.deficits[priority]) };
     });
   }
 
@@ -290,127 +222,143 @@
   private send(now: number, effects: Effect[]): void {
     this.isSent = true;
     this.lastSentAt = now;
-    this.tokens -= this.inFlight!.txn.writes.length;
-    effects.push({ type: 'commit', txn: this.inFlight!.txn });
+    this.tokens -= this.inFlight!.transaction.writes.length;
+    effects.push({ type: 'commit', txn: this.inFlight!.transaction });
   }
 
+  /** Handles the outcome of the transaction in flight. */
   handleOutcome(outcome: CommitOutcome, now: number, effects: Effect[]): void {
-    const inFlight = this.inFlight;
+    const { inFlight } = this;
     if (!inFlight) return;
     if (outcome.type !== 'rejected' && outcome.type !== 'unknown' && outcome.type !== 'rate-limited')
       this.retries.onSuccess();
     switch (outcome.type) {
       case 'ok':
-        this.inFlight = null;
-        this.sendsSingly = false;
-        this.health = Math.min(1, this.health + additiveIncrease);
-        if (this.tokens < 1 && this.pendingCount > 0)
-          this.probedWritesPerS = Math.min(
-            this.limits.writesPerS * maxBudgetShare,
-            this.probedWritesPerS + this.limits.writesPerS * additiveIncrease,
-          );
-        // Our own writes are seen at once, not only when the watch delivers them.
-        for (const w of inFlight.txn.writes)
-          this.replica.apply({ key: w.key, data: w.data, stamp: outcome.revision });
-        for (const b of inFlight.built) b.pending.onCommitted(outcome.revision);
-        break;
+        return this.onCommitted(inFlight, outcome.revision);
       case 'conflict':
-        if (outcome.failed.some((key) => key === levelKey || key.startsWith(incarnationPrefix))) {
-          this.blockedUntilRevision = outcome.revision;
-          effects.push({ type: 'catch-up', revision: outcome.revision });
-        }
-        if (inFlight.unsure) {
-          // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
-          this.unresolvedConflict = { epoch: outcome.revision, failed: outcome.failed };
-          effects.push({ type: 'catch-up', revision: outcome.revision });
-          if (this.replica.watchRevision >= outcome.revision)
-            this.resolveConflict(outcome.failed, outcome.revision);
-        } else {
-          this.inFlight = null;
-          const failed = new Set(outcome.failed);
-          this.onConditionsFailed(
-            inFlight.txn.conditions.filter((c) => failed.has(c.key)),
-            outcome.revision,
-          );
-          for (const b of inFlight.built) {
-            const mine = b.transaction.conditions.filter((c) => failed.has(c.key)).map((c) => c.key);
-            if (mine.length > 0) b.pending.onConflict(mine, outcome.revision);
-            else this.enqueue(b.pending);
-          }
-        }
-        break;
+        return this.onConflict(inFlight, outcome, effects);
       case 'rate-limited':
-        this.health = Math.max(minHealth, this.health * multiplicativeDecrease);
-        this.probedWritesPerS = Math.max(
-          (this.limits.writesPerS / this.limits.controllers) * multiplicativeDecrease,
-          this.probedWritesPerS * multiplicativeDecrease,
-        );
-        this.tokens = Math.min(this.tokens, 0);
-        this.resendAt = now + backoffDelayMs(this.retryPolicy, 1, this.random);
-        if (inFlight.unsure) this.isSent = false;
-        else {
-          this.inFlight = null;
-          // Guards against turning users away for a moment's crowd: only an outage does that.
-          for (const b of inFlight.built) this.enqueue(b.pending);
-        }
-        break;
+        return this.onRateLimited(inFlight, now);
       case 'rejected':
-        this.backOff(now);
-        if (inFlight.unsure) {
-          this.isSent = false;
-        } else {
-          this.inFlight = null;
-          for (const b of inFlight.built)
-            if (!(b.pending.onUnavailable?.() ?? false)) this.enqueue(b.pending);
-        }
-        break;
+        return this.onRejected(inFlight, now);
       case 'unknown':
         this.backOff(now);
-        inFlight.unsure = true;
+        inFlight.isOutcomeUnknown = true;
         this.isSent = false;
-        break;
+        return;
       case 'lease-expired':
       case 'malformed':
-        this.inFlight = null;
-        if (inFlight.built.length > 1) {
-          // One of them spoils the others: send them one by one.
-          this.sendsSingly = true;
-          for (const b of inFlight.built) this.enqueue(b.pending);
-        } else {
-          this.sendsSingly = false;
-          if (outcome.type === 'malformed')
-            this.log('error', 'transaction malformed', { keys: inFlight.txn.writes.map((w) => w.key) });
-          const keys = inFlight.txn.conditions.map((c) => c.key);
-          for (const b of inFlight.built) b.pending.onConflict(keys, this.replica.watchRevision);
-        }
-        break;
+        return this.onInvalid(inFlight, outcome.type);
     }
   }
 
+  private onCommitted({ transaction, built }: InFlight, revision: number): void {
+    this.inFlight = null;
+    this.sendsSingly = false;
+    this.health = Math.min(1, this.health + additiveIncrease);
+    if (this.tokens < 1 && this.pendingCount > 0)
+      this.probedWritesPerS = Math.min(
+        this.limits.writesPerS * maxBudgetShare,
+        this.probedWritesPerS + this.limits.writesPerS * additiveIncrease,
+      );
+    // Our own writes are seen at once, not only when the watch delivers them.
+    for (const { key, data } of transaction.writes) this.replica.apply({ key, data, stamp: revision });
+    for (const { pending } of built) pending.onCommitted(revision);
+  }
+
+  private onConflict(inFlight: InFlight, { failed, revision }: Conflict, effects: Effect[]): void {
+    if (failed.some((key) => key === levelKey || key.startsWith(incarnationPrefix))) {
+      this.blockedUntilRevision = revision;
+      effects.push({ type: 'catch-up', revision });
+    }
+    if (inFlight.isOutcomeUnknown) {
+      // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
+      this.unresolvedConflict = { failed, revision };
+      effects.push({ type: 'catch-up', revision });
+      if (this.replica.watchRevision >= revision) this.resolveConflict(failed, revision);
+      return;
+    }
+    this.inFlight = null;
+    const failedKeys = new Set(failed);
+    this.onConditionsFailed(
+      inFlight.transaction.conditions.filter((c) => failedKeys.has(c.key)),
+      revision,
+    );
+    for (const { pending, transaction } of inFlight.built) {
+      const own = failedConditionKeys(transaction, failedKeys);
+      if (own.length > 0) pending.onConflict(own, revision);
+      else this.enqueue(pending);
+    }
+  }
+
+  /** Multiplicative decrease of what this controller allows itself; the transaction is sent again after a pause. */
+  private onRateLimited(inFlight: InFlight, now: number): void {
+    this.health = Math.max(minHealth, this.health * multiplicativeDecrease);
+    this.probedWritesPerS = Math.max(
+      (this.limits.writesPerS / this.limits.controllers) * multiplicativeDecrease,
+      this.probedWritesPerS * multiplicativeDecrease,
+    );
+    this.tokens = Math.min(this.tokens, 0);
+    this.resendAt = now + backoffDelayMs(this.retryPolicy, 1, this.random);
+    // Guards against rejecting users for a moment's crowd: only an outage does that.
+    if (inFlight.isOutcomeUnknown) this.isSent = false;
+    else this.requeue(inFlight.built);
+  }
+
+  private onRejected(inFlight: InFlight, now: number): void {
+    this.backOff(now);
+    if (inFlight.isOutcomeUnknown) {
+      this.isSent = false;
+      return;
+    }
+    this.inFlight = null;
+    for (const { pending } of inFlight.built)
+      if (!(pending.onUnavailable?.() ?? false)) this.enqueue(pending);
+  }
+
+  /** A transaction that the state service cannot accept: one of its writes spoils the others, so they are sent one by one. */
+  private onInvalid({ built, transaction }: InFlight, reason: 'lease-expired' | 'malformed'): void {
+    this.sendsSingly = built.length > 1;
+    if (this.sendsSingly) return this.requeue(built);
+    this.inFlight = null;
+    if (reason === 'malformed')
+      this.log('error', 'transaction malformed', { keys: transaction.writes.map((w) => w.key) });
+    const keys = transaction.conditions.map((c) => c.key);
+    for (const { pending } of built) pending.onConflict(keys, this.replica.watchRevision);
+  }
+
+  private requeue(built: readonly BuiltWrite[]): void {
+    this.inFlight = null;
+    for (const { pending } of built) this.enqueue(pending);
+  }
+
   private backOff(now: number): void {
     this.retries.onFailure(now);
     this.resendAt = this.retries.notBefore;
   }
 
-  /** After a lost answer and a conflict: the marks tell which intents an earlier sending carried out. */
-  private resolveConflict(failedKeys: string[], revision: number): void {
-    const inFlight = this.inFlight!;
+  /** After a lost answer and a conflict: the marks tell which writes an earlier sending carried out. */
+  private resolveConflict(failed: readonly string[], revision: number): void {
+    const { transaction, built, mark } = this.inFlight!;
     this.inFlight = null;
     this.unresolvedConflict = null;
-    const applied = inFlight.txn.writes.some(
-      (w) => w.data !== undefined && this.replica.writerOf(w.key) === inFlight.mark,
+    const wasApplied = transaction.writes.some(
+      (w) => w.data !== undefined && this.replica.writerOf(w.key) === mark,
     );
-    const failedKeySet = new Set(failedKeys);
-    for (const b of inFlight.built) {
-      const put = b.transaction.writes.find((w) => w.data !== undefined);
-      const here = put && this.replica.writerOf(put.key) === inFlight.mark;
-      if (here) b.pending.onCommitted(this.replica.modRevisionOf(put.key));
-      else if (applied && !put) b.pending.onCommitted(revision);
+    const failedKeys = new Set(failed);
+    for (const { pending, transaction: own } of built) {
+      const put = own.writes.find((w) => w.data !== undefined);
+      if (put && this.replica.writerOf(put.key) === mark)
+        pending.onCommitted(this.replica.modRevisionOf(put.key));
+      else if (wasApplied && !put) pending.onCommitted(revision);
       else {
-        const mine = b.transaction.conditions.filter((c) => failedKeySet.has(c.key)).map((c) => c.key);
-        if (mine.length > 0 || applied) b.pending.onConflict(mine, revision);
-        else this.enqueue(b.pending);
+        const keys = failedConditionKeys(own, failedKeys);
+        if (keys.length > 0 || wasApplied) pending.onConflict(keys, revision);
+        else this.enqueue(pending);
       }
     }
   }
 }
+
+const failedConditionKeys = (transaction: Transaction, failed: ReadonlySet<string>): string[] =>
+  transaction.conditions.filter((c) => failed.has(c.key)).map((c) => c.key);
