--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -54,11 +54,11 @@
   if (ref?.kind === 'block' || ref?.kind === 'machine') return { kind: 'machine', placed: [] };
   if (ref?.kind === 'log') return { kind: 'log', placed: placedByLog(write.data) };
   if (ref?.kind === 'chunk') {
-    const isNew = stored.hasNewPlacements(write.key, write.data as TaskState);
+    const isNew = stored.hasNewPlacements(write.key, write.data);
     return { kind: isNew ? 'placement' : 'end', placed: isNew ? [ref.id] : [] };
   }
   if (ref?.kind !== 'job') return { kind: 'other', placed: [] };
-  const kind = kindOfJobWrite(write.key, write.data as StoredJob, stored);
+  const kind = kindOfJobWrite(write.key, write.data, stored);
   return { kind, placed: kind === 'placement' ? [ref.id] : [] };
 }
 
--- a/src/admission/workload-division.ts
+++ b/src/admission/workload-division.ts
@@ -52,7 +52,7 @@
   const teams = [...collectTeams(demands)];
   const division: Division = {
     shares: demands.map(() => ({ jobsPerS: 0, workloadRates: new Map() })),
-    teamRates: demands.map(() => new Map()),
+    teamRates: demands.map(() => new Map<string, number>()),
     satisfied: [],
   };
   const jobsByTeam = divideFairly(
@@ -112,7 +112,7 @@
   demands.forEach((workloads, member) => {
     for (const { team, class: jobClass, weight, jobsPerS } of workloads) {
       let classes = teams.get(team);
-      if (!classes) teams.set(team, (classes = new Map()));
+      if (!classes) teams.set(team, (classes = new Map<string, ClassDemand>()));
       let demand = classes.get(jobClass);
       if (!demand) classes.set(jobClass, (demand = { weight, total: 0, byMember: demands.map(() => 0) }));
       demand.total += jobsPerS * burstFactor;
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -245,7 +245,7 @@
       return reportMs * (heartbeatJitter.min + heartbeatJitter.range * this.random());
     }
     if (response?.status === 410) {
-      this.endMembership(String((response.body as { error?: unknown } | null)?.error ?? 'forgotten'));
+      this.endMembership((response.body as { error?: string } | null)?.error ?? 'forgotten');
       return reportMs;
     }
     const owner = response?.status === 421 ? parseRedirect(response.body) : null;
--- a/src/cli/control-command.ts
+++ b/src/cli/control-command.ts
@@ -9,11 +9,9 @@
     import('../log.js'),
   ]);
   const settings = parseControlSettings(readFile(path, fail), path);
-  const { control, close } = await openControl(settings, makeLog(settings.name), (error) =>
-    fail(error.message),
-  );
-  await control.start();
-  onTerminationSignal(() => void close().then(() => process.exit(0)));
+  const opened = await openControl(settings, makeLog(settings.name), (error) => fail(error.message));
+  await opened.control.start();
+  onTerminationSignal(() => void opened.close().then(() => process.exit(0)));
 }
 
 /** Registers `control`. */
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -113,7 +113,7 @@
     workers: d.workers,
     state: d.state,
     cloud: d.cloud,
-    quota: d.quota as Settings['quota'],
+    quota: d.quota,
   };
 }
 
--- a/src/control/gang-rendezvous.ts
+++ b/src/control/gang-rendezvous.ts
@@ -27,7 +27,7 @@
         continue;
       }
       let gang = this.present.get(key);
-      if (!gang) this.present.set(key, (gang = new Map()));
+      if (!gang) this.present.set(key, (gang = new Map<number, string>()));
       gang.set(task.index, heartbeat.host);
       if (task.phase === 'waiting' && gang.size >= pending) complete.add(key);
     }
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -278,7 +278,7 @@
 
   private poolsOf(shard: number): MachinePools {
     let pools = this.pools.get(shard);
-    if (!pools) this.pools.set(shard, (pools = new Map()));
+    if (!pools) this.pools.set(shard, (pools = new Map<string, MachinePool>()));
     return pools;
   }
 
--- a/src/core/controller/admission-controller.ts
+++ b/src/core/controller/admission-controller.ts
@@ -113,7 +113,7 @@
     const { load, bottleneck, admissionFactor } = this.overloadMonitor.snapshot;
     return {
       plan: this.options.writeBudget.followedVersion,
-      pressure: Object.fromEntries(Object.entries(load).map(([k, x]) => [k, roundTo(x as number, 100)])),
+      pressure: Object.fromEntries(Object.entries(load).map(([k, x]) => [k, roundTo(x, 100)])),
       tightest: bottleneck,
       factor: roundTo(admissionFactor, 100),
       away: this.rejectionTotals,
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -183,7 +183,7 @@
     const ref = parseKey(key);
     if (ref === null) return;
     const isPut = data !== undefined && data !== null;
-    if (isPut) this.recordPut(ref, key, data as StoredValue, stamp);
+    if (isPut) this.recordPut(ref, key, data, stamp);
     else this.recordDeletion(ref, key, stamp);
     const record = isPut && this.readability.check(ref, key, data) ? data : null;
     if (isCritical(ref, record)) this.listener.criticalChange({ key, data, stamp });
--- a/src/core/replica/task-state-table.ts
+++ b/src/core/replica/task-state-table.ts
@@ -106,7 +106,7 @@
   private setChunk(id: string, index: number, chunk: ChunkRecord | null): void {
     let chunks = this.chunks.get(id);
     if (chunk) {
-      if (!chunks) this.chunks.set(id, (chunks = new Map()));
+      if (!chunks) this.chunks.set(id, (chunks = new Map<number, ChunkRecord>()));
       chunks.set(index, chunk);
     } else if (chunks) {
       chunks.delete(index);
--- a/src/store/disk.ts
+++ b/src/store/disk.ts
@@ -79,7 +79,7 @@
   }
 
   private async read(): Promise<Loaded> {
-    const stored = (await this.db.get(formatKey)) as string | undefined;
+    const stored = await this.db.get(formatKey);
     if (stored === undefined) {
       for await (const key of this.db.keys({ limit: 1 }))
         throw new StoreError('foreign', `${this.dir}: not a store: it holds ${key} but no format`);
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -60,7 +60,7 @@
 
 export function parsePage(body: unknown): { items: Change[]; more: boolean; revision: number } | null {
   const r = read(itemsBody, body);
-  return r && { items: r.items as Change[], more: r.hasNext === true, revision: r.epoch };
+  return r && { items: r.items, more: r.hasNext === true, revision: r.epoch };
 }
 
 export function parseChangeLog(body: unknown): { changes: Change[]; revision: number } | null {
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -70,7 +70,7 @@
 });
 
 test('matching: what excludes how many is told in words; what nobody has, too', () => {
-  const m = farm(10, (i) => (i < 3 ? { HasScanner: true } : ({} as MachineAttributes)));
+  const m = farm(10, (i): MachineAttributes => (i < 3 ? { HasScanner: true } : {}));
   const a = m.analyze(
     asks('TARGET.HasScanner && Memory >= 2048 && (HasLaser || HasLaser is undefined) && OpSys == "linux"'),
   );
@@ -92,7 +92,7 @@
 
 test('matching: a wrong expression is named with its field and column; time and chance are refused', () => {
   assert.equal(matchSpecError(asks('Memory > 1', 'Memory', { A: '1' })), null);
-  assert.match(matchSpecError(asks('Memory >')!)!, /^requirements: line 1, column 9: unexpected end/);
+  assert.match(matchSpecError(asks('Memory >'))!, /^requirements: line 1, column 9: unexpected end/);
   assert.match(matchSpecError(asks(null, '1 +* 2'))!, /^rank: line 1, column 4/);
   assert.match(matchSpecError(asks('true', null, { Tag: 'a b' }))!, /^attributes\.Tag: line 1, column 3/);
   assert.match(matchSpecError(asks('time() > 5'))!, /^requirements: must not depend on time or chance/);
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -193,7 +193,7 @@
   w.nodes[0].push({
     type: 'heartbeat',
     requestId: 5,
-    report: { ...old, host: host()!, fencingToken: w.workers.get(host()!)!.token },
+    report: { ...old, host: host(), fencingToken: w.workers.get(host())!.token },
   });
   w.advance(30);
   assert.equal(w.running('req-1').length, 1);
--- a/test/support/earlier-build.ts
+++ b/test/support/earlier-build.ts
@@ -23,12 +23,20 @@
   tasks: EarlierTaskReport[];
 }
 
+interface EarlierDemand {
+  tasks: number;
+  users: number;
+  behindS: number;
+  kinds: { team: string; class: string; weight: number; want: number }[];
+  follows: number;
+}
+
 interface EarlierPulse {
   epoch: number;
   run: string;
   busy: number;
   front: boolean;
-  wants: MemberDemand | null;
+  wants: EarlierDemand | null;
   inc: number;
   jobs: number;
 }
@@ -114,12 +122,28 @@
   };
 }
 
+const toEarlierDemand = (demand: MemberDemand): EarlierDemand => ({
+  tasks: demand.acceptedWork,
+  users: demand.newJobs,
+  behindS: demand.backlogS,
+  kinds: demand.workloads.map(({ jobsPerS, ...workload }) => ({ ...workload, want: jobsPerS })),
+  follows: demand.allocationVersion,
+});
+
+const fromEarlierDemand = (demand: EarlierDemand): MemberDemand => ({
+  acceptedWork: demand.tasks,
+  newJobs: demand.users,
+  backlogS: demand.behindS,
+  workloads: demand.kinds.map(({ want, ...workload }) => ({ ...workload, jobsPerS: want })),
+  allocationVersion: demand.follows,
+});
+
 const toEarlierPulse = (status: PeerStatus): EarlierPulse => ({
   epoch: status.revision,
   run: status.instanceId,
   busy: status.utilizationPermille,
   front: status.wantsForwarding,
-  wants: status.demand,
+  wants: status.demand && toEarlierDemand(status.demand),
   inc: status.incarnation,
   jobs: status.jobCount,
 });
@@ -129,7 +153,7 @@
   instanceId: pulse.run,
   utilizationPermille: pulse.busy,
   wantsForwarding: pulse.front,
-  demand: pulse.wants,
+  demand: pulse.wants && fromEarlierDemand(pulse.wants),
   incarnation: pulse.inc,
   jobCount: pulse.jobs,
 });
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -40,7 +40,11 @@
     if (failed.length > 0) return { type: 'conflict', failed, revision: this.epoch };
     if (txn.writes.length > 0) this.epoch++;
     for (const w of txn.writes) {
-      const change = { key: w.key, data: w.data && JSON.parse(JSON.stringify(w.data)), stamp: this.epoch };
+      const change = {
+        key: w.key,
+        data: w.data && (JSON.parse(JSON.stringify(w.data)) as unknown),
+        stamp: this.epoch,
+      };
       if (w.data === undefined) this.entries.delete(w.key);
       else this.entries.set(w.key, { ...change, hold: w.hold });
       this.log.push(change);
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -32,7 +32,7 @@
 
 /** What a team's tasks take, of its limit. */
 function fill(w: World, team: string): number {
-  const cap = w.nodes[0].settings.teams.find((t) => t.name === team)!.cpus_max!;
+  const cap = w.nodes[0].settings.teams.find((t) => t.name === team)!.cpus_max;
   let cpus = 0;
   for (const m of w.workers.values())
     for (const [piece, t] of m.tasks) {
