--- a/src/config/forms.ts
+++ b/src/config/forms.ts
@@ -1,3 +1,4 @@
+/** Reader of S-expression settings: forms of a name and values, with errors that name the origin and the line. */
 import { createRequire } from 'node:module';
 import { SettingsError } from './settings.js';
 
@@ -47,10 +48,12 @@
 export class FormReader {
   constructor(private readonly origin: string) {}
 
+  /** Throws an error that names origin, line and setting. */
   fail(f: Form, why: string): never {
     throw new SettingsError(`${this.origin}: line ${f.line}: ${f.name}: ${why}`);
   }
 
+  /** The one value of a form, as text. */
   text(f: Form): string {
     const [value] = f.values;
     if (f.values.length !== 1 || typeof value !== 'string' || value === '')
@@ -58,12 +61,14 @@
     return value;
   }
 
+  /** The one value of a form, as a number. */
   number(f: Form, min = 0): number {
     const value = Number(this.text(f));
     if (!Number.isFinite(value) || value < min) this.fail(f, `must be a number of at least ${min}`);
     return value;
   }
 
+  /** All values of a form, as texts. */
   texts(f: Form): string[] {
     return f.values.map((v) =>
       typeof v === 'string' && v !== '' ? v : this.fail(f, 'must be words or texts'),
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -54,8 +54,10 @@
   'sweep-share': 0.1,
 };
 
+/** All operators' settings, by name. */
 export type OperatorSettings = Record<keyof typeof operatorDefaults, number>;
 
+/** Reads settings over the defaults. Throws a `SettingsError` that names origin, line and setting. */
 export function parseOperatorSettings(text: string, origin = 'operators'): OperatorSettings {
   const out: OperatorSettings = { ...operatorDefaults };
   for (const { name, line, values } of readForms(text, origin, 'dapplepick')) {
@@ -87,6 +89,7 @@
   return out;
 }
 
+/** Reads a file of settings; null: all defaults. */
 export function loadOperatorSettings(path: string): OperatorSettings {
   let text: string;
   try {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,3 +1,4 @@
+/** The platform's settings: the TOML file that it hands over, checked and named after the model. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
@@ -61,9 +62,12 @@
 });
 
 type SettingsFile = v.InferOutput<typeof settingsFileSchema>;
+/** A team's guarantee and quota; 0: none. */
 export type TeamLimits = v.InferOutput<typeof teamSchema>;
+/** A service-level objective of a class of jobs. */
 export type Objective = v.InferOutput<typeof objectiveSchema>;
 
+/** The platform's settings. Groups of limits keep the file's field names. */
 export interface Settings {
   member: string;
   zone: string;
@@ -83,6 +87,7 @@
   pool?: boolean;
 }
 
+/** Reads and checks the text of a settings file. Throws a `SettingsError` that names the field. */
 export function parseSettings(text: string, origin = 'settings'): Settings {
   let raw: unknown;
   try {
@@ -117,6 +122,7 @@
   };
 }
 
+/** Reads and checks a settings file. */
 export function loadSettings(path: string): Settings {
   let text: string;
   try {
@@ -127,6 +133,7 @@
   return parseSettings(text, path);
 }
 
+/** Host and port of an address `IPv4:port`. */
 export function splitAddress(addr: string): { host: string; port: number } {
   const at = addr.lastIndexOf(':');
   return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -10,6 +10,7 @@
 import type { Replica } from './replica.js';
 import type { TransactionBatcher } from './storage/index.js';
 
+/** What data-loss recovery is created with. */
 export interface DataLossRecoveryOptions {
   readonly settings: Settings;
   readonly instanceId: string;
--- a/src/core/data-loss/data-loss-monitor.ts
+++ b/src/core/data-loss/data-loss-monitor.ts
@@ -27,6 +27,7 @@
   readonly joinsExisting: boolean;
 }
 
+/** What the monitor is created with. */
 export interface DataLossMonitorOptions {
   readonly replica: Replica;
   readonly peers: Peers;
--- a/src/core/data-loss/incarnation-manager.ts
+++ b/src/core/data-loss/incarnation-manager.ts
@@ -44,6 +44,7 @@
   readonly isDone: boolean;
 }
 
+/** What the incarnation manager is created with. */
 export interface IncarnationManagerOptions {
   readonly settings: Settings;
   readonly instanceId: string;
--- a/src/core/data-loss/record-restorer.ts
+++ b/src/core/data-loss/record-restorer.ts
@@ -11,6 +11,7 @@
 
 const jobPrefix = jobKey('');
 
+/** What the restorer is created with. */
 export interface RecordRestorerOptions {
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,3 +1,4 @@
+/** The core's interface: commands that come in, effects that go out, and the clock and log that it is given. */
 import type { MemberDemand, Rejection } from '../admission/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
@@ -70,6 +71,7 @@
   | { type: 'deletion-result'; hosts: string[]; ok: boolean }
   | { type: 'machine-list'; machines: ListedMachine[] | null; askedAt: number };
 
+/** What became of a transaction. */
 export type CommitOutcome =
   | { type: 'ok'; revision: number }
   | { type: 'conflict'; failed: string[]; revision: number }
@@ -116,6 +118,7 @@
       orders: TaskOrder[];
     };
 
+/** The clock readings of a step. */
 export interface Clock {
   /** Steady, ms. */
   now: number;
@@ -123,5 +126,6 @@
   wall: number;
 }
 
+/** Levels of log lines. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 export type Log = (level: LogLevel, message: string, fields?: Record<string, unknown>) => void;
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -35,6 +35,7 @@
     value instanceof Map ? [...(value as Map<string, unknown>)] : value,
   );
 
+/** What the manager is created with. */
 export interface FeatureLevelManagerOptions {
   readonly settings: Settings;
   readonly replica: Replica;
--- a/src/core/freshness-exchange.ts
+++ b/src/core/freshness-exchange.ts
@@ -10,6 +10,7 @@
 /** How many changes are kept for peers' queries. */
 const maxRecentChanges = 512;
 
+/** What the exchange is created with. */
 export interface FreshnessExchangeOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -18,6 +18,7 @@
 /** The controller that answers for a machine, and the fencing token that its responses carry. */
 type MachineOwner = NonNullable<ReturnType<Replica['responsibleController']>>;
 
+/** What the router is created with. */
 export interface HeartbeatRouterOptions {
   readonly settings: Settings;
   /** Identifies this process. */
--- a/src/core/load-sharing.ts
+++ b/src/core/load-sharing.ts
@@ -23,6 +23,7 @@
 /** At most this share of the machines is redirected between two measurements: the helper's load must show first. */
 const maxRedirectedShare = 0.1;
 
+/** What load sharing is created with. */
 export interface LoadSharingOptions {
   readonly settings: Settings;
   readonly shardManager: ShardManager;
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -14,6 +14,7 @@
 /** The name of the write that deletes the presence and leader records. */
 const shutdownWrite = 'shutdown';
 
+/** What membership is created with. */
 export interface MembershipOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
--- a/src/core/membership/presence.ts
+++ b/src/core/membership/presence.ts
@@ -8,6 +8,7 @@
 /** A state lease is renewed after this share of its time to live. */
 const renewalShare = 1 / 3;
 
+/** What presence is created with. */
 export interface PresenceOptions {
   readonly member: string;
   readonly instanceId: string;
--- a/src/core/membership/shard-assignment.ts
+++ b/src/core/membership/shard-assignment.ts
@@ -20,6 +20,7 @@
 /** A controller gets a shard from another one after it was present for so many state leases. */
 const rebalanceAfterLeases = 2;
 
+/** What shard assignment is created with. */
 export interface ShardAssignmentOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -22,6 +22,7 @@
 /** What a status says apart from what the replica knows. */
 export type OwnStatus = Pick<PeerStatus, 'utilizationPermille' | 'wantsForwarding' | 'demand'>;
 
+/** What the register of peers is created with. */
 export interface PeersOptions {
   readonly settings: Settings;
   /** Identifies this process. */
--- a/src/core/replica/record-readability.ts
+++ b/src/core/replica/record-readability.ts
@@ -17,6 +17,7 @@
   'plan',
 ] as const);
 
+/** Is called when a record becomes unreadable or readable. */
 export interface ReadabilityListener {
   /** `reason`: why the record is not acted on; null: it can be read again. */
   readabilityChanged(key: string, reason: string | null): void;
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -8,6 +8,7 @@
 import { cancelledJobData, doneJobData } from './records.js';
 import type { TaskOwner } from './task-writer.js';
 
+/** Writes the final state of jobs whose last task is recorded. */
 export class JobFinalizer {
   /** Jobs whose end was refused: to be read again when the view has reached a revision. */
   private conflicted: { job: ScheduledJob; revision: number }[] = [];
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -19,6 +19,7 @@
   w?: string;
 }
 
+/** A controller that is alive. */
 export interface PresenceRecord {
   member: string;
   /** Which start of the process this is. */
@@ -28,12 +29,14 @@
   modRevision: number;
 }
 
+/** The owner of a shard. */
 export interface ShardGrantRecord {
   owner: string;
   instanceId: string;
   modRevision: number;
 }
 
+/** A job, open or in its final state. */
 export interface JobRecord {
   id: string;
   state: JobState;
@@ -49,6 +52,7 @@
   modRevision: number;
 }
 
+/** What a task of a job takes of its team's quota. */
 export interface JobUsage {
   team: string;
   cpus: number;
@@ -56,6 +60,7 @@
   memGb: number;
 }
 
+/** A task that is placed on a machine. */
 export interface PlacementRecord {
   index: number;
   attempt: number;
@@ -84,14 +89,18 @@
   checkpointVersion: number;
 }
 
+/** A set of small whole numbers, stored as base64. */
 export class BitSet {
   constructor(private bytes: Uint8Array = new Uint8Array(0)) {}
+  /** Reads the stored form. */
   static decode(text: string): BitSet {
     return new BitSet(new Uint8Array(Buffer.from(text, 'base64')));
   }
+  /** Whether a number is in the set. */
   has(index: number): boolean {
     return ((this.bytes[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
+  /** Adds a number. */
   add(index: number): void {
     if (index >> 3 >= this.bytes.length) {
       const grown = new Uint8Array((index >> 3) + 1);
@@ -100,14 +109,17 @@
     }
     this.bytes[index >> 3] |= 1 << (index & 7);
   }
+  /** How many numbers are in the set. */
   count(): number {
     let count = 0;
     for (let b of this.bytes) for (; b !== 0; b &= b - 1) count++;
     return count;
   }
+  /** A set of the same numbers. */
   copy(): BitSet {
     return new BitSet(this.bytes.slice());
   }
+  /** The stored form. */
   toString(): string {
     return Buffer.from(this.bytes).toString('base64');
   }
@@ -130,19 +142,24 @@
   maxLevel: most,
 });
 
+/** The stored form of a presence. */
 export const presenceData = (instanceId: string, leaseId: number, capabilities: Capabilities): Data => ({
   run: instanceId,
   hold: leaseId,
   can: capabilitiesData(capabilities),
 });
+/** The stored form of a shard's grant. */
 export const shardGrantData = (owner: string, instanceId: string): Data => ({ owner, run: instanceId });
 
+/** The stored form of a job that has just been accepted. */
 export const openJobData = (spec: JobSpec, acceptedAt: number): Data => ({ s: 'open', at: acceptedAt, spec });
+/** The stored form of a job that is done. */
 export const doneJobData = (acceptedAt: number, taskCount: number): Data => ({
   s: 'done',
   at: acceptedAt,
   n: taskCount,
 });
+/** The stored form of a cancelled job. */
 export const cancelledJobData = (acceptedAt: number, taskCount: number, usage: JobUsage): Data => ({
   s: 'cancelled',
   at: acceptedAt,
@@ -170,6 +187,7 @@
   t: tasks,
 });
 
+/** Reads a stored job. */
 export function readJob(id: string, data: unknown, modRevision: number): JobRecord {
   const d = data as {
     s: JobState;
@@ -202,6 +220,7 @@
   ...(version > 0 ? { r: version } : {}),
 });
 
+/** Reads the stored state of a chunk. */
 export function readChunk(data: unknown, modRevision: number): ChunkRecord {
   const d = data as { n: number; d: string; p: [number, number, string][]; f?: string[]; r?: number };
   const done = BitSet.decode(d.d);
@@ -218,6 +237,7 @@
   };
 }
 
+/** The stored form of a machine. */
 export const machineData = (machine: MachineRecord): Data => ({
   f: machine.type,
   y: machine.zone,
@@ -227,6 +247,7 @@
   at: machine.since,
 });
 
+/** Reads a stored machine. */
 export function readMachine(host: string, data: unknown): MachineRecord {
   const d = data as {
     f: string;
@@ -249,6 +270,7 @@
   hosts: string[];
 }
 
+/** The stored form of the machines of one rental. */
 export const blockData = (block: BlockRecord): Data => ({
   f: block.type,
   y: block.zone,
@@ -258,14 +280,18 @@
   h: block.hosts,
 });
 
+/** Reads the machines of one rental. */
 export function readBlock(data: unknown): BlockRecord {
   const d = data as { f: string; y: string; l: boolean; s: number; at: number; h: string[] };
   return { type: d.f, zone: d.y, spot: d.l, shard: d.s, since: d.at, hosts: d.h };
 }
 
+/** The stored form of the machine types. */
 export const machineTypesData = (types: MachineType[]): Data => ({ types });
+/** Reads the stored machine types. */
 export const readMachineTypes = (data: unknown): MachineType[] => (data as { types: MachineType[] }).types;
 
+/** Reads a stored presence. */
 export const readPresence = (member: string, data: unknown, modRevision: number): PresenceRecord => {
   const d = data as { run: string; hold: number; can?: StoredCapabilities };
   const capabilities = d.can ? readCapabilities(d.can) : legacyCapabilities;
@@ -274,11 +300,13 @@
 
 /** The level in force, what is written at it, and what members were last seen with. */
 export const levelData = (level: number, writeLevel: number): Data => ({ level, write: writeLevel });
+/** Reads the stored feature level. */
 export const readLevel = (data: unknown, modRevision: number): LevelState => {
   const { level, write } = data as { level: number; write: number };
   return { level, writeLevel: write, modRevision };
 };
 
+/** The stored form of what members were last seen with. */
 export const membersData = (
   capabilities: ReadonlyMap<string, Capabilities>,
   note: LevelNote | null,
@@ -294,6 +322,7 @@
   text: string;
 }
 
+/** Reads what members were last seen with. */
 export function readMembers(data: unknown): {
   capabilities: Map<string, Capabilities>;
   note: LevelNote | null;
@@ -306,12 +335,14 @@
   };
 }
 
+/** The stored form of the requested level. */
 export const requestedLevelData = (requested: Omit<RequestedLevel, 'modRevision'>): Data => ({
   ...(requested.maxLevel === null ? {} : { most: requested.maxLevel }),
   lower: requested.lower,
   gone: requested.departedMembers,
 });
 
+/** Reads the requested level. */
 export function readRequestedLevel(data: unknown, modRevision: number): RequestedLevel {
   const d = data as { most?: number; lower?: boolean; gone?: string[] };
   return {
@@ -325,6 +356,7 @@
 /** How much of what a value may hold a plan takes; kinds that do not fit are left out, smallest first. */
 const maxAllocationValueShare = 0.5;
 
+/** The stored form of the write allocation. */
 export function allocationData({ version: number, members: parts }: WriteAllocation, valueKb: number): Data {
   const named = [...parts].flatMap(([member, p]) =>
     [...p.workloadRates].map(([kind, rate]) => ({ member, kind, rate })),
@@ -355,6 +387,7 @@
   return data;
 }
 
+/** Reads the write allocation. */
 export function readAllocation(data: unknown): WriteAllocation {
   const d = data as { n: number; p: Record<string, [number, number, number, Record<string, number>]> };
   const parts = Object.entries(d.p).map(
@@ -364,11 +397,13 @@
   return { version: d.n, members: new Map(parts) };
 }
 
+/** The stored form of an incarnation. */
 export const incarnationData = (by: string, instanceId: string, stage: IncarnationStage): Data => ({
   by,
   run: instanceId,
   stage,
 });
+/** Reads an incarnation. */
 export const readIncarnation = (n: number, data: unknown, modRevision: number): Incarnation => {
   const { by, run, stage } = data as { by: string; run: string; stage: IncarnationStage };
   return { number: n, openedBy: by, instanceId: run, stage, modRevision: modRevision };
@@ -376,4 +411,5 @@
 
 /** Which teams are at home in which shard. */
 export const teamShardsData = (shards: string[][]): Data => ({ shards });
+/** Reads which teams belong to which shard. */
 export const readTeamShards = (data: unknown): string[][] => (data as { shards: string[][] }).shards;
--- a/src/core/storage/task-log/entry.ts
+++ b/src/core/storage/task-log/entry.ts
@@ -18,6 +18,7 @@
   failedHosts: string[] | null;
 }
 
+/** A change of one chunk in the task log. */
 export interface LogEntry extends ChunkDelta {
   job: string;
   chunk: number;
--- a/src/core/storage/task-log/reader.ts
+++ b/src/core/storage/task-log/reader.ts
@@ -22,6 +22,7 @@
   toVersion: number;
 }
 
+/** A record of the task log. */
 export interface LogRecord {
   key: string;
   shard: number;
@@ -29,6 +30,7 @@
   entries: EntryRef[];
 }
 
+/** Applies records of the task log to the chunks that the replica holds. */
 export class LogReader {
   private readonly byKey = new Map<string, LogRecord>();
   /** Entries that cannot be applied yet, by job. */
--- a/src/core/storage/task-log/truncation.ts
+++ b/src/core/storage/task-log/truncation.ts
@@ -15,6 +15,7 @@
   return checkpoint === null || checkpoint >= to;
 }
 
+/** What to checkpoint and what to delete. */
 export interface TruncationPlan {
   /** Records that may be dropped: none that is older stays. */
   deletable: LogRecord[];
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -14,11 +14,13 @@
 /** So many records are looked at for checkpoints at a time. */
 const maxCheckpointedRecords = 4;
 
+/** The jobs of the shards that this process owns. */
 export interface OwnedJobs {
   jobs: ReadonlyMap<string, ScheduledJob>;
   ownedShards: ReadonlySet<number>;
 }
 
+/** Checkpoints chunks and deletes the log records that nothing needs any more. */
 export class LogTruncator {
   private readonly planner: TruncationPlanner;
   private lastPlannedAt = -Infinity;
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -53,6 +53,7 @@
   entry: LogEntry;
 }
 
+/** Gathers changes of many chunks into records of the task log (group commit). */
 export class LogWriter {
   /** Chunks with changes to be written, in order of arrival. */
   private readonly changed = new Map<TaskChunk, ChangedChunk>();
--- a/src/feature-levels/decide.ts
+++ b/src/feature-levels/decide.ts
@@ -12,6 +12,7 @@
   readonly modRevision: number;
 }
 
+/** Operators request nothing. */
 export const noRequestedLevel: RequestedLevel = {
   maxLevel: null,
   lower: false,
@@ -36,6 +37,7 @@
   readonly blockingKeys: readonly string[];
 }
 
+/** What the leader is to do about the level. */
 export type Decision =
   /** `why` is empty if there is no newer level. */
   | { readonly type: 'stay'; readonly why: string }
--- a/src/feature-levels/feature-levels.ts
+++ b/src/feature-levels/feature-levels.ts
@@ -45,6 +45,7 @@
   'task-log': { level: 5, usedWhileLowering: false },
 } as const satisfies Record<string, FeatureRequirement>;
 
+/** A feature that needs a level. */
 export type Feature = keyof typeof features;
 
 /** The capabilities of this program; `maxAllowed`: the highest level that operators allow it, 0 for no limit. */
@@ -71,6 +72,7 @@
   readonly modRevision: number;
 }
 
+/** The level of a state that has no record of it. */
 export const initialLevelState: LevelState = { level: 1, writeLevel: 1, modRevision: 0 };
 
 /** The level in force, as one program follows it. */
--- a/src/formats/low-volume-records.ts
+++ b/src/formats/low-volume-records.ts
@@ -1,3 +1,4 @@
+/** Formats of the records that there are few of, checked by schema. */
 import * as v from 'valibot';
 import { fieldsOf, type Data, type Format } from './record-types.js';
 
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -28,6 +28,7 @@
   readonly shedLoadAboveMb: number;
 }
 
+/** The limits that a controller keeps to. */
 export interface Limits {
   readonly sockets: SocketLimits;
   /** The most requests of users that wait for a reading of the state. */
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,3 +1,4 @@
+/** The process's log: JSON lines on standard error. */
 import { pino } from 'pino';
 import type { Log } from './core/effects.js';
 
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The executable. */
 import { main } from './cli/main.js';
 
 await main(process.argv);
--- a/src/memory-usage.ts
+++ b/src/memory-usage.ts
@@ -1,3 +1,4 @@
+/** Memory of the process against the deployment's limit: when to collect garbage, when to shed load. */
 import { readFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -13,6 +13,7 @@
  */
 const maxQueuedBytes = 1024 * 1024;
 
+/** What the mesh is created with. */
 export interface PeerMeshOptions {
   readonly settings: Settings;
   /** Identifies this process. */
--- a/src/retry/policies.ts
+++ b/src/retry/policies.ts
@@ -9,6 +9,7 @@
   readonly stateLeaseMs: number;
 }
 
+/** How each kind of call is retried. */
 export interface RetryPolicies {
   /** Commits, lease renewals, readings. A state lease must survive two failed attempts. */
   readonly state: RetryPolicy;
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -1,3 +1,4 @@
+/** Follows the state service: the first snapshot, then changes by polls or a watch. */
 import type { RetryBackoff } from '../retry/index.js';
 import type { Change } from '../wire/store.js';
 import type { Source } from './service.js';
@@ -13,6 +14,7 @@
   read(sentAt: number, revision: number | null): void;
 }
 
+/** How often the follower may make requests. */
 export interface FollowerPace {
   /** Between two polls; the request budget is shared by all controllers. */
   everyMs: number;
@@ -70,6 +72,7 @@
     this.wake?.();
   }
 
+  /** Ends the following. */
   stop(): void {
     this.stopped = true;
     if (this.timer) clearTimeout(this.timer);
--- a/src/state/service.ts
+++ b/src/state/service.ts
@@ -1,12 +1,15 @@
+/** What the service needs of a state service, wherever it is. */
 import type { CommitOutcome } from '../core/effects.js';
 import type { Change, Transaction } from '../wire/store.js';
 
+/** A page of keys and values. */
 export interface Page {
   items: Change[];
   more: boolean;
   revision: number;
 }
 
+/** Changes after a revision, up to another. */
 export interface Changes {
   changes: Change[];
   revision: number;
--- a/src/store/disk.ts
+++ b/src/store/disk.ts
@@ -1,3 +1,4 @@
+/** The store's files: a key-value database and the mark of what was answered. */
 import {
   closeSync,
   existsSync,
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -1,3 +1,4 @@
+/** Snapshots of the store: written while it serves, checked and restored. */
 import { createHash } from 'node:crypto';
 import {
   closeSync,
--- a/src/users/connections.ts
+++ b/src/users/connections.ts
@@ -1,3 +1,4 @@
+/** Open connections of the HTTP server, and which of them are closed first. */
 import type { Socket } from 'node:net';
 
 /** Who is at the other end, by what was asked last; in order of need, least first. */
@@ -22,11 +23,13 @@
     return this.states.size;
   }
 
+  /** A connection was opened. */
   opened(socket: Socket, now: number): void {
     this.states.set(socket, { client: 'nobody', openRequests: 0, lastUsedAt: now });
     socket.on('close', () => this.states.delete(socket));
   }
 
+  /** A request has come in on a connection. */
   requestStarted(socket: Socket, peer: ClientKind, now: number): void {
     const line = this.states.get(socket);
     if (!line) return;
@@ -35,6 +38,7 @@
     line.lastUsedAt = now;
   }
 
+  /** A request was answered. */
   requestFinished(socket: Socket, now: number): void {
     const line = this.states.get(socket);
     if (!line) return;
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -1,3 +1,4 @@
+/** The HTTP server for users, workers and health checks. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Command } from '../core/effects.js';
 import { sendJson } from '../net/json.js';
@@ -65,6 +66,7 @@
     return this.connections.size;
   }
 
+  /** Answers a request that waits; does nothing if its client is gone. */
   respond(requestId: number, status: number, body: object | string, retryAfterS?: number): void {
     const res = this.pending.get(requestId);
     const host = this.reportingHosts.get(requestId);
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,3 +1,4 @@
+/** The program's version, from package.json. */
 import { existsSync, readFileSync } from 'node:fs';
 
 /** Which program this is. */
--- a/src/wire/agent-side.ts
+++ b/src/wire/agent-side.ts
@@ -1,3 +1,4 @@
+/** The worker's side of its protocol, and what agents and a control service add to it. */
 import * as v from 'valibot';
 import { taskKey, parseTaskKey, type CommandSpec } from '../model/job.js';
 import type { ExitReason, TaskOrder, TaskPhase } from '../model/heartbeat.js';
@@ -14,6 +15,7 @@
   startedAt: number;
   endedAt: number;
 }
+/** How a task on an agent can end. */
 export const resultReasons = [
   'exited',
   'wall time',
@@ -23,8 +25,10 @@
   'lost',
   'gang',
 ] as const;
+/** How a task on an agent ended. */
 export type ResultReason = (typeof resultReasons)[number];
 
+/** A task as an agent reports it. */
 export interface AgentTask {
   job: string;
   index: number;
@@ -35,6 +39,7 @@
   result: TaskResult | null;
 }
 
+/** An agent's heartbeat. */
 export interface AgentReport {
   host: string;
   endpoint: string;
@@ -46,6 +51,7 @@
   tasks: AgentTask[];
 }
 
+/** An agent's heartbeat in the protocol's form. */
 export const encodeAgentReport = (r: AgentReport): object => ({
   host: r.host,
   endpoint: r.endpoint,
@@ -99,23 +105,27 @@
   return out;
 }
 
+/** The response to a heartbeat. */
 export interface HeartbeatResponse {
   token: number | null;
   orders: TaskOrder[];
   gangs: string[];
 }
 
+/** Reads the response to a heartbeat; null: malformed. */
 export function parseHeartbeatResponse(body: unknown): HeartbeatResponse | null {
   const r = v.safeParse(heartbeatResponse, body);
   if (!r.success) return null;
   return { token: r.output.baton, orders: decodeTaskOrders(r.output.orders), gangs: r.output.gangs ?? [] };
 }
 
+/** The owner that a 421 names; null: none. */
 export function parseRedirect(body: unknown): string | null {
   const boss = (body as { boss?: unknown } | null)?.boss;
   return typeof boss === 'string' ? boss : null;
 }
 
+/** Reads direct task commands; null: malformed. */
 export function parseTaskOrders(
   body: unknown,
 ): { token: number | null; session: number | null; orders: TaskOrder[] } | null {
@@ -175,6 +185,7 @@
   attrs: Record<string, string | number | boolean>;
 }
 
+/** Reads an agent's request to join, or says what is wrong with it. */
 export function parseJoinRequest(body: unknown): JoinRequest | string {
   const r = v.safeParse(joinRequest, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
@@ -187,7 +198,9 @@
   leaseS: v.pipe(v.number(), v.gtValue(0)),
   gangWaitS: v.pipe(v.number(), v.gtValue(0)),
 });
+/** What an agent is told when it has joined. */
 export type JoinResponse = v.InferOutput<typeof joinResponse>;
+/** Reads the answer to a request to join; null: malformed. */
 export function parseJoinResponse(body: unknown): JoinResponse | null {
   const r = v.safeParse(joinResponse, body);
   return r.success ? r.output : null;
@@ -235,6 +248,7 @@
   ),
   standIn: v.object({ sleepS: amount, fail: amount, hang: v.boolean(), memMb: amount }),
 });
+/** Reads a job's description; null: malformed. */
 export function parseAgentJob(body: unknown): AgentJob | null {
   const r = v.safeParse(job, body);
   return r.success ? r.output : null;
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,3 +1,4 @@
+/** The cloud's protocol: machine types, machines, rentals and deletions. */
 import * as v from 'valibot';
 import type { MachineType } from '../model/machine.js';
 
@@ -20,6 +21,7 @@
   ),
 });
 
+/** Reads the machine types; null: malformed. */
 export function parseMachineTypes(body: unknown): MachineType[] | null {
   const r = v.safeParse(types, body);
   if (!r.success) return null;
@@ -37,6 +39,7 @@
   }));
 }
 
+/** A machine in the cloud's list. */
 export interface ListedMachine {
   host: string;
   endpoint: string;
@@ -62,6 +65,7 @@
   hasNext: v.optional(v.nullable(v.boolean()), false),
 });
 
+/** Reads a page of machines; null: malformed. */
 export function parseMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const r = v.safeParse(list, body);
   if (!r.success) return null;
@@ -79,6 +83,7 @@
   };
 }
 
+/** A request for machines. Its name makes it idempotent and is never used again. */
 export interface RentRequest {
   name: string;
   type: string;
@@ -97,6 +102,7 @@
   /** No answer: it may have been executed, or may be executed later. */
   | { readonly type: 'unknown' };
 
+/** A request for machines in the protocol's form. */
 export const encodeRental = (r: RentRequest): object => ({
   hire: r.name,
   flavour: r.type,
@@ -104,9 +110,11 @@
   loaners: r.spot,
   howMany: r.count,
 });
+/** A deletion of machines in the protocol's form. */
 export const encodeDeletion = (hosts: string[]): object => ({ hosts });
 
 const rented = v.object({ hosts: v.array(v.string()) });
+/** Reads the machines that were rented; null: malformed. */
 export function parseRental(body: unknown): string[] | null {
   const r = v.safeParse(rented, body);
   return r.success ? r.output.hosts : null;
--- a/src/wire/store-side.ts
+++ b/src/wire/store-side.ts
@@ -1,3 +1,4 @@
+/** The state service's side of its protocol. */
 import * as v from 'valibot';
 import type { Change, Transaction } from './store.js';
 
@@ -43,29 +44,37 @@
 }
 
 const leaseBody = v.object({ ttlMs: v.pipe(v.number(), v.integer(), v.minValue(100), v.maxValue(600_000)) });
+/** The time to live asked for, ms, or what is wrong with the request. */
 export function parseLeaseRequest(body: unknown): number | string {
   const r = v.safeParse(leaseBody, body);
   return r.success ? r.output.ttlMs : `ttlMs: ${r.issues[0].message}`;
 }
 
+/** A key with its value. */
 export const encodeEntry = (k: string, e: { data: unknown; stamp: number; hold?: number }): object => ({
   key: k,
   data: e.data,
   stamp: e.stamp,
   ...(e.hold === undefined ? {} : { hold: e.hold }),
 });
+/** A page of keys. */
 export const encodePage = (items: Change[], more: boolean, epoch: number): object => ({
   items,
   hasNext: more,
   epoch,
 });
+/** Changes after a revision. */
 export const encodeChangeLog = (changes: Change[], epoch: number): object => ({
   epoch,
   log: changes.map((c) =>
     c.data === undefined ? { drop: c.key, stamp: c.stamp } : { put: c.key, data: c.data, stamp: c.stamp },
   ),
 });
+/** A revision. */
 export const encodeRevision = (epoch: number): object => ({ epoch });
+/** The conditions of a transaction that failed. */
 export const encodeConflict = (failed: string[], epoch: number): object => ({ failed, epoch });
+/** A lease. */
 export const encodeLease = (hold: number): object => ({ hold });
+/** The error of a put with an expired lease. */
 export const leaseNotFound = 'no such lease';
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,3 +1,4 @@
+/** The state service's protocol: transactions, pages, changes and leases. */
 import * as v from 'valibot';
 
 /** A change of one key: `data` undefined means that the key is gone. */
@@ -7,11 +8,13 @@
   stamp: number;
 }
 
+/** A key must have this revision of its last change; 0: it must not exist. */
 export interface Condition {
   key: string;
   stamp: number;
 }
 
+/** A put or a deletion of a key. */
 export interface Write {
   key: string;
   /** undefined: drop the key. */
@@ -20,6 +23,7 @@
   hold?: number;
 }
 
+/** Writes that are carried out together if all conditions hold. */
 export interface Transaction {
   conditions: Condition[];
   writes: Write[];
@@ -51,18 +55,23 @@
   return r.success ? r.output : null;
 };
 
+/** Reads a revision; null: malformed. */
 export const parseRevision = (body: unknown): number | null => read(epochBody, body)?.epoch ?? null;
+/** Reads which conditions failed; null: malformed. */
 export function parseConflict(body: unknown): { failed: string[]; revision: number } | null {
   const r = read(failedBody, body);
   return r && { failed: r.failed, revision: r.epoch };
 }
+/** Reads the id of a new lease; null: malformed. */
 export const parseLeaseId = (body: unknown): number | null => read(holdBody, body)?.hold ?? null;
 
+/** Reads a page of keys; null: malformed. */
 export function parsePage(body: unknown): { items: Change[]; more: boolean; revision: number } | null {
   const r = read(itemsBody, body);
   return r && { items: r.items, more: r.hasNext === true, revision: r.epoch };
 }
 
+/** Reads changes; null: malformed. */
 export function parseChangeLog(body: unknown): { changes: Change[]; revision: number } | null {
   const r = read(logBody, body);
   if (!r) return null;
@@ -74,6 +83,7 @@
   return { changes, revision: r.epoch };
 }
 
+/** A transaction in the protocol's form. */
 export const encodeTransaction = (txn: Transaction): object => ({
   when: txn.conditions.map((c) => ({ key: c.key, stamp: c.stamp })),
   apply: txn.writes.map((w) =>
@@ -84,9 +94,12 @@
         : { put: w.key, data: w.data, hold: w.hold },
   ),
 });
+/** A request for a lease in the protocol's form. */
 export const encodeLeaseRequest = (ttlMs: number): object => ({ ttlMs });
+/** The path of a page of keys. */
 export const scanPath = (prefix: string, from: string, limit: number): string =>
   `/kv?starts=${prefix}${from === '' ? '' : `&from=${from}`}&limit=${limit}`;
+/** The path of a watch. */
 export const watchPath = (prefix: string, from: number, blockMs: number): string =>
   `/changes?starts=${prefix}&from=${from}&blockMs=${blockMs}`;
 
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,3 +1,4 @@
+/** The users' protocol: submissions and states of jobs. */
 import * as v from 'valibot';
 import type { CommandSpec, JobSpec, JobState, MatchSpec, JobShape, Urgency } from '../model/job.js';
 
@@ -148,12 +149,15 @@
   dueS: null,
 };
 
+/** The path of jobs. */
 export const jobPath = '/work';
+/** The end of the path of a cancellation. */
 export const cancelSuffix = 'withdraw';
 
 /** Ids are kept in keys of the state service: anything else was never accepted. */
 export const isJobId = (id: string): boolean => /^req-\d{1,20}$/.test(id);
 
+/** A job's state in the protocol's words. */
 export function jobStatus(state: JobState, running: number): 'pending' | 'running' | 'done' | 'aborted' {
   if (state === 'done') return 'done';
   if (state === 'cancelled') return 'aborted';
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,3 +1,4 @@
+/** The workers' protocol: heartbeats and task commands. */
 import * as v from 'valibot';
 import { taskKey, parseTaskKey } from '../model/job.js';
 import type { ExitReason, TaskOrder, Heartbeat, TaskPhase, TaskStatus } from '../model/heartbeat.js';
@@ -42,6 +43,7 @@
   ),
 });
 
+/** Reads a heartbeat, or says what is wrong with it. */
 export function parseHeartbeat(body: unknown): Heartbeat | string {
   const r = v.safeParse(heartbeat, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
@@ -81,19 +83,24 @@
   return { verb: 'clear', piece, try: o.attempt };
 }
 
+/** The response to a heartbeat, in the protocol's form. */
 export const encodeHeartbeatResponse = (token: number, orders: TaskOrder[]): object => ({
   baton: token,
   orders: orders.map(encodeTaskOrder),
 });
+/** Direct task commands, in the protocol's form. */
 export const encodeTaskOrders = (token: number, session: number, orders: TaskOrder[]): object => ({
   baton: token,
   tenure: session,
   orders: orders.map(encodeTaskOrder),
 });
+/** The body of a 421: the owner to report to, if known. */
 export const encodeRedirect = (owner: string | null): object => (owner === null ? {} : { boss: owner });
 
 const nameOf = <T extends string>(table: Record<string, T>, value: T): string =>
   Object.keys(table).find((k) => table[k] === value) ?? value;
 
+/** A phase in the protocol's words. */
 export const phaseName = (phase: TaskPhase): string => nameOf(phases, phase);
+/** A reason in the protocol's words. */
 export const exitReasonName = (why: ExitReason): string => nameOf(exitReasons, why);
