--- a/src/agent/records.ts
+++ b/src/agent/agent-directory.ts
@@ -36,73 +36,75 @@
 }
 
 /** A file has its name only once it is whole and on disk. */
-function writeWhole(path: string, text: string): void {
-  const part = `${path}.part`;
-  const file = openSync(part, 'w', 0o600);
+function writeAtomically(path: string, text: string): void {
+  const temporaryPath = `${path}.part`;
+  const file = openSync(temporaryPath, 'w', 0o600);
   try {
     writeSync(file, text);
     fsyncSync(file);
   } finally {
     closeSync(file);
   }
-  renameSync(part, path);
+  renameSync(temporaryPath, path);
 }
 
 /** The agent's directory: one file of its own, one directory for each task. */
-export class Records {
-  private readonly tasksDir: string;
+export class AgentDirectory {
+  private readonly tasksPath: string;
 
-  constructor(private readonly dir: string) {
-    this.tasksDir = join(dir, 'tasks');
-    mkdirSync(this.tasksDir, { recursive: true, mode: 0o700 });
+  constructor(private readonly path: string) {
+    this.tasksPath = join(path, 'tasks');
+    mkdirSync(this.tasksPath, { recursive: true, mode: 0o700 });
   }
 
-  loadSelf(): AgentRecord | null {
-    const path = join(this.dir, 'agent.json');
+  loadAgent(): AgentRecord | null {
+    const path = join(this.path, 'agent.json');
     return existsSync(path) ? (JSON.parse(readFileSync(path, 'utf8')) as AgentRecord) : null;
   }
 
-  saveSelf(r: AgentRecord): void {
-    writeWhole(join(this.dir, 'agent.json'), JSON.stringify(r));
+  saveAgent(record: AgentRecord): void {
+    writeAtomically(join(this.path, 'agent.json'), JSON.stringify(record));
   }
 
   /** Where a task's files are. */
-  dirOf(t: { job: string; index: number; attempt: number }): string {
-    return join(this.tasksDir, `${t.job}.${t.index}.${t.attempt}`);
+  taskDirectory(task: { job: string; index: number; attempt: number }): string {
+    return join(this.tasksPath, `${task.job}.${task.index}.${task.attempt}`);
   }
 
-  save(r: TaskRecord): void {
-    const dir = this.dirOf(r.task);
+  saveTask(record: TaskRecord): void {
+    const dir = this.taskDirectory(record.task);
     mkdirSync(dir, { recursive: true, mode: 0o700 });
-    writeWhole(join(dir, 'task.json'), JSON.stringify(r));
+    writeAtomically(join(dir, 'task.json'), JSON.stringify(record));
   }
 
   /** Its end is recorded elsewhere: only its output stays. */
-  forget(t: { job: string; index: number; attempt: number }): void {
-    const dir = this.dirOf(t);
+  forgetTask(task: { job: string; index: number; attempt: number }): void {
+    const dir = this.taskDirectory(task);
     // The claim stays: a shim that comes late must still find it.
     for (const name of ['task.json', 'pid', 'exit'])
       rmSync(join(dir, name), { recursive: true, force: true });
   }
 
   /** All tasks that were not forgotten. One whose record is not whole was never started. */
-  load(): TaskRecord[] {
-    const all: TaskRecord[] = [];
-    for (const name of readdirSync(this.tasksDir)) {
-      const path = join(this.tasksDir, name, 'task.json');
-      if (existsSync(path)) all.push(JSON.parse(readFileSync(path, 'utf8')) as TaskRecord);
+  loadTasks(): TaskRecord[] {
+    const records: TaskRecord[] = [];
+    for (const name of readdirSync(this.tasksPath)) {
+      const path = join(this.tasksPath, name, 'task.json');
+      if (existsSync(path)) records.push(JSON.parse(readFileSync(path, 'utf8')) as TaskRecord);
     }
-    return all;
+    return records;
   }
 
   /** Output directories of tasks that are over, oldest first, beyond so many, go. */
-  prune(keep: number): void {
-    const over = readdirSync(this.tasksDir).filter((n) => !existsSync(join(this.tasksDir, n, 'task.json')));
-    if (over.length <= keep) return;
+  pruneOutputs(maxKept: number): void {
+    const ended = readdirSync(this.tasksPath).filter(
+      (n) => !existsSync(join(this.tasksPath, n, 'task.json')),
+    );
+    if (ended.length <= maxKept) return;
     // Last changed when its record went: that is how long it has been over.
-    const since = new Map(over.map((n) => [n, statSync(join(this.tasksDir, n)).mtimeMs]));
-    over.sort((a, b) => since.get(a)! - since.get(b)!);
-    for (const name of over.slice(0, over.length - keep))
-      rmSync(join(this.tasksDir, name), { recursive: true, force: true });
+    const endedAt = new Map(ended.map((n) => [n, statSync(join(this.tasksPath, n)).mtimeMs]));
+    ended.sort((a, b) => endedAt.get(a)! - endedAt.get(b)!);
+    for (const name of ended.slice(0, ended.length - maxKept))
+      rmSync(join(this.tasksPath, name), { recursive: true, force: true });
   }
 }
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -19,97 +19,103 @@
   type Joined,
   type TaskResult,
 } from '../wire/agent-side.js';
-import { Records, type AgentRecord } from './records.js';
-import { Runner } from './runner.js';
+import { AgentDirectory, type AgentRecord } from './agent-directory.js';
+import { CommandRunner } from './command-runner.js';
 import type { AgentSettings } from './settings.js';
-import { StandIns } from './simulated-tasks.js';
-import { Lease } from './lease.js';
-import { Worker, type WorkerEffect, type WorkerMemory } from './worker.js';
+import { SimulatedTasks } from './simulated-tasks.js';
+import { AgentLease } from './agent-lease.js';
+import { Worker, type WorkerEffect, type WorkerState } from './worker.js';
 
 /** Answers that come later are given up (the protocol's limit). */
-const answerMs = 4000;
+const responseTimeoutMs = 4000;
 /** Reports follow each other at least so far apart: a share of their interval. */
-const leastShare = 1 / 8;
-const seqBlock = 10_000;
-const tickMs = 100;
-const mostBody = 1024 * 1024;
+const minHeartbeatGapShare = 1 / 8;
+const sequenceBlockSize = 10_000;
+const tickIntervalMs = 100;
+const maxBodyBytes = 1024 * 1024;
 /** Outputs of tasks that are over are kept for the last so many. */
-const keptOutputs = 2000;
-const pruneEvery = 100;
+const maxKeptOutputs = 2000;
+const pruneIntervalTasks = 100;
 
 /** A process that stands for a machine: joins a control service, runs its tasks, reports. */
 export class Agent {
-  private readonly records: Records;
-  private readonly self: AgentRecord;
-  private readonly runner: Runner;
-  private readonly standIns: StandIns;
+  private readonly directory: AgentDirectory;
+  private readonly identity: AgentRecord;
+  private readonly runner: CommandRunner;
+  private readonly simulatedTasks: SimulatedTasks;
   private readonly server: Server;
   private readonly clients: HttpClient[];
-  private readonly boot: string;
-  private readonly lease: Lease;
+  private readonly bootId: string;
+  private readonly lease: AgentLease;
   /** Descriptions of jobs that tasks here are of. */
-  private readonly jobs = new Map<string, Promise<AgentJob | null | 'unknown'>>();
-  private readonly jobOf = new Map<HeldTask, AgentJob>();
+  private readonly jobRequests = new Map<string, Promise<AgentJob | null | 'unknown'>>();
+  private readonly jobByTask = new Map<HeldTask, AgentJob>();
   private worker: Worker | null = null;
-  private joined: Joined | null = null;
-  private memory: WorkerMemory = { session: 1, seq: 0, token: 0 };
-  private target = 0;
-  private failures = 0;
-  private soon = false;
+  private joinTerms: Joined | null = null;
+  private workerState: WorkerState = { agentEpoch: 1, seq: 0, fencingToken: 0 };
+  private controlIndex = 0;
+  private failedAttempts = 0;
+  private heartbeatRequested = false;
   /** Ends the wait for the next report's turn. */
-  private wake: () => void = () => undefined;
-  private forgotten = 0;
+  private wakeHeartbeatLoop: () => void = () => undefined;
+  private forgottenTasks = 0;
   private readonly timers = new Set<NodeJS.Timeout>();
   private stopped = false;
   /** Resolves when the control service has let the agent go: it left in order, or was forgotten. */
   readonly released: Promise<string>;
-  private release: (why: string) => void = () => undefined;
+  private resolveReleased: (why: string) => void = () => undefined;
 
   constructor(
     private readonly settings: AgentSettings,
     private readonly random: Random,
     private readonly log: Log,
   ) {
-    this.released = new Promise((resolve) => (this.release = resolve));
-    this.records = new Records(settings.directory);
-    const known = this.records.loadSelf();
-    this.self = known ?? { id: randomBytes(8).toString('hex'), host: null, session: 1, token: 0, seqFrom: 0 };
-    if (!known) this.records.saveSelf(this.self);
-    this.boot = bootId();
-    this.lease = new Lease(settings.directory, this.boot, this.self.id);
+    this.released = new Promise((resolve) => (this.resolveReleased = resolve));
+    this.directory = new AgentDirectory(settings.directory);
+    const known = this.directory.loadAgent();
+    this.identity = known ?? {
+      id: randomBytes(8).toString('hex'),
+      host: null,
+      session: 1,
+      token: 0,
+      seqFrom: 0,
+    };
+    if (!known) this.directory.saveAgent(this.identity);
+    this.bootId = readBootId();
+    this.lease = new AgentLease(settings.directory, this.bootId, this.identity.id);
     this.clients = settings.controls.map((addr) => new HttpClient(addr, 2));
     const events = {
-      ended: (task: HeldTask, result: TaskResult, saved: boolean) => this.ended(task, result, saved),
+      ended: (task: HeldTask, result: TaskResult, saved: boolean) => this.onTaskEnded(task, result, saved),
     };
-    const { outputBytes, graceS, lookMs } = settings;
-    this.runner = new Runner(
-      this.records,
-      { outputBytes, graceS, lookMs, agentId: this.self.id },
+    const { outputBytes, graceS, checkIntervalMs: lookMs } = settings;
+    this.runner = new CommandRunner(
+      this.directory,
+      { outputBytes, graceS, checkIntervalMs: lookMs, agentId: this.identity.id },
       events,
       log,
     );
-    this.standIns = new StandIns(random, events);
+    this.simulatedTasks = new SimulatedTasks(random, events);
     this.server = createServer((req, res) => {
       this.serve(req, res).catch((e: unknown) => reply(res, 500, { error: String((e as Error).message) }));
     });
   }
 
   async start(): Promise<void> {
-    const at = this.settings.listen;
+    const listen = this.settings.listen;
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
-      this.server.listen(at.port, at.host, () => resolve());
+      this.server.listen(listen.port, listen.host, () => resolve());
     });
-    void this.run();
+    void this.joinAndHeartbeat();
   }
 
   /** Ends the agent; what it runs goes on, for the next start to find. */
   stop(): void {
     this.stopped = true;
     for (const t of this.timers) clearTimeout(t);
-    if (this.runner.idle) this.lease.unwatch();
+    if (this.runner.idle) this.lease.stopWatchdog();
     this.runner.close();
-    this.standIns.close();
+    this.simulatedTasks.close();
     this.server.close();
     this.server.closeAllConnections();
   }
@@ -129,44 +135,50 @@
     });
   }
 
-  private get retry(): RetryPolicy {
-    const report = (this.joined?.reportS ?? 2) * 1000;
-    return { firstMs: report / 4, longestMs: report * 8, factor: 2, jitter: 0.5, deadlineMs: answerMs };
+  private get retryPolicy(): RetryPolicy {
+    const reportMs = (this.joinTerms?.reportS ?? 2) * 1000;
+    return {
+      firstMs: reportMs / 4,
+      longestMs: reportMs * 8,
+      factor: 2,
+      jitter: 0.5,
+      deadlineMs: responseTimeoutMs,
+    };
   }
 
   // ---- joining ----
 
-  private async run(): Promise<void> {
+  private async joinAndHeartbeat(): Promise<void> {
     while (!this.stopped && !(await this.join()))
-      if (!this.stopped) await this.pause(pauseMs(this.retry, ++this.failures, this.random));
+      if (!this.stopped) await this.pause(pauseMs(this.retryPolicy, ++this.failedAttempts, this.random));
     if (this.stopped) return;
-    this.failures = 0;
+    this.failedAttempts = 0;
     const ticker = setInterval(() => {
       const effects = this.worker!.tick(performance.now());
       if (effects.length === 0) return;
       // Guards against tasks of the next session that nobody watches over.
-      this.lease.lapsed();
-      this.carryOut(effects);
-    }, tickMs);
+      this.lease.markExpired();
+      this.applyEffects(effects);
+    }, tickIntervalMs);
     this.timers.add(ticker);
     while (!this.stopped) {
       const sentAt = performance.now();
-      await this.untilNews(await this.checkin());
+      await this.waitForNextHeartbeat(await this.sendHeartbeat());
       if (this.stopped) return;
-      const least = this.joined!.reportS * 1000 * leastShare;
-      await this.pause(Math.max(0, least - (performance.now() - sentAt)));
-      this.soon = false;
+      const minGapMs = this.joinTerms!.reportS * 1000 * minHeartbeatGapShare;
+      await this.pause(Math.max(0, minGapMs - (performance.now() - sentAt)));
+      this.heartbeatRequested = false;
     }
   }
 
   /** Waits for the next turn, or for something to tell. */
-  private untilNews(ms: number): Promise<void> {
-    if (this.soon || ms <= 0) return Promise.resolve();
+  private waitForNextHeartbeat(ms: number): Promise<void> {
+    if (this.heartbeatRequested || ms <= 0) return Promise.resolve();
     return new Promise<void>((resolve) => {
-      const timer = setTimeout(() => this.wake(), ms);
+      const timer = setTimeout(() => this.wakeHeartbeatLoop(), ms);
       this.timers.add(timer);
-      this.wake = () => {
-        this.wake = () => undefined;
+      this.wakeHeartbeatLoop = () => {
+        this.wakeHeartbeatLoop = () => undefined;
         clearTimeout(timer);
         this.timers.delete(timer);
         resolve();
@@ -174,169 +186,190 @@
     });
   }
 
-  private tellSoon(): void {
-    this.soon = true;
-    this.wake();
+  private requestHeartbeat(): void {
+    this.heartbeatRequested = true;
+    this.wakeHeartbeatLoop();
   }
 
   private async join(): Promise<boolean> {
     const { name, type, zone, cpus, gpus, memGb, attrs } = this.settings;
     const body = {
-      id: this.self.id,
+      id: this.identity.id,
       name,
       type,
       zone,
       cpus,
       gpus,
       memGb,
-      attrs: { OpSys: 'LINUX', Arch: archOf(process.arch), ...attrs },
+      attrs: { OpSys: 'LINUX', Arch: architectureName(process.arch), ...attrs },
     };
-    const r = await this.clients[this.target].call('POST', '/agents', body, answerMs);
+    const response = await this.clients[this.controlIndex].call('POST', '/agents', body, responseTimeoutMs);
     // Guards against an agent that was ended while it asked, and would take up commands all the same.
     if (this.stopped) return false;
-    const joined = r?.status === 200 ? parseJoined(r.body) : null;
-    if (!joined) {
-      if (r) this.log('warn', 'not let in', { status: r.status, body: r.body });
-      this.target = (this.target + 1) % this.clients.length;
+    const terms = response?.status === 200 ? parseJoined(response.body) : null;
+    if (!terms) {
+      if (response) this.log('warn', 'not let in', { status: response.status, body: response.body });
+      this.controlIndex = (this.controlIndex + 1) % this.clients.length;
       return false;
     }
-    this.joined = joined;
-    this.takeUp(joined);
+    this.joinTerms = terms;
+    this.resume(terms);
     return true;
   }
 
   /** Goes on with what the records tell, if the control service still knows this machine by that name. */
-  private takeUp(joined: Joined): void {
-    const same = this.self.host === joined.host;
-    const leaseMs = joined.leaseS * 1000;
+  private resume(terms: Joined): void {
+    const sameHost = this.identity.host === terms.host;
+    const leaseMs = terms.leaseS * 1000;
     const tasks: HeldTask[] = [];
-    const found = this.records.load();
-    if (same) this.memory = { session: this.self.session, seq: this.self.seqFrom, token: this.self.token };
-    else this.memory = { session: this.self.session + 1, seq: this.self.seqFrom, token: 0 };
-    for (const r of found) {
-      if (!same) this.records.forget(r.task);
-      else tasks.push(r.task);
+    const records = this.directory.loadTasks();
+    if (sameHost)
+      this.workerState = {
+        agentEpoch: this.identity.session,
+        seq: this.identity.seqFrom,
+        fencingToken: this.identity.token,
+      };
+    else
+      this.workerState = {
+        agentEpoch: this.identity.session + 1,
+        seq: this.identity.seqFrom,
+        fencingToken: 0,
+      };
+    for (const record of records) {
+      if (!sameHost) this.directory.forgetTask(record.task);
+      else tasks.push(record.task);
     }
-    this.self.host = joined.host;
-    const identity = {
-      host: joined.host,
+    this.identity.host = terms.host;
+    const machine = {
+      host: terms.host,
       endpoint: this.endpoint,
       type: this.settings.type,
       zone: this.settings.zone,
     };
     // The lease went on while this process was not there.
-    const leasedFrom = same ? this.lease.leasedFrom(leaseMs) : performance.now();
-    this.worker = new Worker(identity, this.memory, leaseMs, leasedFrom, tasks);
-    this.remember();
-    this.carryOut(this.worker.tick(performance.now()));
-    this.lease.renewed(this.worker.leasedFrom, leaseMs);
-    const kept = new Set(this.worker.tasks);
-    if (same)
-      for (const r of found) {
-        if (r.job) this.jobOf.set(r.task, r.job);
-        if (r.task.phase === 'exited' || !kept.has(r.task)) continue;
-        this.lease.watch();
+    const leasedFrom = sameHost ? this.lease.startOnDisk(leaseMs) : performance.now();
+    this.worker = new Worker(machine, this.workerState, leaseMs, leasedFrom, tasks);
+    this.persistState();
+    this.applyEffects(this.worker.tick(performance.now()));
+    this.lease.renew(this.worker.leaseStart, leaseMs);
+    const held = new Set(this.worker.tasks);
+    if (sameHost)
+      for (const r of records) {
+        if (r.job) this.jobByTask.set(r.task, r.job);
+        if (r.task.phase === 'exited' || !held.has(r.task)) continue;
+        this.lease.startWatchdog();
         if (r.job && r.task.phase !== 'fetching' && r.task.phase !== 'waiting')
-          this.runner.adopt(r, r.job, this.boot);
+          this.runner.adopt(r, r.job, this.bootId);
         else
-          this.carryOut([{ type: 'prepare', task: Object.assign(r.task, { phase: 'fetching' as const }) }]);
+          this.applyEffects([
+            { type: 'prepare', task: Object.assign(r.task, { phase: 'fetching' as const }) },
+          ]);
       }
     this.runner.sweepOrphans();
-    this.log('info', 'joined', { host: joined.host, session: this.memory.session, tasks: tasks.length });
+    this.log('info', 'joined', {
+      host: terms.host,
+      session: this.workerState.agentEpoch,
+      tasks: tasks.length,
+    });
   }
 
   // ---- reporting ----
 
   /** One report; how long to wait until the next, ms. */
-  private async checkin(): Promise<number> {
+  private async sendHeartbeat(): Promise<number> {
     const worker = this.worker!;
-    const { session } = worker;
+    const { agentEpoch: session } = worker;
     const sentAt = performance.now();
-    const report = worker.report();
-    if (report.seq >= this.self.seqFrom) this.remember();
-    const r = await this.clients[this.target].call('POST', '/checkin', agentReportOut(report), answerMs);
+    const report = worker.buildHeartbeat();
+    if (report.seq >= this.identity.seqFrom) this.persistState();
+    const response = await this.clients[this.controlIndex].call(
+      'POST',
+      '/checkin',
+      agentReportOut(report),
+      responseTimeoutMs,
+    );
     if (this.stopped) return 0;
-    const reportMs = this.joined!.reportS * 1000;
-    if (r?.status === 200) {
-      this.failures = 0;
-      const answer = parseAnswer(r.body);
-      if (answer) this.carryOut(worker.answered(answer, sentAt, session));
-      this.lease.renewed(worker.leasedFrom, this.joined!.leaseS * 1000);
+    const reportMs = this.joinTerms!.reportS * 1000;
+    if (response?.status === 200) {
+      this.failedAttempts = 0;
+      const answer = parseAnswer(response.body);
+      if (answer) this.applyEffects(worker.onHeartbeatResponse(answer, sentAt, session));
+      this.lease.renew(worker.leaseStart, this.joinTerms!.leaseS * 1000);
       return reportMs * (0.75 + 0.5 * this.random());
     }
-    if (r?.status === 410) {
-      this.leave(String((r.body as { error?: unknown } | null)?.error ?? 'forgotten'));
+    if (response?.status === 410) {
+      this.endMembership(String((response.body as { error?: unknown } | null)?.error ?? 'forgotten'));
       return reportMs;
     }
-    const boss = r?.status === 421 ? parseBoss(r.body) : null;
-    const at = boss === null ? -1 : this.settings.controlNames.indexOf(boss);
-    if (at >= 0 && at !== this.target) {
-      this.target = at;
+    const boss = response?.status === 421 ? parseBoss(response.body) : null;
+    const bossIndex = boss === null ? -1 : this.settings.controlNames.indexOf(boss);
+    if (bossIndex >= 0 && bossIndex !== this.controlIndex) {
+      this.controlIndex = bossIndex;
       return 0;
     }
-    this.target = (this.target + 1) % this.clients.length;
-    return pauseMs(this.retry, ++this.failures, this.random);
+    this.controlIndex = (this.controlIndex + 1) % this.clients.length;
+    return pauseMs(this.retryPolicy, ++this.failedAttempts, this.random);
   }
 
-  private leave(why: string): void {
+  private endMembership(why: string): void {
     this.log('warn', 'let go', { why });
-    this.carryOut(this.worker!.newSession(performance.now()));
-    this.self.host = null;
-    this.records.saveSelf(this.self);
-    this.release(why);
+    this.applyEffects(this.worker!.startEpoch(performance.now()));
+    this.identity.host = null;
+    this.directory.saveAgent(this.identity);
+    this.resolveReleased(why);
     this.stop();
   }
 
-  private remember(): void {
-    const { session, token, seq } = this.memory;
-    Object.assign(this.self, { session, token, seqFrom: seq + seqBlock });
-    this.records.saveSelf(this.self);
+  private persistState(): void {
+    const { agentEpoch: session, fencingToken: token, seq } = this.workerState;
+    Object.assign(this.identity, { session, token, seqFrom: seq + sequenceBlockSize });
+    this.directory.saveAgent(this.identity);
   }
 
-  private ended(task: HeldTask, result: TaskResult, saved: boolean): void {
+  private onTaskEnded(task: HeldTask, result: TaskResult, saved: boolean): void {
     const why = result.reason === 'stopped' ? 'stopped' : result.exit === 0 ? 'done' : 'error';
-    this.carryOut(this.worker!.exited(task, why, result, saved));
-    const job = this.jobOf.get(task);
+    this.applyEffects(this.worker!.onExited(task, why, result, saved));
+    const job = this.jobByTask.get(task);
     // Guards against a record that nobody clears: of a task that was forgotten meanwhile, nothing is kept. What a stand-in
     // did has left nothing behind: if its end is lost with the agent, it is played again.
     if (job?.command && this.worker!.holds(task))
-      this.records.save({ task, job, startedAt: 0, startedUptimeS: 0, boot: this.boot });
+      this.directory.saveTask({ task, job, startedAt: 0, startedUptimeS: 0, boot: this.bootId });
   }
 
   // ---- what the worker wants ----
 
-  private carryOut(effects: readonly WorkerEffect[]): void {
+  private applyEffects(effects: readonly WorkerEffect[]): void {
     for (const e of effects)
       switch (e.type) {
         case 'soon':
-          this.tellSoon();
+          this.requestHeartbeat();
           break;
         case 'remember':
-          this.remember();
+          this.persistState();
           break;
         case 'prepare':
           void this.prepare(e.task);
           break;
         case 'run': {
-          const job = this.jobOf.get(e.task);
+          const job = this.jobByTask.get(e.task);
           if (!job) break;
           if (job.command) {
-            this.lease.watch();
-            this.runner.start(e.task, job, this.self.host!, this.boot);
-          } else this.standIns.start(e.task, job);
+            this.lease.startWatchdog();
+            this.runner.start(e.task, job, this.identity.host!, this.bootId);
+          } else this.simulatedTasks.start(e.task, job);
           break;
         }
         case 'stop':
-          if (this.standIns.has(e.task)) this.standIns.stop(e.task, e.graceS);
+          if (this.simulatedTasks.has(e.task)) this.simulatedTasks.stop(e.task, e.graceS);
           else this.runner.stop(e.task, e.graceS);
           break;
         case 'forget': {
-          const plays = this.jobOf.get(e.task)?.command === null;
-          this.jobOf.delete(e.task);
+          const plays = this.jobByTask.get(e.task)?.command === null;
+          this.jobByTask.delete(e.task);
           if (plays) break;
-          this.records.forget(e.task);
+          this.directory.forgetTask(e.task);
           // Looking through all of them costs: not for each task that is over.
-          if (++this.forgotten % pruneEvery === 0) this.records.prune(keptOutputs);
+          if (++this.forgottenTasks % pruneIntervalTasks === 0) this.directory.pruneOutputs(maxKeptOutputs);
           break;
         }
       }
@@ -345,45 +378,48 @@
   /** Gets the description of a task's job and looks whether there is room for it. */
   private async prepare(task: HeldTask): Promise<void> {
     const worker = this.worker!;
-    for (let tries = 1; task.phase === 'fetching' && !this.stopped; tries++) {
-      const job = await this.describe(task.job);
+    for (let attempt = 1; task.phase === 'fetching' && !this.stopped; attempt++) {
+      const job = await this.fetchJob(task.job);
       if (this.stopped) return;
-      if (job === 'unknown') return this.carryOut(worker.exited(task, 'unknown', null, false));
+      if (job === 'unknown') return this.applyEffects(worker.onExited(task, 'unknown', null, false));
       if (job) {
-        if (!this.hasRoom(task, job)) return this.carryOut(worker.exited(task, 'full', null, false));
-        this.jobOf.set(task, job);
-        return this.carryOut(worker.prepared(task, job.gang));
+        if (!this.hasCapacity(task, job))
+          return this.applyEffects(worker.onExited(task, 'full', null, false));
+        this.jobByTask.set(task, job);
+        return this.applyEffects(worker.onPrepared(task, job.gang));
       }
-      await this.pause(pauseMs(this.retry, tries, this.random));
+      await this.pause(pauseMs(this.retryPolicy, attempt, this.random));
     }
   }
 
-  private async describe(id: string): Promise<AgentJob | null | 'unknown'> {
-    let asked = this.jobs.get(id);
-    if (!asked) {
-      asked = this.clients[this.target].call('GET', `/work/${id}/job`, null, answerMs).then((r) => {
-        if (r?.status === 404) return 'unknown';
-        return r?.status === 200 ? parseAgentJob(r.body) : null;
-      });
-      this.jobs.set(id, asked);
+  private async fetchJob(id: string): Promise<AgentJob | null | 'unknown'> {
+    let pending = this.jobRequests.get(id);
+    if (!pending) {
+      pending = this.clients[this.controlIndex]
+        .call('GET', `/work/${id}/job`, null, responseTimeoutMs)
+        .then((r) => {
+          if (r?.status === 404) return 'unknown';
+          return r?.status === 200 ? parseAgentJob(r.body) : null;
+        });
+      this.jobRequests.set(id, pending);
       // Kept while tasks of it are likely to come; an answer that was none is not kept.
-      const seen = await asked;
-      if (seen === null || seen === 'unknown' || this.jobs.size > 1000) this.jobs.delete(id);
-      return seen;
+      const job = await pending;
+      if (job === null || job === 'unknown' || this.jobRequests.size > 1000) this.jobRequests.delete(id);
+      return job;
     }
-    return asked;
+    return pending;
   }
 
-  private hasRoom(task: HeldTask, job: AgentJob): boolean {
-    const left = { cpus: this.settings.cpus, gpus: this.settings.gpus, memGb: this.settings.memGb };
-    for (const t of this.worker!.tasks) {
-      const j = t === task ? job : t.phase === 'exited' ? null : this.jobOf.get(t);
-      if (!j) continue;
-      left.cpus -= j.cpus;
-      left.gpus -= j.gpus;
-      left.memGb -= j.memGb;
+  private hasCapacity(task: HeldTask, job: AgentJob): boolean {
+    const free = { cpus: this.settings.cpus, gpus: this.settings.gpus, memGb: this.settings.memGb };
+    for (const held of this.worker!.tasks) {
+      const heldJob = held === task ? job : held.phase === 'exited' ? null : this.jobByTask.get(held);
+      if (!heldJob) continue;
+      free.cpus -= heldJob.cpus;
+      free.gpus -= heldJob.gpus;
+      free.memGb -= heldJob.memGb;
     }
-    return Math.min(left.cpus, left.gpus, left.memGb) >= -1e-6;
+    return Math.min(free.cpus, free.gpus, free.memGb) >= -1e-6;
   }
 
   // ---- requests ----
@@ -392,29 +428,29 @@
     const url = new URL(req.url ?? '/', 'http://agent');
     if (!this.worker) return reply(res, 503, { error: 'not joined yet' });
     if (req.method === 'GET' && url.pathname === '/show')
-      return reply(res, 200, agentReportOut(this.worker.report()));
+      return reply(res, 200, agentReportOut(this.worker.buildHeartbeat()));
     if (req.method === 'POST' && url.pathname === '/orders') {
-      const o = parseOrders(await readJson(req, mostBody));
-      if (!o || o.token === null || o.session === null)
+      const orders = parseOrders(await readJson(req, maxBodyBytes));
+      if (!orders || orders.token === null || orders.session === null)
         return reply(res, 400, { error: 'baton and tenure are needed' });
-      const effects = this.worker.ordered(o.token, o.session, o.orders);
-      if (effects) this.carryOut(effects);
+      const effects = this.worker.onDirectOrders(orders.token, orders.session, orders.orders);
+      if (effects) this.applyEffects(effects);
       // Nothing to do, but something that only an answer to a report may tell.
-      if (effects && o.orders.length === 0) this.tellSoon();
-      return reply(res, effects ? 200 : 409, agentReportOut(this.worker.report()));
+      if (effects && orders.orders.length === 0) this.requestHeartbeat();
+      return reply(res, effects ? 200 : 409, agentReportOut(this.worker.buildHeartbeat()));
     }
-    if (req.method === 'GET' && url.pathname === '/output') return this.output(url.searchParams, res);
+    if (req.method === 'GET' && url.pathname === '/output') return this.serveOutput(url.searchParams, res);
     reply(res, 404, { error: 'not found' });
   }
 
-  private output(q: URLSearchParams, res: ServerResponse): void {
-    const job = q.get('job') ?? '';
-    const index = Number(q.get('index'));
-    const attempt = Number(q.get('attempt'));
-    const stream = q.get('stream') === 'stderr' ? 'stderr' : 'stdout';
+  private serveOutput(query: URLSearchParams, res: ServerResponse): void {
+    const job = query.get('job') ?? '';
+    const index = Number(query.get('index'));
+    const attempt = Number(query.get('attempt'));
+    const stream = query.get('stream') === 'stderr' ? 'stderr' : 'stdout';
     if (!/^[\w-]+$/.test(job) || !Number.isInteger(index) || !Number.isInteger(attempt))
       return reply(res, 400, { error: 'job, index and attempt are needed' });
-    const path = join(this.records.dirOf({ job, index, attempt }), stream);
+    const path = join(this.directory.taskDirectory({ job, index, attempt }), stream);
     if (!existsSync(path)) return reply(res, 404, { error: 'no output of that attempt here' });
     res.writeHead(200, { 'Content-Type': 'text/plain; charset=utf-8' });
     createReadStream(path).pipe(res);
@@ -422,10 +458,10 @@
 }
 
 /** By the names that match expressions use. */
-const archOf = (arch: string): string =>
+const architectureName = (arch: string): string =>
   arch === 'x64' ? 'X86_64' : arch === 'arm64' ? 'AARCH64' : arch.toUpperCase();
 
-function bootId(): string {
+function readBootId(): string {
   try {
     return readFileSync('/proc/sys/kernel/random/boot_id', 'latin1').trim();
   } catch {
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -23,10 +23,10 @@
 }
 
 /** What outlives the process. */
-export interface WorkerMemory {
-  session: number;
+export interface WorkerState {
+  agentEpoch: number;
   seq: number;
-  token: number;
+  fencingToken: number;
 }
 
 /**
@@ -34,112 +34,123 @@
  * starts and ends nothing itself.
  */
 export class Worker {
-  private readonly held = new Map<string, HeldTask>();
+  private readonly tasksByKey = new Map<string, HeldTask>();
   /** When the last report that was answered was sent. */
-  private leaseFrom: number;
+  private leaseStartMs: number;
 
   constructor(
-    readonly self: WorkerIdentity,
-    private readonly memory: WorkerMemory,
+    readonly identity: WorkerIdentity,
+    private readonly state: WorkerState,
     private readonly leaseMs: number,
     leaseFrom: number,
     tasks: readonly HeldTask[] = [],
   ) {
-    this.leaseFrom = leaseFrom;
-    for (const t of tasks) this.held.set(keyOf(t), t);
+    this.leaseStartMs = leaseFrom;
+    for (const t of tasks) this.tasksByKey.set(attemptKey(t), t);
   }
 
   get tasks(): Iterable<HeldTask> {
-    return this.held.values();
+    return this.tasksByKey.values();
   }
 
   holds(task: HeldTask): boolean {
-    return this.held.get(keyOf(task)) === task;
+    return this.tasksByKey.get(attemptKey(task)) === task;
   }
 
-  get session(): number {
-    return this.memory.session;
+  get agentEpoch(): number {
+    return this.state.agentEpoch;
   }
 
-  get token(): number {
-    return this.memory.token;
+  get fencingToken(): number {
+    return this.state.fencingToken;
   }
 
-  get leasedFrom(): number {
-    return this.leaseFrom;
+  get leaseStart(): number {
+    return this.leaseStartMs;
   }
 
-  report(): AgentReport {
-    const { session, token } = this.memory;
-    const tasks = [...this.held.values()];
-    return { ...this.self, session, seq: ++this.memory.seq, token, tasks };
+  buildHeartbeat(): AgentReport {
+    const { agentEpoch: session, fencingToken: token } = this.state;
+    const tasks = [...this.tasksByKey.values()];
+    return { ...this.identity, session, seq: ++this.state.seq, token, tasks };
   }
 
   /** A 200 to a report sent at `sentAt` in `session`. */
-  answered(a: Answer, sentAt: number, session: number): WorkerEffect[] {
-    const { memory } = this;
+  onHeartbeatResponse(response: Answer, sentAt: number, agentEpoch: number): WorkerEffect[] {
+    const { state: memory } = this;
     // Guards against the answer that comes late, and against one who is entitled no more: it renews nothing.
-    if (session !== memory.session || a.token === null || a.token < memory.token) return [];
-    const out: WorkerEffect[] = [];
-    if (a.token > memory.token) {
-      memory.token = a.token;
-      out.push({ type: 'remember' }, { type: 'soon' });
+    if (agentEpoch !== memory.agentEpoch || response.token === null || response.token < memory.fencingToken)
+      return [];
+    const effects: WorkerEffect[] = [];
+    if (response.token > memory.fencingToken) {
+      memory.fencingToken = response.token;
+      effects.push({ type: 'remember' }, { type: 'soon' });
     }
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
-    out.push(...this.execute(a.orders));
-    for (const name of a.gangs) out.push(...this.gangComplete(name));
-    return out;
+    this.leaseStartMs = Math.max(this.leaseStartMs, sentAt);
+    effects.push(...this.executeOrders(response.orders));
+    for (const name of response.gangs) effects.push(...this.startGang(name));
+    return effects;
   }
 
   /** Orders that came straight; null: not ours to carry out. */
-  ordered(token: number, session: number, orders: readonly TaskOrder[]): WorkerEffect[] | null {
-    if (token < this.memory.token || session !== this.memory.session) return null;
-    const out: WorkerEffect[] = [];
-    if (token > this.memory.token) {
-      this.memory.token = token;
-      out.push({ type: 'remember' });
+  onDirectOrders(
+    fencingToken: number,
+    agentEpoch: number,
+    orders: readonly TaskOrder[],
+  ): WorkerEffect[] | null {
+    if (fencingToken < this.state.fencingToken || agentEpoch !== this.state.agentEpoch) return null;
+    const effects: WorkerEffect[] = [];
+    if (fencingToken > this.state.fencingToken) {
+      this.state.fencingToken = fencingToken;
+      effects.push({ type: 'remember' });
     }
-    return [...out, ...this.execute(orders)];
+    return [...effects, ...this.executeOrders(orders)];
   }
 
   /** Ends the session when its lease has run out: every task is killed and forgotten. */
   tick(now: number): WorkerEffect[] {
-    if (now - this.leaseFrom <= this.leaseMs) return [];
-    return this.newSession(now);
+    if (now - this.leaseStartMs <= this.leaseMs) return [];
+    return this.startEpoch(now);
   }
 
-  newSession(now: number): WorkerEffect[] {
-    this.memory.session++;
-    this.leaseFrom = now;
-    const out: WorkerEffect[] = [{ type: 'remember' }];
-    for (const task of this.held.values())
-      out.push({ type: 'stop', task, graceS: 0 }, { type: 'forget', task });
-    this.held.clear();
-    return out;
+  startEpoch(now: number): WorkerEffect[] {
+    this.state.agentEpoch++;
+    this.leaseStartMs = now;
+    const effects: WorkerEffect[] = [{ type: 'remember' }];
+    for (const task of this.tasksByKey.values())
+      effects.push({ type: 'stop', task, graceS: 0 }, { type: 'forget', task });
+    this.tasksByKey.clear();
+    return effects;
   }
 
-  private execute(orders: readonly TaskOrder[]): WorkerEffect[] {
-    const out: WorkerEffect[] = [];
-    for (const o of orders) {
-      const task = this.held.get(keyOf(o));
-      if (o.op === 'start') {
+  private executeOrders(orders: readonly TaskOrder[]): WorkerEffect[] {
+    const effects: WorkerEffect[] = [];
+    for (const order of orders) {
+      const task = this.tasksByKey.get(attemptKey(order));
+      if (order.op === 'start') {
         // The same attempt again, in whatever state, changes nothing.
         if (task) continue;
-        const fresh: HeldTask = { job: o.job, index: o.index, attempt: o.attempt, ...asNew };
-        const other = [...this.held.values()].some(
-          (t) => t.job === o.job && t.index === o.index && t.phase !== 'exited',
+        const newTask: HeldTask = {
+          job: order.job,
+          index: order.index,
+          attempt: order.attempt,
+          ...newTaskState,
+        };
+        const alreadyRunning = [...this.tasksByKey.values()].some(
+          (t) => t.job === order.job && t.index === order.index && t.phase !== 'exited',
         );
-        this.held.set(keyOf(o), fresh);
-        if (other) out.push(...this.exited(fresh, 'busy', null, false));
-        else out.push({ type: 'prepare', task: fresh });
+        this.tasksByKey.set(attemptKey(order), newTask);
+        if (alreadyRunning) effects.push(...this.onExited(newTask, 'busy', null, false));
+        else effects.push({ type: 'prepare', task: newTask });
       } else if (task) {
-        if (o.op === 'forget' && task.phase === 'exited') {
-          this.held.delete(keyOf(o));
-          out.push({ type: 'forget', task });
-        } else if (o.op === 'stop' && task.phase !== 'exited') out.push(...this.stop(task, o.graceS));
+        if (order.op === 'forget' && task.phase === 'exited') {
+          this.tasksByKey.delete(attemptKey(order));
+          effects.push({ type: 'forget', task });
+        } else if (order.op === 'stop' && task.phase !== 'exited')
+          effects.push(...this.stop(task, order.graceS));
       }
     }
-    return out;
+    return effects;
   }
 
   private stop(task: HeldTask, graceS: number): WorkerEffect[] {
@@ -149,44 +160,44 @@
       return again ? [] : [{ type: 'stop', task, graceS }];
     }
     // It has not begun: there is nothing to end.
-    this.exited(task, 'stopped', null, false);
+    this.onExited(task, 'stopped', null, false);
     return [{ type: 'stop', task, graceS: 0 }, { type: 'soon' }];
   }
 
-  private gangComplete(name: string): WorkerEffect[] {
-    const out: WorkerEffect[] = [];
-    for (const task of this.held.values())
-      if (task.phase === 'waiting' && gangName(task) === name) {
+  private startGang(name: string): WorkerEffect[] {
+    const effects: WorkerEffect[] = [];
+    for (const task of this.tasksByKey.values())
+      if (task.phase === 'waiting' && gangKey(task) === name) {
         task.phase = 'running';
-        out.push({ type: 'run', task }, { type: 'soon' });
+        effects.push({ type: 'run', task }, { type: 'soon' });
       }
-    return out;
+    return effects;
   }
 
   // ---- what the runner tells ----
 
   /** Its description is here and there is room: it runs now, or waits for its gang. */
-  prepared(task: HeldTask, gang: boolean): WorkerEffect[] {
+  onPrepared(task: HeldTask, gang: boolean): WorkerEffect[] {
     if (task.phase !== 'fetching') return [];
     task.phase = gang ? 'waiting' : 'running';
     return gang ? [{ type: 'soon' }] : [{ type: 'run', task }, { type: 'soon' }];
   }
 
-  exited(task: HeldTask, why: HeldTask['why'], result: TaskResult | null, saved: boolean): WorkerEffect[] {
+  onExited(task: HeldTask, why: HeldTask['why'], result: TaskResult | null, saved: boolean): WorkerEffect[] {
     if (task.phase === 'exited') return [];
     Object.assign(task, { phase: 'exited', why, result, saved });
     return [{ type: 'soon' }];
   }
 }
 
-const keyOf = (t: { job: string; index: number; attempt: number }): string =>
-  `${taskKey(t.job, t.index)} ${t.attempt}`;
+const attemptKey = (task: { job: string; index: number; attempt: number }): string =>
+  `${taskKey(task.job, task.index)} ${task.attempt}`;
 
-const asNew: Pick<HeldTask, 'phase' | 'why' | 'saved' | 'result'> = {
+const newTaskState: Pick<HeldTask, 'phase' | 'why' | 'saved' | 'result'> = {
   phase: 'fetching',
   why: null,
   saved: false,
   result: null,
 };
 
-export const gangName = (t: { job: string; attempt: number }): string => `${t.job} ${t.attempt}`;
+export const gangKey = (task: { job: string; attempt: number }): string => `${task.job} ${task.attempt}`;
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -13,13 +13,13 @@
 import { HttpClient } from '../net/client.js';
 import { jobPath } from '../wire/user.js';
 import { here, jsonOf, nativeJob, Submission, SubmitError } from '../condor/index.js';
-import { Client, exits, newId, say } from './client.js';
+import { ApiClient, exitCodes, newJobId, printLine } from './client.js';
 
 type Fail = (message: string) => never;
 
-const around = (): Surroundings => ({ nowS: Date.now() / 1000, random: Math.random });
+const evaluationContext = (): Surroundings => ({ nowS: Date.now() / 1000, random: Math.random });
 
-function read(path: string, fail: Fail): string {
+function readInput(path: string, fail: Fail): string {
   try {
     return readFileSync(path === '-' ? 0 : path, 'utf8');
   } catch (e) {
@@ -29,23 +29,24 @@
 
 function readAd(path: string, fail: Fail): Ad {
   try {
-    return parseAd(read(path, fail));
-  } catch (e) {
-    if (e instanceof ClassAdError) return wrongAt(`${path}:${e.line}: column ${e.column}: ${e.what}`);
-    throw e;
+    return parseAd(readInput(path, fail));
+  } catch (error) {
+    if (error instanceof ClassAdError)
+      return failAtPosition(`${path}:${error.line}: column ${error.column}: ${error.what}`);
+    throw error;
   }
 }
 
 /** In the form that editors understand: nothing before the file's name. */
-function wrongAt(message: string): never {
+function failAtPosition(message: string): never {
   process.stderr.write(`${message}\n`);
   process.exit(1);
 }
 
 /** All jobs as one array, piece by piece: they may be a hundred thousand. */
-function* asJson(all: Iterable<Ad>): Generator<string> {
+function* jsonChunks(ads: Iterable<Ad>): Generator<string> {
   let first = true;
-  for (const ad of all) {
+  for (const ad of ads) {
     yield `${first ? '[\n' : ',\n'}${JSON.stringify(jsonOf(ad))}`;
     first = false;
   }
@@ -53,71 +54,79 @@
 }
 
 async function dryRun(file: string, json: boolean, fail: Fail): Promise<void> {
-  const text = read(file, fail);
+  const text = readInput(file, fail);
   try {
-    const s = new Submission(text, file, here());
+    const submission = new Submission(text, file, here());
     // Nothing is printed of a file that has a mistake further on.
-    const all = [...s.jobs()];
-    for (const w of s.warnings) process.stderr.write(`${w}\n`);
-    let out = '';
-    const parts = json ? asJson(all) : all.map((ad) => `${lineOf(ad)}\n`);
-    for (const part of parts) {
-      out += part;
-      if (out.length < 65_536) continue;
-      if (!process.stdout.write(out)) await new Promise((r) => process.stdout.once('drain', r));
-      out = '';
+    const ads = [...submission.jobs()];
+    for (const w of submission.warnings) process.stderr.write(`${w}\n`);
+    let buffer = '';
+    const chunks = json ? jsonChunks(ads) : ads.map((ad) => `${jobLine(ad)}\n`);
+    for (const part of chunks) {
+      buffer += part;
+      if (buffer.length < 65_536) continue;
+      if (!process.stdout.write(buffer)) await new Promise((r) => process.stdout.once('drain', r));
+      buffer = '';
     }
-    process.stdout.write(out);
+    process.stdout.write(buffer);
   } catch (e) {
-    if (e instanceof SubmitError) return wrongAt(e.message);
+    if (e instanceof SubmitError) return failAtPosition(e.message);
     throw e;
   }
 }
 
-function lineOf(ad: Ad): string {
-  const j = jsonOf(ad) as Record<string, string | number>;
-  return `${j['ClusterId']}.${j['ProcId']}  ${j['Cmd']} ${j['Args'] ?? ''}`.trimEnd();
+function jobLine(ad: Ad): string {
+  const job = jsonOf(ad) as Record<string, string | number>;
+  return `${job['ClusterId']}.${job['ProcId']}  ${job['Cmd']} ${job['Args'] ?? ''}`.trimEnd();
 }
 
 /** All of a file is understood before any of it is submitted. */
 async function submit(file: string, json: boolean, node: string, team: string, fail: Fail): Promise<void> {
-  const text = read(file, fail);
-  const all: { first: number; count: number; job: Record<string, unknown> }[] = [];
+  const text = readInput(file, fail);
+  const submissions: { first: number; count: number; job: Record<string, unknown> }[] = [];
   try {
-    const s = new Submission(text, file, here());
-    for (const g of s.groups())
-      all.push({ first: g.first, count: g.count, job: nativeJob(g, team, s.file.warnings) });
-    for (const w of s.warnings) process.stderr.write(`${w}\n`);
+    const submission = new Submission(text, file, here());
+    for (const group of submission.groups())
+      submissions.push({
+        first: group.first,
+        count: group.count,
+        job: nativeJob(group, team, submission.file.warnings),
+      });
+    for (const w of submission.warnings) process.stderr.write(`${w}\n`);
   } catch (e) {
-    if (e instanceof SubmitError) return wrongAt(e.message);
+    if (e instanceof SubmitError) return failAtPosition(e.message);
     throw e;
   }
   const http = new HttpClient(node, 1);
-  const done: { processes: string; nameId: string }[] = [];
-  for (const { first, count, job } of all) {
-    const nameId = newId();
-    const r = await http.call('POST', jobPath, { nameId, ...job }, 5000);
+  const submitted: { processes: string; nameId: string }[] = [];
+  for (const { first, count, job } of submissions) {
+    const nameId = newJobId();
+    const response = await http.call('POST', jobPath, { nameId, ...job }, 5000);
     const processes = count > 1 ? `${first}-${first + count - 1}` : String(first);
-    if (!r || r.status >= 300) {
-      const why = r
-        ? `${r.status}: ${(r.body as { error?: string } | null)?.error ?? ''}`
+    if (!response || response.status >= 300) {
+      const reason = response
+        ? `${response.status}: ${(response.body as { error?: string } | null)?.error ?? ''}`
         : `no answer from ${node}`;
-      process.stderr.write(`dapplepick: process ${processes}: ${why}\n`);
-      if (done.length > 0)
-        process.stderr.write(`dapplepick: submitted before: ${done.map((d) => d.nameId).join(' ')}\n`);
-      process.exit(r ? exits.refused : 1);
+      process.stderr.write(`dapplepick: process ${processes}: ${reason}\n`);
+      if (submitted.length > 0)
+        process.stderr.write(`dapplepick: submitted before: ${submitted.map((d) => d.nameId).join(' ')}\n`);
+      process.exit(response ? exitCodes.refused : 1);
     }
-    done.push({ processes, nameId });
+    submitted.push({ processes, nameId });
   }
-  if (json) say(JSON.stringify(done));
-  else for (const d of done) say(`${d.nameId}  processes ${d.processes}`);
+  if (json) printLine(JSON.stringify(submitted));
+  else for (const d of submitted) printLine(`${d.nameId}  processes ${d.processes}`);
   process.exit(0);
 }
 
 async function analyze(id: string, node: string, json: boolean, fail: Fail): Promise<void> {
-  const a = (await new Client(node, fail).need('GET', `${jobPath}/${id}/analyze`, null)) as Analysis;
-  if (json) say(JSON.stringify(a));
-  else for (const line of inWords(a)) say(line);
+  const analysis = (await new ApiClient(node, fail).requestOk(
+    'GET',
+    `${jobPath}/${id}/analyze`,
+    null,
+  )) as Analysis;
+  if (json) printLine(JSON.stringify(analysis));
+  else for (const line of inWords(analysis)) printLine(line);
   process.exit(0);
 }
 
@@ -159,9 +168,10 @@
       const my = o.my === undefined ? parseAd('[]') : readAd(o.my, fail);
       const target = o.target === undefined ? null : readAd(o.target, fail);
       try {
-        say(printValue(evaluate(parseExpr(expr), my, target, around())));
+        printLine(printValue(evaluate(parseExpr(expr), my, target, evaluationContext())));
       } catch (e) {
-        if (e instanceof ClassAdError) return wrongAt(`expression:${e.line}: column ${e.column}: ${e.what}`);
+        if (e instanceof ClassAdError)
+          return failAtPosition(`expression:${e.line}: column ${e.column}: ${e.what}`);
         throw e;
       }
     });
--- a/src/cli/programs.ts
+++ b/src/cli/program-commands.ts
@@ -13,7 +13,7 @@
 }
 
 /** Runs what may find the operator's settings or directories wrong: one line then, no trace. */
-async function guarded(fail: Fail, run: () => Promise<void>): Promise<void> {
+async function exitOnKnownErrors(fail: Fail, run: () => Promise<void>): Promise<void> {
   try {
     await run();
   } catch (e) {
@@ -26,19 +26,19 @@
   }
 }
 
-const onSignals = (end: () => void): void => {
+const onTerminationSignal = (end: () => void): void => {
   for (const name of ['SIGINT', 'SIGTERM'] as const) process.once(name, end);
 };
 
 /** The programs of the product: control service, agent, store. Each is loaded only when it is asked for. */
-export function addPrograms(program: Command, fail: Fail): void {
+export function addProgramCommands(program: Command, fail: Fail): void {
   program
     .command('control')
     .description('run a control service: the schedule, a store, agents instead of a cloud')
     .argument('<settings>', 'its settings (S-expressions)')
     .addHelpText('after', '\nExample:\n  dapplepick control deploy/control.scm\n')
     .action((path: string) =>
-      guarded(fail, async () => {
+      exitOnKnownErrors(fail, async () => {
         const [{ openControl, parseControlSettings }, { makeLog }] = await Promise.all([
           import('../control/index.js'),
           import('../log.js'),
@@ -46,7 +46,7 @@
         const settings = parseControlSettings(readFile(path, fail), path);
         const open = await openControl(settings, makeLog(settings.name), (e) => fail(e.message));
         await open.control.start();
-        onSignals(() => void open.close().then(() => process.exit(0)));
+        onTerminationSignal(() => void open.close().then(() => process.exit(0)));
       }),
     );
 
@@ -57,7 +57,7 @@
     .argument('<settings>', 'its settings (S-expressions)')
     .addHelpText('after', '\nExample:\n  dapplepick agent run deploy/agent.scm\n')
     .action((path: string) =>
-      guarded(fail, async () => {
+      exitOnKnownErrors(fail, async () => {
         const [{ Agent, parseAgentSettings }, { makeLog }, { seeded }, { randomInt }] = await Promise.all([
           import('../agent/index.js'),
           import('../log.js'),
@@ -65,14 +65,14 @@
           import('node:crypto'),
         ]);
         const settings = parseAgentSettings(readFile(path, fail), path);
-        const one = new Agent(settings, seeded(randomInt(2 ** 31)), makeLog(settings.name));
-        await one.start();
+        const agentProcess = new Agent(settings, seeded(randomInt(2 ** 31)), makeLog(settings.name));
+        await agentProcess.start();
         // What it runs goes on: the next start finds it again.
-        onSignals(() => {
-          one.stop();
+        onTerminationSignal(() => {
+          agentProcess.stop();
           process.exit(0);
         });
-        const why = await one.released;
+        const why = await agentProcess.released;
         process.stderr.write(`dapplepick: agent ${settings.name} ends: ${why}\n`);
         process.exit(0);
       }),
@@ -95,7 +95,7 @@
     .requiredOption('--dir <directory>', 'where it keeps everything')
     .option('--listen <address>', 'IPv4:port', '127.0.0.1:2379')
     .action((o: { dir: string; listen: string }) =>
-      guarded(fail, async () => {
+      exitOnKnownErrors(fail, async () => {
         const [{ Engine, LevelDisk, storeServer }, { makeLog }] = await Promise.all([
           import('../store/index.js'),
           import('../log.js'),
@@ -109,7 +109,7 @@
           server.listen(port, host, () => resolve());
         });
         log('info', 'listening', { addr: o.listen });
-        onSignals(() => {
+        onTerminationSignal(() => {
           server.close();
           server.closeAllConnections();
           void engine.close().then(() => process.exit(0));
@@ -122,7 +122,7 @@
     .argument('<snapshot>')
     .requiredOption('--dir <directory>', 'a new directory')
     .action((snapshot: string, o: { dir: string }) =>
-      guarded(fail, async () => {
+      exitOnKnownErrors(fail, async () => {
         if (!existsSync(snapshot)) fail(`${snapshot}: there is no such file`);
         const { restoreSnapshot } = await import('../store/index.js');
         const { keys, epoch } = await restoreSnapshot(snapshot, o.dir);
--- a/src/control/control-store.ts
+++ b/src/control/control-store.ts
@@ -2,17 +2,17 @@
 import type { Change, Txn } from '../wire/store.js';
 
 /** What the control service keeps beside the core's records, wherever the store is. */
-export interface Kv {
+export interface ControlStore {
   commit(txn: Txn): Promise<CommitOutcome>;
   /** All keys under a prefix; null: no answer. */
   list(prefix: string): Promise<Change[] | null>;
 }
 
 /** A commit that did not go through; whoever asked for it is told to come again. */
-export class NotWritten extends Error {}
+export class StoreUnavailableError extends Error {}
 
 /** A key that must be as it was. */
-export interface Guard {
+export interface Precondition {
   key: string;
   stamp: number;
 }
@@ -21,16 +21,19 @@
  * Puts keys, if the guards hold. An answer that is lost is asked for again: the same values twice are the same. (Then a guard
  * that is among the keys fails, and it is told as not written: whoever asked reads it before anything else.)
  */
-export async function put(
-  kv: Kv,
+export async function putIf(
+  store: ControlStore,
   entries: [string, Record<string, unknown> | undefined][],
-  guards: Guard[] = [],
+  preconditions: Precondition[] = [],
 ): Promise<void> {
-  for (let i = 0; i < tries; i++) {
-    const o = await kv.commit({ when: guards, apply: entries.map(([key, data]) => ({ key, data })) });
-    if (o.type === 'ok') return;
-    if (o.type === 'malformed' || o.type === 'conflict') break;
+  for (let i = 0; i < maxAttempts; i++) {
+    const outcome = await store.commit({
+      when: preconditions,
+      apply: entries.map(([key, data]) => ({ key, data })),
+    });
+    if (outcome.type === 'ok') return;
+    if (outcome.type === 'malformed' || outcome.type === 'conflict') break;
   }
-  throw new NotWritten('the store did not take it');
+  throw new StoreUnavailableError('the store did not take it');
 }
-const tries = 3;
+const maxAttempts = 3;
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -10,25 +10,25 @@
 import type { StateService } from '../state/service.js';
 import type { FrontHooks } from '../users/server.js';
 import { parseResults, type AgentJob, type TaskResult } from '../wire/agent-side.js';
-import { Api } from './api.js';
-import { NotWritten, type Guard, type Kv } from './control-store.js';
-import { Gangs } from './gangs.js';
-import { Pool, type PoolRecord } from './pool.js';
-import { Results } from './results.js';
-import { platformOf, type ControlSettings } from './settings.js';
+import { ControlApi } from './api.js';
+import { StoreUnavailableError, type Precondition, type ControlStore } from './control-store.js';
+import { GangRendezvous } from './gang-rendezvous.js';
+import { AgentPool, type PoolRecord } from './agent-pool.js';
+import { ResultStore } from './result-store.js';
+import { platformSettings, type ControlSettings } from './settings.js';
 
 /** Of tries to reach a store that does not answer, one in so many is told. */
-const sayEvery = 20;
+const logEveryAttempts = 20;
 /** Where the store is shared, the pool is read again after so many reports. */
-const poolReports = 2;
+const poolReloadIntervalReports = 2;
 /** How long a stand-in sleeps when its class says nothing, and its owner neither, s. */
-const plainSleepS = 1;
+const defaultSimulatedSleepS = 1;
 
 /** The match language, if it is switched on: loaded only then. */
-export interface Matching {
+export interface MatchingSupport {
   matcher: Matcher & { analyze(m: MatchSpec): object };
-  wrongWith(m: MatchSpec): string | null;
-  attributesOf(m: PoolRecord): MachineAttributes;
+  validate(m: MatchSpec): string | null;
+  machineAttributes(m: PoolRecord): MachineAttributes;
 }
 
 /**
@@ -38,30 +38,30 @@
  */
 export class ControlService {
   readonly service: Service;
-  readonly pool: Pool;
-  readonly results: Results;
-  private readonly gangs: Gangs;
-  private readonly api: Api;
-  /** Gangs that a machine's next answer tells to go. */
-  private readonly go = new Map<string, string[]>();
+  readonly pool: AgentPool;
+  readonly results: ResultStore;
+  private readonly gangRendezvous: GangRendezvous;
+  private readonly api: ControlApi;
+  /** GangRendezvous that a machine's next answer tells to go. */
+  private readonly completeGangs = new Map<string, string[]>();
   /** The grant under which the results were read last, by its stamp: after another owner they are others. */
-  private readUnder = -1;
-  private reading: Promise<void> | null = null;
-  private poolTimer: NodeJS.Timeout | null = null;
+  private resultsGrantStamp = -1;
+  private resultsLoading: Promise<void> | null = null;
+  private poolReloadTimer: NodeJS.Timeout | null = null;
   private stopped = false;
 
   constructor(
     readonly settings: ControlSettings,
-    state: StateService & Kv,
+    state: StateService & ControlStore,
     private readonly log: Log,
     snapshot: (() => Promise<object>) | null = null,
-    readonly matching: Matching | null = null,
+    readonly matching: MatchingSupport | null = null,
   ) {
-    const { settings: platform, nodeLeaseRatio } = platformOf(settings);
+    const { settings: platform, nodeLeaseRatio } = platformSettings(settings);
     const aliveMs = settings.reportS * 4000;
-    this.pool = new Pool(state, settings.zones, aliveMs, () => performance.now(), log);
-    this.results = new Results(state);
-    this.gangs = new Gangs((id) => this.gangTasks(id));
+    this.pool = new AgentPool(state, settings.zones, aliveMs, () => performance.now(), log);
+    this.results = new ResultStore(state);
+    this.gangRendezvous = new GangRendezvous((id) => this.pendingGangTasks(id));
     const operators = {
       ...defaults,
       'node-lease-ratio': nodeLeaseRatio,
@@ -70,11 +70,11 @@
     const hooks: FrontHooks = {
       admit: (spec) => {
         if (!spec.match) return null;
-        return matching ? matching.wrongWith(spec.match) : 'requirements, rank: matching is not switched on';
+        return matching ? matching.validate(spec.match) : 'requirements, rank: matching is not switched on';
       },
       serve: (req, res, path) => this.api.serve(req, res, path),
-      checkin: (raw, report, pass, refuse) => void this.checkin(raw, report, pass, refuse),
-      answered: (host, status, body) => this.answered(host, status, body),
+      checkin: (raw, report, pass, refuse) => void this.onHeartbeat(raw, report, pass, refuse),
+      answered: (host, status, body) => this.addCompleteGangs(host, status, body),
     };
     this.service = new Service(
       platform,
@@ -89,41 +89,46 @@
       version(),
     );
     if (matching)
-      this.pool.onMember = (host, m) =>
-        this.service.push({ type: 'machine-attributes', host, attributes: m && matching.attributesOf(m) });
-    this.api = new Api(this, snapshot);
+      this.pool.onMemberChanged = (host, m) =>
+        this.service.push({
+          type: 'machine-attributes',
+          host,
+          attributes: m && matching.machineAttributes(m),
+        });
+    this.api = new ControlApi(this, snapshot);
     this.pool.onForgotten = (host) => this.service.push({ type: 'forget-machine', host });
-    this.pool.onTypes = () =>
+    this.pool.onNewMachineType = () =>
       void this.pool.listMachineTypes().then((types) => this.service.push({ type: 'machine-types', types }));
   }
 
   async start(): Promise<void> {
-    await this.firstReading();
+    await this.loadInitialState();
     await this.service.start();
     if (this.settings.store === null) return;
     // Others may share the store: drained and forgotten by them is drained and forgotten.
-    const everyMs = this.settings.reportS * poolReports * 1000;
-    this.poolTimer = setInterval(() => void this.pool.load().catch(() => undefined), everyMs);
+    const everyMs = this.settings.reportS * poolReloadIntervalReports * 1000;
+    this.poolReloadTimer = setInterval(() => void this.pool.load().catch(() => undefined), everyMs);
   }
 
   stop(): void {
     this.stopped = true;
-    if (this.poolTimer) clearInterval(this.poolTimer);
+    if (this.poolReloadTimer) clearInterval(this.poolReloadTimer);
     this.service.stop();
   }
 
   /** Guards against a service that ends because its store is started a moment later, or again: it waits for it. */
-  private async firstReading(): Promise<void> {
-    const everyMs = this.settings.reportS * 250;
+  private async loadInitialState(): Promise<void> {
+    const retryIntervalMs = this.settings.reportS * 250;
     for (let tries = 0; ; tries++)
       try {
         await this.pool.load();
         await this.results.load();
         return;
-      } catch (e) {
-        if (!(e instanceof NotWritten) || this.stopped) throw e;
-        if (tries % sayEvery === 0) this.log('warn', 'waiting for the store', { store: this.settings.store });
-        await new Promise((resolve) => setTimeout(resolve, everyMs));
+      } catch (error) {
+        if (!(error instanceof StoreUnavailableError) || this.stopped) throw error;
+        if (tries % logEveryAttempts === 0)
+          this.log('warn', 'waiting for the store', { store: this.settings.store });
+        await new Promise((resolve) => setTimeout(resolve, retryIntervalMs));
       }
   }
 
@@ -138,8 +143,8 @@
   }
 
   /** The results as they are: the owner has them, others read them. */
-  async refresh(job: string): Promise<void> {
-    if (this.owns) await this.takeOver();
+  async refreshResults(job: string): Promise<void> {
+    if (this.owns) await this.ensureResultsOfGrant();
     else await this.results.load(job);
   }
 
@@ -147,14 +152,14 @@
    * Guards against results of an earlier owner that were not seen here: read once more under each grant. What an earlier
    * owner writes later than that fails at its grant.
    */
-  private async takeOver(): Promise<Guard[]> {
+  private async ensureResultsOfGrant(): Promise<Precondition[]> {
     const stamp = this.service.controller.replica.shards.get(0)?.stamp ?? 0;
-    if (this.readUnder !== stamp) {
-      this.reading ??= this.results
+    if (this.resultsGrantStamp !== stamp) {
+      this.resultsLoading ??= this.results
         .load()
-        .then(() => void (this.readUnder = stamp))
-        .finally(() => (this.reading = null));
-      await this.reading;
+        .then(() => void (this.resultsGrantStamp = stamp))
+        .finally(() => (this.resultsLoading = null));
+      await this.resultsLoading;
     }
     return [{ key: shardKey(0), stamp }];
   }
@@ -163,21 +168,21 @@
   analyze(id: string): object | null {
     const spec = this.spec(id);
     if (!spec) return null;
-    const all = { requirements: null, rank: null, attributes: {} };
-    return this.matching?.matcher.analyze(spec.match ?? all) ?? {};
+    const matchAll = { requirements: null, rank: null, attributes: {} };
+    return this.matching?.matcher.analyze(spec.match ?? matchAll) ?? {};
   }
 
   private spec(id: string): JobSpec | null {
     return this.service.controller.replica.jobs.get(id)?.spec ?? null;
   }
 
-  private gangTasks(id: string): number | null {
+  private pendingGangTasks(id: string): number | null {
     const spec = this.spec(id);
     if (spec?.shape !== 'gang') return null;
     return spec.tasks - this.service.controller.replica.taskCounts(id).done;
   }
 
-  private async checkin(
+  private async onHeartbeat(
     raw: unknown,
     report: Heartbeat,
     pass: (report: Heartbeat) => void,
@@ -185,55 +190,63 @@
   ): Promise<void> {
     let member;
     try {
-      member = await this.pool.known(report.host);
+      member = await this.pool.findOrLoad(report.host);
       if (!member)
         return refuse(410, { error: `${report.host}: not known here: it has left or was forgotten` });
       if (member.forgotten) return refuse(410, { error: `${report.host}: forgotten by an operator` });
       // Not ours: the core sends it on to the owner.
       if (!this.owns) return pass(report);
-      this.pool.heard(report.host, report.endpoint);
-      await this.recordEnds(raw, report);
-    } catch (e) {
-      if (e instanceof NotWritten) return refuse(503, { error: e.message });
-      throw e;
+      this.pool.recordHeartbeat(report.host, report.endpoint);
+      await this.recordResults(raw, report);
+    } catch (error) {
+      if (error instanceof StoreUnavailableError) return refuse(503, { error: error.message });
+      throw error;
     }
     for (const id of this.failedGangs(report)) this.service.push({ type: 'stop-gang', id });
     // Drained: like a machine that is to be taken back, with all the time that it needs.
     if (member.drainedAt !== null) report.noticeS = this.settings.drainS;
-    this.go.set(report.host, this.gangs.seen(report));
+    this.completeGangs.set(report.host, this.gangRendezvous.observe(report));
     pass(report);
   }
 
   /** Ends of attempts are kept first; then the core is told what becomes of their tasks. */
-  private async recordEnds(raw: unknown, report: Heartbeat): Promise<void> {
-    const ended = new Map<string, TaskResult>();
-    for (const r of parseResults(raw)) ended.set(`${r.piece} ${r.attempt}`, r.result);
-    if (ended.size === 0) return;
-    const guards = await this.takeOver();
+  private async recordResults(raw: unknown, report: Heartbeat): Promise<void> {
+    const results = new Map<string, TaskResult>();
+    for (const reported of parseResults(raw))
+      results.set(`${reported.piece} ${reported.attempt}`, reported.result);
+    if (results.size === 0) return;
+    const preconditions = await this.ensureResultsOfGrant();
     await Promise.all(
-      report.tasks.map(async (t) => {
-        const result = ended.get(`${t.job}/${t.index} ${t.attempt}`);
-        if (t.phase !== 'exited' || !result) return;
-        const spec = this.spec(t.job);
-        const job = { id: t.job, retries: spec?.command?.retries ?? 0, gang: spec?.shape === 'gang' };
-        const verdict = await this.results.record(job, t.index, t.attempt, report.host, result, guards);
-        t.why = verdict === 'done' ? 'done' : 'stopped';
+      report.tasks.map(async (task) => {
+        const result = results.get(`${task.job}/${task.index} ${task.attempt}`);
+        if (task.phase !== 'exited' || !result) return;
+        const spec = this.spec(task.job);
+        const job = { id: task.job, retries: spec?.command?.retries ?? 0, gang: spec?.shape === 'gang' };
+        const disposition = await this.results.record(
+          job,
+          task.index,
+          task.attempt,
+          report.host,
+          result,
+          preconditions,
+        );
+        task.why = disposition === 'done' ? 'done' : 'stopped';
       }),
     );
   }
 
-  /** Gangs of which a task has failed for good, and others run on here: they fail together. */
+  /** GangRendezvous of which a task has failed for good, and others run on here: they fail together. */
   private failedGangs(report: Heartbeat): Set<string> {
     const failed = new Set<string>();
     for (const t of report.tasks)
-      if (t.phase !== 'exited' && this.results.failures(t.job) > 0 && this.gangTasks(t.job) !== null)
+      if (t.phase !== 'exited' && this.results.failures(t.job) > 0 && this.pendingGangTasks(t.job) !== null)
         failed.add(t.job);
     return failed;
   }
 
-  private answered(host: string, status: number, body: object): object {
-    const gangs = this.go.get(host);
-    this.go.delete(host);
+  private addCompleteGangs(host: string, status: number, body: object): object {
+    const gangs = this.completeGangs.get(host);
+    this.completeGangs.delete(host);
     return status === 200 && gangs && gangs.length > 0 ? { ...body, gangs } : body;
   }
 
@@ -241,8 +254,8 @@
   agentJob(id: string): AgentJob | null {
     const spec = this.spec(id);
     if (!spec) return null;
-    const plain = { sleepS: null, fail: 0, hang: false, memMb: 0 };
-    const standIn = this.settings.classes.get(spec.class) ?? plain;
+    const defaultSimulation = { sleepS: null, fail: 0, hang: false, memMb: 0 };
+    const standIn = this.settings.classes.get(spec.class) ?? defaultSimulation;
     return {
       cpus: spec.cpus,
       gpus: spec.gpus,
@@ -254,7 +267,7 @@
       standIn: {
         ...standIn,
         hang: standIn.hang || spec.shape === 'service',
-        sleepS: standIn.sleepS ?? (spec.estimateS > 0 ? spec.estimateS : plainSleepS),
+        sleepS: standIn.sleepS ?? (spec.estimateS > 0 ? spec.estimateS : defaultSimulatedSleepS),
       },
     };
   }
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -2,8 +2,8 @@
 import { retryPolicies } from '../retry/index.js';
 import { Store } from '../state/store.js';
 import { EmbeddedStore, Engine, LevelDisk, snapshotInto, type StoreError } from '../store/index.js';
-import { ControlService, type Matching } from './control.js';
-import { platformOf, type ControlSettings } from './settings.js';
+import { ControlService, type MatchingSupport } from './control.js';
+import { platformSettings, type ControlSettings } from './settings.js';
 
 export interface OpenControl {
   control: ControlService;
@@ -12,30 +12,30 @@
 }
 
 /** The language and its libraries take memory: only where they are wanted. */
-async function matchingOf(settings: ControlSettings): Promise<Matching | null> {
+async function loadMatching(settings: ControlSettings): Promise<MatchingSupport | null> {
   if (!settings.matching) return null;
   const { attributesOf, ClassAdMatcher, wrongWith } = await import('../matching/index.js');
-  return { matcher: new ClassAdMatcher(), attributesOf, wrongWith };
+  return { matcher: new ClassAdMatcher(), machineAttributes: attributesOf, validate: wrongWith };
 }
 
-/** Opens the store that the settings name and a control service on it. `onBroken`: its disk takes nothing any more. */
+/** Opens the store that the settings name and a control service on it. `onStoreFailure`: its disk takes nothing any more. */
 export async function openControl(
   settings: ControlSettings,
   log: Log,
-  onBroken: (e: StoreError) => void,
+  onStoreFailure: (e: StoreError) => void,
 ): Promise<OpenControl> {
   const engine =
     settings.directory === null
       ? null
-      : await Engine.open(await LevelDisk.open(settings.directory), log, onBroken);
-  const { settings: platform, nodeLeaseRatio } = platformOf(settings);
+      : await Engine.open(await LevelDisk.open(settings.directory), log, onStoreFailure);
+  const { settings: platform, nodeLeaseRatio } = platformSettings(settings);
   const stateLeaseMs = settings.leaseS * 1000 * nodeLeaseRatio;
-  const state = engine
+  const store = engine
     ? new EmbeddedStore(engine)
     : new Store(platform.endpoints.state, retryPolicies({ ...platform, stateLeaseMs }).state.deadlineMs);
   const { directory } = settings;
   const snapshot = engine && directory !== null ? () => snapshotInto(engine, directory) : null;
-  const control = new ControlService(settings, state, log, snapshot, await matchingOf(settings));
+  const control = new ControlService(settings, store, log, snapshot, await loadMatching(settings));
   return {
     control,
     engine,
--- a/src/matching/index.ts
+++ b/src/matching/index.ts
@@ -1,3 +1,3 @@
-export { ClassAdMatcher, wrongWith } from './matcher.js';
-export { inWords, type Analysis } from './clauses.js';
-export { attributesOf } from './machine-ad.js';
+export { ClassAdMatcher, matchSpecError as wrongWith } from './matcher.js';
+export { describeAnalysis as inWords, type Analysis } from './analysis.js';
+export { machineAttributes as attributesOf } from './machine-ad.js';
