--- a/src/core/scheduling/cycle-runner.ts
+++ b/src/core/scheduling/cycle-runner.ts
@@ -1,28 +1,28 @@
-/** Starts scheduling cycles and runs them in slices, between which heartbeats and requests get their turn. */
+/** Starts scheduling cycles and runs them in time slices, between which heartbeats and requests are processed. */
 import type { ShardState } from '../shard-state/shard-state.js';
 import { schedulingCycle } from './cycle.js';
 import { migrateOffSpot } from './spot-migration.js';
 
-/** A slice ends once the cycle has examined so many machines. */
+/** A slice ends once the cycle has examined this many machines in it. */
 const maxExaminedPerSlice = 6000;
 
-/** The least time from the start of one slice to that of the next, ms. */
+/** The minimum time between the starts of two slices, ms. */
 const sliceIntervalMs = 20;
 
 /** Runs scheduling cycles over all shards of this process, one at a time. */
 export class CycleRunner {
-  /** How many machines all cycles have examined: the measure of their work. */
+  /** The number of machines examined in all cycles; a measure of the scheduling work done. */
   machinesExamined = 0;
-  /** The cycle under way. */
+  /** The current cycle; null if none is running. */
   private cycle: Generator<number, void> | null = null;
   private cycleStartedAt = -Infinity;
   private sliceStartedAt = -Infinity;
-  /** When a migration off spot machines was last ordered, ms. */
+  /** The time at which tasks were last migrated off spot machines, ms. */
   private lastMigrationAt = -Infinity;
 
   constructor(private readonly shardState: ShardState) {}
 
-  /** Starts a cycle if one is due, and runs a slice of the one under way if that is due. */
+  /** Starts a cycle if one is due, and runs a slice of the current cycle if that is due. */
   tick(): void {
     const { now } = this.shardState.clock;
     const intervalMs = this.shardState.operators['round-s'] * 1000;
@@ -36,6 +36,7 @@
     }
   }
 
+  /** Runs a cycle until it ends or the slice is used up. */
   private runSlice(cycle: Generator<number, void>): void {
     for (let examined = 0; examined < maxExaminedPerSlice;) {
       const step = cycle.next();
--- a/src/core/scheduling/cycle.ts
+++ b/src/core/scheduling/cycle.ts
@@ -1,4 +1,7 @@
-/** The scheduling cycle: which jobs are served, in which order, and what is done for those that find no room. */
+/**
+ * The scheduling cycle: decides which waiting jobs are placed and in which order, and makes reservations and preempts other
+ * tasks for jobs that cannot be placed.
+ */
 import { urgencyRank } from '../../model/job.js';
 import type { Resources } from '../../model/machine.js';
 import { jobsWithinGuarantee } from '../../policy/admission.js';
@@ -11,35 +14,41 @@
 import type { ScheduledJob } from '../shard-state/types.js';
 import { placeTasks, placeTasksOnCachedImages } from './arrays.js';
 import { reserveForGang, reserveQuota } from './gang-reservations.js';
-import { awaitsRoom, placeGang } from './gangs.js';
+import { lacksOnlyMachineCapacity, placeGang } from './gangs.js';
 import { jobsBelowMinimumShare } from './minimum-shares.js';
 import { hasStoppingTasks, preemptFor } from './preemption.js';
-import { beginShardCycle, takeExamined, type CycleContext, type ShardCycle } from './shard-cycle.js';
+import { beginShardCycle, takeExaminedCount, type CycleContext, type ShardCycle } from './shard-cycle.js';
 import { isStarving } from './starvation.js';
 import { preemptsImmediately } from './victims.js';
 import { preemptVoluntarily } from './voluntary-preemption.js';
 
-/** Scans for tasks to preempt are expensive: at most this many jobs get one in a cycle. */
+/** The maximum number of jobs per cycle for which machines are scanned for tasks to preempt: a scan is expensive. */
 const maxPreemptionScans = 16;
-/** At most this many scans for array tasks to preempt voluntarily are made in a cycle. */
+/** The maximum number of scans for voluntary preemption per cycle. */
 const maxVoluntaryPreemptionScans = 4;
 
-/** Guaranteed work that may preempt at once is a level above all other work, whatever its urgency. */
-const immediateLevel = 10;
+/**
+ * Added to the priority level of jobs that preempt immediately. It exceeds every urgency rank, so that these jobs come before
+ * all others, whatever their urgency.
+ */
+const immediateBonus = 10;
 
 /**
- * One scheduling cycle over all shards of this process, in steps: it yields how many machines it has examined since the last
- * step, so that heartbeats and requests need not wait for all of it. Between two steps jobs and machines may change; each job
- * is checked again when its turn comes.
+ * Runs one scheduling cycle over all shards of this process, in steps, so that heartbeats and requests need not wait for the
+ * whole cycle. Each step yields the number of machines examined since the previous one. Jobs and machines may change between
+ * two steps; each job is checked again before it is placed.
  */
 export function* schedulingCycle(shardState: ShardState): Generator<number, void> {
   yield* new SchedulingCycle(shardState).run();
 }
 
 class SchedulingCycle {
-  /** The jobs that wait, in placement order. */
+  /** The waiting jobs in placement order. */
   private readonly waiting: readonly ScheduledJob[];
-  /** Emptied once these jobs have been served: from then on the placement order alone decides. */
+  /**
+   * See `CycleContext.belowMinimumShare`. Cleared once these jobs have been served; after that, placement order alone
+   * decides.
+   */
   private readonly belowMinimumShare: Map<ScheduledJob, number>;
   private readonly context: CycleContext;
   private readonly shards = new Map<number, ShardCycle>();
@@ -56,7 +65,7 @@
       criticalSlackS(settings),
       hasGuaranteeStartObjective(settings.objectives) ? withinGuarantee : new Set(),
     );
-    // Guards against a faulty job for which room is reserved for as long as it is retried.
+    // Suspect jobs are left out: capacity would stay reserved for a faulty job for as long as it is retried.
     const gpuReserve = gpuReserveFor(this.waiting.filter((job) => !isSuspect(job)));
     const minRequest = smallestRequest(this.waiting);
     this.belowMinimumShare = jobsBelowMinimumShare(shardState, this.waiting);
@@ -76,30 +85,34 @@
     this.publishReservations();
   }
 
-  /** Places work of teams and classes that had less than their minimum share, before all other work. */
+  /** Places jobs of teams and classes that had less than their minimum share, before all other jobs. */
   private *serveMinimumShares(): Generator<number, void> {
     for (const job of this.belowMinimumShare.keys()) {
       if (!this.isStillWaiting(job)) continue;
       const cycle = this.shardCycleOf(job);
       const placedBefore = job.placements.size;
       if (job.spec.shape === 'gang') {
-        if (placeGang(job, cycle) === 'no-room' && awaitsRoom(this.shardState, job))
+        if (
+          placeGang(job, cycle) === 'insufficient-capacity' &&
+          lacksOnlyMachineCapacity(this.shardState, job)
+        )
           reserveForGang(job, cycle);
       } else placeTasks(job, cycle);
       const tasks = job.placements.size - placedBefore;
       if (tasks > 0)
         this.shardState.log('info', 'minimum share applied', { job: job.id, class: job.spec.class, tasks });
-      yield takeExamined(cycle);
+      yield takeExaminedCount(cycle);
     }
     this.belowMinimumShare.clear();
   }
 
+  /** Places all waiting jobs in placement order, one priority level after the other. */
   private *serveInOrder(): Generator<number, void> {
-    let level = Infinity;
+    let priorityLevel = Infinity;
     for (const job of this.waiting) {
-      if (this.levelOf(job) < level) {
-        level = this.levelOf(job);
-        yield* this.serveCachedImages(level);
+      if (this.priorityLevelOf(job) < priorityLevel) {
+        priorityLevel = this.priorityLevelOf(job);
+        yield* this.serveCachedImages(priorityLevel);
       }
       if (!this.isStillWaiting(job)) continue;
       const cycle = this.shardCycleOf(job);
@@ -109,40 +122,43 @@
       }
       if (job.spec.shape === 'gang') this.serveGang(job, cycle);
       else this.serveTasks(job, cycle);
-      yield takeExamined(cycle);
+      yield takeExaminedCount(cycle);
     }
   }
 
   /**
-   * Among work of one level, a GPU machine that has an image takes first the arrays that need it: fetching another image can
-   * take longer than a task, and the GPU is idle meanwhile.
+   * Places GPU arrays of one priority level on machines that already have their image, before the other jobs of that level.
+   * Fetching another image can take longer than a task runs, and the GPU is idle meanwhile.
    */
-  private *serveCachedImages(level: number): Generator<number, void> {
+  private *serveCachedImages(priorityLevel: number): Generator<number, void> {
     for (const job of this.waiting) {
       const { spec } = job;
-      if (this.levelOf(job) !== level || spec.gpus <= 0 || spec.shape !== 'array') continue;
+      if (this.priorityLevelOf(job) !== priorityLevel || spec.gpus <= 0 || spec.shape !== 'array') continue;
       if (!this.isStillWaiting(job)) continue;
       const cycle = this.shardCycleOf(job);
       placeTasksOnCachedImages(job, cycle);
-      yield takeExamined(cycle);
+      yield takeExaminedCount(cycle);
     }
   }
 
   private serveGang(job: ScheduledJob, cycle: ShardCycle): void {
-    const placed = !this.isHopeless(job, cycle) && placeGang(job, cycle) !== 'no-room';
+    const placed = !this.isKnownUnplaceable(job, cycle) && placeGang(job, cycle) !== 'insufficient-capacity';
     reserveQuota(job, cycle);
     if (placed) return;
-    if (awaitsRoom(this.shardState, job) && !isSuspect(job)) reserveForGang(job, cycle);
-    this.makeRoom(job, cycle);
+    if (lacksOnlyMachineCapacity(this.shardState, job) && !isSuspect(job)) reserveForGang(job, cycle);
+    this.preemptForWaitingTasks(job, cycle);
   }
 
   private serveTasks(job: ScheduledJob, cycle: ShardCycle): void {
-    if (!this.isHopeless(job, cycle)) placeTasks(job, cycle);
-    this.makeRoom(job, cycle);
+    if (!this.isKnownUnplaceable(job, cycle)) placeTasks(job, cycle);
+    this.preemptForWaitingTasks(job, cycle);
   }
 
-  /** Whether a job that asked for no more has found no room in this cycle. Aged room and reservations may still serve it. */
-  private isHopeless(job: ScheduledJob, cycle: ShardCycle): boolean {
+  /**
+   * Whether a job need not be tried because one that requested no more could not be placed in this cycle. False if the job may
+   * use aged capacity or has machines reserved.
+   */
+  private isKnownUnplaceable(job: ScheduledJob, cycle: ShardCycle): boolean {
     if (cycle.agedCapacity.length > 0 && isStarving(this.shardState, job)) return false;
     return (
       !cycle.reservedMachines.has(job.id) &&
@@ -150,20 +166,20 @@
     );
   }
 
-  /** Preempts other tasks for what still waits of a job. */
-  private makeRoom(job: ScheduledJob, cycle: ShardCycle): void {
-    // Guards against a job that has failed everywhere being tried nowhere any more.
+  /** Preempts other tasks for the tasks of a job that still wait. */
+  private preemptForWaitingTasks(job: ScheduledJob, cycle: ShardCycle): void {
+    // Without this, a suspect job that has failed on all machines would never be tried again.
     job.anyHostAllowed = isSuspect(job) && job.placements.size === 0;
     if (isSuspect(job) || waitingTaskCount(job) <= 0) return;
     if (job.placements.size === 0 && this.preemptionScans < maxPreemptionScans) {
-      const roomIsBeingMade = cycle.reservedMachines.get(job.id)?.some(hasStoppingTasks) ?? false;
-      if (!roomIsBeingMade && preemptFor(job, cycle)) this.preemptionScans++;
+      const hasPendingPreemption = cycle.reservedMachines.get(job.id)?.some(hasStoppingTasks) ?? false;
+      if (!hasPendingPreemption && preemptFor(job, cycle)) this.preemptionScans++;
     }
     if (job.spec.shape === 'array' && this.voluntaryPreemptionScans < maxVoluntaryPreemptionScans)
       if (preemptVoluntarily(job, cycle)) this.voluntaryPreemptionScans++;
   }
 
-  /** What is reserved for gangs that found no room holds for placements until the next cycle has ended. */
+  /** Publishes the reservations for gangs that could not be placed. They apply to placements until the next cycle has ended. */
   private publishReservations(): void {
     const cycles = [...this.shards.values()];
     this.shardState.reserveQuotas(new Map(cycles.flatMap((cycle) => [...cycle.quotaReservations])));
@@ -176,9 +192,11 @@
     return cycle;
   }
 
-  /** Work of one level is of the same urgency, and either all within its teams' guarantees or none. */
-  private levelOf(job: ScheduledJob): number {
-    return urgencyRank[job.spec.urgency] + (preemptsImmediately(this.context, job) ? immediateLevel : 0);
+  /**
+   * The priority level of a job. Jobs of one level have the same urgency, and either all of them preempt immediately or none.
+   */
+  private priorityLevelOf(job: ScheduledJob): number {
+    return urgencyRank[job.spec.urgency] + (preemptsImmediately(this.context, job) ? immediateBonus : 0);
   }
 
   private isStillWaiting(job: ScheduledJob): boolean {
@@ -186,7 +204,9 @@
   }
 }
 
-/** The least CPUs and memory that any job's task requests. GPUs are left out: most work needs none. */
+/**
+ * The smallest number of CPUs and the smallest amount of memory that any task requests. GPUs count as 0: most jobs need none.
+ */
 function smallestRequest(jobs: readonly ScheduledJob[]): Resources {
   const min = { cpus: Infinity, gpus: 0, memGb: Infinity };
   for (const { spec } of jobs) {
@@ -201,7 +221,7 @@
   !job.finalizing &&
   !job.unreadable &&
   !job.tearingDown &&
-  // Guards against a second zone for a job whose tasks may be in one that is not known.
+  // While a task's zone is unknown, a zone-constrained job cannot be placed: a new task might violate its zone rule.
   !(job.unknownZoneTasks > 0 && (job.spec.oneZone || job.spec.apart)) &&
   job.retryNotBefore <= shardState.clock.now &&
   waitingTaskCount(job) > 0;
--- a/src/core/scheduling/feasibility.ts
+++ b/src/core/scheduling/feasibility.ts
@@ -1,9 +1,9 @@
-/** Feasibility: which machines a job may be placed on in a cycle, how much of each it may take, and in which order. */
+/** Feasibility: on which machines a job may be placed in a cycle, in which order, and how much of their capacity it may use. */
 import { isPremium, urgencyRank, type JobSpec } from '../../model/job.js';
 import type { Resources, MachineType } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
 import { hasNoTimeLimits, timeLimitsOf, slackS } from '../../policy/deadlines.js';
-import { mayShareGpuMachine, roomOutsideGpuReserve } from '../../policy/gpu-sharing.js';
+import { mayShareGpuMachine, capacityWithoutGpuReserve } from '../../policy/gpu-sharing.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import { placementScore } from '../../policy/helios.js';
 import { anchorPrice, machineCandidate, imageFetchS, scoreWeights } from '../../policy/pricing.js';
@@ -13,17 +13,17 @@
 import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
 import type { ShardCycle } from './shard-cycle.js';
 
-/** The policy's score of a machine of a type for a job, with or without the job's image on it. */
+/** The policy's score of a machine of a type for a job. `hasImage`: whether the job's image is on the machine. */
 type TypeScore = (type: MachineType, spot: boolean, hasImage: boolean) => number;
 
-/** The machines reserved for a job, then those open to all, best first. */
+/** The machines on which a job may be placed: those reserved for it, then the unreserved ones, best first. */
 export function* candidateMachines(job: ScheduledJob, cycle: ShardCycle): Generator<ScheduledMachine> {
   for (const machine of cycle.reservedMachines.get(job.id) ?? [])
     if (acceptsTasks(cycle.shardState, machine) && isFeasible(cycle.shardState, job, machine)) yield machine;
   yield* rankedMachines(job, cycle);
 }
 
-/** Unreserved machines that may take a job's tasks and have room for any waiting task, best first. */
+/** The unreserved machines that may take a job's tasks and have capacity for some waiting task, best first. */
 export function rankedMachines(
   job: ScheduledJob,
   { shardState, capacityIndex, belowMinimumShare }: ShardCycle,
@@ -37,21 +37,22 @@
       acceptsTasks(shardState, machine) && isFeasible(shardState, job, machine, belowMinimumShare.has(job)),
     onlyWithImage,
   );
-  return job.match?.hasRank ? byRank(job, job.match, score, machines) : machines;
+  return job.match?.hasRank ? orderedByRank(job, job.match, score, machines) : machines;
 }
 
-/** Whether a job's machine types, and whether it may use spot machines, allow a machine. */
+/** Whether a job may use a machine's type and, if it is a spot machine, spot machines. */
 export const allowsMachine = (spec: JobSpec, { type, spot }: ScheduledMachine): boolean =>
   typeAllowed(spec, type) && (!spot || spotAllowed(spec));
 
-/** Whether a machine may take a job's tasks, as far as its zone and the job's expressions decide. */
+/** Whether a machine meets a job's zone constraint and its match expressions. */
 export const meetsConstraints = (job: ScheduledJob, machine: ScheduledMachine): boolean =>
   (job.spec.zone === null || job.spec.zone === machine.zone) &&
   (job.match === null || job.match.allows(machine.host));
 
 /**
- * Whether a machine may take a job's tasks, as far as constraints, the job's past failures there, more urgent gangs that it
- * drains for, and its GPUs decide. Work below its minimum share may use machines that drain for others.
+ * Whether a machine may take a job's tasks: the job's constraints allow it, the job has not failed there (unless it may use any
+ * host), the machine is not withheld for more urgent gangs, and the rules for sharing GPU machines allow it. Jobs below their
+ * minimum share may also use withheld machines.
  */
 export const isFeasible = (
   shardState: ShardState,
@@ -64,14 +65,14 @@
   meetsConstraints(job, machine) &&
   mayShareGpuMachine(job.spec, machine.type, machine.used.gpus, shardState.replica.machineTypes);
 
-/** Whether a machine may be drained for a job: it is feasible, and not needed for GPU work. */
+/** Whether a machine may be drained for a job: it is feasible for the job, and not needed for GPU jobs. */
 export const mayDrain = (cycle: ShardCycle, job: ScheduledJob, machine: ScheduledMachine): boolean =>
   allowsMachine(job.spec, machine) &&
   isFeasible(cycle.shardState, job, machine) &&
   (machine.type.gpus <= 0 || job.spec.gpus > 0 || cycle.gpuReserve === null || mayUseGpuReserve(cycle, job));
 
-/** The part of a machine's free resources that a job may take: not the GPU reserve, unless it is below its minimum share. */
-export const usableRoom = (
+/** The part of a machine's free resources that a job may use. Jobs below their minimum share may also use the GPU reserve. */
+export const usableCapacity = (
   cycle: ShardCycle,
   job: ScheduledJob,
   free: Resources,
@@ -79,11 +80,11 @@
 ): Resources =>
   cycle.belowMinimumShare.has(job)
     ? free
-    : roomOutsideGpuReserve(job.spec, free, cycle.gpuReserve, mayUseReserve);
+    : capacityWithoutGpuReserve(job.spec, free, cycle.gpuReserve, mayUseReserve);
 
 /**
- * Whether premium work without GPUs may take what is reserved for GPU work on a GPU machine: only where there is no other
- * machine for it, or when one that is rented now would come too late.
+ * Whether a premium job may use the capacity reserved for GPU jobs on GPU machines: only if no machine without GPUs is
+ * available for it, or if one that is rented now would start too late for its time limits.
  */
 export function mayUseGpuReserve(cycle: ShardCycle, job: ScheduledJob): boolean {
   const { spec } = job;
@@ -96,11 +97,11 @@
       soonestStartS = Math.min(soonestStartS, type.bootS + imageFetchS(spec, type));
   const limits = timeLimitsOf(spec, settings.objectives);
   const slack = slackS(limits, (clock.wall - job.acceptedAt) / 1000, spec.estimateS);
-  // Guards against urgent work that has missed all of its limits being worse off than work that may still keep one.
+  // A job that has missed all of its limits may, too: it must not be worse off than one that can still keep a limit.
   return slack < soonestStartS || (!hasNoTimeLimits(limits) && !Number.isFinite(slack));
 }
 
-/** The policy's score of a machine type for a job, before tie-breaks between single machines. */
+/** Returns the policy's scoring function for a job, without the tie-breaks between machines of the same type. */
 function typeScore({ replica, operators, hazard }: ShardState, spec: JobSpec): TypeScore {
   const anchor = anchorPrice(spec, replica.machineTypes);
   const spotHazard = hazard.perStep(operators['hazard-step-s']);
@@ -112,14 +113,15 @@
   };
 }
 
-/** Scores that differ by no more than this are equal: they were computed with different roundings. */
+/** Scores are rounded to this before they are compared: equal scores may differ by rounding errors. */
 const scoreTolerance = 1e-9;
 
 /**
- * The policy's score first (HELIOS: price with amortized hazard, premium off spot), since what a job prefers costs it nothing;
- * then the job's rank, before fullness, which is only our own way of bin packing.
+ * Orders machines by the policy's score (HELIOS: price with amortized hazard, premium jobs off spot machines), then by the
+ * job's rank, then by fullness. The score comes before the rank because a job's preferences cost the job nothing. The rank
+ * comes before fullness, which only serves bin packing.
  */
-function* byRank(
+function* orderedByRank(
   job: ScheduledJob,
   match: MachineMatch,
   score: TypeScore,
--- a/src/core/scheduling/gang-reservations.ts
+++ b/src/core/scheduling/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** What is reserved for gangs that found no room: machines, and parts of teams' quotas. */
+/** Reservations for gangs that could not be placed: machines, and parts of teams' quotas. */
 import { urgencyRank } from '../../model/job.js';
 import { fitCount } from '../../model/machine.js';
 import { timeLimitsOf, slackS } from '../../policy/deadlines.js';
@@ -11,17 +11,20 @@
 import { allowsMachine, mayDrain } from './feasibility.js';
 import { reserveMachines, type ShardCycle } from './shard-cycle.js';
 
-/** The share of the machines that gangs could use which may be reserved for waiting gangs. */
+/** The largest share of the machines usable by a gang that may be reserved. The first gang's reservation is exempt. */
 const maxReservedShare = 0.1;
 
-/** Machines drain, and quotas are freed, while tasks of less urgency end: reservations begin at this multiple of critical slack. */
-const pressedFactor = 2;
+/**
+ * Machines are withheld and quota is reserved for a gang once its slack is at most this multiple of the critical slack: it
+ * takes time until enough tasks of lower urgency have ended.
+ */
+const shortOfTimeSlackFactor = 2;
 
 /**
- * Reserves for a gang the machines that will have drained soonest, all in one zone if it must be, so that small tasks do not
- * starve it. They stay reserved until it is placed: chosen anew in each cycle, no machine would ever drain. Only the
- * first gangs get some, since machines that wait for others to drain do nothing. For the others machines are withheld
- * from work of less urgency alone: what is as urgent takes them as they come free.
+ * Reserves for a gang the machines that will drain soonest, in a single zone if the gang requires it, so that small tasks do
+ * not starve the gang. They stay reserved until it is placed: if they were chosen anew in each cycle, no machine would ever
+ * drain. Machines are reserved only for the first gangs, since reserved machines are idle while others still drain. For the
+ * other gangs, machines are only withheld from jobs of lower urgency; other jobs may use them as they become free.
  */
 export function reserveForGang(job: ScheduledJob, cycle: ShardCycle): void {
   const { spec } = job;
@@ -39,11 +42,14 @@
   else withholdHosts(job, cycle, needed, usable);
 }
 
-/** The first gang always gets its machines; the others only while not too many are reserved. */
+/** Machines are always reserved for the first gang, for further ones only within `maxReservedShare`. */
 const mayReserve = (count: number, reservedCount: number, usableCount: number): boolean =>
   reservedCount === 0 || reservedCount + count <= maxReservedShare * (usableCount + reservedCount);
 
-/** Of machines in the order in which they will have drained, the first that hold the gang, in one zone if it must be. */
+/**
+ * The first of the usable machines, which are sorted by drain time, that can take the gang, in a single zone if the gang
+ * requires it. Returns null if there are not enough.
+ */
 function soonestDrained(
   { spec }: ScheduledJob,
   needed: number,
@@ -58,23 +64,23 @@
     if (!group) byZone.set(zone, (group = { machines: [], slots: 0 }));
     group.machines.push(machine);
     group.slots += fitCount(spec, machine.type);
-    // Soonest first: the zone that is complete first will have drained first.
+    // Machines come in the order of their drain times, so the first complete zone is the one that drains first.
     if (group.slots >= needed) return group.machines;
   }
   return null;
 }
 
-/** Whether a gang is short of time, or late. */
-function isPressed({ spec, acceptedAt }: ScheduledJob, { settings, clock }: ShardState): boolean {
+/** Whether a gang's next time limit is close, or it has no limit that it can still keep. */
+function isShortOfTime({ spec, acceptedAt }: ScheduledJob, { settings, clock }: ShardState): boolean {
   const ageS = (clock.wall - acceptedAt) / 1000;
   const slack = slackS(timeLimitsOf(spec, settings.objectives), ageS, spec.estimateS);
-  return !Number.isFinite(slack) || slack <= pressedFactor * criticalSlackS(settings);
+  return !Number.isFinite(slack) || slack <= shortOfTimeSlackFactor * criticalSlackS(settings);
 }
 
 /**
- * Withholds machines from work of less urgency. Guards against such work taking each place that comes free on machines that
- * only whole gangs could use: small tasks always find one, a gang that needs most of a machine never does. Half of the GPU
- * machines stay with GPU work.
+ * Withholds machines from jobs of lower urgency while a gang is short of time. Otherwise small tasks would take all capacity
+ * as it becomes free, and a gang whose tasks need most of a machine would never find enough. At least half of the GPU
+ * machines stay available to GPU jobs.
  */
 function withholdHosts(
   job: ScheduledJob,
@@ -83,9 +89,9 @@
   usable: readonly ScheduledMachine[],
 ): void {
   const { spec } = job;
-  if (!isPressed(job, cycle.shardState)) return;
+  if (!isShortOfTime(job, cycle.shardState)) return;
   let missing = needed;
-  // GPU machines that are open to GPU work, less those withheld: each one withheld moves from one side to the other.
+  // The number of GPU machines that are not withheld minus the number of those that are; withholding one lowers it by 2.
   let gpuMachineBalance = 0;
   for (const { type, host } of cycle.unreserved)
     if (type.gpus > 0) gpuMachineBalance += cycle.withheldHosts.has(host) ? -1 : 1;
@@ -102,12 +108,12 @@
 }
 
 /**
- * Reserves a part of a team's quota for an urgent gang. Guards against a quota that is used up by the team's less urgent work
- * while its gangs wait: as much of it as they could use is given to nothing else. What no machine could take is not reserved.
+ * Reserves a part of a team's quota for a gang that is short of time. Otherwise the team's less urgent jobs could use up the
+ * quota while its gangs wait. The reservation is limited to what the machines could run.
  */
 export function reserveQuota(job: ScheduledJob, cycle: ShardCycle): void {
   const { spec } = job;
-  if (job.placements.size > 0 || isSuspect(job) || !isPressed(job, cycle.shardState)) return;
+  if (job.placements.size > 0 || isSuspect(job) || !isShortOfTime(job, cycle.shardState)) return;
   const urgency = urgencyRank[spec.urgency];
   let reservation = cycle.quotaReservations.get(spec.team);
   if (reservation && reservation.urgency > urgency) return;
@@ -121,7 +127,10 @@
   reservation.gpus += tasks * spec.gpus;
 }
 
-/** A reservation of nothing yet, for as many tasks like the job's as fit all machines beside what runs with its urgency. */
+/**
+ * An empty quota reservation. It may grow by as many tasks like the job's as the machines could take, less the tasks of its
+ * urgency that are placed already.
+ */
 function emptyQuotaReservation(
   { spec }: ScheduledJob,
   { machines, placementsByUrgency }: ShardState,
--- a/src/core/scheduling/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -1,63 +1,68 @@
-/** Placement of gangs: all tasks at once, or none. */
+/** Placement of gangs: all tasks at once or none. */
 import { fitCount, type Resources } from '../../model/machine.js';
 import { zoneAllows } from '../../policy/guardrails.js';
 import type { ShardState } from '../shard-state/shard-state.js';
 import { nextGangAttempt, takeNextWaiting, waitingTaskCount } from '../shard-state/jobs.js';
 import { freeCapacity } from '../shard-state/machines.js';
 import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
-import { candidateMachines, mayUseGpuReserve, usableRoom } from './feasibility.js';
+import { candidateMachines, mayUseGpuReserve, usableCapacity } from './feasibility.js';
 import { agedMachines } from './starvation.js';
 import type { Assignment, ShardCycle } from './shard-cycle.js';
 
-/** What came of trying to place a gang; `not-ready`: it waits for something else than room on machines. */
-export type GangPlacement = 'placed' | 'not-ready' | 'no-room';
+/**
+ * The result of an attempt to place a gang. `not-ready`: it waits for something other than machine capacity (its team's
+ * quota, or the end of an earlier attempt); `insufficient-capacity`: the machines cannot take all of its tasks.
+ */
+export type GangPlacement = 'placed' | 'not-ready' | 'insufficient-capacity';
 
-/** Where a gang has room. */
+/** The result of a search for machines that can take a whole gang. */
 interface HostSearch {
-  /** A host for each waiting task; null: there is no room for all of them. */
+  /** A host for each waiting task; null if the machines cannot take all of them. */
   readonly hosts: readonly string[] | null;
-  /** The most tasks that any zone, and all zones together, could have taken. */
+  /** The largest number of tasks that any single zone could have taken. */
   readonly maxPerZone: number;
+  /** The number of tasks that all zones together could have taken. */
   readonly total: number;
 }
 
-/** Machines of one zone, or of all zones if a gang may use several, chosen so far. */
+/** The hosts chosen so far in one zone, or in all zones if the gang may span zones. */
 interface HostGroup {
+  /** One entry for each task. */
   readonly hosts: string[];
   readonly tasksByZone: Map<string, number>;
 }
 
-/** Whether only room on machines is missing: nothing of the gang is placed, and its team's quota has room for it. */
-export const awaitsRoom = (shardState: ShardState, job: ScheduledJob): boolean =>
+/** Whether a gang lacks nothing but machine capacity: none of its tasks is placed, and its team's quota allows all of them. */
+export const lacksOnlyMachineCapacity = (shardState: ShardState, job: ScheduledJob): boolean =>
   job.placements.size === 0 &&
   fitCount(job.spec, shardState.availableQuota(job.spec)) >= waitingTaskCount(job);
 
-/** Places a gang whole, or not at all. */
+/** Places all waiting tasks of a gang, or none. */
 export function placeGang(job: ScheduledJob, cycle: ShardCycle): GangPlacement {
   const { spec } = job;
   const { shardState, capacityIndex } = cycle;
-  if (!awaitsRoom(shardState, job)) {
-    // Tasks of an earlier attempt hold their machines and zones until they are proven gone.
-    const placed = job.placements.size === 0 && placeOnAgedRoom(job, cycle);
+  if (!lacksOnlyMachineCapacity(shardState, job)) {
+    // Tasks of an earlier attempt occupy their machines and zones until they are known to have ended.
+    const placed = job.placements.size === 0 && placeOnAgedCapacity(job, cycle);
     return placed ? 'placed' : 'not-ready';
   }
   const mayUseReserve = mayUseGpuReserve(cycle, job);
   const { hosts, maxPerZone, total } = findHosts(job, candidateMachines(job, cycle), (machine) =>
-    usableRoom(cycle, job, freeCapacity(shardState, machine), mayUseReserve),
+    usableCapacity(cycle, job, freeCapacity(shardState, machine), mayUseReserve),
   );
   if (hosts !== null) {
     placeOnHosts(job, cycle, hosts);
     return 'placed';
   }
-  if (placeOnAgedRoom(job, cycle)) return 'placed';
-  // A gang that may not use all machines says nothing about the room that others find.
+  if (placeOnAgedCapacity(job, cycle)) return 'placed';
+  // A gang that is restricted to some machines, or has machines reserved, tells nothing about the capacity for other jobs.
   if (job.failedHosts.size === 0 && job.match === null && !cycle.reservedMachines.has(job.id))
     capacityIndex.noteUnplaceable(spec, maxPerZone, total);
-  return 'no-room';
+  return 'insufficient-capacity';
 }
 
-/** Places a starving gang on machines with aged room; false: there is not enough. */
-function placeOnAgedRoom(job: ScheduledJob, cycle: ShardCycle): boolean {
+/** Places a starving gang on machines with aged capacity. Returns false if that is not enough. */
+function placeOnAgedCapacity(job: ScheduledJob, cycle: ShardCycle): boolean {
   const { shardState } = cycle;
   if (fitCount(job.spec, shardState.availableQuota(job.spec, true)) < waitingTaskCount(job)) return false;
   const { hosts } = findHosts(job, agedMachines(job, cycle), (machine) => freeCapacity(shardState, machine));
@@ -78,11 +83,11 @@
   cycle.shardState.reservations.release(job.id);
 }
 
-/** Finds the first machines on which all waiting tasks of a gang have room. */
+/** Finds the first of the given machines that together can take all waiting tasks of a gang. */
 function findHosts(
   job: ScheduledJob,
   machines: Iterable<ScheduledMachine>,
-  roomOn: (machine: ScheduledMachine) => Resources,
+  capacityOf: (machine: ScheduledMachine) => Resources,
 ): HostSearch {
   const { spec } = job;
   const needed = waitingTaskCount(job);
@@ -96,7 +101,7 @@
   });
   for (const machine of machines) {
     const { host, zone } = machine;
-    const fitting = fitCount(spec, roomOn(machine));
+    const fitting = fitCount(spec, capacityOf(machine));
     if (fitting === 0) continue;
     total += fitting;
     capacityByZone.set(zone, (capacityByZone.get(zone) ?? 0) + fitting);
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -1,4 +1,4 @@
-/** Minimum shares: teams and classes that had less than theirs go first in a cycle. */
+/** Minimum shares: jobs of teams and classes that had less than their minimum share are placed first in a cycle. */
 import { workloadKey, type WorkloadUsage } from '../../admission/index.js';
 import type { Resources } from '../../model/machine.js';
 import { isSuspect } from '../failure-attribution.js';
@@ -6,12 +6,15 @@
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import type { ScheduledJob } from '../shard-state/types.js';
 
-/** The work of one class of one team. */
+/** The jobs of one class of one team, and what they use. */
 interface Workload extends WorkloadUsage {
   readonly waitingJobs: ScheduledJob[];
 }
 
-/** The jobs that go first because their team and class had less than their minimum share, and how many of their tasks may. */
+/**
+ * The jobs that are placed first because their team and class had less than their minimum share, with the number of their tasks
+ * that may be.
+ */
 export function jobsBelowMinimumShare(
   shardState: ShardState,
   waiting: readonly ScheduledJob[],
@@ -29,7 +32,7 @@
     for (const job of jobs.sort((a, b) => a.acceptedAt - b.acceptedAt)) {
       if (remaining <= 0) break;
       const share = shareOf(job);
-      // A gang whole or not at all, and something in any case: a minimum share may be less than a task.
+      // A gang is placed as a whole. Of other jobs at least one task counts, since a minimum share may be less than one task.
       const count =
         job.spec.shape === 'gang' ? waitingTaskCount(job) : Math.max(1, Math.floor(remaining / share));
       taskLimits.set(job, count);
@@ -48,13 +51,13 @@
   return capacity;
 }
 
-/** The share of the capacity that a task takes of the resource that it takes most of. */
+/** The dominant share of a task: its largest share of the capacity of any resource. */
 const dominantShare = (
   task: Pick<Resources, 'cpus' | 'gpus'>,
   capacity: Pick<Resources, 'cpus' | 'gpus'>,
 ): number => Math.max(task.cpus / capacity.cpus, capacity.gpus > 0 ? task.gpus / capacity.gpus : 0);
 
-/** What each team and class uses, and which of its jobs wait. */
+/** The usage of each team and class, and its waiting jobs. */
 function collectWorkloads(
   shardState: ShardState,
   waiting: readonly ScheduledJob[],
@@ -72,7 +75,7 @@
   for (const job of shardState.jobs.values())
     if (job.placements.size > 0) workloadOf(job).share += job.placements.size * shareOf(job);
   for (const job of waiting) {
-    // Guards against a faulty job that goes first for ever: what it takes comes to nothing.
+    // A faulty job would come first forever: it never completes, and what it uses is wasted.
     if (isSuspect(job)) continue;
     const workload = workloadOf(job);
     workload.waiting = true;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption policy: makes room for jobs that neither free room nor a machine rented now would serve in time. */
+/** Preemption: frees capacity for jobs that can be served in time neither by free capacity nor by a machine rented now. */
 import type { JobSpec } from '../../model/job.js';
 import { addResources, fits, fitCount } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
@@ -19,12 +19,12 @@
   type PreemptionPlan,
 } from './victims.js';
 
-/** Whether tasks on a machine are being stopped. */
+/** Whether any task on a machine is being stopped. */
 export const hasStoppingTasks = (machine: ScheduledMachine): boolean =>
   [...machine.placements.values()].some((placement) => placement.stopRequest !== null);
 
 /**
- * Preempts the tasks that lose least, to make room for a job that cannot wait, and reserves their machines for it.
+ * Preempts the tasks that lose the least work to free capacity for a job that cannot wait, and reserves their machines for it.
  * Returns whether machines were scanned, which is expensive.
  */
 export function preemptFor(job: ScheduledJob, cycle: ShardCycle): boolean {
@@ -46,26 +46,27 @@
   return true;
 }
 
-/** Whether a machine that is rented now would start the job's tasks before its next limit. */
+/** Whether a machine rented now could start the job's tasks before the job's next time limit. */
 function rentalIsInTime(job: ScheduledJob, { settings, clock, replica }: ShardState): boolean {
   const { spec } = job;
   const ageS = (clock.wall - job.acceptedAt) / 1000;
   const slack = slackS(timeLimitsOf(spec, settings.objectives), ageS, spec.estimateS);
   const allowedTypes = replica.machineTypes.filter((type) => typeAllowed(spec, type));
   const bootS = Math.min(...allowedTypes.map((type) => type.bootS + imageFetchS(spec, type)));
-  // Without a limit that it can still keep, a job waits for two boots before it preempts.
+  // A job without a limit that it can still keep waits for twice the boot time before it preempts.
   const timeLeftS = Number.isFinite(slack) ? slack : 2 * bootS - ageS;
   return timeLeftS > bootS + 2 * settings.workers.report_s;
 }
 
-/** The tasks to preempt on a machine for one task of a job; null: preemption cannot make enough room there. */
+/** The tasks to preempt on a machine for one task of a job; null if preemption cannot free enough capacity there. */
 function planPreemption(
   job: ScheduledJob,
   cycle: ShardCycle,
   machine: ScheduledMachine,
 ): PreemptionPlan | null {
   const { spec } = job;
-  // For a whole machine much is stopped at once: what saves has to fetch and to queue again, so it counts like the rest.
+  // Many tasks may be stopped at once. Even those that save a checkpoint have to wait for placement and fetch their images
+  // again, so their whole run time counts as lost.
   const lossOf = (placement: Placement): number => preemptionLoss(cycle.shardState, placement, Infinity);
   const free = freeCapacity(cycle.shardState, machine);
   const preemptible = [...machine.placements.values()].filter(
@@ -76,7 +77,7 @@
   let lostCpuS = 0;
   for (const placement of preemptible) {
     if (fits(spec, free)) break;
-    // A gang stops as a whole; that loses more than the room is worth.
+    // Preempting one task of a gang stops the whole gang, which loses more than the freed capacity is worth.
     if (placement.stopRequest === null && placement.job.spec.shape === 'gang') continue;
     addResources(free, placement.job.spec, 1);
     victims.push(placement);
@@ -86,8 +87,8 @@
 }
 
 /**
- * Of plans in order of loss, the first `count`, in one zone if the job must be; null: there are too few. Other zone rules are
- * left to the placement; here only the loss counts.
+ * The first `count` of the plans, which are sorted by loss, all in one zone if the job requires it; null if there are too few.
+ * Other zone rules are left to placement; only the loss counts here.
  */
 function cheapestPlans(
   plans: readonly PreemptionPlan[],
@@ -98,7 +99,10 @@
   return spec.oneZone ? cheapestZone(plans, count) : plans.slice(0, count);
 }
 
-/** Of plans in order of loss, those of the zone where `count` of them lose least together; null: no zone has so many. */
+/**
+ * The first `count` plans, which are sorted by loss, of the zone where they lose the least in total; null if no zone has that
+ * many.
+ */
 function cheapestZone(plans: readonly PreemptionPlan[], count: number): readonly PreemptionPlan[] | null {
   let best: readonly PreemptionPlan[] | null = null;
   let minLoss = Infinity;
@@ -113,6 +117,7 @@
   return best;
 }
 
+/** Reserves the machines of the plans for the job, and stops their victims. */
 function carryOut(
   plans: readonly PreemptionPlan[],
   job: ScheduledJob,
--- a/src/core/scheduling/shard-cycle.ts
+++ b/src/core/scheduling/shard-cycle.ts
@@ -1,4 +1,4 @@
-/** The working state of a scheduling cycle: what holds for all of it, and the machines of each shard. */
+/** The state of a scheduling cycle: what is common to all shards, and the machines of each shard. */
 import type { JobSpec } from '../../model/job.js';
 import { addResources, fits, type Resources, type MachineType } from '../../model/machine.js';
 import type { GpuReserve } from '../../policy/gpu-sharing.js';
@@ -9,48 +9,53 @@
 import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
 import { maxReservationAgeMs } from './reservation-ageing.js';
 
-/** What holds for a whole scheduling cycle. */
+/** The part of a scheduling cycle's state that all shards share. */
 export interface CycleContext {
   readonly shardState: ShardState;
   /** Jobs within their team's guarantee. */
   readonly withinGuarantee: ReadonlySet<ScheduledJob>;
   /**
-   * Jobs whose team and class had less than their minimum share, and how many of their tasks may go first: what is reserved
-   * for others is open to them. Empty once they have been served.
+   * Jobs whose team and class had less than their minimum share, and how many of their tasks are placed first. They may use
+   * withheld machines and the GPU reserve. Empty once they have been served.
    */
   readonly belowMinimumShare: ReadonlyMap<ScheduledJob, number>;
-  /** What is reserved beside each GPU for waiting GPU work. */
+  /** The CPUs and memory that are reserved with each free GPU for waiting GPU jobs; null if none wait. */
   readonly gpuReserve: GpuReserve | null;
-  /** The least that any waiting task requests. */
+  /** The smallest request for each resource among all waiting tasks. */
   readonly minRequest: Readonly<Resources>;
 }
 
 /** The state of a scheduling cycle for one shard. */
 export interface ShardCycle extends CycleContext {
   readonly capacityIndex: CapacityIndex<ScheduledMachine>;
-  /** All machines that accept tasks and are not reserved, full ones too, in the order in which they will have drained. */
+  /** All machines that accept tasks and are not reserved, including full ones, sorted by drain time. */
   unreserved: readonly ScheduledMachine[];
-  /** Machines that accept tasks and have had room for long that no job has taken; reserved ones too. */
+  /**
+   * Machines, including reserved ones, that accept tasks and have had unused capacity for longer than `maxReservationAgeMs`.
+   */
   readonly agedCapacity: readonly ScheduledMachine[];
-  /** The machines reserved for each waiting job, by its id. */
+  /** The machines reserved for each waiting job, by job id. */
   readonly reservedMachines: Map<string, readonly ScheduledMachine[]>;
-  /** Types of the machines that accept tasks. */
+  /** The types of the machines that accept tasks. */
   readonly machineTypes: ReadonlySet<MachineType>;
-  /** Machines that drain for gangs which found no room in this cycle, with the urgency rank of these gangs. */
+  /**
+   * Machines that are withheld from less urgent jobs because gangs could not be placed in this cycle, with the urgency rank of
+   * these gangs, by host.
+   */
   readonly withheldHosts: Map<string, number>;
-  /** What is reserved of teams' quotas for such gangs, by team. */
+  /** The parts of teams' quotas that are reserved for such gangs, by team. */
   readonly quotaReservations: Map<string, QuotaReservation>;
-  /** Room that is being made and that a job of this cycle counts on, by host. */
-  readonly earmarked: Map<string, Resources>;
+  /** Capacity that is free or being freed by preemption and that a job of this cycle expects to use, by host. */
+  readonly claimedCapacity: Map<string, Resources>;
 }
 
-/** A waiting task of a job, and the machine chosen for it. */
+/** The index of a waiting task in its job, and the machine chosen for it. */
 export interface Assignment {
   readonly index: number;
   readonly host: string;
 }
 
-/** Collects the machines of a shard, and notes since when each has had room for something that waits. */
+/** Collects the machines of a shard, and records since when each has had capacity for some waiting task. */
 export function beginShardCycle(context: CycleContext, shard: number): ShardCycle {
   const { shardState, minRequest } = context;
   const unreserved: ScheduledMachine[] = [];
@@ -89,11 +94,14 @@
     machineTypes,
     withheldHosts: new Map(),
     quotaReservations: new Map(),
-    earmarked: new Map(),
+    claimedCapacity: new Map(),
   };
 }
 
-/** Notes whether a machine has room for something that waits; true: it has had room for too long. */
+/**
+ * Records since when a machine has had capacity for some waiting task. Returns whether that is longer than free capacity may
+ * stay reserved.
+ */
 function noteFreeCapacity({ shardState, minRequest }: CycleContext, machine: ScheduledMachine): boolean {
   const { now } = shardState.clock;
   if (!fits(minRequest, freeCapacity(shardState, machine))) machine.freeCapacitySince = 0;
@@ -102,7 +110,7 @@
   return false;
 }
 
-/** The time until all tasks of a machine will have ended, by their estimates, s. */
+/** The time until all tasks of a machine will have ended, according to their estimates, s. */
 function drainTimeS(shardState: ShardState, machine: ScheduledMachine): number {
   let longestS = 0;
   for (const { job, runningSince } of machine.placements.values()) {
@@ -113,14 +121,14 @@
   return longestS;
 }
 
-/** How many machines have been examined since the last call. */
-export function takeExamined({ capacityIndex }: ShardCycle): number {
+/** Returns the number of machines examined since the last call, and resets it. */
+export function takeExaminedCount({ capacityIndex }: ShardCycle): number {
   const { examined } = capacityIndex;
   capacityIndex.examined = 0;
   return examined;
 }
 
-/** Reserves machines for a job: from now on they are open to it alone. */
+/** Reserves machines for a job. No other job may use them from then on. */
 export function reserveMachines(
   job: ScheduledJob,
   cycle: ShardCycle,
@@ -136,9 +144,14 @@
   cycle.reservedMachines.set(job.id, [...(cycle.reservedMachines.get(job.id) ?? []), ...machines]);
 }
 
-/** Notes that a job counts on room that is being made on a machine, so that no other job of the cycle does. */
-export function earmark(cycle: ShardCycle, machine: ScheduledMachine, spec: JobSpec, tasks: number): void {
-  const earmarked = cycle.earmarked.get(machine.host) ?? { cpus: 0, gpus: 0, memGb: 0 };
-  addResources(earmarked, spec, tasks);
-  cycle.earmarked.set(machine.host, earmarked);
+/** Records that a job expects to use capacity on a machine, so that no other job of the cycle counts on the same capacity. */
+export function claimExpectedCapacity(
+  cycle: ShardCycle,
+  machine: ScheduledMachine,
+  spec: JobSpec,
+  tasks: number,
+): void {
+  const claimed = cycle.claimedCapacity.get(machine.host) ?? { cpus: 0, gpus: 0, memGb: 0 };
+  addResources(claimed, spec, tasks);
+  cycle.claimedCapacity.set(machine.host, claimed);
 }
--- a/src/core/scheduling/spot-migration.ts
+++ b/src/core/scheduling/spot-migration.ts
@@ -1,4 +1,7 @@
-/** Migration of tasks off spot machines that cost more than on-demand machines, with the risk of interruptions priced in. */
+/**
+ * Migration of tasks off spot machines whose price, including the expected cost of interruptions, exceeds the on-demand
+ * price.
+ */
 import { isPremium } from '../../model/job.js';
 import { fits } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
@@ -11,9 +14,9 @@
 import { isFeasible } from './feasibility.js';
 
 /**
- * Stops tasks on spot machines that are worth migrating; they are placed again elsewhere. Guardrails: a budget per window, a
- * minimum residency, only tasks that save checkpoints, and only while there is room for them on demand. Takes and returns the
- * time of the last migration, ms.
+ * Stops tasks on spot machines that are worth migrating, so that they are placed again elsewhere. Guardrails: a budget per time
+ * window, a minimum residency, only tasks that save checkpoints, and only while an on-demand machine has capacity for them.
+ * Takes and returns the time of the last migration, ms.
  */
 export function migrateOffSpot(shardState: ShardState, lastMigrationAt: number): number {
   const { clock, operators, replica, machines } = shardState;
@@ -34,7 +37,7 @@
       const { job, index } = placement;
       if (!isMigratable(shardState, placement)) continue;
       if (migrationUrgency(candidate, anchorPrice(job.spec, replica.machineTypes), weights) <= 0) continue;
-      if (!hasOnDemandRoom(shardState, job)) continue;
+      if (!hasOnDemandCapacity(shardState, job)) continue;
       shardState.requestStop(placement, job.spec.saveS);
       migrations++;
       shardState.log('info', 'migrating off spot', { job: job.id, index, host: machine.host });
@@ -43,6 +46,7 @@
   return migrations > 0 ? now : lastMigrationAt;
 }
 
+/** Whether the guardrails allow the migration of a task. */
 function isMigratable(
   { clock, operators }: ShardState,
   { job, phase, stopRequest, runningSince }: Placement,
@@ -52,7 +56,8 @@
   return residentLongEnough((clock.now - runningSince) / 1000, operators['residency-s']);
 }
 
-function hasOnDemandRoom(shardState: ShardState, job: ScheduledJob): boolean {
+/** Whether an on-demand machine of the job's shard has capacity for one of its tasks. */
+function hasOnDemandCapacity(shardState: ShardState, job: ScheduledJob): boolean {
   for (const machine of shardState.machines.values())
     if (
       machine.record.shard === job.shard &&
--- a/src/core/scheduling/starvation.ts
+++ b/src/core/scheduling/starvation.ts
@@ -1,4 +1,4 @@
-/** Protection from starvation: room that is reserved for other work opens to jobs that have waited for long. */
+/** Starvation protection: jobs that have waited for too long may use capacity that is reserved for other jobs. */
 import { isSuspect } from '../failure-attribution.js';
 import type { ShardState } from '../shard-state/shard-state.js';
 import type { ScheduledJob, ScheduledMachine } from '../shard-state/types.js';
@@ -6,17 +6,17 @@
 import { maxReservationAgeMs } from './reservation-ageing.js';
 import type { ShardCycle } from './shard-cycle.js';
 
-/** Whether all of a job has waited for longer than room may be reserved for other work. */
+/** Whether a job has waited, with none of its tasks placed, for longer than free capacity may stay reserved for other jobs. */
 export const isStarving = (shardState: ShardState, job: ScheduledJob): boolean =>
   job.placements.size === 0 &&
   !isSuspect(job) &&
   shardState.clock.wall - job.fullyWaitingSince > maxReservationAgeMs(shardState.settings);
 
 /**
- * For a starving job, the machines with room that no job has taken for long. Guards against room that is reserved
- * (for a gang, for GPU work, by a team's quota) for something that does not come, or closed to a job that failed there once:
- * jobs that wait beside it would do so for ever. A job gets one task through by that, or one gang; then it is not starving any
- * more. Single tasks go to one machine until it is full, and to another a lease later: the others still drain for gangs.
+ * The machines with aged capacity that a starving job may use. Without this, jobs could wait forever for free capacity that
+ * is reserved (for a gang, for GPU jobs, or by a team's quota) but never used, or that is on a machine where the job failed
+ * once. One task, or one gang, is placed this way; then the job is no longer starving. Single tasks are placed on one machine
+ * until it is full, and on another one only after one worker lease, so that the other machines still drain for gangs.
  */
 export function* agedMachines(job: ScheduledJob, cycle: ShardCycle): Generator<ScheduledMachine> {
   const { spec } = job;
@@ -31,7 +31,7 @@
   }
 }
 
-/** Notes that a single task of a starving job was placed on a machine: further ones go there, too. */
+/** Records that a single task of a starving job was placed on a machine, so that further ones are placed there, too. */
 export function recordAgedPlacement({ shardState }: ShardCycle, { host }: ScheduledMachine): void {
   if (shardState.starvationRelief.host !== host)
     shardState.starvationRelief = { host, at: shardState.clock.now };
--- a/src/core/scheduling/voluntary-preemption.ts
+++ b/src/core/scheduling/voluntary-preemption.ts
@@ -1,13 +1,16 @@
-/** Voluntary preemption: array tasks that lose next to nothing make way for waiting arrays before these are short of time. */
+/**
+ * Voluntary preemption: stops array tasks that lose almost no work for the benefit of waiting arrays, before these are short of
+ * time.
+ */
 import { urgencyRank } from '../../model/job.js';
 import { addResources, fits, fitCount, type Resources } from '../../model/machine.js';
 import { hasNoTimeLimits, timeLimitsOf } from '../../policy/deadlines.js';
-import { roomOutsideGpuReserve } from '../../policy/gpu-sharing.js';
+import { capacityWithoutGpuReserve } from '../../policy/gpu-sharing.js';
 import { waitingTaskCount } from '../shard-state/jobs.js';
 import { freeCapacity } from '../shard-state/machines.js';
 import type { ScheduledJob, ScheduledMachine, Placement } from '../shard-state/types.js';
 import { mayDrain, mayUseGpuReserve } from './feasibility.js';
-import { earmark, type ShardCycle } from './shard-cycle.js';
+import { claimExpectedCapacity, type ShardCycle } from './shard-cycle.js';
 import {
   byLoss,
   lowerUrgencyPlaced,
@@ -18,10 +21,11 @@
 } from './victims.js';
 
 /**
- * Preempts other arrays' tasks for a waiting array: those of other teams beyond their guarantees if it is within its
- * own, otherwise work of lower urgency that has no limits and saves checkpoints. Guards against long arrays of another team
- * that filled the fleet while it was idle: others would wait until their tasks end. Room that is being made already counts
- * for one job of the cycle only. Returns whether machines were scanned, which is expensive.
+ * Preempts tasks of other arrays for a waiting array. If the job preempts immediately, these are all tasks that it may
+ * preempt (see `mayPreempt`), such as those of teams beyond their guarantees; otherwise tasks of lower urgency that have no
+ * time limits and save checkpoints. Without this, long arrays of another team that filled the fleet while it was idle would
+ * block other jobs until their tasks end. Capacity that is already being freed is counted for a single job of the cycle.
+ * Returns whether machines were scanned, which is expensive.
  */
 export function preemptVoluntarily(job: ScheduledJob, cycle: ShardCycle): boolean {
   const { spec } = job;
@@ -31,16 +35,16 @@
   let needed = Math.min(waitingTaskCount(job), fitCount(spec, shardState.availableQuota(spec)));
   const mayUseReserve = mayUseGpuReserve(cycle, job);
   const usable = (free: Resources): Resources =>
-    roomOutsideGpuReserve(spec, free, cycle.gpuReserve, mayUseReserve);
+    capacityWithoutGpuReserve(spec, free, cycle.gpuReserve, mayUseReserve);
   const plans: PreemptionPlan[] = [];
   for (const machine of cycle.unreserved) {
     if (needed <= 0) return true;
     cycle.capacityIndex.examined++;
     if (!mayDrain(cycle, job, machine)) continue;
-    const free = expectedRoom(cycle, machine);
+    const free = expectedCapacity(cycle, machine);
     const tasks = Math.min(needed, fitCount(spec, usable(free)));
     if (tasks > 0) {
-      earmark(cycle, machine, spec, tasks);
+      claimExpectedCapacity(cycle, machine, spec, tasks);
       addResources(free, spec, -tasks);
       needed -= tasks;
     }
@@ -57,17 +61,17 @@
   return true;
 }
 
-/** The room on a machine once all stop requests there are carried out, without what other jobs of the cycle count on. */
-function expectedRoom(cycle: ShardCycle, machine: ScheduledMachine): Resources {
+/** The free capacity of a machine once its stopping tasks have ended, less what other jobs of the cycle expect to use. */
+function expectedCapacity(cycle: ShardCycle, machine: ScheduledMachine): Resources {
   const free = freeCapacity(cycle.shardState, machine);
-  const earmarked = cycle.earmarked.get(machine.host);
-  if (earmarked) addResources(free, earmarked, -1);
+  const claimed = cycle.claimedCapacity.get(machine.host);
+  if (claimed) addResources(free, claimed, -1);
   for (const placement of machine.placements.values())
     if (placement.stopRequest !== null) addResources(free, placement.job.spec, 1);
   return free;
 }
 
-/** One plan for each task of a job that preemption would make room for on a machine; `free` is used up by it. */
+/** One plan for each task of a job for which preemption would free enough capacity on a machine. Modifies `free`. */
 function planPreemptions(
   job: ScheduledJob,
   cycle: ShardCycle,
@@ -96,12 +100,12 @@
   return plans;
 }
 
-/** Whether a task may be preempted for an array before that is short of time. */
+/** Whether a task may be preempted for a waiting array that is not yet short of time. */
 function mayPreemptVoluntarily(cycle: ShardCycle, job: ScheduledJob, victim: Placement): boolean {
   const { spec } = victim.job;
   if (victim.stopRequest !== null || victim.job.unreadable || spec.shape !== 'array') return false;
   if (preemptsImmediately(cycle, job)) return mayPreempt(cycle, job, victim);
-  // Work without any time limit, which loses next to nothing.
+  // Only tasks without any time limit that save checkpoints and therefore lose almost no work.
   return (
     urgencyRank[spec.urgency] < urgencyRank[job.spec.urgency] &&
     spec.checkpointS > 0 &&
@@ -109,10 +113,11 @@
   );
 }
 
+/** Stops the victims of the plans, and claims the capacity that this frees for the job. */
 function carryOut(plans: readonly PreemptionPlan[], job: ScheduledJob, cycle: ShardCycle): void {
   const { shardState } = cycle;
   for (const { machine, victims } of plans) {
-    earmark(cycle, machine, job.spec, 1);
+    claimExpectedCapacity(cycle, machine, job.spec, 1);
     for (const placement of victims) {
       const { index, host } = placement;
       shardState.log('debug', 'preempting voluntarily', {
--- a/src/policy/admission.ts
+++ b/src/policy/admission.ts
@@ -1,24 +1,24 @@
-/** Which jobs a cluster can run at all, and how team quotas and guarantees apply to them. */
+/** Admission rules: which jobs the cluster can ever run, and how team quotas and guarantees apply to jobs. */
 import type { Settings } from '../config/settings.js';
 import type { JobSpec } from '../model/job.js';
 import { fits, roundingTolerance, type MachineType, type Resources } from '../model/machine.js';
 
-/** An amount of resources that quotas and guarantees are counted in; Infinity: unlimited. */
+/** An amount of the resources that team quotas and guarantees cover; Infinity means unlimited. */
 export type TeamQuota = Pick<Resources, 'cpus' | 'gpus'>;
 
 const unlimitedIfUnset = (amount: number): number => (amount > 0 ? amount : Infinity);
 
-/** The most that a team's tasks may use at any time. */
+/** The maximum that a team's tasks may use at the same time. */
 export function teamQuota(settings: Settings, team: string): Readonly<TeamQuota> {
   const entry = settings.teams.find((t) => t.name === team);
   return { cpus: unlimitedIfUnset(entry?.cpus_max ?? 0), gpus: unlimitedIfUnset(entry?.gpus_max ?? 0) };
 }
 
-/** Whether a task of the job fits an empty machine of the type, and the job allows the type. */
+/** Whether a job allows a machine type, and one of its tasks fits an empty machine of that type. */
 export const typeAllowed = (spec: JobSpec, type: MachineType): boolean =>
   (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
 
-/** Why a job can never run, as text for its user; null: it can. */
+/** The reason why a job can never run, as text for its user; null if it can run. */
 export function rejectionReason(
   spec: JobSpec,
   types: readonly MachineType[],
@@ -39,8 +39,8 @@
 }
 
 /**
- * The jobs that fit into their team's guarantee together with the team's earlier unfinished jobs: these need not wait
- * for other teams.
+ * The jobs that fit into their team's guarantee together with all earlier unfinished jobs of the team. They take precedence
+ * over jobs of other teams.
  */
 export function jobsWithinGuarantee<T extends { spec: JobSpec; acceptedAt: number; completedCount: number }>(
   jobs: Iterable<T>,
--- a/src/policy/deadlines.ts
+++ b/src/policy/deadlines.ts
@@ -1,19 +1,22 @@
-/** Time limits of jobs (deadlines and service-level objectives), and how much slack is left until they are missed. */
+/** Time limits of jobs (deadlines and service-level objectives), and the slack left until they are missed. */
 import type { Objective } from '../config/settings.js';
 import type { JobSpec } from '../model/job.js';
 
 /**
- * The time limits that a job's owner or the operators' objectives set for it, in seconds after its submission, in
- * ascending order.
+ * The time limits of a job, set by its owner or by the operators' objectives, in seconds after its submission, in ascending
+ * order.
  */
 export interface TimeLimits {
-  /** By when all of the job should be done: its deadline, that times an objective's factor, an objective's limit. */
+  /**
+   * Limits for the completion of all tasks: the job's deadline, the deadline times an objective's factor, and objectives'
+   * limits.
+   */
   readonly completionS: readonly number[];
-  /** By when all of the job should have started. */
+  /** Limits for the start of all tasks. */
   readonly startS: readonly number[];
 }
 
-/** The time limits of a job. */
+/** The time limits of a job, cached by its specification and the objectives. */
 export function timeLimitsOf(spec: JobSpec, objectives: readonly Objective[]): TimeLimits {
   const cached = cachedLimits.get(spec);
   if (cached?.objectives === objectives) return cached.limits;
@@ -22,7 +25,7 @@
   return limits;
 }
 
-/** Neither a job's description nor the objectives change, and every scheduling cycle asks for every job. */
+/** Each scheduling cycle needs the limits of every job, and neither a job's specification nor the objectives change. */
 const cachedLimits = new WeakMap<JobSpec, { objectives: readonly Objective[]; limits: TimeLimits }>();
 
 function computeTimeLimits(spec: JobSpec, objectives: readonly Objective[]): TimeLimits {
@@ -39,17 +42,17 @@
   return { completionS: ascending(completionS), startS: ascending(startS) };
 }
 
-/** Whether nothing says by when a job should start or be done. */
+/** Whether a job has no limits for its start or its completion. */
 export const hasNoTimeLimits = (limits: TimeLimits): boolean =>
   limits.completionS.length + limits.startS.length === 0;
 
-/** Whether the operators say by when work within a team's guarantee should start. */
+/** Whether the operators have set a limit for the start of jobs within their team's guarantee. */
 export const hasGuaranteeStartObjective = (objectives: readonly Objective[]): boolean =>
   objectives.some((o) => o.kind === 'guarantee' && o.within_s !== undefined);
 
 /**
- * How many of its limits a job can no longer keep. Work that can still be in time goes before work that is
- * late already: otherwise, in an overload, every job waits behind those that nothing can save any more.
+ * How many of its limits a job can no longer keep. Jobs that can still be in time are placed before jobs that are late already:
+ * otherwise, under overload, every job would wait behind those that are bound to miss their limits.
  */
 export function missedLimitCount(limits: TimeLimits, ageS: number, runS: number): number {
   let missed = 0;
@@ -58,7 +61,7 @@
   return missed;
 }
 
-/** Time left for starting the last task until the next limit that can still be kept is missed; Infinity: there is none. */
+/** The time left to start the last task before the next limit that can still be kept is missed; Infinity if there is none. */
 export function slackS(limits: TimeLimits, ageS: number, runS: number): number {
   let minSlackS = Infinity;
   for (const limit of limits.completionS)
--- a/src/policy/gpu-sharing.ts
+++ b/src/policy/gpu-sharing.ts
@@ -1,16 +1,16 @@
-/** Guardrails for machines with GPUs: which work without GPUs may use their CPUs. */
+/** Guardrails for GPU machines: which jobs that need no GPUs may use their CPUs and memory. */
 import { isPremium, urgencyRank, type JobSpec } from '../model/job.js';
 import type { Resources, MachineType } from '../model/machine.js';
 import { typeAllowed } from './admission.js';
 import type { QueuedJob } from './order.js';
 
-/** Array tasks without GPUs that run longer than this many boots of a GPU machine are not placed on it. */
+/** The longest estimated run time of array tasks without GPUs on a GPU machine, as a multiple of its boot time. */
 const maxColocatedBoots = 2;
 
 /**
- * Whether a machine type may run a job, as far as GPUs decide. Work without GPUs is placed on a GPU machine only while GPU
- * tasks run there, and arrays only if their tasks are short. Alone it would keep the most expensive machines rented for work
- * that cheaper ones can do; long tasks would do so after the GPU work is over.
+ * Whether the rules for GPU machines allow a job on a machine. Jobs without GPUs are placed on a GPU machine only while GPU
+ * tasks run there, and arrays only if their tasks are short. On their own they would keep the most expensive machines rented
+ * for what cheaper ones can run, and long tasks would do so after the GPU tasks have ended.
  */
 export const mayShareGpuMachine = (
   spec: JobSpec,
@@ -21,24 +21,24 @@
   spec.gpus > 0 ||
   type.gpus <= 0 ||
   (gpusInUse > 0 && (spec.shape !== 'array' || spec.estimateS <= maxColocatedBoots * type.bootS)) ||
-  // Guards against work that fits no other type: it would be accepted, and never run.
+  // Jobs that fit no other type are allowed: otherwise they would be accepted and never run.
   !fitsCpuOnlyType(spec, types);
 
-/** Whether a job's task fits a type of machine without GPUs. */
+/** Whether a job's tasks fit any allowed machine type without GPUs that is offered in the job's zone. */
 export const fitsCpuOnlyType = (spec: JobSpec, types: readonly MachineType[]): boolean =>
   types.some(
     (t) => t.gpus <= 0 && typeAllowed(spec, t) && (spec.zone === null || t.zones.includes(spec.zone)),
   );
 
-/** What is reserved beside each free GPU for waiting GPU work. */
+/** The CPUs and memory reserved with each free GPU for waiting GPU jobs. */
 export interface GpuReserve {
   readonly cpus: number;
   readonly memGb: number;
-  /** The rank of the most urgent GPU work that waits. */
+  /** The urgency rank of the most urgent waiting GPU job. */
   readonly urgency: number;
 }
 
-/** The largest share per GPU that any waiting GPU task takes; null: none waits. */
+/** The reserve per GPU: the most CPUs and memory per GPU that any waiting GPU task requests; null if none wait. */
 export function gpuReserveFor(waiting: readonly QueuedJob[]): GpuReserve | null {
   const gpuJobs = waiting.filter(({ spec }) => spec.gpus > 0);
   if (gpuJobs.length === 0) return null;
@@ -52,11 +52,11 @@
 }
 
 /**
- * What is left of a machine's free resources for a job: while GPU work waits, other work leaves what that needs beside the
- * free GPUs. Otherwise small CPU tasks fill the GPU machines and the GPUs stand idle. Premium work of higher urgency
- * is exempt if `mayUseReserve`.
+ * The part of a machine's free resources that a job may use: while GPU jobs wait, other jobs leave the reserve for the free
+ * GPUs unused. Otherwise small CPU tasks would fill the GPU machines while their GPUs are idle. Premium jobs that are more
+ * urgent than all waiting GPU jobs are exempt if `mayUseReserve` is set.
  */
-export function roomOutsideGpuReserve(
+export function capacityWithoutGpuReserve(
   spec: JobSpec,
   free: Resources,
   reserve: GpuReserve | null,
--- a/src/policy/hazard.ts
+++ b/src/policy/hazard.ts
@@ -1,8 +1,8 @@
-/** Estimate of the interruption rate of spot machines. */
+/** Estimation of the interruption rate of spot machines. */
 
 /**
- * How often spot machines are interrupted, per machine-hour: what was observed, with older observations decaying
- * exponentially, on top of a prior that weighs as much as one machine-hour.
+ * Estimates the interruptions of spot machines per machine-hour from observations, which decay exponentially, and a prior
+ * with the weight of one machine-hour.
  */
 export class SpotHazardEstimate {
   private interruptions = 0;
@@ -13,7 +13,7 @@
     private readonly decayHours = 1,
   ) {}
 
-  /** Records that `machines` spot machines were observed for `seconds`. */
+  /** Records that `machines` spot machines were observed for `seconds` seconds. */
   observe(machines: number, seconds: number): void {
     const hours = (machines * seconds) / 3600;
     const decay = Math.exp(-hours / this.decayHours);
@@ -21,17 +21,17 @@
     this.machineHours = this.machineHours * decay + hours;
   }
 
-  /** Records that one spot machine was interrupted. */
+  /** Records the interruption of one spot machine. */
   recordInterruption(): void {
     this.interruptions += 1;
   }
 
-  /** Expected interruptions per machine-hour. */
+  /** The expected number of interruptions per machine-hour. */
   perHour(): number {
     return (this.interruptions + this.priorPerHour) / (this.machineHours + 1);
   }
 
-  /** Expected interruptions of a machine within a step of `stepS` seconds. */
+  /** The expected number of interruptions of one machine within a step of `stepS` seconds. */
   perStep(stepS: number): number {
     return (this.perHour() * stepS) / 3600;
   }
--- a/src/policy/helios.ts
+++ b/src/policy/helios.ts
@@ -1,56 +1,56 @@
 /**
- * The evolved champion of HELIOS (paper, appendix "Champion policy"), as pure functions: it orders work, scores machines
- * and proposes migrations. What it may not do is decided by the guardrails, outside of it.
+ * The placement policy: the evolved champion of HELIOS (see the paper's appendix "Champion policy"), as pure functions that
+ * order jobs, score machines and propose migrations. The guardrails, which are separate, decide what of this is allowed.
  */
 
-/** The weights that operators set. */
+/** The weights of the score, set by the operators. */
 export interface ScoreWeights {
-  /** Price of an interruption, per CPU-hour and unit of hazard (the paper's A). */
+  /** The cost of an interruption, per CPU-hour and unit of hazard (the paper's A). */
   readonly hazard: number;
-  /** Weight of the distance of a premium job's machine from the cheapest on-demand price. */
+  /** The weight of the difference between the price of a premium job's machine and the cheapest on-demand price. */
   readonly anchor: number;
 }
 
-/** What the policy looks at of a task that is to be placed. */
+/** The properties of a task to be placed that the policy considers. */
 export interface ScoredWork {
   readonly premium: boolean;
   readonly cpus: number;
 }
 
-/** A machine, or a machine type that could be rented, as the policy looks at it. */
+/** The properties that the policy considers of a machine, or of a machine type that could be rented. */
 export interface MachineCandidate {
-  /** Price per CPU-hour. */
+  /** The price per CPU-hour. */
   readonly price: number;
   readonly spot: boolean;
-  /** Probability of an interruption per hazard step. */
+  /** The probability of an interruption within one hazard step. */
   readonly hazard: number;
   /** Whether the machine is not rented yet. */
   readonly needsRental: boolean;
   readonly freeCpus: number;
-  /** Time until a task could start there (boot, image fetch), in minutes. */
+  /** The time until a task could start there (boot and image fetch), in minutes. */
   readonly delayMin: number;
 }
 
-// The champion's tie-break weights.
+// The tie-break weights of the HELIOS champion.
 const premiumReuseBonus = 0.01;
 const reuseBonus = 0.008;
 const freeCpuBonus = 0.0008;
 const maxCountedFreeCpus = 12;
 const delayPenaltyPerMin = 0.004;
 
-/** The urgency of a migration off a spot machine that costs more than it saves. */
+/** The urgency of a migration off a spot machine whose hazard-adjusted price exceeds the on-demand price. */
 const spotMigrationUrgency = 0.5;
 
-/** Placement priority: larger goes first. */
+/** The placement priority of a task; higher priorities are placed first. */
 export const placementPriority = (work: ScoredWork): number => (work.premium ? 10 : 0) + work.cpus;
 
-/** What a machine costs per CPU-hour, with the hazard amortized. */
+/** The price of a machine per CPU-hour, including the amortized hazard. */
 export const hazardAdjustedPrice = (
   candidate: Pick<MachineCandidate, 'price' | 'hazard'>,
   weights: ScoreWeights,
 ): number => candidate.price + weights.hazard * candidate.hazard;
 
-/** Preference for a candidate: larger is better. `anchor` is the cheapest on-demand price per CPU-hour. */
+/** The score of a candidate for a task; higher is better. `anchor` is the cheapest on-demand price per CPU-hour. */
 export function placementScore(
   work: ScoredWork,
   candidate: MachineCandidate,
@@ -70,7 +70,7 @@
   return total - delayPenaltyPerMin * candidate.delayMin;
 }
 
-/** How urgently a task should be migrated off a machine; 0: not at all. */
+/** How urgently a task should be migrated off a machine; 0 means not at all. */
 export const migrationUrgency = (
   candidate: Pick<MachineCandidate, 'price' | 'hazard' | 'spot'>,
   anchor: number,
--- a/src/policy/load-sharing.ts
+++ b/src/policy/load-sharing.ts
@@ -1,44 +1,50 @@
-/** How the work of answering heartbeats is shared between a shard's owner and the other controllers. */
+/** Load sharing: how the processing of heartbeats is shared between a shard's owner and the other controllers. */
 
 /** The load of a controller. */
 export interface ControllerLoad {
-  /** The share of its time that it is busy; 1: all of it. */
+  /** The share of time that it is busy, from 0 to 1. */
   readonly utilization: number;
-  /** Open connections. */
+  /** The number of open connections. */
   readonly connections: number;
-  /** Machines whose heartbeats reach it, directly or forwarded. */
+  /** The number of machines whose heartbeats reach it, directly or forwarded. */
   readonly machines: number;
-  /** The share of its machines' heartbeats that peers forward. */
+  /** The share of its machines' heartbeats that are forwarded by peers. */
   readonly forwardedShare: number;
 }
 
-/** A peer that may take over work. */
+/** A peer that may take over load. */
 export interface HelperCandidate {
   readonly member: string;
-  /** The share of its time that it is busy. */
+  /** The share of time that it is busy, from 0 to 1. */
   readonly busy: number;
 }
 
-/** Above this utilization a controller asks its peers to keep the agents that reach them. */
+/** Above this utilization, a controller offloads: it asks its peers to keep the agents that connect to them. */
 export const offloadAbove = 0.7;
-/** Below this utilization it would have without their help, it no longer asks for it. */
-const offloadUntil = 0.4;
-/** A controller that is busier than this takes none of its peers' work. */
+/**
+ * Offloading ends only when the utilization that the controller would have without it is no higher than this. Below this
+ * utilization, no agents are redirected because of it either.
+ */
+const offloadEndUtilization = 0.4;
+/** A controller whose utilization is not below this takes over no load from its peers. */
 const maxHelperUtilization = 0.6;
-/** Offloading ends only below this share of what starts it: otherwise agents would move to and fro. */
-const offloadEndShare = 0.8;
-/** A controller that is this many times as busy as a helper redirects agents to it. */
+/**
+ * Hysteresis: offloading ends only below this multiple of the limit that starts it, so that agents do not move back and
+ * forth.
+ */
+const offloadEndFactor = 0.8;
+/** A controller redirects agents to a helper while its utilization is more than this multiple of the helper's. */
 const redirectRatio = 1.2;
-/** A forwarded heartbeat costs its owner this share of a direct one. */
+/** The cost of a forwarded heartbeat to the shard's owner, relative to that of a direct one. */
 const forwardingCost = 0.35;
 
-/** How busy a controller would be if all of its agents connected to it directly. */
+/** The utilization that a controller would have if all of its agents connected to it directly. */
 const utilizationWithoutForwarding = ({ utilization, forwardedShare }: ControllerLoad): number =>
   utilization / (1 - forwardedShare * (1 - forwardingCost));
 
 /**
- * Whether peers should keep the agents that reach them. `offloading`: they do so already; `preferredConnections`: how many
- * connections the controller is meant to have itself.
+ * Whether a controller needs its peers to keep the agents that connect to them. `offloading`: they do so already;
+ * `preferredConnections`: the number of connections that the controller should have itself.
  */
 export function needsOffload(
   offloading: boolean,
@@ -48,21 +54,21 @@
   if (load.utilization > offloadAbove || load.connections > preferredConnections) return true;
   return (
     offloading &&
-    (utilizationWithoutForwarding(load) > offloadUntil ||
-      load.machines > preferredConnections * offloadEndShare)
+    (utilizationWithoutForwarding(load) > offloadEndUtilization ||
+      load.machines > preferredConnections * offloadEndFactor)
   );
 }
 
-/** Whether one more agent should be redirected to a helper: until both are about equally busy. */
+/** Whether one more agent should be redirected to a helper: until both have about the same utilization. */
 export const shouldRedirect = (
   load: ControllerLoad,
   preferredConnections: number,
   helperUtilization: number,
 ): boolean =>
-  load.utilization > Math.max(offloadUntil, helperUtilization * redirectRatio) ||
-  load.connections > preferredConnections * offloadEndShare;
+  load.utilization > Math.max(offloadEndUtilization, helperUtilization * redirectRatio) ||
+  load.connections > preferredConnections * offloadEndFactor;
 
-/** The least busy of the peers that can help, or null. */
+/** The least busy peer that can take over load; null if none can. */
 export function leastBusyHelper(peers: Iterable<HelperCandidate>): HelperCandidate | null {
   let best: HelperCandidate | null = null;
   for (const peer of peers)
@@ -70,25 +76,25 @@
   return best;
 }
 
-/** The heartbeats of a shard's machines since the last check, and the load of its owner. */
+/** The number of heartbeats of a shard's machines since the last check, and the load of the shard's owner. */
 export interface ShardTraffic {
-  /** Heartbeats that came directly from agents. */
+  /** Heartbeats received directly from agents. */
   readonly direct: number;
-  /** Heartbeats that each peer has forwarded. */
+  /** Heartbeats forwarded by each peer. */
   readonly forwardedBy: ReadonlyMap<string, number>;
   /** Whether peers forward heartbeats because the owner asked them to. */
   readonly offloading: boolean;
   readonly utilization: number;
 }
 
-/** An owner that gets less than this share of heartbeats directly, without offloading, is cut off from its agents. */
+/** An owner that receives less than this share of heartbeats directly, without offloading, is cut off from its agents. */
 const minDirectShare = 0.35;
-/** With fewer heartbeats than this nothing can be concluded. */
+/** With fewer heartbeats than this, their direct share is not significant. */
 const minHeartbeats = 10;
-/** Above this utilization an owner that offloads already is overloaded. */
-const overloadedAbove = 0.97;
+/** Above this utilization, an owner that is already offloading is overloaded. */
+const overloadUtilization = 0.97;
 
-/** The peer that a shard should be handed over to, or null: its owner serves it as well as any other could. */
+/** The peer that a shard should be handed over to; null if its owner serves it as well as any other could. */
 export function handoverTarget(traffic: ShardTraffic, peers: readonly HelperCandidate[]): string | null {
   const { direct, forwardedBy, offloading, utilization } = traffic;
   const total = [...forwardedBy.values()].reduce((a, b) => a + b, direct);
@@ -96,7 +102,7 @@
     const [member] = [...forwardedBy].sort((a, b) => b[1] - a[1])[0];
     return peers.some((p) => p.member === member && p.busy < maxHelperUtilization) ? member : null;
   }
-  // Helped already and still short of time: a machine that computes slowly.
-  if (offloading && utilization > overloadedAbove) return leastBusyHelper(peers)?.member ?? null;
+  // Overloaded despite offloading: the owner's machine is slow.
+  if (offloading && utilization > overloadUtilization) return leastBusyHelper(peers)?.member ?? null;
   return null;
 }
--- a/src/policy/order.ts
+++ b/src/policy/order.ts
@@ -4,37 +4,37 @@
 import { hasNoTimeLimits, missedLimitCount, timeLimitsOf, slackS } from './deadlines.js';
 import { placementPriority } from './helios.js';
 
-/** What the placement order looks at. */
+/** The properties of a job that determine its position in the placement order. */
 export interface QueuedJob {
   readonly spec: JobSpec;
-  /** Time of day of its acceptance, ms. */
+  /** The wall-clock time at which it was accepted, ms. */
   readonly acceptedAt: number;
 }
 
-/** Estimates are often wrong by half: a job counts as late only if even half of its estimate is too long. */
+/** Estimates are often wrong by half, so a job counts as late only if it would be too late even with half of its estimate. */
 const optimisticEstimateShare = 0.5;
-/** CPUs that a task counts for at least. */
+/** The minimum number of CPUs that a task counts as. */
 const minCountedCpus = 0.01;
 
-/** CPUs that differ by less than a factor of two count as alike, so that the limits decide between them. */
+/** Rounds the placement priority down to a power of two, so that the time limits decide between tasks of similar size. */
 const sizeClass = (spec: JobSpec): number =>
   Math.floor(
     Math.log2(Math.max(placementPriority({ premium: isPremium(spec), cpus: spec.cpus }), minCountedCpus)),
   );
 
-/** What two jobs are compared by; in the order of weight. */
+/** The criteria by which two jobs are compared, the most important first. */
 interface OrderKey<T extends QueuedJob> {
   readonly job: T;
   readonly withinGuarantee: boolean;
   readonly urgency: number;
-  /** Nothing says by when it should start or be done. */
+  /** Whether it has no time limits. */
   readonly unlimited: boolean;
-  /** It can keep none of its limits any more. */
+  /** Whether it has time limits, but can no longer keep any of them. */
   readonly allMissed: boolean;
-  /** Its next limit is close. */
+  /** Whether its next time limit is close. */
   readonly critical: boolean;
   readonly sizeClass: number;
-  /** How long it has waited, relative to the CPU time that it takes. */
+  /** The time it has waited, relative to the CPU time that it is expected to need. */
   readonly responseRatio: number;
   readonly missedLimits: number;
   readonly slackS: number;
@@ -54,18 +54,19 @@
     b.sizeClass - a.sizeClass ||
     (byResponseRatio ? b.responseRatio - a.responseRatio : 0) ||
     a.missedLimits - b.missedLimits ||
-    // NaN where neither has a limit left to keep: the next criterion decides.
+    // NaN (Infinity - Infinity) if neither job has a limit that it can still keep; then the next criterion decides.
     a.slackS - b.slackS ||
     a.job.acceptedAt - b.job.acceptedAt
   );
 }
 
 /**
- * Placement order: work within its team's guarantee, then urgency, then work that can still keep any of its limits, then
- * work whose next limit is less than `criticalS` away, then HELIOS's order, then work that has missed fewer limits, then
- * the job whose next limit comes first. Of work that can keep no limit any more, the job goes first that has waited longest
- * for what it takes: so that in an overload many small jobs are not kept waiting by a few large ones, nor these for ever.
- * Work that has no limit at all uses what the others of its urgency leave.
+ * Sorts jobs into placement order: first jobs within their team's guarantee, then by urgency, then jobs that can still keep
+ * one of their time limits, then jobs whose slack is less than `criticalS`, then HELIOS's placement priority, then jobs that
+ * have missed fewer limits, then by slack, smallest first. Among jobs that can no longer keep any limit, and among those of
+ * little slack, jobs of like size are sorted by waiting time relative to the CPU time needed: under overload, a few large
+ * jobs then do not block many small ones, and are not postponed forever themselves. Jobs without any time limit come last
+ * among those of their urgency.
  */
 export function inPlacementOrder<T extends QueuedJob>(
   jobs: readonly T[],
@@ -98,6 +99,6 @@
   return keyed.map((k) => k.job);
 }
 
-/** Work that is closer to a limit than this must have the next place that comes free. */
+/** The slack below which a job must get the next capacity that becomes free, s. */
 export const criticalSlackS = (settings: Settings): number =>
   2 * settings.workers.report_s + settings.workers.lease_s;
--- a/src/policy/pricing.ts
+++ b/src/policy/pricing.ts
@@ -1,17 +1,19 @@
-/** Prices and start delays of machine types, as the placement policy weighs them. */
+/** Prices and start delays of machine types, as input to the placement policy. */
 import type { OperatorSettings } from '../config/operators.js';
 import type { JobSpec } from '../model/job.js';
 import { hourlyPrice, type MachineType } from '../model/machine.js';
 import { typeAllowed } from './admission.js';
 import type { MachineCandidate, ScoreWeights } from './helios.js';
 
-/** The weights that the operators have set. */
+/** The score weights from the operators' settings. */
 export const scoreWeights = (operators: OperatorSettings): ScoreWeights => ({
   hazard: operators['hazard-weight'],
   anchor: operators['anchor-weight'],
 });
 
-/** The cheapest on-demand price per CPU-hour among the available types that a job's task fits; Infinity: there is none. */
+/**
+ * The cheapest on-demand price per CPU-hour among the available machine types allowed for a job; Infinity if there are none.
+ */
 export function anchorPrice(
   spec: JobSpec,
   types: readonly MachineType[],
@@ -23,17 +25,17 @@
   return cheapest;
 }
 
-/** What decides about a machine beside its type and whether it is a spot machine. */
+/** The state of a candidate machine, in addition to its type and whether it is a spot machine. */
 export interface CandidateState {
   /** The current hazard of spot machines, per hazard step. */
   readonly spotHazard: number;
-  /** Time until a task could start there, s. */
+  /** The time until a task could start there, s. */
   readonly delayS: number;
-  /** The free CPUs of a machine that would have to be rented; absent: it is rented already. */
+  /** The free CPUs of a machine that has yet to be rented; absent if the machine is rented already. */
   readonly rentalCpus?: number;
 }
 
-/** A machine of a type, as the policy scores it. */
+/** Builds the policy's view of a machine of a type. */
 export const machineCandidate = (
   type: MachineType,
   spot: boolean,
@@ -47,6 +49,6 @@
   delayMin: delayS / 60,
 });
 
-/** How long a machine of a type takes to fetch a job's image, s. */
+/** The time that a machine of a type takes to fetch a job's image, s. */
 export const imageFetchS = (spec: JobSpec, type: MachineType): number =>
   type.fetchGbPerS > 0 ? spec.imageGb / type.fetchGbPerS : 0;
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -1,11 +1,12 @@
-/** What becomes of gangs of which some tasks are done and others are lost. */
+/** Gangs of which some tasks have completed and others were lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-// Found by seed 4 of "jobs bound to one zone" with the task log: the gang was never placed again.
-test('a gang that is being taken down when its last task completes may be placed again', () => {
+// Guards against a gang that is never placed again because it still counts as being torn down after its last task has
+// completed. Found by seed 4 of "jobs bound to one zone" with the task log.
+test('a gang that is being torn down when its last task completes can be placed again', () => {
   const w = new World(1);
   w.serviceJobs.add('req-1');
   w.advance(5);
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,4 +1,4 @@
-/** The placement policy: order, prices, hazard, deadlines, feasibility. */
+/** The placement policy (order, prices, hazard, guardrails, guarantees), and parsing of settings and submissions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { mayShareGpuMachine } from '../src/policy/gpu-sharing.js';
@@ -17,8 +17,8 @@
 import { parseSubmission } from '../src/wire/user.js';
 import { box, settingsText, spec } from './support/fixtures.js';
 
-const w = { hazard: 10, anchor: 0.5 };
-const at = (over: Partial<MachineCandidate>): MachineCandidate => ({
+const weights = { hazard: 10, anchor: 0.5 };
+const candidate = (over: Partial<MachineCandidate>): MachineCandidate => ({
   price: 0.1,
   spot: false,
   hazard: 0,
@@ -28,37 +28,39 @@
   ...over,
 });
 
-test('premium goes first, then larger tasks', () => {
+test('premium tasks have the highest placement priority, then larger tasks', () => {
   assert.ok(placementPriority({ premium: true, cpus: 1 }) > placementPriority({ premium: false, cpus: 8 }));
   assert.ok(placementPriority({ premium: false, cpus: 8 }) > placementPriority({ premium: false, cpus: 2 }));
 });
 
-test('hazard is priced in: cheap spot wins until it is taken too often', () => {
+test('the score includes the hazard: a cheaper spot machine is preferred unless it is interrupted too often', () => {
   const work = { premium: false, cpus: 1 };
-  const ondemand = at({});
+  const ondemand = candidate({});
   assert.ok(
-    placementScore(work, at({ price: 0.03, spot: true, hazard: 0.001 }), 0.1, w) >
-      placementScore(work, ondemand, 0.1, w),
+    placementScore(work, candidate({ price: 0.03, spot: true, hazard: 0.001 }), 0.1, weights) >
+      placementScore(work, ondemand, 0.1, weights),
   );
   assert.ok(
-    placementScore(work, at({ price: 0.03, spot: true, hazard: 0.02 }), 0.1, w) <
-      placementScore(work, ondemand, 0.1, w),
+    placementScore(work, candidate({ price: 0.03, spot: true, hazard: 0.02 }), 0.1, weights) <
+      placementScore(work, ondemand, 0.1, weights),
   );
-  assert.equal(migrationUrgency({ price: 0.03, spot: true, hazard: 0.001 }, 0.1, w), 0);
-  assert.ok(migrationUrgency({ price: 0.03, spot: true, hazard: 0.02 }, 0.1, w) > 0);
+  assert.equal(migrationUrgency({ price: 0.03, spot: true, hazard: 0.001 }, 0.1, weights), 0);
+  assert.ok(migrationUrgency({ price: 0.03, spot: true, hazard: 0.02 }, 0.1, weights) > 0);
 });
 
-test('premium is anchored to the cheapest on-demand price', () => {
+test('premium tasks prefer machines close to the cheapest on-demand price', () => {
   const work = { premium: true, cpus: 1 };
   assert.ok(
-    placementScore(work, at({ price: 0.1 }), 0.1, w) > placementScore(work, at({ price: 0.2 }), 0.1, w),
+    placementScore(work, candidate({ price: 0.1 }), 0.1, weights) >
+      placementScore(work, candidate({ price: 0.2 }), 0.1, weights),
   );
   assert.ok(
-    placementScore(work, at({ price: 0.1 }), 0.1, w) > placementScore(work, at({ price: 0.1 }), 0.2, w),
+    placementScore(work, candidate({ price: 0.1 }), 0.1, weights) >
+      placementScore(work, candidate({ price: 0.1 }), 0.2, weights),
   );
 });
 
-test('guardrails: no spot for services and gangs, a budget and a residency for moves', () => {
+test('guardrails: no spot machines for services and gangs; a budget and a minimum residency for migrations', () => {
   assert.equal(spotAllowed(spec('req-1', { spot: true })), true);
   assert.equal(spotAllowed(spec('req-1', { spot: true, shape: 'gang' })), false);
   assert.equal(spotAllowed(spec('req-1', { spot: true, shape: 'service' })), false);
@@ -66,16 +68,16 @@
   assert.equal(residentLongEnough(59, 60), false);
 });
 
-test('the hazard estimate follows what is seen and falls back to its prior', () => {
-  const h = new SpotHazardEstimate(0.5);
-  assert.equal(h.perHour(), 0.5);
-  for (let i = 0; i < 5; i++) h.recordInterruption();
-  assert.ok(h.perHour() > 5);
-  h.observe(10, 3600);
-  assert.ok(h.perHour() < 1);
+test('the hazard estimate follows the observations and falls back to its prior', () => {
+  const estimate = new SpotHazardEstimate(0.5);
+  assert.equal(estimate.perHour(), 0.5);
+  for (let i = 0; i < 5; i++) estimate.recordInterruption();
+  assert.ok(estimate.perHour() > 5);
+  estimate.observe(10, 3600);
+  assert.ok(estimate.perHour() < 1);
 });
 
-test('settings: a bad field is named in one line', () => {
+test('settings: the error for an invalid field names the field in one line', () => {
   assert.throws(
     () => parseSettings(settingsText('n0', 1).replace('lease_s = 16.0', 'lease_s = "x"')),
     /deployment\.workers\.lease_s: [^\n]+$/,
@@ -83,10 +85,10 @@
   assert.throws(() => parseSettings('member = '), /not valid TOML/);
   assert.throws(() => parseOperatorSettings('(dapplepick (nonsense 3))'), /nonsense: unknown setting/);
   assert.throws(() => parseOperatorSettings('(dapplepick (round-s zero))'), /round-s: must be a number/);
-  assert.equal(parseOperatorSettings('; ours\n(dapplepick (round-s 5))')['round-s'], 5);
+  assert.equal(parseOperatorSettings('; comment\n(dapplepick (round-s 5))')['round-s'], 5);
 });
 
-test('submissions: missing, wrong or surplus fields', () => {
+test('submissions: unknown and optional fields are accepted, missing and invalid ones are rejected', () => {
   const good = {
     nameId: 'req-000412',
     jobclass: 'train',
@@ -129,7 +131,7 @@
     assert.equal(typeof parseSubmission(bad), 'string');
 });
 
-test('a job is within the guarantee together with the earlier unfinished ones of its team, not beside them', () => {
+test("a job is within its team's guarantee only if it fits together with all earlier unfinished jobs of the team", () => {
   const settings = parseSettings(settingsText('n0', 1));
   const job = (id: string, at: number, over = {}) => ({
     spec: spec(id, { cpus: 4, ...over }),
@@ -139,15 +141,16 @@
   const first = job('req-1', 1, { tasks: 1 });
   const large = job('req-2', 2, { tasks: 2 });
   const later = job('req-3', 3, { tasks: 1 });
-  const guest = job('req-4', 0, { tasks: 1, team: 'blue' });
-  assert.deepEqual([...jobsWithinGuarantee([later, large, first, guest], settings)], [first]);
+  const otherTeamsJob = job('req-4', 0, { tasks: 1, team: 'blue' });
+  assert.deepEqual([...jobsWithinGuarantee([later, large, first, otherTeamsJob], settings)], [first]);
   assert.deepEqual(
-    [...jobsWithinGuarantee([later, { ...large, completedCount: 1 }, first, guest], settings)].length,
+    [...jobsWithinGuarantee([later, { ...large, completedCount: 1 }, first, otherTeamsJob], settings)].length,
     2,
   );
 });
 
-test('a GPU machine takes short work as company for GPU tasks, not long arrays that would keep it rented after them', () => {
+// Long tasks would keep the machine rented after its GPU tasks have ended.
+test('a GPU machine with GPU tasks also accepts short array tasks without GPUs, but not long ones', () => {
   const gpuBox = { ...box, gpus: 4, bootS: 40 };
   const types = [box, gpuBox];
   const short = spec('req-1', { estimateS: 40 });
@@ -159,8 +162,8 @@
   assert.equal(mayShareGpuMachine(long, box, 0, types), true);
 });
 
-// Guards against a day of many urgent gangs on which a few large ones that were late already kept all others waiting.
-test('order: of work that is late for good, what has waited longest for what it takes goes first', () => {
+// Guards against a few large gangs that are late already blocking all others while many urgent gangs wait.
+test('order: jobs that have missed all limits are sorted by waiting time relative to the CPU time needed', () => {
   const objectives = [{ kind: 'wait', class: 'c', within_s: 10, times: 1 }];
   const gang = (id: string, tasks: number, ageS: number) => ({
     spec: spec(id, { shape: 'gang', tasks, cpus: 4 }),
