--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -1,4 +1,4 @@
-/** The leader's part in feature levels: records what members can do, and raises or lowers the level in force. */
+/** The leader's management of feature levels: records the capabilities of members, and raises or lowers the level in force. */
 import type { Settings } from '../config/settings.js';
 import { decide, features, newestLevel, type Capabilities, type Decision } from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
@@ -23,19 +23,19 @@
   type LevelNote,
 } from './storage/index.js';
 
-/** How often the level is looked at, in a state lease. */
+/** How many times per state lease the level is checked. */
 const checksPerLease = 8;
 
-/** From this level on leadership and machine types are at other keys. */
+/** From this level on, the leader record and the machine types are stored at other keys. */
 const keysMovedAtLevel = features['barred-lead'].level;
 
-/** Decisions are compared by this text. */
+/** A decision as text, for comparison. */
 const decisionText = (decision: Decision): string =>
   JSON.stringify(decision, (_, value: unknown) =>
     value instanceof Map ? [...(value as Map<string, unknown>)] : value,
   );
 
-/** What the manager is created with. */
+/** The dependencies and settings of the manager. */
 export interface FeatureLevelManagerOptions {
   readonly settings: Settings;
   readonly replica: Replica;
@@ -47,8 +47,8 @@
 }
 
 /**
- * Carries out what `decide` says, on condition that leadership, the level, members' recorded capabilities, who is present and
- * what operators request have not changed meanwhile.
+ * Carries out the decisions of `decide`. Every write is conditional on the leader record, the level, the recorded capabilities,
+ * the presence records of members and the requested level being unchanged since the decision.
  */
 export class FeatureLevelManager {
   private checkedAt = -Infinity;
@@ -57,11 +57,12 @@
 
   constructor(private readonly options: FeatureLevelManagerOptions) {}
 
-  /** As the leader: takes the next step of the level, if it is time for one. */
+  /** To be called by the leader on every tick: checks the level if a check is due, and makes the next change to it. */
   tick(): void {
     const { replica, clock, stateLeaseMs } = this.options;
     if (this.writeInFlight || clock.now - this.checkedAt < stateLeaseMs / checksPerLease) return;
-    // Guards against lowering while a record that was written just before the level changed has not been seen yet.
+    // Until the watch has delivered the last level change, a record written just before it may be unseen: the level must not be
+    // lowered then.
     if (replica.watchRevision < replica.levels.state.modRevision) return;
     this.checkedAt = clock.now;
     this.carryOut(this.decide());
@@ -73,7 +74,7 @@
       case 'stay':
         return this.logReason(decision.why);
       case 'record-capabilities':
-        return this.commit('what members can do', decision, () => [
+        return this.commit('member capabilities recorded', decision, () => [
           this.membersWrite(decision.capabilities, replica.members.note),
         ]);
       case 'refuse':
@@ -106,7 +107,7 @@
     });
   }
 
-  /** How many records the level that is being lowered to cannot express. */
+  /** How many stored records cannot be expressed at the level that is being lowered to. */
   private unmigratedRecords(): number {
     const { replica } = this.options;
     const { writeLevel } = replica.levels.state;
@@ -116,8 +117,8 @@
   }
 
   /**
-   * The members that a rise waits for: all that are configured or present. Where members share nothing but a store, none is
-   * configured, so it is all that were ever seen.
+   * The members that must support a level before it is raised: all that are configured or present. In a pool, where members share
+   * nothing but the state service and none is configured, also all that were ever seen.
    */
   private requiredMembers(): string[] {
     const { settings, replica } = this.options;
@@ -133,14 +134,14 @@
     log('info', 'level stays', { level: replica.levels.state.level, why });
   }
 
-  /** Records for operators, once, why their request is not fulfilled. */
+  /** Logs and stores for operators, once, why their request is refused. */
   private refuse(text: string): void {
     const { replica, log } = this.options;
     const { note, capabilities } = replica.members;
     const { modRevision } = replica.requestedLevel;
     if (note?.wish === modRevision && note.text === text) return;
     log('warn', text, { level: replica.levels.state.level });
-    this.commit('refusal', { type: 'refuse', text }, () => [
+    this.commit('refusal of the requested level recorded', { type: 'refuse', text }, () => [
       this.membersWrite(capabilities, { wish: modRevision, text }),
     ]);
   }
@@ -149,7 +150,7 @@
     return { key: membersKey, data: membersData(capabilities, note) };
   }
 
-  /** What changes the level; leadership and machine types move to the keys that the new level has them at. */
+  /** The writes that change the level, and that move the leader record and the machine types to the keys of the new level. */
   private levelWrites(level: number, writeLevel: number): Write[] {
     const { replica } = this.options;
     const writes: Write[] = [{ key: levelKey, data: levelData(level, writeLevel) }];
@@ -157,11 +158,11 @@
     const toBeMoved = level >= keysMovedAtLevel;
     if (toBeMoved === isMoved) return writes;
     writes.push(...(toBeMoved ? this.moveKeys() : this.moveKeysBack()));
-    // A key that is not there cannot be dropped.
+    // A key that does not exist cannot be deleted.
     return writes.filter((w) => w.data !== undefined || replica.modRevisionOf(w.key) > 0);
   }
 
-  /** Programs without levels see the old leadership taken by nobody, so that they do not act. */
+  /** Programs without levels see a leader at the old key that never gives up leadership, so they do not become leader. */
   private moveKeys(): Write[] {
     return [
       { key: legacyLeaderKey, data: { ...leaderPlaceholder } },
@@ -199,9 +200,9 @@
     batcher.enqueue({
       priority: WritePriority.membership,
       build: () => {
-        // Decided once more: the write may have waited.
+        // Decide again: the situation may have changed while the write was queued.
         const isUnchanged = membership.isLeader && decisionText(this.decide()) === text;
-        // Guards against a leadership without a lease, which nobody could ever take over.
+        // A leader record without a lease would never expire, so nobody could take over leadership.
         if (!isUnchanged || membership.leaseId === null) {
           finish();
           return null;
@@ -222,7 +223,7 @@
     });
   }
 
-  /** The keys whose values a decision depends on. */
+  /** The keys of the records that a decision depends on. */
   private decidingKeys(): string[] {
     const members = this.requiredMembers().map(presenceKey);
     return [this.options.replica.activeLeaderKey, levelKey, membersKey, requestedLevelKey, ...members];
--- a/src/core/recovery-records.ts
+++ b/src/core/recovery-records.ts
@@ -1,4 +1,4 @@
-/** What a controller knows of the state, as records: the state is restored from it after a loss of data. */
+/** Collects a controller's knowledge of the stored state as records, from which the state is restored after a loss of data. */
 import type { Data } from '../formats/index.js';
 import { mergeRecords } from '../data-loss/index.js';
 import {
@@ -23,34 +23,37 @@
 } from './storage/index.js';
 import type { Replica } from './replica.js';
 
-/** What a controller knew when it noticed that the state service had lost data. */
+/** The records that a controller knew when it noticed that the state service had lost data. */
 export interface RecoveryRecords {
-  /** The incarnation that it followed. */
+  /** The incarnation of the state that it followed. */
   readonly incarnation: number;
   /** The revision up to which it had followed the state. */
   readonly revision: number;
-  /** By key, in the order in which they are to be restored. */
+  /** The records by key, in the order in which they are to be restored. */
   readonly records: Map<string, Data>;
   readonly reason: string;
 }
 
-/** Leadership as programs without levels see it from level 2 on: held for ever, by no member. */
+/**
+ * The leader record that programs without feature levels see from level 2 on: permanently held, by a member that does not
+ * exist.
+ */
 export const leaderPlaceholder = { member: 'level-2', run: 'barred' };
 
 const jobPrefix = jobKey('');
 
-/** Finished jobs are restored last: nothing that runs depends on them. */
+/** Whether a record is that of a finished job. These are restored last: no running work depends on them. */
 export const isFinishedJob = (key: string, data: Data): boolean =>
   key.startsWith(jobPrefix) && data['s'] === 'done';
 
 /**
- * A record in its stored form; undefined: the replica has none, or it is not restored. Presences, grants, leadership and the
- * division of writes are not: they are made anew.
+ * A record in its stored form; undefined if the replica does not have it, or if its kind is not restored. Presence records, shard
+ * grants, the leader record and the write allocation are not restored, because they are created anew.
  */
 export function storedRecordOf(replica: Replica, key: string): Data | undefined {
   const ref = parseKey(key);
   if (ref === null || replica.unreadableRecords.has(key)) return undefined;
-  // The state of a chunk's tasks may be in the task log only.
+  // The state of a chunk may be in the task log only.
   if (ref.kind !== 'chunk' && replica.modRevisionOf(key) === 0) return undefined;
   const data = recordFields(replica, ref);
   return data && { ...replica.unknownFieldsOf(key), ...data };
@@ -101,7 +104,7 @@
   return inlineTasks ? { ...data, v: 2, t: chunkData(inlineTasks) } : data;
 }
 
-/** Kinds of records in the order in which they are restored. */
+/** The kinds of records in the order in which they are restored. */
 const restoreOrder: readonly ParsedKey['kind'][] = [
   'level',
   'lead',
@@ -116,13 +119,13 @@
   'chunk',
 ];
 
-/** Keys of the chunks that the task log has led to, including those without a record of their own. */
+/** Keys of the chunks whose state comes from the task log, including those without a record of their own. */
 function* loggedChunkKeys(replica: Replica): Generator<string> {
   for (const [id, chunks] of replica.chunks)
     for (const [index, { version }] of chunks) if (version > 0) yield chunkKey(id, index);
 }
 
-/** Everything that a controller knows, merged with what it had still to restore after an earlier loss. */
+/** Collects all records that a controller knows, merged with those that it had yet to restore after an earlier loss. */
 export function collectRecoveryRecords(
   replica: Replica,
   earlier: RecoveryRecords | null,
--- a/src/core/storage/index.ts
+++ b/src/core/storage/index.ts
@@ -1,6 +1,6 @@
 /**
- * The write path: names and forms of what is stored, the write budget and its ranks, what makes the states of tasks durable, and
- * the task log. The rest of the core, and tests, know this face only.
+ * The storage layer: keys and formats of stored records, batching and prioritization of writes within the write budget,
+ * persistence of task state, and the task log. The rest of the core and the tests import it through this module only.
  */
 export * from './keys.js';
 export * from './records.js';
--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -1,4 +1,4 @@
-/** Brings jobs to their end in the state service: that all tasks are done, and the removal of what is stored of them. */
+/** Records the completion of jobs in the state service, and deletes the stored state of their tasks. */
 import type { ScheduledJob } from '../shard-state/types.js';
 import type { Log } from '../effects.js';
 import type { Replica } from '../replica.js';
@@ -8,9 +8,9 @@
 import { cancelledJobData, doneJobData } from './records.js';
 import type { TaskOwner } from './task-writer.js';
 
-/** Writes the final state of jobs whose last task is recorded. */
+/** Writes the final state of jobs whose tasks have all completed. */
 export class JobFinalizer {
-  /** Jobs whose end was refused: to be read again when the view has reached a revision. */
+  /** Jobs whose final write conflicted: reloaded once the replica has reached the revision. */
   private conflicted: { job: ScheduledJob; revision: number }[] = [];
 
   constructor(
@@ -21,19 +21,19 @@
     private readonly owner: TaskOwner,
   ) {}
 
-  /** To be called every step. */
+  /** To be called on every tick. */
   tick(): void {
     if (this.conflicted.length === 0) return;
     const conflicted = this.conflicted;
     this.conflicted = [];
-    for (const one of conflicted) {
-      if (this.owner.jobs.get(one.job.id) !== one.job) continue;
-      if (this.replica.watchRevision < one.revision) this.conflicted.push(one);
-      else this.owner.reloadJob(one.job.id);
+    for (const conflict of conflicted) {
+      if (this.owner.jobs.get(conflict.job.id) !== conflict.job) continue;
+      if (this.replica.watchRevision < conflict.revision) this.conflicted.push(conflict);
+      else this.owner.reloadJob(conflict.job.id);
     }
   }
 
-  /** Every task is done: the job's end and the removal of its tasks' records in one transaction. */
+  /** Called when every task is done: records the completion of the job and deletes its chunk records in one transaction. */
   finalize(job: ScheduledJob): void {
     if (job.finalizing) return;
     job.finalizing = true;
@@ -63,9 +63,9 @@
         };
       },
       onCommitted: () => this.onFinalized(job),
-      onConflict: (_, epoch) => {
+      onConflict: (_, revision) => {
         job.finalizing = false;
-        this.conflicted.push({ job, revision: epoch });
+        this.conflicted.push({ job, revision });
       },
     });
   }
@@ -73,13 +73,13 @@
   private onFinalized(job: ScheduledJob): void {
     for (const chunk of job.chunks) chunk.durableVersion = chunk.version;
     this.owner.jobs.delete(job.id);
-    const { finishedJobsByTeam: doneOf } = this.owner;
-    doneOf.set(job.spec.team, (doneOf.get(job.spec.team) ?? 0) + 1);
+    const { finishedJobsByTeam } = this.owner;
+    finishedJobsByTeam.set(job.spec.team, (finishedJobsByTeam.get(job.spec.team) ?? 0) + 1);
     this.log('info', 'job done', { job: job.id });
     this.deleteTaskRecords(job);
   }
 
-  /** The job is over and nothing of it is left: its tasks' records go. */
+  /** Deletes the task records of a job that is over and has no task left on any machine. */
   deleteTaskRecords(job: ScheduledJob): void {
     if (this.replica.jobsWithInlineTasks.has(job.id)) this.deleteInlineTasks(job.id);
     for (const chunk of job.chunks)
@@ -87,7 +87,7 @@
         this.deleteChunkRecord(job.id, chunk.index);
   }
 
-  /** A cancelled job of which nothing is left: the state of its tasks goes out of its record. */
+  /** Removes the inline task state from the record of a cancelled job that has no task left on any machine. */
   private deleteInlineTasks(id: string): void {
     const key = jobKey(id);
     this.batcher.enqueue({
--- a/src/core/storage/keys.ts
+++ b/src/core/storage/keys.ts
@@ -1,50 +1,53 @@
-/** Where things are kept in the state service. Everything is under one prefix, so one watch sees it all. */
+/** Keys of the records in the state service. All share one prefix, so that a single watch covers them. */
 import type { Kind } from '../../formats/index.js';
 
-/** All keys begin with this, so that one watch sees all changes. */
+/** Prefix of all keys; the watch is set on it. */
 export const keyPrefix = 'dp/';
-/** The leader record below level 2. */
+/** The leader record below feature level 2. */
 export const legacyLeaderKey = 'dp/lead';
-/** Machine types below level 2. */
+/** The machine types below feature level 2. */
 export const legacyMachineTypesKey = 'dp/types';
-/** Which teams belong to which shard. */
+/** The assignment of teams to shards. */
 export const teamShardsKey = 'dp/teams';
-/** Leadership and machine types from level 2 on, where programs that know no levels do not see them. */
+/** The leader record from feature level 2 on, at a key that programs without feature levels do not read. */
 export const leaderKey = 'dp/chief';
-/** Machine types from level 2 on. */
+/** The machine types from feature level 2 on, at a key that programs without feature levels do not read. */
 export const machineTypesKey = 'dp/kinds';
-/** The level in force, what members were last seen with, and what operators want of both. */
+/** The feature level in force, and the level at which records are written. */
 export const levelKey = 'dp/level';
-/** The capabilities that members were last seen with. */
+/** The capabilities that each member last reported. */
 export const membersKey = 'dp/members';
-/** The feature level that operators request. */
+/** The feature level that operators have requested. */
 export const requestedLevelKey = 'dp/wish';
-/** The incarnation of the state that this is, from level 4 on. */
+/** Prefix of the record that identifies the incarnation of the stored state, from feature level 4 on. */
 export const incarnationPrefix = 'dp/inc/';
 /** The record of an incarnation. */
 export const incarnationKey = (n: number): string => `${incarnationPrefix}${n}`;
-/** Who may write how much, from level 3 on. */
+/** The write allocation: how many writes per second each member may make. From feature level 3 on. */
 export const allocationKey = 'dp/plan';
-/** A member's presence, attached to its lease. */
+/** A member's presence record, attached to its lease. */
 export const presenceKey = (member: string): string => `dp/node/${member}`;
-/** The grant of a shard. */
+/** The grant of a shard: the record that names its owner. */
 export const shardKey = (shard: number): string => `dp/shard/${shard}`;
-/** The machines of one rental. */
+/** The machines of one rental, which share a record. */
 export const blockKey = (block: string): string => `dp/b/${block}`;
-/** A machine's own record. */
+/** A single machine's record. */
 export const machineKey = (host: string): string => `dp/m/${host}`;
-/** A job. */
+/** A job's record. */
 export const jobKey = (id: string): string => `dp/j/${id}`;
-/** A record of a shard's task log: the grant that it was written under, and its number there. */
+/** A record of a shard's task log: `shardRevision` is the revision of the shard grant that it was written under. */
 export const taskLogKey = (shard: number, shardRevision: number, sequence: number): string =>
   `dp/log/${shard}/${shardRevision}-${sequence}`;
-/** The state of a chunk of a job's tasks. */
+/** The state of one chunk of a job's tasks. */
 export const chunkKey = (id: string, chunk: number): string => `dp/t/${id}/${chunk}`;
 
 const singletons = ['lead', 'types', 'teams', 'chief', 'kinds', 'level', 'members', 'wish', 'plan'] as const;
 type Singleton = (typeof singletons)[number];
 
-/** What a key is of. */
+/**
+ * A parsed key. `lead` and `chief` are the leader record, `types` and `kinds` the machine types (below level 2 and from it on),
+ * `wish` is the requested feature level, `plan` the write allocation and `inc` an incarnation.
+ */
 export type ParsedKey =
   | { kind: Singleton }
   | { kind: 'node'; member: string }
@@ -56,11 +59,11 @@
   | { kind: 'chunk'; id: string; chunk: number }
   | { kind: 'log'; shard: number };
 
-/** The kind of record under a key: two kinds moved to other keys with level 2 and kept their formats. */
+/** The format of the record at a key: the leader record and the machine types moved to other keys at level 2 unchanged. */
 export const recordKindOf = (ref: ParsedKey): Kind =>
   ref.kind === 'chief' ? 'lead' : ref.kind === 'kinds' ? 'types' : ref.kind;
 
-/** Tells what a key is of; null: none of this program's. */
+/** Parses a key; null if it is not one of this program's. */
 export function parseKey(key: string): ParsedKey | null {
   const [root, kind, a, b] = key.split('/');
   if (root !== 'dp') return null;
--- a/src/core/storage/pending-write.ts
+++ b/src/core/storage/pending-write.ts
@@ -1,46 +1,46 @@
-/** Writes that wait to be grouped into a transaction, and the limits of one. */
+/** Pending writes, which are grouped into transactions, and the limits of a transaction. */
 import type { Transaction } from '../../wire/store.js';
 
-/** The order in which writes go out when the state service's budget is short. */
+/** Priorities of writes when the write budget of the state service is short, highest first. */
 export const enum WritePriority {
   membership,
   user,
-  /** Placements of urgent work. */
+  /** Placements of tasks of urgent jobs. */
   urgent,
   task,
   provisioning,
   cleanup,
 }
 
-/** A change of some keys together. Pending writes share transactions; each gets its own outcome. */
+/** An atomic change of one or more keys. Several pending writes may share a transaction; each gets an outcome of its own. */
 export interface PendingWrite {
   priority: WritePriority;
-  /** Called as late as possible; null: no longer wanted. */
+  /** Builds the change, as late as possible before it is sent; null if it is no longer needed. */
   build(): Transaction | null;
-  /** Committed at this revision. */
+  /** Called when the write has been committed, with the revision of the commit. */
   onCommitted(revision: number): void;
-  /** Some of its conditions did not hold; they were checked at `revision` or later. */
+  /** Called when some of its conditions did not hold; they were checked at `revision` or later. */
   onConflict(failedKeys: string[], revision: number): void;
-  /** Certainly not executed. True: discard it; otherwise it is tried again. */
+  /** Called when the write was certainly not executed. Returns true to discard it; otherwise it is retried. */
   onUnavailable?(): boolean;
 }
 
-/** Conditions that a transaction may have for each operation (PROTOCOL). */
+/** How many conditions the state service accepts in a transaction per operation (see PROTOCOL). */
 export const conditionsPerOperation = 4;
 
-/** A write whose conditions and changes are part of a transaction. */
+/** A pending write, and its conditions and changes as they are part of a transaction. */
 export interface BuiltWrite {
   pending: PendingWrite;
   transaction: Transaction;
 }
 
-/** Limits of a transaction, and the write budget that all controllers share. */
+/** The limits of a transaction, and the write budget that all controllers share. */
 export interface BatchLimits {
   maxOperations: number;
   maxConditions: number;
   maxBytes: number;
-  /** Puts and deletes per second that the state service takes from all controllers together. */
+  /** Puts and deletes per second that the state service accepts from all controllers together. */
   writesPerS: number;
-  /** Controllers that share them. */
+  /** How many controllers share the write budget. */
   controllers: number;
 }
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -1,4 +1,4 @@
-/** The durable records and their stored forms. */
+/** The durable records, and the conversion to and from their stored formats. */
 import type { WriteAllocation } from '../../admission/index.js';
 import type { Data } from '../../formats/index.js';
 import {
@@ -12,24 +12,24 @@
 import type { Incarnation, IncarnationStage } from '../../data-loss/index.js';
 
 /**
- * The durable records and their stored form. `w` in a stored value names the write that made it, so that
- * a writer who got no answer can tell later whether its write took effect.
+ * The part that all stored values share. `w` is the ID of the transaction that wrote the value, so that a writer that got no
+ * response can tell later whether its transaction was committed.
  */
 export interface StoredValue {
   w?: string;
 }
 
-/** A controller that is alive. */
+/** The presence of a controller that is alive. */
 export interface PresenceRecord {
   member: string;
-  /** Which start of the process this is. */
+  /** Identifies the start of the process. */
   instanceId: string;
   leaseId: number;
   capabilities: Capabilities;
   modRevision: number;
 }
 
-/** The owner of a shard. */
+/** The grant of a shard to its owner. */
 export interface ShardGrantRecord {
   owner: string;
   instanceId: string;
@@ -40,19 +40,19 @@
 export interface JobRecord {
   id: string;
   state: JobState;
-  /** null once the job is over: only the outcome is kept. */
+  /** null once the job is over: only its outcome is stored then. */
   spec: JobSpec | null;
   /** Time of day of acceptance, ms. */
   acceptedAt: number;
   taskCount: number;
-  /** Of a cancelled job: what its tasks take while they are not proven gone. */
+  /** The resources of a cancelled job's tasks, which count as used until the tasks are proven to be gone. */
   usage: JobUsage | null;
-  /** The state of its tasks is in this very record (format 2), not in one of its own. */
+  /** Whether the state of its tasks is stored in this record (format 2) and not in a chunk record. */
   tasksInline: boolean;
   modRevision: number;
 }
 
-/** What a task of a job takes of its team's quota. */
+/** What each task of a job takes of its team's quota. */
 export interface JobUsage {
   team: string;
   cpus: number;
@@ -67,29 +67,29 @@
   host: string;
 }
 
-/** The state of some of a job's tasks: what of a chunk's record its owner decides. */
+/** The state of a chunk of a job's tasks: the part of a chunk's record that its owner decides. */
 export interface ChunkState {
   /** The highest attempt number ever used in this chunk. */
   lastAttempt: number;
   done: BitSet;
   placements: PlacementRecord[];
-  /** Of a job's first chunk, while none of its tasks has completed: some of the machines on which it failed. */
+  /** Some of the machines on which the job failed: only in its first chunk, and only until one of its tasks has completed. */
   failedHosts: string[];
 }
 
-/** The durable state of some of a job's tasks. */
+/** The durable state of a chunk of a job's tasks. */
 export interface ChunkRecord extends ChunkState {
-  /** How many are done. */
+  /** How many of the tasks are done. */
   doneCount: number;
-  /** The revision of its own record; 0: it has none. */
+  /** The revision of its own record; 0 if it has none. */
   modRevision: number;
-  /** Rises with each change of the state that the task log or a checkpoint tells; 0: neither ever did. */
+  /** Increases with each change of the state in the task log or in a checkpoint; 0 if it has never been in either. */
   version: number;
-  /** The revision of the state that its own record holds. */
+  /** The version of the state that its own record holds. */
   checkpointVersion: number;
 }
 
-/** A set of small whole numbers, stored as base64. */
+/** A set of small non-negative integers, stored as base64. */
 export class BitSet {
   constructor(private bytes: Uint8Array = new Uint8Array(0)) {}
   /** Reads the stored form. */
@@ -125,7 +125,7 @@
   }
 }
 
-/** Capabilities as they are stored; fields that only newer programs know are kept. */
+/** The stored form of a member's capabilities; fields that only newer programs know are preserved. */
 interface StoredCapabilities extends Omit<Capabilities, 'minLevel' | 'maxLevel'> {
   least: number;
   most: number;
@@ -151,7 +151,7 @@
 /** The stored form of a shard's grant. */
 export const shardGrantData = (owner: string, instanceId: string): Data => ({ owner, run: instanceId });
 
-/** The stored form of a job that has just been accepted. */
+/** The stored form of an open job without inline task state. */
 export const openJobData = (spec: JobSpec, acceptedAt: number): Data => ({ s: 'open', at: acceptedAt, spec });
 /** The stored form of a job that is done. */
 export const doneJobData = (acceptedAt: number, taskCount: number): Data => ({
@@ -166,12 +166,13 @@
   n: taskCount,
   u: usage,
 });
+/** The stored form of a cancelled job with this specification. */
 export const cancelledJobDataOf = (acceptedAt: number, { tasks, team, cpus, gpus, memGb }: JobSpec): Data =>
   cancelledJobData(acceptedAt, tasks, { team, cpus, gpus, memGb });
 
 /**
- * Format 2: with the state of the job's tasks in it. The description has another name than in format 1: a program that knows
- * only that could otherwise cancel the job, and would drop what is placed. As it is, it cannot.
+ * The stored form of an open job with the state of its tasks (format 2). The field of the job specification has another name
+ * than in format 1, so that a program that knows only format 1 cannot cancel the job: it would drop the placements.
  */
 export const inlineJobData = (spec: JobSpec, acceptedAt: number, tasks: Data): Data => ({
   v: 2,
@@ -181,6 +182,7 @@
   job: spec,
   t: tasks,
 });
+/** The stored form of a cancelled job with the state of its tasks (format 2). */
 export const inlineCancelledJobData = (acceptedAt: number, spec: JobSpec, tasks: Data): Data => ({
   ...cancelledJobDataOf(acceptedAt, spec),
   v: 2,
@@ -211,7 +213,7 @@
   };
 }
 
-/** `revision` 0: what the record says is all there is, no task log follows it. */
+/** The stored form of a chunk. `version` 0: the record is the complete state, and no task log refers to it. */
 export const chunkData = (chunk: ChunkState, version = 0): Data => ({
   n: chunk.lastAttempt,
   d: chunk.done.toString(),
@@ -260,7 +262,7 @@
   return { host, type: d.f, zone: d.y, spot: d.l, shard: d.s, state: d.st, since: d.at };
 }
 
-/** A rental's machines: one write for all of them. Those that stand otherwise have a record of their own. */
+/** The machines of one rental, stored in one record with one write. Machines in another state have a record of their own. */
 export interface BlockRecord {
   type: string;
   zone: string;
@@ -298,7 +300,7 @@
   return { member, instanceId: d.run, leaseId: d.hold, capabilities, modRevision };
 };
 
-/** The level in force, what is written at it, and what members were last seen with. */
+/** The stored form of the feature level in force, and of the level at which records are written. */
 export const levelData = (level: number, writeLevel: number): Data => ({ level, write: writeLevel });
 /** Reads the stored feature level. */
 export const readLevel = (data: unknown, modRevision: number): LevelState => {
@@ -306,7 +308,7 @@
   return { level, writeLevel: write, modRevision };
 };
 
-/** The stored form of what members were last seen with. */
+/** The stored form of the capabilities that members last reported. */
 export const membersData = (
   capabilities: ReadonlyMap<string, Capabilities>,
   note: LevelNote | null,
@@ -315,14 +317,14 @@
   ...(note ? { note } : {}),
 });
 
-/** The leader's answer to what operators want, if that cannot be done. */
+/** The leader's explanation of why the requested feature level cannot be reached. Stored under these field names. */
 export interface LevelNote {
-  /** The revision of the wish. */
+  /** The revision of the request. */
   wish: number;
   text: string;
 }
 
-/** Reads what members were last seen with. */
+/** Reads the capabilities that members last reported. */
 export function readMembers(data: unknown): {
   capabilities: Map<string, Capabilities>;
   note: LevelNote | null;
@@ -353,16 +355,16 @@
   };
 }
 
-/** How much of what a value may hold a plan takes; kinds that do not fit are left out, smallest first. */
+/** The share of the maximum value size that an allocation may take; workloads with the lowest rates are left out to fit. */
 const maxAllocationValueShare = 0.5;
 
 /** The stored form of the write allocation. */
 export function allocationData({ version: number, members: parts }: WriteAllocation, valueKb: number): Data {
-  const named = [...parts].flatMap(([member, p]) =>
+  const workloads = [...parts].flatMap(([member, p]) =>
     [...p.workloadRates].map(([kind, rate]) => ({ member, kind, rate })),
   );
-  named.sort((a, b) => b.rate - a.rate);
-  const of = (list: typeof named): Data => ({
+  workloads.sort((a, b) => b.rate - a.rate);
+  const encode = (list: typeof workloads): Data => ({
     n: number,
     p: Object.fromEntries(
       [...parts].map(([member, p]) => [
@@ -376,13 +378,13 @@
       ]),
     ),
   });
-  let data = of(named);
+  let data = encode(workloads);
   while (
-    named.length > 0 &&
+    workloads.length > 0 &&
     Buffer.byteLength(JSON.stringify(data)) > valueKb * 1024 * maxAllocationValueShare
   ) {
-    named.length = Math.floor(named.length / 2);
-    data = of(named);
+    workloads.length = Math.floor(workloads.length / 2);
+    data = encode(workloads);
   }
   return data;
 }
@@ -397,19 +399,19 @@
   return { version: d.n, members: new Map(parts) };
 }
 
-/** The stored form of an incarnation. */
+/** The stored form of an incarnation record. */
 export const incarnationData = (by: string, instanceId: string, stage: IncarnationStage): Data => ({
   by,
   run: instanceId,
   stage,
 });
-/** Reads an incarnation. */
+/** Reads an incarnation record. */
 export const readIncarnation = (n: number, data: unknown, modRevision: number): Incarnation => {
   const { by, run, stage } = data as { by: string; run: string; stage: IncarnationStage };
   return { number: n, openedBy: by, instanceId: run, stage, modRevision: modRevision };
 };
 
-/** Which teams are at home in which shard. */
+/** The stored form of the assignment of teams to shards. */
 export const teamShardsData = (shards: string[][]): Data => ({ shards });
-/** Reads which teams belong to which shard. */
+/** Reads the assignment of teams to shards. */
 export const readTeamShards = (data: unknown): string[][] => (data as { shards: string[][] }).shards;
--- a/src/core/storage/task-log/entry.ts
+++ b/src/core/storage/task-log/entry.ts
@@ -1,33 +1,36 @@
 /**
- * Entries of the task log: what has changed in the state of some tasks of a job between two revisions of it. Many entries, of
- * many jobs, share a record, so that one write makes the placements and ends of a whole round durable.
+ * Entries of the task log: the difference between two versions of the state of a chunk of a job's tasks. Entries of many jobs
+ * share a record, so that one write makes the placements and terminations of a whole scheduling round durable.
  */
 import type { Data } from '../../../formats/index.js';
 import { BitSet, type ChunkRecord, type ChunkState, type PlacementRecord } from '../records.js';
 
-/** What leads from one state of a chunk to another. */
+/** The difference between two states of a chunk. */
 export interface ChunkDelta {
   /** The highest attempt number ever used. */
   lastAttempt: number;
   placements: PlacementRecord[];
-  /** Tasks that are done, counted within the chunk. */
+  /** Tasks that have become done, by their index within the chunk. */
   done: number[];
-  /** Tasks that have left their machines, done or not, by their index in the job. */
+  /** Tasks whose placement has been removed, whether done or not, by their index in the job. */
   removed: number[];
-  /** Machines on which the job failed; null: as before. */
+  /** Machines on which the job failed; null if unchanged. */
   failedHosts: string[] | null;
 }
 
-/** A change of one chunk in the task log. */
+/** A change of one chunk's state in the task log. */
 export interface LogEntry extends ChunkDelta {
   job: string;
   chunk: number;
-  /** It leads from this revision of the chunk's state to that one, and applies to no other. */
+  /** The version of the chunk's state that the entry applies to; it applies to no other. */
   fromVersion: number;
+  /** The version of the chunk's state after the entry. */
   toVersion: number;
 }
 
+/** The stored form of a placement. */
 type StoredPlacement = [index: number, attempt: number, host: string];
+/** The stored form of an entry. */
 type StoredEntry = [
   job: string,
   chunk: number,
@@ -53,30 +56,32 @@
 ];
 
 function decodeEntry([job, chunk, from, to, last, placed, done, freed, failed]: StoredEntry): LogEntry {
-  const places = placed.map(([index, attempt, host]): PlacementRecord => ({ index, attempt, host }));
+  const placements = placed.map(([index, attempt, host]): PlacementRecord => ({ index, attempt, host }));
   return {
     job,
     chunk,
     fromVersion: from,
     toVersion: to,
     lastAttempt: last,
-    placements: places,
+    placements,
     done,
     removed: freed,
     failedHosts: failed,
   };
 }
 
-/** A record of the log as it is stored. */
+/** The stored form of a record of the log. */
 export const encodeLogRecord = (entries: readonly LogEntry[]): Data => ({ e: entries.map(encodeEntry) });
 
+/** Reads the entries of a stored record of the log. */
 export const decodeLogRecord = (data: unknown): LogEntry[] =>
   (data as { e: StoredEntry[] }).e.map(decodeEntry);
 
-/** How many bytes an entry takes of its record's value. */
+/** How many bytes an entry takes in the value of its record. */
 export const encodedSize = (entry: LogEntry): number =>
   Buffer.byteLength(JSON.stringify(encodeEntry(entry))) + 1;
 
+/** The state of a chunk before its first write. */
 export const emptyChunk: ChunkRecord = {
   lastAttempt: 0,
   done: new BitSet(),
@@ -88,7 +93,7 @@
   checkpointVersion: 0,
 };
 
-/** The state of a chunk's tasks after an entry. */
+/** Applies an entry to a chunk's state, and returns the new state. */
 export function applyEntry(before: ChunkRecord, entry: LogEntry): ChunkRecord {
   const done = before.done.copy();
   for (const i of entry.done) done.add(i);
@@ -105,7 +110,7 @@
   };
 }
 
-/** What a chunk's tasks are to be, as its owner has it. */
+/** The state of a chunk as its owner has it in memory, which is to be stored. */
 export interface TargetState extends ChunkState {
   /** How many tasks the chunk has. */
   size: number;
@@ -114,6 +119,7 @@
 const isSamePlacement = (a: PlacementRecord, b: PlacementRecord): boolean =>
   a.index === b.index && a.attempt === b.attempt && a.host === b.host;
 
+/** Computes what an entry must contain to lead from the stored state of a chunk to its target state. */
 export function deltaBetween(before: ChunkRecord, after: TargetState): ChunkDelta {
   const placementsBefore = new Map(before.placements.map((p) => [p.index, p]));
   const placementsAfter = new Map(after.placements.map((p) => [p.index, p]));
--- a/src/core/storage/task-log/index.ts
+++ b/src/core/storage/task-log/index.ts
@@ -1,6 +1,7 @@
 /**
  * The task log of a shard: a write-ahead log with group commit, checkpoints and truncation. One write makes the placements and
- * ends of many jobs durable (`writer.ts`); everybody follows it (`reader.ts`); what checkpoints include is dropped (`truncation.ts`).
+ * terminations of many jobs durable (`writer.ts`). All controllers follow the log (`reader.ts`). Records whose entries are
+ * covered by checkpoints are deleted (`truncation.ts`, `truncator.ts`).
  */
 export {
   applyEntry,
@@ -13,4 +14,4 @@
 export { LogReader, type EntryRef, type LogRecord, type ChunkStates } from './reader.js';
 export { isObsolete, TruncationPlanner, type Checkpoints } from './truncation.js';
 export { LogTruncator } from './truncator.js';
-export { LogWriter, type LoggedTasks } from './writer.js';
+export { LogWriter, type LogWriterOwner } from './writer.js';
--- a/src/core/storage/task-log/reader.ts
+++ b/src/core/storage/task-log/reader.ts
@@ -1,21 +1,24 @@
 /**
- * Follows the task log: applies its entries to the states of tasks, each once and in order, in whatever order records arrive.
- * An entry whose predecessor has not been seen waits for it, or for a checkpoint that includes it.
+ * Follows the task log: applies each entry exactly once and in version order, in whatever order the records arrive. An entry
+ * whose predecessor has not arrived yet waits for it, or for a checkpoint that includes it.
  */
 import type { ChunkRecord } from '../records.js';
 import { applyEntry, emptyChunk, decodeLogRecord, type LogEntry } from './entry.js';
 
-/** Where the states of tasks are kept. */
+/** The store of chunk states that the reader updates. */
 export interface ChunkStates {
   get(job: string, chunk: number): ChunkRecord | undefined;
   set(job: string, chunk: number, state: ChunkRecord): void;
-  /** Nothing is placed of these tasks, and nothing will be: their job is over. */
+  /** Called when a job is over: no task of the chunk is placed, and none will be. */
   remove(job: string, chunk: number): void;
-  /** Whether a job's tasks are followed: not known yet, followed, or over (or kept in the job's own record). */
+  /**
+   * Whether the task log is followed for a job. `unknown`: the job is not known yet; `over`: the job is over, or the state of its
+   * tasks is stored in its own record.
+   */
   jobStatus(job: string): 'unknown' | 'followed' | 'over';
 }
 
-/** Which revision of which chunk a record of the log leads to. */
+/** Identifies an entry of a log record: a chunk, and the version of its state after the entry. */
 export interface EntryRef {
   job: string;
   chunk: number;
@@ -38,12 +41,12 @@
 
   constructor(private readonly states: ChunkStates) {}
 
-  /** How many records there are. */
+  /** How many records the log has. */
   get size(): number {
     return this.byKey.size;
   }
 
-  /** How many entries wait for others. */
+  /** How many entries wait for their predecessors or for their job. */
   get waitingCount(): number {
     let count = 0;
     for (const entries of this.waiting.values()) count += entries.length;
@@ -55,7 +58,7 @@
     return [...this.byKey.values()].sort((a, b) => a.modRevision - b.modRevision);
   }
 
-  /** A record was written. */
+  /** Adds a record that was written, and applies its entries. */
   put(key: string, shard: number, data: unknown, modRevision: number): void {
     const entries = decodeLogRecord(data);
     const refs = entries.map(({ job, chunk, toVersion: to }): EntryRef => ({ job, chunk, toVersion: to }));
@@ -63,7 +66,7 @@
     for (const entry of entries) this.applyOrWait(entry);
   }
 
-  /** A record was dropped: checkpoints include it, or its jobs are over. */
+  /** Removes a record that was deleted because checkpoints include its entries, or because their jobs are over. */
   delete(key: string): void {
     const record = this.byKey.get(key);
     if (!record) return;
@@ -72,13 +75,16 @@
     for (const item of record.entries) this.removeUnlessCheckpointed(item);
   }
 
-  /** The newest state is dropped without a checkpoint only if its job is over. */
+  /**
+   * The entry of a chunk's newest state is deleted without a checkpoint only if the job is over: then the state is removed,
+   * too.
+   */
   private removeUnlessCheckpointed({ job, chunk, toVersion: to }: EntryRef): void {
     const state = this.states.get(job, chunk);
     if (state?.version === to && state.checkpointVersion < to) this.states.remove(job, chunk);
   }
 
-  /** A job became known, or the state of some of its tasks was stored: entries that waited for that may follow. */
+  /** Applies waiting entries of a job, after the job has become known or a state of one of its chunks has been stored. */
   applyWaiting(job: string): void {
     const entries = this.waiting.get(job);
     if (!entries) return;
--- a/src/core/storage/task-log/truncation.ts
+++ b/src/core/storage/task-log/truncation.ts
@@ -1,52 +1,56 @@
-/** Which records of the task log may go, and which tasks have to be checkpointed so that the log does not grow. */
+/** Decides which records of the task log may be deleted, and which chunks must be checkpointed to keep the log from growing. */
 import type { EntryRef, LogRecord } from './reader.js';
 
-/** What is known of the tasks that a log speaks of. */
+/** What is known of the jobs and chunks that the entries of a log refer to. */
 export interface Checkpoints {
+  /** Whether the task log is followed for a job. */
   jobStatus(job: string): 'unknown' | 'followed' | 'over';
-  /** The revision of a chunk's state that its own record holds; null: the chunk has no state (any more). */
+  /** The version of a chunk's state that its own record holds; null if the chunk has no state (any more). */
   checkpointVersionOf(job: string, chunk: number): number | null;
 }
 
-/** Whether nobody needs an entry any more. */
-export function isObsolete({ job, chunk, toVersion: to }: EntryRef, known: Checkpoints): boolean {
-  if (known.jobStatus(job) !== 'followed') return true;
-  const checkpoint = known.checkpointVersionOf(job, chunk);
+/** Whether an entry is no longer needed. */
+export function isObsolete({ job, chunk, toVersion: to }: EntryRef, checkpoints: Checkpoints): boolean {
+  if (checkpoints.jobStatus(job) !== 'followed') return true;
+  const checkpoint = checkpoints.checkpointVersionOf(job, chunk);
   return checkpoint === null || checkpoint >= to;
 }
 
-/** What to checkpoint and what to delete. */
+/** Which chunks to checkpoint and which records to delete. */
 export interface TruncationPlan {
-  /** Records that may be dropped: none that is older stays. */
+  /** Records that may be deleted: the oldest of the log, without a gap. */
   deletable: LogRecord[];
-  /** Chunks that keep the oldest record that stays, which is too old. */
+  /** Chunks that keep the oldest remaining records in the log beyond the maximum age. */
   toCheckpoint: EntryRef[];
 }
 
 /**
- * Truncates a log from its oldest end, so that no older entry outlives a newer one. Records that have been there for longer than
- * `maxAgeMs` have their remaining chunks checkpointed, so a reader has that much to replay at most.
+ * Plans the truncation of a log from its oldest end, so that no entry outlives a newer one. Chunks that records older than
+ * `maxAgeMs` are still needed for are checkpointed, which bounds the part of the log that a reader must replay.
  */
 export class TruncationPlanner {
   private readonly firstSeenAt = new Map<string, number>();
 
   constructor(
     private readonly maxAgeMs: number,
-    /** So many records are looked at for checkpoints at a time. */
+    /** How many records are examined for checkpoints at a time. */
     private readonly maxCheckpointedRecords: number,
   ) {}
 
-  plan(records: readonly LogRecord[], known: Checkpoints, now: number): TruncationPlan {
+  /** Plans the truncation of a shard's log; `records` are ordered oldest first. */
+  plan(records: readonly LogRecord[], checkpoints: Checkpoints, now: number): TruncationPlan {
     this.noteFirstSeen(records, now);
-    const firstKept = records.findIndex((record) => !record.entries.every((item) => isObsolete(item, known)));
+    const firstKept = records.findIndex(
+      (record) => !record.entries.every((item) => isObsolete(item, checkpoints)),
+    );
     if (firstKept < 0) return { deletable: [...records], toCheckpoint: [] };
-    const checkpoint = new Map<string, EntryRef>();
+    const chunksToCheckpoint = new Map<string, EntryRef>();
     for (const record of records.slice(firstKept, firstKept + this.maxCheckpointedRecords)) {
       if (now - this.firstSeenAt.get(record.key)! <= this.maxAgeMs) break;
       for (const item of record.entries)
-        if (!isObsolete(item, known)) checkpoint.set(`${item.job}/${item.chunk}`, item);
+        if (!isObsolete(item, checkpoints)) chunksToCheckpoint.set(`${item.job}/${item.chunk}`, item);
     }
-    return { deletable: records.slice(0, firstKept), toCheckpoint: [...checkpoint.values()] };
+    return { deletable: records.slice(0, firstKept), toCheckpoint: [...chunksToCheckpoint.values()] };
   }
 
   private noteFirstSeen(records: readonly LogRecord[], now: number): void {
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -1,4 +1,4 @@
-/** Truncates the task logs of this process's shards: drops what nobody needs, and checkpoints what keeps old records. */
+/** Truncates the task logs of this process's shards: deletes obsolete records, and checkpoints chunks that keep old records. */
 import type { TaskChunk, ScheduledJob } from '../../shard-state/types.js';
 import type { Clock } from '../../effects.js';
 import type { Replica } from '../../replica.js';
@@ -8,24 +8,25 @@
 import type { EntryRef, LogRecord } from './reader.js';
 import { TruncationPlanner, type Checkpoints } from './truncation.js';
 
+/** How often truncation is planned, ms. */
 const truncateIntervalMs = 1000;
-/** Of the operations of a transaction, so many drop records at a time. */
+/** The share of a transaction's operations that deletions of records may take. */
 const deletionShare = 0.5;
-/** So many records are looked at for checkpoints at a time. */
+/** How many records are examined for checkpoints at a time. */
 const maxCheckpointedRecords = 4;
 
-/** The jobs of the shards that this process owns. */
+/** The shards that this process owns, and their jobs. */
 export interface OwnedJobs {
   jobs: ReadonlyMap<string, ScheduledJob>;
   ownedShards: ReadonlySet<number>;
 }
 
-/** Checkpoints chunks and deletes the log records that nothing needs any more. */
+/** Checkpoints chunks, and deletes log records that are no longer needed. */
 export class LogTruncator {
   private readonly planner: TruncationPlanner;
   private lastPlannedAt = -Infinity;
   private isDeleting = false;
-  private readonly known: Checkpoints;
+  private readonly checkpoints: Checkpoints;
 
   constructor(
     private readonly replica: Replica,
@@ -36,13 +37,13 @@
     private readonly checkpoint: (job: ScheduledJob, chunk: TaskChunk) => void,
   ) {
     this.planner = new TruncationPlanner(limits.maxAgeMs, maxCheckpointedRecords);
-    this.known = {
-      jobStatus: (job) => this.standing(job),
+    this.checkpoints = {
+      jobStatus: (job) => this.jobStatusOf(job),
       checkpointVersionOf: (job, chunk) => replica.checkpointVersionOf(job, chunk),
     };
   }
 
-  /** To be called every step. */
+  /** To be called on every tick. */
   tick(): void {
     const { now } = this.clock;
     const { taskLog } = this.replica;
@@ -50,7 +51,7 @@
     this.lastPlannedAt = now;
     for (const shard of this.owner.ownedShards) {
       const records = taskLog.records.filter((record) => record.shard === shard);
-      const plan = this.planner.plan(records, this.known, now);
+      const plan = this.planner.plan(records, this.checkpoints, now);
       for (const item of plan.toCheckpoint) this.checkpointEntry(item);
       if (plan.deletable.length > 0)
         this.deleteRecords(shard, plan.deletable.slice(0, this.maxDeletedRecords));
@@ -61,8 +62,8 @@
     return Math.max(1, Math.floor(this.limits.maxOperations * deletionShare));
   }
 
-  /** A cancelled job of which nothing is on any machine any more is over. */
-  private standing(id: string): 'unknown' | 'followed' | 'over' {
+  /** The status of a job: a cancelled job that has no task left on any machine is over. */
+  private jobStatusOf(id: string): 'unknown' | 'followed' | 'over' {
     const isCancelled = this.replica.jobs.get(id)?.state === 'cancelled';
     return isCancelled && !this.owner.jobs.has(id) ? 'over' : this.replica.taskLogStatus(id);
   }
@@ -83,9 +84,9 @@
           onSettled();
           return null;
         }
-        const when = [{ key: shardKey(shard), stamp: grant.modRevision }];
-        for (const { key, modRevision: stamp } of records) when.push({ key, stamp });
-        return { conditions: when, writes: records.map(({ key }) => ({ key, data: undefined })) };
+        const conditions = [{ key: shardKey(shard), stamp: grant.modRevision }];
+        for (const { key, modRevision: stamp } of records) conditions.push({ key, stamp });
+        return { conditions, writes: records.map(({ key }) => ({ key, data: undefined })) };
       },
       onCommitted: onSettled,
       onConflict: onSettled,
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -1,7 +1,8 @@
 /**
- * Writes the task log of one shard, as its owner. What has changed gathers for a moment while the write budget is short; then one
- * record holds the changes of many jobs. Each record has a key of its own under the grant's stamp, and the conditions that the
- * grant stands and that no job that gets a placement by it was cancelled.
+ * Writes the task log of one shard, as the shard's owner. While the write budget is short, changes are collected for a moment, so
+ * that one record holds the changes of many jobs. The key of each record is unique and includes the revision of the shard grant.
+ * The write is conditional on the grant being unchanged, and on the records of all jobs for which it contains placements being
+ * unchanged, so that none of them has been cancelled.
  */
 import { urgencyRank } from '../../../model/job.js';
 import type { Condition, Transaction } from '../../../wire/store.js';
@@ -13,26 +14,28 @@
 import { chunkStateOf } from '../chunk-state.js';
 import { deltaBetween, emptyChunk, encodeLogRecord, encodedSize, type LogEntry } from './entry.js';
 
-/** A record's value takes at most this share of what a value may hold, and this many bytes. */
+/** The maximum size of a record: a share of the maximum size of a value, and of a fixed number of bytes. */
 const maxValueShare = 0.9;
 const maxRecordBytes = 40 * 1024;
-/** Of the conditions that a transaction may have, so many are for jobs that get placements. */
+/** The share of a transaction's conditions that may be used for jobs with placements. */
 const conditionShare = 0.7;
-/** How long changes gather while the budget is short, ms: of urgent work, of other placements. */
+/** How long changes are collected while the budget is short, ms: those of urgent jobs, and other placements. */
 const urgentDelayMs = 100;
 const placementDelayMs = 250;
-/** Ends gather for this share of a report interval, unless placements take them along. */
+/** Terminations are collected for this share of a report interval, unless they are written with placements earlier. */
 const terminationDelayShare = 0.25;
 
-/** What the log's writer needs of its owner. */
-export interface LoggedTasks {
-  /** Whether the log's shard is this process's. */
+/** What the log writer needs from its owner. */
+export interface LogWriterOwner {
+  /** Whether this process owns a shard. */
   isOwned(shard: number): boolean;
-  /** Whether a job may be written: it is this process's, and nothing else is being done about it. */
+  /** Whether a job may be written: this process owns it, it is readable, and it is not being finalized. */
   isWritable(job: ScheduledJob): boolean;
-  /** A chunk's state up to this version is durable. */
+  /** Called when a chunk's state up to this version is durable. */
   onDurable(job: ScheduledJob, chunk: TaskChunk, version: number): void;
-  /** A chunk's write was refused, because of its job or of the grant: to be looked at when the view has reached `epoch`. */
+  /**
+   * Called when a chunk's write conflicted over its job or the grant: it is retried once the replica has reached `revision`.
+   */
   onBlocked(job: ScheduledJob, chunk: TaskChunk, revision: number): void;
 }
 
@@ -45,7 +48,7 @@
 interface ChangedChunk {
   job: ScheduledJob;
   chunk: TaskChunk;
-  ticket: { rank: WritePriority };
+  queuedWrite: { rank: WritePriority };
   since: number;
 }
 
@@ -57,9 +60,11 @@
 export class LogWriter {
   /** Chunks with changes to be written, in order of arrival. */
   private readonly changed = new Map<TaskChunk, ChangedChunk>();
-  /** Cancelled jobs of which nothing is left, and since when, ms: their last placements go from the log. */
+  /** Cancelled jobs with no task left on any machine, and since when, ms: their remaining placements are to be removed. */
   private readonly clearedJobs = new Map<string, number>();
+  /** The changes in the write that was built last. */
   private builtChanges: BuiltChange[] = [];
+  /** The cleared jobs in the write that was built last. */
   private builtClears: string[] = [];
   private isQueued = false;
   private nextSequence = 0;
@@ -72,24 +77,24 @@
     private readonly limits: LogLimits,
     private readonly replica: Replica,
     private readonly batcher: TransactionBatcher,
-    private readonly owner: LoggedTasks,
+    private readonly owner: LogWriterOwner,
   ) {
     this.maxBytes = Math.min(limits.valueKb * 1024, maxRecordBytes) * maxValueShare;
     this.maxJobs = Math.max(1, Math.floor(limits.maxConditions * conditionShare));
   }
 
-  /** A chunk has changed. */
-  markChanged(job: ScheduledJob, chunk: TaskChunk, ticket: { rank: WritePriority }, now: number): void {
+  /** Marks a chunk as changed, to be written with the next record that is due. */
+  markChanged(job: ScheduledJob, chunk: TaskChunk, queuedWrite: { rank: WritePriority }, now: number): void {
     const before = this.changed.get(chunk);
-    this.changed.set(chunk, { job, chunk, ticket, since: before?.since ?? now });
+    this.changed.set(chunk, { job, chunk, queuedWrite, since: before?.since ?? now });
   }
 
-  /** Nothing of a cancelled job is on any machine: what the log says of it is to end. */
+  /** Removes the placements of a cancelled job that has no task left on any machine. */
   clearJob(id: string, now: number): void {
     this.clearedJobs.set(id, now);
   }
 
-  /** To be called every step. */
+  /** To be called on every tick: queues a write if a change is due. */
   tick(now: number): void {
     if (this.isQueued || !this.isDue(now)) return;
     this.isQueued = true;
@@ -97,7 +102,7 @@
       priority: WritePriority.urgent,
       build: () => this.build(),
       onCommitted: () => this.onCommitted(),
-      onConflict: (failed, epoch) => this.onConflict(new Set(failed), epoch),
+      onConflict: (failed, revision) => this.onConflict(new Set(failed), revision),
     });
   }
 
@@ -112,9 +117,11 @@
     return this.limits.heartbeatS * 1000 * terminationDelayShare;
   }
 
-  /** Nothing waits while the budget is free but ends, which nobody waits for. */
-  private delayOf({ job, ticket }: ChangedChunk): number {
-    if (ticket.rank === WritePriority.cleanup) return this.terminationDelayMs;
+  /**
+   * How long a change is collected: terminations always, because nobody waits for them; others only while the budget is short.
+   */
+  private delayOf({ job, queuedWrite }: ChangedChunk): number {
+    if (queuedWrite.rank === WritePriority.cleanup) return this.terminationDelayMs;
     if (!this.batcher.isBudgetLow) return 0;
     return isUrgent(job) ? urgentDelayMs : placementDelayMs;
   }
@@ -123,7 +130,7 @@
     this.builtChanges = [];
     this.builtClears = [];
     const grant = this.replica.shards.get(this.shard);
-    // Guards against writing under the grant of whoever has the shard now.
+    // The replica may already hold the grant of the shard's next owner: never write under that.
     if (!grant || !this.owner.isOwned(this.shard)) return this.abandon();
     const conditions: Condition[] = [{ key: shardKey(this.shard), stamp: grant.modRevision }];
     const { entries, bytes } = this.buildChanges(conditions);
@@ -141,33 +148,33 @@
     return null;
   }
 
-  /** As much as one record holds, urgent work first. */
+  /** Builds as many changes as fit into one record, those of urgent jobs first. */
   private buildChanges(conditions: Condition[]): { entries: LogEntry[]; bytes: number } {
     const changed = [...this.changed.values()].sort((a, b) => urgencyOf(b) - urgencyOf(a));
     const conditionedJobs = new Set<string>();
     let bytes = 0;
-    for (const one of changed) {
-      const entry = this.entryOf(one);
+    for (const change of changed) {
+      const entry = this.entryOf(change);
       if (entry === null) continue;
       const size = encodedSize(entry);
-      const needsCondition = entry.placements.length > 0 && !conditionedJobs.has(one.job.id);
+      const needsCondition = entry.placements.length > 0 && !conditionedJobs.has(change.job.id);
       const isFull = bytes + size > this.maxBytes || (needsCondition && conditionedJobs.size >= this.maxJobs);
       if (isFull && this.builtChanges.length > 0) break;
       bytes += size;
       if (needsCondition) {
-        conditionedJobs.add(one.job.id);
-        conditions.push({ key: jobKey(one.job.id), stamp: one.job.modRevision });
+        conditionedJobs.add(change.job.id);
+        conditions.push({ key: jobKey(change.job.id), stamp: change.job.modRevision });
       }
-      this.builtChanges.push({ ...one, entry });
+      this.builtChanges.push({ ...change, entry });
     }
     return { entries: this.builtChanges.map((b) => b.entry), bytes };
   }
 
-  /** null: there is nothing to be written of it (any more), or not now. */
-  private entryOf({ job, chunk, ticket }: ChangedChunk): LogEntry | null {
-    if (chunk.queuedWrite !== ticket || !this.owner.isWritable(job)) {
+  /** The entry for a change; null if it need not be written any more, or cannot be written now. */
+  private entryOf({ job, chunk, queuedWrite }: ChangedChunk): LogEntry | null {
+    if (chunk.queuedWrite !== queuedWrite || !this.owner.isWritable(job)) {
       this.changed.delete(chunk);
-      if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
+      if (chunk.queuedWrite === queuedWrite) chunk.queuedWrite = null;
       return null;
     }
     if (this.replica.watchRevision < chunk.writeBlockedUntilRevision) {
@@ -178,7 +185,7 @@
     }
     const before = this.replica.chunks.get(job.id)?.get(chunk.index) ?? emptyChunk;
     const after = { ...chunkStateOf(job, chunk), size: chunk.size };
-    // A later change must get a number above this one.
+    // The version is also set in the chunk, so that a later change gets a higher one.
     const to = (chunk.version = Math.max(chunk.version, before.version + 1));
     return {
       job: job.id,
@@ -189,7 +196,7 @@
     };
   }
 
-  /** As many as the rest of a record holds; what does not fit is cleared by the next. */
+  /** Builds entries for as many cleared jobs as fit into the rest of the record; the others are left for the next record. */
   private buildClears(maxBytes: number): LogEntry[] {
     const entries: LogEntry[] = [];
     let bytes = 0;
@@ -224,32 +231,35 @@
     this.isQueued = false;
     this.nextSequence++;
     for (const id of this.builtClears) this.clearedJobs.delete(id);
-    for (const { job, chunk, ticket, entry } of this.builtChanges.splice(0)) {
-      this.forget(chunk, ticket);
+    for (const { job, chunk, queuedWrite, entry } of this.builtChanges.splice(0)) {
+      this.forget(chunk, queuedWrite);
       this.owner.onDurable(job, chunk, entry.toVersion);
     }
   }
 
-  /** Jobs that were cancelled meanwhile are left out; the others go again at once. */
+  /**
+   * Blocks the chunks of jobs whose conditions failed, for example because of a cancellation; those of others are retried at
+   * once.
+   */
   private onConflict(failedKeys: ReadonlySet<string>, revision: number): void {
     this.isQueued = false;
-    // Guards against a key that an earlier write of this grant has taken.
+    // The key may be in use by an earlier write under the same grant.
     this.nextSequence++;
     const jobsFailed = this.builtChanges.some((b) => failedKeys.has(jobKey(b.job.id)));
-    for (const { job, chunk, ticket } of this.builtChanges.splice(0)) {
+    for (const { job, chunk, queuedWrite } of this.builtChanges.splice(0)) {
       if (jobsFailed && !failedKeys.has(jobKey(job.id))) continue;
-      this.forget(chunk, ticket);
+      this.forget(chunk, queuedWrite);
       this.owner.onBlocked(job, chunk, revision);
     }
   }
 
-  private forget(chunk: TaskChunk, ticket: ChangedChunk['ticket']): void {
-    if (this.changed.get(chunk)?.ticket === ticket) this.changed.delete(chunk);
-    if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
+  private forget(chunk: TaskChunk, queuedWrite: ChangedChunk['queuedWrite']): void {
+    if (this.changed.get(chunk)?.queuedWrite === queuedWrite) this.changed.delete(chunk);
+    if (chunk.queuedWrite === queuedWrite) chunk.queuedWrite = null;
   }
 }
 
 const isUrgent = (job: ScheduledJob): boolean => urgencyRank[job.spec.urgency] > urgencyRank.normal;
 
-const urgencyOf = ({ job, ticket }: ChangedChunk): number =>
-  ticket.rank === WritePriority.cleanup ? -1 : urgencyRank[job.spec.urgency];
+const urgencyOf = ({ job, queuedWrite }: ChangedChunk): number =>
+  queuedWrite.rank === WritePriority.cleanup ? -1 : urgencyRank[job.spec.urgency];
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -1,4 +1,4 @@
-/** Makes the states of tasks durable. */
+/** Persists the state of tasks. */
 import type { Settings } from '../../config/settings.js';
 import { urgencyRank } from '../../model/job.js';
 import type { Transaction, Write } from '../../wire/store.js';
@@ -19,33 +19,35 @@
 import { LogTruncator, LogWriter } from './task-log/index.js';
 import type { TaskChunk, ScheduledJob } from '../shard-state/types.js';
 
-/** Ends of tasks gather for this share of a report interval before they are written. */
+/** Terminations of tasks are collected for this share of a report interval before they are written. */
 const terminationDelayShare = 0.5;
 
-/** Urgent work does not queue behind the placements of all others. */
+/** Placements of urgent jobs do not queue behind those of all other jobs. */
 const placementPriority = ({ spec }: ScheduledJob): WritePriority =>
   urgencyRank[spec.urgency] > urgencyRank.normal ? WritePriority.urgent : WritePriority.task;
 
-/** The process's jobs and shards, as the write path needs them. */
+/** The jobs and shards of this process, as far as the task writer needs them. */
 export interface TaskOwner {
   jobs: Map<string, ScheduledJob>;
-  /** Jobs that were brought to their end, by team. */
+  /** The number of jobs that have been completed, by team. */
   finishedJobsByTeam: Map<string, number>;
-  /** Shards of this process. */
+  /** The shards that this process owns. */
   ownedShards: ReadonlySet<number>;
-  /** Another writer was there: the job is to be built anew from what is durable. */
+  /** Rebuilds a job from its durable state, after another process has written it. */
   reloadJob(id: string): void;
 }
 
 /**
- * Makes the states of tasks durable: what is placed and what has ended, by chunks of a job's tasks, in records of their own, in
- * their job's, or in the task log, as the level in force has it.
+ * Persists the placements and terminations of tasks, by chunks of a job's tasks. Depending on the feature level in force, the
+ * state of a chunk is stored in a record of its own, in the record of its job (inline), or in the task log.
  */
 export class TaskWriter {
+  /** Chunks with terminations that are not queued for writing yet, oldest first. */
   private readonly terminated = new Map<TaskChunk, { job: ScheduledJob; since: number }>();
+  /** Chunks whose write conflicted: retried once the replica has caught up. */
   private blockedChunks: { job: ScheduledJob; chunk: TaskChunk }[] = [];
   private readonly finalizer: JobFinalizer;
-  /** The task logs of this process's shards. */
+  /** The writers of the task logs of this process's shards. */
   private readonly logWriters = new Map<number, LogWriter>();
   private readonly truncator: LogTruncator;
 
@@ -56,9 +58,9 @@
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly owner: TaskOwner,
-    /** Jobs of so many tasks may have their state in their own record. */
+    /** The maximum number of tasks of a job whose task state is stored inline, in the job's record. */
     private readonly maxInlineTasks: number,
-    /** Whether the task log is used where the level in force allows it, and how long a record stays in it, ms. */
+    /** Whether the task log is used if the level in force allows it, and the age at which its records are checkpointed, ms. */
     private readonly taskLog: { enabled: boolean; maxAgeMs: number },
   ) {
     const limits = { maxAgeMs: taskLog.maxAgeMs, maxOperations: settings.state.txn_ops };
@@ -68,7 +70,7 @@
     this.finalizer = new JobFinalizer(settings.state.txn_ops, replica, batcher, log, owner);
   }
 
-  /** To be called every step: ends that have gathered long enough, and writes that conflicted. */
+  /** To be called on every tick: retries writes that conflicted, and runs the finalizer, the log writers and the truncator. */
   tick(): void {
     this.retryBlocked();
     this.finalizer.tick();
@@ -76,32 +78,33 @@
     this.truncator.tick();
   }
 
-  /** Every task of a job is done. */
+  /** Records the completion of a job whose tasks are all done. */
   finalizeJob(job: ScheduledJob): void {
     this.finalizer.finalize(job);
   }
 
-  /** A cancelled job is over and nothing of it is left: its tasks' records go. */
+  /** Deletes the task records of a cancelled job that has no task left on any machine. */
   deleteTaskRecords(job: ScheduledJob): void {
     if (this.usesTaskLog(job) && this.loggedChunks(job).length > 0)
       this.logWriterOf(job.shard).clearJob(job.id, this.clock.now);
     this.finalizer.deleteTaskRecords(job);
   }
 
-  /** A shard is not this process's any more. */
+  /** Called when this process no longer owns a shard. */
   closeShard(shard: number): void {
     this.logWriters.delete(shard);
   }
 
-  /** Has a chunk's changes written, with those of other jobs where the task log is used. */
+  /** Queues a chunk's changes for writing; in the task log, they share a record with those of other jobs. */
   enqueue(job: ScheduledJob, chunk: TaskChunk, priority = placementPriority(job)): void {
     if (chunk.queuedWrite !== null && chunk.queuedWrite.rank <= priority) return;
-    // Placements overtake ends: the intent queued for those finds nothing left to do.
-    const ticket = { rank: priority };
-    chunk.queuedWrite = ticket;
+    // Replaces a queued write of lower priority, which is then skipped when it is built.
+    const queuedWrite = { rank: priority };
+    chunk.queuedWrite = queuedWrite;
     this.terminated.delete(chunk);
-    if (this.usesTaskLog(job)) this.logWriterOf(job.shard).markChanged(job, chunk, ticket, this.clock.now);
-    else this.writeChunk(job, chunk, ticket);
+    if (this.usesTaskLog(job))
+      this.logWriterOf(job.shard).markChanged(job, chunk, queuedWrite, this.clock.now);
+    else this.writeChunk(job, chunk, queuedWrite);
   }
 
   private usesTaskLog(job: ScheduledJob): boolean {
@@ -128,7 +131,7 @@
       isOwned: (shard) => this.owner.ownedShards.has(shard),
       isWritable: (job) => this.isWritable(job),
       onDurable: (job, chunk, version) => this.onDurable(job, chunk, version),
-      onBlocked: (job, chunk, epoch) => this.blockUntil(job, chunk, epoch),
+      onBlocked: (job, chunk, revision) => this.blockUntil(job, chunk, revision),
     });
   }
 
@@ -148,20 +151,20 @@
     this.blockedChunks.push({ job, chunk });
   }
 
-  /** Has a chunk's whole state written in a record of its own: where no task log is used, and as a checkpoint of it. */
-  private writeChunk(job: ScheduledJob, chunk: TaskChunk, ticket: { rank: WritePriority }): void {
+  /** Queues a write of a chunk's whole state: if the task log is not used, or as a checkpoint of the log. */
+  private writeChunk(job: ScheduledJob, chunk: TaskChunk, queuedWrite: { rank: WritePriority }): void {
     let builtVersion = 0;
     this.batcher.enqueue({
-      priority: ticket.rank,
+      priority: queuedWrite.rank,
       build: () => {
-        if (chunk.queuedWrite !== ticket) return null;
+        if (chunk.queuedWrite !== queuedWrite) return null;
         const grant = this.replica.shards.get(job.shard);
         if (!grant || !this.isWritable(job)) {
           chunk.queuedWrite = null;
           return null;
         }
         if (this.replica.watchRevision < chunk.writeBlockedUntilRevision) {
-          // Tried again when the view has caught up.
+          // Retried when the replica has caught up.
           chunk.queuedWrite = null;
           this.blockedChunks.push({ job, chunk });
           return null;
@@ -169,20 +172,22 @@
         builtVersion = chunk.version;
         return this.buildTransaction(job, chunk, grant.modRevision);
       },
-      onCommitted: (epoch) => {
-        if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
-        chunk.modRevision = epoch;
+      onCommitted: (revision) => {
+        if (chunk.queuedWrite === queuedWrite) chunk.queuedWrite = null;
+        chunk.modRevision = revision;
         this.onDurable(job, chunk, builtVersion);
       },
-      onConflict: (failed, epoch) => {
-        if (chunk.queuedWrite === ticket) chunk.queuedWrite = null;
-        this.log('info', 'task commit refused', { job: job.id, failed });
-        this.blockUntil(job, chunk, epoch);
+      onConflict: (failed, revision) => {
+        if (chunk.queuedWrite === queuedWrite) chunk.queuedWrite = null;
+        this.log('info', 'write of task state conflicted', { job: job.id, failed });
+        this.blockUntil(job, chunk, revision);
       },
     });
   }
 
-  /** Where the state of a job's tasks goes: into the job's own record if it is small and the level in force lets it. */
+  /**
+   * Writes the state into the job's own record if the job is small and the level in force allows it, else into a chunk record.
+   */
   private buildTransaction(job: ScheduledJob, chunk: TaskChunk, shardRevision: number): Transaction {
     const { replica } = this;
     const isInline = replica.jobsWithInlineTasks.has(job.id);
@@ -211,18 +216,18 @@
     return { conditions: [...conditions, { key, stamp: isInline ? 0 : chunk.modRevision }], writes };
   }
 
-  /** Whether records of tasks say which revision of their state they hold: while any task log may speak of them. */
+  /** Whether chunk records include the version of their state: needed while a task log may refer to it. */
   private get recordsVersions(): boolean {
     const { levels, taskLog } = this.replica;
     return (this.taskLog.enabled && levels.isEnabled('task-log')) || taskLog.size > 0;
   }
 
-  /** Whether a job's tasks may be kept in its own record. One that is over, but for its last tasks, stays as it is. */
+  /** Whether a job's task state may be stored in its own record. Jobs that are already cancelled are not converted. */
   fitsInline(job: ScheduledJob): boolean {
     return !job.cancelled && job.chunks.length === 1 && job.spec.tasks <= this.maxInlineTasks;
   }
 
-  /** Whether a job's tasks are kept in another way than the level in force has it. */
+  /** Whether a job's task state is stored in another form than the one of the level in force. */
   needsMigration(job: ScheduledJob): boolean {
     const { replica } = this;
     const isInline = replica.jobsWithInlineTasks.has(job.id);
@@ -232,13 +237,16 @@
     return isInline;
   }
 
-  /** Chunks of which the task log, or a checkpoint of it, tells the state. */
+  /** Chunks whose state is in the task log, or in a checkpoint of it. */
   private loggedChunks(job: ScheduledJob): TaskChunk[] {
     const states = this.replica.chunks.get(job.id);
     return job.chunks.filter((chunk) => (states?.get(chunk.index)?.version ?? 0) > 0);
   }
 
-  /** Writes a job's tasks once more as the level in force has it, unless that is about to happen; how many writes it takes. */
+  /**
+   * Rewrites a job's task state in the form of the level in force, unless a write is queued already. Returns how many writes that
+   * takes.
+   */
   migrate(job: ScheduledJob): number {
     if (job.finalizing || job.unreadable) return 0;
     const logged = this.replica.levels.isEnabled('task-log') ? [] : this.loggedChunks(job);
@@ -249,32 +257,33 @@
     return writes;
   }
 
-  /** Nothing more can be done about a checkpoint while the log that it follows is there. */
+  /** Whether a chunk's checkpoint is up to date: there is no point in writing it again while there are records in the log. */
   private isCheckpointed(job: ScheduledJob, chunk: TaskChunk): boolean {
     const state = this.replica.chunks.get(job.id)?.get(chunk.index);
     return state !== undefined && state.checkpointVersion === state.version && this.replica.taskLog.size > 0;
   }
 
-  /** Has a chunk's state written in its own record, unless it is about to be written. */
+  /** Queues a write of a chunk's state to its own record, unless one is queued already. Returns whether it did. */
   private checkpoint(job: ScheduledJob, chunk: TaskChunk): boolean {
     if (chunk.queuedWrite !== null) return false;
-    const ticket = { rank: WritePriority.cleanup };
-    chunk.queuedWrite = ticket;
+    const queuedWrite = { rank: WritePriority.cleanup };
+    chunk.queuedWrite = queuedWrite;
     this.terminated.delete(chunk);
-    this.writeChunk(job, chunk, ticket);
+    this.writeChunk(job, chunk, queuedWrite);
     return true;
   }
 
-  /** An end is written with the chunk's next placement, or after a while with the others of its chunk. */
+  /** Notes a termination: it is written with the chunk's next placement, or after a delay with others of the chunk. */
   noteTermination(job: ScheduledJob, chunk: TaskChunk): void {
     if (!chunk.queuedWrite && !this.terminated.has(chunk))
       this.terminated.set(chunk, { job, since: this.clock.now });
   }
 
+  /** Queues the chunks whose terminations have been collected for long enough. */
   flushTerminations(): void {
     const delayMs = this.settings.workers.report_s * 1000 * terminationDelayShare;
     for (const [chunk, e] of this.terminated) {
-      // In order of age.
+      // The map is in order of age: all further chunks are newer.
       if (this.clock.now - e.since < delayMs) break;
       this.terminated.delete(chunk);
       if (this.owner.jobs.get(e.job.id) === e.job && chunk.durableVersion < chunk.version)
@@ -282,7 +291,9 @@
     }
   }
 
-  /** Chunks whose write conflicted: once the view has caught up, go on from what is durable. */
+  /**
+   * Retries chunks whose write conflicted, once the replica has caught up: reloads the job if another process has changed it.
+   */
   private retryBlocked(): void {
     if (this.blockedChunks.length === 0) return;
     const blocked = this.blockedChunks;
@@ -294,13 +305,13 @@
         continue;
       }
       if (this.wasChangedElsewhere(b.job, b.chunk)) {
-        this.log('warn', 'chunk changed by another writer, reading it again', { job: b.job.id });
+        this.log('warn', 'task state changed by another writer, reloading the job', { job: b.job.id });
         this.owner.reloadJob(b.job.id);
       } else this.enqueue(b.job, b.chunk);
     }
   }
 
-  /** Whether another than this process has written a chunk's state since. */
+  /** Whether another process has written a chunk's state since this one last did. */
   private wasChangedElsewhere(job: ScheduledJob, chunk: TaskChunk): boolean {
     const { replica } = this;
     if (replica.taskStateModRevision(job.id, chunk.index) !== chunk.modRevision) return true;
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -1,4 +1,4 @@
-/** The write budget: groups writes into transactions by priority, and resolves the outcome of each. */
+/** Groups writes into transactions by priority within the write budget, and handles the outcome of each transaction. */
 import { RateMeter } from '../../admission/index.js';
 import type { Condition, Transaction } from '../../wire/store.js';
 import { RetryBackoff, backoffDelayMs, type Random, type RetryPolicy } from '../../retry/index.js';
@@ -8,27 +8,28 @@
 import type { Replica } from '../replica.js';
 import { TransactionBuilder } from './transaction-builder.js';
 
-/** The transaction that has been sent, and the writes that it is made of. */
+/** The transaction in flight, and the writes that it consists of. */
 interface InFlight {
   readonly built: readonly BuiltWrite[];
   readonly transaction: Transaction;
-  /** Names the transaction in each value that it puts. */
-  readonly mark: string;
-  /** An answer was lost: it may have been carried out. */
+  /** Identifies the transaction; stored in each value that it puts. */
+  readonly transactionId: string;
+  /** A response was lost, so the transaction may have been executed. */
   isOutcomeUnknown: boolean;
 }
 
+/** A conflict reported by the state service: the keys whose conditions failed, and the revision of the check. */
 interface Conflict {
   readonly failed: string[];
   readonly revision: number;
 }
 
-/** Additive increase and multiplicative decrease of the share of the write budget that a controller takes. */
+/** Additive increase and multiplicative decrease (AIMD) of the share of the write budget that a controller uses. */
 const additiveIncrease = 0.02;
 const multiplicativeDecrease = 0.7;
 const maxBudgetShare = 0.9;
-const minHealth = 0.3;
-/** Weights of the priorities while all of them have waiting writes; what one does not use goes to the others, in order. */
+const minAllocationFactor = 0.3;
+/** Weights of the priorities when all have waiting writes; what one does not use goes to the others, highest priority first. */
 const priorityWeights: Record<WritePriority, number> = {
   [WritePriority.membership]: 20,
   [WritePriority.user]: 12,
@@ -39,22 +40,23 @@
 };
 
 /**
- * Groups pending writes into transactions, one in flight at a time. When no answer comes, the same transaction is sent until
- * there is one: its conditions make sure that it takes effect once at most, and the writer's mark in each value shows whether an
- * earlier sending did it.
+ * Groups pending writes into transactions, one in flight at a time. If no response arrives, the same transaction is sent again
+ * until there is one. Its conditions ensure that it takes effect at most once, and the transaction ID in each value shows
+ * whether an earlier attempt was committed.
  */
 export class TransactionBatcher {
   /** Pending writes by priority, each in order of arrival. */
   private readonly queues: PendingWrite[][] = Array.from({ length: WritePriority.cleanup + 1 }, () => []);
   private inFlight: InFlight | null = null;
-  /** Conditions that failed after a lost answer: resolved once the replica has reached the revision. */
+  /** A conflict after a lost response: resolved once the replica has reached its revision. */
   private unresolvedConflict: Conflict | null = null;
-  /** Only presence and what brings back lost data is written. */
+  /** While set, only presence records and the restoration of lost data are written. */
   suspended = false;
-  /** Called with the conditions of a transaction that failed. */
-  onConditionsFailed: (failed: Condition[], epoch: number) => void = () => undefined;
-  /** Nothing is built before the replica has reached this revision: it brought another level. */
+  /** Called with the failed conditions of a transaction, and the revision at which they were checked. */
+  onConditionsFailed: (failed: Condition[], revision: number) => void = () => undefined;
+  /** No transaction is built before the replica has reached this revision, at which the level or the incarnation changed. */
   private blockedUntilRevision = -1;
+  /** Whether the transaction in flight awaits a response; false: it is to be sent again. */
   private isSent = true;
   private resendAt = 0;
   private readonly retries: RetryBackoff;
@@ -62,15 +64,19 @@
   private refilledAt = -1;
   private sequence = 0;
   private lastSentAt = -Infinity;
-  private sendsSingly = false;
+  /** Set after an invalid transaction: the next one contains a single pending write. */
+  private sendsOneByOne = false;
   private readonly taskWrites = new RateMeter(3000);
-  /** Writes per second allocated to this controller; null: nothing is allocated. */
+  /** Writes per second allocated to this controller; null if there is no allocation. */
   private allocatedWritesPerS: number | null = null;
-  /** The share of its allocation that the state service has accepted of late, 0 to 1. */
+  /**
+   * The factor by which the allocation is reduced, at most 1: decreases when the state service limits the rate, rises with
+   * commits.
+   */
   health = 1;
-  /** Writes per second found by probing, where nothing is allocated. */
+  /** Writes per second found by probing, used if there is no allocation. */
   private probedWritesPerS: number;
-  /** By priority: operations carried over from transactions in which it got less than its share. */
+  /** By priority: operations carried over from transactions in which that priority got less than its share. */
   private readonly deficits: number[] = this.queues.map(() => 0);
 
   constructor(
@@ -82,20 +88,20 @@
     private readonly log: Log,
   ) {
     this.retries = new RetryBackoff(retryPolicy, random);
-    // Not knowing what the others need, each begins with more than an equal share.
+    // The demand of the other controllers is not known yet, so each starts with half of the budget, more than an equal share.
     this.probedWritesPerS =
       limits.controllers > 1 ? limits.writesPerS / 2 : limits.writesPerS * maxBudgetShare;
     this.tokens = this.writesPerS;
   }
 
-  /** Adds a write, to be built and sent with the others of its priority. */
+  /** Queues a write behind the others of its priority. */
   enqueue(pending: PendingWrite): void {
     this.queues[pending.priority].push(pending);
   }
 
-  /** How many submissions may be enqueued now: few, so that their order is decided as late as possible. */
+  /** How many submissions may be queued now: few, so that their order is decided as late as possible. */
   get userCapacity(): number {
-    // Guards against a crowd that is handed over while a commit is under way: whoever comes meanwhile would wait behind it.
+    // None while a transaction is in flight: a burst queued now would be ahead of everyone who submits before it completes.
     if (this.inFlight) return 0;
     return Math.max(
       0,
@@ -103,7 +109,7 @@
     );
   }
 
-  /** How many writes wait, without those of users. */
+  /** How many writes other than users' are queued. */
   private get queuedTaskWrites(): number {
     return this.queues.reduce(
       (n, queue, priority) => (priority === WritePriority.user ? n : n + queue.length),
@@ -111,35 +117,35 @@
     );
   }
 
-  /** Writes per second, without those of users: the recent rate, and half of those that wait. */
+  /** Demand for writes other than users', per second: the recent rate plus half of the queued writes. */
   taskWriteDemand(now: number): number {
     return this.taskWrites.rate(now) + this.queuedTaskWrites / 2;
   }
 
-  /** Less than half a second's worth of writes is left. */
+  /** Whether the token bucket holds less than half a second's worth of writes. */
   get isBudgetLow(): boolean {
     return this.tokens < this.writesPerS / 2;
   }
 
-  /** How long the waiting writes of accepted work will take, s. */
+  /** How long it will take to send the queued writes other than users', s. */
   get backlogS(): number {
     return this.queuedTaskWrites / Math.max(1, this.writesPerS);
   }
 
-  /** Sets the writes per second that the allocation among all controllers gives this one. */
+  /** Sets the writes per second allocated to this controller. */
   setAllocation(writesPerS: number): void {
     this.allocatedWritesPerS = writesPerS;
   }
 
-  /** How many writes wait or are in flight. */
+  /** How many writes are queued or in flight. */
   get pendingCount(): number {
     return this.queues.reduce((n, q) => n + q.length, this.inFlight?.built.length ?? 0);
   }
 
-  /** To be called every step: refills the token bucket, resends, and sends the next transaction. */
+  /** To be called on every tick: refills the token bucket, and resends the transaction in flight or sends the next one. */
   tick(now: number, effects: Effect[]): void {
     if (this.refilledAt < 0) this.refilledAt = now;
-    // Guards against an allocation of less than one write per second, with which there would never be a whole one.
+    // The bucket holds at least one token: with an allocation below one write per second there would never be a whole one.
     this.tokens = Math.min(
       Math.max(1, this.writesPerS),
       this.tokens + ((now - this.refilledAt) / 1000) * this.writesPerS,
@@ -156,33 +162,36 @@
     if (this.replica.levels.mustStandBy || this.suspended) this.rejectUserWrites();
     const first = this.queues.findIndex((q) => q.length > 0);
     if (first < 0) return;
-    // Nothing that users wait for: let a few changes gather.
+    // No user waits for these writes: leave 100 ms between transactions so that changes can be grouped.
     if (first >= WritePriority.task && now - this.lastSentAt < 100) return;
     this.sendNext(now, effects);
   }
 
-  /** This program is older than the level in force: users are asked to retry later, and only its presence is written. */
+  /**
+   * Asks users to retry later: this program is older than the level in force, or writes are suspended, so that only membership
+   * writes are sent.
+   */
   private rejectUserWrites(): void {
     for (const pending of this.queues[WritePriority.user].splice(0))
       if (!(pending.onUnavailable?.() ?? false)) this.enqueue(pending);
   }
 
-  /** Builds the next transaction from what waits, and sends it. */
+  /** Builds the next transaction from the queued writes, and sends it. */
   private sendNext(now: number, effects: Effect[]): void {
     const builder = new TransactionBuilder(this.replica, this.limits, {
       maxWrites: Math.min(this.limits.maxOperations, Math.floor(this.tokens)),
-      singly: this.sendsSingly,
+      singleWrite: this.sendsOneByOne,
     });
-    // Guards against a flood of one kind, of submissions or of terminations, that starves the others.
+    // Quotas keep a flood of one kind, such as submissions or terminations, from starving the others.
     const quotas = this.quotas(builder.maxWrites);
     for (const { priority, allowed } of quotas) this.takeFrom(builder, priority, allowed);
     for (const { priority } of quotas) if (!builder.isFull) this.takeFrom(builder, priority, Infinity);
     if (builder.built.length === 0) return;
     for (const { pending, transaction } of builder.built)
       if (pending.priority !== WritePriority.user) this.taskWrites.add(transaction.writes.length, now);
-    const mark = `${this.instanceId}.${++this.sequence}`;
-    const transaction = builder.finish(mark);
-    this.inFlight = { built: builder.built, transaction, mark, isOutcomeUnknown: false };
+    const transactionId = `${this.instanceId}.${++this.sequence}`;
+    const transaction = builder.finish(transactionId);
+    this.inFlight = { built: builder.built, transaction, transactionId, isOutcomeUnknown: false };
     this.unresolvedConflict = null;
     this.send(now, effects);
   }
@@ -190,12 +199,15 @@
   private takeFrom(builder: TransactionBuilder, priority: WritePriority, maxTaken: number): void {
     const queue = this.queues[priority];
     const { taken, examined, skipped } = builder.takeFrom(queue, maxTaken);
-    // Builds may have added to the queue meanwhile: only what was looked at is replaced.
+    // Building writes may have appended to the queue: replace only the entries that were examined.
     queue.splice(0, examined, ...skipped);
     this.deficits[priority] -= taken;
   }
 
-  /** The priorities that have waiting writes, and how many each may take before the others had their turn (deficit round robin). */
+  /**
+   * The priorities with queued writes, and how many operations each may take before the others get their turn (deficit round
+   * robin).
+   */
   private quotas(maxWrites: number): { priority: WritePriority; allowed: number }[] {
     const lastPriority =
       this.replica.levels.mustStandBy || this.suspended ? WritePriority.membership : WritePriority.cleanup;
@@ -214,7 +226,7 @@
     });
   }
 
-  /** Writes per second that this controller allows itself now. */
+  /** The current write rate limit of this controller, writes per second. */
   get writesPerS(): number {
     return this.allocatedWritesPerS === null ? this.probedWritesPerS : this.allocatedWritesPerS * this.health;
   }
@@ -254,14 +266,14 @@
 
   private onCommitted({ transaction, built }: InFlight, revision: number): void {
     this.inFlight = null;
-    this.sendsSingly = false;
+    this.sendsOneByOne = false;
     this.health = Math.min(1, this.health + additiveIncrease);
     if (this.tokens < 1 && this.pendingCount > 0)
       this.probedWritesPerS = Math.min(
         this.limits.writesPerS * maxBudgetShare,
         this.probedWritesPerS + this.limits.writesPerS * additiveIncrease,
       );
-    // Our own writes are seen at once, not only when the watch delivers them.
+    // Apply our own writes at once, without waiting for the watch to deliver them.
     for (const { key, data } of transaction.writes) this.replica.apply({ key, data, stamp: revision });
     for (const { pending } of built) pending.onCommitted(revision);
   }
@@ -272,7 +284,7 @@
       effects.push({ type: 'catch-up', revision });
     }
     if (inFlight.isOutcomeUnknown) {
-      // Guards against the lost answer: an earlier sending may have been executed. Look before deciding.
+      // A response was lost, so an earlier attempt may have been executed: resolve the conflict once the replica has caught up.
       this.unresolvedConflict = { failed, revision };
       effects.push({ type: 'catch-up', revision });
       if (this.replica.watchRevision >= revision) this.resolveConflict(failed, revision);
@@ -291,16 +303,16 @@
     }
   }
 
-  /** Multiplicative decrease of what this controller allows itself; the transaction is sent again after a pause. */
+  /** Multiplicatively decreases the write rate; the writes are sent again after a delay. */
   private onRateLimited(inFlight: InFlight, now: number): void {
-    this.health = Math.max(minHealth, this.health * multiplicativeDecrease);
+    this.health = Math.max(minAllocationFactor, this.health * multiplicativeDecrease);
     this.probedWritesPerS = Math.max(
       (this.limits.writesPerS / this.limits.controllers) * multiplicativeDecrease,
       this.probedWritesPerS * multiplicativeDecrease,
     );
     this.tokens = Math.min(this.tokens, 0);
     this.resendAt = now + backoffDelayMs(this.retryPolicy, 1, this.random);
-    // Guards against rejecting users for a moment's crowd: only an outage does that.
+    // The writes are queued again and users are not rejected: only an outage does that, not a short burst.
     if (inFlight.isOutcomeUnknown) this.isSent = false;
     else this.requeue(inFlight.built);
   }
@@ -316,10 +328,12 @@
       if (!(pending.onUnavailable?.() ?? false)) this.enqueue(pending);
   }
 
-  /** A transaction that the state service cannot accept: one of its writes spoils the others, so they are sent one by one. */
+  /**
+   * The state service cannot accept the transaction: one of its writes is invalid, so they are sent one by one to isolate it.
+   */
   private onInvalid({ built, transaction }: InFlight, reason: 'lease-expired' | 'malformed'): void {
-    this.sendsSingly = built.length > 1;
-    if (this.sendsSingly) return this.requeue(built);
+    this.sendsOneByOne = built.length > 1;
+    if (this.sendsOneByOne) return this.requeue(built);
     this.inFlight = null;
     if (reason === 'malformed')
       this.log('error', 'transaction malformed', { keys: transaction.writes.map((w) => w.key) });
@@ -337,18 +351,18 @@
     this.resendAt = this.retries.notBefore;
   }
 
-  /** After a lost answer and a conflict: the marks tell which writes an earlier sending carried out. */
+  /** Resolves a conflict after a lost response: the stored transaction IDs show which writes an earlier attempt committed. */
   private resolveConflict(failed: readonly string[], revision: number): void {
-    const { transaction, built, mark } = this.inFlight!;
+    const { transaction, built, transactionId } = this.inFlight!;
     this.inFlight = null;
     this.unresolvedConflict = null;
     const wasApplied = transaction.writes.some(
-      (w) => w.data !== undefined && this.replica.writerOf(w.key) === mark,
+      (w) => w.data !== undefined && this.replica.writerOf(w.key) === transactionId,
     );
     const failedKeys = new Set(failed);
     for (const { pending, transaction: own } of built) {
       const put = own.writes.find((w) => w.data !== undefined);
-      if (put && this.replica.writerOf(put.key) === mark)
+      if (put && this.replica.writerOf(put.key) === transactionId)
         pending.onCommitted(this.replica.modRevisionOf(put.key));
       else if (wasApplied && !put) pending.onCommitted(revision);
       else {
@@ -360,5 +374,6 @@
   }
 }
 
+/** The keys of a transaction's conditions that are among the failed ones. */
 const failedConditionKeys = (transaction: Transaction, failed: ReadonlySet<string>): string[] =>
   transaction.conditions.filter((c) => failed.has(c.key)).map((c) => c.key);
--- a/src/core/storage/transaction-builder.ts
+++ b/src/core/storage/transaction-builder.ts
@@ -1,19 +1,20 @@
-/** Groups waiting writes into one transaction, within the limits of the state service. */
+/** Groups pending writes into one transaction, within the limits of the state service. */
 import { encodeTransaction, type Condition, type Transaction, type Write } from '../../wire/store.js';
 import type { Replica } from '../replica.js';
 import { incarnationKey, levelKey } from './keys.js';
 import type { BatchLimits, BuiltWrite, PendingWrite } from './pending-write.js';
 
-/** Limits of one transaction beside those that all have. */
+/** Limits of one transaction in addition to those that apply to all. */
 export interface BuildOptions {
   readonly maxWrites: number;
-  /** One pending write only. */
-  readonly singly: boolean;
+  /** Include only one pending write. */
+  readonly singleWrite: boolean;
 }
 
 /**
- * A transaction that is being built. Each is on condition that the level in force is the one it was built at: nobody writes an
- * old format after a switch or a new one before it, however late a transaction is carried out.
+ * Builds one transaction. Every transaction is conditional on the feature level in force, and on the incarnation if there is one,
+ * being unchanged since it was built. So no record is written in an old format after a level change, or in a new one before it,
+ * however late the transaction is executed.
  */
 export class TransactionBuilder {
   readonly built: BuiltWrite[] = [];
@@ -22,7 +23,9 @@
   private readonly writes: Write[] = [];
   private readonly writtenKeys = new Set<string>();
   private bytes = 0;
-  /** Writes that were built and did not fit; a few are enough, or every transaction would build the whole queue. */
+  /**
+   * How many writes were built but did not fit. It is limited, because otherwise every transaction would build the whole queue.
+   */
   private skippedCount = 0;
 
   constructor(
@@ -39,18 +42,18 @@
     }
   }
 
-  /** Nothing more is to be taken. */
+  /** Whether no further write is to be included. */
   get isFull(): boolean {
     return (
       this.writes.length >= this.maxWrites ||
       this.skippedCount >= this.limits.maxOperations ||
-      (this.options.singly && this.built.length > 0)
+      (this.options.singleWrite && this.built.length > 0)
     );
   }
 
   /**
-   * Takes writes from the head of a queue, which stays as it is.
-   * Returns how many operations were taken, how many entries were examined, and those among them that stay in the queue.
+   * Takes writes from the head of a queue without modifying it.
+   * Returns how many operations were taken, how many queue entries were examined, and which of these must stay in the queue.
    */
   takeFrom(
     queue: readonly PendingWrite[],
@@ -73,15 +76,18 @@
     return { taken: this.writes.length - before, examined, skipped };
   }
 
-  /** The transaction. Each value that it puts is marked, and keeps the fields that this program does not know. */
-  finish(mark: string): Transaction {
+  /**
+   * Returns the transaction. Each value that it puts carries the transaction's ID, and keeps the fields unknown to this
+   * program.
+   */
+  finish(transactionId: string): Transaction {
     for (const write of this.writes)
       if (write.data !== undefined)
-        write.data = { ...this.replica.unknownFieldsOf(write.key), ...write.data, w: mark };
+        write.data = { ...this.replica.unknownFieldsOf(write.key), ...write.data, w: transactionId };
     return { conditions: [...this.conditions.values()], writes: this.writes };
   }
 
-  /** Guards against writing over what a newer program wrote, or what is damaged: somebody may need it. */
+  /** Refuses to overwrite records that are damaged or were written by a newer program: their contents may still be needed. */
   private refuseUnreadable(pending: PendingWrite, { writes }: Transaction): boolean {
     const unreadable = writes.filter((w) => this.replica.unreadableRecords.has(w.key)).map((w) => w.key);
     if (unreadable.length === 0) return false;
@@ -96,7 +102,7 @@
       (c) => this.conditions.has(c.key) && this.conditions.get(c.key)!.stamp !== c.stamp,
     );
     if (contradicts) return false;
-    // Guards against a write that is never sent: alone it may exceed the limits.
+    // The first write is always included, also above the limits: otherwise an oversized write would never be sent.
     if (this.built.length === 0) return true;
     return (
       this.writes.length + writes.length <= this.maxWrites &&
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -3,7 +3,15 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { chunkData, cancelledJobDataOf, openJobData, inlineJobData } from '../src/core/storage/index.js';
-import { empty, found, manyTasks, put, withWorkers, type Key, type Placing } from './support/stored-state.js';
+import {
+  emptyChunkState,
+  found,
+  manyTasks,
+  put,
+  withWorkers,
+  type Key,
+  type Placing,
+} from './support/stored-state.js';
 import { newestLevel } from '../src/feature-levels/index.js';
 import { laterLevel, leaderOf, levelOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
@@ -64,7 +72,7 @@
   w.workers.get(w.running('req-1')[0].host)!.silent = true;
   w.types = [{ ...w.types[0], price: 2 }];
   const rewritten = new Set<string>();
-  const look = (): void => {
+  const checkUnknownFields = (): void => {
     for (const key of keys) {
       const now = w.state.entries.get(key);
       if (!now) continue;
@@ -74,11 +82,11 @@
   };
   for (let i = 0; i < 90; i++) {
     w.advance(1);
-    look();
+    checkUnknownFields();
   }
   n.cancel('req-1');
   w.advance(5);
-  look();
+  checkUnknownFields();
   for (const key of ['dp/j/req-1', 'dp/t/req-2/0', 'dp/kinds']) assert.ok(rewritten.has(key), key);
   assert.deepEqual(w.violations, []);
 });
@@ -94,7 +102,7 @@
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2 && w.running('req-2').length >= 20, 60));
   for (const x of w.workers.values()) x.taskDurationS = 100;
   const chunk = dataOf(w, 'dp/t/req-2/0')!;
-  const bad: [string, Record<string, unknown>][] = [
+  const unreadable: [string, Record<string, unknown>][] = [
     ['dp/j/req-1', { v: 9, s: 'split', parts: [] }],
     ['dp/t/req-2/0', { ...chunk, p: 'burnt' }],
     ['dp/j/req-7', { ...openJobData(spec('req-7'), 1), s: 'lost' }],
@@ -103,7 +111,7 @@
   const block = [...w.state.entries.values()].find((k) => k.key.startsWith('dp/b/'))!;
   const good = block.data as Record<string, unknown>;
   const hosts = w.workers.size;
-  for (const [key, data] of bad) put(w, key, data);
+  for (const [key, data] of unreadable) put(w, key, data);
   w.advance(2);
   const running = w.running('req-1').length + w.running('req-2').length;
   // Also for those who read everything anew, and for users.
@@ -118,13 +126,13 @@
     x.boot();
     w.advance(8);
   }
-  for (const [key, data] of bad) assert.deepEqual(dataOf(w, key), data, key);
+  for (const [key, data] of unreadable) assert.deepEqual(dataOf(w, key), data, key);
   // Nothing of theirs was stopped, forgotten or started again, and the others are served.
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   assert.equal(n.submit(spec('req-8', { team: 'red', tasks: 1 }))?.status, 201);
   const told = n.logLines.filter(([, what]) => what === 'record not acted on').map(([, , f]) => f?.['key']);
   assert.ok(
-    bad.every(([key]) => told.includes(key)),
+    unreadable.every(([key]) => told.includes(key)),
     told.join(),
   );
   // No machine is taken for gone because its rental cannot be read.
@@ -196,10 +204,10 @@
   const writes = 2 * 400;
   // A tenth of 40 writes a second, less the time without an owner.
   assert.ok(writes / seconds > 2 && writes / seconds <= 4.2, `${writes / seconds} writes a second`);
-  const said = w.nodes
+  const progressLines = w.nodes
     .flatMap((n) => n.logLines)
     .filter(([, what]) => /records? rewritten|rewriting/.test(what));
-  assert.ok(said.length >= 4);
+  assert.ok(progressLines.length >= 4);
   assert.equal(
     placed.every(([job, index, , h]) => w.workers.get(h)!.hasTask(`${job}/${index}`)),
     true,
@@ -253,7 +261,7 @@
 });
 
 test('wholeJobData keeps the description where a program that knows only format 1 does not find it', () => {
-  const data = inlineJobData(spec('req-1'), 1, chunkData(empty));
+  const data = inlineJobData(spec('req-1'), 1, chunkData(emptyChunkState));
   assert.ok(!('spec' in data) && 'job' in data);
 });
 
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -33,7 +33,7 @@
     });
 }
 
-export const empty = { lastAttempt: 0, done: new BitSet(), placements: [], failedHosts: [] };
+export const emptyChunkState = { lastAttempt: 0, done: new BitSet(), placements: [], failedHosts: [] };
 
 /** State of the old format with 100,000 tasks: 400 small services that run, and large arrays that wait. */
 export function manyTasks(): { keys: Key[]; placed: Placing[] } {
@@ -47,7 +47,10 @@
     const p = Array.from({ length: 8 }, (_, k) => ({ index: k, attempt: k + 1, host: hosts[(i + k) % 20] }));
     for (const x of p) placed.push([id, x.index, x.attempt, x.host]);
     keys.push({ key: `dp/j/${id}`, data: openJobData(spec(id, small), 1e12) });
-    keys.push({ key: `dp/t/${id}/0`, data: chunkData({ ...empty, lastAttempt: 8, placements: p }) });
+    keys.push({
+      key: `dp/t/${id}/0`,
+      data: chunkData({ ...emptyChunkState, lastAttempt: 8, placements: p }),
+    });
   }
   // They wait for a kind of machine that is not to be had.
   for (let i = 0; i < 968; i++)
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -6,13 +6,13 @@
 
 type StoredPlacement = [index: number, attempt: number, host: string];
 
-interface Placing {
+interface TaskPlacement {
   job: string;
   index: number;
   host: string;
 }
 
-function placementsOf({ key, data }: Write): Placing[] {
+function placementsOf({ key, data }: Write): TaskPlacement[] {
   const ref = parseKey(key);
   if (!data || !ref) return [];
   if (ref.kind === 'log')
@@ -25,8 +25,8 @@
 }
 
 /** What was wrong: a log written under a grant that was over, placements after a cancellation, starts before the commit. */
-export function wrongInHistory(w: World): string[] {
-  const wrong: string[] = [];
+export function historyViolations(w: World): string[] {
+  const violations: string[] = [];
   const cancelled = new Set<string>();
   const grants = new Map<string, number>();
   const placedAt = new Map<string, number>();
@@ -37,11 +37,11 @@
       if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.revision);
       const log = /^dp\/log\/(\d+)\/(\d+)-/.exec(write.key);
       if (log && write.data && grants.get(log[1]) !== Number(log[2]))
-        wrong.push(`${write.key}: grant is over`);
+        violations.push(`${write.key}: grant is over`);
       for (const { job, index, host } of placementsOf(write)) {
-        const place = `${taskKey(job, index)} ${host}`;
-        if (log && cancelled.has(job)) wrong.push(`${place}: placed after its cancellation`);
-        if (!placedAt.has(place)) placedAt.set(place, at);
+        const placement = `${taskKey(job, index)} ${host}`;
+        if (log && cancelled.has(job)) violations.push(`${placement}: placed after its cancellation`);
+        if (!placedAt.has(placement)) placedAt.set(placement, at);
       }
     }
     // A cancellation and a placement of one transaction are the owner's own: it starts nothing of it.
@@ -52,6 +52,6 @@
   }
   for (const { piece, host, at } of w.starts)
     if (!((placedAt.get(`${piece} ${host}`) ?? Infinity) <= at))
-      wrong.push(`${piece} ${host}: started before`);
-  return wrong;
+      violations.push(`${piece} ${host}: started before`);
+  return violations;
 }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -31,7 +31,7 @@
 import { createScheduledJob } from '../src/core/shard-state/jobs.js';
 import type { Placement } from '../src/core/shard-state/types.js';
 import { collectRecoveryRecords } from '../src/core/recovery-records.js';
-import { wrongInHistory } from './support/task-log-history.js';
+import { historyViolations } from './support/task-log-history.js';
 import { levelOf, ownerOf, restart } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import { type Node } from './support/controller-node.js';
@@ -41,7 +41,7 @@
 const size = 8;
 
 /** A chunk's state with its placements and ends as lists, to compare. */
-const plain = (c: ChunkRecord): object => ({
+const comparableState = (c: ChunkRecord): object => ({
   last: c.lastAttempt,
   done: Array.from({ length: size }, (_, i) => c.done.has(i)),
   placed: [...c.placements].sort((a, b) => a.index - b.index),
@@ -137,7 +137,7 @@
         seed = (seed * 1103515245 + 12345) % 2147483648;
         arrivals.splice(seed % arrivals.length, 1)[0]();
       }
-      assert.deepEqual(plain(follower.state!), plain(states.at(-1)!));
+      assert.deepEqual(comparableState(follower.state!), comparableState(states.at(-1)!));
     }),
   );
 });
@@ -149,7 +149,7 @@
       const follower = new Follower();
       entries.forEach((entry, n) => follower.put(n, entry));
       follower.put(entries.length, entries[which % entries.length]);
-      assert.deepEqual(plain(follower.state!), plain(states.at(-1)!));
+      assert.deepEqual(comparableState(follower.state!), comparableState(states.at(-1)!));
       assert.equal(follower.reader.waitingCount, 0);
     }),
   );
@@ -170,7 +170,7 @@
   const { entries, states } = historyOf([1, 2, 1, 3, 3]);
   const read = decodeLogRecord(JSON.parse(JSON.stringify(encodeLogRecord(entries))));
   const state = read.reduce(applyEntry, { ...emptyChunk, done: new BitSet() });
-  assert.deepEqual(plain(state), plain(states.at(-1)!));
+  assert.deepEqual(comparableState(state), comparableState(states.at(-1)!));
 });
 
 test('a log is truncated from its oldest end; what keeps an old record there is checkpointed', () => {
@@ -199,9 +199,9 @@
 });
 
 test('an older checkpoint that is read late does not take the place of what the log has told since', () => {
-  const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
-  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
+  const noop = (): void => undefined;
+  const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
+  const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
   const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   const { entries, states } = historyOf([1, 2, 1, 3]);
   const job = openJobData(spec('req-1', { tasks: size }), 1);
@@ -212,19 +212,19 @@
   const [, , old] = states;
   replica.apply({ key: 'dp/t/req-1/0', data: chunkData(old, old.version), stamp: 20 });
   const state = replica.chunks.get('req-1')!.get(0)!;
-  assert.deepEqual(plain(state), plain(states.at(-1)!));
+  assert.deepEqual(comparableState(state), comparableState(states.at(-1)!));
   assert.equal(state.checkpointVersion, old.version);
 });
 
 // ---- with controllers ----
 
-const withLog = { 'task-log': 1 };
+const taskLogEnabled = { 'task-log': 1 };
 
 const logKeys = (w: World): string[] =>
   [...w.state.entries.keys()].filter((key) => key.startsWith('dp/log/'));
 
 function logWorld(seed = 1, over: Record<string, number> = {}): World {
-  const w = new World(3, { ...withLog, ...over }, seed);
+  const w = new World(3, { ...taskLogEnabled, ...over }, seed);
   w.capacity = 20;
   const ready = (): boolean =>
     levelOf(w).level === newestLevel && w.nodes.every((n) => n.controller.replica.machineTypes.length > 0);
@@ -233,8 +233,8 @@
 }
 
 /** Every controller has the same of each job's tasks, and the state service says the same to one that starts anew. */
-function sameEverywhere(w: World): void {
-  const told = (n: Node): string =>
+function assertSameEverywhere(w: World): void {
+  const chunkStatesOf = (n: Node): string =>
     JSON.stringify(
       [...n.controller.replica.chunks]
         .map(([id, chunks]) => [
@@ -243,7 +243,7 @@
         ])
         .sort(),
     );
-  const [first, ...others] = w.nodes.filter((n) => n.alive).map(told);
+  const [first, ...others] = w.nodes.filter((n) => n.alive).map(chunkStatesOf);
   for (const other of others) assert.equal(other, first);
 }
 
@@ -254,7 +254,7 @@
 test('placements and ends of many jobs share writes', () => {
   const jobs = 200;
   const tasks = 4;
-  const play = (over: Record<string, number>): { writesAStart: number; broken: string[] } => {
+  const run = (over: Record<string, number>): { writesPerStart: number; violations: string[] } => {
     const w = new World(3, over, 1);
     w.capacity = 60;
     w.taskDurationS = 20;
@@ -268,12 +268,12 @@
     assert.ok(w.advanceUntil(() => w.finished.length === jobs * tasks, 300));
     w.advance(5);
     const written = w.commits.flatMap((c) => (c.outcome.type === 'ok' ? c.txn.writes : []));
-    return { writesAStart: written.filter(isTaskWrite).length / w.starts.length, broken: w.violations };
+    return { writesPerStart: written.filter(isTaskWrite).length / w.starts.length, violations: w.violations };
   };
-  const [without, logged] = [play({}), play(withLog)];
-  assert.deepEqual([...without.broken, ...logged.broken], []);
-  assert.ok(without.writesAStart > 0.2, `${without.writesAStart} without`);
-  assert.ok(logged.writesAStart < 0.03, `${logged.writesAStart} with it`);
+  const [without, logged] = [run({}), run(taskLogEnabled)];
+  assert.deepEqual([...without.violations, ...logged.violations], []);
+  assert.ok(without.writesPerStart > 0.2, `${without.writesPerStart} without`);
+  assert.ok(logged.writesPerStart < 0.03, `${logged.writesPerStart} with it`);
 });
 
 test('commit before start: a crash between the write of the log and the starts loses nothing, starts nothing twice', () => {
@@ -286,28 +286,28 @@
     w.advance(6);
     owner.boot();
     assert.ok(w.advanceUntil(() => w.finished.length === 6, 120));
-    assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
-    sameEverywhere(w);
+    assert.deepEqual([...w.violations, ...historyViolations(w)], []);
+    assertSameEverywhere(w);
   }
 });
 
 test('a record holds no more than a value may: cancelled jobs that do not fit are cleared by the next', () => {
-  const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
-  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
+  const noop = (): void => undefined;
+  const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
+  const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
   const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
-  const intents: PendingWrite[] = [];
+  const pendingWrites: PendingWrite[] = [];
   const batcher = {
     isBudgetLow: false,
-    enqueue: (intent: PendingWrite) => intents.push(intent),
+    enqueue: (pending: PendingWrite) => pendingWrites.push(pending),
   } as unknown as TransactionBatcher;
   const valueKb = 1;
   const writer = new LogWriter(0, { valueKb, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
     isOwned: () => true,
     isWritable: () => true,
-    onDurable: quiet,
-    onBlocked: quiet,
+    onDurable: noop,
+    onBlocked: noop,
   });
   const jobs = Array.from({ length: 60 }, (_, i) => `req-${i + 1}`);
   for (const id of jobs) {
@@ -319,31 +319,31 @@
   const cleared: string[] = [];
   for (let now = 10_000; cleared.length < jobs.length && now < 20_000; now += 1000) {
     writer.tick(now);
-    const { data } = intents.at(-1)!.build()!.writes[0];
+    const { data } = pendingWrites.at(-1)!.build()!.writes[0];
     assert.ok(JSON.stringify(data).length <= valueKb * 1024);
     cleared.push(...decodeLogRecord(data).map((e) => e.job));
-    intents.at(-1)!.onCommitted(8);
+    pendingWrites.at(-1)!.onCommitted(8);
   }
   assert.deepEqual(cleared, jobs);
 });
 
 test('a refused write is built again without the job that was cancelled, before the view has caught up', () => {
-  const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
-  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
+  const noop = (): void => undefined;
+  const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
+  const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
   const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
-  const intents: PendingWrite[] = [];
+  const pendingWrites: PendingWrite[] = [];
   const batcher = {
     isBudgetLow: false,
-    enqueue: (intent: PendingWrite) => intents.push(intent),
+    enqueue: (pending: PendingWrite) => pendingWrites.push(pending),
   } as unknown as TransactionBatcher;
   const blocked: string[] = [];
   let owned = true;
   const writer = new LogWriter(0, { valueKb: 32, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
     isOwned: () => owned,
     isWritable: () => true,
-    onDurable: quiet,
+    onDurable: noop,
     onBlocked: (job) => blocked.push(job.id),
   });
   for (const id of ['req-1', 'req-2', 'req-3']) {
@@ -364,10 +364,10 @@
   const jobsOf = (txn: Transaction | null): string[] =>
     decodeLogRecord(txn!.writes[0].data).map((e) => e.job);
   writer.tick(0);
-  assert.deepEqual(jobsOf(intents[0].build()), ['req-1', 'req-2', 'req-3']);
-  intents[0].onConflict(['dp/j/req-2'], 99);
+  assert.deepEqual(jobsOf(pendingWrites[0].build()), ['req-1', 'req-2', 'req-3']);
+  pendingWrites[0].onConflict(['dp/j/req-2'], 99);
   writer.tick(0);
-  assert.deepEqual(jobsOf(intents[1].build()), ['req-1', 'req-3']);
+  assert.deepEqual(jobsOf(pendingWrites[1].build()), ['req-1', 'req-3']);
   assert.deepEqual(blocked, ['req-2']);
   // Cancelled jobs are cleared by the shard's owner only, also where the writer was asked before it lost the shard.
   const placed = [{ index: 0, attempt: 1, host: 'n-1' }];
@@ -382,12 +382,12 @@
     ...nothing,
   };
   replica.apply({ key: 'dp/log/0/5-9', data: encodeLogRecord([entry]), stamp: 7 });
-  intents[1].onConflict(['dp/shard/0'], 100);
+  pendingWrites[1].onConflict(['dp/shard/0'], 100);
   writer.clearJob('req-1', 0);
   writer.tick(10_000);
-  assert.deepEqual(decodeLogRecord(intents[2].build()!.writes[0].data)[0].removed, [0]);
+  assert.deepEqual(decodeLogRecord(pendingWrites[2].build()!.writes[0].data)[0].removed, [0]);
   owned = false;
-  assert.equal(intents[2].build(), null);
+  assert.equal(pendingWrites[2].build(), null);
 });
 
 test('when a job of a write was cancelled meanwhile, the others are written again before the view has caught up', () => {
@@ -401,12 +401,12 @@
       spec: spec(`req-${i}`, { tasks: 2, team: 'blue', cpus: 1 }),
     });
   // Somebody cancels one of them just before the owner's write comes to the state service.
-  let hit = '';
+  let cancelledJob = '';
   w.state.beforeCommit = (txn) => {
     const record = txn.writes.find((a) => a.key.startsWith('dp/log/') && a.data);
-    if (!record || hit !== '') return;
+    if (!record || cancelledJob !== '') return;
     const { job } = decodeLogRecord(record.data).find((e) => e.placements.length > 0)!;
-    hit = job;
+    cancelledJob = job;
     const { data } = w.state.entries.get(`dp/j/${job}`)!;
     const { spec: s, at } = data as { spec: JobSpec; at: number };
     const cancellation = {
@@ -415,19 +415,19 @@
     };
     w.commits.push({ member: 'user', txn: cancellation, outcome: w.state.commit(cancellation), at: w.now });
   };
-  assert.ok(w.advanceUntil(() => hit !== '', 60));
+  assert.ok(w.advanceUntil(() => cancelledJob !== '', 60));
   const from = w.now;
   const isPlaced = (id: string): boolean =>
     w.nodes.every((n) => n.controller.replica.taskCounts(id).running === 2);
-  const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== hit);
+  const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== cancelledJob);
   assert.ok(
     w.advanceUntil(() => others.every(isPlaced), 30),
     'the others are placed',
   );
   assert.ok(w.now - from < 2000, `after ${w.now - from} ms`);
   w.advance(10);
-  assert.equal(w.running(hit).length, 0);
-  assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
+  assert.equal(w.running(cancelledJob).length, 0);
+  assert.deepEqual([...w.violations, ...historyViolations(w)], []);
 });
 
 test('a storm of cancellations: cancelled jobs are left out, the others of the same writes start', () => {
@@ -453,12 +453,12 @@
       'all others are done',
     );
     for (const id of w.cancelledAt.keys()) assert.equal(w.nodes[1].status(id)?.body['status'], 'aborted');
-    assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
+    assert.deepEqual([...w.violations, ...historyViolations(w)], []);
     assert.ok(
       w.advanceUntil(() => logKeys(w).length === 0, 60),
       'the log is truncated',
     );
-    sameEverywhere(w);
+    assertSameEverywhere(w);
   }
 });
 
@@ -488,7 +488,7 @@
       w.advanceUntil(() => users.over, 240),
       `seed ${seed}: not over`,
     );
-    assert.deepEqual([...w.violations, ...wrongInHistory(w)], [], `seed ${seed}`);
+    assert.deepEqual([...w.violations, ...historyViolations(w)], [], `seed ${seed}`);
   }
 });
 
@@ -497,7 +497,7 @@
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
-  const late = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
+  const lateTransaction = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
   // Checkpointed and dropped, then one task is placed anew elsewhere.
   assert.ok(
     w.advanceUntil(() => logKeys(w).length === 0, 60),
@@ -507,7 +507,7 @@
   w.workers.get(host)!.silent = true;
   assert.ok(w.advanceUntil(() => w.running('req-1').filter((r) => r.host !== host).length === 2, 200));
   w.advance(15);
-  assert.equal(w.state.commit(late).type, 'ok');
+  assert.equal(w.state.commit(lateTransaction).type, 'ok');
   w.advance(5);
   for (const n of w.nodes) {
     const placed = [...n.controller.replica.chunks.get('req-1')!.values()].flatMap((c) => c.placements);
@@ -526,14 +526,17 @@
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   w.taskDurationS = 3;
   const users = new Traffic(w, 500, () => ({ tasks: 2, cpus: 1 }));
-  let most = 0;
+  let maxRecords = 0;
   for (let i = 0; i < 150; i++) {
     w.advance(1);
-    most = Math.max(most, logKeys(w).length);
+    maxRecords = Math.max(maxRecords, logKeys(w).length);
   }
   users.stop();
-  const lastOnes = logKeys(w).length;
-  assert.ok(most < 120 && lastOnes < 120, `${most} records at most, ${lastOnes} at the end`);
+  const remainingRecords = logKeys(w).length;
+  assert.ok(
+    maxRecords < 120 && remainingRecords < 120,
+    `${maxRecords} records at most, ${remainingRecords} at the end`,
+  );
   assert.equal(w.running('req-1').length, 2);
   assert.deepEqual(w.violations, []);
 });
@@ -547,10 +550,10 @@
   w.serviceJobs.add('req-3');
   w.nodes[2].submit(spec('req-3', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-3').length === 2, 60));
-  const on = w.running('req-1').map((r) => r.host);
-  const wish = (data: Record<string, unknown>): void =>
+  const hostsBefore = w.running('req-1').map((r) => r.host);
+  const requestLevel = (data: Record<string, unknown>): void =>
     void w.state.commit({ conditions: [], writes: [{ key: 'dp/wish', data }] });
-  wish({ most: newestLevel - 1, lower: true });
+  requestLevel({ most: newestLevel - 1, lower: true });
   // What is cancelled meanwhile cannot be said in the log any more.
   assert.ok(
     w.advanceUntil(() => w.nodes[0].controller.replica.levels.state.writeLevel === newestLevel - 1, 60),
@@ -566,7 +569,7 @@
     if (key.startsWith('dp/t/')) assert.equal((data as Record<string, unknown>)['r'], undefined, key);
   restart(w, ownerOf(w)!, () => undefined);
   w.advance(20);
-  wish({});
+  requestLevel({});
   assert.ok(
     w.advanceUntil(() => levelOf(w).level === newestLevel, 60),
     'raised',
@@ -574,7 +577,7 @@
   assert.ok(w.advanceUntil(() => w.nodes[0].status('req-2')?.body['status'] === 'done', 300));
   assert.deepEqual(
     w.running('req-1').map((r) => r.host),
-    on,
+    hostsBefore,
   );
   assert.deepEqual(w.violations, []);
 });
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -8,20 +8,20 @@
 import { retryPolicies, seededRandom } from '../src/retry/index.js';
 import type { Transaction } from '../src/wire/store.js';
 
-const quiet = (): void => undefined;
+const noop = (): void => undefined;
 
 const listener = {
-  jobChanged: quiet,
-  machineChanged: quiet,
-  shardChanged: quiet,
-  criticalChange: quiet,
-  readabilityChanged: quiet,
-  levelChanged: quiet,
-  incarnationChanged: quiet,
+  jobChanged: noop,
+  machineChanged: noop,
+  shardChanged: noop,
+  criticalChange: noop,
+  readabilityChanged: noop,
+  levelChanged: noop,
+  incarnationChanged: noop,
 };
 
 /** A committer whose writes are answered at once, and the keys that it wrote, in order. */
-class AnsweredCommitter {
+class BatcherHarness {
   readonly written: string[] = [];
   private epoch = 1;
   private readonly batcher: TransactionBatcher;
@@ -37,15 +37,15 @@
       workers: { report_s: 2.5, lease_s: 18, gang_wait_s: 30, gang_peer_s: 5, cancel_s: 38 },
       stateLeaseMs: 3600,
     } as unknown as Parameters<typeof retryPolicies>[0]);
-    this.batcher = new TransactionBatcher('run', limits, replica, retry.state, seededRandom(1), quiet);
+    this.batcher = new TransactionBatcher('run', limits, replica, retry.state, seededRandom(1), noop);
   }
 
-  add(key: string, rank: WritePriority): void {
+  add(key: string, priority: WritePriority): void {
     const txn: Transaction = { conditions: [], writes: [{ key, data: {} }] };
-    this.batcher.enqueue({ priority: rank, build: () => txn, onCommitted: quiet, onConflict: quiet });
+    this.batcher.enqueue({ priority, build: () => txn, onCommitted: noop, onConflict: noop });
   }
 
-  playUntil(now: number): void {
+  runUntil(now: number): void {
     for (let at = 0; at <= now; at += 20) {
       const out: Effect[] = [];
       this.batcher.tick(at, out);
@@ -60,21 +60,21 @@
 
 test('a placement of urgent work does not wait for hundreds of others', () => {
   const writesPerS = 10;
-  const committer = new AnsweredCommitter(writesPerS);
-  for (let i = 0; i < 300; i++) committer.add(`dp/t/req-${i}/0`, WritePriority.task);
-  committer.playUntil(2000);
-  committer.add('dp/t/req-999/0', WritePriority.urgent);
-  const before = committer.written.length;
-  committer.playUntil(4000);
-  const place = committer.written.indexOf('dp/t/req-999/0') - before;
-  assert.ok(place >= 0 && place < 3, `after ${place} others`);
+  const harness = new BatcherHarness(writesPerS);
+  for (let i = 0; i < 300; i++) harness.add(`dp/t/req-${i}/0`, WritePriority.task);
+  harness.runUntil(2000);
+  harness.add('dp/t/req-999/0', WritePriority.urgent);
+  const before = harness.written.length;
+  harness.runUntil(4000);
+  const position = harness.written.indexOf('dp/t/req-999/0') - before;
+  assert.ok(position >= 0 && position < 3, `after ${position} others`);
 });
 
 test('urgent placements do not keep everything else from being written', () => {
-  const committer = new AnsweredCommitter(10);
-  for (let i = 0; i < 300; i++) committer.add(`dp/t/req-${i}/0`, WritePriority.urgent);
-  for (let i = 0; i < 300; i++) committer.add(`dp/t/other-${i}/0`, WritePriority.task);
-  committer.playUntil(10_000);
-  const others = committer.written.filter((key) => key.includes('other')).length;
-  assert.ok(others >= committer.written.length / 3, `${others} of ${committer.written.length}`);
+  const harness = new BatcherHarness(10);
+  for (let i = 0; i < 300; i++) harness.add(`dp/t/req-${i}/0`, WritePriority.urgent);
+  for (let i = 0; i < 300; i++) harness.add(`dp/t/other-${i}/0`, WritePriority.task);
+  harness.runUntil(10_000);
+  const others = harness.written.filter((key) => key.includes('other')).length;
+  assert.ok(others >= harness.written.length / 3, `${others} of ${harness.written.length}`);
 });
