--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -1,4 +1,4 @@
-/** Stored forms of every record, also those that earlier builds wrote. */
+/** The formats of stored records, including those written by earlier builds. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -18,7 +18,7 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-/** State as the program before levels left it: made by `npm run roll -- --fixture`. */
+/** State written by a build without feature levels, created by `npm run roll -- --fixture`. */
 const beforeLevels = JSON.parse(
   readFileSync(new URL('../../../test/fixtures/before-levels.json', import.meta.url), 'utf8'),
 ) as { keys: Key[] };
@@ -26,7 +26,7 @@
 const dataOf = (w: World, key: string): Record<string, unknown> | undefined =>
   w.state.entries.get(key)?.data as Record<string, unknown> | undefined;
 
-test('state of the program before levels: every job goes on and ends once, cancelled ones are gone', () => {
+test('state of a build without feature levels: every job continues and finishes once, cancelled jobs are removed', () => {
   const w = found(beforeLevels.keys);
   w.capacity = 6;
   const placed = beforeLevels.keys.flatMap(({ key, data }) => {
@@ -49,14 +49,14 @@
   ] as const)
     for (const n of w.nodes) assert.equal(n.status(id)?.body['status'], status);
   assert.equal(w.starts.filter((s) => s.piece === 'req-6/0').length, 0);
-  // What is left is in the formats of the level: the small service in its own record, the cancelled one without tasks.
+  // The remaining records are in the formats of the level: the small service is stored inline, the cancelled job without tasks.
   assert.equal(dataOf(w, 'dp/j/req-4')?.['v'], 2);
   assert.ok(dataOf(w, 'dp/t/req-4/0') === undefined && dataOf(w, 'dp/t/req-5/0') === undefined);
   assert.deepEqual(w.violations, []);
 });
 
-// Guards against a newer program's fields that were gone after our next write.
-test('fields that this program does not know survive its writes', () => {
+// A newer program's fields used to be lost with the next write by this program.
+test('fields unknown to this program are preserved by its writes', () => {
   const w = new World(1);
   w.advance(5);
   const [n] = w.nodes;
@@ -91,7 +91,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('records that are damaged or of a later format are not acted on, not written over and not denied', () => {
+test('records that are damaged or in a later format are not acted on, not overwritten and not reported as missing', () => {
   const w = new World(3);
   w.capacity = 4;
   w.advance(5);
@@ -114,7 +114,7 @@
   for (const [key, data] of unreadable) put(w, key, data);
   w.advance(2);
   const running = w.running('req-1').length + w.running('req-2').length;
-  // Also for those who read everything anew, and for users.
+  // The same holds for controllers that have restarted, and for user requests.
   for (const x of w.nodes) {
     for (const id of ['req-1', 'req-7']) {
       assert.equal(x.status(id)?.status, 503);
@@ -127,7 +127,7 @@
     w.advance(8);
   }
   for (const [key, data] of unreadable) assert.deepEqual(dataOf(w, key), data, key);
-  // Nothing of theirs was stopped, forgotten or started again, and the others are served.
+  // No task of these jobs was stopped, forgotten or started again, and other jobs are accepted.
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   assert.equal(n.submit(spec('req-8', { team: 'red', tasks: 1 }))?.status, 201);
   const told = n.logLines.filter(([, what]) => what === 'record not acted on').map(([, , f]) => f?.['key']);
@@ -135,19 +135,19 @@
     unreadable.every(([key]) => told.includes(key)),
     told.join(),
   );
-  // No machine is taken for gone because its rental cannot be read.
+  // No machine is considered gone because the record of its rental is unreadable.
   put(w, block.key, { ...good, h: 7 });
   w.advance(20);
   assert.equal(w.workers.size, hosts);
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
-  // Put right again, it goes on.
+  // Once the records are repaired, the job continues.
   put(w, block.key, good);
   put(w, 'dp/t/req-2/0', chunk);
   assert.ok(w.advanceUntil(() => n.status('req-2')?.body['status'] === 'done', 400));
   assert.deepEqual(w.violations, []);
 });
 
-test('a level that nobody here knows: all stand by, tell so once, write nothing, and go on when it is taken back', () => {
+test('unknown feature level: all controllers stand by, log it once, write nothing, and resume when it is reverted', () => {
   const w = new World(3);
   w.advance(5);
   const [n] = w.nodes;
@@ -171,14 +171,14 @@
   }
   put(w, 'dp/level', before);
   assert.ok(w.advanceUntil(() => n.status('req-2')?.body['status'] === 'done', 90));
-  // A level that cannot be read is nobody's to act under.
+  // Controllers also stand by if the level record is unreadable.
   put(w, 'dp/level', { level: 'high' });
   w.advance(1);
   assert.equal(n.submit(spec('req-4'))?.status, 503);
   assert.deepEqual(w.violations, []);
 });
 
-test('100,000 tasks in the old format: rewritten within the share, by one owner after the other, while others are served', () => {
+test('100,000 tasks in the old format are rewritten within the write share, across a change of owner, while users are served', () => {
   const { keys, placed } = manyTasks();
   const w = found(keys);
   w.capacity = 2;
@@ -202,8 +202,8 @@
   );
   const seconds = (w.now - from) / 1000;
   const writes = 2 * 400;
-  // A tenth of 40 writes a second, less the time without an owner.
-  assert.ok(writes / seconds > 2 && writes / seconds <= 4.2, `${writes / seconds} writes a second`);
+  // At most a tenth of 40 writes per second, and less during the time without an owner.
+  assert.ok(writes / seconds > 2 && writes / seconds <= 4.2, `${writes / seconds} writes per second`);
   const progressLines = w.nodes
     .flatMap((n) => n.logLines)
     .filter(([, what]) => /records? rewritten|rewriting/.test(what));
@@ -218,7 +218,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('lowering is refused while something stored needs the level, with what to do', () => {
+test('lowering is refused while a stored record needs the level, and the note says what to do', () => {
   const w = new World(2);
   w.advance(5);
   assert.equal(levelOf(w).level, newestLevel);
@@ -238,7 +238,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('cancelled while its tasks are in its own record: what may run stays counted until it is proven gone', () => {
+test('a job cancelled with inline task state: tasks that may still run count towards the limit until proven gone', () => {
   const w = new World(3);
   w.advance(5);
   const [n] = w.nodes;
@@ -249,7 +249,7 @@
   const owner = ownerOf(w)!;
   const other = w.nodes.find((x) => x !== owner)!;
   assert.equal(other.cancel('req-1')?.body['status'], 'aborted');
-  // Its team's limit is 16: with both still there, nothing else may start, also under a new owner.
+  // The team's limit is 16 CPUs: while both tasks count, no other task may start, even under a new owner.
   owner.alive = false;
   assert.equal(other.submit(spec('req-2', { tasks: 1, team: 'red', cpus: 8 }))?.status, 201);
   w.advance(14);
@@ -260,12 +260,12 @@
   assert.deepEqual(dataOf(w, 'dp/j/req-1')?.['u'], cancelledJobDataOf(0, spec('req-1', { cpus: 8 }))['u']);
 });
 
-test('wholeJobData keeps the description where a program that knows only format 1 does not find it', () => {
+test('inlineJobData stores the job specification under a name that a program that knows only format 1 does not read', () => {
   const data = inlineJobData(spec('req-1'), 1, chunkData(emptyChunkState));
   assert.ok(!('spec' in data) && 'job' in data);
 });
 
-test('leaving in order: handed on at once, nobody is turned away, and nothing is lost', () => {
+test('graceful shutdown: shards and leadership are handed over at once, no request is rejected and no job is lost', () => {
   for (const who of [ownerOf, leaderOf]) {
     const w = new World(3);
     w.advance(5);
@@ -294,7 +294,7 @@
   }
 });
 
-test('a limit counts what nobody can read: a job whose tasks are not known takes all that it could', () => {
+test('team limits count unreadable task state: a job whose tasks are unknown counts in full', () => {
   const w = new World(2);
   w.advance(5);
   const [n] = w.nodes;
@@ -312,7 +312,7 @@
   w.advance(6);
   assert.equal(n.submit(spec('req-2', { tasks: 1, team: 'red', cpus: 6 }))?.status, 201);
   w.advance(40);
-  // 12 of 16 CPUs are taken by what was there.
+  // The first job takes 12 of 16 CPUs.
   assert.equal(w.running('req-1').length, 2);
   assert.equal(w.starts.filter((s) => s.piece.startsWith('req-2/')).length, 0);
   put(w, 'dp/t/req-1/0', chunk);
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -1,19 +1,21 @@
-/** Records put into the scripted state service by hand, as earlier builds stored them. */
+/** Writes records directly into the scripted state service, as earlier builds stored them. */
 import { BitSet, chunkData, openJobData } from '../../src/core/storage/index.js';
 import { spec } from './fixtures.js';
 import { World } from './world.js';
 
+/** A key of the state service and its value. */
 export interface Key {
   key: string;
   data: Record<string, unknown>;
 }
-/** Job, index, attempt, machine. */
+/** A placement: job, task index, attempt, machine. */
 export type Placing = [string, number, number, string];
 
+/** Writes a record; undefined deletes it. */
 export const put = (w: World, key: string, data: Record<string, unknown> | undefined): void =>
   void w.state.commit({ conditions: [], writes: [{ key, data }] });
 
-/** A world whose controllers find this state when they start. */
+/** A simulated cluster whose controllers find these records when they start. */
 export function found(keys: Key[], nodes = 3): World {
   const w = new World(nodes);
   for (const { key, data } of keys) if (!/^dp\/(node|lead)/.test(key)) put(w, key, data);
@@ -21,7 +23,7 @@
   return w;
 }
 
-/** Its workers run what the state says is placed. */
+/** Adds workers that run the given placements. */
 export function withWorkers(w: World, placed: Placing[]): void {
   const hosts = [...new Set(placed.map((p) => p[3]))].sort();
   for (let n = 1; n <= Number(hosts.at(-1)?.slice(2)); n++)
@@ -33,9 +35,10 @@
     });
 }
 
+/** The state of a chunk without placements. */
 export const emptyChunkState = { lastAttempt: 0, done: new BitSet(), placements: [], failedHosts: [] };
 
-/** State of the old format with 100,000 tasks: 400 small services that run, and large arrays that wait. */
+/** Records in the old format with 100,000 tasks: 400 small running services, and large arrays that wait for machines. */
 export function manyTasks(): { keys: Key[]; placed: Placing[] } {
   const keys: Key[] = [];
   const placed: Placing[] = [];
@@ -52,7 +55,7 @@
       data: chunkData({ ...emptyChunkState, lastAttempt: 8, placements: p }),
     });
   }
-  // They wait for a kind of machine that is not to be had.
+  // These jobs wait for machines of a type and zone that are not available.
   for (let i = 0; i < 968; i++)
     keys.push({
       key: `dp/j/req-${5000 + i}`,
--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -1,4 +1,4 @@
-/** What the transactions of a world must say of the task log, whatever happened in it. */
+/** Invariants of the task log that the transactions of a simulated cluster must satisfy. */
 import { parseKey, decodeLogRecord } from '../../src/core/storage/index.js';
 import { taskKey } from '../../src/model/job.js';
 import type { Write } from '../../src/wire/store.js';
@@ -12,6 +12,7 @@
   host: string;
 }
 
+/** The placements that a write contains: in the log, in a chunk record, or in the record of a job. */
 function placementsOf({ key, data }: Write): TaskPlacement[] {
   const ref = parseKey(key);
   if (!data || !ref) return [];
@@ -24,7 +25,7 @@
   return (tasks?.p ?? []).map(([index, , host]) => ({ job: ref.id, index, host }));
 }
 
-/** What was wrong: a log written under a grant that was over, placements after a cancellation, starts before the commit. */
+/** Violations: log records written under an expired grant, placements after a cancellation, starts before the commit. */
 export function historyViolations(w: World): string[] {
   const violations: string[] = [];
   const cancelled = new Set<string>();
@@ -37,14 +38,15 @@
       if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.revision);
       const log = /^dp\/log\/(\d+)\/(\d+)-/.exec(write.key);
       if (log && write.data && grants.get(log[1]) !== Number(log[2]))
-        violations.push(`${write.key}: grant is over`);
+        violations.push(`${write.key}: written under an expired grant`);
       for (const { job, index, host } of placementsOf(write)) {
         const placement = `${taskKey(job, index)} ${host}`;
-        if (log && cancelled.has(job)) violations.push(`${placement}: placed after its cancellation`);
+        if (log && cancelled.has(job))
+          violations.push(`${placement}: placed after the cancellation of its job`);
         if (!placedAt.has(placement)) placedAt.set(placement, at);
       }
     }
-    // A cancellation and a placement of one transaction are the owner's own: it starts nothing of it.
+    // A cancellation and a placement in the same transaction are both the owner's: it does not start the task.
     for (const { key, data } of txn.writes) {
       const ref = parseKey(key);
       if (ref?.kind === 'job' && data?.['s'] === 'cancelled') cancelled.add(ref.id);
@@ -52,6 +54,6 @@
   }
   for (const { piece, host, at } of w.starts)
     if (!((placedAt.get(`${piece} ${host}`) ?? Infinity) <= at))
-      violations.push(`${piece} ${host}: started before`);
+      violations.push(`${piece} ${host}: started before its placement was committed`);
   return violations;
 }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -1,4 +1,4 @@
-/** The task log: entries in any order of arrival, group commit, truncation, cancellations, faults, the way back. */
+/** The task log: records that arrive in any order, group commit, truncation, cancellations, faults, and lowering the level. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -40,7 +40,7 @@
 
 const size = 8;
 
-/** A chunk's state with its placements and ends as lists, to compare. */
+/** A chunk's state in a form that can be compared. */
 const comparableState = (c: ChunkRecord): object => ({
   last: c.lastAttempt,
   done: Array.from({ length: size }, (_, i) => c.done.has(i)),
@@ -48,13 +48,14 @@
   revision: c.version,
 });
 
+/** The entries of a chunk, and the states that they lead to. */
 interface History {
   entries: LogEntry[];
-  /** The state after each entry. */
+  /** The initial state, and the state after each entry. */
   states: ChunkRecord[];
 }
 
-/** A chunk whose tasks are placed, end or are done, as the numbers say. */
+/** The history of a chunk whose tasks are placed, terminate or complete, as determined by the numbers. */
 function historyOf(steps: readonly number[]): History {
   const history: History = { entries: [], states: [emptyChunk] };
   let last = 0;
@@ -94,7 +95,7 @@
   return history;
 }
 
-/** Follows one job's only chunk, as a replica does. */
+/** Follows the only chunk of a job, as a replica does. */
 class Follower {
   state: ChunkRecord | undefined;
   known = true;
@@ -118,7 +119,7 @@
 
 const steps = fc.array(fc.nat(100), { minLength: 1, maxLength: 20 });
 
-test('entries lead to the same state in whatever order they, and a checkpoint, arrive', () => {
+test('entries and a checkpoint lead to the same state in whatever order they arrive', () => {
   fc.assert(
     fc.property(steps, fc.nat(), fc.nat(), (list, checkpointAt, order) => {
       const { entries, states } = historyOf(list);
@@ -142,7 +143,7 @@
   );
 });
 
-test('an entry that arrives once more, late, changes nothing', () => {
+test('an entry that arrives again later changes nothing', () => {
   fc.assert(
     fc.property(steps, fc.nat(), (list, which) => {
       const { entries, states } = historyOf(list);
@@ -155,7 +156,7 @@
   );
 });
 
-test('a record that was dropped before its turn came leaves nothing behind', () => {
+test('a record that is deleted while its entry waits for a predecessor leaves no entry waiting', () => {
   const { entries } = historyOf([1, 2, 3]);
   const follower = new Follower();
   follower.put(2, entries[2]);
@@ -166,14 +167,14 @@
   assert.equal(follower.reader.size, 2);
 });
 
-test('an entry survives being stored', () => {
+test('entries are unchanged after encoding and decoding', () => {
   const { entries, states } = historyOf([1, 2, 1, 3, 3]);
   const read = decodeLogRecord(JSON.parse(JSON.stringify(encodeLogRecord(entries))));
   const state = read.reduce(applyEntry, { ...emptyChunk, done: new BitSet() });
   assert.deepEqual(comparableState(state), comparableState(states.at(-1)!));
 });
 
-test('a log is truncated from its oldest end; what keeps an old record there is checkpointed', () => {
+test('a log is truncated from its oldest end, and chunks that keep old records are checkpointed', () => {
   const item = (job: string, to: number): EntryRef => ({ job, chunk: 0, toVersion: to });
   const record = (n: number, items: EntryRef[]) => ({
     key: `k${n}`,
@@ -190,7 +191,7 @@
   };
   const truncation = new TruncationPlanner(10_000, 4);
   const keys = (now: number): string[] => truncation.plan(records, known, now).deletable.map((r) => r.key);
-  // The third is over as well, but the second stays.
+  // The third record is obsolete as well, but the second, older one is still needed.
   assert.deepEqual(keys(0), ['k1']);
   assert.deepEqual(truncation.plan(records, known, 9000).toCheckpoint, []);
   assert.deepEqual(truncation.plan(records, known, 11_000).toCheckpoint, [item('b', 1)]);
@@ -198,7 +199,7 @@
   assert.deepEqual(keys(12_000), ['k1', 'k2', 'k3']);
 });
 
-test('an older checkpoint that is read late does not take the place of what the log has told since', () => {
+test('an older checkpoint that is read late does not overwrite the newer state from the log', () => {
   const noop = (): void => undefined;
   const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
   const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
@@ -232,7 +233,7 @@
   return w;
 }
 
-/** Every controller has the same of each job's tasks, and the state service says the same to one that starts anew. */
+/** Asserts that all live controllers hold the same state of each job's tasks. */
 function assertSameEverywhere(w: World): void {
   const chunkStatesOf = (n: Node): string =>
     JSON.stringify(
@@ -247,11 +248,11 @@
   for (const other of others) assert.equal(other, first);
 }
 
-/** Writes of the states of tasks: in the log, in records of their own, or in their job's. */
+/** Whether a write contains task state: in the log, in a chunk record, or in the record of a job. */
 const isTaskWrite = ({ key, data }: Write): boolean =>
   /^dp\/(log|t)\//.test(key) || (data?.['t'] !== undefined && data['s'] === 'open');
 
-test('placements and ends of many jobs share writes', () => {
+test('placements and terminations of many jobs share writes', () => {
   const jobs = 200;
   const tasks = 4;
   const run = (over: Record<string, number>): { writesPerStart: number; violations: string[] } => {
@@ -272,11 +273,11 @@
   };
   const [without, logged] = [run({}), run(taskLogEnabled)];
   assert.deepEqual([...without.violations, ...logged.violations], []);
-  assert.ok(without.writesPerStart > 0.2, `${without.writesPerStart} without`);
-  assert.ok(logged.writesPerStart < 0.03, `${logged.writesPerStart} with it`);
+  assert.ok(without.writesPerStart > 0.2, `${without.writesPerStart} writes per start without the log`);
+  assert.ok(logged.writesPerStart < 0.03, `${logged.writesPerStart} writes per start with the log`);
 });
 
-test('commit before start: a crash between the write of the log and the starts loses nothing, starts nothing twice', () => {
+test('commit before start: a crash between the log write and the task starts loses no task and starts none twice', () => {
   for (const seed of [1, 2, 3]) {
     const w = logWorld(seed);
     w.nodes[0].submit(spec('req-1', { tasks: 6, team: 'blue' }));
@@ -291,7 +292,7 @@
   }
 });
 
-test('a record holds no more than a value may: cancelled jobs that do not fit are cleared by the next', () => {
+test('a record does not exceed the value size limit: cancelled jobs that do not fit are cleared by the next one', () => {
   const noop = (): void => undefined;
   const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
   const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
@@ -327,7 +328,7 @@
   assert.deepEqual(cleared, jobs);
 });
 
-test('a refused write is built again without the job that was cancelled, before the view has caught up', () => {
+test('a conflicting write is rebuilt without the cancelled job before the replica has caught up', () => {
   const noop = (): void => undefined;
   const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
   const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
@@ -369,7 +370,7 @@
   writer.tick(0);
   assert.deepEqual(jobsOf(pendingWrites[1].build()), ['req-1', 'req-3']);
   assert.deepEqual(blocked, ['req-2']);
-  // Cancelled jobs are cleared by the shard's owner only, also where the writer was asked before it lost the shard.
+  // Only the shard's owner clears cancelled jobs, even if the writer was asked to do so before it lost the shard.
   const placed = [{ index: 0, attempt: 1, host: 'n-1' }];
   const nothing = { done: [], removed: [], failedHosts: null };
   const entry = {
@@ -390,7 +391,7 @@
   assert.equal(pendingWrites[2].build(), null);
 });
 
-test('when a job of a write was cancelled meanwhile, the others are written again before the view has caught up', () => {
+test('if a job in a write has been cancelled, the other jobs are written again before the replica has caught up', () => {
   const w = logWorld(6);
   w.taskDurationS = 60;
   w.state.writesPerS = 40;
@@ -400,7 +401,7 @@
       requestId: 8000 + i,
       spec: spec(`req-${i}`, { tasks: 2, team: 'blue', cpus: 1 }),
     });
-  // Somebody cancels one of them just before the owner's write comes to the state service.
+  // A user cancels one of the jobs just before the owner's write reaches the state service.
   let cancelledJob = '';
   w.state.beforeCommit = (txn) => {
     const record = txn.writes.find((a) => a.key.startsWith('dp/log/') && a.data);
@@ -422,15 +423,15 @@
   const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== cancelledJob);
   assert.ok(
     w.advanceUntil(() => others.every(isPlaced), 30),
-    'the others are placed',
+    'the other jobs are placed',
   );
-  assert.ok(w.now - from < 2000, `after ${w.now - from} ms`);
+  assert.ok(w.now - from < 2000, `placed after ${w.now - from} ms`);
   w.advance(10);
   assert.equal(w.running(cancelledJob).length, 0);
   assert.deepEqual([...w.violations, ...historyViolations(w)], []);
 });
 
-test('a storm of cancellations: cancelled jobs are left out, the others of the same writes start', () => {
+test('many concurrent cancellations: cancelled jobs are left out, other jobs in the same writes start', () => {
   for (const seed of [1, 2, 3, 4]) {
     const w = logWorld(seed);
     w.taskDurationS = 30;
@@ -450,7 +451,7 @@
     const done = (id: string): boolean => w.nodes[0].status(id)?.body['status'] === 'done';
     assert.ok(
       w.advanceUntil(() => kept.every(done), 240),
-      'all others are done',
+      'all other jobs are done',
     );
     for (const id of w.cancelledAt.keys()) assert.equal(w.nodes[1].status(id)?.body['status'], 'aborted');
     assert.deepEqual([...w.violations, ...historyViolations(w)], []);
@@ -462,7 +463,7 @@
   }
 });
 
-test('answers to writes of the log get lost, transactions are carried out late, owners die: no rule is broken', () => {
+test('lost responses to log writes, late transactions and crashes of owners violate no invariant', () => {
   for (const seed of [1, 2, 3, 4]) {
     const w = logWorld(seed);
     w.taskDurationS = 8;
@@ -486,22 +487,22 @@
     users.stop();
     assert.ok(
       w.advanceUntil(() => users.over, 240),
-      `seed ${seed}: not over`,
+      `seed ${seed}: jobs did not finish`,
     );
     assert.deepEqual([...w.violations, ...historyViolations(w)], [], `seed ${seed}`);
   }
 });
 
-test('a write of the log that is carried out long after its record was dropped brings nothing back', () => {
+test('a log write that is executed long after its record was deleted does not restore old placements', () => {
   const w = logWorld(1, { 'task-log-leases': 0.5 });
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   const lateTransaction = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
-  // Checkpointed and dropped, then one task is placed anew elsewhere.
+  // The record is checkpointed and deleted, then one task is placed again on another machine.
   assert.ok(
     w.advanceUntil(() => logKeys(w).length === 0, 60),
-    'dropped',
+    'the log records are deleted',
   );
   const [{ host }] = w.running('req-1');
   w.workers.get(host)!.silent = true;
@@ -519,7 +520,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('a log that services keep is checkpointed: it does not grow with what came and went', () => {
+test('a log kept by long-running services is checkpointed, so it does not grow with short jobs', () => {
   const w = logWorld(2, { 'task-log-leases': 1 });
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
@@ -541,7 +542,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('the level is lowered with work in the log, and raised again: nothing is lost, no record of the log stays', () => {
+test('the level is lowered with work in the log and raised again: no task is lost and no log record remains', () => {
   const w = logWorld(3);
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
@@ -554,17 +555,17 @@
   const requestLevel = (data: Record<string, unknown>): void =>
     void w.state.commit({ conditions: [], writes: [{ key: 'dp/wish', data }] });
   requestLevel({ most: newestLevel - 1, lower: true });
-  // What is cancelled meanwhile cannot be said in the log any more.
+  // A job that is cancelled while the level is being lowered can no longer be recorded in the log.
   assert.ok(
     w.advanceUntil(() => w.nodes[0].controller.replica.levels.state.writeLevel === newestLevel - 1, 60),
   );
   assert.equal(w.nodes[0].cancel('req-3')?.body['status'], 'aborted');
   assert.ok(
     w.advanceUntil(() => levelOf(w).level === newestLevel - 1, 90),
-    'lowered',
+    'the level is lowered',
   );
   assert.deepEqual(logKeys(w), []);
-  // Nothing that is stored names a revision of the log any more.
+  // No stored chunk record includes a version of the log any more.
   for (const { key, data } of w.state.entries.values())
     if (key.startsWith('dp/t/')) assert.equal((data as Record<string, unknown>)['r'], undefined, key);
   restart(w, ownerOf(w)!, () => undefined);
@@ -572,7 +573,7 @@
   requestLevel({});
   assert.ok(
     w.advanceUntil(() => levelOf(w).level === newestLevel, 60),
-    'raised',
+    'the level is raised',
   );
   assert.ok(w.advanceUntil(() => w.nodes[0].status('req-2')?.body['status'] === 'done', 300));
   assert.deepEqual(
@@ -582,7 +583,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('what only the log says is among what a controller brings back after a loss', () => {
+test('task state that is only in the log is among the recovery records of a controller', () => {
   const w = logWorld(4);
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
@@ -594,7 +595,7 @@
   assert.ok(told.r > 0);
 });
 
-test('a record of the log that cannot be read: nobody acts on a part of what is placed', () => {
+test('an unreadable log record: controllers stand by rather than act on incomplete placements', () => {
   const w = logWorld(5);
   w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: { e: [['req-9', 0]] } }] });
   w.advance(3);
--- a/test/transaction-batcher.test.ts
+++ b/test/transaction-batcher.test.ts
@@ -1,4 +1,4 @@
-/** What the committer writes first when the state service's budget is short. */
+/** The order in which the transaction batcher sends writes when the write budget is short. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TransactionBatcher, WritePriority } from '../src/core/storage/index.js';
@@ -20,7 +20,7 @@
   incarnationChanged: noop,
 };
 
-/** A committer whose writes are answered at once, and the keys that it wrote, in order. */
+/** A transaction batcher whose transactions are committed at once, and the keys that it wrote, in order. */
 class BatcherHarness {
   readonly written: string[] = [];
   private epoch = 1;
@@ -58,7 +58,7 @@
   }
 }
 
-test('a placement of urgent work does not wait for hundreds of others', () => {
+test('a placement of an urgent job does not wait for hundreds of other placements', () => {
   const writesPerS = 10;
   const harness = new BatcherHarness(writesPerS);
   for (let i = 0; i < 300; i++) harness.add(`dp/t/req-${i}/0`, WritePriority.task);
@@ -67,14 +67,17 @@
   const before = harness.written.length;
   harness.runUntil(4000);
   const position = harness.written.indexOf('dp/t/req-999/0') - before;
-  assert.ok(position >= 0 && position < 3, `after ${position} others`);
+  assert.ok(position >= 0 && position < 3, `written after ${position} other placements`);
 });
 
-test('urgent placements do not keep everything else from being written', () => {
+test('urgent placements do not starve other writes', () => {
   const harness = new BatcherHarness(10);
   for (let i = 0; i < 300; i++) harness.add(`dp/t/req-${i}/0`, WritePriority.urgent);
   for (let i = 0; i < 300; i++) harness.add(`dp/t/other-${i}/0`, WritePriority.task);
   harness.runUntil(10_000);
   const others = harness.written.filter((key) => key.includes('other')).length;
-  assert.ok(others >= harness.written.length / 3, `${others} of ${harness.written.length}`);
+  assert.ok(
+    others >= harness.written.length / 3,
+    `${others} of ${harness.written.length} writes were not urgent`,
+  );
 });
