--- a/src/core/storage/job-finalizer.ts
+++ b/src/core/storage/job-finalizer.ts
@@ -33,7 +33,10 @@
     }
   }
 
-  /** Called when every task is done: records the completion of the job and deletes its chunk records in one transaction. */
+  /**
+   * Called when every task is done: in one transaction, records the completion of the job and deletes as many of its chunk
+   * records as fit.
+   */
   finalize(job: ScheduledJob): void {
     if (job.finalizing) return;
     job.finalizing = true;
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -42,7 +42,7 @@
   state: JobState;
   /** null once the job is over: only its outcome is stored then. */
   spec: JobSpec | null;
-  /** Time of day of acceptance, ms. */
+  /** Wall-clock time of acceptance, ms. */
   acceptedAt: number;
   taskCount: number;
   /** The resources of a cancelled job's tasks, which count as used until the tasks are proven to be gone. */
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -14,13 +14,14 @@
 import { chunkStateOf } from '../chunk-state.js';
 import { deltaBetween, emptyChunk, encodeLogRecord, encodedSize, type LogEntry } from './entry.js';
 
-/** The maximum size of a record: a share of the maximum size of a value, and of a fixed number of bytes. */
+/** A record may take this share of the maximum size of a value, or of `maxRecordBytes` if that is less. */
 const maxValueShare = 0.9;
 const maxRecordBytes = 40 * 1024;
 /** The share of a transaction's conditions that may be used for jobs with placements. */
 const conditionShare = 0.7;
-/** How long changes are collected while the budget is short, ms: those of urgent jobs, and other placements. */
+/** How long changes of urgent jobs are collected while the budget is short. */
 const urgentDelayMs = 100;
+/** How long other placements are collected while the budget is short. */
 const placementDelayMs = 250;
 /** Terminations are collected for this share of a report interval, unless they are written with placements earlier. */
 const terminationDelayShare = 0.25;
@@ -39,12 +40,17 @@
   onBlocked(job: ScheduledJob, chunk: TaskChunk, revision: number): void;
 }
 
+/** Limits of the log writer. */
 interface LogLimits {
+  /** The maximum size of a value in the state service, KB. */
   valueKb: number;
+  /** The maximum number of conditions of a transaction. */
   maxConditions: number;
+  /** The report interval of workers, s. */
   heartbeatS: number;
 }
 
+/** A chunk with changes to be written, and the time of the first of them, ms. */
 interface ChangedChunk {
   job: ScheduledJob;
   chunk: TaskChunk;
@@ -52,14 +58,15 @@
   since: number;
 }
 
+/** A changed chunk, and its entry in the write that was built last. */
 interface BuiltChange extends ChangedChunk {
   entry: LogEntry;
 }
 
-/** Gathers changes of many chunks into records of the task log (group commit). */
+/** Collects the changes of many chunks into records of the task log (group commit). */
 export class LogWriter {
   /** Chunks with changes to be written, in order of arrival. */
-  private readonly changed = new Map<TaskChunk, ChangedChunk>();
+  private readonly changedChunks = new Map<TaskChunk, ChangedChunk>();
   /** Cancelled jobs with no task left on any machine, and since when, ms: their remaining placements are to be removed. */
   private readonly clearedJobs = new Map<string, number>();
   /** The changes in the write that was built last. */
@@ -85,8 +92,8 @@
 
   /** Marks a chunk as changed, to be written with the next record that is due. */
   markChanged(job: ScheduledJob, chunk: TaskChunk, queuedWrite: { rank: WritePriority }, now: number): void {
-    const before = this.changed.get(chunk);
-    this.changed.set(chunk, { job, chunk, queuedWrite, since: before?.since ?? now });
+    const before = this.changedChunks.get(chunk);
+    this.changedChunks.set(chunk, { job, chunk, queuedWrite, since: before?.since ?? now });
   }
 
   /** Removes the placements of a cancelled job that has no task left on any machine. */
@@ -107,7 +114,7 @@
   }
 
   private isDue(now: number): boolean {
-    for (const waiting of this.changed.values())
+    for (const waiting of this.changedChunks.values())
       if (now - waiting.since >= this.delayOf(waiting)) return true;
     for (const since of this.clearedJobs.values()) if (now - since >= this.terminationDelayMs) return true;
     return false;
@@ -150,7 +157,7 @@
 
   /** Builds as many changes as fit into one record, those of urgent jobs first. */
   private buildChanges(conditions: Condition[]): { entries: LogEntry[]; bytes: number } {
-    const changed = [...this.changed.values()].sort((a, b) => urgencyOf(b) - urgencyOf(a));
+    const changed = [...this.changedChunks.values()].sort((a, b) => urgencyOf(b) - urgencyOf(a));
     const conditionedJobs = new Set<string>();
     let bytes = 0;
     for (const change of changed) {
@@ -173,12 +180,12 @@
   /** The entry for a change; null if it need not be written any more, or cannot be written now. */
   private entryOf({ job, chunk, queuedWrite }: ChangedChunk): LogEntry | null {
     if (chunk.queuedWrite !== queuedWrite || !this.owner.isWritable(job)) {
-      this.changed.delete(chunk);
+      this.changedChunks.delete(chunk);
       if (chunk.queuedWrite === queuedWrite) chunk.queuedWrite = null;
       return null;
     }
     if (this.replica.watchRevision < chunk.writeBlockedUntilRevision) {
-      this.changed.delete(chunk);
+      this.changedChunks.delete(chunk);
       chunk.queuedWrite = null;
       this.owner.onBlocked(job, chunk, chunk.writeBlockedUntilRevision);
       return null;
@@ -254,7 +261,7 @@
   }
 
   private forget(chunk: TaskChunk, queuedWrite: ChangedChunk['queuedWrite']): void {
-    if (this.changed.get(chunk)?.queuedWrite === queuedWrite) this.changed.delete(chunk);
+    if (this.changedChunks.get(chunk)?.queuedWrite === queuedWrite) this.changedChunks.delete(chunk);
     if (chunk.queuedWrite === queuedWrite) chunk.queuedWrite = null;
   }
 }
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -43,7 +43,7 @@
  */
 export class TaskWriter {
   /** Chunks with terminations that are not queued for writing yet, oldest first. */
-  private readonly terminated = new Map<TaskChunk, { job: ScheduledJob; since: number }>();
+  private readonly pendingTerminations = new Map<TaskChunk, { job: ScheduledJob; since: number }>();
   /** Chunks whose write conflicted: retried once the replica has caught up. */
   private blockedChunks: { job: ScheduledJob; chunk: TaskChunk }[] = [];
   private readonly finalizer: JobFinalizer;
@@ -101,7 +101,7 @@
     // Replaces a queued write of lower priority, which is then skipped when it is built.
     const queuedWrite = { rank: priority };
     chunk.queuedWrite = queuedWrite;
-    this.terminated.delete(chunk);
+    this.pendingTerminations.delete(chunk);
     if (this.usesTaskLog(job))
       this.logWriterOf(job.shard).markChanged(job, chunk, queuedWrite, this.clock.now);
     else this.writeChunk(job, chunk, queuedWrite);
@@ -268,24 +268,24 @@
     if (chunk.queuedWrite !== null) return false;
     const queuedWrite = { rank: WritePriority.cleanup };
     chunk.queuedWrite = queuedWrite;
-    this.terminated.delete(chunk);
+    this.pendingTerminations.delete(chunk);
     this.writeChunk(job, chunk, queuedWrite);
     return true;
   }
 
   /** Notes a termination: it is written with the chunk's next placement, or after a delay with others of the chunk. */
   noteTermination(job: ScheduledJob, chunk: TaskChunk): void {
-    if (!chunk.queuedWrite && !this.terminated.has(chunk))
-      this.terminated.set(chunk, { job, since: this.clock.now });
+    if (!chunk.queuedWrite && !this.pendingTerminations.has(chunk))
+      this.pendingTerminations.set(chunk, { job, since: this.clock.now });
   }
 
   /** Queues the chunks whose terminations have been collected for long enough. */
   flushTerminations(): void {
     const delayMs = this.settings.workers.report_s * 1000 * terminationDelayShare;
-    for (const [chunk, e] of this.terminated) {
+    for (const [chunk, e] of this.pendingTerminations) {
       // The map is in order of age: all further chunks are newer.
       if (this.clock.now - e.since < delayMs) break;
-      this.terminated.delete(chunk);
+      this.pendingTerminations.delete(chunk);
       if (this.owner.jobs.get(e.job.id) === e.job && chunk.durableVersion < chunk.version)
         this.enqueue(e.job, chunk, WritePriority.cleanup);
     }
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -24,10 +24,12 @@
   readonly revision: number;
 }
 
-/** Additive increase and multiplicative decrease (AIMD) of the share of the write budget that a controller uses. */
+/** Additive increase and multiplicative decrease (AIMD) of the write rate of a controller. */
 const additiveIncrease = 0.02;
 const multiplicativeDecrease = 0.7;
+/** The maximum share of the write budget that a controller uses while it has no allocation. */
 const maxBudgetShare = 0.9;
+/** The lower bound of the factor by which rate limiting reduces the allocation. */
 const minAllocationFactor = 0.3;
 /** Weights of the priorities when all have waiting writes; what one does not use goes to the others, highest priority first. */
 const priorityWeights: Record<WritePriority, number> = {
@@ -58,8 +60,10 @@
   private blockedUntilRevision = -1;
   /** Whether the transaction in flight awaits a response; false: it is to be sent again. */
   private isSent = true;
+  /** No transaction is sent or resent before this time, ms. */
   private resendAt = 0;
   private readonly retries: RetryBackoff;
+  /** The token bucket: how many operations may be sent now. */
   private tokens: number;
   private refilledAt = -1;
   private sequence = 0;
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -9,8 +9,8 @@
   manyTasks,
   put,
   withWorkers,
-  type Key,
-  type Placing,
+  type KeyValue,
+  type PlacementTuple,
 } from './support/stored-state.js';
 import { newestLevel } from '../src/feature-levels/index.js';
 import { laterLevel, leaderOf, levelOf, ownerOf } from './support/rolls.js';
@@ -21,7 +21,7 @@
 /** State written by a build without feature levels, created by `npm run roll -- --fixture`. */
 const beforeLevels = JSON.parse(
   readFileSync(new URL('../../../test/fixtures/before-levels.json', import.meta.url), 'utf8'),
-) as { keys: Key[] };
+) as { keys: KeyValue[] };
 
 const dataOf = (w: World, key: string): Record<string, unknown> | undefined =>
   w.state.entries.get(key)?.data as Record<string, unknown> | undefined;
@@ -32,7 +32,7 @@
   const placed = beforeLevels.keys.flatMap(({ key, data }) => {
     const [, kind, job] = key.split('/');
     const p = data['p'] as [number, number, string][];
-    return kind === 't' ? p.map((x): Placing => [job, ...x]) : [];
+    return kind === 't' ? p.map((x): PlacementTuple => [job, ...x]) : [];
   });
   withWorkers(w, placed);
   w.serviceJobs.add('req-4');
@@ -130,10 +130,12 @@
   // No task of these jobs was stopped, forgotten or started again, and other jobs are accepted.
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   assert.equal(n.submit(spec('req-8', { team: 'red', tasks: 1 }))?.status, 201);
-  const told = n.logLines.filter(([, what]) => what === 'record not acted on').map(([, , f]) => f?.['key']);
+  const loggedKeys = n.logLines
+    .filter(([, what]) => what === 'record not acted on')
+    .map(([, , f]) => f?.['key']);
   assert.ok(
-    unreadable.every(([key]) => told.includes(key)),
-    told.join(),
+    unreadable.every(([key]) => loggedKeys.includes(key)),
+    loggedKeys.join(),
   );
   // No machine is considered gone because the record of its rental is unreadable.
   put(w, block.key, { ...good, h: 7 });
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -183,18 +183,19 @@
     entries: items,
   });
   const records = [record(1, [item('a', 1)]), record(2, [item('b', 1)]), record(3, [item('a', 2)])];
-  const over = new Set(['a']);
+  const finishedJobs = new Set(['a']);
   let checkpoint = 0;
-  const known = {
-    jobStatus: (job: string) => (over.has(job) ? ('over' as const) : ('followed' as const)),
+  const checkpoints = {
+    jobStatus: (job: string) => (finishedJobs.has(job) ? ('over' as const) : ('followed' as const)),
     checkpointVersionOf: () => checkpoint,
   };
   const truncation = new TruncationPlanner(10_000, 4);
-  const keys = (now: number): string[] => truncation.plan(records, known, now).deletable.map((r) => r.key);
+  const keys = (now: number): string[] =>
+    truncation.plan(records, checkpoints, now).deletable.map((r) => r.key);
   // The third record is obsolete as well, but the second, older one is still needed.
   assert.deepEqual(keys(0), ['k1']);
-  assert.deepEqual(truncation.plan(records, known, 9000).toCheckpoint, []);
-  assert.deepEqual(truncation.plan(records, known, 11_000).toCheckpoint, [item('b', 1)]);
+  assert.deepEqual(truncation.plan(records, checkpoints, 9000).toCheckpoint, []);
+  assert.deepEqual(truncation.plan(records, checkpoints, 11_000).toCheckpoint, [item('b', 1)]);
   checkpoint = 1;
   assert.deepEqual(keys(12_000), ['k1', 'k2', 'k3']);
 });
@@ -202,8 +203,8 @@
 test('an older checkpoint that is read late does not overwrite the newer state from the log', () => {
   const noop = (): void => undefined;
   const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
-  const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
-  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
+  const levelListener = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
+  const replica = new Replica({ ...listener, ...levelListener }, new FeatureLevels(capabilitiesOf('test')));
   const { entries, states } = historyOf([1, 2, 1, 3]);
   const job = openJobData(spec('req-1', { tasks: size }), 1);
   replica.apply({ key: 'dp/j/req-1', data: job, stamp: 1 });
@@ -224,8 +225,8 @@
 const logKeys = (w: World): string[] =>
   [...w.state.entries.keys()].filter((key) => key.startsWith('dp/log/'));
 
-function logWorld(seed = 1, over: Record<string, number> = {}): World {
-  const w = new World(3, { ...taskLogEnabled, ...over }, seed);
+function logWorld(seed = 1, overrides: Record<string, number> = {}): World {
+  const w = new World(3, { ...taskLogEnabled, ...overrides }, seed);
   w.capacity = 20;
   const ready = (): boolean =>
     levelOf(w).level === newestLevel && w.nodes.every((n) => n.controller.replica.machineTypes.length > 0);
@@ -255,8 +256,8 @@
 test('placements and terminations of many jobs share writes', () => {
   const jobs = 200;
   const tasks = 4;
-  const run = (over: Record<string, number>): { writesPerStart: number; violations: string[] } => {
-    const w = new World(3, over, 1);
+  const run = (overrides: Record<string, number>): { writesPerStart: number; violations: string[] } => {
+    const w = new World(3, overrides, 1);
     w.capacity = 60;
     w.taskDurationS = 20;
     w.advance(10);
@@ -295,8 +296,8 @@
 test('a record does not exceed the value size limit: cancelled jobs that do not fit are cleared by the next one', () => {
   const noop = (): void => undefined;
   const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
-  const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
-  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
+  const levelListener = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
+  const replica = new Replica({ ...listener, ...levelListener }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const pendingWrites: PendingWrite[] = [];
   const batcher = {
@@ -331,8 +332,8 @@
 test('a conflicting write is rebuilt without the cancelled job before the replica has caught up', () => {
   const noop = (): void => undefined;
   const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
-  const more = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
-  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
+  const levelListener = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
+  const replica = new Replica({ ...listener, ...levelListener }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
   const pendingWrites: PendingWrite[] = [];
   const batcher = {
@@ -590,9 +591,9 @@
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   assert.equal(w.state.entries.has('dp/t/req-1/0'), false);
   const { records } = collectRecoveryRecords(w.nodes[1].controller.replica, null, 1, 'test');
-  const told = records.get('dp/t/req-1/0') as { p: unknown[]; r: number };
-  assert.equal(told.p.length, 2);
-  assert.ok(told.r > 0);
+  const recovered = records.get('dp/t/req-1/0') as { p: unknown[]; r: number };
+  assert.equal(recovered.p.length, 2);
+  assert.ok(recovered.r > 0);
 });
 
 test('an unreadable log record: controllers stand by rather than act on incomplete placements', () => {
