--- a/test/support/task-log-history.ts
+++ b/test/support/task-log-history.ts
@@ -1,4 +1,4 @@
-/** What the transactions of a world must say of the task log, whatever happened in it. */
+/** Invariants of the task log that the transactions of a simulated cluster must satisfy. */
 import { parseKey, decodeLogRecord } from '../../src/core/storage/index.js';
 import { taskKey } from '../../src/model/job.js';
 import type { Write } from '../../src/wire/store.js';
@@ -6,13 +6,14 @@
 
 type StoredPlacement = [index: number, attempt: number, host: string];
 
-interface Placing {
+interface TaskPlacement {
   job: string;
   index: number;
   host: string;
 }
 
-function placementsOf({ key, data }: Write): Placing[] {
+/** The placements that a write contains: in the log, in a chunk record, or in the record of a job. */
+function placementsOf({ key, data }: Write): TaskPlacement[] {
   const ref = parseKey(key);
   if (!data || !ref) return [];
   if (ref.kind === 'log')
@@ -24,9 +25,9 @@
   return (tasks?.p ?? []).map(([index, , host]) => ({ job: ref.id, index, host }));
 }
 
-/** What was wrong: a log written under a grant that was over, placements after a cancellation, starts before the commit. */
-export function wrongInHistory(w: World): string[] {
-  const wrong: string[] = [];
+/** Violations: log records written under an expired grant, placements after a cancellation, starts before the commit. */
+export function historyViolations(w: World): string[] {
+  const violations: string[] = [];
   const cancelled = new Set<string>();
   const grants = new Map<string, number>();
   const placedAt = new Map<string, number>();
@@ -37,14 +38,15 @@
       if (ref?.kind === 'shard') grants.set(String(ref.shard), outcome.revision);
       const log = /^dp\/log\/(\d+)\/(\d+)-/.exec(write.key);
       if (log && write.data && grants.get(log[1]) !== Number(log[2]))
-        wrong.push(`${write.key}: grant is over`);
+        violations.push(`${write.key}: written under an expired grant`);
       for (const { job, index, host } of placementsOf(write)) {
-        const place = `${taskKey(job, index)} ${host}`;
-        if (log && cancelled.has(job)) wrong.push(`${place}: placed after its cancellation`);
-        if (!placedAt.has(place)) placedAt.set(place, at);
+        const placement = `${taskKey(job, index)} ${host}`;
+        if (log && cancelled.has(job))
+          violations.push(`${placement}: placed after the cancellation of its job`);
+        if (!placedAt.has(placement)) placedAt.set(placement, at);
       }
     }
-    // A cancellation and a placement of one transaction are the owner's own: it starts nothing of it.
+    // A cancellation and a placement in the same transaction are both the owner's: it does not start the task.
     for (const { key, data } of txn.writes) {
       const ref = parseKey(key);
       if (ref?.kind === 'job' && data?.['s'] === 'cancelled') cancelled.add(ref.id);
@@ -52,6 +54,6 @@
   }
   for (const { piece, host, at } of w.starts)
     if (!((placedAt.get(`${piece} ${host}`) ?? Infinity) <= at))
-      wrong.push(`${piece} ${host}: started before`);
-  return wrong;
+      violations.push(`${piece} ${host}: started before its placement was committed`);
+  return violations;
 }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -1,4 +1,4 @@
-/** The task log: entries in any order of arrival, group commit, truncation, cancellations, faults, the way back. */
+/** The task log: records that arrive in any order, group commit, truncation, cancellations, faults, and lowering the level. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -31,7 +31,7 @@
 import { createScheduledJob } from '../src/core/shard-state/jobs.js';
 import type { Placement } from '../src/core/shard-state/types.js';
 import { collectRecoveryRecords } from '../src/core/recovery-records.js';
-import { wrongInHistory } from './support/task-log-history.js';
+import { historyViolations } from './support/task-log-history.js';
 import { levelOf, ownerOf, restart } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import { type Node } from './support/controller-node.js';
@@ -40,21 +40,22 @@
 
 const size = 8;
 
-/** A chunk's state with its placements and ends as lists, to compare. */
-const plain = (c: ChunkRecord): object => ({
+/** A chunk's state in a form that can be compared. */
+const comparableState = (c: ChunkRecord): object => ({
   last: c.lastAttempt,
   done: Array.from({ length: size }, (_, i) => c.done.has(i)),
   placed: [...c.placements].sort((a, b) => a.index - b.index),
   revision: c.version,
 });
 
+/** The entries of a chunk, and the states that they lead to. */
 interface History {
   entries: LogEntry[];
-  /** The state after each entry. */
+  /** The initial state, and the state after each entry. */
   states: ChunkRecord[];
 }
 
-/** A chunk whose tasks are placed, end or are done, as the numbers say. */
+/** The history of a chunk whose tasks are placed, terminate or complete, as determined by the numbers. */
 function historyOf(steps: readonly number[]): History {
   const history: History = { entries: [], states: [emptyChunk] };
   let last = 0;
@@ -94,7 +95,7 @@
   return history;
 }
 
-/** Follows one job's only chunk, as a replica does. */
+/** Follows the only chunk of a job, as a replica does. */
 class Follower {
   state: ChunkRecord | undefined;
   known = true;
@@ -118,7 +119,7 @@
 
 const steps = fc.array(fc.nat(100), { minLength: 1, maxLength: 20 });
 
-test('entries lead to the same state in whatever order they, and a checkpoint, arrive', () => {
+test('entries and a checkpoint lead to the same state in whatever order they arrive', () => {
   fc.assert(
     fc.property(steps, fc.nat(), fc.nat(), (list, checkpointAt, order) => {
       const { entries, states } = historyOf(list);
@@ -137,25 +138,25 @@
         seed = (seed * 1103515245 + 12345) % 2147483648;
         arrivals.splice(seed % arrivals.length, 1)[0]();
       }
-      assert.deepEqual(plain(follower.state!), plain(states.at(-1)!));
+      assert.deepEqual(comparableState(follower.state!), comparableState(states.at(-1)!));
     }),
   );
 });
 
-test('an entry that arrives once more, late, changes nothing', () => {
+test('an entry that arrives again later changes nothing', () => {
   fc.assert(
     fc.property(steps, fc.nat(), (list, which) => {
       const { entries, states } = historyOf(list);
       const follower = new Follower();
       entries.forEach((entry, n) => follower.put(n, entry));
       follower.put(entries.length, entries[which % entries.length]);
-      assert.deepEqual(plain(follower.state!), plain(states.at(-1)!));
+      assert.deepEqual(comparableState(follower.state!), comparableState(states.at(-1)!));
       assert.equal(follower.reader.waitingCount, 0);
     }),
   );
 });
 
-test('a record that was dropped before its turn came leaves nothing behind', () => {
+test('a record that is deleted while its entry waits for a predecessor leaves no entry waiting', () => {
   const { entries } = historyOf([1, 2, 3]);
   const follower = new Follower();
   follower.put(2, entries[2]);
@@ -166,14 +167,14 @@
   assert.equal(follower.reader.size, 2);
 });
 
-test('an entry survives being stored', () => {
+test('entries are unchanged after encoding and decoding', () => {
   const { entries, states } = historyOf([1, 2, 1, 3, 3]);
   const read = decodeLogRecord(JSON.parse(JSON.stringify(encodeLogRecord(entries))));
   const state = read.reduce(applyEntry, { ...emptyChunk, done: new BitSet() });
-  assert.deepEqual(plain(state), plain(states.at(-1)!));
+  assert.deepEqual(comparableState(state), comparableState(states.at(-1)!));
 });
 
-test('a log is truncated from its oldest end; what keeps an old record there is checkpointed', () => {
+test('a log is truncated from its oldest end, and chunks that keep old records are checkpointed', () => {
   const item = (job: string, to: number): EntryRef => ({ job, chunk: 0, toVersion: to });
   const record = (n: number, items: EntryRef[]) => ({
     key: `k${n}`,
@@ -182,27 +183,28 @@
     entries: items,
   });
   const records = [record(1, [item('a', 1)]), record(2, [item('b', 1)]), record(3, [item('a', 2)])];
-  const over = new Set(['a']);
+  const finishedJobs = new Set(['a']);
   let checkpoint = 0;
-  const known = {
-    jobStatus: (job: string) => (over.has(job) ? ('over' as const) : ('followed' as const)),
+  const checkpoints = {
+    jobStatus: (job: string) => (finishedJobs.has(job) ? ('over' as const) : ('followed' as const)),
     checkpointVersionOf: () => checkpoint,
   };
   const truncation = new TruncationPlanner(10_000, 4);
-  const keys = (now: number): string[] => truncation.plan(records, known, now).deletable.map((r) => r.key);
-  // The third is over as well, but the second stays.
+  const keys = (now: number): string[] =>
+    truncation.plan(records, checkpoints, now).deletable.map((r) => r.key);
+  // The third record is obsolete as well, but the second, older one is still needed.
   assert.deepEqual(keys(0), ['k1']);
-  assert.deepEqual(truncation.plan(records, known, 9000).toCheckpoint, []);
-  assert.deepEqual(truncation.plan(records, known, 11_000).toCheckpoint, [item('b', 1)]);
+  assert.deepEqual(truncation.plan(records, checkpoints, 9000).toCheckpoint, []);
+  assert.deepEqual(truncation.plan(records, checkpoints, 11_000).toCheckpoint, [item('b', 1)]);
   checkpoint = 1;
   assert.deepEqual(keys(12_000), ['k1', 'k2', 'k3']);
 });
 
-test('an older checkpoint that is read late does not take the place of what the log has told since', () => {
-  const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
-  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
-  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
+test('an older checkpoint that is read late does not overwrite the newer state from the log', () => {
+  const noop = (): void => undefined;
+  const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
+  const levelListener = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
+  const replica = new Replica({ ...listener, ...levelListener }, new FeatureLevels(capabilitiesOf('test')));
   const { entries, states } = historyOf([1, 2, 1, 3]);
   const job = openJobData(spec('req-1', { tasks: size }), 1);
   replica.apply({ key: 'dp/j/req-1', data: job, stamp: 1 });
@@ -212,19 +214,19 @@
   const [, , old] = states;
   replica.apply({ key: 'dp/t/req-1/0', data: chunkData(old, old.version), stamp: 20 });
   const state = replica.chunks.get('req-1')!.get(0)!;
-  assert.deepEqual(plain(state), plain(states.at(-1)!));
+  assert.deepEqual(comparableState(state), comparableState(states.at(-1)!));
   assert.equal(state.checkpointVersion, old.version);
 });
 
 // ---- with controllers ----
 
-const withLog = { 'task-log': 1 };
+const taskLogEnabled = { 'task-log': 1 };
 
 const logKeys = (w: World): string[] =>
   [...w.state.entries.keys()].filter((key) => key.startsWith('dp/log/'));
 
-function logWorld(seed = 1, over: Record<string, number> = {}): World {
-  const w = new World(3, { ...withLog, ...over }, seed);
+function logWorld(seed = 1, overrides: Record<string, number> = {}): World {
+  const w = new World(3, { ...taskLogEnabled, ...overrides }, seed);
   w.capacity = 20;
   const ready = (): boolean =>
     levelOf(w).level === newestLevel && w.nodes.every((n) => n.controller.replica.machineTypes.length > 0);
@@ -232,9 +234,9 @@
   return w;
 }
 
-/** Every controller has the same of each job's tasks, and the state service says the same to one that starts anew. */
-function sameEverywhere(w: World): void {
-  const told = (n: Node): string =>
+/** Asserts that all live controllers hold the same state of each job's tasks. */
+function assertSameEverywhere(w: World): void {
+  const chunkStatesOf = (n: Node): string =>
     JSON.stringify(
       [...n.controller.replica.chunks]
         .map(([id, chunks]) => [
@@ -243,19 +245,19 @@
         ])
         .sort(),
     );
-  const [first, ...others] = w.nodes.filter((n) => n.alive).map(told);
+  const [first, ...others] = w.nodes.filter((n) => n.alive).map(chunkStatesOf);
   for (const other of others) assert.equal(other, first);
 }
 
-/** Writes of the states of tasks: in the log, in records of their own, or in their job's. */
+/** Whether a write contains task state: in the log, in a chunk record, or in the record of a job. */
 const isTaskWrite = ({ key, data }: Write): boolean =>
   /^dp\/(log|t)\//.test(key) || (data?.['t'] !== undefined && data['s'] === 'open');
 
-test('placements and ends of many jobs share writes', () => {
+test('placements and terminations of many jobs share writes', () => {
   const jobs = 200;
   const tasks = 4;
-  const play = (over: Record<string, number>): { writesAStart: number; broken: string[] } => {
-    const w = new World(3, over, 1);
+  const run = (overrides: Record<string, number>): { writesPerStart: number; violations: string[] } => {
+    const w = new World(3, overrides, 1);
     w.capacity = 60;
     w.taskDurationS = 20;
     w.advance(10);
@@ -268,15 +270,15 @@
     assert.ok(w.advanceUntil(() => w.finished.length === jobs * tasks, 300));
     w.advance(5);
     const written = w.commits.flatMap((c) => (c.outcome.type === 'ok' ? c.txn.writes : []));
-    return { writesAStart: written.filter(isTaskWrite).length / w.starts.length, broken: w.violations };
+    return { writesPerStart: written.filter(isTaskWrite).length / w.starts.length, violations: w.violations };
   };
-  const [without, logged] = [play({}), play(withLog)];
-  assert.deepEqual([...without.broken, ...logged.broken], []);
-  assert.ok(without.writesAStart > 0.2, `${without.writesAStart} without`);
-  assert.ok(logged.writesAStart < 0.03, `${logged.writesAStart} with it`);
+  const [without, logged] = [run({}), run(taskLogEnabled)];
+  assert.deepEqual([...without.violations, ...logged.violations], []);
+  assert.ok(without.writesPerStart > 0.2, `${without.writesPerStart} writes per start without the log`);
+  assert.ok(logged.writesPerStart < 0.03, `${logged.writesPerStart} writes per start with the log`);
 });
 
-test('commit before start: a crash between the write of the log and the starts loses nothing, starts nothing twice', () => {
+test('commit before start: a crash between the log write and the task starts loses no task and starts none twice', () => {
   for (const seed of [1, 2, 3]) {
     const w = logWorld(seed);
     w.nodes[0].submit(spec('req-1', { tasks: 6, team: 'blue' }));
@@ -286,28 +288,28 @@
     w.advance(6);
     owner.boot();
     assert.ok(w.advanceUntil(() => w.finished.length === 6, 120));
-    assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
-    sameEverywhere(w);
+    assert.deepEqual([...w.violations, ...historyViolations(w)], []);
+    assertSameEverywhere(w);
   }
 });
 
-test('a record holds no more than a value may: cancelled jobs that do not fit are cleared by the next', () => {
-  const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
-  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
-  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
+test('a record does not exceed the value size limit: cancelled jobs that do not fit are cleared by the next one', () => {
+  const noop = (): void => undefined;
+  const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
+  const levelListener = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
+  const replica = new Replica({ ...listener, ...levelListener }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
-  const intents: PendingWrite[] = [];
+  const pendingWrites: PendingWrite[] = [];
   const batcher = {
     isBudgetLow: false,
-    enqueue: (intent: PendingWrite) => intents.push(intent),
+    enqueue: (pending: PendingWrite) => pendingWrites.push(pending),
   } as unknown as TransactionBatcher;
   const valueKb = 1;
   const writer = new LogWriter(0, { valueKb, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
     isOwned: () => true,
     isWritable: () => true,
-    onDurable: quiet,
-    onBlocked: quiet,
+    onDurable: noop,
+    onBlocked: noop,
   });
   const jobs = Array.from({ length: 60 }, (_, i) => `req-${i + 1}`);
   for (const id of jobs) {
@@ -319,31 +321,31 @@
   const cleared: string[] = [];
   for (let now = 10_000; cleared.length < jobs.length && now < 20_000; now += 1000) {
     writer.tick(now);
-    const { data } = intents.at(-1)!.build()!.writes[0];
+    const { data } = pendingWrites.at(-1)!.build()!.writes[0];
     assert.ok(JSON.stringify(data).length <= valueKb * 1024);
     cleared.push(...decodeLogRecord(data).map((e) => e.job));
-    intents.at(-1)!.onCommitted(8);
+    pendingWrites.at(-1)!.onCommitted(8);
   }
   assert.deepEqual(cleared, jobs);
 });
 
-test('a refused write is built again without the job that was cancelled, before the view has caught up', () => {
-  const quiet = (): void => undefined;
-  const listener = { jobChanged: quiet, machineChanged: quiet, shardChanged: quiet, criticalChange: quiet };
-  const more = { readabilityChanged: quiet, levelChanged: quiet, incarnationChanged: quiet };
-  const replica = new Replica({ ...listener, ...more }, new FeatureLevels(capabilitiesOf('test')));
+test('a conflicting write is rebuilt without the cancelled job before the replica has caught up', () => {
+  const noop = (): void => undefined;
+  const listener = { jobChanged: noop, machineChanged: noop, shardChanged: noop, criticalChange: noop };
+  const levelListener = { readabilityChanged: noop, levelChanged: noop, incarnationChanged: noop };
+  const replica = new Replica({ ...listener, ...levelListener }, new FeatureLevels(capabilitiesOf('test')));
   replica.apply({ key: 'dp/shard/0', data: { owner: 'n0', run: 'r' }, stamp: 5 });
-  const intents: PendingWrite[] = [];
+  const pendingWrites: PendingWrite[] = [];
   const batcher = {
     isBudgetLow: false,
-    enqueue: (intent: PendingWrite) => intents.push(intent),
+    enqueue: (pending: PendingWrite) => pendingWrites.push(pending),
   } as unknown as TransactionBatcher;
   const blocked: string[] = [];
   let owned = true;
   const writer = new LogWriter(0, { valueKb: 32, maxConditions: 96, heartbeatS: 2 }, replica, batcher, {
     isOwned: () => owned,
     isWritable: () => true,
-    onDurable: quiet,
+    onDurable: noop,
     onBlocked: (job) => blocked.push(job.id),
   });
   for (const id of ['req-1', 'req-2', 'req-3']) {
@@ -364,12 +366,12 @@
   const jobsOf = (txn: Transaction | null): string[] =>
     decodeLogRecord(txn!.writes[0].data).map((e) => e.job);
   writer.tick(0);
-  assert.deepEqual(jobsOf(intents[0].build()), ['req-1', 'req-2', 'req-3']);
-  intents[0].onConflict(['dp/j/req-2'], 99);
+  assert.deepEqual(jobsOf(pendingWrites[0].build()), ['req-1', 'req-2', 'req-3']);
+  pendingWrites[0].onConflict(['dp/j/req-2'], 99);
   writer.tick(0);
-  assert.deepEqual(jobsOf(intents[1].build()), ['req-1', 'req-3']);
+  assert.deepEqual(jobsOf(pendingWrites[1].build()), ['req-1', 'req-3']);
   assert.deepEqual(blocked, ['req-2']);
-  // Cancelled jobs are cleared by the shard's owner only, also where the writer was asked before it lost the shard.
+  // Only the shard's owner clears cancelled jobs, even if the writer was asked to do so before it lost the shard.
   const placed = [{ index: 0, attempt: 1, host: 'n-1' }];
   const nothing = { done: [], removed: [], failedHosts: null };
   const entry = {
@@ -382,15 +384,15 @@
     ...nothing,
   };
   replica.apply({ key: 'dp/log/0/5-9', data: encodeLogRecord([entry]), stamp: 7 });
-  intents[1].onConflict(['dp/shard/0'], 100);
+  pendingWrites[1].onConflict(['dp/shard/0'], 100);
   writer.clearJob('req-1', 0);
   writer.tick(10_000);
-  assert.deepEqual(decodeLogRecord(intents[2].build()!.writes[0].data)[0].removed, [0]);
+  assert.deepEqual(decodeLogRecord(pendingWrites[2].build()!.writes[0].data)[0].removed, [0]);
   owned = false;
-  assert.equal(intents[2].build(), null);
+  assert.equal(pendingWrites[2].build(), null);
 });
 
-test('when a job of a write was cancelled meanwhile, the others are written again before the view has caught up', () => {
+test('if a job in a write has been cancelled, the other jobs are written again before the replica has caught up', () => {
   const w = logWorld(6);
   w.taskDurationS = 60;
   w.state.writesPerS = 40;
@@ -400,13 +402,13 @@
       requestId: 8000 + i,
       spec: spec(`req-${i}`, { tasks: 2, team: 'blue', cpus: 1 }),
     });
-  // Somebody cancels one of them just before the owner's write comes to the state service.
-  let hit = '';
+  // A user cancels one of the jobs just before the owner's write reaches the state service.
+  let cancelledJob = '';
   w.state.beforeCommit = (txn) => {
     const record = txn.writes.find((a) => a.key.startsWith('dp/log/') && a.data);
-    if (!record || hit !== '') return;
+    if (!record || cancelledJob !== '') return;
     const { job } = decodeLogRecord(record.data).find((e) => e.placements.length > 0)!;
-    hit = job;
+    cancelledJob = job;
     const { data } = w.state.entries.get(`dp/j/${job}`)!;
     const { spec: s, at } = data as { spec: JobSpec; at: number };
     const cancellation = {
@@ -415,22 +417,22 @@
     };
     w.commits.push({ member: 'user', txn: cancellation, outcome: w.state.commit(cancellation), at: w.now });
   };
-  assert.ok(w.advanceUntil(() => hit !== '', 60));
+  assert.ok(w.advanceUntil(() => cancelledJob !== '', 60));
   const from = w.now;
   const isPlaced = (id: string): boolean =>
     w.nodes.every((n) => n.controller.replica.taskCounts(id).running === 2);
-  const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== hit);
+  const others = Array.from({ length: 12 }, (_, i) => `req-${i + 1}`).filter((id) => id !== cancelledJob);
   assert.ok(
     w.advanceUntil(() => others.every(isPlaced), 30),
-    'the others are placed',
+    'the other jobs are placed',
   );
-  assert.ok(w.now - from < 2000, `after ${w.now - from} ms`);
+  assert.ok(w.now - from < 2000, `placed after ${w.now - from} ms`);
   w.advance(10);
-  assert.equal(w.running(hit).length, 0);
-  assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
+  assert.equal(w.running(cancelledJob).length, 0);
+  assert.deepEqual([...w.violations, ...historyViolations(w)], []);
 });
 
-test('a storm of cancellations: cancelled jobs are left out, the others of the same writes start', () => {
+test('many concurrent cancellations: cancelled jobs are left out, other jobs in the same writes start', () => {
   for (const seed of [1, 2, 3, 4]) {
     const w = logWorld(seed);
     w.taskDurationS = 30;
@@ -450,19 +452,19 @@
     const done = (id: string): boolean => w.nodes[0].status(id)?.body['status'] === 'done';
     assert.ok(
       w.advanceUntil(() => kept.every(done), 240),
-      'all others are done',
+      'all other jobs are done',
     );
     for (const id of w.cancelledAt.keys()) assert.equal(w.nodes[1].status(id)?.body['status'], 'aborted');
-    assert.deepEqual([...w.violations, ...wrongInHistory(w)], []);
+    assert.deepEqual([...w.violations, ...historyViolations(w)], []);
     assert.ok(
       w.advanceUntil(() => logKeys(w).length === 0, 60),
       'the log is truncated',
     );
-    sameEverywhere(w);
+    assertSameEverywhere(w);
   }
 });
 
-test('answers to writes of the log get lost, transactions are carried out late, owners die: no rule is broken', () => {
+test('lost responses to log writes, late transactions and crashes of owners violate no invariant', () => {
   for (const seed of [1, 2, 3, 4]) {
     const w = logWorld(seed);
     w.taskDurationS = 8;
@@ -486,28 +488,28 @@
     users.stop();
     assert.ok(
       w.advanceUntil(() => users.over, 240),
-      `seed ${seed}: not over`,
+      `seed ${seed}: jobs did not finish`,
     );
-    assert.deepEqual([...w.violations, ...wrongInHistory(w)], [], `seed ${seed}`);
+    assert.deepEqual([...w.violations, ...historyViolations(w)], [], `seed ${seed}`);
   }
 });
 
-test('a write of the log that is carried out long after its record was dropped brings nothing back', () => {
+test('a log write that is executed long after its record was deleted does not restore old placements', () => {
   const w = logWorld(1, { 'task-log-leases': 0.5 });
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
-  const late = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
-  // Checkpointed and dropped, then one task is placed anew elsewhere.
+  const lateTransaction = w.commits.find((c) => c.txn.writes.some((a) => a.key.startsWith('dp/log/')))!.txn;
+  // The record is checkpointed and deleted, then one task is placed again on another machine.
   assert.ok(
     w.advanceUntil(() => logKeys(w).length === 0, 60),
-    'dropped',
+    'the log records are deleted',
   );
   const [{ host }] = w.running('req-1');
   w.workers.get(host)!.silent = true;
   assert.ok(w.advanceUntil(() => w.running('req-1').filter((r) => r.host !== host).length === 2, 200));
   w.advance(15);
-  assert.equal(w.state.commit(late).type, 'ok');
+  assert.equal(w.state.commit(lateTransaction).type, 'ok');
   w.advance(5);
   for (const n of w.nodes) {
     const placed = [...n.controller.replica.chunks.get('req-1')!.values()].flatMap((c) => c.placements);
@@ -519,26 +521,29 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('a log that services keep is checkpointed: it does not grow with what came and went', () => {
+test('a log kept by long-running services is checkpointed, so it does not grow with short jobs', () => {
   const w = logWorld(2, { 'task-log-leases': 1 });
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   w.taskDurationS = 3;
   const users = new Traffic(w, 500, () => ({ tasks: 2, cpus: 1 }));
-  let most = 0;
+  let maxRecords = 0;
   for (let i = 0; i < 150; i++) {
     w.advance(1);
-    most = Math.max(most, logKeys(w).length);
+    maxRecords = Math.max(maxRecords, logKeys(w).length);
   }
   users.stop();
-  const lastOnes = logKeys(w).length;
-  assert.ok(most < 120 && lastOnes < 120, `${most} records at most, ${lastOnes} at the end`);
+  const remainingRecords = logKeys(w).length;
+  assert.ok(
+    maxRecords < 120 && remainingRecords < 120,
+    `${maxRecords} records at most, ${remainingRecords} at the end`,
+  );
   assert.equal(w.running('req-1').length, 2);
   assert.deepEqual(w.violations, []);
 });
 
-test('the level is lowered with work in the log, and raised again: nothing is lost, no record of the log stays', () => {
+test('the level is lowered with work in the log and raised again: no task is lost and no log record remains', () => {
   const w = logWorld(3);
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
@@ -547,51 +552,51 @@
   w.serviceJobs.add('req-3');
   w.nodes[2].submit(spec('req-3', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-3').length === 2, 60));
-  const on = w.running('req-1').map((r) => r.host);
-  const wish = (data: Record<string, unknown>): void =>
+  const hostsBefore = w.running('req-1').map((r) => r.host);
+  const requestLevel = (data: Record<string, unknown>): void =>
     void w.state.commit({ conditions: [], writes: [{ key: 'dp/wish', data }] });
-  wish({ most: newestLevel - 1, lower: true });
-  // What is cancelled meanwhile cannot be said in the log any more.
+  requestLevel({ most: newestLevel - 1, lower: true });
+  // A job that is cancelled while the level is being lowered can no longer be recorded in the log.
   assert.ok(
     w.advanceUntil(() => w.nodes[0].controller.replica.levels.state.writeLevel === newestLevel - 1, 60),
   );
   assert.equal(w.nodes[0].cancel('req-3')?.body['status'], 'aborted');
   assert.ok(
     w.advanceUntil(() => levelOf(w).level === newestLevel - 1, 90),
-    'lowered',
+    'the level is lowered',
   );
   assert.deepEqual(logKeys(w), []);
-  // Nothing that is stored names a revision of the log any more.
+  // No stored chunk record includes a version of the log any more.
   for (const { key, data } of w.state.entries.values())
     if (key.startsWith('dp/t/')) assert.equal((data as Record<string, unknown>)['r'], undefined, key);
   restart(w, ownerOf(w)!, () => undefined);
   w.advance(20);
-  wish({});
+  requestLevel({});
   assert.ok(
     w.advanceUntil(() => levelOf(w).level === newestLevel, 60),
-    'raised',
+    'the level is raised',
   );
   assert.ok(w.advanceUntil(() => w.nodes[0].status('req-2')?.body['status'] === 'done', 300));
   assert.deepEqual(
     w.running('req-1').map((r) => r.host),
-    on,
+    hostsBefore,
   );
   assert.deepEqual(w.violations, []);
 });
 
-test('what only the log says is among what a controller brings back after a loss', () => {
+test('task state that is only in the log is among the recovery records of a controller', () => {
   const w = logWorld(4);
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { tasks: 2, shape: 'service', team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   assert.equal(w.state.entries.has('dp/t/req-1/0'), false);
   const { records } = collectRecoveryRecords(w.nodes[1].controller.replica, null, 1, 'test');
-  const told = records.get('dp/t/req-1/0') as { p: unknown[]; r: number };
-  assert.equal(told.p.length, 2);
-  assert.ok(told.r > 0);
+  const recovered = records.get('dp/t/req-1/0') as { p: unknown[]; r: number };
+  assert.equal(recovered.p.length, 2);
+  assert.ok(recovered.r > 0);
 });
 
-test('a record of the log that cannot be read: nobody acts on a part of what is placed', () => {
+test('an unreadable log record: controllers stand by rather than act on incomplete placements', () => {
   const w = logWorld(5);
   w.state.commit({ conditions: [], writes: [{ key: 'dp/log/0/1-0', data: { e: [['req-9', 0]] } }] });
   w.advance(3);
