--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -12,7 +12,7 @@
 import { ShardHandover } from './shard-handover.js';
 
 /** The name of the write that deletes the presence and leader records. */
-const shutdownWrite = 'shutdown';
+const shutdownWriteName = 'shutdown';
 
 /** What membership is created with. */
 export interface MembershipOptions {
@@ -131,9 +131,9 @@
   shutDown(out: Effect[]): void {
     this.isShuttingDown = true;
     if (this.presence.isReleased || this.replica.watchRevision < 0) return;
-    if (this.handover.handOverAll() || this.writes.has(shutdownWrite)) return;
+    if (this.handover.handOverAll() || this.writes.has(shutdownWriteName)) return;
     if (!this.isPresent && !this.isLeader) return this.presence.release(out);
-    this.writes.enqueue(shutdownWrite, () => {
+    this.writes.enqueue(shutdownWriteName, () => {
       const keys = [
         ...(this.isPresent ? [presenceKey(this.member)] : []),
         ...(this.isLeader ? [this.replica.activeLeaderKey] : []),
--- a/src/core/membership/presence.ts
+++ b/src/core/membership/presence.ts
@@ -6,7 +6,7 @@
 import type { PendingWrites } from './pending-writes.js';
 
 /** A state lease is renewed after this share of its time to live. */
-const renewalShare = 1 / 3;
+const renewalLeaseShare = 1 / 3;
 
 /** What presence is created with. */
 export interface PresenceOptions {
@@ -49,8 +49,10 @@
   /** Whether the state service holds the presence record of this process, under its current lease. */
   get isPresent(): boolean {
     const { member, instanceId, replica } = this.options;
-    const own = replica.presences.get(member);
-    return own !== undefined && own.instanceId === instanceId && own.leaseId === this.leaseId;
+    const ownRecord = replica.presences.get(member);
+    return (
+      ownRecord !== undefined && ownRecord.instanceId === instanceId && ownRecord.leaseId === this.leaseId
+    );
   }
 
   /**
@@ -81,8 +83,9 @@
     if (this.hasRevokedPredecessor) return;
     this.hasRevokedPredecessor = true;
     const { member, instanceId, replica } = this.options;
-    const own = replica.presences.get(member);
-    if (own && own.instanceId !== instanceId) out.push({ type: 'revoke-lease', leaseId: own.leaseId });
+    const previousRecord = replica.presences.get(member);
+    if (previousRecord && previousRecord.instanceId !== instanceId)
+      out.push({ type: 'revoke-lease', leaseId: previousRecord.leaseId });
   }
 
   /** Writes the presence record, attached to the current lease. */
@@ -106,7 +109,7 @@
     this.grantPending = false;
     if (this.isReleased) return;
     this.leaseId = leaseId;
-    this.renewAt = now + this.options.leaseTtlMs * renewalShare;
+    this.renewAt = now + this.options.leaseTtlMs * renewalLeaseShare;
     if (leaseId === null) this.grantBackoff.onFailure(now);
     else {
       this.grantBackoff.onSuccess();
@@ -127,7 +130,7 @@
     if (outcome === 'ok') this.validFrom = this.requestedAt;
     this.renewAt =
       outcome === 'ok'
-        ? now + this.options.leaseTtlMs * renewalShare
+        ? now + this.options.leaseTtlMs * renewalLeaseShare
         : Math.max(now, this.renewalBackoff.notBefore);
   }
 
--- a/src/core/membership/shard-assignment.ts
+++ b/src/core/membership/shard-assignment.ts
@@ -16,7 +16,7 @@
 import type { Presence } from './presence.js';
 
 /** Without news of the state, the leader looks at the assignment this often, as a share of its state lease. */
-const checkIntervalShare = 1 / 64;
+const checkIntervalLeaseShare = 1 / 64;
 /** A controller gets a shard from another one after it was present for so many state leases. */
 const rebalanceAfterLeases = 2;
 
@@ -43,20 +43,20 @@
   private checkedAt = -Infinity;
   private checkedRevision = -1;
   /** The process seen last under each member's name, and since when, ms. */
-  private readonly seenSince = new Map<string, { instanceId: string; at: number }>();
+  private readonly presentSince = new Map<string, { instanceId: string; at: number }>();
 
   constructor(private readonly options: ShardAssignmentOptions) {}
 
   /** Assigns what is not assigned. Called on every step; most steps bring no news. */
   update(now: number): void {
     const { replica, leaseTtlMs } = this.options;
-    const isRecent = now - this.checkedAt < leaseTtlMs * checkIntervalShare;
-    if (replica.watchRevision === this.checkedRevision && isRecent) return;
+    const wasCheckedRecently = now - this.checkedAt < leaseTtlMs * checkIntervalLeaseShare;
+    if (replica.watchRevision === this.checkedRevision && wasCheckedRecently) return;
     this.checkedAt = now;
     this.checkedRevision = replica.watchRevision;
     if (this.assignTeams()) return;
     const present = this.presentControllers();
-    this.recordSeen(present, now);
+    this.recordPresentSince(present, now);
     if (present.length === 0) return;
     const { shardCounts, unowned } = this.ownership(present);
     if (unowned.length === 0) this.rebalance(present, shardCounts, now);
@@ -87,10 +87,10 @@
       .sort((a, b) => (a.member < b.member ? -1 : 1));
   }
 
-  private recordSeen(present: readonly PresenceRecord[], now: number): void {
+  private recordPresentSince(present: readonly PresenceRecord[], now: number): void {
     for (const { member, instanceId } of present)
-      if (this.seenSince.get(member)?.instanceId !== instanceId)
-        this.seenSince.set(member, { instanceId, at: now });
+      if (this.presentSince.get(member)?.instanceId !== instanceId)
+        this.presentSince.set(member, { instanceId, at: now });
   }
 
   private ownership(present: readonly PresenceRecord[]): Ownership {
@@ -113,7 +113,7 @@
     now: number,
   ): void {
     const minPresentMs = rebalanceAfterLeases * this.options.leaseTtlMs;
-    const presentMs = (member: string): number => now - (this.seenSince.get(member)?.at ?? now);
+    const presentMs = (member: string): number => now - (this.presentSince.get(member)?.at ?? now);
     const idle = present.find((p) => shardCounts.get(p.member) === 0 && presentMs(p.member) > minPresentMs);
     const loaded = present.find((p) => (shardCounts.get(p.member) ?? 0) > 1);
     if (!idle || !loaded) return;
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -134,7 +134,7 @@
     modRevisionOf: (key) => this.modRevisionOf(key),
   });
   /** Records of the task log that cannot be read: what they placed is unknown. */
-  private readonly unreadableLogs = new Set<string>();
+  private readonly unreadableTaskLogKeys = new Set<string>();
 
   readonly unreadableRecords = this.readability.unreadableRecords;
   readonly machines = this.machineTable.machines;
@@ -163,8 +163,8 @@
   applyWatch(changes: readonly Change[], revision: number): void {
     // Guards against an answer that was overtaken: everything up to the revision followed was seen, and an older put must not
     // bring a deleted key back.
-    const followed = this.watchRevision;
-    for (const change of changes) if (change.stamp > followed) this.apply(change);
+    const previousRevision = this.watchRevision;
+    for (const change of changes) if (change.stamp > previousRevision) this.apply(change);
     this.advanceTo(revision);
   }
 
@@ -317,8 +317,8 @@
   }
 
   private applyTaskLogRecord(key: string, shard: number, record: unknown, modRevision: number): void {
-    if (this.unreadableRecords.has(key)) this.unreadableLogs.add(key);
-    else this.unreadableLogs.delete(key);
+    if (this.unreadableRecords.has(key)) this.unreadableTaskLogKeys.add(key);
+    else this.unreadableTaskLogKeys.delete(key);
     this.updateLevelReadability();
     if (record === null) this.taskLog.delete(key);
     else this.taskLog.put(key, shard, record, modRevision);
@@ -326,7 +326,7 @@
 
   /** Guards against acting on part of what is placed: what an unreadable record of the task log said cannot be known. */
   private updateLevelReadability(): void {
-    this.levels.unreadable = this.unreadableRecords.has(levelKey) || this.unreadableLogs.size > 0;
+    this.levels.unreadable = this.unreadableRecords.has(levelKey) || this.unreadableTaskLogKeys.size > 0;
   }
 
   // ---- keys ----
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -46,7 +46,7 @@
 }
 
 /** For how many report intervals a silent machine still gets tasks. */
-const maxSilentReports = 2.5;
+const maxSilentReportIntervals = 2.5;
 
 /** Whether a machine accepts tasks at all now. */
 export function acceptsTasks(
@@ -58,7 +58,7 @@
     !machine.quarantined &&
     !machine.releasing &&
     machine.confirmedAt !== 0 &&
-    now - machine.lastHeartbeatAt <= settings.workers.report_s * (1000 * maxSilentReports) &&
+    now - machine.lastHeartbeatAt <= settings.workers.report_s * (1000 * maxSilentReportIntervals) &&
     machine.reclaimAt === 0 &&
     machine.cooldownUntil <= now
   );
--- a/src/core/shard-state/placement-ledger.ts
+++ b/src/core/shard-state/placement-ledger.ts
@@ -20,7 +20,7 @@
   /** How many placements there are of each urgency's rank. */
   readonly countByUrgency = new Map<number, number>();
   /** Placements on machines that are not (yet) known, by host. */
-  private readonly onUnknownHosts = new Map<string, Placement[]>();
+  private readonly placementsOnUnknownHosts = new Map<string, Placement[]>();
 
   constructor(private readonly context: LedgerContext) {}
 
@@ -51,8 +51,12 @@
     };
     job.placements.set(index, placement);
     if (machine) machine.placements.set(taskKey(job.id, index), placement);
-    else this.onUnknownHosts.set(host, [...(this.onUnknownHosts.get(host) ?? []), placement]);
-    this.count(placement, 1);
+    else
+      this.placementsOnUnknownHosts.set(host, [
+        ...(this.placementsOnUnknownHosts.get(host) ?? []),
+        placement,
+      ]);
+    this.updateCounts(placement, 1);
     return placement;
   }
 
@@ -74,19 +78,19 @@
   }
 
   /** Takes the current placements on a machine that was not known, which is known now or gone. */
-  takeOnUnknownHost(host: string): Placement[] {
-    const placements = this.onUnknownHosts.get(host) ?? [];
-    this.onUnknownHosts.delete(host);
+  takePlacementsOnUnknownHost(host: string): Placement[] {
+    const placements = this.placementsOnUnknownHosts.get(host) ?? [];
+    this.placementsOnUnknownHosts.delete(host);
     return placements.filter((placement) => this.isCurrent(placement));
   }
 
   private removeFromMachine(placement: Placement): void {
     const machine = this.context.machines.get(placement.host);
     machine?.placements.delete(taskKey(placement.job.id, placement.index));
-    this.count(placement, -1);
+    this.updateCounts(placement, -1);
   }
 
-  private count({ job, host, zone }: Placement, sign: 1 | -1): void {
+  private updateCounts({ job, host, zone }: Placement, sign: 1 | -1): void {
     const { spec } = job;
     const machine = this.context.machines.get(host);
     this.context.quotas.addUsage(spec, sign);
--- a/src/core/shard-state/reservations.ts
+++ b/src/core/shard-state/reservations.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../effects.js';
 
 /** How many worker leases a reservation lasts. */
-const reservationLeases = 4;
+const reservationDurationLeases = 4;
 
 /** A machine that is kept free of other jobs' tasks. */
 export interface Reservation {
@@ -22,7 +22,7 @@
     private readonly clock: Clock,
     leaseS: number,
   ) {
-    this.durationMs = leaseS * reservationLeases * 1000;
+    this.durationMs = leaseS * reservationDurationLeases * 1000;
   }
 
   /** Reserves a machine, or extends its reservation. */
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -39,17 +39,17 @@
 }
 
 /** Of the tasks that one record may hold: jobs of so many keep them in the job's own record. */
-const maxInlineShare = 1 / 8;
+const maxInlineTaskShare = 1 / 8;
 
 /** A placed task takes up to some 40 bytes of its chunk's value; this leaves room for the rest. */
-const bytesPerTask = 64;
+const bytesPerPlacedTask = 64;
 const minTasksPerChunk = 16;
 const maxTasksPerChunk = 512;
 
 /** Of the time between the expiry of a worker's lease and the moment by which a cancelled task has to be gone. */
-const replicaAgeShare = 0.85;
+const maxReplicaAgeShare = 0.85;
 
-const noCapacity: Resources = { cpus: 0, gpus: 0, memGb: 0 };
+const noResources: Resources = { cpus: 0, gpus: 0, memGb: 0 };
 
 /** The jobs and machines of the shards of this process: what is placed where, what is durable, what waits. */
 export class ShardState {
@@ -109,7 +109,7 @@
     this.listener = options.listener;
     this.matcher = options.matcher;
     const leaseMs = settings.workers.lease_s * 1000;
-    const fittingTasks = Math.floor((settings.state.value_kb * 1024) / bytesPerTask);
+    const fittingTasks = Math.floor((settings.state.value_kb * 1024) / bytesPerPlacedTask);
     this.tasksPerChunk = Math.max(minTasksPerChunk, Math.min(maxTasksPerChunk, fittingTasks));
     this.minimumShares = new MinimumShares(leaseMs * operators['floor-leases'], operators['floor-share']);
     this.reservations = new Reservations(clock, settings.workers.lease_s);
@@ -117,7 +117,7 @@
     this.quotas = new TeamQuotas(settings);
     const { jobs, machines, quotas } = this;
     this.ledger = new PlacementLedger({ jobs, machines, quotas, replica, clock });
-    const maxInlineTasks = Math.max(1, Math.floor(this.tasksPerChunk * maxInlineShare));
+    const maxInlineTasks = Math.max(1, Math.floor(this.tasksPerChunk * maxInlineTaskShare));
     const taskLog = { enabled: operators['task-log'] > 0, maxAgeMs: leaseMs * operators['task-log-leases'] };
     this.taskWriter = new TaskWriter(settings, replica, batcher, clock, log, this, maxInlineTasks, taskLog);
   }
@@ -125,7 +125,7 @@
   /** How old the replica may be, ms, for workers to be answered from it. */
   get maxReplicaAgeMs(): number {
     const { cancel_s, lease_s } = this.settings.workers;
-    return 1000 * Math.min(this.operators['grant-s'], (cancel_s - lease_s) * replicaAgeShare);
+    return 1000 * Math.min(this.operators['grant-s'], (cancel_s - lease_s) * maxReplicaAgeShare);
   }
 
   /**
@@ -181,7 +181,7 @@
     if (!type || this.machines.has(record.host)) return;
     const { now } = this.clock;
     // Guards against machines whose record is restored after those of their tasks: what the tasks take would count as free.
-    const jobs = new Set(this.ledger.takeOnUnknownHost(record.host).map(({ job }) => job.id));
+    const jobs = new Set(this.ledger.takePlacementsOnUnknownHost(record.host).map(({ job }) => job.id));
     for (const id of jobs) this.removeJob(id);
     const machine = createScheduledMachine(record, type, now, now + this.maxRemainingLeaseMs);
     this.machines.set(record.host, machine);
@@ -208,7 +208,7 @@
       for (const placementRecord of chunk.placements) {
         const placement = this.ledger.add(job, job.chunks[number], placementRecord, false);
         if (job.cancelled) this.requestStop(placement, 0);
-        this.expireUnlessMachineKnown(placement);
+        this.scheduleExpiryIfMachineUnknown(placement);
       }
     if (spec.shape === 'gang' && job.placements.size > 0) this.checkGang(job);
     this.finalizeIfCompleted(job);
@@ -219,7 +219,7 @@
    * Guards against a machine whose record was lost: one that has none was deleted, as a rule, but that proves nothing before the
    * lease of its worker has expired.
    */
-  private expireUnlessMachineKnown(placement: Placement): void {
+  private scheduleExpiryIfMachineUnknown(placement: Placement): void {
     const { host } = placement;
     if (this.replica.machines.has(host) || this.replica.mayHaveMachine(host)) return;
     this.expiringPlacements.set(placement, this.clock.now + this.maxRemainingLeaseMs);
@@ -307,7 +307,7 @@
       // The record is deleted only after the cloud has confirmed the machine's deletion: all that ran on it is gone.
       const placements = [...(machine?.placements.values() ?? [])];
       for (const placement of placements) this.removePlacement(placement, 'machine returned', 'lost');
-      for (const placement of this.ledger.takeOnUnknownHost(host))
+      for (const placement of this.ledger.takePlacementsOnUnknownHost(host))
         this.removePlacement(placement, 'machine returned', 'lost');
     }
     this.machines.delete(host);
@@ -320,7 +320,7 @@
    * removed the placement, used its quota or zone for others, and ended before it had written so.
    */
   mayStillStart({ job: { spec, tasksByZone }, zone }: Placement): boolean {
-    if (zone === null || !fits(noCapacity, this.availableQuota(spec, true))) return false;
+    if (zone === null || !fits(noResources, this.availableQuota(spec, true))) return false;
     return zoneAllows(spec, zone, new Map(tasksByZone).set(zone, (tasksByZone.get(zone) ?? 1) - 1));
   }
 
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -15,7 +15,7 @@
 import { type World } from './support/world.js';
 
 /** Much work at once for a fleet that has to be rented first. */
-const burst = (w: World): Traffic =>
+const burstTraffic = (w: World): Traffic =>
   new Traffic(
     w,
     700,
@@ -25,11 +25,11 @@
 
 meeting(
   'new machines are up at once and get work while writes lag, and the leader ends',
-  { beforeS: 2, users: burst, world: (seed) => longWorld(seed, { runS: 25, capacity: 60 }) },
+  { beforeS: 2, users: burstTraffic, world: (seed) => longWorld(seed, { runS: 25, capacity: 60 }) },
   (w, at) => {
     w.commitDelayMs = () => 300 + 2500 * w.random();
     w.cloudDelayMs = () => 3000 * w.random();
-    const before = w.heartbeatsBeforeRecord;
+    const heartbeatsBefore = w.heartbeatsBeforeRecord;
     for (let s = 1 + 3 * w.random(); s < 50; s += 5 + 9 * w.random())
       at(s, () => bounce(w, pick(w, [leaderOf(w), leaderOf(w), ownerOf(w)]), 0.2, 5));
     at(20 * w.random(), () => (w.delayedCloudCallShare = 0.3));
@@ -37,33 +37,34 @@
     at(58, () => {
       w.commitDelayMs = w.cloudDelayMs = () => 0;
     });
-    return { lastsS: 70, came: () => w.heartbeatsBeforeRecord - before };
+    return { lastsS: 70, came: () => w.heartbeatsBeforeRecord - heartbeatsBefore };
   },
 );
 
-for (const slow of [false, true])
+for (const stateIsSlow of [false, true])
   meeting(
-    `old reports reach every controller just as a new leader begins${slow ? ', before it has read the records' : ''}`,
+    `old reports reach every controller just as a new leader begins${stateIsSlow ? ', before it has read the records' : ''}`,
     { beforeS: 25 },
     (w, at) => {
       w.heldHeartbeatShare = 0.3;
       w.duplicatedHeartbeatShare = 0.1;
-      if (slow) {
+      if (stateIsSlow) {
         w.snapshotMs = 900;
         w.commitDelayMs = () => 700 * w.random();
       }
       for (let s = 3; s < 70; s += 8 + 9 * w.random()) {
         at(s, () => {
-          const n = pick(w, [ownerOf(w), leaderOf(w)]);
-          const to = pick(w, w.nodes);
-          const run = n?.controller.replica.presences.get(to.member)?.instanceId;
-          if (w.random() < 0.7) bounce(w, n, 0.2, 6);
-          else if (n && run && to !== n) n.controller.membership.handOver(0, to.member, run);
+          const node = pick(w, [ownerOf(w), leaderOf(w)]);
+          const target = pick(w, w.nodes);
+          const targetInstanceId = node?.controller.replica.presences.get(target.member)?.instanceId;
+          if (w.random() < 0.7) bounce(w, node, 0.2, 6);
+          else if (node && targetInstanceId && target !== node)
+            node.controller.membership.handOver(0, target.member, targetInstanceId);
         });
         // Sessions end, too: what was reported in them must count for nothing.
-        const hit = some(w, 0.15);
-        at(s - 2, () => hit.forEach((m) => (m.silent = true)));
-        at(s + 22 * w.random(), () => hit.forEach((m) => (m.silent = false)));
+        const silenced = some(w, 0.15);
+        at(s - 2, () => silenced.forEach((m) => (m.silent = true)));
+        at(s + 22 * w.random(), () => silenced.forEach((m) => (m.silent = false)));
       }
       at(85, () => {
         w.heldHeartbeatShare = w.duplicatedHeartbeatShare = w.snapshotMs = 0;
@@ -77,56 +78,56 @@
   'a zone with workers and a controller is cut off for longer than a lease',
   { beforeS: 35 },
   (w, at, users) => {
-    const forS = 10 + 45 * w.random();
+    const durationS = 10 + 45 * w.random();
     const zone = pick(w, ['north', 'south']);
-    const inside = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)])!;
-    const outside = w.nodes.filter((n) => n !== inside);
-    let met = 0;
-    const cut = (on: boolean): void => {
-      inside.cutFromState = inside.isolatedFromPeers = on;
+    const isolated = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)])!;
+    const others = w.nodes.filter((n) => n !== isolated);
+    let cancelledInZone = 0;
+    const setPartition = (active: boolean): void => {
+      isolated.cutFromState = isolated.isolatedFromPeers = active;
       for (const m of w.workers.values())
         for (const n of w.nodes)
-          if (on && (m.zone === zone) !== (n === inside)) m.unreachableNodes.add(n.member);
+          if (active && (m.zone === zone) !== (n === isolated)) m.unreachableNodes.add(n.member);
           else m.unreachableNodes.delete(n.member);
     };
-    at(1, () => cut(true));
-    for (let s = 2; s < forS; s += 3 + 5 * w.random())
+    at(1, () => setPartition(true));
+    for (let s = 2; s < durationS; s += 3 + 5 * w.random())
       at(s, () => {
         for (const id of users.going.slice(0, 2)) {
-          met += w.running(id).filter((r) => w.workers.get(r.host)!.zone === zone).length;
-          users.cancel(id, pick(w, outside));
+          cancelledInZone += w.running(id).filter((r) => w.workers.get(r.host)!.zone === zone).length;
+          users.cancel(id, pick(w, others));
         }
         // What was rented meanwhile is inside or outside, too.
-        if (w.now > 0) cut(true);
+        if (w.now > 0) setPartition(true);
       });
-    if (w.random() < 0.4) at(forS * w.random(), () => bounce(w, pick(w, outside), 0.5, 6));
-    at(1 + forS, () => cut(false));
-    return { lastsS: forS + 20, came: () => met };
+    if (w.random() < 0.4) at(durationS * w.random(), () => bounce(w, pick(w, others), 0.5, 6));
+    at(1 + durationS, () => setPartition(false));
+    return { lastsS: durationS + 20, came: () => cancelledInZone };
   },
 );
 
 meeting('all controllers are away for longer than a lease', { beforeS: 30 }, (w, at, users) => {
-  let away = 0;
-  const how = pick(w, ['killed', 'frozen', 'mixed'] as const);
-  const forS = 18 + 25 * w.random();
+  let allDown = 0;
+  const failure = pick(w, ['killed', 'frozen', 'mixed'] as const);
+  const durationS = 18 + 25 * w.random();
   at(1, () => users.going.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
   at(1 + 0.5 * w.random(), () => {
     for (const n of w.nodes)
-      if (how === 'killed' || (how === 'mixed' && w.random() < 0.5)) kill(w, n);
+      if (failure === 'killed' || (failure === 'mixed' && w.random() < 0.5)) kill(w, n);
       else n.paused = true;
   });
-  at(forS - 1, () => (away = w.nodes.every((n) => !n.alive || n.paused) ? 1 : 0));
+  at(durationS - 1, () => (allDown = w.nodes.every((n) => !n.alive || n.paused) ? 1 : 0));
   w.nodes.forEach((n) =>
-    at(forS + 6 * w.random(), () => {
+    at(durationS + 6 * w.random(), () => {
       n.paused = false;
       if (!n.alive) n.boot();
     }),
   );
   if (w.random() < 0.4) {
-    at(forS - 2, () => (w.state.unavailable = true));
-    at(forS + 15 * w.random(), () => (w.state.unavailable = false));
+    at(durationS - 2, () => (w.state.unavailable = true));
+    at(durationS + 15 * w.random(), () => (w.state.unavailable = false));
   }
-  return { lastsS: forS + 25, came: () => away };
+  return { lastsS: durationS + 25, came: () => allDown };
 });
 
 meeting('leaders change ten times in two minutes, also inside an outage', { beforeS: 25 }, (w, at, users) => {
@@ -135,13 +136,13 @@
     at(2 + 11.5 * i + 3 * w.random(), () => bounce(w, leaderOf(w) ?? ownerOf(w), 0.3, 6));
     if (w.random() < 0.4) at(4 + 11.5 * i, () => users.cancel(pick(w, users.going), pick(w, w.nodes)));
   }
-  const out = 20 + 60 * w.random();
-  at(out, () => (w.state.unavailable = true));
-  at(out + 8 + 30 * w.random(), () => (w.state.unavailable = false));
+  const outageAtS = 20 + 60 * w.random();
+  at(outageAtS, () => (w.state.unavailable = true));
+  at(outageAtS + 8 + 30 * w.random(), () => (w.state.unavailable = false));
   for (let s = 0; s < 125; s++)
     at(s, () => {
-      const n = leaderOf(w)?.controller.membership.instanceId;
-      if (n !== undefined && leaders.at(-1) !== n) leaders.push(n);
+      const instanceId = leaderOf(w)?.controller.membership.instanceId;
+      if (instanceId !== undefined && leaders.at(-1) !== instanceId) leaders.push(instanceId);
     });
   return { lastsS: 130, came: () => Math.max(0, leaders.length - 5) };
 });
@@ -160,21 +161,23 @@
     },
   },
   (w, at) => {
-    let lost = 0;
+    let lostZonedTasks = 0;
     for (let s = 1; s < 60; s += 6 + 6 * w.random()) {
       at(s, () => {
         for (const m of some(w, 0.2)) {
-          lost += [...m.tasks.values()].filter((t) => w.specs.get(t.report.job)?.zone != null).length;
+          lostZonedTasks += [...m.tasks.values()].filter(
+            (t) => w.specs.get(t.report.job)?.zone != null,
+          ).length;
           w.loseMachine(m);
         }
-        const mute = some(w, 0.2);
-        mute.forEach((m) => (m.silent = true));
-        w.schedule(4000 + 24_000 * w.random(), () => mute.forEach((m) => (m.silent = false)));
+        const silenced = some(w, 0.2);
+        silenced.forEach((m) => (m.silent = true));
+        w.schedule(4000 + 24_000 * w.random(), () => silenced.forEach((m) => (m.silent = false)));
       });
       if (w.random() < 0.3)
         at(s + 2 * w.random(), () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.3, 4));
     }
-    return { lastsS: 80 + cancelS, came: () => lost };
+    return { lastsS: 80 + cancelS, came: () => lostZonedTasks };
   },
 );
 
@@ -204,17 +207,17 @@
     },
   },
   (w, at, users) => {
-    let short = 0;
+    let overloadedSamples = 0;
     w.fetchS = 3;
     w.responseDelayMs = () => 300 + 900 * w.random();
     w.directCommandDelayMs = () => 300 + 2500 * w.random();
     w.responseMs = 60;
     for (const n of w.nodes) n.peerDelayMs = 200 + 300 * w.random();
-    for (let s = 5; s < 70; s += 5) at(s, () => (short += users.going.length > 15 ? 1 : 0));
+    for (let s = 5; s < 70; s += 5) at(s, () => (overloadedSamples += users.going.length > 15 ? 1 : 0));
     at(30 + 10 * w.random(), () => bounce(w, pick(w, [leaderOf(w), ownerOf(w)]), 0.3, 4));
     at(70, () => {
       w.responseDelayMs = w.directCommandDelayMs = () => 0;
     });
-    return { lastsS: 75, came: () => short };
+    return { lastsS: 75, came: () => overloadedSamples };
   },
 );
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -8,7 +8,7 @@
 import type { World } from './support/world.js';
 
 /** Answers of the state service are under way for some time, so that what one node knows the others do not know yet. */
-function slowly(w: World): void {
+function delayResponses(w: World): void {
   w.commitDelayMs = () => (w.random() < 0.5 ? 60 * w.random() : 0);
   w.responseMs = 5 + Math.floor(60 * w.random());
   for (const n of w.nodes) n.peerDelayMs = w.random() < 0.4 ? 400 * w.random() : 0;
@@ -16,23 +16,23 @@
 
 meeting('close looks at all nodes after a job was accepted, ended or cancelled', {}, (w, at, users) => {
   users.closely(0.7, 0.2, 0.3);
-  slowly(w);
+  delayResponses(w);
   for (let s = 5; s < 60; s += 6 + 8 * w.random())
     at(s, () => {
-      const how = w.random();
-      const n = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
-      if (how < 0.25) bounce(w, n, 0.3, 5);
-      else if (how < 0.5 && n) {
-        n.cutFromState = true;
-        w.schedule(12_000 * w.random(), () => (n.cutFromState = false));
-      } else if (how < 0.65 && n) {
-        n.paused = true;
-        w.schedule(4000 * w.random(), () => (n.paused = false));
-      } else if (how < 0.8) {
+      const choice = w.random();
+      const node = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
+      if (choice < 0.25) bounce(w, node, 0.3, 5);
+      else if (choice < 0.5 && node) {
+        node.cutFromState = true;
+        w.schedule(12_000 * w.random(), () => (node.cutFromState = false));
+      } else if (choice < 0.65 && node) {
+        node.paused = true;
+        w.schedule(4000 * w.random(), () => (node.paused = false));
+      } else if (choice < 0.8) {
         w.state.unavailable = true;
         w.schedule(8000 * w.random(), () => (w.state.unavailable = false));
       }
-      for (const x of w.nodes) x.isolatedFromPeers = w.random() < 0.15;
+      for (const other of w.nodes) other.isolatedFromPeers = w.random() < 0.15;
     });
   at(75, () => w.nodes.forEach((n) => (n.isolatedFromPeers = n.cutFromState = n.paused = false)));
   return {
@@ -53,18 +53,19 @@
 );
 
 /** What a transaction changes, by the kind of key. */
-const kindsOf = (keys: readonly string[]): string[] => keys.map((k) => k.split('/').slice(0, 2).join('/'));
+const keyKindsOf = (keys: readonly string[]): string[] => keys.map((k) => k.split('/').slice(0, 2).join('/'));
 
-const lostKinds = new Map<string, number>();
+const lostResponsesByKind = new Map<string, number>();
 
 /** From its start on the world loses answers to transactions. */
 function lossyWorld(seed: number): World {
   return longWorld(seed, {
     prepare: (w) => {
-      const share = 0.25 + 0.35 * w.random();
+      const lossShare = 0.25 + 0.35 * w.random();
       w.state.dropsResponseTo = (txn) => {
-        if (w.random() >= share) return false;
-        for (const k of kindsOf(txn.writes.map((a) => a.key))) lostKinds.set(k, (lostKinds.get(k) ?? 0) + 1);
+        if (w.random() >= lossShare) return false;
+        for (const k of keyKindsOf(txn.writes.map((a) => a.key)))
+          lostResponsesByKind.set(k, (lostResponsesByKind.get(k) ?? 0) + 1);
         return true;
       };
       w.lostResponseNoticedMs = () => (w.random() < 0.5 ? 20 : 1500 * w.random());
@@ -77,32 +78,48 @@
   { world: lossyWorld },
   (w, at, users) => {
     users.closely(0.4, 0.2, 0.3);
-    const before = [...lostKinds.values()].reduce((a, b) => a + b, 0);
+    const lostBefore = [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0);
     for (let s = 3; s < 60; s += 9 + 9 * w.random())
       at(s, () => {
         const owner = ownerOf(w);
-        const to = pick(w, w.nodes);
-        const run = owner?.controller.replica.presences.get(to.member)?.instanceId;
+        const target = pick(w, w.nodes);
+        const targetInstanceId = owner?.controller.replica.presences.get(target.member)?.instanceId;
         if (w.random() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
-        else if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
+        else if (owner && targetInstanceId && target !== owner)
+          owner.controller.membership.handOver(0, target.member, targetInstanceId);
       });
     at(68, () => (w.state.dropsResponseTo = () => false));
-    return { lastsS: 70, came: () => [...lostKinds.values()].reduce((a, b) => a + b, 0) - before };
+    return {
+      lastsS: 70,
+      came: () => [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0) - lostBefore,
+    };
   },
 );
 
 test('... with every kind of write among them', () => {
-  const wanted = ['node', 'chief', 'kinds', 'teams', 'shard', 'level', 'members', 'inc', 'b', 'm', 'j'];
-  const never = wanted.filter((k) => !lostKinds.has(`dp/${k}`));
-  assert.deepEqual(never, [], [...lostKinds.keys()].join(' '));
+  const expectedKinds = [
+    'node',
+    'chief',
+    'kinds',
+    'teams',
+    'shard',
+    'level',
+    'members',
+    'inc',
+    'b',
+    'm',
+    'j',
+  ];
+  const missingKinds = expectedKinds.filter((k) => !lostResponsesByKind.has(`dp/${k}`));
+  assert.deepEqual(missingKinds, [], [...lostResponsesByKind.keys()].join(' '));
 });
 
 /** State that grows with the jobs by what it is: records and what is read off them. */
-const bounds = new Map([
+const maxSizes = new Map([
   ['freshnessExchange.recentChanges.changes', 512],
   ['dataLossRecovery.monitor.detector.sightings', 256],
 ]);
-const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
+const recordPaths = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
 meeting(
   'one-task jobs four a second, a quarter cancelled, some at their end; leaders change',
@@ -130,7 +147,7 @@
           // The components first, under the paths that the bounds name, then all else that the controller holds.
           for (const [path, size] of sizes({ ...n.controller['components'], controller: n.controller }))
             assert.ok(
-              size < jobs / 4 || records.test(path) || size <= (bounds.get(path) ?? 0),
+              size < jobs / 4 || recordPaths.test(path) || size <= (maxSizes.get(path) ?? 0),
               `${n.member} holds ${size} in ${path} after ${jobs} jobs`,
             );
       },
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -9,7 +9,7 @@
 import { type World } from './support/world.js';
 
 /** A world whose fleet is full grown, and jobs that come one after the other. */
-function stage(
+function assertWaitsAreBounded(
   capacity: number,
   jobs: Partial<JobSpec>[],
   prepare: (w: World) => void = () => undefined,
@@ -33,7 +33,7 @@
 // Each of these keeps room for something that may never come: none may do so for long while other work waits.
 
 test('a machine that is kept for a gang which finds no second one', () => {
-  stage(2, [
+  assertWaitsAreBounded(2, [
     { team: 'blue', cpus: 8, urgency: 'high' },
     { team: 'blue', cpus: 8, tasks: 2, shape: 'gang', urgency: 'high' },
     { team: 'blue', cpus: 1 },
@@ -41,7 +41,7 @@
 });
 
 test('the limit of a team that is kept for its urgent gang', () => {
-  stage(2, [
+  assertWaitsAreBounded(2, [
     { team: 'blue', cpus: 8, urgency: 'high' },
     { team: 'red', cpus: 8, tasks: 2, shape: 'gang', urgency: 'high', deadlineS: 1 },
     { team: 'red', cpus: 1, urgency: 'low' },
@@ -50,13 +50,14 @@
 
 test('a machine on which a task failed once', () => {
   let failed = false;
-  stage(
+  assertWaitsAreBounded(
     1,
     Array.from({ length: 6 }, () => ({ team: 'blue', cpus: 1 })),
     (w) => {
-      const sick = (is: boolean): void => w.workers.forEach((m) => (m.failsTasks = is));
-      w.schedule(7000, () => sick(true));
-      w.schedule(20_000, () => sick(false));
+      const setFailing = (failing: boolean): void =>
+        w.workers.forEach((worker) => (worker.failsTasks = failing));
+      w.schedule(7000, () => setFailing(true));
+      w.schedule(20_000, () => setFailing(false));
       w.schedule(20_000, () => {
         failed = w.nodes.some((n) => n.logLines.some((l) => l[2]?.['why'] === 'error'));
         assert.ok(w.running('req-100').length > 0);
@@ -66,35 +67,35 @@
   assert.ok(failed, 'it did fail there');
 });
 
-const gpuBox = { ...box, name: 'gpu-box', gpus: 2, price: 5, spotPrice: 2 };
+const gpuMachineType = { ...box, name: 'gpu-box', gpus: 2, price: 5, spotPrice: 2 };
 
 test('the room beside GPUs that nobody can use', () => {
-  stage(
+  assertWaitsAreBounded(
     1,
     [
       { team: 'blue', cpus: 1, gpus: 1 },
       { team: 'blue', cpus: 4, gpus: 1, tasks: 4, shape: 'gang' },
       { team: 'blue', cpus: 4, estimateS: 10 },
     ],
-    (w) => (w.types = [gpuBox]),
+    (w) => (w.types = [gpuMachineType]),
   );
 });
 
 test('a GPU machine for work without GPUs, where there is no other', () => {
-  stage(
+  assertWaitsAreBounded(
     1,
     [
       { team: 'blue', cpus: 1, gpus: 1 },
       { team: 'blue', cpus: 2, estimateS: 5000 },
     ],
-    (w) => (w.types = [box, gpuBox]),
+    (w) => (w.types = [box, gpuMachineType]),
   );
 });
 
 test('a GPU machine for work without GPUs that nothing else fits', () => {
-  for (const over of [{ types: ['gpu-box'] }, { memGb: 64 }])
-    stage(1, [{ team: 'blue', cpus: 2, estimateS: 5000, ...over }], (w) => {
-      w.types = [box, { ...gpuBox, memGb: 128 }];
+  for (const requirements of [{ types: ['gpu-box'] }, { memGb: 64 }])
+    assertWaitsAreBounded(1, [{ team: 'blue', cpus: 2, estimateS: 5000, ...requirements }], (w) => {
+      w.types = [box, { ...gpuMachineType, memGb: 128 }];
       w.schedule(120_000, () => assert.equal(w.running('req-100').length, 1));
     });
 });
