--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,4 +1,4 @@
-/** Membership of this process in the group of controllers: presence, leader election, shard assignment, shutdown. */
+/** Membership of this process in the group of controllers: presence, leader election, shard assignment and shutdown. */
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Random, RetryPolicy } from '../../retry/index.js';
@@ -11,41 +11,42 @@
 import { ShardAssignment } from './shard-assignment.js';
 import { ShardHandover } from './shard-handover.js';
 
-/** The name of the write that deletes the presence and leader records. */
+/** The name of the pending write that deletes the presence and leader records. */
 const shutdownWriteName = 'shutdown';
 
 /** What membership is created with. */
 export interface MembershipOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
-  /** Identifies this process among all that have run under its member's name. */
+  /** Identifies this process among all processes that have run under the name of its member. */
   readonly instanceId: string;
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
-  /** How long this process's state lease lasts without being renewed. */
+  /** The time to live of the state lease without renewal. */
   readonly leaseTtlMs: number;
   readonly retry: RetryPolicy;
   readonly random: Random;
   readonly log: Log;
 }
 
-/** What may be done in this step, by the state of data-loss recovery. */
+/** What membership may do in a step, depending on the progress of data-loss recovery. */
 export interface MembershipPhase {
-  /** Whether a leader may be elected and may act. Not so while lost data is restored. */
+  /** Whether a leader may be elected and may act: false while lost data is being restored. */
   readonly mayAct: boolean;
-  /** Whether this process has written the records that membership rests on. */
+  /** Whether this process has written the records that membership depends on. */
   readonly essentialsRestored: boolean;
 }
 
 /**
- * Presence and leadership are records attached to this process's state lease. The leader writes the table of teams and
- * assigns shards to live processes. Every grant is fenced by the revision of its record, so that no clock here matters
- * for safety.
+ * Maintains the presence of this process, takes part in leader election and, as the leader, assigns shards. Presence and
+ * leadership are records attached to the state lease of this process. The leader writes the table of teams by shard and
+ * grants shards to live processes. Every grant is fenced by the revision of its record, so that safety does not depend on
+ * the clock of this process.
  */
 export class Membership {
   /** Identifies this process. */
   readonly instanceId: string;
-  /** How long this process's state lease lasts without being renewed. */
+  /** The time to live of the state lease without renewal. */
   readonly leaseTtlMs: number;
   private readonly member: string;
   private readonly replica: Replica;
@@ -81,7 +82,7 @@
     this.handover = new ShardHandover(member, instanceId, replica, writes);
   }
 
-  /** The state lease; null: there is none. */
+  /** The id of the state lease; null: there is none. */
   get leaseId(): number | null {
     return this.presence.leaseId;
   }
@@ -91,7 +92,7 @@
     return this.presence.isPresent;
   }
 
-  /** Whether this process leads, as far as the replica has followed the state. */
+  /** Whether this process is the leader, as of the revision that the replica has reached. */
   get isLeader(): boolean {
     return this.election.isLeader;
   }
@@ -101,7 +102,7 @@
     return this.presence.holdsValidLease(now);
   }
 
-  /** One step: maintains the lease, announces presence, campaigns for leadership and, as the leader, assigns shards. */
+  /** Performs one step: maintains the lease, announces presence, campaigns for leadership and, as leader, assigns shards. */
   tick(now: number, out: Effect[], { mayAct, essentialsRestored }: MembershipPhase): void {
     if (this.replica.watchRevision < 0 || !essentialsRestored) return;
     this.presence.maintainLease(now, out, !this.isShuttingDown);
@@ -112,22 +113,22 @@
     if (this.election.isLeader && mayAct) this.assignment.update(now);
   }
 
-  /** The answer to a request for a lease; null: none was granted. */
+  /** Handles the response to a lease request. `leaseId` is null if no lease was granted. */
   onLeaseGranted(leaseId: number | null, now: number): void {
     this.presence.onLeaseGranted(leaseId, now);
   }
 
-  /** The answer to a renewal of the lease. */
+  /** Handles the response to a lease renewal. `gone`: the lease has expired; `failed`: there was no usable response. */
   onLeaseRenewed(leaseId: number, outcome: 'ok' | 'gone' | 'failed', now: number): void {
     this.presence.onLeaseRenewed(leaseId, outcome, now);
   }
 
-  /** As the owner of a shard, grants it to another process. */
+  /** Grants a shard to another process. Does nothing if this process does not own the shard. */
   handOver(shard: number, member: string, instanceId: string): void {
     this.handover.handOver(shard, member, instanceId);
   }
 
-  /** One step of a graceful shutdown: shards go to others first, then leadership and presence are released. */
+  /** Performs one step of a graceful shutdown: hands over all shards, then gives up leadership and presence. */
   shutDown(out: Effect[]): void {
     this.isShuttingDown = true;
     if (this.presence.isReleased || this.replica.watchRevision < 0) return;
--- a/src/core/membership/presence.ts
+++ b/src/core/membership/presence.ts
@@ -1,18 +1,18 @@
-/** The presence of this process: its state lease, and the presence record attached to it. */
+/** The presence of this process: its state lease and the presence record that is attached to the lease. */
 import { RetryBackoff, type Random, type RetryPolicy } from '../../retry/index.js';
 import type { Effect, Log } from '../effects.js';
 import type { Replica } from '../replica.js';
 import { presenceData, presenceKey } from '../storage/index.js';
 import type { PendingWrites } from './pending-writes.js';
 
-/** A state lease is renewed after this share of its time to live. */
+/** The state lease is renewed after this share of its time to live. */
 const renewalLeaseShare = 1 / 3;
 
 /** What presence is created with. */
 export interface PresenceOptions {
   readonly member: string;
   readonly instanceId: string;
-  /** How long the state lease lasts without being renewed. */
+  /** The time to live of the state lease without renewal. */
   readonly leaseTtlMs: number;
   readonly replica: Replica;
   readonly writes: PendingWrites;
@@ -23,21 +23,21 @@
 
 /**
  * Acquires and renews the state lease of this process, and writes its presence record. The state service deletes the
- * record when the lease expires: that is how other controllers learn of a crash.
+ * record when the lease expires, which is how other controllers detect a crash.
  */
 export class Presence {
-  /** The state lease; null: there is none. */
+  /** The id of the state lease; null: there is none. */
   leaseId: number | null = null;
-  /** The lease was given up for good, at the end of a graceful shutdown. */
+  /** Whether the lease was given up permanently, at the end of a graceful shutdown. */
   isReleased = false;
   private readonly grantBackoff: RetryBackoff;
   private readonly renewalBackoff: RetryBackoff;
   private grantPending = false;
   private renewalPending = false;
   private renewAt = 0;
-  /** When the pending or last grant or renewal was requested, ms. */
+  /** When the latest grant or renewal, pending or finished, was requested, ms. */
   private requestedAt = -Infinity;
-  /** When the last successful grant or renewal was requested, ms: the lease lasts at least `leaseTtlMs` from then. */
+  /** When the last successful grant or renewal was requested, ms. The lease is valid for at least `leaseTtlMs` from then. */
   private validFrom = -Infinity;
   private hasRevokedPredecessor = false;
 
@@ -49,21 +49,19 @@
   /** Whether the state service holds the presence record of this process, under its current lease. */
   get isPresent(): boolean {
     const { member, instanceId, replica } = this.options;
-    const ownRecord = replica.presences.get(member);
-    return (
-      ownRecord !== undefined && ownRecord.instanceId === instanceId && ownRecord.leaseId === this.leaseId
-    );
+    const record = replica.presences.get(member);
+    return record !== undefined && record.instanceId === instanceId && record.leaseId === this.leaseId;
   }
 
   /**
-   * Whether the lease cannot have expired yet. Guards against a leader that acts on a replica that is fresh enough while
-   * its lease, which was renewed before the replica was last confirmed, has expired and another controller leads.
+   * Whether the lease cannot have expired yet. A fresh replica is not enough for a leader to act: its lease was renewed
+   * before the replica was last confirmed, and may have expired since, so that another controller is the leader.
    */
   holdsValidLease(now: number): boolean {
     return now - this.validFrom < this.options.leaseTtlMs;
   }
 
-  /** Requests a lease if there is none and one may be acquired, and renews it in time. */
+  /** Requests a lease if there is none and `mayAcquire` is set, and renews an existing lease in time. */
   maintainLease(now: number, out: Effect[], mayAcquire: boolean): void {
     this.revokePredecessor(out);
     if (this.leaseId === null) {
@@ -78,7 +76,10 @@
     }
   }
 
-  /** The process that ran under this member's name before is gone: its lease is revoked rather than waited for. */
+  /**
+   * Revokes the lease of the process that ran under this member's name before. That process is gone, so there is no need to wait
+   * for its lease to expire.
+   */
   private revokePredecessor(out: Effect[]): void {
     if (this.hasRevokedPredecessor) return;
     this.hasRevokedPredecessor = true;
@@ -88,7 +89,7 @@
       out.push({ type: 'revoke-lease', leaseId: previousRecord.leaseId });
   }
 
-  /** Writes the presence record, attached to the current lease. */
+  /** Enqueues a write of the presence record, attached to the current lease. */
   announce(): void {
     const { leaseId } = this;
     if (leaseId === null) return;
@@ -104,7 +105,7 @@
     });
   }
 
-  /** The answer to a request for a lease; null: none was granted. */
+  /** Handles the response to a lease request. `leaseId` is null if no lease was granted. */
   onLeaseGranted(leaseId: number | null, now: number): void {
     this.grantPending = false;
     if (this.isReleased) return;
@@ -117,7 +118,7 @@
     }
   }
 
-  /** The answer to a renewal; `gone`: the lease has expired, `failed`: there was no usable answer. */
+  /** Handles the response to a lease renewal. `gone`: the lease has expired; `failed`: there was no usable response. */
   onLeaseRenewed(leaseId: number, outcome: 'ok' | 'gone' | 'failed', now: number): void {
     this.renewalPending = false;
     if (leaseId !== this.leaseId) return;
@@ -134,7 +135,7 @@
         : Math.max(now, this.renewalBackoff.notBefore);
   }
 
-  /** Gives up the lease for good. */
+  /** Gives up the lease permanently. */
   release(out: Effect[]): void {
     this.isReleased = true;
     if (this.leaseId !== null) out.push({ type: 'revoke-lease', leaseId: this.leaseId });
--- a/src/core/membership/shard-assignment.ts
+++ b/src/core/membership/shard-assignment.ts
@@ -1,4 +1,4 @@
-/** Shard assignment by the leader: which teams form a shard, and which process owns it. */
+/** Shard assignment by the leader: which teams belong to each shard, and which process owns it. */
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import { canParticipate } from '../../feature-levels/index.js';
@@ -15,9 +15,9 @@
 import type { PendingWrites } from './pending-writes.js';
 import type { Presence } from './presence.js';
 
-/** Without news of the state, the leader looks at the assignment this often, as a share of its state lease. */
+/** How often the leader checks the assignment if the state has not changed, as a share of its state lease. */
 const checkIntervalLeaseShare = 1 / 64;
-/** A controller gets a shard from another one after it was present for so many state leases. */
+/** A controller without shards gets one from another controller once it has been present for this many state leases. */
 const rebalanceAfterLeases = 2;
 
 /** What shard assignment is created with. */
@@ -32,22 +32,22 @@
   readonly log: Log;
 }
 
-/** Shards owned by live processes, by member, and the shards that no live process owns. */
+/** The number of shards that live processes own, by member, and the shards that no live process owns. */
 interface Ownership {
   readonly shardCounts: Map<string, number>;
   readonly unowned: readonly number[];
 }
 
-/** Run by the leader only. Every write is on condition that this process still leads. */
+/** Assigns teams to shards and shards to controllers. Every write is conditional on this process still being the leader. */
 export class ShardAssignment {
   private checkedAt = -Infinity;
   private checkedRevision = -1;
-  /** The process seen last under each member's name, and since when, ms. */
+  /** The process last seen under each member's name, and since when it has been present, ms. */
   private readonly presentSince = new Map<string, { instanceId: string; at: number }>();
 
   constructor(private readonly options: ShardAssignmentOptions) {}
 
-  /** Assigns what is not assigned. Called on every step; most steps bring no news. */
+  /** Assigns teams and shards that are not assigned, and rebalances shards. Called in every step; most steps find no change. */
   update(now: number): void {
     const { replica, leaseTtlMs } = this.options;
     const wasCheckedRecently = now - this.checkedAt < leaseTtlMs * checkIntervalLeaseShare;
@@ -63,14 +63,14 @@
     for (const shard of unowned) this.assignUnowned(shard, present, shardCounts);
   }
 
-  /** Writes the table of teams by shard if it lacks one; whether it did. */
+  /** Writes the table of teams by shard if it lacks a team. Returns whether it did. */
   private assignTeams(): boolean {
     const { settings, operators, replica } = this.options;
     const shards = operators.shards > 0 ? operators.shards : 1 + settings.peers.length;
     const teams = settings.teams.map((t) => t.name);
     const assigned = new Set(replica.teamsByShard.flat());
     if (replica.teamsModRevision > 0 && teams.every((t) => assigned.has(t))) return false;
-    // A team stays in its shard: its quota is counted there.
+    // A team must stay in its shard, because its quota usage is counted there.
     const table = replica.teamsByShard.map((list) => [...list]);
     while (table.length < Math.min(shards, teams.length)) table.push([]);
     for (const team of teams)
@@ -79,7 +79,7 @@
     return true;
   }
 
-  /** Controllers that are present and know the feature level in force, by name. */
+  /** The controllers that are present and support the feature level in force, sorted by name. */
   private presentControllers(): PresenceRecord[] {
     const { replica } = this.options;
     return [...replica.presences.values()]
@@ -106,7 +106,7 @@
     return { shardCounts, unowned };
   }
 
-  /** Moves one shard from a controller that owns several to one that has been present for long and owns none. */
+  /** Moves one shard from a controller that owns several to one that owns none and has been present for long enough. */
   private rebalance(
     present: readonly PresenceRecord[],
     shardCounts: ReadonlyMap<string, number>,
@@ -121,7 +121,7 @@
     if (shard !== undefined) this.write(shardKey(shard), shardGrantData(idle.member, idle.instanceId));
   }
 
-  /** Assigns a shard to the controller with the fewest; the shard's number decides between equals. */
+  /** Assigns a shard to the controller with the fewest shards. Ties are broken by the number of the shard. */
   private assignUnowned(
     shard: number,
     present: readonly PresenceRecord[],
--- a/src/core/membership/shard-handover.ts
+++ b/src/core/membership/shard-handover.ts
@@ -5,8 +5,8 @@
 import type { PendingWrites } from './pending-writes.js';
 
 /**
- * Writes grants of shards that this process owns to others. A grant is fenced by the revision of its record: once it is
- * written, writes of this process for the shard fail.
+ * Grants shards that this process owns to other processes. A grant is fenced by the revision of its record: once it is
+ * written, writes of this process to the shard fail.
  */
 export class ShardHandover {
   constructor(
@@ -27,7 +27,7 @@
     }));
   }
 
-  /** Hands all shards over to the other controllers in turn; whether handovers are under way. */
+  /** Hands over all shards to the other controllers, round-robin. Returns whether handovers are in progress. */
   handOverAll(): boolean {
     const { presences, levels, shards } = this.replica;
     const others = [...presences.values()].filter(
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -1,4 +1,4 @@
-/** A controller's copy of the state, kept up to date by the watch. */
+/** A controller's replica of the state in the state service, kept up to date by the watch. */
 import type { WriteAllocation } from '../admission/index.js';
 import { attemptBase, tokenBase, type Incarnation } from '../data-loss/index.js';
 import {
@@ -45,27 +45,32 @@
 
 export type { VersionedMachine } from './replica/machine-table.js';
 
-/** How the replica reports changes that took effect. */
+/** Receives the changes that the replica has applied. */
 export interface ReplicaListener {
+  /** A job's record, or the readability of its task records, has changed; undefined: the job is not known. */
   jobChanged(id: string, job: JobRecord | undefined): void;
+  /** A machine has changed; undefined: it no longer exists. */
   machineChanged(host: string, machine: VersionedMachine | undefined): void;
+  /** The grant of a shard has changed. */
   shardChanged(shard: number): void;
-  /** A change that other controllers must not miss: a job's end, a shard's grant, leadership. */
+  /** A change that other controllers must not miss: the end of a job, the grant of a shard, or leadership. */
   criticalChange(change: Change): void;
-  /** `reason`: why a record is not acted on; null: it can be read again. */
+  /** A record became unreadable, or readable again. `reason`: why it is not acted on; null: it can be read again. */
   readabilityChanged(key: string, reason: string | null): void;
+  /** The record of the feature level has changed. */
   levelChanged(): void;
+  /** The record of an incarnation has changed. */
   incarnationChanged(): void;
 }
 
-/** The elected leader: its member, the process that holds the leadership, and the revision at which it was elected. */
+/** The elected leader: the name of its member, its process, and the revision at which it was elected. */
 export interface LeaderRecord {
   readonly member: string;
   readonly instanceId: string;
   readonly modRevision: number;
 }
 
-/** What members were last seen with, and the leader's answer to the level that operators requested. */
+/** The capabilities that members were last seen with, and the response of the leader to the last level request. */
 export interface MembersRecord {
   readonly capabilities: ReadonlyMap<string, Capabilities>;
   readonly note: LevelNote | null;
@@ -73,14 +78,16 @@
 
 const noMembers: MembersRecord = { capabilities: new Map(), note: null };
 
-/** The controller that answers a machine's heartbeats, and the fencing token that its answers carry. */
+/** The controller that responds to the heartbeats of a machine, and the fencing token that its responses carry. */
 export interface ResponsibleController {
   readonly member: string;
   readonly run: string;
   readonly token: number;
 }
 
-/** Whether the other controllers must learn of a change at once. `record` is null if it was deleted or cannot be read. */
+/**
+ * Whether the other controllers must learn of a change immediately. `record` is null if it was deleted or cannot be read.
+ */
 const isCritical = (ref: ParsedKey, record: unknown): boolean =>
   ref.kind === 'shard' ||
   ref.kind === 'lead' ||
@@ -88,37 +95,47 @@
   (ref.kind === 'job' && record !== null && (record as { s?: unknown }).s !== 'open');
 
 /**
- * This controller's copy of everything under the project's prefix, fed by the watch and by its own commits. It is complete up to
- * `watchRevision`, and may hold its own later writes.
+ * This controller's copy of all keys with the project's prefix, updated by the watch and by this controller's own commits. It
+ * is complete up to `watchRevision` and may already contain later writes of its own.
  */
 export class Replica {
-  /** The revision up to which the watch has been followed; -1: nothing has been read yet. */
+  /** The revision up to which all changes have been applied; -1: nothing has been read yet. */
   watchRevision = -1;
-  /** By the key that holds it: which one counts depends on the level. */
+  /** Leader records by key. The feature level decides which key is in use. */
   private readonly leaderRecords = new Map<string, LeaderRecord>();
+  /** Machine types by key. The feature level decides which key is in use. */
   private readonly machineTypesByKey = new Map<string, MachineType[]>();
+  /** The machine types under the key that is in use. */
   machineTypes: MachineType[] = [];
+  /** The record of the known members. */
   members = noMembers;
+  /** The feature level that operators requested. */
   requestedLevel: RequestedLevel = noRequestedLevel;
-  /** The incarnations that the state names: one, except while the next one is being opened. */
+  /** The incarnations that are recorded, by number: one, except while the next one is being opened. */
   private readonly incarnations = new Map<number, Incarnation>();
-  /** How the state service's writes are divided among controllers; null: no division is in force. */
+  /** How the write capacity of the state service is allocated to controllers; null: no allocation is in force. */
   writeAllocation: WriteAllocation | null = null;
+  /** The names of the teams in each shard, by shard number. */
   teamsByShard: string[][] = [];
+  /** The revision of the table of teams by shard; 0: there is none. */
   teamsModRevision = 0;
-  /** The members that are present, by name. */
+  /** The presence records of the members that are present, by member name. */
   readonly presences = new Map<string, PresenceRecord>();
-  /** The capabilities of members when this process last saw them present. */
+  /** The capabilities of each member when this process last saw it present. */
   readonly observedCapabilities = new Map<string, Capabilities>();
+  /** The grants of shards to controllers, by shard number. */
   readonly shards = new Map<number, ShardGrantRecord>();
+  /** The readable job records, by id. */
   readonly jobs = new Map<string, JobRecord>();
-  /** How many jobs are recorded, whether their records can be read or not. */
+  /** The number of job records, whether they can be read or not. */
   jobCount = 0;
+  /** The ids of jobs that are neither cancelled nor done. */
   readonly openJobs = new Set<string>();
-  /** The revision and the writer's mark of every key's present value. */
+  /** The revision at which each key that has a value was last written. */
   private readonly modRevisions = new Map<string, number>();
+  /** The mark of the transaction that wrote the value of a key, by key. */
   private readonly writers = new Map<string, string>();
-  /** Revisions of this controller's own deletions that the watch has not delivered yet. */
+  /** Revisions of this controller's own deletions that the watch has not reached yet, by key. */
   private readonly recentDeletions = new Map<string, number>();
   private readonly readability = new RecordReadability({
     readabilityChanged: (key, reason) => this.listener.readabilityChanged(key, reason),
@@ -133,14 +150,20 @@
     job: (id) => this.jobs.get(id),
     modRevisionOf: (key) => this.modRevisionOf(key),
   });
-  /** Records of the task log that cannot be read: what they placed is unknown. */
+  /** The keys of task log records that cannot be read. What they placed is unknown. */
   private readonly unreadableTaskLogKeys = new Set<string>();
 
+  /** Why a record cannot be read, by key. */
   readonly unreadableRecords = this.readability.unreadableRecords;
+  /** The known machines, by host. */
   readonly machines = this.machineTable.machines;
+  /** The records of the blocks that machines were rented in, by block id. */
   readonly blocks = this.machineTable.blocks;
+  /** The states of task chunks, by job id and chunk number. */
   readonly chunks = this.taskStates.chunks;
+  /** Jobs whose own record holds the states of their tasks. */
   readonly jobsWithInlineTasks = this.taskStates.jobsWithInlineTasks;
+  /** The task log: changes of task states that are not in chunk records yet. */
   readonly taskLog = this.taskStates.taskLog;
 
   constructor(
@@ -148,9 +171,9 @@
     readonly levels: FeatureLevels,
   ) {}
 
-  // ---- following the state service ----
+  // ---- applying changes from the state service ----
 
-  /** A complete reading that began at `revision`: keys that it lacks were deleted, unless they are younger. */
+  /** Applies a complete snapshot that was started at `revision`. Keys that it lacks were deleted, unless they are newer. */
   loadSnapshot(items: readonly Change[], revision: number): void {
     const present = new Set(items.map((i) => i.key));
     for (const [key, modRevision] of [...this.modRevisions])
@@ -159,10 +182,10 @@
     this.advanceTo(revision);
   }
 
-  /** Changes that the watch delivered, complete up to `revision`. */
+  /** Applies changes that the watch delivered. They are complete up to `revision`. */
   applyWatch(changes: readonly Change[], revision: number): void {
-    // Guards against an answer that was overtaken: everything up to the revision followed was seen, and an older put must not
-    // bring a deleted key back.
+    // A watch response may arrive after a newer one. Everything up to `watchRevision` has been applied, and an older put must
+    // not restore a key that has been deleted since.
     const previousRevision = this.watchRevision;
     for (const change of changes) if (change.stamp > previousRevision) this.apply(change);
     this.advanceTo(revision);
@@ -170,13 +193,13 @@
 
   private advanceTo(revision: number): void {
     if (revision > this.watchRevision) this.watchRevision = revision;
-    // A deletion of our own is remembered until the watch has passed it: an older put that the watch still has to deliver must
-    // not bring the key back.
+    // A deletion by this controller is remembered until the watch has reached it. An older put that the watch has yet to
+    // deliver must not restore the key.
     for (const [key, modRevision] of this.recentDeletions)
       if (modRevision <= this.watchRevision) this.recentDeletions.delete(key);
   }
 
-  /** Applies one change, unless a newer one of the same key has been applied. */
+  /** Applies one change, unless the same or a newer change of the key has been applied. */
   apply({ key, data, stamp }: Change): void {
     if (!key.startsWith(keyPrefix)) return;
     if ((this.modRevisions.get(key) ?? -1) >= stamp || (this.recentDeletions.get(key) ?? -1) >= stamp) return;
@@ -205,8 +228,12 @@
     if (modRevision > this.watchRevision) this.recentDeletions.set(key, modRevision);
   }
 
-  // ---- one record of each kind; null: it was deleted, or cannot be read ----
+  // ---- applying one record of each kind; null: it was deleted or cannot be read ----
 
+  /**
+   * Kinds are named after the stored keys: `lead` and `chief` hold the leader record, `types` and `kinds` the machine types, `wish`
+   * the requested feature level, `inc` the incarnations, `plan` the write allocation, and `node` the presence records.
+   */
   private applyRecord(ref: ParsedKey, key: string, record: unknown, modRevision: number): void {
     switch (ref.kind) {
       case 'lead':
@@ -237,7 +264,7 @@
       case 'shard':
         return this.applyShardGrant(ref.shard, record, modRevision);
       case 'block':
-        // Guards against taking a machine for deleted because its record cannot be read: what was known stays.
+        // A machine must not count as deleted because its record cannot be read: what was known of it is kept.
         if (this.unreadableRecords.has(key)) return;
         return this.machineTable.applyBlock(
           ref.block,
@@ -260,6 +287,7 @@
     }
   }
 
+  /** The stored field `run` is the id of the process (`instanceId`). */
   private applyLeader(key: string, record: unknown, modRevision: number): void {
     if (record === null) return void this.leaderRecords.delete(key);
     const { member, run } = record as { member: string; run: string };
@@ -272,7 +300,7 @@
     this.selectMachineTypes();
   }
 
-  /** The level decides which key holds the machine types. */
+  /** Selects the machine types under the key that the feature level in force uses. */
   private selectMachineTypes(): void {
     this.machineTypes = this.machineTypesByKey.get(this.activeTypesKey) ?? [];
   }
@@ -297,6 +325,7 @@
     this.observedCapabilities.set(member, presence.capabilities);
   }
 
+  /** The stored field `run` is the id of the process (`instanceId`). */
   private applyShardGrant(shard: number, record: unknown, modRevision: number): void {
     if (record === null) this.shards.delete(shard);
     else {
@@ -324,98 +353,103 @@
     else this.taskLog.put(key, shard, record, modRevision);
   }
 
-  /** Guards against acting on part of what is placed: what an unreadable record of the task log said cannot be known. */
+  /**
+   * Treats the feature level as unreadable while a task log record is. The placements in such a record are unknown, and this
+   * process must not act on only a part of them.
+   */
   private updateLevelReadability(): void {
     this.levels.unreadable = this.unreadableRecords.has(levelKey) || this.unreadableTaskLogKeys.size > 0;
   }
 
   // ---- keys ----
 
-  /** The revision of a key's present value; 0: it has none. */
+  /** The revision at which a key was last written; 0: it has no value. */
   modRevisionOf(key: string): number {
     return this.modRevisions.get(key) ?? 0;
   }
 
-  /** The mark of the write that made the key's present value. */
+  /** The mark of the transaction that wrote the value of a key; undefined: it has none. */
   writerOf(key: string): string | undefined {
     return this.writers.get(key);
   }
 
-  /** Every key that has a value, and its revision. */
+  /** Iterates over all keys that have a value, with the revisions at which they were last written. */
   *knownKeys(): Generator<{ key: string; stamp: number }> {
     for (const [key, stamp] of this.modRevisions) yield { key, stamp };
   }
 
+  /** The number of keys that have a value. */
   get keyCount(): number {
     return this.modRevisions.size;
   }
 
-  /** The fields of a record that this program does not know, and that its writes must preserve. */
+  /** The fields of a record that this program does not know and that its writes must preserve. */
   unknownFieldsOf(key: string): Data | undefined {
     return this.readability.unknownFieldsOf(key);
   }
 
-  /** Keys of records with unknown fields: no format that this program writes can express them. */
+  /** The keys of records with unknown fields, which no format that this program writes can express. */
   get keysWithUnknownFields(): Iterable<string> {
     return this.readability.keysWithUnknownFields;
   }
 
   // ---- leadership, members and shards ----
 
-  /** The key that holds leadership at the level in force. */
+  /** The key of the leader record at the feature level in force. */
   get activeLeaderKey(): string {
     return this.levels.isEnabled('barred-lead') ? leaderKey : legacyLeaderKey;
   }
 
-  /** The key that holds the machine types at the level in force. */
+  /** The key of the machine types at the feature level in force. */
   get activeTypesKey(): string {
     return this.levels.isEnabled('barred-lead') ? machineTypesKey : legacyMachineTypesKey;
   }
 
+  /** The leader record at the feature level in force; null: there is no leader. */
   get leader(): LeaderRecord | null {
     return this.leaderRecords.get(this.activeLeaderKey) ?? null;
   }
 
-  /** The newest incarnation of the state; null: the state names none. */
+  /** The newest incarnation of the state; null: none is recorded. */
   get incarnation(): Incarnation | null {
     let newest: Incarnation | null = null;
     for (const i of this.incarnations.values()) if (!newest || i.number > newest.number) newest = i;
     return newest;
   }
 
-  /** Fencing tokens of this incarnation are above this. */
+  /** Fencing tokens of the newest incarnation are greater than this. */
   get tokenBase(): number {
     return tokenBase(this.incarnation?.number ?? 1);
   }
 
-  /** Attempts at tasks of this incarnation are above this. */
+  /** Attempt numbers of the newest incarnation are greater than this. */
   get attemptBase(): number {
     return attemptBase(this.incarnation?.number ?? 1);
   }
 
-  /** Whether this very process of a member is present. */
+  /** Whether exactly the process `instanceId` of a member is present. */
   isAlive(member: string, instanceId: string): boolean {
     return this.presences.get(member)?.instanceId === instanceId;
   }
 
-  /** The shard that a team belongs to; -1: none yet. */
+  /** The shard that a team belongs to; -1: it has not been assigned to one yet. */
   shardOfTeam(team: string): number {
     return this.teamsByShard.findIndex((teams) => teams.includes(team));
   }
 
   // ---- machines ----
 
-  /** The block that a machine was rented in, as long as the block names it. */
+  /** The id of the block that a machine was rented in; undefined: no block lists it. */
   blockOf(host: string): string | undefined {
     return this.machineTable.blockOf(host);
   }
 
-  /** Whether an unknown machine may exist all the same: its own record, or that of some block, cannot be read. */
+  /** Whether a machine that is not known may exist, because its own record or that of some block cannot be read. */
   mayHaveMachine(host: string): boolean {
     return this.readability.mayHaveMachine(host);
   }
 
-  /** The owner of a machine's shard, or the leader for a machine without a shard; null: there is none now. */
+  /** The owner of a machine's shard, or the leader for a machine without a shard; null: there is currently none. */
   responsibleController(machine: VersionedMachine): ResponsibleController | null {
     const grant = machine.shard >= 0 ? this.shards.get(machine.shard) : undefined;
     const tokenFor = (modRevision: number): number =>
@@ -429,32 +463,35 @@
 
   // ---- jobs and tasks ----
 
-  /** Whether a job's own record or one of its tasks' records cannot be read: the job is neither acted on nor reported as unknown. */
+  /**
+   * Whether the record of a job, or one of its chunk records, cannot be read. Such a job is neither acted on nor reported as
+   * unknown.
+   */
   isJobUnreadable(id: string): boolean {
     return this.readability.isJobUnreadable(id);
   }
 
-  /** The revision of the record that holds the state of a chunk of tasks. */
+  /** The revision of the record that holds the state of a task chunk; 0: there is none. */
   taskStateModRevision(id: string, chunk: number): number {
     return this.modRevisionOf(this.jobsWithInlineTasks.has(id) ? jobKey(id) : chunkKey(id, chunk));
   }
 
-  /** Whether the task log is followed for a job. */
+  /** Whether the task log applies to a job. */
   taskLogStatus(id: string): TaskLogStatus {
     return this.taskStates.taskLogStatus(id);
   }
 
-  /** The version of a chunk's state that its own record holds; null: nothing is known of its tasks. */
+  /** The version of a chunk's state that its own record holds; null: no state of the chunk is known. */
   checkpointVersionOf(id: string, chunk: number): number | null {
     return this.taskStates.checkpointVersionOf(id, chunk);
   }
 
-  /** How many chunks' own records are checkpoints of a task log. */
+  /** The number of chunk records that are checkpoints of a task log. */
   get checkpointCount(): number {
     return this.taskStates.checkpointCount;
   }
 
-  /** How many tasks of a job have completed, and how many are placed. */
+  /** The number of tasks of a job that have completed, and of those that are placed (`running`). */
   taskCounts(id: string): { done: number; running: number } {
     return this.taskStates.taskCounts(id);
   }
--- a/src/core/replica/record-readability.ts
+++ b/src/core/replica/record-readability.ts
@@ -1,10 +1,10 @@
-/** Which stored records this program can act on, and which of their fields it does not know. */
+/** Tracks which stored records this program can read, and which of their fields it does not know. */
 import { inspect, type Data } from '../../formats/index.js';
 import { jobKey, machineKey, parseKey, recordKindOf, type ParsedKey } from '../storage/index.js';
 
 /**
- * Without these nobody could join, lead or learn the level, and every one of them is rewritten regularly or on demand: a damaged
- * one counts as absent, so that it is written anew.
+ * Kinds of records of which a damaged one counts as absent, so that it is written again. Without them no controller could join,
+ * lead or learn the feature level, and each of them is rewritten regularly or on demand.
  */
 const replaceableKinds: ReadonlySet<ParsedKey['kind']> = new Set([
   'node',
@@ -17,26 +17,26 @@
   'plan',
 ] as const);
 
-/** Is called when a record becomes unreadable or readable. */
+/** Notified when records become unreadable or readable again. */
 export interface ReadabilityListener {
-  /** `reason`: why the record is not acted on; null: it can be read again. */
+  /** A record became unreadable, or readable again. `reason`: why it cannot be read; null: it can be read again. */
   readabilityChanged(key: string, reason: string | null): void;
-  /** The tasks' records of a job became unreadable, or readable again. */
+  /** A chunk record of a job became unreadable, or readable again. */
   taskReadabilityChanged(jobId: string): void;
 }
 
-/** Inspects records as they arrive. Records that cannot be read are neither acted on nor overwritten. */
+/** Inspects records as they are received. Records that cannot be read are neither acted on nor overwritten. */
 export class RecordReadability {
   /** Why a record cannot be read, by key. */
   readonly unreadableRecords = new Map<string, string>();
-  /** Chunks whose records cannot be read, by job. */
+  /** The chunks whose records cannot be read, by job. */
   private readonly unreadableChunks = new Map<string, Set<number>>();
-  /** Fields that this program does not know, by key. */
+  /** The fields of records that this program does not know, by key. */
   private readonly unknownFields = new Map<string, Data>();
 
   constructor(private readonly listener: ReadabilityListener) {}
 
-  /** Whether a record that has arrived can be acted on. Its unknown fields are kept. */
+  /** Whether a received record can be read. Its unknown fields are kept. */
   check(ref: ParsedKey, key: string, data: unknown): boolean {
     const verdict = inspect(recordKindOf(ref), data);
     if (verdict.ok) {
@@ -53,7 +53,7 @@
     return false;
   }
 
-  /** The record was deleted. */
+  /** Records that a record was deleted. */
   recordDeleted(ref: ParsedKey, key: string): void {
     this.unknownFields.delete(key);
     this.markReadable(ref, key);
@@ -80,7 +80,7 @@
     this.listener.readabilityChanged(key, null);
   }
 
-  /** Whether a job's own record or one of its tasks' records cannot be read. */
+  /** Whether the record of a job, or one of its chunk records, cannot be read. */
   isJobUnreadable(id: string): boolean {
     return (
       this.unreadableRecords.size > 0 &&
@@ -88,7 +88,7 @@
     );
   }
 
-  /** Whether an unknown machine may exist all the same: its own record, or that of some block, cannot be read. */
+  /** Whether a machine that is not known may exist, because its own record or that of some block cannot be read. */
   mayHaveMachine(host: string): boolean {
     if (this.unreadableRecords.size === 0) return false;
     if (this.unreadableRecords.has(machineKey(host))) return true;
@@ -96,12 +96,12 @@
     return false;
   }
 
-  /** The fields of a record that this program does not know, and that its writes must preserve. */
+  /** The fields of a record that this program does not know and that its writes must preserve. */
   unknownFieldsOf(key: string): Data | undefined {
     return this.unknownFields.get(key);
   }
 
-  /** Keys of records with unknown fields: no format that this program writes can express them. */
+  /** The keys of records with unknown fields, which no format that this program writes can express. */
   get keysWithUnknownFields(): Iterable<string> {
     return this.unknownFields.keys();
   }
--- a/src/core/replica/task-state-table.ts
+++ b/src/core/replica/task-state-table.ts
@@ -1,22 +1,27 @@
-/** The states of tasks in the replica: from records of their own, from their jobs' records and from the task log. */
+/** The task states of the replica, combined from chunk records, job records and the task log. */
 import { chunkKey, LogReader, readChunk, type ChunkRecord, type JobRecord } from '../storage/index.js';
 
-/** What the table needs of the replica around it. */
+/** What the table needs from the replica that contains it. */
 export interface TaskStateContext {
+  /** The record of a job; undefined: it is not known. */
   job(id: string): JobRecord | undefined;
-  /** The revision of a key's present value; 0: it has none. */
+  /** The revision at which the key was last written; 0: it has no value. */
   modRevisionOf(key: string): number;
 }
 
-/** Whether the task log is followed for a job: the job is not known yet, it is, or it is over or keeps its tasks' state itself. */
+/**
+ * Whether the task log applies to a job. `unknown`: the job is not known yet. `followed`: it applies. `over`: it does not, because
+ * the job is done or its own record holds the states of its tasks.
+ */
 export type TaskLogStatus = 'unknown' | 'followed' | 'over';
 
-/** The state of every chunk of tasks, by job and by the chunk's number. */
+/** The state of every task chunk, by job and chunk number. */
 export class TaskStateTable {
+  /** The states of the chunks, by job id and chunk number. */
   readonly chunks = new Map<string, Map<number, ChunkRecord>>();
-  /** Jobs whose own record holds the state of their tasks. */
+  /** Jobs whose own record holds the states of their tasks. */
   readonly jobsWithInlineTasks = new Set<string>();
-  /** Changes of tasks' states that are not in records of their own yet. */
+  /** The task log: changes of task states that are not in chunk records yet. */
   readonly taskLog = new LogReader({
     get: (job, chunk) => this.chunks.get(job)?.get(chunk),
     set: (job, chunk, state) => this.setLoggedChunk(job, chunk, state),
@@ -26,18 +31,19 @@
 
   constructor(private readonly context: TaskStateContext) {}
 
+  /** Whether the task log applies to a job. */
   taskLogStatus(id: string): TaskLogStatus {
     const job = this.context.job(id);
     if (!job) return 'unknown';
     return job.state === 'done' || this.jobsWithInlineTasks.has(id) ? 'over' : 'followed';
   }
 
-  /** The version of a chunk's state that its own record holds; null: nothing is known of its tasks. */
+  /** The version of a chunk's state that its own record holds; null: no state of the chunk is known. */
   checkpointVersionOf(id: string, chunk: number): number | null {
     return this.chunks.get(id)?.get(chunk)?.checkpointVersion ?? null;
   }
 
-  /** How many chunks' own records are checkpoints of a task log. */
+  /** The number of chunk records that are checkpoints of a task log. */
   get checkpointCount(): number {
     let count = 0;
     for (const chunks of this.chunks.values())
@@ -45,7 +51,7 @@
     return count;
   }
 
-  /** How many tasks of a job have completed, and how many are placed. */
+  /** The number of tasks of a job that have completed, and of those that are placed (`running`). */
   taskCounts(id: string): { done: number; running: number } {
     let done = 0;
     let running = 0;
@@ -56,7 +62,7 @@
     return { done, running };
   }
 
-  /** A job's record changed. `inlineTasks`: the state of its tasks as that record holds it; null: it holds none. */
+  /** Applies a change of a job record. `inlineTasks`: the task states that the record holds; null: it holds none. */
   applyJob(id: string, inlineTasks: unknown, modRevision: number): void {
     if (inlineTasks !== null) {
       this.jobsWithInlineTasks.add(id);
@@ -67,9 +73,10 @@
     this.taskLog.applyWaiting(id);
   }
 
-  /** A chunk's own record changed; null: it was deleted. */
+  /** Applies a change of a chunk record. `data` is null if the record was deleted. */
   applyChunk(id: string, index: number, data: unknown, modRevision: number): void {
-    // Guards against the order within a transaction: a job that took its tasks' state in has it in its own record.
+    // Within a transaction, the change that moved the task states into the job record may be applied before the change of the
+    // chunk record. The states in the job record are the valid ones.
     if (this.jobsWithInlineTasks.has(id) && index === 0) return;
     this.setChunk(
       id,
@@ -79,7 +86,7 @@
     this.taskLog.applyWaiting(id);
   }
 
-  /** A chunk's own record, unless the task log has led beyond it. */
+  /** A chunk record, or the state derived from the task log if that is newer than the record. */
   private mergeCheckpoint(id: string, index: number, record: ChunkRecord): ChunkRecord {
     const logged = this.chunks.get(id)?.get(index);
     const isBehind = logged !== undefined && record.version > 0 && record.version < logged.version;
@@ -88,13 +95,13 @@
       : record;
   }
 
-  /** A state that the task log led to. Of a cancelled job nothing is kept once nothing of it is placed. */
+  /** Stores a chunk state derived from the task log. Of a cancelled job, a state without placements is dropped. */
   private setLoggedChunk(id: string, index: number, state: ChunkRecord): void {
     const isOver = this.context.job(id)?.state === 'cancelled' && state.placements.length === 0;
     this.setChunk(id, index, isOver ? null : state);
   }
 
-  /** Drops the states that the task log led to once their job is over and nothing of it is placed. */
+  /** Drops chunk states derived from the task log if their job is done, or is cancelled and the chunk has no placements. */
   private dropLoggedChunks(id: string): void {
     const chunks = this.chunks.get(id);
     const job = this.context.job(id);
--- a/src/core/shard-state/gang-repair.ts
+++ b/src/core/shard-state/gang-repair.ts
@@ -1,16 +1,17 @@
 /** Gang repair: replacing a lost task of a gang that has not started, within the same attempt. */
 import type { ScheduledJob, Placement } from './types.js';
 
-/** The settings that bound how long the tasks of a gang wait for each other. */
+/** The worker settings that limit how long the tasks of a gang wait for each other. */
 interface GangWaitSettings {
   readonly gang_wait_s: number;
   readonly report_s: number;
 }
 
 /**
- * Whether a gang that lost a task can go on with the same attempt: only while none of its tasks is known to have started or is
- * being stopped, and while those that wait already will do so long enough for a replacement. If the gang started unobserved,
- * the others notice the loss and exit: it is then torn down like any other.
+ * Whether a gang that lost a task can continue with the same attempt. It can only if none of its tasks is known to have
+ * started or is being stopped, and if the tasks that already wait for the others will keep waiting until a replacement is
+ * ready. If the gang has started without this process having observed it, the remaining tasks notice the loss and exit, and
+ * the gang is torn down like any other.
  */
 export function canRepairGang(
   job: ScheduledJob,
@@ -20,7 +21,7 @@
 ): boolean {
   if (job.cancelled || job.tearingDown || job.finalizing || job.completedCount > 0) return false;
   if (!isWaitingToStart(lost)) return false;
-  // The replacement has to be placed, be started with the next heartbeat, and fetch its image.
+  // The replacement must be placed, started with the next heartbeat, and fetch its image.
   const minReadyS = 2 * workers.report_s + longestFetchS(job);
   for (const placement of job.placements.values()) {
     if (placement.attempt !== lost.attempt || placement.stopRequest !== null) return false;
@@ -34,7 +35,7 @@
 const isWaitingToStart = ({ runningSince, phase }: Placement): boolean =>
   runningSince === 0 && (phase === 'placed' || phase === 'fetching' || phase === 'waiting');
 
-/** The longest image fetch among the tasks that wait for the others: the best estimate for a replacement. */
+/** The longest image fetch among the tasks that wait for the others, as the best estimate for the replacement's fetch. */
 function longestFetchS(job: ScheduledJob): number {
   let longestS = 0;
   for (const { waitingSince, placedAt } of job.placements.values())
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -1,19 +1,19 @@
-/** Jobs as they are scheduled: entered from their records, and which of their tasks wait. */
+/** Scheduled jobs: built from their stored records, and the queue of their tasks that wait for placement. */
 import type { JobSpec } from '../../model/job.js';
 import { BitSet, type ChunkRecord, type JobRecord, type JobUsage } from '../storage/index.js';
 import type { TaskChunk, ScheduledJob } from './types.js';
 
-/** What a job is entered with, beside its record. */
+/** What a scheduled job is built from, in addition to its record. */
 interface JobContext {
   readonly shard: number;
-  /** The states of its tasks' chunks, by number; undefined: none is stored. */
+  /** The stored states of its task chunks, by chunk number; undefined: none is stored. */
   readonly stored: ReadonlyMap<number, ChunkRecord> | undefined;
   readonly tasksPerChunk: number;
-  /** Attempts are numbered above this. */
+  /** Attempt numbers of this incarnation of the state are greater than this. */
   readonly attemptBase: number;
 }
 
-/** A job as its records say; its placements are entered by the shard state. */
+/** Builds a scheduled job from its stored records. The shard state adds its placements. */
 export function createScheduledJob(
   record: JobRecord,
   spec: JobSpec,
@@ -66,7 +66,7 @@
   return job;
 }
 
-/** The chunk that a task belongs to. */
+/** The chunk that contains a task. */
 export const chunkOf = (job: ScheduledJob, index: number): TaskChunk =>
   job.chunks[Math.floor(index / job.tasksPerChunk)];
 
@@ -76,11 +76,11 @@
   return chunk.completed.has(index - chunk.firstTask);
 }
 
-/** How many tasks wait to be placed. */
+/** How many tasks of a job wait to be placed. */
 export const waitingTaskCount = (job: ScheduledJob): number =>
   job.spec.tasks - job.completedCount - job.placements.size;
 
-/** Hands out the next task that waits to be placed; -1: there is none. */
+/** Removes and returns the index of the next task that waits to be placed; -1: there is none. */
 export function takeNextWaiting(job: ScheduledJob): number {
   const isWaiting = (index: number): boolean => !job.placements.has(index) && !isCompleted(job, index);
   for (const index of job.requeued) {
@@ -94,11 +94,13 @@
   return -1;
 }
 
-/** The number of a gang's next attempt: above those of all its tasks. */
+/** The number of a gang's next attempt: one above the highest attempt number among its tasks. */
 export const nextGangAttempt = (job: ScheduledJob): number =>
   Math.max(...job.chunks.map((chunk) => chunk.lastAttempt)) + 1;
 
-/** Stands in for the specification of a cancelled job, of which only what its last tasks take is stored. */
+/**
+ * A substitute for the specification of a cancelled job, for which only the resource usage of its remaining tasks is stored.
+ */
 export const cancelledJobSpec = (record: JobRecord, usage: JobUsage): JobSpec => ({
   id: record.id,
   class: '',
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -1,4 +1,4 @@
-/** Machines as they are scheduled: entered from their records, whether they accept tasks, and their free capacity. */
+/** Scheduled machines: built from their stored records, whether they accept tasks, and their free capacity. */
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Resources, MachineType } from '../../model/machine.js';
@@ -6,7 +6,10 @@
 import type { VersionedMachine } from '../replica.js';
 import type { ScheduledMachine } from './types.js';
 
-/** A machine that this process has just acquired. `earliestLeaseExpiry`: its worker's lease cannot have expired before, ms. */
+/**
+ * Builds the state of a machine that this process has just acquired. Its worker's lease cannot have expired before
+ * `earliestLeaseExpiry` (on the steady clock, ms).
+ */
 export const createScheduledMachine = (
   record: VersionedMachine,
   type: MachineType,
@@ -38,17 +41,17 @@
   releasing: false,
 });
 
-/** What decides about machines beside their own state. */
+/** What scheduling decisions about a machine depend on, in addition to the machine's own state. */
 interface SchedulingContext {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
   readonly clock: Clock;
 }
 
-/** For how many report intervals a silent machine still gets tasks. */
+/** A machine gets no more tasks if its last heartbeat is older than this many report intervals. */
 const maxSilentReportIntervals = 2.5;
 
-/** Whether a machine accepts tasks at all now. */
+/** Whether tasks may currently be placed on a machine, whatever its free capacity. */
 export function acceptsTasks(
   { settings, clock: { now } }: SchedulingContext,
   machine: ScheduledMachine,
@@ -64,7 +67,7 @@
   );
 }
 
-/** What is free on a machine, less the headroom of its CPUs that stays unused. */
+/** The free resources of a machine, less the share of its CPUs that the `headroom` setting keeps unused. */
 export const freeCapacity = ({ operators }: SchedulingContext, machine: ScheduledMachine): Resources => ({
   cpus: machine.type.cpus * (1 - operators.headroom) - machine.used.cpus,
   gpus: machine.type.gpus - machine.used.gpus,
--- a/src/core/shard-state/placement-ledger.ts
+++ b/src/core/shard-state/placement-ledger.ts
@@ -1,4 +1,4 @@
-/** The placements of this process's jobs, and what is counted by them. */
+/** The placements of the jobs in this process's shards, and the counters derived from them. */
 import { taskKey, urgencyRank } from '../../model/job.js';
 import type { Clock } from '../effects.js';
 import type { Replica } from '../replica.js';
@@ -6,7 +6,7 @@
 import type { TeamQuotas } from './team-quotas.js';
 import type { Placement, ScheduledJob, ScheduledMachine, TaskChunk } from './types.js';
 
-/** Where the ledger finds jobs and machines, and what it keeps up to date. */
+/** Where the ledger looks up jobs and machines, and the quota usage that it keeps up to date. */
 export interface LedgerContext {
   readonly jobs: ReadonlyMap<string, ScheduledJob>;
   readonly machines: ReadonlyMap<string, ScheduledMachine>;
@@ -15,16 +15,19 @@
   readonly clock: Clock;
 }
 
-/** Enters and removes placements, and counts them by job, machine, team, zone and urgency. */
+/** Adds and removes placements, and keeps usage and counts by job, machine, team, zone and urgency. */
 export class PlacementLedger {
-  /** How many placements there are of each urgency's rank. */
+  /** The number of placements by urgency rank. */
   readonly countByUrgency = new Map<number, number>();
-  /** Placements on machines that are not (yet) known, by host. */
+  /** Placements on hosts for which no machine of this process's shards is known (yet), by host. */
   private readonly placementsOnUnknownHosts = new Map<string, Placement[]>();
 
   constructor(private readonly context: LedgerContext) {}
 
-  /** Enters a placement. `placedByThisProcess`: it was decided here, so nobody else can have sent its start. */
+  /**
+   * Adds a placement to its job and machine. `placedByThisProcess`: it was decided by this process, so no other controller can
+   * have sent its start.
+   */
   add(
     job: ScheduledJob,
     chunk: TaskChunk,
@@ -60,24 +63,24 @@
     return placement;
   }
 
-  /** Removes a placement that counts no more. */
+  /** Removes a placement from its job and machine. */
   remove(placement: Placement): void {
     placement.job.placements.delete(placement.index);
     this.removeFromMachine(placement);
   }
 
-  /** Removes the placements of a job that this process handles no more. */
+  /** Removes the placements of a job that this process no longer handles from their machines and from all counts. */
   removeAll(job: ScheduledJob): void {
     for (const placement of job.placements.values()) this.removeFromMachine(placement);
   }
 
-  /** Whether a placement counts still, and its job is this process's. */
+  /** Whether a placement has not been removed and this process still handles its job. */
   isCurrent(placement: Placement): boolean {
     const { job, index } = placement;
     return job.placements.get(index) === placement && this.context.jobs.get(job.id) === job;
   }
 
-  /** Takes the current placements on a machine that was not known, which is known now or gone. */
+  /** Forgets the placements on an unknown host that has become known or is gone, and returns those that are still current. */
   takePlacementsOnUnknownHost(host: string): Placement[] {
     const placements = this.placementsOnUnknownHosts.get(host) ?? [];
     this.placementsOnUnknownHosts.delete(host);
--- a/src/core/shard-state/reservations.ts
+++ b/src/core/shard-state/reservations.ts
@@ -1,10 +1,10 @@
 /** Reservations of machines for jobs that found no capacity. */
 import type { Clock } from '../effects.js';
 
-/** How many worker leases a reservation lasts. */
+/** How long a reservation lasts, in worker leases. */
 const reservationDurationLeases = 4;
 
-/** A machine that is kept free of other jobs' tasks. */
+/** Keeps a machine free of the tasks of other jobs. */
 export interface Reservation {
   /** The id of the job that the machine is reserved for. */
   readonly job: string;
@@ -12,7 +12,7 @@
   readonly expiresAt: number;
 }
 
-/** The machines that are reserved, at most one job for each. */
+/** The reserved machines. Each is reserved for at most one job. */
 export class Reservations {
   /** Reservations by host. */
   readonly byHost = new Map<string, Reservation>();
@@ -25,17 +25,17 @@
     this.durationMs = leaseS * reservationDurationLeases * 1000;
   }
 
-  /** Reserves a machine, or extends its reservation. */
+  /** Reserves a machine for a job, or extends its reservation. */
   reserve(host: string, job: string): void {
     this.byHost.set(host, { job, expiresAt: this.clock.now + this.durationMs });
   }
 
-  /** Releases the machines of a job that needs them no more. */
+  /** Releases all machines that are reserved for a job. */
   release(job: string): void {
     for (const [host, reservation] of this.byHost) if (reservation.job === job) this.byHost.delete(host);
   }
 
-  /** Ends reservations that expired, and those whose job or machine is gone. */
+  /** Removes reservations that have expired or whose job or machine no longer exists. */
   prune(jobs: ReadonlyMap<string, unknown>, machines: ReadonlyMap<string, unknown>): void {
     for (const [host, { job, expiresAt }] of this.byHost)
       if (expiresAt < this.clock.now || !jobs.has(job) || !machines.has(host)) this.byHost.delete(host);
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -1,4 +1,4 @@
-/** The jobs and machines of this process's shards in memory, and what is placed where. */
+/** The in-memory state of this process's shards: their jobs, machines and placements. */
 import { MinimumShares } from '../../admission/index.js';
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
@@ -19,13 +19,13 @@
 import { TeamQuotas, type QuotaReservation } from './team-quotas.js';
 import type { Placement, PlacementOutcome, ScheduledJob, ScheduledMachine, TaskAssignment } from './types.js';
 
-/** Notified of changes that decide whether a machine or a job is at fault. */
+/** Receives the events that decide whether a machine or a job is at fault for failures. */
 export interface ShardStateListener {
-  /** A job has completed its first task. */
+  /** Called when a job has completed its first task. */
   firstTaskCompleted(job: ScheduledJob): void;
 }
 
-/** What the state of a process's shards is made from. */
+/** What a shard state is created with. */
 export interface ShardStateOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
@@ -34,24 +34,27 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly listener: ShardStateListener;
-  /** Matches jobs' expressions with machines' attributes; null: no job has any. */
+  /** Matches the expressions of jobs against the attributes of machines; null: no job has expressions. */
   readonly matcher: Matcher | null;
 }
 
-/** Of the tasks that one record may hold: jobs of so many keep them in the job's own record. */
+/** Jobs with at most this share of the tasks that one record may hold keep the states of their tasks in the job record. */
 const maxInlineTaskShare = 1 / 8;
 
-/** A placed task takes up to some 40 bytes of its chunk's value; this leaves room for the rest. */
+/** A placed task takes up to about 40 bytes of its chunk's stored value; this leaves room for the rest of the value. */
 const bytesPerPlacedTask = 64;
 const minTasksPerChunk = 16;
 const maxTasksPerChunk = 512;
 
-/** Of the time between the expiry of a worker's lease and the moment by which a cancelled task has to be gone. */
+/**
+ * The maximum age of the replica from which workers are answered, as a share of the time between the expiry of a worker's
+ * lease (`lease_s`) and the moment by which a cancelled task must be gone (`cancel_s`).
+ */
 const maxReplicaAgeShare = 0.85;
 
 const noResources: Resources = { cpus: 0, gpus: 0, memGb: 0 };
 
-/** The jobs and machines of the shards of this process: what is placed where, what is durable, what waits. */
+/** The jobs and machines in this process's shards: what is placed where, what is durable, and what waits. */
 export class ShardState {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
@@ -66,16 +69,16 @@
   /** Machines by host. */
   readonly machines = new Map<string, ScheduledMachine>();
   readonly ownedShards = new Set<number>();
-  /** Placements with a stop request that was not sent to their workers yet. */
+  /** Placements with a stop request that has not been sent to the worker yet. */
   readonly unsentStops = new Set<Placement>();
-  /** In a pool: placements whose machines are to be asked for a heartbeat once they may start. */
+  /** In a pool: placements whose machines are asked for a heartbeat as soon as the placement may start. */
   readonly unsentStarts = new Set<Placement>();
   /**
-   * Machines that run empty for gangs that found no capacity in the last scheduling cycle, with the rank of the gangs' urgency:
-   * less urgent work is not placed there.
+   * Machines that are being drained for gangs that found no capacity in the last scheduling cycle, with the urgency rank of
+   * the gangs, by host. Less urgent work is not placed on them.
    */
   withheldHosts: ReadonlyMap<string, number> = new Map();
-  /** Machines reserved for jobs that found no capacity. */
+  /** Reservations of machines for jobs that found no capacity. */
   readonly reservations: Reservations;
   readonly hazard: SpotHazardEstimate;
   readonly taskWriter: TaskWriter;
@@ -83,20 +86,20 @@
   private readonly ledger: PlacementLedger;
   /** Placements on machines without a record, and when the leases of their workers have certainly expired, ms. */
   private readonly expiringPlacements = new Map<Placement, number>();
-  /** Called for a task that nobody is known to have placed: its key, its attempt, and the last attempt that is known. */
+  /** Called for a reported task without a known placement, with its key, its attempt and the last attempt number known. */
   onUnknownAttempt: (key: string, attempt: number, lastAttempt: number) => void = () => undefined;
-  /** Whether tasks may start: false while it is not known what may be running. */
+  /** Whether tasks may be started: false while it is not known which tasks may be running. */
   mayStartTasks: () => boolean = () => true;
   /** Whether the state service accepts writes, so that tasks can be placed. */
   canPlaceTasks: () => boolean = () => true;
   /** How many placements this process has decided. */
   placementCount = 0;
-  /** How many jobs were finished here, by team. */
+  /** The number of jobs that this process has finished, by team. */
   readonly finishedJobsByTeam = new Map<string, number>();
   private readonly tasksPerChunk: number;
-  /** The machine whose unused capacity goes to single tasks of starving jobs, and since when, ms. */
+  /** The machine whose unused capacity goes to single tasks of starving jobs, and since when (ms). */
   starvationRelief = { host: '', at: -Infinity };
-  /** What teams and classes have had of the capacity of late. */
+  /** The recent usage of teams and job classes, compared with their minimum shares. */
   readonly minimumShares: MinimumShares;
 
   constructor(options: ShardStateOptions) {
@@ -122,43 +125,43 @@
     this.taskWriter = new TaskWriter(settings, replica, batcher, clock, log, this, maxInlineTasks, taskLog);
   }
 
-  /** How old the replica may be, ms, for workers to be answered from it. */
+  /** The maximum age of a replica from which workers may be answered, ms. */
   get maxReplicaAgeMs(): number {
     const { cancel_s, lease_s } = this.settings.workers;
     return 1000 * Math.min(this.operators['grant-s'], (cancel_s - lease_s) * maxReplicaAgeShare);
   }
 
   /**
-   * How long after the acquisition of a shard a worker's lease may last that was not renewed since, ms. Guards against the stale
-   * owner: it may have renewed leases until its own replica was too old.
+   * How long after a shard was acquired a worker's lease may still last if it has not been renewed since, ms. Accounts for a
+   * stale previous owner, which may have renewed leases until its own replica was too old.
    */
   private get maxRemainingLeaseMs(): number {
     return this.maxReplicaAgeMs + this.settings.workers.lease_s * 1000;
   }
 
-  /** What placed tasks take, by team. */
+  /** The resources that placed tasks use, by team. */
   get usageByTeam(): ReadonlyMap<string, Resources> {
     return this.quotas.usageByTeam;
   }
 
-  /** How many placements there are of each urgency's rank. */
+  /** The number of placements by urgency rank. */
   get placementsByUrgency(): ReadonlyMap<number, number> {
     return this.ledger.countByUrgency;
   }
 
-  /** Sets what gangs that found no capacity in the last scheduling cycle will take of their teams' quotas, by team. */
+  /** Sets the quota that is reserved for gangs that found no capacity in the last scheduling cycle, by team. */
   reserveQuotas(reservations: ReadonlyMap<string, QuotaReservation>): void {
     this.quotas.reservations = reservations;
   }
 
-  /** What work of a team may still take of its quota. */
+  /** The resources that work of a team may still take from the team's quota. */
   availableQuota(work: Pick<JobSpec, 'team' | 'urgency'>, ignoreReservations = false): Resources {
     return this.quotas.available(work, ignoreReservations);
   }
 
   // ---- shards ----
 
-  /** Enters the jobs and machines of a shard that was assigned to this process. */
+  /** Adds the jobs and machines of a shard that was assigned to this process. */
   acquireShard(shard: number): void {
     this.ownedShards.add(shard);
     for (const machine of this.replica.machines.values())
@@ -166,7 +169,7 @@
     for (const job of this.replica.jobs.values()) this.addJob(job);
   }
 
-  /** Removes the jobs and machines of a shard that is not this process's any more. */
+  /** Removes the jobs and machines of a shard that this process no longer owns. */
   releaseShard(shard: number): void {
     this.ownedShards.delete(shard);
     this.taskWriter.closeShard(shard);
@@ -180,7 +183,8 @@
     const type = this.replica.machineTypes.find(({ name }) => name === record.type);
     if (!type || this.machines.has(record.host)) return;
     const { now } = this.clock;
-    // Guards against machines whose record is restored after those of their tasks: what the tasks take would count as free.
+    // The record of a machine may be restored after those of its tasks. Their jobs are loaded again, so that the resources of
+    // the tasks do not count as free.
     const jobs = new Set(this.ledger.takePlacementsOnUnknownHost(record.host).map(({ job }) => job.id));
     for (const id of jobs) this.removeJob(id);
     const machine = createScheduledMachine(record, type, now, now + this.maxRemainingLeaseMs);
@@ -216,8 +220,8 @@
   }
 
   /**
-   * Guards against a machine whose record was lost: one that has none was deleted, as a rule, but that proves nothing before the
-   * lease of its worker has expired.
+   * Schedules the removal of a placement whose machine has no record. Such a machine has usually been deleted, but its record
+   * may also have been lost, so nothing is proven until the lease of its worker has expired.
    */
   private scheduleExpiryIfMachineUnknown(placement: Placement): void {
     const { host } = placement;
@@ -249,7 +253,7 @@
     this.jobs.delete(id);
   }
 
-  /** Enters a job anew from what is durable: another process has written it. */
+  /** Loads a job again from its stored records, because another process has written them. */
   reloadJob(id: string): void {
     this.removeJob(id);
     const record = this.replica.jobs.get(id);
@@ -258,7 +262,7 @@
 
   // ---- changes of the replica ----
 
-  /** The replica holds another record of a job, or none any more. */
+  /** Called when the record of a job has changed in the replica; undefined: it was deleted. */
   jobChanged(id: string, record: JobRecord | undefined): void {
     const job = this.jobs.get(id);
     if (this.replica.isJobUnreadable(id)) {
@@ -266,7 +270,7 @@
       else if (record) this.addUnreadableJob(record);
       return;
     }
-    // Guards against going on from what was known before: another process may have written the job since.
+    // The job is loaded again rather than continued from what was known before: another process may have written it since.
     if (job?.unreadable || this.quotas.hasUnreadableJob(id)) return this.reloadJob(id);
     if (!record) return;
     if (!job) {
@@ -274,7 +278,7 @@
       return;
     }
     job.modRevision = record.modRevision;
-    // Whoever wrote the record left the state of the tasks in it as it was, or it was this process.
+    // Another writer of the record leaves the task states in it unchanged; otherwise it was written by this process.
     if (record.tasksInline) job.chunks[0].modRevision = record.modRevision;
     if (record.state === 'cancelled' && !job.cancelled) this.cancelJob(job);
   }
@@ -284,7 +288,7 @@
     for (const placement of [...job.placements.values()]) {
       if (isUnsent(placement)) this.removePlacement(placement, 'cancelled before its start');
       else {
-        // A cancelled task gets no time to save, also if it is being stopped in order already.
+        // A cancelled task gets no time to save its state, even if it is already being stopped gracefully.
         placement.stopRequest = null;
         this.requestStop(placement, 0);
       }
@@ -292,7 +296,7 @@
     this.finishCancellation(job);
   }
 
-  /** The replica holds another record of a machine, or none any more. */
+  /** Called when the record of a machine has changed in the replica; undefined: it was deleted. */
   machineChanged(host: string, record: VersionedMachine | undefined): void {
     const machine = this.machines.get(host);
     if (record && this.ownedShards.has(record.shard)) {
@@ -304,7 +308,7 @@
       return;
     }
     if (!record) {
-      // The record is deleted only after the cloud has confirmed the machine's deletion: all that ran on it is gone.
+      // The record is deleted only after the cloud has confirmed the deletion of the machine, so everything on it is gone.
       const placements = [...(machine?.placements.values() ?? [])];
       for (const placement of placements) this.removePlacement(placement, 'machine returned', 'lost');
       for (const placement of this.ledger.takePlacementsOnUnknownHost(host))
@@ -316,8 +320,8 @@
   // ---- placements ----
 
   /**
-   * Whether a task that an earlier owner placed, and that no worker has reported, may still start. Guards against an owner that
-   * removed the placement, used its quota or zone for others, and ended before it had written so.
+   * Whether a task that a previous owner placed, and that no worker has reported, may still start. The previous owner may have
+   * removed the placement, given its quota or its place in the zone to other tasks, and ended before the removal was written.
    */
   mayStillStart({ job: { spec, tasksByZone }, zone }: Placement): boolean {
     if (zone === null || !fits(noResources, this.availableQuota(spec, true))) return false;
@@ -325,8 +329,8 @@
   }
 
   /**
-   * Whether the start of a placement may be sent. Guards against starting what a crash could forget: the placement has to be
-   * durable, and of a gang all of the attempt.
+   * Whether the start of a placement may be sent. The placement must be durable, and for a gang all placements of the attempt,
+   * so that a crash cannot lose the record of a task that was started.
    */
   mayStart({ job, chunk, chunkVersion }: Placement): boolean {
     if (job.cancelled || job.finalizing || job.unreadable || !this.mayStartTasks()) return false;
@@ -336,7 +340,7 @@
     return true;
   }
 
-  /** Places tasks of one job together; they start once all of it is durable. */
+  /** Places tasks of one job together. They are started once their placements are durable; see `mayStart`. */
   placeTasks(job: ScheduledJob, assignments: readonly TaskAssignment[], attempt?: number): void {
     this.placementCount += assignments.length;
     const chunks = new Set(assignments.map(({ index }) => chunkOf(job, index)));
@@ -351,7 +355,7 @@
       const record = { index, attempt: attempt ?? ++chunk.lastAttempt, host };
       const placement = this.ledger.add(job, chunk, record, true);
       if (this.settings.pool) this.unsentStarts.add(placement);
-      // The image is on its way: tasks that come later share the fetch.
+      // The task causes the machine to fetch the image; tasks that are placed there later share the fetch.
       const machine = this.machines.get(host);
       if (machine) machine.images.set(job.spec.image, imageFetchS(job.spec, machine.type));
     }
@@ -359,7 +363,7 @@
     if (waitingTaskCount(job) === 0) job.repairAttempt = null;
   }
 
-  /** Removes a placement whose attempt is proven gone or over, and has that written. */
+  /** Removes a placement whose attempt is proven to be gone or over, and queues the write of the change. */
   removePlacement(placement: Placement, why: string, outcome: PlacementOutcome = 'requeue'): void {
     const { job, chunk, index } = placement;
     if (job.placements.get(index) !== placement) return;
@@ -371,8 +375,8 @@
     this.log('debug', 'placement removed', { piece: taskKey(job.id, index), attempt, host, why });
     if (outcome === 'completed') this.completeTask(placement);
     else if (!job.cancelled) {
-      // Guards against handing a task out twice in one cycle: from `nextUnplaced` on it is found there, and after a
-      // failover `nextUnplaced` starts anew.
+      // Only tasks below `nextUnplaced` are requeued; the others would be handed out twice in one cycle. After a failover,
+      // `nextUnplaced` starts at 0 again.
       if (index < job.nextUnplaced) job.requeued.add(index);
       if (job.spec.shape === 'gang') this.checkGang(job, placement, outcome === 'lost');
     }
@@ -385,7 +389,7 @@
       if (job.completedCount++ === 0) this.listener.firstTaskCompleted(job);
     }
     this.finalizeIfCompleted(job);
-    // Guards against a gang that was being torn down when its last task completed: the rest would never be placed again.
+    // If a gang was being torn down when its last placed task completed, its remaining tasks would otherwise never be placed.
     if (job.placements.size === 0) endTearDown(job);
   }
 
@@ -403,8 +407,9 @@
   // ---- gangs and stops ----
 
   /**
-   * Decides about a gang that misses some of its tasks. One that lost a task with its machine while all of it still waited gets
-   * a replacement with the same attempt. Any other cannot go on with this attempt: it is torn down, then placed again whole.
+   * Repairs or tears down a gang that lacks some of its tasks. If a task was lost with its machine while all tasks still waited
+   * to start, it is replaced within the same attempt. Otherwise the attempt cannot continue: it is torn down, and then the
+   * whole gang is placed again.
    */
   private checkGang(job: ScheduledJob, lost?: Placement, lostWithMachine = false): void {
     const missing = job.spec.tasks - job.completedCount - job.placements.size;
@@ -422,7 +427,7 @@
     if (job.placements.size === 0) endTearDown(job);
   }
 
-  /** Stops a whole gang in order: every task gets time to save, all at about the same time. */
+  /** Stops a whole gang gracefully: all tasks are stopped at about the same time, with time to save their state. */
   stopGang(job: ScheduledJob): void {
     this.tearDown(job, job.spec.saveS);
   }
@@ -433,7 +438,7 @@
     for (const placement of job.placements.values()) this.requestStop(placement, graceS);
   }
 
-  /** Requests that a task stops, with time to save. A request that was made before stands. */
+  /** Requests that a task stops within `graceS`, its time to save its state. An earlier request remains in force. */
   requestStop(placement: Placement, graceS: number): void {
     if (placement.stopRequest !== null || placement.job.unreadable) return;
     placement.stopRequest = { graceS, since: this.clock.now };
@@ -441,11 +446,11 @@
   }
 }
 
-/** Whether no worker can have received the start of a placement. */
+/** Whether no worker can have received the start command of a placement. */
 const isUnsent = ({ placedByThisProcess, startSentWith }: Placement): boolean =>
   placedByThisProcess && startSentWith === null;
 
-/** Nothing of a gang's attempt is left: it may be placed again. */
+/** Marks the tear-down of a gang as finished: no task of the attempt is left, so the gang may be placed again. */
 function endTearDown(job: ScheduledJob): void {
   job.tearingDown = false;
   job.repairAttempt = null;
--- a/src/core/shard-state/team-quotas.ts
+++ b/src/core/shard-state/team-quotas.ts
@@ -1,4 +1,4 @@
-/** How much of its quota each team uses, and what of it is reserved. */
+/** The usage of each team's quota, and the reservations against it. */
 import type { Settings } from '../../config/settings.js';
 import { urgencyRank, type JobSpec } from '../../model/job.js';
 import type { Resources } from '../../model/machine.js';
@@ -6,29 +6,29 @@
 
 /** A part of a team's quota that is reserved for its more urgent work. */
 export interface QuotaReservation {
-  /** The rank of that work's urgency. */
+  /** The urgency rank of the work that it is reserved for. */
   urgency: number;
   cpus: number;
   gpus: number;
-  /** Tasks that machines could take beyond that. */
+  /** How many more tasks may be added to the reservation: the machines could not hold more. */
   tasks: number;
 }
 
-/** What a team's work is counted by. */
+/** The properties of work that decide how much of the team's quota is available to it. */
 type TeamWork = Pick<JobSpec, 'team' | 'urgency'>;
 
-/** The use of the teams' quotas by this process's jobs. */
+/** The usage of the teams' quotas by the jobs in this process's shards. */
 export class TeamQuotas {
-  /** What placed tasks take, by team. */
+  /** The resources that placed tasks use, by team. */
   readonly usageByTeam = new Map<string, Resources>();
-  /** What gangs that found no capacity in the last scheduling cycle will take of their teams' quotas, by team. */
+  /** Quota reserved for gangs that found no capacity in the last scheduling cycle, by team. */
   reservations: ReadonlyMap<string, QuotaReservation> = new Map();
-  /** Jobs of which it is not known what runs: they are counted in full. */
+  /** Jobs with unreadable records. It is unknown which of their tasks run, so all of their tasks count as usage. */
   private readonly unreadableJobs = new Map<string, JobSpec>();
 
   constructor(private readonly settings: Settings) {}
 
-  /** Adds some tasks of a job to its team's usage; a negative number removes them. */
+  /** Adds a number of a job's tasks to its team's usage; a negative number subtracts them. */
   addUsage(spec: JobSpec, tasks: number): void {
     let usage = this.usageByTeam.get(spec.team);
     if (!usage) this.usageByTeam.set(spec.team, (usage = { cpus: 0, gpus: 0, memGb: 0 }));
@@ -37,7 +37,10 @@
     usage.memGb += tasks * spec.memGb;
   }
 
-  /** What work of a team may still take. Reserved quota is left to more urgent work, unless reservations are ignored. */
+  /**
+   * The resources that work of a team may still take. Quota that is reserved for more urgent work is not available, unless
+   * reservations are ignored.
+   */
   available({ team, urgency }: TeamWork, ignoreReservations = false): Resources {
     const quota = teamQuota(this.settings, team);
     const usage = this.usageByTeam.get(team);
@@ -50,25 +53,25 @@
     };
   }
 
-  /** Counts all tasks of a job: it is not known which of them run. */
+  /** Counts all tasks of a job as usage, because it is unknown which of them run. */
   addUnreadableJob(id: string, spec: JobSpec): void {
     if (this.unreadableJobs.has(id)) return;
     this.unreadableJobs.set(id, spec);
     this.addUsage(spec, spec.tasks);
   }
 
-  /** Whether a job is counted in full. */
+  /** Whether all tasks of a job count as usage because its records cannot be read. */
   hasUnreadableJob(id: string): boolean {
     return this.unreadableJobs.has(id);
   }
 
-  /** Counts a job in full no longer. */
+  /** Stops counting all tasks of a job as usage. */
   removeUnreadableJob(id: string): void {
     const spec = this.unreadableJobs.get(id);
     if (spec && this.unreadableJobs.delete(id)) this.addUsage(spec, -spec.tasks);
   }
 
-  /** Counts the jobs of some teams in full no longer. */
+  /** Stops counting all tasks as usage for the unreadable jobs of the teams that `isAffected` selects. */
   removeUnreadableJobsOf(isAffected: (team: string) => boolean): void {
     for (const [id, spec] of this.unreadableJobs) if (isAffected(spec.team)) this.removeUnreadableJob(id);
   }
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -1,4 +1,4 @@
-/** Jobs, chunks of their tasks, placements and machines as they are scheduled. */
+/** In-memory types of the scheduler: jobs, task chunks, placements and machines. */
 import type { JobSpec } from '../../model/job.js';
 import type { TaskPhase } from '../../model/heartbeat.js';
 import type { Resources, MachineType } from '../../model/machine.js';
@@ -6,87 +6,87 @@
 import type { VersionedMachine } from '../replica.js';
 import type { BitSet, WritePriority } from '../storage/index.js';
 
-/** A heartbeat's position among those of its machine. */
+/** The position of a heartbeat in the sequence of its machine's heartbeats. */
 export interface HeartbeatPosition {
-  /** The epoch of the agent that sent it: rises with each start of an agent. */
+  /** The epoch of the agent that sent it. It increases with each start of an agent. */
   readonly agentEpoch: number;
   /** Its sequence number within the epoch. */
   readonly heartbeatSeq: number;
 }
 
-/** Where a task is to be placed. */
+/** The decision to place a task on a host. */
 export interface TaskAssignment {
   readonly index: number;
   readonly host: string;
 }
 
 /**
- * What became of a placement that is removed: its task completed; it ended or never ran, and the task waits again; or it was lost
- * with its machine, and the task waits again.
+ * Why a placement is removed. `completed`: its task completed. `requeue`: the attempt ended or never ran, and the task waits
+ * to be placed again. `lost`: the attempt was lost with its machine, and the task waits to be placed again.
  */
 export type PlacementOutcome = 'completed' | 'requeue' | 'lost';
 
-/** A request that a task stops. */
+/** A request to stop a task. */
 export interface StopRequest {
-  /** The time that the task gets to save, s. */
+  /** How long the task may take to save its state before it is killed, s. */
   readonly graceS: number;
-  /** When the request was made, ms. */
+  /** When the request was made, on the steady clock, ms. */
   readonly since: number;
 }
 
-/** A task's current attempt. It exists from the decision to place the task until the attempt is proven gone. */
+/** The current attempt of a task. It exists from the decision to place the task until the attempt is proven to be over. */
 export interface Placement {
   readonly job: ScheduledJob;
   /** The task's index in its job. */
   readonly index: number;
   readonly attempt: number;
   readonly host: string;
-  /** The zone of its machine, as far as that was known when the placement was entered. */
+  /** The zone of its machine; null: the zone was not known when the placement was added. */
   readonly zone: string | null;
   readonly chunk: TaskChunk;
-  /** The first version of the chunk that holds the placement: it is durable once that version is. */
+  /** The first version of the chunk that contains the placement. The placement is durable once that version is. */
   readonly chunkVersion: number;
-  /** Whether it was decided by this process, so that nobody else can have sent its start. */
+  /** Whether it was decided by this process, so that no other controller can have sent its start. */
   readonly placedByThisProcess: boolean;
-  /** The heartbeat whose response carried the start; null: none yet. */
+  /** The heartbeat whose response carried the start command; null: none yet. */
   startSentWith: HeartbeatPosition | null;
   phase: TaskPhase | 'placed';
-  /** When it was first seen to run, ms; 0: not yet. */
+  /** When a heartbeat first reported it as running, ms; 0: none yet. */
   runningSince: number;
-  /** Of a gang: when it was first seen to wait for the others, ms; 0: not yet. */
+  /** For a gang: when a heartbeat first reported it as waiting for the other tasks, ms; 0: none yet. */
   waitingSince: number;
   readonly placedAt: number;
-  /** Set once the task is to stop. */
+  /** Set once the task has been asked to stop; null: it has not. */
   stopRequest: StopRequest | null;
 }
 
-/** Consecutive tasks of a job whose state is stored together. */
+/** Consecutive tasks of a job whose states are stored together. */
 export interface TaskChunk {
-  /** Its number in its job, from 0. */
+  /** Its number within its job, from 0. */
   readonly index: number;
   /** The index of its first task. */
   readonly firstTask: number;
   /** How many tasks it has. */
   readonly size: number;
-  /** The revision of the record that holds its state; 0: there is none. */
+  /** The revision of the record that holds its state; 0: no state is stored yet. */
   modRevision: number;
   /** The highest attempt number used in it. */
   lastAttempt: number;
-  /** Which of its tasks have completed, counted from the first. */
+  /** Which of its tasks have completed, by index relative to `firstTask`. */
   readonly completed: BitSet;
-  /** Rises with each change of its state in memory. */
+  /** The version of its state in memory. It increases with each change. */
   version: number;
-  /** The version with the newest placement. */
+  /** The version that added the newest placement. */
   placedVersion: number;
   /** The newest version known to be durable. */
   durableVersion: number;
-  /** Its write that waits or is under way. */
+  /** Its write that is queued or in progress; null: none. */
   queuedWrite: { readonly rank: WritePriority } | null;
-  /** It is not written before the replica has reached this revision. */
+  /** It must not be written until the replica has reached this revision. */
   writeBlockedUntilRevision: number;
 }
 
-/** A job of this process's shards. */
+/** A job in one of this process's shards. */
 export interface ScheduledJob {
   readonly id: string;
   readonly spec: JobSpec;
@@ -97,81 +97,81 @@
   modRevision: number;
   cancelled: boolean;
   readonly chunks: TaskChunk[];
-  /** How many tasks each chunk but the last has. */
+  /** The number of tasks in every chunk but the last, which may have fewer. */
   readonly tasksPerChunk: number;
-  /** The current placements, by the index of the task. */
+  /** The current placements, by task index. */
   readonly placements: Map<number, Placement>;
-  /** Tasks from this index on were not handed out for placement yet. */
+  /** Tasks from this index on have not been handed out for placement yet. */
   nextUnplaced: number;
-  /** Tasks below `nextUnplaced` that are to be placed again. */
+  /** Tasks below `nextUnplaced` that must be placed again. */
   readonly requeued: Set<number>;
   /** How many tasks have completed. */
   completedCount: number;
-  /** How many placements there are in each zone. */
+  /** The number of placements in each zone. */
   readonly tasksByZone: Map<string, number>;
-  /** How many placements are on machines whose zone is not known. */
+  /** The number of placements on machines whose zone is not known. */
   unknownZoneTasks: number;
-  /** Whether its completion is being written. */
+  /** Whether its completion is being written to the state service. */
   finalizing: boolean;
-  /** Whether a record of it cannot be read: its placements stay counted, and nothing is done about them. */
+  /** Whether one of its records cannot be read. Its placements still count as usage, but are not acted on. */
   unreadable: boolean;
-  /** Of a gang: an attempt is being torn down; nothing starts until all of it is gone. */
+  /** For a gang: an attempt is being torn down. Nothing is started until all of its tasks are gone. */
   tearingDown: boolean;
-  /** Of a gang: the attempt in which tasks that were lost before the start are replaced; null: there are none. */
+  /** For a gang: the attempt in which tasks that were lost before the start are being replaced; null: none. */
   repairAttempt: number | null;
-  /** Machines on which its tasks failed. */
+  /** The hosts on which its tasks failed. */
   readonly failedHosts: Set<string>;
-  /** How often it failed since it is suspect. */
+  /** Failed tries since it became suspect; tries that fail at about the same time count as one. Delays the next try. */
   failedProbes: number;
-  /** Whether it may run on machines on which it failed: there was no place on others. */
+  /** Whether it may run on hosts on which it failed, because no other machine had room for it. */
   anyHostAllowed: boolean;
-  /** Nothing of it is placed before this moment, ms. */
+  /** None of its tasks is placed before this time, ms. */
   retryNotBefore: number;
-  /** Time of day since which none of its tasks is placed, ms; while some are, it has no meaning. */
+  /** Time of day since when none of its tasks has been placed, ms. Meaningless while some are placed. */
   fullyWaitingSince: number;
-  /** What it asks of machines beyond type and zone; null: nothing. */
+  /** Its machine requirements and preferences other than type and zone; null: none. */
   match: MachineMatch | null;
 }
 
-/** A machine of this process's shards; also the position of its last heartbeat. */
+/** A machine in one of this process's shards, including the position of its last heartbeat. */
 export interface ScheduledMachine extends HeartbeatPosition {
   readonly host: string;
   record: VersionedMachine;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** What its placements take. */
+  /** The resources that its placements use. */
   readonly used: Resources;
-  /** Its placements, by the key of the task. */
+  /** Its placements, by task key. */
   readonly placements: Map<string, Placement>;
-  /** Where its worker takes orders; empty: not known yet. */
+  /** The address at which its worker accepts commands; empty: not known yet. */
   endpoint: string;
   agentEpoch: number;
   heartbeatSeq: number;
-  /** When the last heartbeat under the current fencing token came, ms; 0: none yet. */
+  /** When the last heartbeat with the current fencing token was received, ms; 0: none yet. */
   confirmedAt: number;
-  /** When the last heartbeat came, ms; 0: none yet. */
+  /** When the last heartbeat was received, ms; 0: none yet. */
   lastHeartbeatAt: number;
-  /** The lease of its worker cannot have expired before this moment, ms. */
+  /** The lease of its worker cannot have expired before this time, ms. */
   earliestLeaseExpiry: number;
-  /** The token of the last response to its worker. */
+  /** The fencing token of the last response to its worker. */
   fencingToken: number;
-  /** When the cloud will reclaim it, ms; 0: it gave no notice. */
+  /** When the cloud will reclaim it, ms; 0: no reclaim notice was received. */
   reclaimAt: number;
-  /** Nothing is placed on it before this moment, ms. */
+  /** No task is placed on it before this time, ms. */
   cooldownUntil: number;
-  /** Since when it has had no placement, ms; while it has some, it has no meaning. */
+  /** Since when it has had no placements, ms. Meaningless while it has some. */
   idleSince: number;
-  /** Since when it has had capacity for a waiting task, ms; 0: it has none. */
+  /** Since when it has had free capacity for a waiting task, ms; 0: it has none. */
   freeCapacitySince: number;
-  /** How many tasks of which jobs failed on it since it last completed one. */
+  /** The number of tasks that have failed on it since a task last completed on it, by job. */
   readonly failuresByJob: Map<string, number>;
-  /** Images seen on it, and how long they take to fetch, s. */
+  /** The time to fetch each image that is known to be on it or on its way, by image, s. */
   readonly images: Map<string, number>;
   /** When this process acquired it, ms. */
   readonly acquiredAt: number;
-  /** Whether it is to be deleted once nothing runs on it, and takes no more tasks. */
+  /** Whether it takes no more tasks and will be deleted once nothing runs on it. */
   quarantined: boolean;
-  /** Whether its release is being written. */
+  /** Whether its release is being written to the state service. */
   releasing: boolean;
 }
