--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -375,8 +375,8 @@
     this.log('debug', 'placement removed', { piece: taskKey(job.id, index), attempt, host, why });
     if (outcome === 'completed') this.completeTask(placement);
     else if (!job.cancelled) {
-      // Only tasks below `nextUnplaced` are requeued; the others would be handed out twice in one cycle. After a failover,
-      // `nextUnplaced` starts at 0 again.
+      // Only tasks below `nextUnplaced` are requeued. The others are found from there on, and would be handed out twice in one
+      // cycle. After a failover, `nextUnplaced` starts at 0 again.
       if (index < job.nextUnplaced) job.requeued.add(index);
       if (job.spec.shape === 'gang') this.checkGang(job, placement, outcome === 'lost');
     }
@@ -438,7 +438,7 @@
     for (const placement of job.placements.values()) this.requestStop(placement, graceS);
   }
 
-  /** Requests that a task stops within `graceS`, its time to save its state. An earlier request remains in force. */
+  /** Requests that a task stops, with `graceS` seconds to save its state. An earlier request remains in force. */
   requestStop(placement: Placement, graceS: number): void {
     if (placement.stopRequest !== null || placement.job.unreadable) return;
     placement.stopRequest = { graceS, since: this.clock.now };
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -28,7 +28,7 @@
 
 /** A request to stop a task. */
 export interface StopRequest {
-  /** How long the task may take to save its state before it is killed, s. */
+  /** The time that the task gets to save its state, s. */
   readonly graceS: number;
   /** When the request was made, on the steady clock, ms. */
   readonly since: number;
