--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -1,4 +1,4 @@
-/** No user is told anything older than another controller has told, also while answers are slow. */
+/** No controller gives users an older job status than another controller has already given, even if responses are slow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { bounce, longWorld, meeting, pick } from './support/concurrent-failures.js';
@@ -7,32 +7,32 @@
 import { Traffic } from './support/traffic.js';
 import type { World } from './support/world.js';
 
-/** Answers of the state service are under way for some time, so that what one node knows the others do not know yet. */
-function slowly(w: World): void {
+/** Delays responses of the state service and of peers, so that the controllers learn of changes at different times. */
+function delayResponses(w: World): void {
   w.commitDelayMs = () => (w.random() < 0.5 ? 60 * w.random() : 0);
   w.responseMs = 5 + Math.floor(60 * w.random());
   for (const n of w.nodes) n.peerDelayMs = w.random() < 0.4 ? 400 * w.random() : 0;
 }
 
-meeting('close looks at all nodes after a job was accepted, ended or cancelled', {}, (w, at, users) => {
+meeting('all controllers agree right after a job is accepted, ends or is cancelled', {}, (w, at, users) => {
   users.closely(0.7, 0.2, 0.3);
-  slowly(w);
+  delayResponses(w);
   for (let s = 5; s < 60; s += 6 + 8 * w.random())
     at(s, () => {
-      const how = w.random();
-      const n = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
-      if (how < 0.25) bounce(w, n, 0.3, 5);
-      else if (how < 0.5 && n) {
-        n.cutFromState = true;
-        w.schedule(12_000 * w.random(), () => (n.cutFromState = false));
-      } else if (how < 0.65 && n) {
-        n.paused = true;
-        w.schedule(4000 * w.random(), () => (n.paused = false));
-      } else if (how < 0.8) {
+      const choice = w.random();
+      const node = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
+      if (choice < 0.25) bounce(w, node, 0.3, 5);
+      else if (choice < 0.5 && node) {
+        node.cutFromState = true;
+        w.schedule(12_000 * w.random(), () => (node.cutFromState = false));
+      } else if (choice < 0.65 && node) {
+        node.paused = true;
+        w.schedule(4000 * w.random(), () => (node.paused = false));
+      } else if (choice < 0.8) {
         w.state.unavailable = true;
         w.schedule(8000 * w.random(), () => (w.state.unavailable = false));
       }
-      for (const x of w.nodes) x.isolatedFromPeers = w.random() < 0.15;
+      for (const other of w.nodes) other.isolatedFromPeers = w.random() < 0.15;
     });
   at(75, () => w.nodes.forEach((n) => (n.isolatedFromPeers = n.cutFromState = n.paused = false)));
   return {
@@ -42,7 +42,7 @@
 });
 
 meeting(
-  'a cancellation, a question or a repeat meets the end of a job, with no other trouble',
+  'a cancellation, a query or a repeated submission coincides with the end of a job, with no other failure',
   {},
   (w, _, users) => {
     users.closely(0.6, 0, 0.9);
@@ -52,19 +52,21 @@
   },
 );
 
-/** What a transaction changes, by the kind of key. */
-const kindsOf = (keys: readonly string[]): string[] => keys.map((k) => k.split('/').slice(0, 2).join('/'));
+/** The kinds of the keys that a transaction writes. */
+const keyKindsOf = (keys: readonly string[]): string[] => keys.map((k) => k.split('/').slice(0, 2).join('/'));
 
-const lostKinds = new Map<string, number>();
+/** How many responses to transactions were lost, by the kind of key that they wrote. */
+const lostResponsesByKind = new Map<string, number>();
 
-/** From its start on the world loses answers to transactions. */
+/** A world that loses responses to transactions from its start on. */
 function lossyWorld(seed: number): World {
   return longWorld(seed, {
     prepare: (w) => {
-      const share = 0.25 + 0.35 * w.random();
+      const lossShare = 0.25 + 0.35 * w.random();
       w.state.dropsResponseTo = (txn) => {
-        if (w.random() >= share) return false;
-        for (const k of kindsOf(txn.writes.map((a) => a.key))) lostKinds.set(k, (lostKinds.get(k) ?? 0) + 1);
+        if (w.random() >= lossShare) return false;
+        for (const k of keyKindsOf(txn.writes.map((a) => a.key)))
+          lostResponsesByKind.set(k, (lostResponsesByKind.get(k) ?? 0) + 1);
         return true;
       };
       w.lostResponseNoticedMs = () => (w.random() < 0.5 ? 20 : 1500 * w.random());
@@ -73,39 +75,58 @@
 }
 
 meeting(
-  'a transaction is carried out at once and only its answer is lost, others read it',
+  'a transaction is executed but its response is lost, and others read its result',
   { world: lossyWorld },
   (w, at, users) => {
     users.closely(0.4, 0.2, 0.3);
-    const before = [...lostKinds.values()].reduce((a, b) => a + b, 0);
+    const lostBefore = [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0);
     for (let s = 3; s < 60; s += 9 + 9 * w.random())
       at(s, () => {
         const owner = ownerOf(w);
-        const to = pick(w, w.nodes);
-        const run = owner?.controller.replica.presences.get(to.member)?.instanceId;
+        const target = pick(w, w.nodes);
+        const targetInstanceId = owner?.controller.replica.presences.get(target.member)?.instanceId;
         if (w.random() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
-        else if (owner && run && to !== owner) owner.controller.membership.handOver(0, to.member, run);
+        else if (owner && targetInstanceId && target !== owner)
+          owner.controller.membership.handOver(0, target.member, targetInstanceId);
       });
     at(68, () => (w.state.dropsResponseTo = () => false));
-    return { lastsS: 70, came: () => [...lostKinds.values()].reduce((a, b) => a + b, 0) - before };
+    return {
+      lastsS: 70,
+      came: () => [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0) - lostBefore,
+    };
   },
 );
 
-test('... with every kind of write among them', () => {
-  const wanted = ['node', 'chief', 'kinds', 'teams', 'shard', 'level', 'members', 'inc', 'b', 'm', 'j'];
-  const never = wanted.filter((k) => !lostKinds.has(`dp/${k}`));
-  assert.deepEqual(never, [], [...lostKinds.keys()].join(' '));
+test('the lost responses covered every kind of write', () => {
+  const expectedKinds = [
+    'node',
+    'chief',
+    'kinds',
+    'teams',
+    'shard',
+    'level',
+    'members',
+    'inc',
+    'b',
+    'm',
+    'j',
+  ];
+  const missingKinds = expectedKinds.filter((k) => !lostResponsesByKind.has(`dp/${k}`));
+  assert.deepEqual(missingKinds, [], [...lostResponsesByKind.keys()].join(' '));
 });
 
-/** State that grows with the jobs by what it is: records and what is read off them. */
-const bounds = new Map([
+/**
+ * Limits for collections that may be larger than a quarter of the number of jobs, by path. Those that `recordPaths` matches may
+ * have any size, because they hold one entry for each record or job.
+ */
+const maxSizes = new Map([
   ['freshnessExchange.recentChanges.changes', 512],
   ['dataLossRecovery.monitor.detector.sightings', 256],
 ]);
-const records = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
+const recordPaths = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
 meeting(
-  'one-task jobs four a second, a quarter cancelled, some at their end; leaders change',
+  'memory stays bounded with four one-task jobs a second, a quarter cancelled, some at their end, and leader changes',
   {
     beforeS: 5,
     share: 0.5,
@@ -125,12 +146,12 @@
       over: () => {
         w.advance(60);
         const jobs = users.jobs.size;
-        assert.ok(jobs > 400, `${jobs} jobs`);
+        assert.ok(jobs > 400, `only ${jobs} jobs were submitted`);
         for (const n of w.nodes)
-          // The components first, under the paths that the bounds name, then all else that the controller holds.
+          // The components come first, so that they are found under the paths in `maxSizes`; the rest of the controller follows.
           for (const [path, size] of sizes({ ...n.controller['components'], controller: n.controller }))
             assert.ok(
-              size < jobs / 4 || records.test(path) || size <= (bounds.get(path) ?? 0),
+              size < jobs / 4 || recordPaths.test(path) || size <= (maxSizes.get(path) ?? 0),
               `${n.member} holds ${size} in ${path} after ${jobs} jobs`,
             );
       },
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -1,4 +1,4 @@
-/** Reserved room does not keep others waiting beside it for ever. */
+/** Capacity that is reserved for one job must not keep other jobs waiting indefinitely. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../src/model/job.js';
@@ -8,8 +8,11 @@
 import { box } from './support/fixtures.js';
 import { type World } from './support/world.js';
 
-/** A world whose fleet is full grown, and jobs that come one after the other. */
-function stage(
+/**
+ * Submits one job a second to a world with a fixed number of machines, and asserts that no job waits longer than `mostWaitMs`
+ * for capacity that it could use.
+ */
+function assertWaitsAreBounded(
   capacity: number,
   jobs: Partial<JobSpec>[],
   prepare: (w: World) => void = () => undefined,
@@ -27,74 +30,75 @@
       waiting.mostMs,
       [...w.workers.values()].map((m) => `${m.host} ${[...m.tasks.keys()].join(' ')}`),
     );
-  assert.ok(waiting.mostMs < mostWaitMs, `${waiting.mostMs} ms`);
+  assert.ok(waiting.mostMs < mostWaitMs, `a job waited ${waiting.mostMs} ms`);
 }
 
-// Each of these keeps room for something that may never come: none may do so for long while other work waits.
+// Each test reserves capacity for work that may never start. The reservation must not keep other work waiting for long.
 
-test('a machine that is kept for a gang which finds no second one', () => {
-  stage(2, [
+test('a machine reserved for a gang that finds no second machine does not starve other jobs', () => {
+  assertWaitsAreBounded(2, [
     { team: 'blue', cpus: 8, urgency: 'high' },
     { team: 'blue', cpus: 8, tasks: 2, shape: 'gang', urgency: 'high' },
     { team: 'blue', cpus: 1 },
   ]);
 });
 
-test('the limit of a team that is kept for its urgent gang', () => {
-  stage(2, [
+test('team quota reserved for an urgent gang does not starve less urgent jobs of the team', () => {
+  assertWaitsAreBounded(2, [
     { team: 'blue', cpus: 8, urgency: 'high' },
     { team: 'red', cpus: 8, tasks: 2, shape: 'gang', urgency: 'high', deadlineS: 1 },
     { team: 'red', cpus: 1, urgency: 'low' },
   ]);
 });
 
-test('a machine on which a task failed once', () => {
+test('a machine on which a task failed once does not stay closed to its job', () => {
   let failed = false;
-  stage(
+  assertWaitsAreBounded(
     1,
     Array.from({ length: 6 }, () => ({ team: 'blue', cpus: 1 })),
     (w) => {
-      const sick = (is: boolean): void => w.workers.forEach((m) => (m.failsTasks = is));
-      w.schedule(7000, () => sick(true));
-      w.schedule(20_000, () => sick(false));
+      const setFailing = (failing: boolean): void =>
+        w.workers.forEach((worker) => (worker.failsTasks = failing));
+      w.schedule(7000, () => setFailing(true));
+      w.schedule(20_000, () => setFailing(false));
       w.schedule(20_000, () => {
         failed = w.nodes.some((n) => n.logLines.some((l) => l[2]?.['why'] === 'error'));
         assert.ok(w.running('req-100').length > 0);
       });
     },
   );
-  assert.ok(failed, 'it did fail there');
+  assert.ok(failed, 'no task failed on the machine');
 });
 
-const gpuBox = { ...box, name: 'gpu-box', gpus: 2, price: 5, spotPrice: 2 };
+const gpuMachineType = { ...box, name: 'gpu-box', gpus: 2, price: 5, spotPrice: 2 };
 
-test('the room beside GPUs that nobody can use', () => {
-  stage(
+test('the CPUs of a GPU machine do not stay reserved for GPU work that cannot start', () => {
+  assertWaitsAreBounded(
     1,
     [
       { team: 'blue', cpus: 1, gpus: 1 },
       { team: 'blue', cpus: 4, gpus: 1, tasks: 4, shape: 'gang' },
       { team: 'blue', cpus: 4, estimateS: 10 },
     ],
-    (w) => (w.types = [gpuBox]),
+    (w) => (w.types = [gpuMachineType]),
   );
 });
 
-test('a GPU machine for work without GPUs, where there is no other', () => {
-  stage(
+test('a job without GPUs runs on a GPU machine if there is no other machine', () => {
+  assertWaitsAreBounded(
     1,
     [
       { team: 'blue', cpus: 1, gpus: 1 },
       { team: 'blue', cpus: 2, estimateS: 5000 },
     ],
-    (w) => (w.types = [box, gpuBox]),
+    (w) => (w.types = [box, gpuMachineType]),
   );
 });
 
-test('a GPU machine for work without GPUs that nothing else fits', () => {
-  for (const over of [{ types: ['gpu-box'] }, { memGb: 64 }])
-    stage(1, [{ team: 'blue', cpus: 2, estimateS: 5000, ...over }], (w) => {
-      w.types = [box, { ...gpuBox, memGb: 128 }];
+test('a job without GPUs runs on a GPU machine if no other machine type fits it', () => {
+  for (const requirements of [{ types: ['gpu-box'] }, { memGb: 64 }])
+    assertWaitsAreBounded(1, [{ team: 'blue', cpus: 2, estimateS: 5000, ...requirements }], (w) => {
+      w.types = [box, { ...gpuMachineType, memGb: 128 }];
       w.schedule(120_000, () => assert.equal(w.running('req-100').length, 1));
     });
 });
