--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -196,7 +196,7 @@
 
   /** A worker whose machine has no record reports to the leader. */
   adoptReportingMachine(heartbeat: Heartbeat): void {
-    this.inventory.adoptReporting(heartbeat);
+    this.inventory.adoptReportingMachine(heartbeat);
   }
 
   /** A worker has reported to this controller. */
@@ -205,8 +205,8 @@
   }
 
   /** An operator states that a machine is gone, with all tasks on it. */
-  abandonMachine(host: string): void {
-    this.inventory.abandon(host);
+  forgetMachine(host: string): void {
+    this.inventory.forgetMachine(host);
   }
 }
 
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -14,7 +14,7 @@
   emptyHeadroom,
   poolOf,
   subtract,
-  takeHeadroom,
+  allocateHeadroom,
   type Headroom,
   type MachinePool,
   type MachinePools,
@@ -35,7 +35,7 @@
 type WaitingJob = JobRecord & { readonly spec: JobSpec; readonly waiting: number };
 
 /** Share of a job's slack for which it may wait for running tasks to complete instead of new machines. */
-const waitShare = 0.6;
+const maxWaitSlackFraction = 0.6;
 /** Of that share, what a job uses whose machines are the cheapest. */
 const minWaitFactor = 0.75;
 
@@ -122,7 +122,7 @@
 
   private unmetOf(job: WaitingJob): UnmetDemand[] {
     const { spec } = job;
-    const count = this.takeQuota(job);
+    const count = this.allocateQuota(job);
     if (spec.shape === 'gang' && count < job.waiting) return [];
     const shard = this.context.replica.shardOfTeam(spec.team);
     const unmet: UnmetDemand[] = [];
@@ -134,7 +134,7 @@
   }
 
   /** How many of a job's waiting tasks its team's quota allows; they are counted against it. Of a gang, all or none. */
-  private takeQuota({ spec, waiting }: WaitingJob): number {
+  private allocateQuota({ spec, waiting }: WaitingJob): number {
     const quota = teamQuota(this.context.settings, spec.team);
     const usage = this.usageOf(spec.team);
     const free = { cpus: quota.cpus - usage.cpus, gpus: quota.gpus - usage.gpus, memGb: Infinity };
@@ -151,7 +151,7 @@
     const eligible = [...this.poolsOf(shard).values()].filter(
       (pool) => isEligible(spec, pool) && (zones === null || zones.includes(pool.zone)),
     );
-    switch (this.failureVerdict(job, count, eligible)) {
+    switch (this.failureDecision(job, count, eligible)) {
       case 'wait':
         return null;
       case 'needs-other-host':
@@ -160,8 +160,8 @@
         break;
     }
     let left = count;
-    for (const pool of eligible) left -= takeHeadroom(pool, spec, left, machineTypes);
-    left -= this.takeFutureHeadroom(job, left, eligible);
+    for (const pool of eligible) left -= allocateHeadroom(pool, spec, left, machineTypes);
+    left -= this.allocateFutureHeadroom(job, left, eligible);
     // Not `left <= 0`: the count is NaN where a slack without end meets run times without end (a service's). That demand
     // counts as met.
     if (!(left > 0)) return null;
@@ -173,7 +173,7 @@
    * A job that has failed and completed no task needs another host if it has failed on all that there are. One that is suspected
    * of being faulty itself waits for hosts that others need.
    */
-  private failureVerdict(
+  private failureDecision(
     job: WaitingJob,
     count: number,
     eligible: readonly MachinePool[],
@@ -242,16 +242,20 @@
    * Takes headroom that running tasks will leave in time, for up to `maxTasks` tasks. Returns for how many it was found. Part of
    * the slack is left for fetching the image, for estimates that are too low, and for others who need the same headroom.
    */
-  private takeFutureHeadroom(job: WaitingJob, maxTasks: number, eligible: readonly MachinePool[]): number {
+  private allocateFutureHeadroom(
+    job: WaitingJob,
+    maxTasks: number,
+    eligible: readonly MachinePool[],
+  ): number {
     if (maxTasks <= 0) return 0;
     const { spec } = job;
     const types = this.context.replica.machineTypes;
-    const usableSlackS = this.slackOf(job) * waitShare * this.waitFactorOf(spec);
-    let taken = 0;
+    const usableSlackS = this.slackOf(job) * maxWaitSlackFraction * this.waitFactorOf(spec);
+    let allocated = 0;
     for (const pool of eligible) {
       const waitS = Math.max(0, usableSlackS - imageFetchS(spec, pool.type));
       for (const machine of pool.machines) {
-        if (taken >= maxTasks) return taken;
+        if (allocated >= maxTasks) return allocated;
         if (
           machine.busy.cpus < spec.cpus ||
           !mayShareGpuMachine(spec, machine.type, machine.type.gpus - machine.gpus, types)
@@ -259,13 +263,16 @@
           continue;
         const completedShare = Math.min(1, waitS / Math.max(machine.meanRunS, 1));
         // Whole tasks only: a gang of large tasks must not count on fragments.
-        const count = Math.min(maxTasks - taken, Math.floor(fitCount(spec, machine.busy) * completedShare));
+        const count = Math.min(
+          maxTasks - allocated,
+          Math.floor(fitCount(spec, machine.busy) * completedShare),
+        );
         if (count <= 0) continue;
         subtract(machine.busy, spec, count);
-        taken += count;
+        allocated += count;
       }
     }
-    return taken;
+    return allocated;
   }
 
   /** How much of the wait share a job uses: the more, the more expensive its machines are. */
--- a/src/core/autoscaler/headroom.ts
+++ b/src/core/autoscaler/headroom.ts
@@ -36,12 +36,12 @@
 }
 
 /** An empty machine; `reservedShare` of its CPUs is left free. */
-export const emptyHeadroom = (type: MachineType, reservedShare: number): Headroom => ({
+export const emptyHeadroom = (type: MachineType, reservedFraction: number): Headroom => ({
   busy: { cpus: 0, gpus: 0, memGb: 0 },
   meanRunS: 0,
   taskCount: 0,
   type,
-  cpus: type.cpus * (1 - reservedShare),
+  cpus: type.cpus * (1 - reservedFraction),
   gpus: type.gpus,
   memGb: type.memGb,
 });
@@ -66,29 +66,29 @@
 }
 
 /** Takes headroom for up to `maxTasks` tasks. Returns for how many it was found. */
-export function takeHeadroom(
+export function allocateHeadroom(
   pool: MachinePool,
   spec: JobSpec,
   maxTasks: number,
   types: readonly MachineType[],
 ): number {
-  let taken = 0;
+  let allocated = 0;
   if (maxTasks <= 0 || isExhausted(pool, spec, types)) return 0;
   for (const machine of pool.machines) {
-    if (taken >= maxTasks) return taken;
+    if (allocated >= maxTasks) return allocated;
     if (!mayShareGpuMachine(spec, machine.type, machine.type.gpus - machine.gpus, types)) continue;
-    const count = Math.min(maxTasks - taken, fitCount(spec, machine));
+    const count = Math.min(maxTasks - allocated, fitCount(spec, machine));
     if (count <= 0) continue;
     subtract(machine, spec, count);
-    taken += count;
+    allocated += count;
   }
-  if (taken < maxTasks)
+  if (allocated < maxTasks)
     pool.smallestUnfit.set(mayUseGpuMachines(spec, types), {
       cpus: spec.cpus,
       gpus: spec.gpus,
       memGb: spec.memGb,
     });
-  return taken;
+  return allocated;
 }
 
 /** For how many tasks of a job there is headroom, counted up to `maxTasks`. */
--- a/src/core/autoscaler/inventory.ts
+++ b/src/core/autoscaler/inventory.ts
@@ -10,9 +10,9 @@
 import type { ScaleIn } from './scale-in.js';
 
 /** A machine that neither is listed nor reports for so many listing lags is condemned. */
-const absenceLags = 4;
+const maxAbsenceListLags = 4;
 /** Not before its record is so many absence times old: a new machine may not be listed yet. */
-const minRecordAgeFactor = 2;
+const minRecordAgeAbsenceLimits = 2;
 
 /** Finds machines that are recorded and gone, or there and not recorded. */
 export class MachineInventory {
@@ -45,7 +45,7 @@
       listedHosts.add(entry.host);
       this.absentSince.delete(entry.host);
       const known = machines.get(entry.host);
-      if (known && entry.status === 'failed') this.condemn(known, 'failed');
+      if (known && entry.status === 'failed') this.markDead(known, 'failed');
       else if (!known) this.adoptIfUnknown(entry);
     }
     for (const machine of machines.values())
@@ -63,7 +63,7 @@
   private checkAbsence(machine: VersionedMachine, requestedAt: number): void {
     const { clock, settings } = this.context;
     const { host } = machine;
-    const limitMs = settings.cloud.list_lag_s * 1000 * absenceLags;
+    const limitMs = settings.cloud.list_lag_s * 1000 * maxAbsenceListLags;
     const absentSince = this.absentSince.get(host) ?? requestedAt;
     this.absentSince.set(host, absentSince);
     const lastHeartbeatAt = this.lastHeartbeatAt.get(host) ?? -Infinity;
@@ -71,13 +71,13 @@
     if (
       clock.now - absentSince > limitMs &&
       clock.now - lastHeartbeatAt > limitMs &&
-      clock.wall - machine.since > limitMs * minRecordAgeFactor
+      clock.wall - machine.since > limitMs * minRecordAgeAbsenceLimits
     )
-      this.condemn(machine, 'absent');
+      this.markDead(machine, 'absent');
   }
 
   /** Adopts the machine of a worker that reports to the leader and has no record. */
-  adoptReporting({ host, type, zone, spot }: Heartbeat): void {
+  adoptReportingMachine({ host, type, zone, spot }: Heartbeat): void {
     const { replica } = this.context;
     // Guards against adopting a machine whose record exists and cannot be read.
     if (replica.unreadableRecords.has(machineKey(host))) return;
@@ -96,12 +96,12 @@
   }
 
   /** An operator states that a machine is gone, with all tasks on it. */
-  abandon(host: string): void {
+  forgetMachine(host: string): void {
     const machine = this.context.replica.machines.get(host);
-    if (machine) this.condemn(machine, 'forgotten');
+    if (machine) this.markDead(machine, 'forgotten');
   }
 
-  private condemn(machine: VersionedMachine, why: string): void {
+  private markDead(machine: VersionedMachine, why: string): void {
     if (machine.state === 'dead') return;
     this.context.log('info', 'machine abandoned', { host: machine.host, why });
     this.records.updateMachine(machine.host, (current) => ({ ...current, state: 'dead' }));
--- a/src/core/autoscaler/offers.ts
+++ b/src/core/autoscaler/offers.ts
@@ -21,9 +21,9 @@
   typeAllowed(spec, type) && (spec.zone === null || spec.zone === zone) && (!spot || spotAllowed(spec));
 
 /** The pause after a refusal doubles with each further one in a row, up to this exponent. */
-const maxPauseDoublings = 3;
+const maxBackoffDoublings = 3;
 /** Share of the operators' idle time of a machine that the first pause takes. */
-const pauseShare = 0.5;
+const initialBackoffIdleFraction = 0.5;
 /** Assumed boot time of a machine type that is not known any more, s. */
 const defaultBootS = 30;
 
@@ -54,13 +54,14 @@
   isAvailable({ type, zone, spot }: MachineOffer): boolean {
     const refusal = this.refusals.get(offerKey(type.name, zone, spot));
     if (!refusal) return true;
-    const pause = this.firstPauseMs(type.name) * 2 ** Math.min(refusal.count - 1, maxPauseDoublings);
-    return this.context.clock.now - refusal.at > pause;
+    const backoffMs =
+      this.initialBackoffMs(type.name) * 2 ** Math.min(refusal.count - 1, maxBackoffDoublings);
+    return this.context.clock.now - refusal.at > backoffMs;
   }
 
-  private firstPauseMs(type: string): number {
+  private initialBackoffMs(type: string): number {
     const { replica, operators } = this.context;
     const bootS = replica.machineTypes.find((t) => t.name === type)?.bootS ?? defaultBootS;
-    return bootS * 1000 * (operators['idle-boots'] || 1) * pauseShare;
+    return bootS * 1000 * (operators['idle-boots'] || 1) * initialBackoffIdleFraction;
   }
 }
--- a/src/core/autoscaler/request-budget.ts
+++ b/src/core/autoscaler/request-budget.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../effects.js';
 
 /** Share of the cloud's request limit that is used; the rest is slack for the difference of its clock and ours. */
-const usableShare = 0.8;
+const usableLimitFraction = 0.8;
 
 /** A token bucket of cloud requests. It holds one second's worth of requests at most. */
 export class CloudRequestBudget {
@@ -21,8 +21,8 @@
     const { now } = this.clock;
     if (this.refilledAt < 0) this.tokens = this.requestsPerS;
     else {
-      const earned = ((now - this.refilledAt) / 1000) * this.requestsPerS * usableShare;
-      this.tokens = Math.min(this.requestsPerS, this.tokens + earned);
+      const newTokens = ((now - this.refilledAt) / 1000) * this.requestsPerS * usableLimitFraction;
+      this.tokens = Math.min(this.requestsPerS, this.tokens + newTokens);
     }
     this.refilledAt = now;
   }
--- a/src/core/autoscaler/scale-in.ts
+++ b/src/core/autoscaler/scale-in.ts
@@ -7,7 +7,7 @@
 
 /** Machines that one request deletes at most. */
 const maxMachinesPerRequest = 100;
-const intervalMs = 250;
+const deletionIntervalMs = 250;
 /**
  * Deleted machines that are remembered, so that a listing that is older than their deletion does not bring them back. More
  * than the largest fleet: all of it may be deleted within one listing lag.
@@ -54,7 +54,7 @@
   /** Requests the next deletions, if it is time. */
   tick(out: Effect[]): void {
     const { clock, replica, log } = this.context;
-    if (clock.now - this.lastRunAt < intervalMs) return;
+    if (clock.now - this.lastRunAt < deletionIntervalMs) return;
     this.lastRunAt = clock.now;
     const hosts: string[] = [];
     for (const machine of replica.machines.values()) {
@@ -65,7 +65,7 @@
     if (hosts.length === 0 || !this.budget.tryAcquire()) return;
     for (const host of hosts) {
       this.deleting.add(host);
-      this.remember(host);
+      this.rememberDeletion(host);
     }
     log('info', 'returning', { hosts });
     out.push({ type: 'delete-machines', hosts });
@@ -77,7 +77,7 @@
     return state === 'free' && !this.context.settings.pool && this.mayScaleIn() && this.surplus.has(host);
   }
 
-  private remember(host: string): void {
+  private rememberDeletion(host: string): void {
     this.recentlyDeleted.add(host);
     if (this.recentlyDeleted.size > maxRememberedDeletions)
       this.recentlyDeleted.delete(this.recentlyDeleted.values().next().value!);
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -14,10 +14,10 @@
 export type { ControllerOptions } from './controller/components.js';
 
 /** Recovery, overload and rejected requests are looked at so many times per state lease. */
-const monitoringsPerLease = 16;
+const monitorRunsPerLease = 16;
 /** The revision is read so many times while the replica is fresh enough to answer workers, and so many per leader's lease. */
-const readsPerMaxAge = 8;
-const readsPerLeaderLease = 4;
+const revisionReadsPerMaxAge = 8;
+const revisionReadsPerLeaderLease = 4;
 
 /**
  * The single owner of all state of a process. Given the same commands, clock readings and random numbers, the effects
@@ -127,7 +127,7 @@
     const { mayAct } = dataLossRecovery;
     this.updateRoles(mayAct, effects);
     this.runLeaderTasks(mayAct, effects);
-    this.runOwnTasks(effects);
+    this.runMemberTasks(effects);
     this.requestRevision(effects);
     this.monitor();
     this.components.admission.countStateRequests(effects);
@@ -169,7 +169,7 @@
   }
 
   /** What every controller does in a step: its shards, its workers, its users, its writes, its peers. */
-  private runOwnTasks(effects: Effect[]): void {
+  private runMemberTasks(effects: Effect[]): void {
     const { admission, batcher, dataLossRecovery, freshness, freshnessExchange } = this.components;
     const { heartbeatRouter, loadSharing, membership, shardManager, shutdown, userRequests } =
       this.components;
@@ -208,8 +208,8 @@
   private requestRevision(effects: Effect[]): void {
     const { freshness, membership, replica } = this.components;
     const { now } = this.clock;
-    const leaderIntervalMs = this.wasLeader ? membership.leaseTtlMs / readsPerLeaderLease : Infinity;
-    const intervalMs = Math.min(freshness.maxAgeMs / readsPerMaxAge, leaderIntervalMs);
+    const leaderIntervalMs = this.wasLeader ? membership.leaseTtlMs / revisionReadsPerLeaderLease : Infinity;
+    const intervalMs = Math.min(freshness.maxAgeMs / revisionReadsPerMaxAge, leaderIntervalMs);
     if (now - this.revisionRequestedAt > intervalMs && replica.watchRevision >= 0)
       effects.push({ type: 'read-revision' });
     if (effects.some((e) => e.type === 'read-revision')) this.revisionRequestedAt = now;
@@ -247,7 +247,7 @@
   private monitor(): void {
     const { admission, membership } = this.components;
     const { now } = this.clock;
-    if (now - this.monitoredAt < membership.leaseTtlMs / monitoringsPerLease) return;
+    if (now - this.monitoredAt < membership.leaseTtlMs / monitorRunsPerLease) return;
     this.monitoredAt = now;
     admission.monitor();
     reportRecovery(this.components, now, this.options.log);
--- a/src/core/controller/admission-controller.ts
+++ b/src/core/controller/admission-controller.ts
@@ -21,7 +21,7 @@
 const requestRateWindowMs = 3000;
 /** At most so many groups of rejected requests are named in a log line, and this many times as many in the totals. */
 const maxLoggedGroups = 8;
-const totalsFactor = 4;
+const totalsPerLoggedGroup = 4;
 
 const roundTo = (x: number, perUnit: number): number => Math.round(perUnit * x) / perUnit;
 
@@ -53,7 +53,7 @@
   constructor(private readonly options: AdmissionControllerOptions) {}
 
   /** Whether jobs are admitted by fair shares. */
-  get isFair(): boolean {
+  get usesFairShares(): boolean {
     return this.options.fairAdmission;
   }
 
@@ -64,7 +64,7 @@
       acceptedWork: Math.round(batcher.taskWriteDemand(clock.now)),
       newJobs: Math.round(userRequests.writeDemand()),
       backlogS: batcher.backlogS,
-      workloads: this.isFair ? userRequests.groupDemand() : [],
+      workloads: this.usesFairShares ? userRequests.groupDemand() : [],
       allocationVersion: writeBudget.followedVersion,
     };
   }
@@ -80,12 +80,12 @@
 
   /** Proposes the next division of the write budget; for the leader only. */
   proposeWriteBudget(): void {
-    if (this.isFair) this.options.writeBudget.proposeNext(this.demand);
+    if (this.usesFairShares) this.options.writeBudget.proposeNext(this.demand);
   }
 
   /** Applies this controller's share of the write budget, and admits as many jobs as it allows. */
   applyWriteBudget(effects: Effect[]): void {
-    if (!this.isFair) return;
+    if (!this.usesFairShares) return;
     const { batcher, userRequests, writeBudget } = this.options;
     writeBudget.observe();
     const share = writeBudget.localShare(this.demand);
@@ -97,14 +97,14 @@
 
   /** Counts the requests to the state service among the effects of a step. */
   countStateRequests(effects: readonly Effect[]): void {
-    if (!this.isFair) return;
+    if (!this.usesFairShares) return;
     const count = effects.filter((e) => stateServiceEffects.has(e.type)).length;
     this.stateRequests.add(count, this.options.clock.now);
   }
 
   /** Measures overload and logs rejected requests; called a few times per state lease. */
   monitor(): void {
-    if (this.isFair) this.measureOverload();
+    if (this.usesFairShares) this.measureOverload();
     this.logRejections();
   }
 
@@ -157,7 +157,7 @@
 
   private addToTotals(group: string, count: number): void {
     const totals = this.rejectionTotals;
-    if (group in totals || Object.keys(totals).length < maxLoggedGroups * totalsFactor)
+    if (group in totals || Object.keys(totals).length < maxLoggedGroups * totalsPerLoggedGroup)
       totals[group] = (totals[group] ?? 0) + count;
   }
 }
--- a/src/core/controller/command-handlers.ts
+++ b/src/core/controller/command-handlers.ts
@@ -36,7 +36,7 @@
 > = {
   'peer-status': (c, { components }, effects) => {
     const { dataLossRecovery, freshnessExchange, peers, replica } = components;
-    freshnessExchange.notePeerProcess(c.from, c.status.instanceId);
+    freshnessExchange.recordPeerProcess(c.from, c.status.instanceId);
     peers.onStatus(c.from, c.status);
     dataLossRecovery.monitor.peerHeard(c.status);
     if (c.status.revision > replica.watchRevision)
@@ -55,7 +55,7 @@
     components.freshnessExchange.onQuery(c.from, c.query, effects),
   'freshness-confirmed': (c, { components: { freshness, freshnessExchange } }) =>
     freshness.onConfirmedByPeers(
-      freshnessExchange.onAnswer(c.from, c.instanceId, c.query, c.known, freshness.completeUpTo),
+      freshnessExchange.onConfirmation(c.from, c.instanceId, c.query, c.known, freshness.completeUpTo),
     ),
 };
 
@@ -108,7 +108,7 @@
   | 'machine-list'
 > = {
   'machine-attributes': (c, { matcher }) => matcher?.setAttributes(c.host, c.attributes),
-  'forget-machine': (c, { components }) => components.autoscaler.abandonMachine(c.host),
+  'forget-machine': (c, { components }) => components.autoscaler.forgetMachine(c.host),
   'machine-types': (c, { components }) => components.autoscaler.handleMachineTypes(c.types),
   'rental-result': (c, { components }) => components.autoscaler.handleRental(c.request, c.outcome),
   'deletion-result': (c, { components }) => components.autoscaler.handleDeletion(c.hosts, c.ok),
--- a/src/core/controller/components.ts
+++ b/src/core/controller/components.ts
@@ -101,7 +101,7 @@
       },
       machineChanged: (host, machine) => shardManager.shardState.machineChanged(host, machine),
       shardChanged: events.onShardsChanged,
-      criticalChange: (change) => freshnessExchange.recordDecisiveChange(change),
+      criticalChange: (change) => freshnessExchange.recordCriticalChange(change),
       readabilityChanged: (key, why) =>
         why === null
           ? log('info', 'record can be read again', { key })
@@ -214,5 +214,5 @@
   peers.ownJobCount = () => dataLossRecovery.jobCount;
   batcher.onConditionsFailed = (failed, revision) =>
     dataLossRecovery.monitor.conditionsFailed(failed, revision);
-  if (admission.isFair) shardManager.extraSummary = () => ({ admission: admission.summary() });
+  if (admission.usesFairShares) shardManager.extraSummary = () => ({ admission: admission.summary() });
 }
--- a/src/core/freshness-exchange.ts
+++ b/src/core/freshness-exchange.ts
@@ -42,7 +42,7 @@
   }
 
   /** Keeps a change that peers must not miss. */
-  recordDecisiveChange(change: Change): void {
+  recordCriticalChange(change: Change): void {
     this.recentChanges.record(change);
   }
 
@@ -52,8 +52,8 @@
   }
 
   /** A process was heard under a peer's name. */
-  notePeerProcess(member: string, instanceId: string): void {
-    this.quorum.notePeerProcess(member, instanceId, this.clock.now);
+  recordPeerProcess(member: string, instanceId: string): void {
+    this.quorum.recordPeerProcess(member, instanceId, this.clock.now);
   }
 
   private get incarnation(): number {
@@ -78,7 +78,7 @@
    * Applies the changes in a peer's answer. Returns the moment up to which the replica is known to be complete now, ms, or
    * null. `completeUpTo`: the moment up to which it was known to be complete before.
    */
-  onAnswer(
+  onConfirmation(
     from: string,
     instanceId: string,
     query: FreshnessQuery,
@@ -93,6 +93,6 @@
     const isIncapable =
       presence?.instanceId === instanceId && !canParticipate(levels.state, presence.capabilities);
     if (levels.mustStandBy || isIncapable) return null;
-    return this.quorum.onAnswer(from, instanceId, query, completeUpTo);
+    return this.quorum.onConfirmation(from, instanceId, query, completeUpTo);
   }
 }
--- a/src/core/replica-freshness.ts
+++ b/src/core/replica-freshness.ts
@@ -3,11 +3,11 @@
 import type { Replica } from './replica.js';
 
 /** With more than this share of the state lease between two steps the process is taken to have stalled. */
-const stallLeases = 1 / 3;
+const stallLeaseFraction = 1 / 3;
 /** From this share of the maximum age on, the peers are queried. */
-const queryPeersShare = 0.2;
+const queryPeersAgeFraction = 0.2;
 /** From this share of the maximum age on, the state service is logged as unreachable. */
-const unreachableShare = 0.5;
+const unreachableAgeFraction = 0.5;
 const maxPendingReadings = 50;
 
 /** The revision that the state service had at some moment after `requestedAt`. */
@@ -32,7 +32,7 @@
   /** Whether the last reading that was requested got no answer. */
   isStoreUnreachable = false;
   private pendingReadings: RevisionReading[] = [];
-  private steppedAt = -Infinity;
+  private lastStepAt = -Infinity;
   /** What was requested before this moment proves nothing for now. */
   private resumedAt = -Infinity;
   private loggedUnreachable = false;
@@ -75,7 +75,7 @@
 
   /** Whether the peers should be queried. */
   get needsPeerConfirmation(): boolean {
-    return Number.isFinite(this.completeUpTo) && this.ageMs > this.maxAgeMs * queryPeersShare;
+    return Number.isFinite(this.completeUpTo) && this.ageMs > this.maxAgeMs * queryPeersAgeFraction;
   }
 
   /**
@@ -85,9 +85,9 @@
    */
   detectStall(): void {
     const { now } = this.clock;
-    const gapMs = now - this.steppedAt;
-    this.steppedAt = now;
-    if (gapMs <= this.leaseTtlMs * stallLeases || !Number.isFinite(gapMs)) return;
+    const gapMs = now - this.lastStepAt;
+    this.lastStepAt = now;
+    if (gapMs <= this.leaseTtlMs * stallLeaseFraction || !Number.isFinite(gapMs)) return;
     this.log('warn', 'process stalled', { ms: Math.round(gapMs) });
     this.resumedAt = now;
     this.confirmedByStoreAt = -Infinity;
@@ -126,7 +126,7 @@
   }
 
   private logChanges(): void {
-    const isUnreachable = Number.isFinite(this.ageMs) && this.ageMs > this.maxAgeMs * unreachableShare;
+    const isUnreachable = Number.isFinite(this.ageMs) && this.ageMs > this.maxAgeMs * unreachableAgeFraction;
     if (isUnreachable !== this.loggedUnreachable) {
       this.loggedUnreachable = isUnreachable;
       if (isUnreachable)
--- a/src/freshness/freshness-quorum.ts
+++ b/src/freshness/freshness-quorum.ts
@@ -13,9 +13,9 @@
 interface PeerProcess {
   readonly instanceId: string;
   /** When the process was first heard, ms. */
-  readonly heardSince: number;
+  readonly firstHeardAt: number;
   /** The newest query of ours that it has answered. */
-  answeredNonce: number;
+  lastAnsweredNonce: number;
 }
 
 /** Answers to queries before the newest ones confirm too old a replica to be of use. */
@@ -43,9 +43,9 @@
   ) {}
 
   /** A process was heard under a peer's name. */
-  notePeerProcess(member: string, instanceId: string, now: number): void {
+  recordPeerProcess(member: string, instanceId: string, now: number): void {
     if (this.processes.get(member)?.instanceId !== instanceId)
-      this.processes.set(member, { instanceId, heardSince: now, answeredNonce: 0 });
+      this.processes.set(member, { instanceId, firstHeardAt: now, lastAnsweredNonce: 0 });
   }
 
   /** A new query, if one is due. */
@@ -61,22 +61,27 @@
    * A peer has handed over all that it knew, and the replica holds it by now. Returns the moment up to which the replica is
    * known to be complete by that, or null. `completeUpTo`: the moment up to which it was known to be complete before.
    */
-  onAnswer(member: string, instanceId: string, query: FreshnessQuery, completeUpTo: number): number | null {
-    const answering = this.processes.get(member);
+  onConfirmation(
+    member: string,
+    instanceId: string,
+    query: FreshnessQuery,
+    completeUpTo: number,
+  ): number | null {
+    const responder = this.processes.get(member);
     // Guards against the late answer to a query of this process's predecessor, whose replica and nonces were others.
     if (
-      answering?.instanceId !== instanceId ||
+      responder?.instanceId !== instanceId ||
       query.instanceId !== this.instanceId ||
       query.nonce > this.lastNonce
     )
       return null;
-    answering.answeredNonce = Math.max(answering.answeredNonce, query.nonce);
+    responder.lastAnsweredNonce = Math.max(responder.lastAnsweredNonce, query.nonce);
     let oldestNonce = this.lastNonce;
     for (const peer of this.members) {
       const process = this.processes.get(peer);
       // Guards against the restarted peer: it does not know what its predecessor did since the replica was complete.
-      if (!process || process.heardSince > completeUpTo) return null;
-      oldestNonce = Math.min(oldestNonce, process.answeredNonce);
+      if (!process || process.firstHeardAt > completeUpTo) return null;
+      oldestNonce = Math.min(oldestNonce, process.lastAnsweredNonce);
     }
     return this.outstanding.find((q) => q.nonce === oldestNonce)?.sentAt ?? null;
   }
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -22,19 +22,19 @@
 import type { ListedMachine } from '../src/wire/cloud.js';
 import { box, settingsText } from './support/fixtures.js';
 
-const quiet = (): void => undefined;
+const noop = (): void => undefined;
 
 test('4,000 machines returned one after the other are not taken in again by a listing that still has them', () => {
   const settings = parseSettings(settingsText('n0', 1));
   const replica = new Replica(
     {
-      jobChanged: quiet,
-      machineChanged: quiet,
-      shardChanged: quiet,
-      criticalChange: quiet,
-      readabilityChanged: quiet,
-      levelChanged: quiet,
-      incarnationChanged: quiet,
+      jobChanged: noop,
+      machineChanged: noop,
+      shardChanged: noop,
+      criticalChange: noop,
+      readabilityChanged: noop,
+      levelChanged: noop,
+      incarnationChanged: noop,
     },
     new FeatureLevels(capabilitiesOf('test')),
   );
@@ -96,7 +96,7 @@
   }
   assert.equal(deleted.length, 4000);
   assert.equal(replica.machines.size, 0);
-  const late = hosts.map((host): ListedMachine => ({
+  const outdatedListing = hosts.map((host): ListedMachine => ({
     host,
     endpoint: '',
     type: box.name,
@@ -105,7 +105,7 @@
     status: 'running',
     ageS: 100,
   }));
-  autoscaler.handleListing(late, clock.now);
+  autoscaler.handleListing(outdatedListing, clock.now);
   assert.equal(unexpected.length, 0);
   assert.equal(replica.machines.size, 0);
 });
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -8,7 +8,7 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-const upWith = (nodes: number, tasks: number, cpus = 1): World => {
+const startCluster = (nodes: number, tasks: number, cpus = 1): World => {
   const w = new World(nodes);
   assert.ok(w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20));
   w.advance(2);
@@ -22,7 +22,7 @@
 const sessions = (w: World): number[] => [...w.workers.values()].map((x) => x.session);
 
 test('an outage longer than the view stays fresh: the others vouch, no task loses its lease', () => {
-  const w = upWith(3, 6);
+  const w = startCluster(3, 6);
   w.state.unavailable = true;
   w.advance(90);
   assert.deepEqual(new Set(sessions(w)), new Set([1]));
@@ -36,7 +36,7 @@
 });
 
 test('nobody vouches for what a process that is gone may have told', () => {
-  const w = upWith(3, 6);
+  const w = startCluster(3, 6);
   const other = w.nodes.find((n) => n !== ownerOf(w))!;
   w.state.unavailable = true;
   w.advance(1);
@@ -52,7 +52,7 @@
 });
 
 test('an owner cut off alone learns a cancellation from the others before it answers on', () => {
-  const w = upWith(3, 4);
+  const w = startCluster(3, 4);
   const owner = ownerOf(w);
   const other = w.nodes.find((n) => n !== owner)!;
   owner.cutFromState = true;
@@ -64,24 +64,24 @@
 });
 
 test('vouching: every peer, the same process as before, and all it knows', () => {
-  const v = new FreshnessQuorum('a1', ['b', 'c'], 100);
+  const quorum = new FreshnessQuorum('a1', ['b', 'c'], 100);
   const q = (nonce: number, instanceId = 'a1') => ({ instanceId, nonce, revision: 7, incarnation: 0 });
-  v.notePeerProcess('b', 'b1', 10);
-  v.notePeerProcess('c', 'c1', 10);
-  assert.deepEqual(v.nextQuery(1000, 7), { instanceId: 'a1', nonce: 1, revision: 7, incarnation: 0 });
-  assert.equal(v.nextQuery(1050, 7), null);
-  assert.equal(v.onAnswer('b', 'b1', q(1), 500), null);
-  assert.equal(v.onAnswer('c', 'c1', q(1), 500), 1000);
+  quorum.recordPeerProcess('b', 'b1', 10);
+  quorum.recordPeerProcess('c', 'c1', 10);
+  assert.deepEqual(quorum.nextQuery(1000, 7), { instanceId: 'a1', nonce: 1, revision: 7, incarnation: 0 });
+  assert.equal(quorum.nextQuery(1050, 7), null);
+  assert.equal(quorum.onConfirmation('b', 'b1', q(1), 500), null);
+  assert.equal(quorum.onConfirmation('c', 'c1', q(1), 500), 1000);
   // Answers to questions that this process did not ask count for nothing.
-  v.nextQuery(1100, 7);
-  for (const n of [q(2, 'a0'), q(9)]) assert.equal(v.onAnswer('b', 'b1', n, 1000), null);
-  assert.equal(v.onAnswer('c', 'c1', q(2), 1000), 1000);
-  v.notePeerProcess('c', 'c2', 1200);
-  v.nextQuery(1300, 7);
-  assert.equal(v.onAnswer('c', 'c2', q(3), 1000), null);
-  assert.equal(v.onAnswer('b', 'b1', q(3), 1000), null);
+  quorum.nextQuery(1100, 7);
+  for (const n of [q(2, 'a0'), q(9)]) assert.equal(quorum.onConfirmation('b', 'b1', n, 1000), null);
+  assert.equal(quorum.onConfirmation('c', 'c1', q(2), 1000), 1000);
+  quorum.recordPeerProcess('c', 'c2', 1200);
+  quorum.nextQuery(1300, 7);
+  assert.equal(quorum.onConfirmation('c', 'c2', q(3), 1000), null);
+  assert.equal(quorum.onConfirmation('b', 'b1', q(3), 1000), null);
   // Once the view was complete after the new process was heard, it counts.
-  assert.equal(v.onAnswer('c', 'c2', q(3), 1250), 1300);
+  assert.equal(quorum.onConfirmation('c', 'c2', q(3), 1250), 1300);
   const r = new RecentChanges(4);
   assert.equal(r.since(5), null);
   r.markCompleteUpTo(5);
@@ -100,7 +100,7 @@
 });
 
 test('all controllers are killed in an outage of the state service, and again while they read', () => {
-  const w = upWith(3, 5);
+  const w = startCluster(3, 5);
   w.snapshotMs = 1500;
   w.state.unavailable = true;
   w.advance(3);
@@ -123,7 +123,7 @@
 
 test('controllers killed in turn every few seconds: work goes on, nothing runs twice', () => {
   for (const everyS of [1.5, 3, 6]) {
-    const w = upWith(3, 0);
+    const w = startCluster(3, 0);
     for (let i = 0; i < 4; i++)
       w.nodes[i % 3].submit(spec(`req-${i + 1}`, { team: 'blue', tasks: 6, estimateS: 20 }));
     for (let i = 0; i < 16; i++) {
@@ -190,7 +190,7 @@
 });
 
 test('a zone is cut away from a freshly started owner: what is elsewhere goes on, what is inside is freed in time', () => {
-  const w = upWith(3, 8);
+  const w = startCluster(3, 8);
   const first = ownerOf(w);
   first.alive = false;
   assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined && ownerOf(w) !== first, 20));
@@ -206,7 +206,7 @@
 });
 
 test('the state service answers thirty times slower: an owner stays, work starts and ends', () => {
-  const w = upWith(3, 0);
+  const w = startCluster(3, 0);
   w.responseMs = 300;
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 6 }));
   assert.ok(w.advanceUntil(() => w.finished.length === 6, 120));
@@ -215,7 +215,7 @@
 });
 
 test('429 for all but one controller: that one serves, the others send workers to it', () => {
-  const w = upWith(3, 4);
+  const w = startCluster(3, 4);
   const free = w.nodes.find((n) => n !== ownerOf(w))!;
   for (const n of w.nodes) n.rateLimited = n !== free;
   w.advance(30);
@@ -227,7 +227,7 @@
 });
 
 test('an owner cut off from workers hands its shard over: no task is lost, no worker goes without an answer', () => {
-  const w = upWith(3, 12, 4);
+  const w = startCluster(3, 12, 4);
   const owner = ownerOf(w);
   w.advance(70);
   for (const x of w.workers.values()) {
@@ -243,7 +243,7 @@
 });
 
 test('an owner short of time has others keep its workers: their reports reach it all the same', () => {
-  const w = upWith(3, 16);
+  const w = startCluster(3, 16);
   const owner = ownerOf(w);
   const direct = (): number => [...w.workers.values()].filter((x) => x.currentNode === owner).length;
   assert.equal(direct(), w.workers.size);
@@ -288,27 +288,30 @@
     { member: 'b', busy: 0.1 },
     { member: 'c', busy: 0.9 },
   ];
-  const through = (b: number, c: number) =>
+  const forwardedHeartbeats = (b: number, c: number) =>
     new Map([
       ['b', b],
       ['c', c],
     ]);
   const at = { offloading: false, utilization: 0.2 };
-  assert.equal(handoverTarget({ ...at, direct: 5, forwardedBy: through(90, 5) }, others), 'b');
-  assert.equal(handoverTarget({ ...at, direct: 50, forwardedBy: through(45, 5) }, others), null);
-  assert.equal(handoverTarget({ ...at, direct: 0, forwardedBy: through(5, 95) }, others), null);
+  assert.equal(handoverTarget({ ...at, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) }, others), 'b');
+  assert.equal(handoverTarget({ ...at, direct: 50, forwardedBy: forwardedHeartbeats(45, 5) }, others), null);
+  assert.equal(handoverTarget({ ...at, direct: 0, forwardedBy: forwardedHeartbeats(5, 95) }, others), null);
   assert.equal(
-    handoverTarget({ ...at, offloading: true, direct: 5, forwardedBy: through(90, 5) }, others),
+    handoverTarget({ ...at, offloading: true, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) }, others),
     null,
   );
   assert.equal(
-    handoverTarget({ offloading: true, utilization: 1, direct: 5, forwardedBy: through(90, 5) }, others),
+    handoverTarget(
+      { offloading: true, utilization: 1, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) },
+      others,
+    ),
     'b',
   );
 });
 
 test('a gang that lost a task while it waited is completed with the same attempt', () => {
-  const w = upWith(1, 0);
+  const w = startCluster(1, 0);
   w.fetchS = 25;
   w.nodes[0].submit(spec('req-1', { team: 'blue', shape: 'gang', tasks: 3, cpus: 8 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -14,7 +14,7 @@
 import { World } from './support/world.js';
 
 const rng = xoroshiro128plus(7);
-const upTo = (n: number): number => uniformInt(rng, 0, n - 1);
+const randomBelow = (n: number): number => uniformInt(rng, 0, n - 1);
 
 const types: MachineType[] = [
   box,
@@ -22,11 +22,11 @@
   { ...box, name: 'gpu', cpus: 16, gpus: 2, memGb: 64, price: 9, spotPrice: 2 },
 ];
 
-interface TestSlot extends IndexedMachine {
+interface TestMachine extends IndexedMachine {
   used: Resources;
 }
 
-const roomOf = (m: TestSlot): Resources => ({
+const freeResources = (m: TestMachine): Resources => ({
   cpus: m.type.cpus - m.used.cpus,
   gpus: m.type.gpus - m.used.gpus,
   memGb: m.type.memGb - m.used.memGb,
@@ -36,40 +36,41 @@
   -(spot ? type.spotPrice : type.price) / type.cpus - (image ? 0 : 0.004);
 
 /** The plain definition: every machine is scored for the job, best first, earlier machines first among equals. */
-const plainOrder = (machines: TestSlot[], job: JobSpec): string[] =>
+const referenceOrder = (machines: TestMachine[], job: JobSpec): string[] =>
   machines
-    .filter((m) => typeAllowed(job, m.type) && (!m.spot || spotAllowed(job)) && roomOf(m).cpus >= 1)
+    .filter((m) => typeAllowed(job, m.type) && (!m.spot || spotAllowed(job)) && freeResources(m).cpus >= 1)
     .map((m) => ({
       host: m.host,
-      s: score(m.type, m.spot, m.images.has(job.image)) + packingTieBreak * fullness(m.type, roomOf(m)),
+      s:
+        score(m.type, m.spot, m.images.has(job.image)) + packingTieBreak * fullness(m.type, freeResources(m)),
     }))
     .sort((a, b) => b.s - a.s)
     .map((x) => x.host);
 
 test('the index gives the order of the plain definition on random fleets, also as they fill', () => {
   for (let fleet = 0; fleet < 30; fleet++) {
-    const machines: TestSlot[] = Array.from({ length: 60 }, (_, i) => {
-      const type = types[upTo(types.length)];
+    const machines: TestMachine[] = Array.from({ length: 60 }, (_, i) => {
+      const type = types[randomBelow(types.length)];
       return {
         host: `n-${i}`,
         type,
         zone: 'north',
-        spot: upTo(2) === 1,
-        images: new Set([`img-${upTo(3)}`]),
-        used: { cpus: upTo(type.cpus + 1), gpus: 0, memGb: 0 },
+        spot: randomBelow(2) === 1,
+        images: new Set([`img-${randomBelow(3)}`]),
+        used: { cpus: randomBelow(type.cpus + 1), gpus: 0, memGb: 0 },
       };
     });
-    const capacityIndex = new CapacityIndex(machines, roomOf, { cpus: 1, gpus: 0, memGb: 0 });
+    const capacityIndex = new CapacityIndex(machines, freeResources, { cpus: 1, gpus: 0, memGb: 0 });
     for (let step = 0; step < 20; step++) {
       const job = spec('req-1', {
-        image: `img-${upTo(4)}`,
-        cpus: 1 + upTo(4),
-        spot: upTo(2) === 1,
-        types: upTo(3) === 0 ? [types[upTo(types.length)].name] : null,
+        image: `img-${randomBelow(4)}`,
+        cpus: 1 + randomBelow(4),
+        spot: randomBelow(2) === 1,
+        types: randomBelow(3) === 0 ? [types[randomBelow(types.length)].name] : null,
       });
       const found = [...capacityIndex.bestFirst(job, score, () => true)].map((m) => m.host);
-      assert.deepEqual(found, plainOrder(machines, job));
-      const taken = machines.filter((m) => found.slice(0, 3).includes(m.host) && roomOf(m).cpus >= 1);
+      assert.deepEqual(found, referenceOrder(machines, job));
+      const taken = machines.filter((m) => found.slice(0, 3).includes(m.host) && freeResources(m).cpus >= 1);
       for (const m of taken) m.used.cpus++;
       capacityIndex.reposition(new Set(taken.map((m) => m.host)));
     }
