--- a/src/core/autoscaler/autoscaler.ts
+++ b/src/core/autoscaler/autoscaler.ts
@@ -1,4 +1,4 @@
-/** The autoscaler: the leader's control loop that fits the fleet to the demand of all shards. */
+/** The autoscaler: the leader's control loop that adapts the fleet to the demand of all shards. */
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
@@ -18,33 +18,34 @@
 import { ScaleIn } from './scale-in.js';
 import { assignFreeMachines, assignPoolMachines, type FreeMachine } from './shard-assignment.js';
 
-/** What the autoscaler is made of. */
+/** Dependencies of the autoscaler. */
 export interface AutoscalerOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
   readonly clock: Clock;
-  /** How requests to the cloud are repeated. */
+  /** Retry policy for requests to the cloud. */
   readonly retry: RetryPolicy;
   readonly random: Random;
   readonly log: Log;
 }
 
-/** Machines on a page of the cloud's listing. */
+/** Number of machines on one page of the cloud's listing. */
 const listingPageSize = 500;
+/** Interval between planning cycles. */
 const planningIntervalMs = 1000;
-/** How often machine types are requested while none is known. */
+/** Interval between requests for machine types while none are known. */
 const initialTypesIntervalMs = 500;
-/** Machine types are requested anew after so many worker leases. */
+/** Interval between requests for machine types once they are known, in worker leases. */
 const typesIntervalLeases = 2;
-/** A smaller relative change of a price is not recorded. */
+/** Relative price change up to which machine types count as unchanged and are not written. */
 const priceTolerance = 0.01;
 
 /**
- * Decides, as the leader, which machines to request for which shard, to which shard free machines are assigned, and which
- * machines to delete. The demand is calculated from the replica, which every controller has, so that a new leader needs
- * nothing from the one before.
+ * Decides which machines to request for which shard, which shard each free machine is assigned to, and which machines to
+ * delete; runs on the leader only. The demand is calculated from the replica, which every controller has, so that a new
+ * leader needs no state from its predecessor.
  */
 export class Autoscaler {
   private readonly context: AutoscalerContext;
@@ -71,17 +72,17 @@
     this.inventory = new MachineInventory(this.context, this.records, this.provisioner, this.scaleIn);
   }
 
-  /** The rate at which spot machines are reclaimed, for one step of the policy's hazard model. */
+  /** Sets the source of the rate at which spot machines are reclaimed, per step of the hazard model. */
   set hazardPerStep(hazardPerStep: () => number) {
     this.provisioner.hazardPerStep = hazardPerStep;
   }
 
-  /** Whether surplus machines may be deleted: not while something may run on them that is not known. */
+  /** Sets the check whether surplus machines may be deleted. It must fail while tasks without a record may run on them. */
   set mayScaleIn(mayScaleIn: () => boolean) {
     this.scaleIn.mayScaleIn = mayScaleIn;
   }
 
-  /** Forgets what only matters under one leadership. */
+  /** Resets the state that is only valid during one leadership. */
   reset(): void {
     this.provisioner.reset();
     this.scaleIn.reset();
@@ -92,7 +93,7 @@
     this.typesRequestedAt = -Infinity;
   }
 
-  /** One step of the control loop, as the leader. */
+  /** Runs one step of the control loop; called on the leader only. */
   tick(out: Effect[]): void {
     const { clock, replica } = this.context;
     this.budget.refill();
@@ -107,7 +108,7 @@
     }
   }
 
-  /** Whether a request that changes the fleet, or a change of its records, waits for its outcome. */
+  /** Whether a request that changes the fleet, or a write of its records, is in progress. */
   get hasPendingChanges(): boolean {
     return this.provisioner.pendingRentals.size > 0 || this.scaleIn.hasPending || this.records.hasPending;
   }
@@ -131,12 +132,12 @@
     if (!this.budget.tryAcquire()) return;
     this.isListing = true;
     this.listingRequestedAt = clock.now;
-    // Each further page is a request, too.
+    // Each page after the first is a request of its own.
     this.budget.charge(Math.floor(replica.machines.size / listingPageSize));
     out.push({ type: 'list-machines' });
   }
 
-  /** One planning cycle: assigns free machines to unmet demand, and requests machines for the rest of it. */
+  /** Runs one planning cycle: assigns free machines to unmet demand, and requests machines for the remaining demand. */
   private plan(out: Effect[]): void {
     if (this.context.settings.pool) return assignPoolMachines(this.context, this.records);
     const demand = new DemandCalculator(this.context, this.availability);
@@ -146,7 +147,7 @@
     this.provisioner.scaleOut(unmet, out);
   }
 
-  /** Adds all machines that are there or expected to a calculation of demand. Returns those that have no shard. */
+  /** Adds all existing and expected machines to a demand calculation. Returns the machines that have no shard. */
   private addFleet(demand: DemandCalculator): FreeMachine[] {
     const { replica } = this.context;
     const free: FreeMachine[] = [];
@@ -167,7 +168,7 @@
     return free;
   }
 
-  /** The cloud's answer to a request for its machine types; null: none came. */
+  /** Handles the cloud's answer to a request for its machine types; null: there was no answer. */
   handleMachineTypes(types: MachineType[] | null): void {
     this.isRequestingTypes = false;
     this.budget.recordOutcome(types !== null);
@@ -175,42 +176,42 @@
     if (!sameMachineTypes(types, this.context.replica.machineTypes)) this.records.writeMachineTypes(types);
   }
 
-  /** The cloud's answer to a request for machines. */
+  /** Handles the cloud's answer to a request for machines. */
   handleRental(request: RentRequest, outcome: RentalOutcome): void {
     this.provisioner.handleOutcome(request, outcome);
-    // The next best offer is tried at once.
+    // Plan again in the next step, to try the next best offer.
     if (outcome.type === 'no-capacity') this.plannedAt = -Infinity;
   }
 
-  /** The cloud's answer to a deletion. */
+  /** Handles the cloud's answer to a deletion request. */
   handleDeletion(hosts: readonly string[], succeeded: boolean): void {
     this.scaleIn.handleOutcome(hosts, succeeded);
   }
 
-  /** The cloud's answer to a request for its list of machines, sent at `requestedAt`; null: none came. */
+  /** Handles the cloud's answer to a listing request sent at `requestedAt`, ms; null: there was no answer. */
   handleListing(listed: readonly ListedMachine[] | null, requestedAt: number): void {
     this.isListing = false;
     this.budget.recordOutcome(listed !== null);
     if (listed) this.inventory.reconcile(listed, requestedAt);
   }
 
-  /** A worker whose machine has no record reports to the leader. */
+  /** Handles a heartbeat, received by the leader, of a worker whose machine has no record. */
   adoptReportingMachine(heartbeat: Heartbeat): void {
     this.inventory.adoptReportingMachine(heartbeat);
   }
 
-  /** A worker has reported to this controller. */
+  /** Records a worker's heartbeat to this controller. */
   recordHeartbeat(host: string): void {
     this.inventory.recordHeartbeat(host);
   }
 
-  /** An operator states that a machine is gone, with all tasks on it. */
+  /** Marks a machine dead because an operator has declared it and all tasks on it gone. */
   forgetMachine(host: string): void {
     this.inventory.forgetMachine(host);
   }
 }
 
-/** Whether machine types are the recorded ones, but for small changes of their prices. */
+/** Whether machine types equal the recorded ones, ignoring small price changes. */
 function sameMachineTypes(types: readonly MachineType[], recorded: readonly MachineType[]): boolean {
   const differs = (a: number, b: number): boolean => Math.abs(a - b) > priceTolerance * Math.max(a, b);
   return (
--- a/src/core/autoscaler/demand.ts
+++ b/src/core/autoscaler/demand.ts
@@ -1,4 +1,4 @@
-/** Demand: the waiting tasks that find no headroom on the machines of their shard. */
+/** Unmet demand: the waiting tasks that do not fit on the existing and expected machines of their shard. */
 import type { JobSpec } from '../../model/job.js';
 import { fitCount, type MachineType } from '../../model/machine.js';
 import { teamQuota, typeAllowed } from '../../policy/admission.js';
@@ -22,31 +22,32 @@
 import { isEligible, type MachineOffer, type OfferAvailability } from './offers.js';
 import { splitByZone, type ZoneGroup } from './zone-split.js';
 
-/** Tasks of a job that find no headroom. */
+/** Tasks of a job that do not fit on existing or expected machines. */
 export interface UnmetDemand {
   readonly spec: JobSpec;
   readonly shard: number;
-  /** The zones in which they may run; null: any. */
+  /** The zones in which the tasks may run; null: any. */
   readonly zones: string[] | null;
-  /** Reduced as machines are assigned to it. */
+  /** Number of tasks; reduced when free machines are assigned to the demand. */
   count: number;
 }
 
 type WaitingJob = JobRecord & { readonly spec: JobSpec; readonly waiting: number };
 
-/** Share of a job's slack for which it may wait for running tasks to complete instead of new machines. */
+/** Maximum fraction of a job's slack that it may spend waiting for running tasks to complete, instead of for new machines. */
 const maxWaitSlackFraction = 0.6;
-/** Of that share, what a job uses whose machines are the cheapest. */
+/** The part of that fraction used by a job that runs on the cheapest machine type. */
 const minWaitFactor = 0.75;
 
 /**
- * Calculates the unmet demand from the replica: one pass over all placements, then one over the waiting jobs in placement order.
+ * Calculates the unmet demand from the replica in two passes: over all placements, then over the waiting jobs in placement
+ * order.
  */
 export class DemandCalculator {
   private readonly pools = new Map<number, MachinePools>();
   private readonly byHost = new Map<string, Headroom>();
   private readonly teamUsage = new Map<string, { cpus: number; gpus: number }>();
-  /** Machines with tasks on them, emptiest first, by shard: made for the first gang that needs it. */
+  /** Occupied machines by shard, the one with the most free CPUs first; created for the first gang that needs it. */
   private readonly emptiest = new Map<number, { machine: Headroom; pool: MachinePool }[]>();
 
   constructor(
@@ -54,20 +55,20 @@
     private readonly availability: OfferAvailability,
   ) {}
 
-  /** Adds a machine of a shard. */
+  /** Adds a machine that is assigned to a shard. */
   addMachine({ host, shard, zone, spot }: VersionedMachine, type: MachineType): void {
     const machine = emptyHeadroom(type, this.context.operators.headroom);
     this.byHost.set(host, machine);
     poolOf(this.poolsOf(shard), { type, zone, spot }).machines.push(machine);
   }
 
-  /** Adds machines that were requested and are not recorded yet. */
+  /** Adds machines that have been requested and are not recorded yet. */
   addExpectedMachines(shard: number, offer: MachineOffer, count: number): void {
     const { machines } = poolOf(this.poolsOf(shard), offer);
     for (let i = 0; i < count; i++) machines.push(emptyHeadroom(offer.type, this.context.operators.headroom));
   }
 
-  /** Subtracts the placed tasks from the headroom of their machines, and counts them against the teams' quotas. */
+  /** Subtracts placed tasks from the headroom of their machines, and counts them against their teams' quotas. */
   subtractPlacements(): void {
     const { replica } = this.context;
     for (const [id, chunks] of replica.chunks) {
@@ -91,7 +92,7 @@
     }
   }
 
-  /** The unmet demand, in placement order. */
+  /** Returns the unmet demand in placement order, jobs that need GPUs first. */
   unmet(): UnmetDemand[] {
     const { settings, clock } = this.context;
     const ordered = inPlacementOrder(
@@ -100,7 +101,7 @@
       clock.wall,
       criticalSlackS(settings),
     );
-    // GPU work first: it takes the headroom of the GPU machines before other work may have the rest.
+    // Jobs that need GPUs come first, so that other jobs get only what these leave on GPU machines.
     const jobs = [
       ...ordered.filter(({ spec }) => spec.gpus > 0),
       ...ordered.filter(({ spec }) => spec.gpus <= 0),
@@ -133,7 +134,7 @@
     return unmet;
   }
 
-  /** How many of a job's waiting tasks its team's quota allows; they are counted against it. Of a gang, all or none. */
+  /** Counts the waiting tasks that fit into the team's quota against it, and returns their number. A gang gets all or none. */
   private allocateQuota({ spec, waiting }: WaitingJob): number {
     const quota = teamQuota(this.context.settings, spec.team);
     const usage = this.usageOf(spec.team);
@@ -162,16 +163,16 @@
     let left = count;
     for (const pool of eligible) left -= allocateHeadroom(pool, spec, left, machineTypes);
     left -= this.allocateFutureHeadroom(job, left, eligible);
-    // Not `left <= 0`: the count is NaN where a slack without end meets run times without end (a service's). That demand
-    // counts as met.
+    // Not `left <= 0`: the count is NaN if both the slack and the run times are infinite (run times of services are). Such
+    // demand counts as met.
     if (!(left > 0)) return null;
     if (spec.shape === 'gang') this.reserveEmptiest(spec, shard, eligible, left);
     return { spec, shard, count: left, zones };
   }
 
   /**
-   * A job that has failed and completed no task needs another host if it has failed on all that there are. One that is suspected
-   * of being faulty itself waits for hosts that others need.
+   * Decides on a job that has failed and has not completed any task. It needs another host if it has failed on all existing
+   * ones. A job that is suspected of being faulty itself gets no machines of its own: it waits for hosts that other jobs need.
    */
   private failureDecision(
     job: WaitingJob,
@@ -186,13 +187,13 @@
     for (const { machines } of eligible)
       for (const machine of machines)
         if (!failed.has(machine)) capacity += fitCount(job.spec, emptyHeadroom(machine.type, 0));
-    // Guards against requesting machines, with GPUs at that, for a job that fails everywhere.
+    // Prevents requests for machines, possibly expensive ones with GPUs, for a job that fails on every host.
     if (capacity >= (job.spec.shape === 'gang' ? count : 1))
       return failedHosts.length >= suspectHostCount ? 'wait' : 'regular';
     return failedHosts.length < maxStoredFailedHosts ? 'needs-other-host' : 'wait';
   }
 
-  /** The scheduling cycle reserves the emptiest machines for a waiting gang, so other demand must not count on them. */
+  /** Removes the headroom of the emptiest machines, which the scheduling cycle reserves for a waiting gang. */
   private reserveEmptiest(
     spec: JobSpec,
     shard: number,
@@ -224,8 +225,9 @@
   }
 
   /**
-   * Time left for a job's last task to start and still be in time; for work without time limits, its run time. Infinity: a
-   * machine requested now would come too late for it, so it may as well wait for those that are there.
+   * How long the start of a job's last task may be delayed without missing the job's time limits, s; for jobs without time
+   * limits, the run time. Infinity if a machine requested now would be ready too late, so that waiting for existing machines
+   * is no worse.
    */
   private slackOf({ spec, acceptedAt }: WaitingJob): number {
     const { settings, clock, replica } = this.context;
@@ -239,8 +241,9 @@
   }
 
   /**
-   * Takes headroom that running tasks will leave in time, for up to `maxTasks` tasks. Returns for how many it was found. Part of
-   * the slack is left for fetching the image, for estimates that are too low, and for others who need the same headroom.
+   * Allocates headroom that running tasks will free in time, for up to `maxTasks` tasks. Returns the number of tasks that
+   * fit. Part of the slack is left for image fetches, for run time estimates that are too low, and for other jobs that compete
+   * for the same headroom.
    */
   private allocateFutureHeadroom(
     job: WaitingJob,
@@ -262,7 +265,7 @@
         )
           continue;
         const completedShare = Math.min(1, waitS / Math.max(machine.meanRunS, 1));
-        // Whole tasks only: a gang of large tasks must not count on fragments.
+        // Whole tasks per machine only: large tasks of a gang cannot be assembled from fragments of several machines.
         const count = Math.min(
           maxTasks - allocated,
           Math.floor(fitCount(spec, machine.busy) * completedShare),
@@ -275,7 +278,7 @@
     return allocated;
   }
 
-  /** How much of the wait share a job uses: the more, the more expensive its machines are. */
+  /** The part of the maximum wait that a job uses. It grows with the price of the machines that the job needs. */
   private waitFactorOf(spec: JobSpec): number {
     const types = this.context.replica.machineTypes;
     const cheapest = Math.min(...types.map(({ price, cpus }) => price / Math.max(cpus, 1)));
--- a/src/core/autoscaler/fleet-records.ts
+++ b/src/core/autoscaler/fleet-records.ts
@@ -1,4 +1,4 @@
-/** The leader's writes of machine records: each is conditional on the leadership under which it was decided. */
+/** The leader's writes of machine records. Each write is conditional on the leadership under which it was decided. */
 import type { MachineRecord, MachineType } from '../../model/machine.js';
 import type { RentRequest } from '../../wire/cloud.js';
 import type { Write } from '../../wire/store.js';
@@ -15,11 +15,11 @@
 import type { AutoscalerContext } from './context.js';
 
 /**
- * Writes the records of machines, of blocks (the machines of one rental, in one record) and of machine types. A conflict means
- * that the replica was outdated: nothing is repeated, the next planning cycle decides anew.
+ * Writes the records of machines, of blocks (one record for all machines of a rental) and of machine types. A conflict means
+ * that the replica was outdated: the write is not retried, and the next planning cycle decides again.
  */
 export class FleetRecords {
-  /** Changes that are under way, by name: one at a time of each. */
+  /** Names of the changes in progress; at most one change per name at a time. */
   private readonly pending = new Set<string>();
 
   constructor(
@@ -27,12 +27,12 @@
     private readonly batcher: TransactionBatcher,
   ) {}
 
-  /** Whether any change waits for its outcome. */
+  /** Whether any change is in progress. */
   get hasPending(): boolean {
     return this.pending.size > 0;
   }
 
-  /** Whether a change of a machine's own record waits for its outcome. */
+  /** Whether a change of a machine's own record is in progress. */
   isMachinePending(host: string): boolean {
     return this.pending.has(machineKey(host));
   }
@@ -43,7 +43,7 @@
     this.write('types', () => [{ key: replica.activeTypesKey, data: machineTypesData(types) }]);
   }
 
-  /** Adds a machine that has no record yet. */
+  /** Adds a record for a machine that has none. */
   addMachine(machine: MachineRecord): void {
     const { machines } = this.context.replica;
     const key = machineKey(machine.host);
@@ -51,7 +51,10 @@
     this.write(key, () => (machines.has(machine.host) ? null : [{ key, data: machineData(machine) }]));
   }
 
-  /** Gives a machine a record of its own, derived from its state when the write is sent; null: no change. */
+  /**
+   * Writes a machine's own record. `update` derives it from the machine's state when the write is sent; it returns null for no
+   * change.
+   */
   updateMachine(host: string, update: (current: VersionedMachine) => MachineRecord | null): void {
     const key = machineKey(host);
     this.write(key, () => {
@@ -61,14 +64,14 @@
     });
   }
 
-  /** Moves a machine from the leader's pool to a shard, unless it was assigned or condemned meanwhile. */
+  /** Assigns a free machine to a shard, unless it has been assigned or marked dead in the meantime. */
   assignToShard(host: string, shard: number): void {
     this.updateMachine(host, (current) =>
       current.state === 'free' ? { ...current, shard, state: 'use' } : null,
     );
   }
 
-  /** Stores the machines of one rental in one record: a scale-out of hundreds must not wait for hundreds of writes. */
+  /** Stores all machines of one rental in a single record, so that adding hundreds of machines does not take hundreds of writes. */
   addBlock(request: RentRequest, hosts: string[], shard: number, onSettled: () => void): void {
     const { type, zone, spot } = request;
     const since = this.context.clock.wall;
@@ -83,7 +86,7 @@
     );
   }
 
-  /** Removes deleted machines from the records: their own, and those of their blocks. */
+  /** Removes deleted machines from the records: their own records and those of their blocks. */
   removeMachines(hosts: readonly string[]): void {
     const { replica, settings } = this.context;
     const byBlock = new Map<string, string[]>();
@@ -93,7 +96,7 @@
       if (block === undefined) this.write(machineKey(host), () => this.machineRemoval(host));
       else byBlock.set(block, [...(byBlock.get(block) ?? []), host]);
     }
-    // A block and its machines' own records change together, as far as the size of a transaction allows.
+    // A block and its machines' own records are changed in one transaction, as far as the maximum transaction size allows.
     const maxHosts = settings.state.txn_ops - 1;
     for (const [block, removed] of byBlock)
       for (let i = 0; i < removed.length; i += maxHosts) {
@@ -112,14 +115,14 @@
     if (!block) return null;
     const hosts = block.hosts.filter((host) => !removed.has(host));
     const writes: Write[] = [
-      // First, so that no machine falls back from its own record to its block's.
+      // Written first: otherwise a machine whose own record is removed would get the state that the block gives it.
       { key: blockKey(id), data: hosts.length > 0 ? blockData({ ...block, hosts }) : undefined },
     ];
     for (const host of removed) writes.push(...(this.machineRemoval(host) ?? []));
     return writes;
   }
 
-  /** Enqueues a change, unless one of the same name is under way. `build` returns null if it is no longer wanted. */
+  /** Enqueues a change, unless one of the same name is in progress. `build` returns null if the change is no longer needed. */
   private write(name: string, build: () => Write[] | null, onSettled?: () => void): void {
     if (this.pending.has(name)) return;
     this.pending.add(name);
--- a/src/core/autoscaler/headroom.ts
+++ b/src/core/autoscaler/headroom.ts
@@ -1,41 +1,41 @@
-/** Headroom: what is left on machines that are there or expected, by shard and offer. */
+/** Headroom: the free resources of existing and expected machines, grouped by shard and offer. */
 import type { JobSpec } from '../../model/job.js';
 import { fitCount, type MachineType, type Resources } from '../../model/machine.js';
 import { fitsCpuOnlyType, mayShareGpuMachine } from '../../policy/gpu-sharing.js';
 import { offerKey, type MachineOffer } from './offers.js';
 
-/** What is left on a machine. */
+/** The free resources of one machine. */
 export interface Headroom extends Resources {
   readonly type: MachineType;
-  /** Occupied now, and free when the running tasks complete. */
+  /** Resources of the running tasks, which become free when those complete. */
   readonly busy: Resources;
-  /** Estimated run time of the tasks on it, on average. */
+  /** Mean estimated run time of the tasks on the machine, s. */
   meanRunS: number;
   taskCount: number;
 }
 
-/** The machines of one offer in a shard: a job is eligible for all of them or for none. */
+/** The machines of one offer in a shard. A job is eligible for either all of them or none. */
 export interface MachinePool extends MachineOffer {
   readonly machines: Headroom[];
   /**
-   * The smallest need that found no headroom here, by whether it may use empty GPU machines. An equal or larger need is not
-   * looked up.
+   * The latest request that did not fit completely, keyed by whether the job may use empty GPU machines. Requests that are
+   * equal or larger in every resource are rejected without a search.
    */
-  readonly smallestUnfit: Map<boolean, Resources>;
+  readonly latestUnfit: Map<boolean, Resources>;
 }
 
-/** The pools of one shard by offer, in the order in which they were first used. */
+/** The pools of one shard by offer key, in the order in which they were first used. */
 export type MachinePools = Map<string, MachinePool>;
 
-/** The pool of an offer; made when first used. */
+/** Returns the pool of an offer, creating it on first use. */
 export function poolOf(pools: MachinePools, { type, zone, spot }: MachineOffer): MachinePool {
   const key = offerKey(type.name, zone, spot);
   let pool = pools.get(key);
-  if (!pool) pools.set(key, (pool = { type, zone, spot, machines: [], smallestUnfit: new Map() }));
+  if (!pool) pools.set(key, (pool = { type, zone, spot, machines: [], latestUnfit: new Map() }));
   return pool;
 }
 
-/** An empty machine; `reservedShare` of its CPUs is left free. */
+/** The headroom of a machine without tasks. The fraction `reservedFraction` of its CPUs is withheld. */
 export const emptyHeadroom = (type: MachineType, reservedFraction: number): Headroom => ({
   busy: { cpus: 0, gpus: 0, memGb: 0 },
   meanRunS: 0,
@@ -46,26 +46,26 @@
   memGb: type.memGb,
 });
 
-/** Subtracts `count` times `need`. */
+/** Subtracts `count` times `need` from `resources`, in place. */
 export function subtract(resources: Resources, need: Resources, count: number): void {
   resources.cpus -= count * need.cpus;
   resources.gpus -= count * need.gpus;
   resources.memGb -= count * need.memGb;
 }
 
-/** Whether empty GPU machines are open to a job. */
+/** Whether a job may use empty GPU machines. */
 const mayUseGpuMachines = (spec: JobSpec, types: readonly MachineType[]): boolean =>
   spec.gpus > 0 || !fitsCpuOnlyType(spec, types);
 
-/** Whether an equal or smaller need found no headroom in the pool. */
+/** Whether a request that is no larger in any resource already failed in this pool. */
 function isExhausted(pool: MachinePool, spec: JobSpec, types: readonly MachineType[]): boolean {
-  const unfit = pool.smallestUnfit.get(mayUseGpuMachines(spec, types));
+  const unfit = pool.latestUnfit.get(mayUseGpuMachines(spec, types));
   return (
     unfit !== undefined && unfit.cpus <= spec.cpus && unfit.gpus <= spec.gpus && unfit.memGb <= spec.memGb
   );
 }
 
-/** Takes headroom for up to `maxTasks` tasks. Returns for how many it was found. */
+/** Allocates headroom for up to `maxTasks` tasks of a job. Returns the number of tasks that fit. */
 export function allocateHeadroom(
   pool: MachinePool,
   spec: JobSpec,
@@ -83,7 +83,7 @@
     allocated += count;
   }
   if (allocated < maxTasks)
-    pool.smallestUnfit.set(mayUseGpuMachines(spec, types), {
+    pool.latestUnfit.set(mayUseGpuMachines(spec, types), {
       cpus: spec.cpus,
       gpus: spec.gpus,
       memGb: spec.memGb,
@@ -91,7 +91,7 @@
   return allocated;
 }
 
-/** For how many tasks of a job there is headroom, counted up to `maxTasks`. */
+/** Counts the tasks of a job that fit into the pool, up to `maxTasks`, without allocating. */
 export function countHeadroom(
   pool: MachinePool,
   spec: JobSpec,
--- a/src/core/autoscaler/inventory.ts
+++ b/src/core/autoscaler/inventory.ts
@@ -1,4 +1,4 @@
-/** Reconciliation of the recorded machines with those that the cloud lists, and with workers' heartbeats. */
+/** Reconciliation of the recorded machines with the cloud's listings and with workers' heartbeats. */
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { ListedMachine } from '../../wire/cloud.js';
 import type { VersionedMachine } from '../replica.js';
@@ -9,14 +9,14 @@
 import type { Provisioner } from './provisioning.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** A machine that neither is listed nor reports for so many listing lags is condemned. */
+/** A machine that is neither listed nor sends heartbeats for this many listing lags is marked dead. */
 const maxAbsenceListLags = 4;
-/** Not before its record is so many absence times old: a new machine may not be listed yet. */
+/** Minimum age of a record for that, in units of that time, since a new machine may not be listed yet. */
 const minRecordAgeAbsenceLimits = 2;
 
-/** Finds machines that are recorded and gone, or there and not recorded. */
+/** Finds recorded machines that no longer exist, and existing machines that have no record. */
 export class MachineInventory {
-  /** Since when machines are missing in the listings, ms. */
+  /** When a machine was first missing from the listings, by host, ms. */
   private readonly absentSince = new Map<string, number>();
   private readonly lastHeartbeatAt = new Map<string, number>();
 
@@ -27,17 +27,17 @@
     private readonly scaleIn: ScaleIn,
   ) {}
 
-  /** Forgets the listings of an earlier leadership. */
+  /** Drops what was learned from listings during an earlier leadership. */
   reset(): void {
     this.absentSince.clear();
   }
 
-  /** A worker's heartbeat has reached this controller: its machine exists, listed or not. */
+  /** Records a worker's heartbeat, which proves that its machine exists even if it is not listed. */
   recordHeartbeat(host: string): void {
     this.lastHeartbeatAt.set(host, this.context.clock.now);
   }
 
-  /** Compares a complete listing, requested at `requestedAt`, with the records. */
+  /** Reconciles the records with a complete listing that was requested at `requestedAt`, ms. */
   reconcile(listed: readonly ListedMachine[], requestedAt: number): void {
     const { machines } = this.context.replica;
     const listedHosts = new Set<string>();
@@ -52,7 +52,7 @@
       if (!listedHosts.has(machine.host)) this.checkAbsence(machine, requestedAt);
   }
 
-  /** Adopts a listed machine that has no record, once it cannot belong to a request whose record is being written. */
+  /** Adopts a listed machine without a record, unless its record may still be being written or it was just deleted. */
   private adoptIfUnknown(entry: ListedMachine): void {
     const { replica, settings } = this.context;
     if (replica.unreadableRecords.has(machineKey(entry.host))) return;
@@ -67,7 +67,7 @@
     const absentSince = this.absentSince.get(host) ?? requestedAt;
     this.absentSince.set(host, absentSince);
     const lastHeartbeatAt = this.lastHeartbeatAt.get(host) ?? -Infinity;
-    // Absence is no proof: it only makes us request the deletion, and its answer is one.
+    // Absence does not prove that the machine is gone. It only triggers a deletion request, whose answer proves it.
     if (
       clock.now - absentSince > limitMs &&
       clock.now - lastHeartbeatAt > limitMs &&
@@ -76,14 +76,14 @@
       this.markDead(machine, 'absent');
   }
 
-  /** Adopts the machine of a worker that reports to the leader and has no record. */
+  /** Adopts a machine without a record whose worker sends heartbeats to the leader. */
   adoptReportingMachine({ host, type, zone, spot }: Heartbeat): void {
     const { replica } = this.context;
-    // Guards against adopting a machine whose record exists and cannot be read.
+    // The machine has a record, which this program cannot read.
     if (replica.unreadableRecords.has(machineKey(host))) return;
     if (this.scaleIn.wasRecentlyDeleted(host)) return;
     if (!replica.machineTypes.some((t) => t.name === type)) return;
-    // Guards against a machine that boots before the answer to its request is here or recorded.
+    // A machine may boot before the answer to its request has arrived or has been recorded.
     if (this.provisioner.isUnrecorded(host)) return;
     if (this.provisioner.mayBePending(offerKey(type, zone, spot))) return;
     this.adopt({ host, type, zone, spot });
@@ -95,7 +95,7 @@
     this.records.addMachine({ host, type, zone, spot, shard: -1, state: 'free', since });
   }
 
-  /** An operator states that a machine is gone, with all tasks on it. */
+  /** Marks a machine dead because an operator has declared it and all tasks on it gone. */
   forgetMachine(host: string): void {
     const machine = this.context.replica.machines.get(host);
     if (machine) this.markDead(machine, 'forgotten');
@@ -103,7 +103,7 @@
 
   private markDead(machine: VersionedMachine, why: string): void {
     if (machine.state === 'dead') return;
-    this.context.log('info', 'machine abandoned', { host: machine.host, why });
+    this.context.log('info', 'machine marked dead', { host: machine.host, why });
     this.records.updateMachine(machine.host, (current) => ({ ...current, state: 'dead' }));
   }
 }
--- a/src/core/autoscaler/offer-selection.ts
+++ b/src/core/autoscaler/offer-selection.ts
@@ -1,4 +1,4 @@
-/** Selection of the best machine offer for unmet demand, by the policy's score. */
+/** Selection of the machine offer with the highest placement score for unmet demand. */
 import { isPremium } from '../../model/job.js';
 import { fitCount, type MachineType } from '../../model/machine.js';
 import { fitsCpuOnlyType } from '../../policy/gpu-sharing.js';
@@ -8,20 +8,20 @@
 import type { UnmetDemand } from './demand.js';
 import { isEligible, type MachineOffer, type OfferAvailability } from './offers.js';
 
-/** Weight of the balance between zones: it decides between offers of the same score only, however large the fleet. */
+/** Weight of the balance between zones. Small enough to act only as a tie-breaker, whatever the size of the fleet. */
 const zoneBalanceWeight = 1e-4;
-/** A task that needs fewer CPUs counts as one that needs these. */
+/** Lower bound of the CPUs that a task counts with, so that the price per used CPU stays finite. */
 const minTaskCpus = 0.01;
 
-/** The fleet as it is when an offer is selected. */
+/** Properties of the fleet that influence the selection. */
 export interface FleetView {
-  /** Machines that are there or requested. */
+  /** Number of machines by zone, existing and requested. */
   readonly machinesPerZone: ReadonlyMap<string, number>;
-  /** The rate at which spot machines are reclaimed, for one step of the policy's hazard model. */
+  /** Rate at which spot machines are reclaimed, per step of the hazard model. */
   readonly hazardPerStep: number;
 }
 
-/** The best offer for unmet tasks of a job; null: none is available. */
+/** The available offer with the highest score for a job's unmet tasks; null if there is none. */
 export function bestOffer(
   { replica, operators }: AutoscalerContext,
   availability: OfferAvailability,
@@ -31,7 +31,7 @@
   const types = replica.machineTypes;
   const isAvailable = (offer: MachineOffer): boolean =>
     availability.isAvailable(offer) && (zones === null || zones.includes(offer.zone));
-  // The price of premium work stays anchored to a type that is available; if none is, to the cheapest that fits.
+  // The reference price of premium jobs is that of the cheapest type that is available; without one, of the cheapest that fits.
   let anchor = anchorPrice(spec, types, (type) =>
     type.zones.some((zone) => isAvailable({ type, zone, spot: false })),
   );
@@ -39,7 +39,7 @@
   const balanceWeight = zoneBalanceWeight / [...machinesPerZone.values()].reduce((a, b) => a + b, 1);
   const work = { premium: isPremium(spec), cpus: spec.cpus };
   const weights = scoreWeights(operators);
-  // No GPU machines for work that others can run: the scheduling cycle would not use them either.
+  // No GPU machines for jobs that fit a CPU-only type: the scheduling cycle would not place them there.
   const mayUseGpuTypes = spec.gpus > 0 || !fitsCpuOnlyType(spec, types);
   let best: MachineOffer | null = null;
   let bestScore = -Infinity;
@@ -54,7 +54,7 @@
       delayS,
       rentalCpus: type.cpus,
     });
-    // The price is paid for the CPUs that the tasks will use.
+    // The price per CPU that the tasks will actually use.
     const usedCpus = Math.min(tasksPerMachine, count) * Math.max(spec.cpus, minTaskCpus);
     const price = candidate.price / Math.min(1, usedCpus / type.cpus);
     const score =
@@ -68,7 +68,7 @@
   return best;
 }
 
-/** All offers of the machine types, on demand before spot. */
+/** All offers of the given machine types; for each type and zone, on demand before spot. */
 function* offersOf(types: readonly MachineType[]): Generator<MachineOffer> {
   for (const type of types)
     for (const zone of type.zones) for (const spot of [false, true]) yield { type, zone, spot };
--- a/src/core/autoscaler/offers.ts
+++ b/src/core/autoscaler/offers.ts
@@ -1,18 +1,18 @@
-/** Machine offers of the cloud: which fit a job, and which are available. */
+/** Machine offers of the cloud: which of them a job may use, and which are assumed to have capacity. */
 import type { JobSpec } from '../../model/job.js';
 import type { MachineType } from '../../model/machine.js';
 import { typeAllowed } from '../../policy/admission.js';
 import { spotAllowed } from '../../policy/guardrails.js';
 import type { AutoscalerContext } from './context.js';
 
-/** A machine type in a zone, on demand or spot, that the cloud may provide. */
+/** A machine type in one zone, on demand or spot, that can be requested from the cloud. */
 export interface MachineOffer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** The name of an offer, in maps. */
+/** Map key of an offer. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type} ${zone} ${spot ? 'spot' : ''}`;
 
@@ -20,37 +20,37 @@
 export const isEligible = (spec: JobSpec, { type, zone, spot }: MachineOffer): boolean =>
   typeAllowed(spec, type) && (spec.zone === null || spec.zone === zone) && (!spot || spotAllowed(spec));
 
-/** The pause after a refusal doubles with each further one in a row, up to this exponent. */
+/** The back-off doubles with each consecutive refusal, at most this many times. */
 const maxBackoffDoublings = 3;
-/** Share of the operators' idle time of a machine that the first pause takes. */
+/** Initial back-off as a fraction of the time for which an idle machine is kept (its boot time times `idle-boots`). */
 const initialBackoffIdleFraction = 0.5;
-/** Assumed boot time of a machine type that is not known any more, s. */
+/** Assumed boot time of a machine type that the cloud no longer lists, s. */
 const defaultBootS = 30;
 
-/** Which offers had no capacity lately: they are not tried again for a while. */
+/** Tracks offers that recently had no capacity. They are requested again only after an exponential back-off. */
 export class OfferAvailability {
   private readonly refusals = new Map<string, { at: number; count: number }>();
 
   constructor(private readonly context: AutoscalerContext) {}
 
-  /** Forgets all refusals. */
+  /** Makes all offers available again. */
   clear(): void {
     this.refusals.clear();
   }
 
-  /** The cloud had no machine of this offer. */
+  /** Records that the cloud had no machine of this offer. */
   recordNoCapacity(offer: string): void {
     const count = (this.refusals.get(offer)?.count ?? 0) + 1;
     this.refusals.set(offer, { at: this.context.clock.now, count });
   }
 
-  /** The cloud provided machines of this offer: all that were requested, or fewer. */
+  /** Records that the cloud provided machines of this offer: all that were requested, or only some of them. */
   recordCapacity(offer: string, isComplete: boolean): void {
     this.refusals.delete(offer);
     if (!isComplete) this.refusals.set(offer, { at: this.context.clock.now, count: 1 });
   }
 
-  /** Whether machines of an offer are assumed to be obtainable now. */
+  /** Whether an offer is assumed to have capacity now. */
   isAvailable({ type, zone, spot }: MachineOffer): boolean {
     const refusal = this.refusals.get(offerKey(type.name, zone, spot));
     if (!refusal) return true;
--- a/src/core/autoscaler/provisioning.ts
+++ b/src/core/autoscaler/provisioning.ts
@@ -1,4 +1,4 @@
-/** Scale out: requests machines from the cloud for unmet demand, and follows each request until its machines are recorded. */
+/** Scale-out: requests machines from the cloud for unmet demand, and tracks each request until its machines are recorded. */
 import { urgencyRank } from '../../model/job.js';
 import { fitCount } from '../../model/machine.js';
 import type { RentalOutcome, RentRequest } from '../../wire/cloud.js';
@@ -10,39 +10,39 @@
 import { offerKey, type MachineOffer, type OfferAvailability } from './offers.js';
 import type { CloudRequestBudget } from './request-budget.js';
 
-/** Machines that one request asks for at most. */
+/** Maximum number of machines in one request. */
 const maxMachinesPerRequest = 50;
-/** Sums of fractions of machines may miss a whole number by rounding. */
+/** Tolerance in machines, since floating-point sums of fractions of machines may miss a whole number. */
 const roundingTolerance = 1e-6;
 
 /** A request whose machines are not recorded yet. */
 export interface PendingRental {
   readonly request: RentRequest;
   readonly shard: number;
-  /** How many machines it will bring, as far as known. */
+  /** Number of machines that the request is expected to yield, as far as known. */
   expectedCount: number;
 }
 
-/** Machines of one offer that a shard needs. */
+/** The machines of one offer to be requested for a shard. */
 interface ScaleOut {
   readonly offer: MachineOffer;
   readonly shard: number;
-  /** The first demand that asked for them, for the log. */
+  /** The first demand that needs them; for the log. */
   readonly demand: UnmetDemand;
-  /** Fractions count: small tasks of several jobs share machines. */
+  /** May be fractional, since small tasks of several jobs share a machine. */
   machineCount: number;
 }
 
-/** The leader's requests for machines. */
+/** Requests machines and tracks the requests; used by the leader only. */
 export class Provisioner {
-  /** Requests by name. */
+  /** Pending requests by name. */
   private readonly pending = new Map<string, PendingRental>();
-  /** Requests whose outcome is unknown. */
+  /** Requests without an answer, whose outcome is unknown. */
   private unanswered: RentRequest[] = [];
-  /** Machines just provided whose record is still being written. */
+  /** Machines that the cloud has provided and whose record is still being written. */
   private readonly unrecordedHosts = new Set<string>();
   private requestCount = 0;
-  /** The rate at which spot machines are reclaimed, for one step of the policy's hazard model. */
+  /** Rate at which spot machines are reclaimed, per step of the hazard model. */
   hazardPerStep: () => number = () => 0;
 
   constructor(
@@ -52,39 +52,39 @@
     private readonly availability: OfferAvailability,
   ) {}
 
-  /** Forgets the requests of an earlier leadership. */
+  /** Drops the state of requests that were sent during an earlier leadership. */
   reset(): void {
     this.pending.clear();
     this.unanswered = [];
     this.availability.clear();
   }
 
-  /** Requests whose machines are not recorded yet: until then these count as expected. */
+  /** Requests whose machines are not recorded yet; demand counts these machines as expected. */
   get pendingRentals(): ReadonlyMap<string, PendingRental> {
     return this.pending;
   }
 
-  /** Whether the record of a machine that was just provided is being written. */
+  /** Whether the record of a provided machine is still being written. */
   isUnrecorded(host: string): boolean {
     return this.unrecordedHosts.has(host);
   }
 
-  /** Whether a machine of this offer may belong to a request that is under way. */
+  /** Whether a machine of this offer may belong to a pending request. */
   mayBePending(offer: string): boolean {
     for (const { request } of this.pending.values())
       if (offerKey(request.type, request.zone, request.spot) === offer) return true;
     return false;
   }
 
-  /** Repeats requests without an answer: their names make them idempotent, so the answer tells what became of the first. */
+  /** Retries unanswered requests. Their names make them idempotent, so the answer also tells the outcome of the first attempt. */
   retryUnanswered(out: Effect[]): void {
     while (this.unanswered.length > 0 && this.budget.tryAcquire())
       out.push({ type: 'rent-machines', request: this.unanswered.shift()! });
   }
 
   /**
-   * Requests machines for unmet demand. Jobs for which the same offer is best share a request: requests are few, and a
-   * scale-out of hundreds must not take more than some seconds.
+   * Requests machines for unmet demand. Jobs with the same best offer share a request, because the request rate is limited
+   * and adding hundreds of machines must not take more than a few seconds.
    */
   scaleOut(unmet: readonly UnmetDemand[], out: Effect[]): void {
     for (const { offer, shard, machineCount, demand } of this.scaleOuts(unmet)) {
@@ -102,7 +102,7 @@
     }
   }
 
-  /** The machines to request, by shard and offer, in the order in which demand first asked for them. */
+  /** The machines to request by shard and offer, in the order of the first demand for each. */
   private scaleOuts(unmet: readonly UnmetDemand[]): Iterable<ScaleOut> {
     const machinesPerZone = new Map<string, number>();
     const addToZone = (zone: string, count: number): void =>
@@ -125,13 +125,13 @@
     return scaleOuts.values();
   }
 
-  /** Unique among all leaders' requests: the name begins with the leader's fencing token. */
+  /** Returns a request name that is unique among all leaders, since it starts with the leader's fencing token. */
   private nextRequestName(): string {
     const { replica } = this.context;
     return `r-${replica.tokenBase + replica.leader!.modRevision}-${++this.requestCount}`;
   }
 
-  /** The cloud's answer to a request. */
+  /** Handles the outcome of a request. */
   handleOutcome(request: RentRequest, outcome: RentalOutcome): void {
     const { log } = this.context;
     const offer = offerKey(request.type, request.zone, request.spot);
@@ -151,7 +151,7 @@
         this.pending.delete(request.name);
         break;
       case 'unknown':
-        // It may have been executed, or may still be.
+        // The request may have been executed, or may be executed later.
         if (this.pending.has(request.name)) this.unanswered.push(request);
         break;
     }
@@ -160,7 +160,7 @@
   private recordMachines(request: RentRequest, hosts: string[]): void {
     const { type, zone, spot } = request;
     const pending = this.pending.get(request.name);
-    // Guards against requesting the same again while the record is being written: until then the machines are expected.
+    // Until the record is written, the machines count as expected, so that they are not requested a second time.
     if (pending && hosts.length > 0) pending.expectedCount = hosts.length;
     else this.pending.delete(request.name);
     if (hosts.length === 0) return;
--- a/src/core/autoscaler/request-budget.ts
+++ b/src/core/autoscaler/request-budget.ts
@@ -1,11 +1,11 @@
-/** The rate limit of requests to the cloud, with back-off while it does not answer. */
+/** Rate limiting of requests to the cloud, with back-off while the cloud does not answer. */
 import type { RetryBackoff } from '../../retry/index.js';
 import type { Clock } from '../effects.js';
 
-/** Share of the cloud's request limit that is used; the rest is slack for the difference of its clock and ours. */
+/** Fraction of the cloud's request limit that is used; the rest allows for clock differences between the cloud and us. */
 const usableLimitFraction = 0.8;
 
-/** A token bucket of cloud requests. It holds one second's worth of requests at most. */
+/** Token bucket for cloud requests. Its capacity is one second's worth of requests. */
 export class CloudRequestBudget {
   private tokens = 0;
   private refilledAt = -1;
@@ -16,7 +16,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Adds the tokens of the time since the last refill. */
+  /** Adds the tokens for the time elapsed since the last refill. */
   refill(): void {
     const { now } = this.clock;
     if (this.refilledAt < 0) this.tokens = this.requestsPerS;
@@ -27,19 +27,19 @@
     this.refilledAt = now;
   }
 
-  /** Takes a token if a request may be sent now: within the limit, and one at a time while the cloud does not answer. */
+  /** Takes a token if a request may be sent now: within the rate limit, and one at a time while the cloud does not answer. */
   tryAcquire(): boolean {
     if (this.tokens < 1 || !this.backoff.tryAcquire(this.clock.now)) return false;
     this.tokens--;
     return true;
   }
 
-  /** Charges requests that follow from one that was sent already; the tokens may become negative. */
+  /** Charges follow-up requests of a request already sent; the token count may become negative. */
   charge(requests: number): void {
     this.tokens -= requests;
   }
 
-  /** Notes whether the cloud answered a request; failures start the back-off. */
+  /** Records whether the cloud answered a request. A failure starts or extends the back-off. */
   recordOutcome(answered: boolean): void {
     if (answered) this.backoff.onSuccess();
     else this.backoff.onFailure(this.clock.now);
--- a/src/core/autoscaler/scale-in.ts
+++ b/src/core/autoscaler/scale-in.ts
@@ -1,28 +1,29 @@
-/** Scale in: deletes machines that are dead, or that nothing has a use for. */
+/** Scale-in: deletes machines that are marked dead or surplus. */
 import type { VersionedMachine } from '../replica.js';
 import type { Effect } from '../effects.js';
 import type { AutoscalerContext } from './context.js';
 import type { FleetRecords } from './fleet-records.js';
 import type { CloudRequestBudget } from './request-budget.js';
 
-/** Machines that one request deletes at most. */
+/** Maximum number of machines in one deletion request. */
 const maxMachinesPerRequest = 100;
+/** Minimum interval between deletion requests. */
 const deletionIntervalMs = 250;
 /**
- * Deleted machines that are remembered, so that a listing that is older than their deletion does not bring them back. More
- * than the largest fleet: all of it may be deleted within one listing lag.
+ * How many recently deleted machines are remembered, so that a listing older than their deletion does not add them again.
+ * Larger than the largest fleet, because the whole fleet may be deleted within one listing lag.
  */
 const maxRememberedDeletions = 20_000;
 
-/** The leader's deletions of machines. */
+/** Requests deletions of machines and tracks them; used by the leader only. */
 export class ScaleIn {
   private readonly deleting = new Set<string>();
-  /** Oldest first. */
+  /** Hosts whose deletion was requested, in insertion order, so that the oldest is evicted first. */
   private readonly recentlyDeleted = new Set<string>();
   private lastRunAt = -Infinity;
-  /** Free machines for which the last planning cycle found no use. */
+  /** Free machines that the last planning cycle could not assign to any demand. */
   surplus: ReadonlySet<string> = new Set();
-  /** Whether surplus machines may be deleted: not while something may run on them that is not known. */
+  /** Whether surplus machines may be deleted. Must be false while tasks that have no record may run on them. */
   mayScaleIn: () => boolean = () => true;
 
   constructor(
@@ -31,27 +32,27 @@
     private readonly records: FleetRecords,
   ) {}
 
-  /** Forgets the requests of an earlier leadership. */
+  /** Drops the state of requests that were sent during an earlier leadership. */
   reset(): void {
     this.deleting.clear();
   }
 
-  /** Whether any deletion waits for its answer. */
+  /** Whether any deletion request is unanswered. */
   get hasPending(): boolean {
     return this.deleting.size > 0;
   }
 
-  /** Whether the deletion of a machine waits for its answer. */
+  /** Whether the deletion request for a machine is unanswered. */
   isDeleting(host: string): boolean {
     return this.deleting.has(host);
   }
 
-  /** Whether the deletion of a machine was requested lately: a listing or a heartbeat of it may be outdated. */
+  /** Whether the deletion of a machine was requested recently, so that a listing or heartbeat of it may be outdated. */
   wasRecentlyDeleted(host: string): boolean {
     return this.recentlyDeleted.has(host);
   }
 
-  /** Requests the next deletions, if it is time. */
+  /** Requests the next batch of deletions, if one is due. */
   tick(out: Effect[]): void {
     const { clock, replica, log } = this.context;
     if (clock.now - this.lastRunAt < deletionIntervalMs) return;
@@ -83,7 +84,7 @@
       this.recentlyDeleted.delete(this.recentlyDeleted.values().next().value!);
   }
 
-  /** The cloud's answer to a deletion. Without success the machines are deleted again later. */
+  /** Handles the cloud's answer to a deletion request. After a failure the machines are requested for deletion again later. */
   handleOutcome(hosts: readonly string[], succeeded: boolean): void {
     this.budget.recordOutcome(succeeded);
     for (const host of hosts) this.deleting.delete(host);
--- a/src/core/autoscaler/shard-assignment.ts
+++ b/src/core/autoscaler/shard-assignment.ts
@@ -1,4 +1,4 @@
-/** Assignment of the leader's free machines to the shards whose demand they meet. */
+/** Assignment of free machines, which belong to no shard yet, to shards with unmet demand. */
 import { fitCount, type MachineType } from '../../model/machine.js';
 import { mayShareGpuMachine } from '../../policy/gpu-sharing.js';
 import type { VersionedMachine } from '../replica.js';
@@ -7,14 +7,15 @@
 import type { FleetRecords } from './fleet-records.js';
 import { isEligible } from './offers.js';
 
-/** A machine without a shard. */
+/** A machine that is not assigned to a shard, and its type. */
 export interface FreeMachine {
   readonly machine: VersionedMachine;
   readonly type: MachineType;
 }
 
 /**
- * Assigns free machines to unmet demand, which is reduced by what they meet. Returns the hosts that nothing has a use for.
+ * Assigns each free machine to the shard of the first unmet demand that it can serve, and subtracts the tasks that fit on it
+ * from that demand. Returns the hosts that no demand can use.
  */
 export function assignFreeMachines(
   { replica, log }: AutoscalerContext,
@@ -30,7 +31,7 @@
         count > 0 &&
         (zones === null || zones.includes(zone)) &&
         isEligible(spec, { type, zone, spot }) &&
-        // Otherwise the scheduling cycle would leave it idle.
+        // The scheduling cycle applies the same rule: without this check the machine would stay idle in the shard.
         mayShareGpuMachine(spec, type, 0, replica.machineTypes),
     );
     if (!demand) {
@@ -44,7 +45,10 @@
   return surplus;
 }
 
-/** Assigns every free machine of a pool to the only shard: machines that join by themselves cost nothing. */
+/**
+ * Assigns every free machine to the only shard of a pool. The machines of a pool join by themselves and cost nothing, so none
+ * is surplus.
+ */
 export function assignPoolMachines({ replica }: AutoscalerContext, records: FleetRecords): void {
   for (const { host, state } of replica.machines.values())
     if (state === 'free' && !records.isMachinePending(host)) records.assignToShard(host, 0);
--- a/src/core/autoscaler/zone-split.ts
+++ b/src/core/autoscaler/zone-split.ts
@@ -1,29 +1,29 @@
-/** Division of a job's waiting tasks among the zones in which its constraints allow them to run. */
+/** Distribution of a job's waiting tasks over zones, according to the job's zone constraints. */
 import { maxTasksPerZone, type JobSpec } from '../../model/job.js';
 import type { AutoscalerContext } from './context.js';
 import { countHeadroom, type MachinePools } from './headroom.js';
 import { isEligible, type OfferAvailability } from './offers.js';
 
-/** Tasks of a job that have to run in the same set of zones. */
+/** A number of tasks of a job that share the same set of allowed zones. */
 export interface ZoneGroup {
   readonly count: number;
-  /** null: any zone. */
+  /** The allowed zones; null: any zone. */
   readonly zones: string[] | null;
 }
 
-/** What a zone has for a job. */
+/** Capacity of a zone for one job. */
 interface ZoneCapacity {
   readonly zone: string;
-  /** Tasks for which there is headroom. */
+  /** Number of tasks that fit on existing and expected machines. */
   readonly headroom: number;
-  /** Whether on-demand machines for it are available. */
+  /** Whether an eligible on-demand offer is available in the zone. */
   readonly hasOffers: boolean;
 }
 
 const preferAvailable = (a: ZoneCapacity, b: ZoneCapacity): number =>
   Number(b.hasOffers) - Number(a.hasOffers);
 
-/** Divides `count` waiting tasks of a job by zone. */
+/** Distributes `count` waiting tasks of a job over zones. */
 export function splitByZone(
   context: AutoscalerContext,
   availability: OfferAvailability,
@@ -40,7 +40,7 @@
     : splitApart(capacities(), placed, spec, count);
 }
 
-/** How many tasks of a job are placed in each zone, in the order of their placements. */
+/** Number of placed tasks of a job by zone; zones are in the order of the first placement in each. */
 function placedPerZone({ replica }: AutoscalerContext, id: string): Map<string, number> {
   const placed = new Map<string, number>();
   for (const chunk of replica.chunks.get(id)?.values() ?? [])
@@ -71,7 +71,7 @@
   return { zone, headroom, hasOffers };
 }
 
-/** The zone with headroom for all tasks; else where machines are available; else that with most headroom. */
+/** Prefers a zone with headroom for all tasks, then one with available offers, then the one with the most headroom. */
 function bestSingleZone(capacities: ZoneCapacity[], count: number): string {
   capacities.sort(
     (a, b) =>
@@ -82,7 +82,7 @@
   return capacities[0].zone;
 }
 
-/** Half to each of two zones, as far as headroom and the largest share of a zone allow. */
+/** Puts half of the tasks into each of two zones, as far as headroom and the maximum number of tasks per zone allow. */
 function splitApart(
   capacities: ZoneCapacity[],
   placed: ReadonlyMap<string, number>,
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,4 +1,4 @@
-/** The core of a controller: commands go in, effects come out; the order in which its components act in a step. */
+/** The core of a controller: takes commands, returns effects, and defines the order in which components act in a step. */
 import type { ShutdownPhase } from '../feature-levels/index.js';
 import {
   createComponents,
@@ -13,15 +13,15 @@
 
 export type { ControllerOptions } from './controller/components.js';
 
-/** Recovery, overload and rejected requests are looked at so many times per state lease. */
+/** How many times per state lease recovery, overload and rejected requests are monitored. */
 const monitorRunsPerLease = 16;
-/** The revision is read so many times while the replica is fresh enough to answer workers, and so many per leader's lease. */
+/** How many times the revision is read within the maximum replica age for answering workers, and per leader lease. */
 const revisionReadsPerMaxAge = 8;
 const revisionReadsPerLeaderLease = 4;
 
 /**
- * The single owner of all state of a process. Given the same commands, clock readings and random numbers, the effects
- * are the same: tests replay it with simulated time.
+ * Owns all state of a controller process. It is deterministic: the same commands, clock readings and random numbers yield
+ * the same effects, so that tests can run it on simulated time.
  */
 export class Controller {
   private readonly components: ControllerComponents;
@@ -33,7 +33,7 @@
   private shardsChanged = true;
   private monitoredAt = -Infinity;
   private loggedLevel = '';
-  /** A new controller takes this one's place, with the records that it knew: nothing it does counts any more. */
+  /** Set when data loss was detected: a new controller replaces this one and takes over its records, so this one stops acting. */
   private superseded = false;
 
   constructor(private readonly options: ControllerOptions) {
@@ -52,52 +52,52 @@
     };
   }
 
-  /** The replica of the stored state. */
+  /** This controller's replica of the stored state. */
   get replica(): ControllerComponents['replica'] {
     return this.components.replica;
   }
 
-  /** Presence, leadership and shard assignment. */
+  /** Manages presence, leadership and shard assignment. */
   get membership(): ControllerComponents['membership'] {
     return this.components.membership;
   }
 
-  /** The shards that this controller owns. */
+  /** Manages the shards that this controller owns. */
   get shardManager(): ControllerComponents['shardManager'] {
     return this.components.shardManager;
   }
 
-  /** Rents and returns machines while this controller is the leader. */
+  /** Requests and deletes machines while this controller is the leader. */
   get autoscaler(): ControllerComponents['autoscaler'] {
     return this.components.autoscaler;
   }
 
-  /** The times of the recovery after a start. */
+  /** Tracks the phases of the recovery after a start. */
   get recovery(): ControllerComponents['recovery'] {
     return this.components.recovery;
   }
 
-  /** How fresh the replica is. */
+  /** Tracks how fresh the replica is. */
   get freshness(): ControllerComponents['freshness'] {
     return this.components.freshness;
   }
 
-  /** The feature level in force. */
+  /** Tracks the feature level in force. */
   get levels(): ControllerComponents['levels'] {
     return this.components.levels;
   }
 
-  /** Whether users should be routed to this controller. */
+  /** Whether health checks pass, so that user requests are routed to this controller. */
   get healthy(): boolean {
     return isHealthy(this.components, this.options.settings.peers.length > 0, this.clock.now);
   }
 
-  /** Whether it is certain of every job whether it was ever accepted, so that users may be told so. */
+  /** Whether users may be told that an unknown job was never accepted. False while records may be missing after data loss. */
   get sureOfAbsence(): boolean {
     return this.components.dataLossRecovery.canConfirmAbsence;
   }
 
-  /** Progress of a graceful shutdown. */
+  /** The phase of the graceful shutdown. */
   get shutdownPhase(): ShutdownPhase {
     const { autoscaler, batcher, membership, shardManager, shutdown } = this.components;
     return shutdown.phase(this.clock.now, {
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Handles commands, lets every component act, and returns what is to be done outside of the core. */
+  /** Handles commands, lets every component act, and returns the effects to be carried out outside of the core. */
   step(commands: Command[], clock: Clock): Effect[] {
     const effects: Effect[] = [];
     const { dataLossRecovery, freshness, userRequests } = this.components;
@@ -123,7 +123,7 @@
       userRequests.rejectAll(effects);
       return effects;
     }
-    // Read once: recovery that completes within this step takes effect in the next one.
+    // Read once per step: a recovery from data loss that completes within this step takes effect in the next one.
     const { mayAct } = dataLossRecovery;
     this.updateRoles(mayAct, effects);
     this.runLeaderTasks(mayAct, effects);
@@ -134,7 +134,7 @@
     return effects;
   }
 
-  /** Updates what the replica says of shards, presence and leadership. */
+  /** Updates shard ownership, presence and leadership from the replica. */
   private updateRoles(mayAct: boolean, effects: Effect[]): void {
     const { autoscaler, batcher, dataLossRecovery, membership } = this.components;
     batcher.suspended = !mayAct;
@@ -150,11 +150,11 @@
     autoscaler.reset();
   }
 
-  /** Scaling, feature levels and the write budget. */
+  /** Runs the leader's tasks: scaling, feature levels and the write budget. */
   private runLeaderTasks(mayAct: boolean, effects: Effect[]): void {
     const { admission, autoscaler, dataLossRecovery, featureLevelManager, freshness, membership, shutdown } =
       this.components;
-    // A leader that was cut off or stalled must not rent or return what another may manage by now.
+    // After a stall or a network partition, another leader may already be managing the machines.
     const mayLead =
       this.wasLeader &&
       mayAct &&
@@ -168,7 +168,7 @@
     admission.proposeWriteBudget();
   }
 
-  /** What every controller does in a step: its shards, its workers, its users, its writes, its peers. */
+  /** Runs the tasks of every controller: shards, workers, user requests, writes and peer messages. */
   private runMemberTasks(effects: Effect[]): void {
     const { admission, batcher, dataLossRecovery, freshness, freshnessExchange } = this.components;
     const { heartbeatRouter, loadSharing, membership, shardManager, shutdown, userRequests } =
@@ -185,7 +185,7 @@
     if (dataLossRecovery.monitor.wantsRevisionRead) effects.push({ type: 'read-revision' });
   }
 
-  /** Logs each change of the feature level once, with what it means for this program. */
+  /** Applies a change of the feature level and logs it once, with a warning if this program does not support the level. */
   private onLevelChanged(): void {
     const { levels, shardManager } = this.components;
     const { level, writeLevel: write } = levels.state;
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Reads the revision also without requests: workers are answered only from a replica known to be fresh, and the
-   * leader needs one that is younger than its state lease.
+   * Reads the revision periodically even without user requests: workers are answered only from a replica known to be fresh,
+   * and the leader needs a replica younger than its state lease.
    */
   private requestRevision(effects: Effect[]): void {
     const { freshness, membership, replica } = this.components;
@@ -215,7 +215,7 @@
     if (effects.some((e) => e.type === 'read-revision')) this.revisionRequestedAt = now;
   }
 
-  /** Sends the own status to the peers when it is due, and at once with a new revision or a change in offloading. */
+  /** Sends this controller's status to the peers when due, and immediately on a new revision or a change in offloading. */
   private sendPeerStatus(effects: Effect[], revision: number | null): void {
     const { admission, loadSharing, peers, replica } = this.components;
     const { isOffloading } = loadSharing;
@@ -235,7 +235,7 @@
     freshness.update();
     if (!this.shardsChanged) return;
     shardManager.reconcileShards();
-    // An assignment may be visible before the replica has reached its revision: compared again until it is acquired.
+    // An assignment may be visible before the replica has reached its revision: reconcile again until the shard is acquired.
     this.shardsChanged = [...replica.shards].some(
       ([shard, assignment]) =>
         assignment.owner === settings.member &&
--- a/src/core/controller/admission-controller.ts
+++ b/src/core/controller/admission-controller.ts
@@ -1,4 +1,4 @@
-/** Admission control of a controller: its share of the write budget, its overload, and the log of rejected requests. */
+/** Admission control of a controller: its share of the write budget, overload detection, and logging of rejected requests. */
 import { OverloadMonitor, RateMeter, type MemberDemand } from '../../admission/index.js';
 import type { Settings } from '../../config/settings.js';
 import type { Clock, Command, Effect, Log } from '../effects.js';
@@ -7,7 +7,7 @@
 import type { UserRequests } from '../user-requests.js';
 import type { WriteBudget } from '../write-budget.js';
 
-/** Effects that are requests to the state service. */
+/** Types of effects that are requests to the state service. */
 const stateServiceEffects: ReadonlySet<Effect['type']> = new Set<Effect['type']>([
   'commit',
   'read-revision',
@@ -17,15 +17,15 @@
   'revoke-lease',
 ]);
 
-/** The rate of requests to the state service is averaged over this time. */
+/** Averaging window for the rate of requests to the state service. */
 const requestRateWindowMs = 3000;
-/** At most so many groups of rejected requests are named in a log line, and this many times as many in the totals. */
+/** Maximum number of groups of rejected requests in a log line; the totals may hold `totalsPerLoggedGroup` times as many. */
 const maxLoggedGroups = 8;
 const totalsPerLoggedGroup = 4;
 
 const roundTo = (x: number, perUnit: number): number => Math.round(perUnit * x) / perUnit;
 
-/** What an admission controller works with. */
+/** Dependencies of an admission controller. */
 export interface AdmissionControllerOptions {
   readonly settings: Settings;
   readonly batcher: TransactionBatcher;
@@ -33,31 +33,31 @@
   readonly writeBudget: WriteBudget;
   readonly loadSharing: LoadSharing;
   readonly clock: Clock;
-  /** Jobs are admitted by the fair shares of teams and classes. */
+  /** Whether jobs are admitted by the fair shares of teams and classes. */
   readonly fairAdmission: boolean;
-  /** Connections that the process accepts. */
+  /** Maximum number of connections that the process accepts. */
   readonly maxConnections: number;
   readonly log: Log;
 }
 
-/** Divides what this controller may write between accepted work and new jobs, and admits fewer when it is overloaded. */
+/** Divides this controller's write budget between accepted work and new jobs, and admits fewer jobs while it is overloaded. */
 export class AdmissionController {
   private readonly overloadMonitor = new OverloadMonitor();
   private readonly stateRequests = new RateMeter(requestRateWindowMs);
-  /** Utilization of what the process reports on, as shares of its limits. */
+  /** Load reported by the process, as fractions of its limits. */
   private processLoad = { sockets: 0, memory: 0, waiting: 0 };
   private rejectionsLoggedAt = -Infinity;
-  /** Rejected requests since the start, by team, class and bottleneck. Bounded: rare groups are left out. */
+  /** Rejected requests since the start, by team, class and bottleneck. The number of groups is bounded; rare ones are omitted. */
   private readonly rejectionTotals: Record<string, number> = {};
 
   constructor(private readonly options: AdmissionControllerOptions) {}
 
-  /** Whether jobs are admitted by fair shares. */
+  /** Whether jobs are admitted by the fair shares of teams and classes. */
   get usesFairShares(): boolean {
     return this.options.fairAdmission;
   }
 
-  /** The writes that this controller asks for, as it reports them to its peers. */
+  /** This controller's demand for writes, as reported to its peers. */
   get demand(): MemberDemand {
     const { batcher, clock, userRequests, writeBudget } = this.options;
     return {
@@ -69,7 +69,7 @@
     };
   }
 
-  /** Takes the load that the process has measured. */
+  /** Records the load measured by the process. */
   onLoadMeasured(load: Extract<Command, { type: 'load' }>): void {
     this.processLoad = {
       sockets: load.connections / this.options.maxConnections,
@@ -78,37 +78,37 @@
     };
   }
 
-  /** Proposes the next division of the write budget; for the leader only. */
+  /** Proposes the next allocation of the write budget; called on the leader only. */
   proposeWriteBudget(): void {
     if (this.usesFairShares) this.options.writeBudget.proposeNext(this.demand);
   }
 
-  /** Applies this controller's share of the write budget, and admits as many jobs as it allows. */
+  /** Applies this controller's share of the write budget, and admits as many waiting jobs as it allows. */
   applyWriteBudget(effects: Effect[]): void {
     if (!this.usesFairShares) return;
     const { batcher, userRequests, writeBudget } = this.options;
     writeBudget.observe();
     const share = writeBudget.localShare(this.demand);
     batcher.setAllocation(share.total);
-    // The state service may accept fewer writes than its settings say.
+    // The state service may accept fewer writes than configured.
     const { health } = batcher;
     userRequests.admit(share, this.overloadMonitor.snapshot.admissionFactor * health, effects);
   }
 
-  /** Counts the requests to the state service among the effects of a step. */
+  /** Counts the requests to the state service among a step's effects. */
   countStateRequests(effects: readonly Effect[]): void {
     if (!this.usesFairShares) return;
     const count = effects.filter((e) => stateServiceEffects.has(e.type)).length;
     this.stateRequests.add(count, this.options.clock.now);
   }
 
-  /** Measures overload and logs rejected requests; called a few times per state lease. */
+  /** Measures overload and logs rejected requests; called several times per state lease. */
   monitor(): void {
     if (this.usesFairShares) this.measureOverload();
     this.logRejections();
   }
 
-  /** Admission since the start, for the summary in the log. */
+  /** Admission statistics for the summary in the log; rejections are counted since the start. */
   summary(): object {
     const { load, bottleneck, admissionFactor } = this.overloadMonitor.snapshot;
     return {
@@ -133,7 +133,7 @@
     userRequests.bottleneck = admissionFactor < 1 ? bottleneck : 'writes';
   }
 
-  /** Logs the requests rejected since the last line, most frequent groups first; at most every half worker lease. */
+  /** Logs the requests rejected since the last log line, most frequent groups first; at most once per half worker lease. */
   private logRejections(): void {
     const { clock, log, settings, userRequests, writeBudget } = this.options;
     const { rejections } = userRequests;
--- a/src/core/controller/command-handlers.ts
+++ b/src/core/controller/command-handlers.ts
@@ -1,17 +1,17 @@
-/** Dispatch of commands to the components of a controller. */
+/** Dispatch of commands to a controller's components. */
 import type { Matcher } from '../../policy/matching.js';
 import type { Clock, Command, Effect, Log } from '../effects.js';
 import type { ControllerComponents } from './components.js';
 
-/** What handlers work with besides the components. */
+/** Dependencies of the command handlers. */
 export interface CommandContext {
   readonly components: ControllerComponents;
   readonly clock: Readonly<Clock>;
   readonly log: Log;
   readonly matcher: Matcher | null;
-  /** Shard assignments have to be compared with the replica. */
+  /** Requests that the owned shards be reconciled with the replica. */
   readonly onShardsChanged: () => void;
-  /** Tells the peers at once that the state has reached a revision. */
+  /** Notifies the peers immediately that the state has reached a revision. */
   readonly announceRevision: (revision: number, effects: Effect[]) => void;
 }
 
@@ -19,7 +19,7 @@
 type Handlers = { readonly [T in Command['type']]: Handler<Extract<Command, { type: T }>> };
 type HandlersOf<T extends Command['type']> = Pick<Handlers, T>;
 
-/** Requests of users and workers. */
+/** Handlers for requests from users and workers. */
 const requestHandlers: HandlersOf<'submit' | 'query' | 'cancel' | 'heartbeat' | 'forwarded-response'> = {
   submit: (c, { components }, effects) => components.userRequests.submit(c.requestId, c.spec, effects),
   query: (c, { components }, effects) => components.userRequests.query(c.requestId, c.id, effects),
@@ -30,7 +30,7 @@
     components.heartbeatRouter.onForwardedResponse(c.requestId, c.status, c.body, effects),
 };
 
-/** Messages of other controllers, and the loss of their connections. */
+/** Handlers for messages from other controllers and for lost connections to them. */
 const peerHandlers: HandlersOf<
   'peer-status' | 'peer-lost' | 'rejected-jobs' | 'freshness-query' | 'freshness-confirmed'
 > = {
@@ -43,8 +43,8 @@
       effects.push({ type: 'catch-up', revision: c.status.revision });
   },
   'peer-lost': (c, { components, log }, effects) => {
-    // Most likely its process ended: its lease is revoked rather than awaited. If it lives after all, it is granted
-    // a new one, and the fencing tokens protect both meanwhile.
+    // The process has most likely ended, so its lease is revoked instead of waiting for it to expire. If it is still
+    // running, it obtains a new lease, and fencing tokens protect against conflicting actions in the meantime.
     const presence = components.replica.presences.get(c.member);
     if (!presence || components.freshness.isStale) return;
     log('info', 'peer lost', { member: c.member });
@@ -59,7 +59,7 @@
     ),
 };
 
-/** Results of requests to the state service, and what its watch delivers. */
+/** Handlers for results of requests to the state service and for events of its watch. */
 const stateServiceHandlers: HandlersOf<
   | 'snapshot-progress'
   | 'snapshot-loaded'
@@ -82,7 +82,7 @@
   'commit-result': ({ outcome }, { announceRevision, clock, components }, effects) => {
     if (outcome.type === 'ok') components.dataLossRecovery.monitor.revisionReached(outcome.revision);
     components.batcher.handleOutcome(outcome, clock.now, effects);
-    // The peers need not wait for what their own watch delivers next.
+    // Lets the peers catch up without waiting for the next event of their own watch.
     if (outcome.type === 'ok') announceRevision(outcome.revision, effects);
   },
   'revision-read': (c, { components }, effects) => {
@@ -98,7 +98,7 @@
     components.membership.onLeaseRenewed(c.leaseId, c.outcome, clock.now),
 };
 
-/** Results of requests to the cloud, and what is known of machines otherwise. */
+/** Handlers for results of cloud requests and for other information about machines. */
 const machineHandlers: HandlersOf<
   | 'machine-attributes'
   | 'forget-machine'
@@ -115,7 +115,7 @@
   'machine-list': (c, { components }) => components.autoscaler.handleListing(c.machines, c.askedAt),
 };
 
-/** What the process itself reports or asks for. */
+/** Handlers for commands from the process itself. */
 const processHandlers: HandlersOf<'tick' | 'load' | 'shut-down' | 'stop-gang'> = {
   tick: () => undefined,
   load: (c, { components }) => {
@@ -142,9 +142,9 @@
   ...processHandlers,
 };
 
-/** Carries out one command; what it wants done is appended to `effects`. */
+/** Handles one command, appending the resulting effects to `effects`. */
 export function handleCommand(command: Command, context: CommandContext, effects: Effect[]): void {
-  // The table maps each type to the handler of just that command, which the compiler cannot relate to the union.
+  // The compiler cannot infer that the handler found under a command's type accepts exactly that command.
   const handler = handlers[command.type] as Handler<Command>;
   handler(command, context, effects);
 }
--- a/src/core/controller/components.ts
+++ b/src/core/controller/components.ts
@@ -1,4 +1,4 @@
-/** Composition of a controller: creates its components in order of dependency and connects them. */
+/** Composition root of a controller: creates its components in dependency order and connects them. */
 import type { OperatorSettings } from '../../config/operators.js';
 import type { Settings } from '../../config/settings.js';
 import { capabilitiesOf, FeatureLevels, GracefulShutdown } from '../../feature-levels/index.js';
@@ -24,39 +24,39 @@
 import { WriteBudget } from '../write-budget.js';
 import { AdmissionController } from './admission-controller.js';
 
-/** How long a graceful shutdown hands over shards, and then drains requests, as ratios of the worker lease. */
+/** Time limits for handing over shards and then draining requests in a graceful shutdown, as ratios of the worker lease. */
 const handoverLeaseRatio = 0.6;
 const drainLeaseRatio = 0.3;
 
-/** Bytes of a transaction: leaves room for the frame around the values and for escaped non-ASCII text. */
+/** Maximum size of a transaction. Leaves room for the message around the values and for escaped non-ASCII text. */
 const maxTransactionBytes = 48 * 1024;
 
-/** What a controller is created with. */
+/** Options of a controller. */
 export interface ControllerOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
-  /** Identifies this process among all that ever ran as this member. */
+  /** Unique identifier of this process among all processes that have ever run as this member. */
   readonly instanceId: string;
-  /** The only source of randomness of the core. */
+  /** The core's only source of randomness. */
   readonly random: Random;
   readonly log: Log;
-  /** Evaluates jobs' requirements against machines' attributes; null: jobs have none. */
+  /** Evaluates job requirements against machine attributes; null if jobs have no requirements. */
   readonly matcher?: Matcher | null;
-  /** Version of this program, as operators see it during an upgrade. */
+  /** Version of this program, as shown to operators during an upgrade. */
   readonly program?: string;
-  /** What this process knew before the state service lost data; null: a first start. */
+  /** What this process knew before the state service lost data; null on the first start. */
   readonly recoveryRecords?: RecoveryRecords | null;
 }
 
-/** Changes of the replicated state that concern the controller as a whole. */
+/** Callbacks for changes of the replicated state that affect the whole controller. */
 export interface ReplicaEvents {
-  /** Shard assignments, or what they depend on, have changed. */
+  /** Called when shard assignments, or the records they depend on, have changed. */
   readonly onShardsChanged: () => void;
-  /** Another feature level is in force. */
+  /** Called when the feature level in force has changed. */
   readonly onLevelChanged: () => void;
 }
 
-/** The parts of a controller. Each owns its state; they share the replica, the batcher and the clock. */
+/** The components of a controller. Each owns its state; they share the replica, the transaction batcher and the clock. */
 export interface ControllerComponents {
   readonly levels: FeatureLevels;
   readonly shutdown: GracefulShutdown;
@@ -78,7 +78,7 @@
   readonly admission: AdmissionController;
 }
 
-/** Creates the components of a controller. */
+/** Creates and connects the components of a controller. */
 export function createComponents(
   options: ControllerOptions,
   clock: Clock,
@@ -202,7 +202,7 @@
   return components;
 }
 
-/** Connects components that depend on each other in both directions, which construction cannot express. */
+/** Sets the callbacks between components with circular dependencies, which constructors cannot express. */
 function connect(components: ControllerComponents, operators: OperatorSettings): void {
   const { admission, autoscaler, batcher, dataLossRecovery, freshness, peers, shardManager } = components;
   const { shardState } = shardManager;
--- a/src/core/controller/recovery-report.ts
+++ b/src/core/controller/recovery-report.ts
@@ -1,11 +1,11 @@
-/** Log lines with the times of a recovery: state read, present, machines confirmed, first placement. */
+/** Logging of the phases of a recovery after a start: state read, present, machines confirmed, first placement. */
 import type { ControllerComponents } from './components.js';
 import type { Log } from '../effects.js';
 
-/** At most so many machines are named in a log line. */
+/** Maximum number of machines listed in a log line. */
 const maxLoggedMachines = 8;
 
-/** Advances the tracker of the recovery and logs what operators need to see of it. */
+/** Updates the recovery tracker and logs phase changes, overdue machines and the summary for operators. */
 export function reportRecovery(components: ControllerComponents, now: number, log: Log): void {
   const { membership, recovery, replica, shardManager } = components;
   const { unconfirmedMachines } = shardManager;
--- a/src/core/freshness-exchange.ts
+++ b/src/core/freshness-exchange.ts
@@ -1,4 +1,4 @@
-/** Freshness queries between controllers: what this one asks its peers, and what it answers them. */
+/** Freshness queries between controllers: sends queries to the peers and answers theirs. */
 import type { OperatorSettings } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import { canParticipate } from '../feature-levels/index.js';
@@ -7,24 +7,24 @@
 import type { Clock, Effect } from './effects.js';
 import type { Replica } from './replica.js';
 
-/** How many changes are kept for peers' queries. */
+/** Maximum number of changes kept for answering peers' queries. */
 const maxRecentChanges = 512;
 
-/** What the exchange is created with. */
+/** Options of the freshness exchange. */
 export interface FreshnessExchangeOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
-  /** Identifies this process. */
+  /** Unique identifier of this process. */
   readonly instanceId: string;
   readonly replica: Replica;
   readonly clock: Clock;
-  /** How long this process's state lease lasts. */
+  /** Duration of this process's state lease. */
   readonly leaseTtlMs: number;
 }
 
 /**
- * Lets every controller confirm that the others' replicas lack nothing that it knows, so that workers can be answered
- * while the state service is away.
+ * Lets controllers confirm each other's replicas: each hands over the changes that another's replica lacks. Workers can then
+ * be answered while the state service is unavailable.
  */
 export class FreshnessExchange {
   private readonly recentChanges = new RecentChanges(maxRecentChanges);
@@ -36,22 +36,22 @@
     this.replica = replica;
     this.clock = clock;
     const members = settings.peers.map((p) => p.member);
-    // Several queries fit into the time for which one answer is good.
+    // Short enough for several queries within the time for which one answer is valid.
     const intervalMs = Math.min(leaseTtlMs / 4, operators['grant-s'] * 50);
     this.quorum = new FreshnessQuorum(instanceId, members, intervalMs);
   }
 
-  /** Keeps a change that peers must not miss. */
+  /** Records a change that no peer may miss. */
   recordCriticalChange(change: Change): void {
     this.recentChanges.record(change);
   }
 
-  /** All of the state up to this revision was read at once. */
+  /** Handles a completed read of the whole state as of this revision. */
   onStateLoaded(revision: number): void {
     this.recentChanges.markCompleteUpTo(revision);
   }
 
-  /** A process was heard under a peer's name. */
+  /** Records which process currently runs as a peer. */
   recordPeerProcess(member: string, instanceId: string): void {
     this.quorum.recordPeerProcess(member, instanceId, this.clock.now);
   }
@@ -60,23 +60,23 @@
     return this.replica.incarnation?.number ?? 0;
   }
 
-  /** Queries the peers, if a query is due. */
+  /** Sends a freshness query to the peers, if one is due. */
   queryPeers(out: Effect[]): void {
     const query = this.quorum.nextQuery(this.clock.now, this.replica.watchRevision, this.incarnation);
     if (query) out.push({ type: 'query-freshness', query });
   }
 
-  /** Answers a peer's query with the changes that it lacks, if they are all known. */
+  /** Answers a peer's query with all changes that its replica lacks, if all of them are known. */
   onQuery(from: string, query: FreshnessQuery, out: Effect[]): void {
-    // Guards against confirming a replica from before a data loss, or changing it by what is known since.
+    // A replica from before a data loss must be neither confirmed nor updated with changes made since.
     if (query.incarnation !== this.incarnation) return;
     const known = this.replica.watchRevision < 0 ? null : this.recentChanges.since(query.revision);
     if (known) out.push({ type: 'confirm-freshness', to: from, query, known });
   }
 
   /**
-   * Applies the changes in a peer's answer. Returns the moment up to which the replica is known to be complete now, ms, or
-   * null. `completeUpTo`: the moment up to which it was known to be complete before.
+   * Applies the changes in a peer's answer. Returns the time up to which the replica is now known to be complete, ms, or null
+   * if that is not confirmed yet. `completeUpTo` is the time up to which it was known to be complete before.
    */
   onConfirmation(
     from: string,
@@ -88,7 +88,7 @@
     if (query.incarnation !== this.incarnation) return null;
     for (const change of changes) this.replica.apply(change);
     const { levels, presences } = this.replica;
-    // Guards against a program that knows less than the level in force: it cannot hand over what it does not understand.
+    // A program that does not support the level in force cannot hand over changes that it does not understand.
     const presence = presences.get(from);
     const isIncapable =
       presence?.instanceId === instanceId && !canParticipate(levels.state, presence.capabilities);
--- a/src/core/replica-freshness.ts
+++ b/src/core/replica-freshness.ts
@@ -1,39 +1,40 @@
-/** Freshness of the controller's replica: up to which moment it is known to be complete. */
+/** Freshness of the controller's replica: the time up to which it is known to be complete. */
 import type { Clock, Log } from './effects.js';
 import type { Replica } from './replica.js';
 
-/** With more than this share of the state lease between two steps the process is taken to have stalled. */
+/** A gap between two steps of more than this fraction of the state lease counts as a stall of the process. */
 const stallLeaseFraction = 1 / 3;
-/** From this share of the maximum age on, the peers are queried. */
+/** Replica age, as a fraction of the maximum age, above which the peers are queried. */
 const queryPeersAgeFraction = 0.2;
-/** From this share of the maximum age on, the state service is logged as unreachable. */
+/** Replica age, as a fraction of the maximum age, above which the state service is logged as unreachable. */
 const unreachableAgeFraction = 0.5;
+/** Maximum number of revision readings that wait for the replica to catch up. */
 const maxPendingReadings = 50;
 
-/** The revision that the state service had at some moment after `requestedAt`. */
+/** The revision that the state service had at some time after `requestedAt`, ms. */
 interface RevisionReading {
   readonly requestedAt: number;
   readonly revision: number;
 }
 
 /**
- * Up to which moment the replica is known to hold everything that any controller had acted on. Times in ms.
+ * Tracks the time up to which the replica is known to hold every change that any controller had acted on. Times are in ms.
  *
- * Two things prove it: a reading of the state's revision that the replica has reached, and an answer of every peer to a
- * freshness query. Both count from when they were requested.
+ * There are two kinds of proof: a reading of the state service's revision that the replica has reached, and an answer from
+ * every peer to a freshness query. Each proves completeness as of the time when it was requested.
  */
 export class ReplicaFreshness {
-  /** The latest moment that a reading of the state's revision proves. */
+  /** The time up to which readings of the state service's revision prove the replica complete. */
   confirmedByStoreAt = -Infinity;
-  /** The latest moment that the peers' answers prove. */
+  /** The time up to which the peers' answers prove the replica complete. */
   confirmedByPeersAt = -Infinity;
-  /** The latest of both ever. It stays true when the process stalls: only the age changes. */
+  /** The latest time ever proven either way. It is not reset by a stall, because the proof stays valid for that time. */
   completeUpTo = -Infinity;
-  /** Whether the last reading that was requested got no answer. */
+  /** Whether the last reading of the revision failed. */
   isStoreUnreachable = false;
   private pendingReadings: RevisionReading[] = [];
   private lastStepAt = -Infinity;
-  /** What was requested before this moment proves nothing for now. */
+  /** When the process last resumed after a stall. Proofs requested before do not make the replica count as fresh. */
   private resumedAt = -Infinity;
   private loggedUnreachable = false;
   private loggedPeerConfirmation = false;
@@ -41,34 +42,34 @@
   constructor(
     private readonly replica: Replica,
     private readonly clock: Clock,
-    /** How long this process's state lease lasts. */
+    /** Duration of this process's state lease. */
     private readonly leaseTtlMs: number,
-    /** How old the replica may be for workers to be answered from it. */
+    /** Maximum age of the replica for answering workers. */
     readonly maxAgeMs: number,
     private readonly log: Log,
   ) {}
 
-  /** Too old for the leader to act: to scale out or in, to revoke a peer's lease. Peers' answers do not help here. */
+  /** Whether the replica is too old for scaling out or in, or for revoking a peer's lease. Peers' answers do not count here. */
   get isStale(): boolean {
     return this.ageMs > this.leaseTtlMs;
   }
 
-  /** Fresh enough to start tasks. Guards against a controller that is cut off and has missed a cancellation. */
+  /** Whether the replica is fresh enough to start tasks: a partitioned controller may have missed a cancellation. */
   get isCurrent(): boolean {
     return !this.isStale || this.isConfirmedByPeers;
   }
 
-  /** The age by readings of the state's revision. */
+  /** Age of the replica according to readings of the state service's revision. */
   get ageMs(): number {
     return this.clock.now - this.confirmedByStoreAt;
   }
 
-  /** Fresh enough to answer workers. */
+  /** Whether the replica is fresh enough to answer workers. */
   get mayAnswerWorkers(): boolean {
     return this.clock.now - Math.max(this.confirmedByStoreAt, this.confirmedByPeersAt) <= this.maxAgeMs;
   }
 
-  /** Whether the peers have confirmed the replica within a state lease. */
+  /** Whether the peers' answers prove the replica younger than a state lease. */
   get isConfirmedByPeers(): boolean {
     return this.clock.now - this.confirmedByPeersAt < this.leaseTtlMs;
   }
@@ -79,9 +80,9 @@
   }
 
   /**
-   * Called at the start of every step. A process that has stalled holds answers and a leadership from before. Its replica
-   * counts as old until something that was requested since confirms it: until then no worker is answered, and no machine is
-   * rented or returned. Writes need no such guard, their conditions fail.
+   * Called at the start of every step. After a stall, pending answers and the leadership may be outdated. The replica counts
+   * as stale until a proof requested after the stall confirms it: until then no worker is answered, and no machine is
+   * requested or deleted. Writes need no such check, since the conditions of outdated ones fail.
    */
   detectStall(): void {
     const { now } = this.clock;
@@ -94,13 +95,13 @@
     this.confirmedByPeersAt = -Infinity;
   }
 
-  /** A reading of the state's revision that was requested at `requestedAt`; null: it got no answer. */
+  /** Handles a reading of the revision that was requested at `requestedAt`; `revision` is null if there was no answer. */
   onRevisionRead(requestedAt: number, revision: number | null): void {
     this.isStoreUnreachable = revision === null;
     if (revision !== null) this.pendingReadings.push({ requestedAt, revision });
   }
 
-  /** Every peer has handed over what it knew of that moment or before; null: not yet. */
+  /** Handles the peers' confirmation of the replica as of `queriedAt`; null if not all peers have confirmed it yet. */
   onConfirmedByPeers(queriedAt: number | null): void {
     if (queriedAt === null) return;
     this.completeUpTo = Math.max(this.completeUpTo, queriedAt);
@@ -108,7 +109,7 @@
     this.confirmedByPeersAt = Math.max(this.confirmedByPeersAt, queriedAt);
   }
 
-  /** Evaluates the readings whose revision the replica has reached, and logs changes for operators. */
+  /** Evaluates the readings whose revision the replica has reached, and logs changes of reachability. */
   update(): void {
     this.pendingReadings = this.pendingReadings.filter((r) => !this.evaluate(r));
     if (this.pendingReadings.length > maxPendingReadings)
@@ -116,7 +117,7 @@
     this.logChanges();
   }
 
-  /** Whether the replica has reached a reading's revision, and so is complete up to its request. */
+  /** Whether the replica has reached a reading's revision; if so, it is marked complete up to the time of the request. */
   private evaluate({ requestedAt, revision }: RevisionReading): boolean {
     if (revision > this.replica.watchRevision) return false;
     this.completeUpTo = Math.max(this.completeUpTo, requestedAt);
--- a/src/freshness/freshness-quorum.ts
+++ b/src/freshness/freshness-quorum.ts
@@ -1,34 +1,36 @@
-/** Freshness quorum: every peer confirms that a replica lacks nothing that the peer knows. */
+/** Freshness quorum: every peer confirms that a replica lacks no change that the peer knows. */
 
-/** Asks a peer for the changes that it knows above a revision. */
+/** Query to the peers for the changes that they know above a revision. */
 export interface FreshnessQuery {
-  /** The process that asks. */
+  /** The process that sends the query. */
   readonly instanceId: string;
   readonly nonce: number;
   readonly revision: number;
-  /** The incarnation of the state that it follows; 0: none. What is known of another one says nothing. */
+  /** The incarnation of the state that the sender follows; 0: none. Changes of other incarnations prove nothing. */
   readonly incarnation: number;
 }
 
 interface PeerProcess {
   readonly instanceId: string;
-  /** When the process was first heard, ms. */
+  /** When the first message from the process arrived, ms. */
   readonly firstHeardAt: number;
-  /** The newest query of ours that it has answered. */
+  /** Nonce of the newest query from this controller that the process has answered; 0: none. */
   lastAnsweredNonce: number;
 }
 
-/** Answers to queries before the newest ones confirm too old a replica to be of use. */
+/** Maximum number of queries that are tracked. Answers to older ones would prove too little to be useful. */
 const maxOutstandingQueries = 16;
 
 /**
- * Lets a controller go on answering workers while the state service is unavailable. A reading of the state's revision
- * proves that the replica holds all that any controller had acted on when the reading was requested. So does this quorum:
- * every other controller, queried at that moment, hands over all that it knows and the replica lacks.
+ * Lets a controller keep answering workers while the state service is unavailable. A reading of the state service's
+ * revision proves that the replica holds every change that any controller had acted on when the reading was requested. This
+ * quorum proves the same: every other controller, queried at that time, hands over all changes that it knows and the replica
+ * lacks.
  *
- * The quorum is of all peers, not of a majority: any one of them may have accepted a cancellation that nobody else knows.
- * What a process knew is lost with it. So a process counts only if it was heard before the replica was last known to be
- * complete: whatever its predecessor had acted on is in the replica then.
+ * The quorum consists of all peers, not of a majority: any one of them may have accepted a cancellation that no other
+ * controller knows. What a process knew is lost when it ends. So a peer's process counts only if its first message arrived
+ * before the time up to which the replica is known to be complete: the replica then holds whatever the process's predecessor
+ * had acted on.
  */
 export class FreshnessQuorum {
   private readonly processes = new Map<string, PeerProcess>();
@@ -42,13 +44,13 @@
     private readonly intervalMs: number,
   ) {}
 
-  /** A process was heard under a peer's name. */
+  /** Records which process currently runs as a peer. */
   recordPeerProcess(member: string, instanceId: string, now: number): void {
     if (this.processes.get(member)?.instanceId !== instanceId)
       this.processes.set(member, { instanceId, firstHeardAt: now, lastAnsweredNonce: 0 });
   }
 
-  /** A new query, if one is due. */
+  /** Returns a new query if one is due, otherwise null. */
   nextQuery(now: number, revision: number, incarnation = 0): FreshnessQuery | null {
     if (now - this.sentAt < this.intervalMs) return null;
     this.sentAt = now;
@@ -58,8 +60,9 @@
   }
 
   /**
-   * A peer has handed over all that it knew, and the replica holds it by now. Returns the moment up to which the replica is
-   * known to be complete by that, or null. `completeUpTo`: the moment up to which it was known to be complete before.
+   * Handles a peer's answer whose changes the replica already holds. Returns the time up to which the replica is now known to
+   * be complete, ms, or null if that is not confirmed yet. `completeUpTo` is the time up to which it was known to be complete
+   * before.
    */
   onConfirmation(
     member: string,
@@ -68,7 +71,7 @@
     completeUpTo: number,
   ): number | null {
     const responder = this.processes.get(member);
-    // Guards against the late answer to a query of this process's predecessor, whose replica and nonces were others.
+    // Ignores late answers to queries of this process's predecessor, which had a different replica and different nonces.
     if (
       responder?.instanceId !== instanceId ||
       query.instanceId !== this.instanceId ||
@@ -79,7 +82,7 @@
     let oldestNonce = this.lastNonce;
     for (const peer of this.members) {
       const process = this.processes.get(peer);
-      // Guards against the restarted peer: it does not know what its predecessor did since the replica was complete.
+      // A restarted peer does not know what its predecessor did after the replica was last complete.
       if (!process || process.firstHeardAt > completeUpTo) return null;
       oldestNonce = Math.min(oldestNonce, process.lastAnsweredNonce);
     }
--- a/src/freshness/recent-changes.ts
+++ b/src/freshness/recent-changes.ts
@@ -1,10 +1,10 @@
-/** Recent changes of the state, kept for peers whose replica lags behind. */
+/** Buffer of recent state changes for peers whose replica lags behind. */
 import type { Change } from '../wire/store.js';
 
 /**
- * The newest changes that peers must not miss: cancellations, ends of jobs, shard grants, leadership. Complete for every
- * revision above `completeAbove`: every change of that kind that this process has learned, and so may have acted on, is
- * here.
+ * The most recent changes that no peer may miss: cancellations, ends of jobs, shard grants and leadership. The buffer is
+ * complete above the revision `completeAbove`: it holds every newer change of these kinds that this process knows, and so may
+ * have acted on.
  */
 export class RecentChanges {
   private changes: Change[] = [];
@@ -12,22 +12,22 @@
 
   constructor(private readonly maxChanges: number) {}
 
-  /** Keeps a change. The older half is dropped when there are too many. */
+  /** Records a change. When the buffer is full, the half recorded first is dropped. */
   record(change: Change): void {
     this.changes.push(change);
     if (this.changes.length <= this.maxChanges) return;
     const dropped = this.changes.splice(0, this.changes.length - Math.ceil(this.maxChanges / 2));
-    // Own writes are recorded ahead of older ones of others: the newest that was dropped decides.
+    // This process's own writes may be recorded before older changes by others, so the newest dropped change counts.
     for (const c of dropped) this.completeAbove = Math.max(this.completeAbove, c.stamp);
   }
 
-  /** Everything up to this revision was read at once, without being recorded. */
+  /** Marks the state up to this revision as read in one snapshot, whose changes were not recorded one by one. */
   markCompleteUpTo(revision: number): void {
     const isComplete = Number.isFinite(this.completeAbove);
     this.completeAbove = isComplete ? Math.max(this.completeAbove, revision) : revision;
   }
 
-  /** All changes above a revision; null: some of them may have been dropped. */
+  /** Returns all changes above a revision, or null if some of them may be missing. */
   since(revision: number): Change[] | null {
     return revision < this.completeAbove ? null : this.changes.filter((c) => c.stamp > revision);
   }
