--- a/src/core/autoscaler/inventory.ts
+++ b/src/core/autoscaler/inventory.ts
@@ -52,7 +52,7 @@
       if (!listedHosts.has(machine.host)) this.checkAbsence(machine, requestedAt);
   }
 
-  /** Adopts a listed machine without a record, unless its record may still be being written or it was just deleted. */
+  /** Adopts a listed machine without a record, unless the record may be in progress or the machine was deleted recently. */
   private adoptIfUnknown(entry: ListedMachine): void {
     const { replica, settings } = this.context;
     if (replica.unreadableRecords.has(machineKey(entry.host))) return;
--- a/src/core/autoscaler/offers.ts
+++ b/src/core/autoscaler/offers.ts
@@ -22,7 +22,7 @@
 
 /** The back-off doubles with each consecutive refusal, at most this many times. */
 const maxBackoffDoublings = 3;
-/** Initial back-off as a fraction of the time for which an idle machine is kept (its boot time times `idle-boots`). */
+/** Initial back-off as a fraction of boot time times `idle-boots`, the setting for how long idle machines are kept. */
 const initialBackoffIdleFraction = 0.5;
 /** Assumed boot time of a machine type that the cloud no longer lists, s. */
 const defaultBootS = 30;
--- a/src/core/controller/health.ts
+++ b/src/core/controller/health.ts
@@ -13,10 +13,10 @@
   if (levels.mustStandBy || shutdown.requested || !dataLossRecovery.mayAct) return false;
   const { newestKnown } = peers;
   // The state has not been read yet. If a peer has read it, users are routed there in the meantime.
-  if (replica.watchRevision < 0) return freshness.isStoreUnreachable && newestKnown.revision < 0;
+  if (replica.watchRevision < 0) return freshness.isStateServiceUnreachable && newestKnown.revision < 0;
   if (!freshness.isStale) return true;
   const isolated = hasPeers && now - newestKnown.at > membership.leaseTtlMs;
   const peersAreAhead =
-    newestKnown.revision > replica.watchRevision && newestKnown.at > freshness.confirmedByStoreAt;
+    newestKnown.revision > replica.watchRevision && newestKnown.at > freshness.confirmedByStateServiceAt;
   return !isolated && !peersAreAhead;
 }
--- a/src/core/replica-freshness.ts
+++ b/src/core/replica-freshness.ts
@@ -25,13 +25,13 @@
  */
 export class ReplicaFreshness {
   /** The time up to which readings of the state service's revision prove the replica complete. */
-  confirmedByStoreAt = -Infinity;
+  confirmedByStateServiceAt = -Infinity;
   /** The time up to which the peers' answers prove the replica complete. */
   confirmedByPeersAt = -Infinity;
   /** The latest time ever proven either way. It is not reset by a stall, because the proof stays valid for that time. */
   completeUpTo = -Infinity;
   /** Whether the last reading of the revision failed. */
-  isStoreUnreachable = false;
+  isStateServiceUnreachable = false;
   private pendingReadings: RevisionReading[] = [];
   private lastStepAt = -Infinity;
   /** When the process last resumed after a stall. Proofs requested before do not make the replica count as fresh. */
@@ -61,12 +61,14 @@
 
   /** Age of the replica according to readings of the state service's revision. */
   get ageMs(): number {
-    return this.clock.now - this.confirmedByStoreAt;
+    return this.clock.now - this.confirmedByStateServiceAt;
   }
 
   /** Whether the replica is fresh enough to answer workers. */
   get mayAnswerWorkers(): boolean {
-    return this.clock.now - Math.max(this.confirmedByStoreAt, this.confirmedByPeersAt) <= this.maxAgeMs;
+    return (
+      this.clock.now - Math.max(this.confirmedByStateServiceAt, this.confirmedByPeersAt) <= this.maxAgeMs
+    );
   }
 
   /** Whether the peers' answers prove the replica younger than a state lease. */
@@ -91,13 +93,13 @@
     if (gapMs <= this.leaseTtlMs * stallLeaseFraction || !Number.isFinite(gapMs)) return;
     this.log('warn', 'process stalled', { ms: Math.round(gapMs) });
     this.resumedAt = now;
-    this.confirmedByStoreAt = -Infinity;
+    this.confirmedByStateServiceAt = -Infinity;
     this.confirmedByPeersAt = -Infinity;
   }
 
   /** Handles a reading of the revision that was requested at `requestedAt`; `revision` is null if there was no answer. */
   onRevisionRead(requestedAt: number, revision: number | null): void {
-    this.isStoreUnreachable = revision === null;
+    this.isStateServiceUnreachable = revision === null;
     if (revision !== null) this.pendingReadings.push({ requestedAt, revision });
   }
 
@@ -122,7 +124,7 @@
     if (revision > this.replica.watchRevision) return false;
     this.completeUpTo = Math.max(this.completeUpTo, requestedAt);
     if (requestedAt >= this.resumedAt)
-      this.confirmedByStoreAt = Math.max(this.confirmedByStoreAt, requestedAt);
+      this.confirmedByStateServiceAt = Math.max(this.confirmedByStateServiceAt, requestedAt);
     return true;
   }
 
@@ -135,7 +137,7 @@
       else this.log('info', 'state service reachable again');
     }
     const isPeerConfirmation =
-      isUnreachable && this.confirmedByPeersAt > this.confirmedByStoreAt && this.mayAnswerWorkers;
+      isUnreachable && this.confirmedByPeersAt > this.confirmedByStateServiceAt && this.mayAnswerWorkers;
     if (isPeerConfirmation === this.loggedPeerConfirmation) return;
     this.loggedPeerConfirmation = isPeerConfirmation;
     this.log('info', isPeerConfirmation ? 'replica confirmed by peers' : 'replica not confirmed by peers');
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -1,4 +1,4 @@
-/** Machines that the cloud has deleted are not taken for unexpected ones, also when the whole fleet is deleted at once. */
+/** Deleted machines in an outdated listing are not adopted again, even if the whole fleet is deleted within one listing lag. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { operatorDefaults } from '../src/config/operators.js';
@@ -24,7 +24,7 @@
 
 const noop = (): void => undefined;
 
-test('4,000 machines returned one after the other are not taken in again by a listing that still has them', () => {
+test('4,000 deleted machines are not adopted again from a listing that still contains them', () => {
   const settings = parseSettings(settingsText('n0', 1));
   const replica = new Replica(
     {
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -1,4 +1,4 @@
-/** Failover: start-up phases, freshness quorum, hand-over, restarts of all controllers. */
+/** Failover and recovery: start-up phases, freshness quorum, shard handover, load sharing, restarts of all controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RecoveryTracker, type RecoveryFacts } from '../src/recovery/index.js';
@@ -21,7 +21,7 @@
   w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.size > 0)!;
 const sessions = (w: World): number[] => [...w.workers.values()].map((x) => x.session);
 
-test('an outage longer than the view stays fresh: the others vouch, no task loses its lease', () => {
+test('in an outage longer than the maximum replica age, peers confirm the replica and no worker loses its lease', () => {
   const w = startCluster(3, 6);
   w.state.unavailable = true;
   w.advance(90);
@@ -35,7 +35,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('nobody vouches for what a process that is gone may have told', () => {
+test('peers do not confirm a replica if a controller restarted during the outage: its earlier process may have known more', () => {
   const w = startCluster(3, 6);
   const other = w.nodes.find((n) => n !== ownerOf(w))!;
   w.state.unavailable = true;
@@ -44,14 +44,14 @@
   w.advance(4);
   other.boot();
   w.advance(60);
-  // Workers were let go when the view was too old.
+  // Workers lost their leases because no controller answered them once its replica was too old.
   assert.ok(sessions(w).every((s) => s > 1));
   w.state.unavailable = false;
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 6, 90));
   assert.deepEqual(w.violations, []);
 });
 
-test('an owner cut off alone learns a cancellation from the others before it answers on', () => {
+test('an owner that alone is cut off from the state service learns a cancellation from its peers before it answers workers again', () => {
   const w = startCluster(3, 4);
   const owner = ownerOf(w);
   const other = w.nodes.find((n) => n !== owner)!;
@@ -63,7 +63,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('vouching: every peer, the same process as before, and all it knows', () => {
+test('the freshness quorum needs every peer, in the process seen before, and all changes that it knows', () => {
   const quorum = new FreshnessQuorum('a1', ['b', 'c'], 100);
   const q = (nonce: number, instanceId = 'a1') => ({ instanceId, nonce, revision: 7, incarnation: 0 });
   quorum.recordPeerProcess('b', 'b1', 10);
@@ -72,7 +72,7 @@
   assert.equal(quorum.nextQuery(1050, 7), null);
   assert.equal(quorum.onConfirmation('b', 'b1', q(1), 500), null);
   assert.equal(quorum.onConfirmation('c', 'c1', q(1), 500), 1000);
-  // Answers to questions that this process did not ask count for nothing.
+  // Answers to queries that this process did not send are ignored.
   quorum.nextQuery(1100, 7);
   for (const n of [q(2, 'a0'), q(9)]) assert.equal(quorum.onConfirmation('b', 'b1', n, 1000), null);
   assert.equal(quorum.onConfirmation('c', 'c1', q(2), 1000), 1000);
@@ -80,7 +80,7 @@
   quorum.nextQuery(1300, 7);
   assert.equal(quorum.onConfirmation('c', 'c2', q(3), 1000), null);
   assert.equal(quorum.onConfirmation('b', 'b1', q(3), 1000), null);
-  // Once the view was complete after the new process was heard, it counts.
+  // The new process counts once the replica is known to be complete up to a time after its first message.
   assert.equal(quorum.onConfirmation('c', 'c2', q(3), 1250), 1300);
   const r = new RecentChanges(4);
   assert.equal(r.since(5), null);
@@ -91,7 +91,7 @@
     [9, 7, 8],
   );
   r.record({ key: 'k10', data: {}, stamp: 10 });
-  // The one with stamp 9 left with the oldest: up to there it cannot tell any more.
+  // Stamp 9 was dropped with the half recorded first: below it, the buffer is no longer complete.
   assert.equal(r.since(8), null);
   assert.deepEqual(
     r.since(9)?.map((c) => c.stamp),
@@ -99,7 +99,7 @@
   );
 });
 
-test('all controllers are killed in an outage of the state service, and again while they read', () => {
+test('all controllers are killed during an outage of the state service, and again while they read the state', () => {
   const w = startCluster(3, 5);
   w.snapshotMs = 1500;
   w.state.unavailable = true;
@@ -108,8 +108,8 @@
   w.advance(4);
   for (const n of w.nodes) n.boot();
   w.advance(3);
-  // Whoever comes finds somebody: nobody else has the state either.
-  assert.ok(w.nodes.some((n) => n.controller.freshness.isStoreUnreachable || !n.controller.healthy));
+  // Users still reach a controller: one without the state passes its health check if no other has read the state either.
+  assert.ok(w.nodes.some((n) => n.controller.freshness.isStateServiceUnreachable || !n.controller.healthy));
   w.state.unavailable = false;
   w.advance(1);
   for (const n of w.nodes) n.alive = false;
@@ -121,7 +121,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('controllers killed in turn every few seconds: work goes on, nothing runs twice', () => {
+test('controllers are killed in turn every few seconds: all jobs complete and no task runs twice', () => {
   for (const everyS of [1.5, 3, 6]) {
     const w = startCluster(3, 0);
     for (let i = 0; i < 4; i++)
@@ -140,7 +140,7 @@
   }
 });
 
-test('a leader that dies between a rental and its record, at many moments: no machine is forgotten, no name used again', () => {
+test('a leader killed at various times between a rental and its record: no machine is lost, no request name is reused', () => {
   for (let seed = 0; seed < 1000; seed++) {
     const w = new World(2, {}, seed);
     w.heartbeatMs = 1000;
@@ -153,13 +153,13 @@
     w.advanceUntil(() => w.rentals.length > 0, 5);
     assert.ok(w.rentals.length > 0);
     const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
-    // Within the 60 ms that answer, record and its answer take, in steps of the world's clock.
+    // Within the 60 ms in which the rental is answered and its record is written and confirmed, in steps of the simulated clock.
     w.advance((seed % 7) / 100);
     leader.alive = false;
     if (seed % 3 === 0) w.schedule(2000 + seed, () => leader.boot());
     w.advance(4.5 + (seed % 5) / 10);
     assert.equal(new Set(w.rentals.map((r) => r.name)).size, w.rentals.length);
-    // Whoever leads now has every machine in its books, or learns of it from its worker's next reports.
+    // The new leader has a record of every machine, or adopts it after the next heartbeats of its worker.
     const other = w.nodes.find((n) => n !== leader)!;
     const known = (): boolean =>
       [...w.workers.keys()].every((h) => other.controller.replica.machines.has(h) || w.deleted.includes(h));
@@ -168,7 +168,7 @@
   }
 });
 
-test('300 machines hang and come back at once: those whose lease held go on, the others start anew once', () => {
+test('300 machines hang and resume at once: they keep their tasks if their leases are still valid, else the tasks restart', () => {
   for (const hungS of [8, 25]) {
     const w = new World(3, {});
     w.capacity = 650;
@@ -189,7 +189,7 @@
   }
 });
 
-test('a zone is cut away from a freshly started owner: what is elsewhere goes on, what is inside is freed in time', () => {
+test('a network partition separates a zone from a new owner: tasks elsewhere go on, those in the zone are replaced in time', () => {
   const w = startCluster(3, 8);
   const first = ownerOf(w);
   first.alive = false;
@@ -205,7 +205,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('the state service answers thirty times slower: an owner stays, work starts and ends', () => {
+test('the state service answers thirty times slower: the shard keeps an owner, and tasks start and complete', () => {
   const w = startCluster(3, 0);
   w.responseMs = 300;
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 6 }));
@@ -214,7 +214,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('429 for all but one controller: that one serves, the others send workers to it', () => {
+test('all controllers but one are rate limited (429): that one takes over the shard, and the others redirect workers to it', () => {
   const w = startCluster(3, 4);
   const free = w.nodes.find((n) => n !== ownerOf(w))!;
   for (const n of w.nodes) n.rateLimited = n !== free;
@@ -226,7 +226,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('an owner cut off from workers hands its shard over: no task is lost, no worker goes without an answer', () => {
+test('an owner cut off from its workers hands over its shard: no task is lost and every worker keeps being answered', () => {
   const w = startCluster(3, 12, 4);
   const owner = ownerOf(w);
   w.advance(70);
@@ -242,7 +242,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('an owner short of time has others keep its workers: their reports reach it all the same', () => {
+test('an overloaded owner offloads worker connections to peers, which forward the heartbeats', () => {
   const w = startCluster(3, 16);
   const owner = ownerOf(w);
   const direct = (): number => [...w.workers.values()].filter((x) => x.currentNode === owner).length;
@@ -262,7 +262,7 @@
   assert.equal(direct(), w.workers.size);
 });
 
-test('sharing: help is asked for and given up with a distance between; a shard goes to whoever hears its workers', () => {
+test('load sharing: offloading starts and stops with hysteresis; a shard is handed over to the peer that its workers reach', () => {
   assert.equal(
     needsOffload(false, { utilization: 0.65, connections: 10, machines: 10, forwardedShare: 0 }, 100),
     false,
@@ -279,7 +279,7 @@
     needsOffload(true, { utilization: 0.1, connections: 10, machines: 10, forwardedShare: 0 }, 100),
     false,
   );
-  // What others do for it would come back.
+  // If it stopped offloading, the load that its peers carry for it would return.
   assert.equal(
     needsOffload(true, { utilization: 0.3, connections: 10, machines: 10, forwardedShare: 0.6 }, 100),
     true,
@@ -310,7 +310,7 @@
   );
 });
 
-test('a gang that lost a task while it waited is completed with the same attempt', () => {
+test('a gang that lost a task while waiting for the others is completed in the same attempt', () => {
   const w = startCluster(1, 0);
   w.fetchS = 25;
   w.nodes[0].submit(spec('req-1', { team: 'blue', shape: 'gang', tasks: 3, cpus: 8 }));
@@ -318,7 +318,7 @@
   const attempts = () =>
     new Set([...w.workers.values()].flatMap((x) => [...x.tasks.values()].map((t) => t.report.attempt)));
   const lost = w.running('req-1')[0].host;
-  // A worker that lost its session tells so at once: nothing has to be waited for.
+  // A worker whose lease has ended reports its new session at once, so that no timeout has to pass.
   w.workers.get(lost)!.expireLease();
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 20));
   assert.deepEqual(attempts(), new Set([1]));
@@ -327,7 +327,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('the phases of a start, forward and back, and how long they took', () => {
+test('the phases of a recovery, forward and back, and their durations', () => {
   const r = new RecoveryTracker(1000);
   const at = (over: Partial<RecoveryFacts>): RecoveryFacts => ({
     isStateLoaded: false,
@@ -364,8 +364,8 @@
   assert.equal(r.takeSummary(4000)?.late, false);
 });
 
-// Guards against a fleet that is given back because nothing could be placed on it while the state service was away.
-test('an outage longer than machines may stand idle: they are there for the work that comes after it', () => {
+// Machines must not be deleted as idle because nothing could be placed on them while the state service was unavailable.
+test('after an outage longer than the maximum idle time of machines, they are still available for new jobs', () => {
   const w = new World(3);
   w.taskDurationS = 10;
   assert.ok(w.advanceUntil(() => w.nodes.every((n) => n.controller.replica.shards.size > 0), 20));
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,4 +1,4 @@
-/** Placement at size: the capacity index against the plain definition, bounded work. */
+/** Placement at scale: the capacity index against a reference implementation, bounded work, and limits of the state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -35,7 +35,7 @@
 const score = (type: MachineType, spot: boolean, image: boolean): number =>
   -(spot ? type.spotPrice : type.price) / type.cpus - (image ? 0 : 0.004);
 
-/** The plain definition: every machine is scored for the job, best first, earlier machines first among equals. */
+/** Reference implementation: scores every machine for the job and sorts by score, best first; ties keep the machines' order. */
 const referenceOrder = (machines: TestMachine[], job: JobSpec): string[] =>
   machines
     .filter((m) => typeAllowed(job, m.type) && (!m.spot || spotAllowed(job)) && freeResources(m).cpus >= 1)
@@ -47,7 +47,7 @@
     .sort((a, b) => b.s - a.s)
     .map((x) => x.host);
 
-test('the index gives the order of the plain definition on random fleets, also as they fill', () => {
+test('the capacity index yields the same order as the reference implementation on random fleets, also while they fill up', () => {
   for (let fleet = 0; fleet < 30; fleet++) {
     const machines: TestMachine[] = Array.from({ length: 60 }, (_, i) => {
       const type = types[randomBelow(types.length)];
@@ -77,7 +77,7 @@
   }
 });
 
-test('work of a round follows what changes, not jobs times machines', () => {
+test('the work of a scheduling cycle grows with the changes, not with jobs times machines', () => {
   const w = new World(1);
   w.capacity = 1000;
   w.heartbeatMs = 5000;
@@ -92,18 +92,18 @@
     });
   w.advance(30);
   assert.ok(w.starts.length > 10_000, `${w.starts.length} started`);
-  // Everything is full, and over 100 jobs of five sizes wait: each size looks at each machine twice at most.
+  // All machines are full, and over 100 jobs of five sizes are waiting: each machine is examined at most twice per size.
   const before = shardManager.machinesExamined;
   w.advance(5);
   const perRound = (shardManager.machinesExamined - before) / 5;
-  assert.ok(perRound < 12 * 1000, `${perRound} machines looked at in a round`);
-  // A rental is one record, ends are written together: far fewer writes than machines and tasks.
+  assert.ok(perRound < 12 * 1000, `${perRound} machines examined per scheduling cycle`);
+  // A rental is one record, and task completions are batched: far fewer writes than machines and tasks.
   const writes = w.commits.reduce((n, c) => n + c.txn.writes.length, 0);
   assert.ok(writes < 1200, `${writes} writes`);
   assert.deepEqual(w.violations, []);
 });
 
-test('machines whose record is still on its way are not rented again', () => {
+test('machines whose record is still being written are not requested a second time', () => {
   const w = new World(1);
   w.capacity = 100;
   w.advance(3);
@@ -119,7 +119,7 @@
   );
 });
 
-test('a crowd at the state service turns no user away', () => {
+test('rate limiting by the state service for less than a second does not reject submissions', () => {
   const w = new World(1);
   w.advance(3);
   w.state.rateLimited = true;
@@ -127,14 +127,14 @@
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
 });
 
-test('a flood of submissions does not keep tasks from starting, nor rentals from being recorded', () => {
+test('a burst of submissions does not delay task starts or the recording of rentals', () => {
   const w = new World(1);
   w.advance(3);
   const n = w.nodes[0];
   for (let i = 0; i < 400; i++)
     n.push({ type: 'submit', requestId: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
   w.advance(1);
-  // 400 writes take the budget of some 11 s.
+  // 400 writes use up the write budget of about 11 s.
   assert.ok(w.advanceUntil(() => w.starts.length > 0, 9));
   assert.ok([...w.nodes[0].responses.values()].filter((a) => a.status === 201).length < 380);
 });
@@ -153,7 +153,7 @@
     new FeatureLevels(capabilitiesOf('test')),
   );
 
-test('an overtaken answer of the state service does not bring a dropped key back', () => {
+test('an outdated response of the state service that arrives late does not restore a deleted key', () => {
   const r = replica();
   const put = { key: 'dp/m/n-1', data: { f: 'box', y: 'north', l: false, s: 0, st: 'use', at: 0 }, stamp: 5 };
   r.loadSnapshot([], 1);
@@ -162,7 +162,7 @@
   assert.equal(r.machines.size, 0);
 });
 
-test('a machine of a block stands as the block says, then as its own record, and leaves with both', () => {
+test('a machine of a block has the state of the block, then that of its own record, and is removed when both are gone', () => {
   const r = replica();
   const block = (h: string[]) => ({ f: 'box', y: 'north', l: false, s: 0, at: 0, h });
   const own = { f: 'box', y: 'north', l: false, s: 0, st: 'dead', at: 0 };
@@ -182,11 +182,11 @@
     4,
   );
   assert.deepEqual([...r.machines.keys()], ['n-2']);
-  // Its token does not rise because others left: it would have to prove itself anew.
+  // The removal of other machines must not raise its revision: it would have to be confirmed under its fencing token again.
   assert.equal(r.machines.get('n-2')?.modRevision, 2);
 });
 
-test('machines stay kept for a gang that found no room until it is placed', () => {
+test('machines stay reserved for a gang that does not fit until the gang is placed', () => {
   const w = new World(1);
   w.capacity = 3;
   w.advance(3);
@@ -194,14 +194,14 @@
   n.submit(spec('req-1', { team: 'blue', tasks: 24, cpus: 1 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 24, 60));
   n.submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 }));
-  // A stream of small tasks that would fill every gap.
+  // Small tasks that would otherwise take all resources that become free.
   for (let i = 0; i < 6; i++)
     n.submit(spec(`req-${10 + i}`, { team: 'blue', tasks: 12, cpus: 1, estimateS: 60 }));
   assert.ok(w.advanceUntil(() => w.running('req-2').length === 2, 60));
   assert.deepEqual(w.violations, []);
 });
 
-test('idle GPU machines are returned, not handed to gangs that the placement does not put there', () => {
+test('idle GPU machines are deleted, not assigned for gangs that the scheduling cycle would not place on them', () => {
   const w = new World(1);
   w.types = [box, { ...box, name: 'gpu', gpus: 2, price: 9, spotPrice: 9 }];
   w.capacity = 1;
