--- a/src/core/controller/health.ts
+++ b/src/core/controller/health.ts
@@ -17,6 +17,6 @@
   if (!freshness.isStale) return true;
   const isolated = hasPeers && now - newestKnown.at > membership.leaseTtlMs;
   const peersAreAhead =
-    newestKnown.revision > replica.watchRevision && newestKnown.at > freshness.confirmedByStateServiceAt;
+    newestKnown.revision > replica.watchRevision && newestKnown.at > freshness.confirmedByServiceAt;
   return !isolated && !peersAreAhead;
 }
--- a/src/core/replica-freshness.ts
+++ b/src/core/replica-freshness.ts
@@ -25,7 +25,7 @@
  */
 export class ReplicaFreshness {
   /** The time up to which readings of the state service's revision prove the replica complete. */
-  confirmedByStateServiceAt = -Infinity;
+  confirmedByServiceAt = -Infinity;
   /** The time up to which the peers' answers prove the replica complete. */
   confirmedByPeersAt = -Infinity;
   /** The latest time ever proven either way. It is not reset by a stall, because the proof stays valid for that time. */
@@ -61,14 +61,12 @@
 
   /** Age of the replica according to readings of the state service's revision. */
   get ageMs(): number {
-    return this.clock.now - this.confirmedByStateServiceAt;
+    return this.clock.now - this.confirmedByServiceAt;
   }
 
   /** Whether the replica is fresh enough to answer workers. */
   get mayAnswerWorkers(): boolean {
-    return (
-      this.clock.now - Math.max(this.confirmedByStateServiceAt, this.confirmedByPeersAt) <= this.maxAgeMs
-    );
+    return this.clock.now - Math.max(this.confirmedByServiceAt, this.confirmedByPeersAt) <= this.maxAgeMs;
   }
 
   /** Whether the peers' answers prove the replica younger than a state lease. */
@@ -93,7 +91,7 @@
     if (gapMs <= this.leaseTtlMs * stallLeaseFraction || !Number.isFinite(gapMs)) return;
     this.log('warn', 'process stalled', { ms: Math.round(gapMs) });
     this.resumedAt = now;
-    this.confirmedByStateServiceAt = -Infinity;
+    this.confirmedByServiceAt = -Infinity;
     this.confirmedByPeersAt = -Infinity;
   }
 
@@ -124,7 +122,7 @@
     if (revision > this.replica.watchRevision) return false;
     this.completeUpTo = Math.max(this.completeUpTo, requestedAt);
     if (requestedAt >= this.resumedAt)
-      this.confirmedByStateServiceAt = Math.max(this.confirmedByStateServiceAt, requestedAt);
+      this.confirmedByServiceAt = Math.max(this.confirmedByServiceAt, requestedAt);
     return true;
   }
 
@@ -137,7 +135,7 @@
       else this.log('info', 'state service reachable again');
     }
     const isPeerConfirmation =
-      isUnreachable && this.confirmedByPeersAt > this.confirmedByStateServiceAt && this.mayAnswerWorkers;
+      isUnreachable && this.confirmedByPeersAt > this.confirmedByServiceAt && this.mayAnswerWorkers;
     if (isPeerConfirmation === this.loggedPeerConfirmation) return;
     this.loggedPeerConfirmation = isPeerConfirmation;
     this.log('info', isPeerConfirmation ? 'replica confirmed by peers' : 'replica not confirmed by peers');
