--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,4 +1,4 @@
-/** Placement at size: the capacity index against the plain definition, bounded work. */
+/** Placement at scale: the capacity index against a reference implementation, bounded work, and limits of the state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -14,7 +14,7 @@
 import { World } from './support/world.js';
 
 const rng = xoroshiro128plus(7);
-const upTo = (n: number): number => uniformInt(rng, 0, n - 1);
+const randomBelow = (n: number): number => uniformInt(rng, 0, n - 1);
 
 const types: MachineType[] = [
   box,
@@ -22,11 +22,11 @@
   { ...box, name: 'gpu', cpus: 16, gpus: 2, memGb: 64, price: 9, spotPrice: 2 },
 ];
 
-interface TestSlot extends IndexedMachine {
+interface TestMachine extends IndexedMachine {
   used: Resources;
 }
 
-const roomOf = (m: TestSlot): Resources => ({
+const freeResources = (m: TestMachine): Resources => ({
   cpus: m.type.cpus - m.used.cpus,
   gpus: m.type.gpus - m.used.gpus,
   memGb: m.type.memGb - m.used.memGb,
@@ -35,48 +35,49 @@
 const score = (type: MachineType, spot: boolean, image: boolean): number =>
   -(spot ? type.spotPrice : type.price) / type.cpus - (image ? 0 : 0.004);
 
-/** The plain definition: every machine is scored for the job, best first, earlier machines first among equals. */
-const plainOrder = (machines: TestSlot[], job: JobSpec): string[] =>
+/** Reference implementation: scores every machine for the job and sorts by score, best first; ties keep the machines' order. */
+const referenceOrder = (machines: TestMachine[], job: JobSpec): string[] =>
   machines
-    .filter((m) => typeAllowed(job, m.type) && (!m.spot || spotAllowed(job)) && roomOf(m).cpus >= 1)
+    .filter((m) => typeAllowed(job, m.type) && (!m.spot || spotAllowed(job)) && freeResources(m).cpus >= 1)
     .map((m) => ({
       host: m.host,
-      s: score(m.type, m.spot, m.images.has(job.image)) + packingTieBreak * fullness(m.type, roomOf(m)),
+      s:
+        score(m.type, m.spot, m.images.has(job.image)) + packingTieBreak * fullness(m.type, freeResources(m)),
     }))
     .sort((a, b) => b.s - a.s)
     .map((x) => x.host);
 
-test('the index gives the order of the plain definition on random fleets, also as they fill', () => {
+test('the capacity index yields the same order as the reference implementation on random fleets, also while they fill up', () => {
   for (let fleet = 0; fleet < 30; fleet++) {
-    const machines: TestSlot[] = Array.from({ length: 60 }, (_, i) => {
-      const type = types[upTo(types.length)];
+    const machines: TestMachine[] = Array.from({ length: 60 }, (_, i) => {
+      const type = types[randomBelow(types.length)];
       return {
         host: `n-${i}`,
         type,
         zone: 'north',
-        spot: upTo(2) === 1,
-        images: new Set([`img-${upTo(3)}`]),
-        used: { cpus: upTo(type.cpus + 1), gpus: 0, memGb: 0 },
+        spot: randomBelow(2) === 1,
+        images: new Set([`img-${randomBelow(3)}`]),
+        used: { cpus: randomBelow(type.cpus + 1), gpus: 0, memGb: 0 },
       };
     });
-    const capacityIndex = new CapacityIndex(machines, roomOf, { cpus: 1, gpus: 0, memGb: 0 });
+    const capacityIndex = new CapacityIndex(machines, freeResources, { cpus: 1, gpus: 0, memGb: 0 });
     for (let step = 0; step < 20; step++) {
       const job = spec('req-1', {
-        image: `img-${upTo(4)}`,
-        cpus: 1 + upTo(4),
-        spot: upTo(2) === 1,
-        types: upTo(3) === 0 ? [types[upTo(types.length)].name] : null,
+        image: `img-${randomBelow(4)}`,
+        cpus: 1 + randomBelow(4),
+        spot: randomBelow(2) === 1,
+        types: randomBelow(3) === 0 ? [types[randomBelow(types.length)].name] : null,
       });
       const found = [...capacityIndex.bestFirst(job, score, () => true)].map((m) => m.host);
-      assert.deepEqual(found, plainOrder(machines, job));
-      const taken = machines.filter((m) => found.slice(0, 3).includes(m.host) && roomOf(m).cpus >= 1);
+      assert.deepEqual(found, referenceOrder(machines, job));
+      const taken = machines.filter((m) => found.slice(0, 3).includes(m.host) && freeResources(m).cpus >= 1);
       for (const m of taken) m.used.cpus++;
       capacityIndex.reposition(new Set(taken.map((m) => m.host)));
     }
   }
 });
 
-test('work of a round follows what changes, not jobs times machines', () => {
+test('the work of a scheduling cycle grows with the changes, not with jobs times machines', () => {
   const w = new World(1);
   w.capacity = 1000;
   w.heartbeatMs = 5000;
@@ -91,18 +92,18 @@
     });
   w.advance(30);
   assert.ok(w.starts.length > 10_000, `${w.starts.length} started`);
-  // Everything is full, and over 100 jobs of five sizes wait: each size looks at each machine twice at most.
+  // All machines are full, and over 100 jobs of five sizes are waiting: each machine is examined at most twice per size.
   const before = shardManager.machinesExamined;
   w.advance(5);
   const perRound = (shardManager.machinesExamined - before) / 5;
-  assert.ok(perRound < 12 * 1000, `${perRound} machines looked at in a round`);
-  // A rental is one record, ends are written together: far fewer writes than machines and tasks.
+  assert.ok(perRound < 12 * 1000, `${perRound} machines examined per scheduling cycle`);
+  // A rental is one record, and task completions are batched: far fewer writes than machines and tasks.
   const writes = w.commits.reduce((n, c) => n + c.txn.writes.length, 0);
   assert.ok(writes < 1200, `${writes} writes`);
   assert.deepEqual(w.violations, []);
 });
 
-test('machines whose record is still on its way are not rented again', () => {
+test('machines whose record is still being written are not requested a second time', () => {
   const w = new World(1);
   w.capacity = 100;
   w.advance(3);
@@ -118,7 +119,7 @@
   );
 });
 
-test('a crowd at the state service turns no user away', () => {
+test('rate limiting by the state service for less than a second does not reject submissions', () => {
   const w = new World(1);
   w.advance(3);
   w.state.rateLimited = true;
@@ -126,14 +127,14 @@
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
 });
 
-test('a flood of submissions does not keep tasks from starting, nor rentals from being recorded', () => {
+test('a burst of submissions does not delay task starts or the recording of rentals', () => {
   const w = new World(1);
   w.advance(3);
   const n = w.nodes[0];
   for (let i = 0; i < 400; i++)
     n.push({ type: 'submit', requestId: 1e6 + i, spec: spec(`req-${i}`, { tasks: 1 }) });
   w.advance(1);
-  // 400 writes take the budget of some 11 s.
+  // 400 writes use up the write budget of about 11 s.
   assert.ok(w.advanceUntil(() => w.starts.length > 0, 9));
   assert.ok([...w.nodes[0].responses.values()].filter((a) => a.status === 201).length < 380);
 });
@@ -152,7 +153,7 @@
     new FeatureLevels(capabilitiesOf('test')),
   );
 
-test('an overtaken answer of the state service does not bring a dropped key back', () => {
+test('an outdated response of the state service that arrives late does not restore a deleted key', () => {
   const r = replica();
   const put = { key: 'dp/m/n-1', data: { f: 'box', y: 'north', l: false, s: 0, st: 'use', at: 0 }, stamp: 5 };
   r.loadSnapshot([], 1);
@@ -161,7 +162,7 @@
   assert.equal(r.machines.size, 0);
 });
 
-test('a machine of a block stands as the block says, then as its own record, and leaves with both', () => {
+test('a machine of a block has the state of the block, then that of its own record, and is removed when both are gone', () => {
   const r = replica();
   const block = (h: string[]) => ({ f: 'box', y: 'north', l: false, s: 0, at: 0, h });
   const own = { f: 'box', y: 'north', l: false, s: 0, st: 'dead', at: 0 };
@@ -181,11 +182,11 @@
     4,
   );
   assert.deepEqual([...r.machines.keys()], ['n-2']);
-  // Its token does not rise because others left: it would have to prove itself anew.
+  // The removal of other machines must not raise its revision: it would have to be confirmed under its fencing token again.
   assert.equal(r.machines.get('n-2')?.modRevision, 2);
 });
 
-test('machines stay kept for a gang that found no room until it is placed', () => {
+test('machines stay reserved for a gang that does not fit until the gang is placed', () => {
   const w = new World(1);
   w.capacity = 3;
   w.advance(3);
@@ -193,14 +194,14 @@
   n.submit(spec('req-1', { team: 'blue', tasks: 24, cpus: 1 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 24, 60));
   n.submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 }));
-  // A stream of small tasks that would fill every gap.
+  // Small tasks that would otherwise take all resources that become free.
   for (let i = 0; i < 6; i++)
     n.submit(spec(`req-${10 + i}`, { team: 'blue', tasks: 12, cpus: 1, estimateS: 60 }));
   assert.ok(w.advanceUntil(() => w.running('req-2').length === 2, 60));
   assert.deepEqual(w.violations, []);
 });
 
-test('idle GPU machines are returned, not handed to gangs that the placement does not put there', () => {
+test('idle GPU machines are deleted, not assigned for gangs that the scheduling cycle would not place on them', () => {
   const w = new World(1);
   w.types = [box, { ...box, name: 'gpu', gpus: 2, price: 9, spotPrice: 9 }];
   w.capacity = 1;
