--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -89,7 +89,7 @@
       this.examined++;
       position++;
       const free = freeCapacity(machine);
-      if (!this.isUseful(free)) continue;
+      if (!this.hasUsableCapacity(free)) continue;
       const key = `${machine.type.name} ${machine.spot ? 1 : 0}`;
       let group = groupByKey.get(key);
       if (!group) {
@@ -101,7 +101,7 @@
     for (const group of this.groups) group.entries.sort(byFullness);
   }
 
-  private isUseful(free: Resources): boolean {
+  private hasUsableCapacity(free: Resources): boolean {
     return free.cpus + tolerance >= this.minRequest.cpus && free.memGb + tolerance >= this.minRequest.memGb;
   }
 
@@ -159,7 +159,7 @@
       });
       for (const entry of moved) {
         const free = this.freeCapacity(entry.machine);
-        if (!this.isUseful(free)) continue;
+        if (!this.hasUsableCapacity(free)) continue;
         entry.fullness = fullness(entry.machine.type, free);
         insertSorted(group.entries, entry);
       }
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -18,7 +18,7 @@
 const fullMachineCooldownReports = 2;
 
 /** The end of a task, which its worker may forget once it is durable. */
-interface UnwrittenEnd {
+interface UnpersistedExit {
   readonly job: ScheduledJob;
   readonly chunk: TaskChunk;
   /** The chunk's version that holds the end. */
@@ -34,7 +34,7 @@
  */
 export class HeartbeatReconciler {
   /** Ends of tasks that their workers still list, by machine and attempt. */
-  private readonly unwrittenEnds = new Map<string, UnwrittenEnd>();
+  private readonly unpersistedExits = new Map<string, UnpersistedExit>();
 
   constructor(
     private readonly shardState: ShardState,
@@ -43,18 +43,18 @@
 
   /** Takes in the heartbeat of a machine of this process's shards; returns the orders to answer with. */
   reconcile(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): TaskOrder[] {
-    const isProof = heartbeat.fencingToken === token;
-    this.noteContact(machine, heartbeat, token);
+    const hasCurrentToken = heartbeat.fencingToken === token;
+    this.recordContact(machine, heartbeat, token);
     // Guards against the late heartbeat: its list is as old as itself, and its response will be dropped.
     if (!isNewerHeartbeat(heartbeat, machine)) return [];
-    this.notePosition(machine, heartbeat, isProof);
+    this.recordPosition(machine, heartbeat, hasCurrentToken);
     if (heartbeat.noticeS !== null && machine.reclaimAt === 0)
       this.handleReclaimNotice(machine, heartbeat.noticeS);
     const reported = reportedTasks(heartbeat);
-    this.reconcilePlacements(machine, heartbeat, reported, isProof);
+    this.reconcilePlacements(machine, heartbeat, reported, hasCurrentToken);
     const orders: TaskOrder[] = [];
-    for (const [key, status] of reported) this.addOrderFor(machine, key, status, isProof, orders);
-    if (isProof) this.addStarts(machine, heartbeat, reported, orders);
+    for (const [key, status] of reported) this.addOrderForTask(machine, key, status, hasCurrentToken, orders);
+    if (hasCurrentToken) this.addStartOrders(machine, heartbeat, reported, orders);
     return orders.slice(0, maxOrdersPerMessage);
   }
 
@@ -64,14 +64,14 @@
     const reported = reportedTasks(heartbeat);
     for (const status of heartbeat.tasks) {
       const placement = machine.placements.get(taskKey(status.job, status.index));
-      if (placement?.attempt === status.attempt) addStop(placement, status, orders);
+      if (placement?.attempt === status.attempt) addStopOrder(placement, status, orders);
     }
-    this.addStarts(machine, heartbeat, reported, orders);
+    this.addStartOrders(machine, heartbeat, reported, orders);
     return orders;
   }
 
   /** Whether a machine has placements whose start waits until they are durable. */
-  awaitsDurableStart(machine: ScheduledMachine): boolean {
+  hasStartsAwaitingDurability(machine: ScheduledMachine): boolean {
     for (const placement of machine.placements.values()) {
       const { placedByThisProcess, startSentWith, stopRequest } = placement;
       if (!placedByThisProcess || startSentWith !== null || stopRequest !== null) continue;
@@ -81,7 +81,7 @@
   }
 
   /** Any heartbeat renews the worker's lease, also a late one. */
-  private noteContact(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): void {
+  private recordContact(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): void {
     const { clock, settings } = this.shardState;
     machine.endpoint = heartbeat.endpoint;
     machine.lastHeartbeatAt = clock.now;
@@ -95,11 +95,11 @@
       heartbeat.fencingToken === token ? leaseExpiry : Math.max(machine.earliestLeaseExpiry, leaseExpiry);
   }
 
-  private notePosition(machine: ScheduledMachine, heartbeat: Heartbeat, isProof: boolean): void {
+  private recordPosition(machine: ScheduledMachine, heartbeat: Heartbeat, hasCurrentToken: boolean): void {
     const { now } = this.shardState.clock;
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.heartbeatSeq = heartbeat.sequence;
-    if (!isProof) return;
+    if (!hasCurrentToken) return;
     // Guards against releasing a machine for having been idle while it booted.
     if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
     machine.confirmedAt = now;
@@ -110,7 +110,7 @@
     machine: ScheduledMachine,
     heartbeat: Heartbeat,
     reported: ReportedTasks,
-    isProof: boolean,
+    hasCurrentToken: boolean,
   ): void {
     for (const [key, placement] of [...machine.placements]) {
       if (placement.job.unreadable) continue;
@@ -118,9 +118,9 @@
       if (status?.attempt === placement.attempt) {
         // Guards against the old copy that a new owner hears of first: a repaired gang has the same attempt there again.
         // That a task completed stays true; that it ended otherwise counts only under the current token.
-        const endedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
-        if (isProof || !endedIncomplete) this.applyTaskStatus(machine, placement, status);
-      } else if (isProof) {
+        const exitedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
+        if (hasCurrentToken || !exitedIncomplete) this.applyTaskStatus(machine, placement, status);
+      } else if (hasCurrentToken) {
         const { startSentWith } = placement;
         if (startSentWith === null || isNewerHeartbeat(heartbeat, startSentWith))
           this.handleMissingTask(machine, placement);
@@ -129,35 +129,40 @@
   }
 
   /** Adds the order that a task which a worker lists asks for, if any: that it stops, or that the worker forgets it. */
-  private addOrderFor(
+  private addOrderForTask(
     machine: ScheduledMachine,
     key: string,
     status: TaskStatus,
-    isProof: boolean,
+    hasCurrentToken: boolean,
     orders: TaskOrder[],
   ): void {
     const placement = machine.placements.get(key);
     // Guards against stopping, or forgetting the result of, what a newer program has placed here.
     if (placement?.job.unreadable || this.shardState.replica.isJobUnreadable(status.job)) return;
-    if (placement?.attempt === status.attempt) addStop(placement, status, orders);
-    else if (status.phase === 'exited') this.addForget(machine, key, status, orders);
-    else if (isProof) this.addStopOfUnknownTask(machine, key, status, orders);
+    if (placement?.attempt === status.attempt) addStopOrder(placement, status, orders);
+    else if (status.phase === 'exited') this.addForgetOrder(machine, key, status, orders);
+    else if (hasCurrentToken) this.addUnknownTaskStop(machine, key, status, orders);
   }
 
   /** Guards against losing a result: a task is forgotten only after its end is durable. */
-  private addForget(machine: ScheduledMachine, key: string, status: TaskStatus, orders: TaskOrder[]): void {
+  private addForgetOrder(
+    machine: ScheduledMachine,
+    key: string,
+    status: TaskStatus,
+    orders: TaskOrder[],
+  ): void {
     const { jobs, replica } = this.shardState;
     const { job, index, attempt } = status;
-    const endKey = unwrittenEndKey(machine.host, key, attempt);
-    const end = this.unwrittenEnds.get(endKey);
-    const isDurable = !end || end.chunk.durableVersion >= end.version;
-    if (!isDurable && jobs.get(end.job.id) === end.job) return;
+    const exitKey = unpersistedExitKey(machine.host, key, attempt);
+    const exit = this.unpersistedExits.get(exitKey);
+    const isDurable = !exit || exit.chunk.durableVersion >= exit.version;
+    if (!isDurable && jobs.get(exit.job.id) === exit.job) return;
     if (isDurable || replica.jobs.get(job)?.state !== 'open')
       orders.push({ op: 'forget', job, index, attempt });
-    this.unwrittenEnds.delete(endKey);
+    this.unpersistedExits.delete(exitKey);
   }
 
-  private addStopOfUnknownTask(
+  private addUnknownTaskStop(
     machine: ScheduledMachine,
     key: string,
     { job: id, index, attempt }: TaskStatus,
@@ -170,7 +175,7 @@
     orders.push({ op: 'stop', job: id, index, attempt, graceS: 0 });
   }
 
-  private addStarts(
+  private addStartOrders(
     machine: ScheduledMachine,
     heartbeat: Heartbeat,
     reported: ReportedTasks,
@@ -219,13 +224,13 @@
       this.shardState.removePlacement(placement, 'done', 'completed');
     } else {
       this.shardState.log('debug', 'task ended', { piece: key, host, why: reason });
-      if (reason === 'error') this.machineHealth.noteTaskError(machine, job);
+      if (reason === 'error') this.machineHealth.recordTaskFailure(machine, job);
       if (reason === 'full' || reason === 'busy')
         machine.cooldownUntil = now + reportMs * fullMachineCooldownReports;
       if (reason === 'unknown') job.retryNotBefore = now + reportMs;
       this.shardState.removePlacement(placement, reason ?? 'exited');
     }
-    this.unwrittenEnds.set(unwrittenEndKey(host, key, attempt), { job, chunk, version: chunk.version });
+    this.unpersistedExits.set(unpersistedExitKey(host, key, attempt), { job, chunk, version: chunk.version });
   }
 
   /** A heartbeat that is proof, and newer than the start, does not list the attempt: it is not on the machine. */
@@ -235,10 +240,10 @@
       return shardState.removePlacement(placement, 'absent');
     if (placement.phase !== 'placed') return shardState.removePlacement(placement, 'vanished', 'lost');
     // The worker never listed it: its start is sent (again) with this response, unless the machine is to take none.
-    const isUnsentOfEarlierOwner = !placement.placedByThisProcess && placement.startSentWith === null;
+    const isUnsentFromEarlierOwner = !placement.placedByThisProcess && placement.startSentWith === null;
     if (machine.reclaimAt > 0 || machine.quarantined)
       shardState.removePlacement(placement, 'machine not to be used');
-    else if (isUnsentOfEarlierOwner && !shardState.mayStillStart(placement))
+    else if (isUnsentFromEarlierOwner && !shardState.mayStillStart(placement))
       shardState.removePlacement(placement, 'dropped by the earlier owner');
   }
 
@@ -263,7 +268,7 @@
 }
 
 /** Adds the stop of a task that a worker lists as active, if it was requested. */
-function addStop(placement: Placement, status: TaskStatus, orders: TaskOrder[]): void {
+function addStopOrder(placement: Placement, status: TaskStatus, orders: TaskOrder[]): void {
   if (placement.stopRequest && status.phase !== 'exited')
     orders.push(stopOrder(placement, placement.stopRequest));
 }
@@ -276,4 +281,5 @@
   heartbeat.agentEpoch > agentEpoch ||
   (heartbeat.agentEpoch === agentEpoch && heartbeat.sequence > heartbeatSeq);
 
-const unwrittenEndKey = (host: string, key: string, attempt: number): string => `${host} ${key} ${attempt}`;
+const unpersistedExitKey = (host: string, key: string, attempt: number): string =>
+  `${host} ${key} ${attempt}`;
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -63,7 +63,7 @@
     const machine = replica.machines.get(heartbeat.host);
     if (!machine) return this.routeUnknownMachine(requestId, heartbeat, out);
     const owner = replica.responsibleController(machine);
-    if (!owner || !this.isSelf(owner))
+    if (!owner || !this.isThisProcess(owner))
       return this.routeToOwner(requestId, heartbeat, owner, forwardedBy, out);
     this.redirectedAt.delete(heartbeat.host);
     // A newer token was granted to another process: this one is the stale owner and has not learned of it yet.
@@ -73,14 +73,14 @@
       autoscaler.recordHeartbeat(machine.host);
       return respond(out, requestId, 200, encodeHeartbeatResponse(owner.token, []));
     }
-    this.answer(requestId, heartbeat, owner.token, forwardedBy, out);
+    this.respondAsOwner(requestId, heartbeat, owner.token, forwardedBy, out);
   }
 
   private get mayRespond(): boolean {
     return this.options.mayAnswerWorkers() && !this.options.replica.levels.mustStandBy;
   }
 
-  private isSelf({ member, run }: MachineOwner): boolean {
+  private isThisProcess({ member, run }: MachineOwner): boolean {
     return member === this.options.settings.member && run === this.options.instanceId;
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Answers the heartbeat of a machine of ours. */
-  private answer(
+  private respondAsOwner(
     requestId: number,
     heartbeat: Heartbeat,
     token: number,
@@ -170,7 +170,7 @@
     const record = replica.machines.get(machine.host);
     const owner = record && replica.responsibleController(record);
     if (!this.mayRespond || !owner) return false;
-    if (!this.isSelf(owner) || owner.token !== token) return false;
+    if (!this.isThisProcess(owner) || owner.token !== token) return false;
     return shardManager.machines.get(machine.host) === machine;
   }
 }
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -49,10 +49,10 @@
     const hasTasks = [...machine.placements.values()].some(
       (placement) => placement.startSentWith !== null || !placement.placedByThisProcess,
     );
-    const isOfUse = hasTasks
-      ? this.heartbeatReconciler.awaitsDurableStart(machine)
+    const isWorthHolding = hasTasks
+      ? this.heartbeatReconciler.hasStartsAwaitingDurability(machine)
       : heartbeat.tasks.length === 0;
-    if (!isOfUse) return false;
+    if (!isWorthHolding) return false;
     this.held.set(machine.host, { requestId, machine, heartbeat, token, heldAt: this.clock.now });
     return true;
   }
@@ -72,7 +72,8 @@
   *releaseDue(stillOwns: (machine: ScheduledMachine, token: number) => boolean): Generator<ReleasedResponse> {
     for (const [host, { requestId, machine, heartbeat, token, heldAt }] of this.held) {
       const hasTimedOut = this.clock.now - heldAt >= holdTimeoutMs;
-      const isWaiting = machine.placements.size === 0 || this.heartbeatReconciler.awaitsDurableStart(machine);
+      const isWaiting =
+        machine.placements.size === 0 || this.heartbeatReconciler.hasStartsAwaitingDurability(machine);
       if (!hasTimedOut && isWaiting) continue;
       this.held.delete(host);
       const orders = stillOwns(machine, token)
--- a/src/core/machine-health.ts
+++ b/src/core/machine-health.ts
@@ -14,14 +14,14 @@
   constructor(private readonly shardState: ShardState) {}
 
   /** Notes that a task of a job failed on a machine. */
-  noteTaskError(machine: ScheduledMachine, job: ScheduledJob): void {
+  recordTaskFailure(machine: ScheduledMachine, job: ScheduledJob): void {
     machine.failuresByJob.set(job.id, (machine.failuresByJob.get(job.id) ?? 0) + 1);
     const hostsBefore = job.failedHosts.size;
     job.failedHosts.add(machine.host);
     if (!isSuspect(job)) return this.reassessMachine(machine);
     this.delayRetry(job);
     const becameSuspect = hostsBefore < job.failedHosts.size && job.failedHosts.size === suspectHostCount;
-    if (becameSuspect) this.noteSuspectJob(job);
+    if (becameSuspect) this.handleNewSuspect(job);
   }
 
   /** Judges anew the machines that a job failed on: what is known of the job has changed. */
@@ -42,7 +42,7 @@
   }
 
   /** Clears the machines that the job failed on first, and has its failed hosts written. */
-  private noteSuspectJob(job: ScheduledJob): void {
+  private handleNewSuspect(job: ScheduledJob): void {
     const { log, taskWriter } = this.shardState;
     log('info', 'job fails on several machines', { job: job.id, hosts: [...job.failedHosts] });
     this.reassessFailedHosts(job);
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -18,7 +18,7 @@
 const lateLeaseCheckMs = 1000;
 
 /** For how many of its boots a machine that never reported is waited for. */
-const maxBoots = 4;
+const bootTimeoutFactor = 4;
 
 /** The least share of the replacement time for which the most expensive machines are kept idle. */
 const minIdleShare = 0.5;
@@ -29,7 +29,7 @@
 /** Why a machine is released, and to what. */
 interface ReleaseDecision {
   readonly state: ReleasedState;
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** Supervises the machines of this process's shards. */
@@ -89,12 +89,12 @@
     const isEmpty = machine.placements.size === 0;
     if (!settings.pool && this.isSilent(machine)) {
       if (machine.record.spot && hasReported && machine.reclaimAt === 0) hazard.recordInterruption();
-      return { state: 'dead', why: hasReported ? 'silent' : 'never came up' };
+      return { state: 'dead', reason: hasReported ? 'silent' : 'never came up' };
     }
-    if (machine.quarantined && isEmpty) return { state: 'dead', why: 'failing' };
-    if (machine.reclaimAt > 0 && isEmpty) return { state: 'dead', why: 'notice' };
+    if (machine.quarantined && isEmpty) return { state: 'dead', reason: 'failing' };
+    if (machine.reclaimAt > 0 && isEmpty) return { state: 'dead', reason: 'notice' };
     if (settings.pool || !isEmpty || machine.confirmedAt <= 0) return null;
-    return clock.now - machine.idleSince > this.maxIdleMs(machine) ? { state: 'free', why: 'idle' } : null;
+    return clock.now - machine.idleSince > this.maxIdleMs(machine) ? { state: 'free', reason: 'idle' } : null;
   }
 
   private isSilent(machine: ScheduledMachine): boolean {
@@ -102,7 +102,7 @@
     if (machine.lastHeartbeatAt > 0) return this.silentS(machine) > lease_s + 2 * report_s;
     // Guards against a hasty new owner: a machine may be up under the earlier owner, and not have reported here yet.
     const ownedS = (this.shardState.clock.now - machine.acquiredAt) / 1000;
-    return ownedS > machine.type.bootS * maxBoots + lease_s;
+    return ownedS > machine.type.bootS * bootTimeoutFactor + lease_s;
   }
 
   /**
@@ -119,19 +119,19 @@
   }
 
   /** Releases a machine to the leader, which assigns free ones to other shards and deletes dead ones. */
-  private release(machine: ScheduledMachine, { state, why }: ReleaseDecision): void {
+  private release(machine: ScheduledMachine, { state, reason }: ReleaseDecision): void {
     const { host } = machine;
     const { log, machines, ownedShards, replica } = this.shardState;
     machine.releasing = true;
-    log('info', 'releasing machine', { host, standing: state, why });
+    log('info', 'releasing machine', { host, standing: state, why: reason });
     const key = machineKey(host);
     this.batcher.enqueue({
       priority: WritePriority.provisioning,
       build: () => {
         const { record, placements } = machine;
-        const grant = replica.shards.get(record.shard);
-        const isOurs = machines.get(host) === machine && ownedShards.has(record.shard);
-        if (!grant || !isOurs || (state === 'free' && placements.size > 0)) {
+        const assignment = replica.shards.get(record.shard);
+        const isStillOwned = machines.get(host) === machine && ownedShards.has(record.shard);
+        if (!assignment || !isStillOwned || (state === 'free' && placements.size > 0)) {
           machine.releasing = false;
           return null;
         }
@@ -139,7 +139,7 @@
         return {
           conditions: [
             { key, stamp: replica.modRevisionOf(key) },
-            { key: shardKey(record.shard), stamp: grant.modRevision },
+            { key: shardKey(record.shard), stamp: assignment.modRevision },
           ],
           writes: [{ key, data: machineData({ ...record, shard, state }) }],
         };
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -62,8 +62,8 @@
   /** Peers that are present and were heard recently, and how busy they are. */
   *livePeers(): Generator<{ member: string; busy: number }> {
     for (const [member, received] of this.statuses) {
-      const { instanceId: run, utilizationPermille } = received.status;
-      if (this.isRecent(received) && this.options.replica.isAlive(member, run))
+      const { instanceId, utilizationPermille } = received.status;
+      if (this.isRecent(received) && this.options.replica.isAlive(member, instanceId))
         yield { member, busy: utilizationPermille / 1000 };
     }
   }
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -45,7 +45,7 @@
   private readonly recordMigrator: RecordMigrator;
   private readonly cycleRunner: CycleRunner;
   private lastMaintenanceAt = -1;
-  private summarizedAt = 0;
+  private lastSummaryAt = 0;
   /** When a shard was last acquired, ms. */
   lastAcquiredAt = -Infinity;
   /** Machines that had placements when their shard was acquired, until they are confirmed or gone. */
@@ -99,12 +99,12 @@
   reconcileShards(): void {
     const { shardState, replica } = this;
     for (const shard of [...shardState.ownedShards])
-      if (!this.isAssignedHere(shard)) {
+      if (!this.isAssignedToThisProcess(shard)) {
         shardState.releaseShard(shard);
         this.log('info', 'shard released', { shard, to: replica.shards.get(shard)?.owner });
       }
     for (const [shard, { modRevision }] of replica.shards) {
-      if (shardState.ownedShards.has(shard) || !this.isAssignedHere(shard)) continue;
+      if (shardState.ownedShards.has(shard) || !this.isAssignedToThisProcess(shard)) continue;
       // The replica must include all that earlier owners wrote, so it has to have reached the assignment.
       if (replica.watchRevision >= modRevision) this.acquireShard(shard, modRevision);
     }
@@ -131,7 +131,7 @@
     return [...this.awaitingConfirmation];
   }
 
-  private isAssignedHere(shard: number): boolean {
+  private isAssignedToThisProcess(shard: number): boolean {
     if (this.replica.levels.mustStandBy) return false;
     const assignment = this.replica.shards.get(shard);
     return assignment?.owner === this.settings.member && assignment.instanceId === this.instanceId;
@@ -156,8 +156,8 @@
     this.machineLifecycle.sweep(elapsedS);
     this.recordMigrator.step();
     const { now } = this.clock;
-    if (now - this.summarizedAt < this.settings.workers.lease_s * 500) return;
-    this.summarizedAt = now;
+    if (now - this.lastSummaryAt < this.settings.workers.lease_s * 500) return;
+    this.lastSummaryAt = now;
     summarize(this.shardState, this.machinesExamined, this.extraSummary());
   }
 }
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -35,12 +35,12 @@
 }
 
 /** Logs the summary. `looked`: how many machines placement has examined; `extraFields` are logged along with it. */
-export function summarize(shardState: ShardState, looked: number, extraFields: object): void {
+export function summarize(shardState: ShardState, machinesExamined: number, extraFields: object): void {
   shardState.log('info', 'summary', {
     fleet: summarizeMachines(shardState),
     jobs: summarizeClasses(shardState),
     teams: summarizeTeams(shardState),
-    looked,
+    looked: machinesExamined,
     ...extraFields,
   });
 }
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -109,10 +109,10 @@
   /** Rejected submissions since the last log line, by team, class and bottleneck. */
   readonly rejections = new Map<string, number>();
   private readonly demandEstimates: DemandEstimates;
-  private backloggedAt = -Infinity;
+  private lastBacklogAt = -Infinity;
   /** Rates of teams and classes in the allocation; empty: their weights are quota and urgency. */
-  private groupRates: ReadonlyMap<string, number> = new Map();
-  private defaultGroupRate = 1;
+  private workloadRates: ReadonlyMap<string, number> = new Map();
+  private defaultWorkloadRate = 1;
   private readonly cancellationWrites = new Map<string, { requestIds: number[]; since: number }>();
 
   constructor(options: UserRequestsOptions) {
@@ -136,9 +136,11 @@
         maxRetryAfterMs,
         maxTickets: maxPending,
       },
-      (team) => (this.groupRates.size > 0 ? this.groupRate(workloadKey(team, '')) : weightOf(team)),
-      (e) =>
-        this.groupRates.size > 0 ? this.groupRate(workloadKey(e.team, e.class)) : urgencyWeight(e.spec),
+      (team) => (this.workloadRates.size > 0 ? this.workloadRate(workloadKey(team, '')) : weightOf(team)),
+      (submission) =>
+        this.workloadRates.size > 0
+          ? this.workloadRate(workloadKey(submission.team, submission.class))
+          : urgencyWeight(submission.spec),
       random,
     );
   }
@@ -150,23 +152,23 @@
     if (this.replica.levels.mustStandBy || this.replica.isJobUnreadable(spec.id))
       return this.respondRetryLater(requestId, effects);
     if (this.replica.jobs.has(spec.id)) return this.query(requestId, spec.id, effects);
-    if (this.presenceUnknown(spec.id)) return this.respondRetryLater(requestId, effects);
-    const bad = rejectionReason(spec, this.replica.machineTypes, this.settings);
+    if (this.isExistenceUnknown(spec.id)) return this.respondRetryLater(requestId, effects);
+    const reason = rejectionReason(spec, this.replica.machineTypes, this.settings);
     // A job that was accepted must never get 422, so look once more whether it is known.
-    if (bad !== null)
-      return this.awaitRevision(requestId, spec.id, { status: 422, body: { error: bad } }, effects);
-    const pending = this.submissionWrites.get(spec.id);
-    if (pending) {
-      pending.requestIds.push(requestId);
+    if (reason !== null)
+      return this.awaitRevision(requestId, spec.id, { status: 422, body: { error: reason } }, effects);
+    const pendingWrite = this.submissionWrites.get(spec.id);
+    if (pendingWrite) {
+      pendingWrite.requestIds.push(requestId);
       return;
     }
-    const waits = this.pendingSubmissions.get(spec.id);
-    if (waits) {
-      waits.requestIds.push(requestId);
+    const queued = this.pendingSubmissions.get(spec.id);
+    if (queued) {
+      queued.requestIds.push(requestId);
       return;
     }
     const { now } = this.clock;
-    const e = {
+    const submission = {
       id: spec.id,
       team: spec.team,
       class: spec.class,
@@ -177,13 +179,13 @@
     };
     if (!this.fairAdmission) {
       if (this.submissionWrites.size >= this.maxPending) return this.respondRetryLater(requestId, effects);
-      return this.writeJob(e);
+      return this.writeJob(submission);
     }
     this.arrivals.add(1, now);
-    this.demandEstimates.recordArrival(e.team, e.class, urgencyWeight(spec), now);
-    this.pendingSubmissions.set(e.id, e);
-    const away = this.admission.offer(e, now);
-    if (away) this.reject(away, effects);
+    this.demandEstimates.recordArrival(submission.team, submission.class, urgencyWeight(spec), now);
+    this.pendingSubmissions.set(submission.id, submission);
+    const rejected = this.admission.offer(submission, now);
+    if (rejected) this.reject(rejected, effects);
   }
 
   /** Writes per second that new jobs need. */
@@ -193,20 +195,20 @@
 
   /** Whether a submission had to wait recently until it could be written. */
   get backlogged(): boolean {
-    return this.clock.now - this.backloggedAt < backlogMemoryMs;
+    return this.clock.now - this.lastBacklogAt < backlogMemoryMs;
   }
 
   /** Demand by team and class while submissions wait, otherwise empty. */
   groupDemand(): WorkloadDemand[] {
     const { now } = this.clock;
-    if (this.admission.size > 0) this.backloggedAt = now;
+    if (this.admission.size > 0) this.lastBacklogAt = now;
     return this.backlogged ? this.demandEstimates.largest(now) : [];
   }
 
   /** Jobs that other controllers have rejected: they keep their place here, too. */
   rejectedElsewhere(list: readonly Rejection[]): void {
     this.admission.recordPeerRejections(
-      list.filter((t) => !this.replica.jobs.has(t.id)),
+      list.filter((rejection) => !this.replica.jobs.has(rejection.id)),
       this.clock.now,
     );
   }
@@ -218,11 +220,16 @@
 
   private reject({ entry, retryAfterS }: RejectedEntry<PendingSubmission>, effects: Effect[]): void {
     this.pendingSubmissions.delete(entry.id);
-    this.backloggedAt = this.clock.now;
-    const kind = `${workloadKey(entry.team, entry.class)}: ${this.bottleneck}`;
-    this.rejections.set(kind, (this.rejections.get(kind) ?? 0) + 1);
-    const { id, team, class: cls, firstAttemptAt } = entry;
-    this.newlyRejected.push({ id, team, class: cls, ageMs: Math.round(this.clock.now - firstAttemptAt) });
+    this.lastBacklogAt = this.clock.now;
+    const group = `${workloadKey(entry.team, entry.class)}: ${this.bottleneck}`;
+    this.rejections.set(group, (this.rejections.get(group) ?? 0) + 1);
+    const { id, team, class: className, firstAttemptAt } = entry;
+    this.newlyRejected.push({
+      id,
+      team,
+      class: className,
+      ageMs: Math.round(this.clock.now - firstAttemptAt),
+    });
     for (const requestId of entry.requestIds)
       effects.push({
         type: 'respond',
@@ -241,22 +248,22 @@
     const { now } = this.clock;
     this.admission.rate = share.newJobs * factor;
     this.admission.totalRate = share.totalNewJobs * factor;
-    if (share.workloadRates !== this.groupRates) {
-      this.groupRates = share.workloadRates;
-      this.defaultGroupRate = Math.max(0.01, ...share.workloadRates.values());
+    if (share.workloadRates !== this.workloadRates) {
+      this.workloadRates = share.workloadRates;
+      this.defaultWorkloadRate = Math.max(0.01, ...share.workloadRates.values());
     }
-    let room = Math.min(this.burstLimiter.refill(this.admission.rate, now), this.batcher.userCapacity);
-    for (; room > 0; room--) {
-      const e = this.admission.dequeue();
-      if (!e) break;
+    let capacity = Math.min(this.burstLimiter.refill(this.admission.rate, now), this.batcher.userCapacity);
+    for (; capacity > 0; capacity--) {
+      const submission = this.admission.dequeue();
+      if (!submission) break;
       this.burstLimiter.take(1);
-      this.pendingSubmissions.delete(e.id);
-      this.writeJob(e);
+      this.pendingSubmissions.delete(submission.id);
+      this.writeJob(submission);
     }
     // In order of arrival.
-    for (const e of this.pendingSubmissions.values()) {
-      if (now - e.since <= writeTimeoutMs) break;
-      this.reject(this.admission.expire(e, now), effects);
+    for (const submission of this.pendingSubmissions.values()) {
+      if (now - submission.since <= writeTimeoutMs) break;
+      this.reject(this.admission.expire(submission, now), effects);
     }
     if (this.newlyRejected.length === 0) return;
     effects.push({ type: 'rejected-jobs', list: this.newlyRejected });
@@ -264,16 +271,16 @@
   }
 
   /** The rate of a team or class in the allocation; one that it does not name has had little demand and gets the highest. */
-  private groupRate(kind: string): number {
-    return this.groupRates.get(kind) ?? this.defaultGroupRate;
+  private workloadRate(workload: string): number {
+    return this.workloadRates.get(workload) ?? this.defaultWorkloadRate;
   }
 
   private writeJob({ spec, requestIds }: PendingSubmission): void {
     const pendingWrite = { requestIds, since: this.clock.now };
     this.submissionWrites.set(spec.id, pendingWrite);
-    const answer = (f: (requestId: number) => void) => {
+    const respondToAll = (respond: (requestId: number) => void) => {
       this.submissionWrites.delete(spec.id);
-      pendingWrite.requestIds.forEach(f);
+      pendingWrite.requestIds.forEach(respond);
     };
     this.batcher.enqueue({
       priority: WritePriority.user,
@@ -283,18 +290,18 @@
       }),
       onCommitted: () => {
         this.admission.tickets.remove(spec.id);
-        answer((r) =>
+        respondToAll((requestId) =>
           this.stepEffects.push({
             type: 'respond',
-            requestId: r,
+            requestId,
             status: 201,
             body: { nameId: spec.id, status: 'pending' },
           }),
         );
       },
-      onConflict: () => answer((r) => this.query(r, spec.id, this.stepEffects)),
+      onConflict: () => respondToAll((requestId) => this.query(requestId, spec.id, this.stepEffects)),
       onUnavailable: () => {
-        answer((r) => this.respondRetryLater(r, this.stepEffects));
+        respondToAll((requestId) => this.respondRetryLater(requestId, this.stepEffects));
         return true;
       },
     });
@@ -305,7 +312,7 @@
     if (this.respondIfFinal(requestId, id, effects)) return;
     if (!isJobId(id))
       return void effects.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
-    if (this.replica.watchRevision < 0 || this.presenceUnknown(id))
+    if (this.replica.watchRevision < 0 || this.isExistenceUnknown(id))
       return this.respondRetryLater(requestId, effects);
     this.awaitRevision(requestId, id, 'status', effects);
   }
@@ -320,32 +327,33 @@
       return this.respondRetryLater(requestId, effects);
     const job = this.replica.jobs.get(id);
     if (!job) return this.awaitRevision(requestId, id, 'cancel', effects);
-    const pending = this.cancellationWrites.get(id);
-    if (pending) {
-      pending.requestIds.push(requestId);
+    const inFlight = this.cancellationWrites.get(id);
+    if (inFlight) {
+      inFlight.requestIds.push(requestId);
       return;
     }
     const pendingWrite = { requestIds: [requestId], since: this.clock.now };
     this.cancellationWrites.set(id, pendingWrite);
-    const answer = (f: (requestId: number) => void) => {
+    const respondToAll = (respond: (requestId: number) => void) => {
       this.cancellationWrites.delete(id);
-      pendingWrite.requestIds.forEach(f);
+      pendingWrite.requestIds.forEach(respond);
     };
     this.batcher.enqueue({
       priority: WritePriority.user,
       build: () => {
-        const now = this.replica.jobs.get(id);
-        if (now?.state !== 'open') {
-          answer((r) => this.cancel(r, id, this.stepEffects));
+        const record = this.replica.jobs.get(id);
+        if (record?.state !== 'open') {
+          respondToAll((waitingId) => this.cancel(waitingId, id, this.stepEffects));
           return null;
         }
-        return this.cancellation(now);
+        return this.cancellation(record);
       },
-      onCommitted: () => answer((r) => this.cancel(r, id, this.stepEffects)),
+      onCommitted: () => respondToAll((waitingId) => this.cancel(waitingId, id, this.stepEffects)),
       // The job reached a final state meanwhile: answered once the watch has delivered it.
-      onConflict: () => answer((r) => this.awaitRevision(r, id, 'cancel', this.stepEffects)),
+      onConflict: () =>
+        respondToAll((waitingId) => this.awaitRevision(waitingId, id, 'cancel', this.stepEffects)),
       onUnavailable: () => {
-        answer((r) => this.respondRetryLater(r, this.stepEffects));
+        respondToAll((waitingId) => this.respondRetryLater(waitingId, this.stepEffects));
         return true;
       },
     });
@@ -355,7 +363,7 @@
    * Whether it is unknown if a job exists, so that no user may be told that it does not: its record cannot be read, or
    * this program is older than the stored records and may not know all of them.
    */
-  private presenceUnknown(id: string): boolean {
+  private isExistenceUnknown(id: string): boolean {
     return (
       this.replica.unreadableRecords.has(jobKey(id)) ||
       ((this.replica.levels.mustStandBy || !this.canConfirmAbsence()) && !this.replica.jobs.has(id))
@@ -363,36 +371,30 @@
   }
 
   /** The transaction that cancels a job. The record keeps its placements until their end is confirmed. */
-  private cancellation({
-    id,
-    acceptedAt: at,
-    spec,
-    modRevision: stamp,
-    tasksInline: whole,
-  }: JobRecord): Transaction {
+  private cancellation({ id, acceptedAt, spec, modRevision, tasksInline }: JobRecord): Transaction {
     const key = jobKey(id);
-    const when = [{ key, stamp }];
-    const tasks = whole ? this.replica.chunks.get(id)?.get(0) : undefined;
+    const conditions = [{ key, stamp: modRevision }];
+    const tasks = tasksInline ? this.replica.chunks.get(id)?.get(0) : undefined;
     if (!tasks || tasks.placements.length === 0)
-      return { conditions: when, writes: [{ key, data: cancelledJobDataOf(at, spec!) }] };
+      return { conditions, writes: [{ key, data: cancelledJobDataOf(acceptedAt, spec!) }] };
     if (this.replica.levels.isEnabled('small-jobs'))
       return {
-        conditions: when,
-        writes: [{ key, data: inlineCancelledJobData(at, spec!, chunkData(tasks)) }],
+        conditions,
+        writes: [{ key, data: inlineCancelledJobData(acceptedAt, spec!, chunkData(tasks)) }],
       };
-    const apart = chunkKey(id, 0);
+    const tasksKey = chunkKey(id, 0);
     return {
-      conditions: [...when, { key: apart, stamp: 0 }],
+      conditions: [...conditions, { key: tasksKey, stamp: 0 }],
       writes: [
-        { key, data: cancelledJobDataOf(at, spec!) },
-        { key: apart, data: chunkData(tasks) },
+        { key, data: cancelledJobDataOf(acceptedAt, spec!) },
+        { key: tasksKey, data: chunkData(tasks) },
       ],
     };
   }
 
   /** Answers all waiting requests with a retry: the core is restarted. */
   rejectAll(effects: Effect[]): void {
-    for (const w of this.pendingReads) this.respondRetryLater(w.requestId, effects);
+    for (const read of this.pendingReads) this.respondRetryLater(read.requestId, effects);
     for (const list of [this.submissionWrites, this.cancellationWrites, this.pendingSubmissions])
       for (const { requestIds } of list.values())
         for (const requestId of requestIds) this.respondRetryLater(requestId, effects);
@@ -410,13 +412,13 @@
 
   private respondWithStatus(requestId: number, id: string, effects: Effect[]): void {
     const job = this.replica.jobs.get(id)!;
-    const c = job.state === 'done' ? { done: job.taskCount, running: 0 } : this.replica.taskCounts(id);
-    const running = job.state === 'open' ? c.running : 0;
+    const counts = job.state === 'done' ? { done: job.taskCount, running: 0 } : this.replica.taskCounts(id);
+    const running = job.state === 'open' ? counts.running : 0;
     effects.push({
       type: 'respond',
       requestId,
       status: 200,
-      body: { nameId: id, status: jobStatus(job.state, running), done: c.done, running },
+      body: { nameId: id, status: jobStatus(job.state, running), done: counts.done, running },
     });
   }
 
@@ -430,9 +432,14 @@
     });
   }
 
-  private awaitRevision(requestId: number, id: string, then: PendingRead['action'], effects: Effect[]): void {
+  private awaitRevision(
+    requestId: number,
+    id: string,
+    action: PendingRead['action'],
+    effects: Effect[],
+  ): void {
     if (this.pendingReads.length >= this.maxPending) return this.respondRetryLater(requestId, effects);
-    this.pendingReads.push({ requestId, id, since: this.clock.now, revision: null, action: then });
+    this.pendingReads.push({ requestId, id, since: this.clock.now, revision: null, action: action });
   }
 
   /**
@@ -441,15 +448,16 @@
    */
   revisionRead(sentAt: number, revision: number | null, effects: Effect[], confirmedByPeers: boolean): void {
     this.revisionRequested = false;
-    for (const w of this.pendingReads)
-      if (w.revision === null && w.since <= sentAt) w.revision = revision ?? -1;
+    for (const read of this.pendingReads)
+      if (read.revision === null && read.since <= sentAt) read.revision = revision ?? -1;
     if (revision === null) {
-      for (const w of this.pendingReads)
-        if (w.revision === -1) {
-          if (confirmedByPeers && w.action === 'status' && this.replica.jobs.has(w.id)) w.revision = Infinity;
-          else this.respondRetryLater(w.requestId, effects);
+      for (const read of this.pendingReads)
+        if (read.revision === -1) {
+          if (confirmedByPeers && read.action === 'status' && this.replica.jobs.has(read.id))
+            read.revision = Infinity;
+          else this.respondRetryLater(read.requestId, effects);
         }
-      this.pendingReads = this.pendingReads.filter((w) => w.revision !== -1);
+      this.pendingReads = this.pendingReads.filter((read) => read.revision !== -1);
     }
   }
 
@@ -481,7 +489,7 @@
     if (this.replica.jobs.has(id)) {
       if (action === 'cancel') this.cancel(requestId, id, effects);
       else this.respondWithStatus(requestId, id, effects);
-    } else if (this.presenceUnknown(id)) this.respondRetryLater(requestId, effects);
+    } else if (this.isExistenceUnknown(id)) this.respondRetryLater(requestId, effects);
     else if (typeof action === 'object') effects.push({ type: 'respond', requestId, ...action });
     else effects.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
   }
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -56,7 +56,7 @@
   private writtenAt = -Infinity;
   private isWriting = false;
   /** Since when the allocation in force is known here, ms. */
-  private known = { version: -1, since: -Infinity };
+  private knownAllocation = { version: -1, since: -Infinity };
   private readonly teamWeight: (team: string) => number;
 
   constructor(private readonly options: WriteBudgetOptions) {
@@ -81,7 +81,7 @@
   observe(): void {
     const { replica, clock, peers } = this.options;
     const version = replica.writeAllocation?.version ?? 0;
-    if (version !== this.known.version) this.known = { version, since: clock.now };
+    if (version !== this.knownAllocation.version) this.knownAllocation = { version, since: clock.now };
     peers.demands();
   }
 
@@ -91,14 +91,15 @@
     if (!this.isEnabled) return this.shareByReports(local);
     const { writeAllocation } = replica;
     const allocated = writeAllocation?.members.get(settings.member);
-    const isFresh = !freshness.isStale && membership.isPresent;
-    if (writeAllocation && allocated && isFresh) {
+    const isUpToDate = !freshness.isStale && membership.isPresent;
+    if (writeAllocation && allocated && isUpToDate) {
       const totalNewJobs = [...writeAllocation.members.values()].reduce((sum, m) => sum + m.newJobs, 0);
       return { ...allocated, totalNewJobs };
     }
     // Guards against following an allocation that was replaced while this controller was cut off, that counts it as gone, or that
     // cannot be read.
-    const mayBeInForce = !isFresh || writeAllocation !== null || replica.unreadableRecords.has(allocationKey);
+    const mayBeInForce =
+      !isUpToDate || writeAllocation !== null || replica.unreadableRecords.has(allocationKey);
     const memberCount = this.memberNames.length;
     const share = fallbackWrites(settings.state.write_rps, memberCount, mayBeInForce);
     return { ...share, totalNewJobs: share.newJobs * memberCount, workloadRates: noRates };
@@ -128,7 +129,8 @@
     this.evaluatedAt = now;
     if (now - this.writtenAt < leaseTtlMs / writesPerLease) return;
     if (replica.unreadableRecords.has(allocationKey)) return;
-    if (!isWorthWriting(replica.writeAllocation, this.next(local), settings.state.write_rps)) return;
+    if (!isWorthWriting(replica.writeAllocation, this.computeNextAllocation(local), settings.state.write_rps))
+      return;
     this.writtenAt = now;
     this.write(local);
   }
@@ -137,14 +139,14 @@
     const { settings, replica, batcher, membership, log } = this.options;
     const valueKb = settings.state.value_kb;
     this.isWriting = true;
-    const settle = (): void => void (this.isWriting = false);
+    const endWrite = (): void => void (this.isWriting = false);
     batcher.enqueue({
       priority: WritePriority.membership,
       build: () => {
         const { leader } = replica;
         // Guards against a former leader, which knows neither what the others follow nor the newest allocation.
         if (!leader || !membership.isLeader || !this.isEnabled) {
-          settle();
+          endWrite();
           return null;
         }
         return {
@@ -152,11 +154,11 @@
             { key: allocationKey, stamp: replica.modRevisionOf(allocationKey) },
             { key: replica.activeLeaderKey, stamp: leader.modRevision },
           ],
-          writes: [{ key: allocationKey, data: allocationData(this.next(local), valueKb) }],
+          writes: [{ key: allocationKey, data: allocationData(this.computeNextAllocation(local), valueKb) }],
         };
       },
       onCommitted: () => {
-        settle();
+        endWrite();
         const { writeAllocation } = replica;
         if (writeAllocation)
           log('debug', 'write allocation', {
@@ -164,11 +166,11 @@
             ...allocationData(writeAllocation, valueKb),
           });
       },
-      onConflict: settle,
+      onConflict: endWrite,
     });
   }
 
-  private next(local: MemberDemand): WriteAllocation {
+  private computeNextAllocation(local: MemberDemand): WriteAllocation {
     const { settings, replica, peers, membership, clock } = this.options;
     const reported = peers.demands();
     const members = this.memberNames.map((name): MemberStatus => {
@@ -176,7 +178,7 @@
       const demand = { ...local, allocationVersion: this.followedVersion };
       return { name, isPresent: true, hasFallenBack: false, demand };
     });
-    const isSettled = clock.now - this.known.since > settledLeases * membership.leaseTtlMs;
+    const isSettled = clock.now - this.knownAllocation.since > settledLeases * membership.leaseTtlMs;
     return nextAllocation(
       replica.writeAllocation,
       settings.state.write_rps,
