--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -1,11 +1,11 @@
-/** Index of the free capacity of a shard's machines, in the placement policy's order of preference. */
+/** Index of the free capacity of a shard's machines, sorted by the preference of the placement policy. */
 import type { JobSpec } from '../model/job.js';
 import { isPremium, urgencyRank } from '../model/job.js';
 import type { Resources, MachineType } from '../model/machine.js';
 import { typeAllowed } from '../policy/admission.js';
 import { spotAllowed } from '../policy/guardrails.js';
 
-/** What the index needs to know of a machine. */
+/** The attributes of a machine that the index uses. */
 export interface IndexedMachine {
   readonly host: string;
   readonly type: MachineType;
@@ -14,19 +14,19 @@
   readonly images: { has(image: string): boolean };
 }
 
-/** Machines of one type and billing model: the policy's score differs among them by image and fullness only. */
+/** The machines of one type and billing model; within a group, the policy's score differs by image and fullness only. */
 export interface MachineGroup<M extends IndexedMachine> {
   readonly type: MachineType;
   readonly spot: boolean;
-  /** Fullest first; machines without free capacity for any waiting task are left out. */
+  /** Sorted with the fullest first. Machines without free capacity for any waiting task are left out. */
   entries: IndexEntry<M>[];
 }
 
-/** What entries are sorted by. */
+/** The sort key of an entry. */
 interface EntryOrder {
-  /** See `fullness`. */
+  /** The used share of the scarcest resource; see the function `fullness`. */
   fullness: number;
-  /** Position in the order in which the machines were given: the last tie-break. */
+  /** The position of the machine in the input; the final tie-break. */
   position: number;
 }
 
@@ -34,53 +34,53 @@
   readonly machine: M;
 }
 
-/** A group's entries during the merge, those with or those without the image, and the one that comes next. */
+/** The position within a group's entries during the merge; each group has one cursor for machines with the image and one for those without. */
 interface MergeCursor<M> {
   readonly entries: readonly IndexEntry<M>[];
   readonly hasImage: boolean;
   /** The policy's score of the group. */
   readonly groupScore: number;
   next: number;
-  /** The group's score plus the tie-break, and the position, of the entry that comes next. */
+  /** Of the next entry: the group's score plus the tie-break, and the position. */
   score: number;
   position: number;
 }
 
-/** Tie-break among machines of like score; far below any price difference that matters. */
+/** Weight of the fullness as a tie-break between equal scores; far below any price difference that matters. */
 export const packingTieBreak = 1e-4;
 
-/** Tolerance for rounding in sums of decimal amounts. */
+/** Tolerance for rounding errors in sums of decimal amounts. */
 const tolerance = 1e-6;
 
 /** The used share of a machine's scarcest resource, from 0 to 1. */
 export const fullness = (type: MachineType, free: Resources): number =>
   type.gpus > 0 ? 1 - free.gpus / type.gpus : 1 - free.cpus / type.cpus;
 
-/** A request that found no capacity: one that asks for as much or more finds none either. */
+/** A request for which no capacity was found: a request for as much or more would not succeed either. */
 interface UnplaceableRequest {
   readonly spec: JobSpec;
-  /** Of a gang: how many of its tasks the best zone, and all zones together, could have taken. */
+  /** For a gang: how many of its tasks would have fit in the best zone, and in all zones together. */
   readonly maxPerZone: number;
   readonly total: number;
 }
 
 /**
- * The machines of a shard in the policy's order of preference, for one scheduling cycle. The plain definition scores every
- * machine for every job. Within a group the score depends on image and fullness only, so sorted groups are merged, and only
- * as far as a job has tasks.
+ * The machines of a shard in the policy's order of preference, for one scheduling cycle. The naive implementation scores every machine
+ * for every job. Since the score within a group depends on image and fullness only, the index keeps the groups sorted and merges them
+ * lazily, only as far as a job needs machines.
  */
 export class CapacityIndex<M extends IndexedMachine> {
-  /** The machines by type and billing model, in the order in which each first came. */
+  /** The groups by type and billing model, in the order of their first machine. */
   readonly groups: MachineGroup<M>[] = [];
-  /** How many machines were examined; the scheduling cycle resets it after each step. */
+  /** The number of machines examined; the scheduling cycle resets it after each step. */
   examined = 0;
   private readonly unplaceable: UnplaceableRequest[] = [];
 
   constructor(
     machines: Iterable<M>,
-    /** The current free capacity of a machine. */
+    /** Returns the current free capacity of a machine. */
     private readonly freeCapacity: (machine: M) => Resources,
-    /** The least that any waiting task takes: a machine with less free capacity is left out. */
+    /** The smallest request of any waiting task: machines with less free capacity are left out. */
     private readonly minRequest: Resources,
   ) {
     const groupByKey = new Map<string, MachineGroup<M>>();
@@ -106,8 +106,8 @@
   }
 
   /**
-   * The machines that a job may use, best first. `score` is the policy's score of a group, with or without the image;
-   * `isEligible` is what else decides about a machine; `imageRequired` leaves out machines that lack the image.
+   * The machines that a job may use, best first. `score` is the policy's score of a group, with or without the image; `isEligible`
+   * applies any further conditions to a machine; `imageRequired` leaves out machines that do not have the image.
    */
   *bestFirst(
     spec: JobSpec,
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Moves a cursor to the next machine that the job may use. False: there is none. */
+  /** Moves a cursor to the next machine that the job may use; returns false if there is none. */
   private advance(cursor: MergeCursor<M>, spec: JobSpec, isEligible: (machine: M) => boolean): boolean {
     for (; cursor.next < cursor.entries.length; cursor.next++) {
       const entry = cursor.entries[cursor.next];
@@ -147,7 +147,7 @@
     return false;
   }
 
-  /** Moves machines on which tasks were placed to where they belong now, or out of the index. */
+  /** Re-sorts machines on which tasks were placed, or removes them if their capacity is used up. */
   reposition(hosts: ReadonlySet<string>): void {
     if (hosts.size === 0) return;
     for (const group of this.groups) {
@@ -166,19 +166,19 @@
     }
   }
 
-  /** Removes machines that were reserved. */
+  /** Removes machines from the index, such as reserved ones. */
   remove(hosts: ReadonlySet<string>): void {
     if (hosts.size === 0) return;
     for (const group of this.groups)
       group.entries = group.entries.filter((entry) => !hosts.has(entry.machine.host));
   }
 
-  /** Notes that a job found no (more) capacity. Within a cycle free capacity only shrinks. */
+  /** Records that no (more) capacity was found for a job. Within a cycle, free capacity only shrinks. */
   noteUnplaceable(spec: JobSpec, maxPerZone = 0, total = 0): void {
     this.unplaceable.push({ spec, maxPerZone, total });
   }
 
-  /** Whether a job that asked for no more than this one has found no capacity in this cycle. */
+  /** Whether an earlier job of this cycle that requested no more than this one found no capacity. */
   isUnplaceable(spec: JobSpec, taskCount: number): boolean {
     return this.unplaceable.some((request) => {
       const earlier = request.spec;
@@ -189,7 +189,7 @@
   }
 }
 
-/** Whether a task of one job could go wherever a task of another can. */
+/** Whether a task of the earlier job fits wherever a task of the other job fits. */
 const isNoMoreDemanding = (earlier: JobSpec, spec: JobSpec): boolean =>
   earlier.cpus <= spec.cpus &&
   earlier.gpus <= spec.gpus &&
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,4 +1,7 @@
-/** The core's interface: commands that come in, effects that go out, and the clock and log that it is given. */
+/**
+ * The interface of the controller core: the commands that it handles, the effects that it requests, and the clock and logger that
+ * it is given.
+ */
 import type { MemberDemand, Rejection } from '../admission/index.js';
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
@@ -9,25 +12,25 @@
 import type { ListedMachine, RentalOutcome, RentRequest } from '../wire/cloud.js';
 import type { Change, Transaction } from '../wire/store.js';
 
-/** What a controller broadcasts to its peers. */
+/** The status that a controller broadcasts to its peers. */
 export interface PeerStatus {
-  /** The newest revision that it knows of. */
+  /** The newest revision of the state service that the controller knows of. */
   readonly revision: number;
-  /** Identifies the process among all that have run under its member's name. */
+  /** Identifies the controller process; each start under the same member name has a new one. */
   readonly instanceId: string;
-  /** The share of its time that it is busy, in thousandths. */
+  /** The share of time that the controller is busy, in thousandths. */
   readonly utilizationPermille: number;
-  /** Whether peers are asked to keep its workers that reach them, and to forward their heartbeats. */
+  /** Whether peers are asked to accept heartbeats of this controller's workers and forward them, instead of redirecting the workers. */
   readonly wantsForwarding: boolean;
-  /** The writes a second that it wants; null: its program does not report a demand. */
+  /** The writes per second that the controller needs; null if its program version does not report a demand. */
   readonly demand: MemberDemand | null;
-  /** The incarnation of the state that it follows; 0: none. */
+  /** The incarnation of the stored state that the controller follows; 0 if none. */
   readonly incarnation: number;
-  /** How many jobs it knows. */
+  /** The number of jobs that the controller knows. */
   readonly jobCount: number;
 }
 
-/** What the adapters bring to the core. `rid` names a request that waits for its answer. */
+/** Input of the core, delivered by the adapters. `requestId` identifies a request whose response is still due. */
 export type Command =
   | { type: 'tick' }
   | { type: 'submit'; requestId: number; spec: JobSpec }
@@ -36,31 +39,34 @@
   | { type: 'heartbeat'; requestId: number; report: Heartbeat; from?: string }
   | { type: 'forwarded-response'; requestId: number; status: number; body: object | string }
   | { type: 'peer-status'; from: string; status: PeerStatus }
-  /** Jobs that another controller has turned away. */
+  /** Jobs that another controller has rejected. */
   | { type: 'rejected-jobs'; list: Rejection[] }
-  /** A peer's freshness query, and the answer of another to ours. */
+  /** A peer's freshness query, and a peer's answer to a query of this controller. */
   | { type: 'freshness-query'; from: string; query: FreshnessQuery }
   | { type: 'freshness-confirmed'; from: string; instanceId: string; query: FreshnessQuery; known: Change[] }
-  /** What the process has been doing lately: share of its time, connections that are open, shares of memory and waiting room. */
+  /**
+   * The recent load of the process: the share of time that it was busy, the number of open connections, and the shares of the memory
+   * limit and of the submission queue that are in use.
+   */
   | { type: 'load'; busy: number; connections: number; memory?: number; waiting?: number }
-  /** A peer's connection broke and a new one was refused at once. */
+  /** The connection to a peer broke, and a new connection was refused immediately. */
   | { type: 'peer-lost'; member: string }
-  /** So many keys of the first reading are here. */
+  /** The number of keys of the initial snapshot that have been read so far. */
   | { type: 'snapshot-progress'; keys: number }
   | { type: 'snapshot-loaded'; items: Change[]; revision: number }
   | { type: 'changes'; changes: Change[]; revision: number }
   | { type: 'commit-result'; outcome: CommitOutcome }
-  /** A part of what is stored; `epoch` null: no answer. */
+  /** A page of the stored records, read for the audit; `revision` is null if the request got no answer. */
   | { type: 'audit-result'; from: string; items: Change[]; more: boolean; revision: number | null }
   | { type: 'revision-read'; sentAt: number; revision: number | null }
   | { type: 'lease-granted'; leaseId: number | null }
   | { type: 'lease-renewal-result'; leaseId: number; outcome: 'ok' | 'gone' | 'failed' }
   | { type: 'forget-machine'; host: string }
-  /** The process is to end: it hands on what it has first. */
+  /** The process is to shut down gracefully: it first hands over what it owns. */
   | { type: 'shut-down' }
-  /** What a machine says of itself; null: it is gone. */
+  /** The attributes that a machine reports; null if the machine is gone. */
   | { type: 'machine-attributes'; host: string; attributes: MachineAttributes | null }
-  /** A gang that cannot succeed any more: what is left of it is stopped. */
+  /** A gang that can no longer succeed: its remaining tasks are stopped. */
   | { type: 'stop-gang'; id: string }
   | { type: 'machine-types'; types: MachineType[] | null }
   | {
@@ -71,36 +77,36 @@
   | { type: 'deletion-result'; hosts: string[]; ok: boolean }
   | { type: 'machine-list'; machines: ListedMachine[] | null; askedAt: number };
 
-/** What became of a transaction. */
+/** The outcome of a transaction. */
 export type CommitOutcome =
   | { type: 'ok'; revision: number }
   | { type: 'conflict'; failed: string[]; revision: number }
-  /** Certainly not executed. */
+  /** Definitely not executed. */
   | { type: 'rejected' }
-  /** Certainly not executed: more was asked of the state service than it takes. */
+  /** Definitely not executed: the request rate exceeds the limit of the state service. */
   | { type: 'rate-limited' }
-  /** A state lease named in it is no more. Certainly not executed. */
+  /** Definitely not executed: a state lease that the transaction refers to has expired. */
   | { type: 'lease-expired' }
   | { type: 'malformed' }
-  /** No answer: it may have been executed, or may be executed later. */
+  /** No answer: the transaction may have been executed, or may still be executed later. */
   | { type: 'unknown' };
 
-/** What the core wants done. */
+/** Output of the core: an action for the adapters to perform. */
 export type Effect =
-  /** A body that is text already goes out as it is. */
+  /** Responds to a request. A string body is sent unchanged. */
   | { type: 'respond'; requestId: number; status: number; body: object | string; retryAfterS?: number }
   | { type: 'commit'; txn: Transaction }
   | { type: 'read-revision' }
   | { type: 'catch-up'; revision: number }
-  /** Forwards a heartbeat to the owner of its machine; the answer comes as 'forwarded-response'. */
+  /** Forwards a heartbeat to the owner of its machine; the response arrives as a 'forwarded-response' command. */
   | { type: 'forward-heartbeat'; to: string; requestId: number; report: Heartbeat }
   | { type: 'peer-status'; status: PeerStatus }
   | { type: 'rejected-jobs'; list: Rejection[] }
   | { type: 'query-freshness'; query: FreshnessQuery }
   | { type: 'confirm-freshness'; to: string; query: FreshnessQuery; known: Change[] }
-  /** Read some keys behind this one. */
+  /** Reads a page of up to `keys` stored records that follow the key `from`. */
   | { type: 'audit'; from: string; keys: number }
-  /** The state service has lost data: this controller is to begin anew with what it knew. */
+  /** The state service has lost data: the core is to be restarted with the records that this controller knew. */
   | { type: 'restart'; recoveryRecords: RecoveryRecords }
   | { type: 'grant-lease'; ttlMs: number }
   | { type: 'renew-lease'; leaseId: number }
@@ -118,14 +124,15 @@
       orders: TaskOrder[];
     };
 
-/** The clock readings of a step. */
+/** The clock readings of one step. */
 export interface Clock {
-  /** Steady, ms. */
+  /** Monotonic time, ms. */
   now: number;
-  /** Time of day, ms. */
+  /** Wall-clock time, ms. */
   wall: number;
 }
 
-/** Levels of log lines. */
+/** The severity of a log line. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
+/** Writes a log line with optional structured fields. */
 export type Log = (level: LogLevel, message: string, fields?: Record<string, unknown>) => void;
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciliation of workers' heartbeats with the placements, and the orders that heartbeats are answered with. */
+/** Reconciles the placements with the tasks that workers report in heartbeats, and computes the orders of the responses. */
 import { taskKey } from '../model/job.js';
 import type { Heartbeat, TaskOrder, TaskStatus } from '../model/heartbeat.js';
 import { imageFetchS } from '../policy/pricing.js';
@@ -14,26 +14,26 @@
 } from './shard-state/types.js';
 import { maxOrdersPerMessage, stopOrder } from './task-orders.js';
 
-/** For how many report intervals nothing is placed on a machine that had no room for a task. */
+/** A machine that had no free capacity for a task receives no tasks for this many report intervals. */
 const fullMachineCooldownReports = 2;
 
-/** The end of a task, which its worker may forget once it is durable. */
+/** The exit of a task; its worker may forget the task once the exit is durable. */
 interface UnpersistedExit {
   readonly job: ScheduledJob;
   readonly chunk: TaskChunk;
-  /** The chunk's version that holds the end. */
+  /** The version of the chunk that contains the exit. */
   readonly version: number;
 }
 
-/** The tasks that a heartbeat lists, by their keys. */
+/** The tasks that a heartbeat lists, by task key. */
 type ReportedTasks = ReadonlyMap<string, TaskStatus>;
 
 /**
- * Takes heartbeats as evidence of what runs, and turns durable placements into orders. A heartbeat that carries the fencing token of
- * the current owner is proof also of what does not run: no earlier owner can have anything started after it.
+ * Updates the placements by what heartbeats report as running, and turns durable placements into orders. A heartbeat that carries the
+ * current owner's fencing token also proves which tasks do not run: after it, no earlier owner can have a task started.
  */
 export class HeartbeatReconciler {
-  /** Ends of tasks that their workers still list, by machine and attempt. */
+  /** Exits of tasks that their workers still list, by machine, task and attempt. */
   private readonly unpersistedExits = new Map<string, UnpersistedExit>();
 
   constructor(
@@ -41,11 +41,11 @@
     private readonly machineHealth: MachineHealth,
   ) {}
 
-  /** Takes in the heartbeat of a machine of this process's shards; returns the orders to answer with. */
+  /** Processes the heartbeat of a machine in an owned shard; returns the orders for the response. */
   reconcile(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): TaskOrder[] {
     const hasCurrentToken = heartbeat.fencingToken === token;
     this.recordContact(machine, heartbeat, token);
-    // Guards against the late heartbeat: its list is as old as itself, and its response will be dropped.
+    // A late heartbeat is not acted on: its task list is out of date, and the worker drops the response.
     if (!isNewerHeartbeat(heartbeat, machine)) return [];
     this.recordPosition(machine, heartbeat, hasCurrentToken);
     if (heartbeat.noticeS !== null && machine.reclaimAt === 0)
@@ -58,7 +58,7 @@
     return orders.slice(0, maxOrdersPerMessage);
   }
 
-  /** The orders for a machine as of now, in response to its newest heartbeat, which was reconciled before. */
+  /** The current orders for a machine, in response to its newest heartbeat, which has been reconciled already. */
   currentOrders(machine: ScheduledMachine, heartbeat: Heartbeat): TaskOrder[] {
     const orders: TaskOrder[] = [];
     const reported = reportedTasks(heartbeat);
@@ -70,7 +70,7 @@
     return orders;
   }
 
-  /** Whether a machine has placements whose start waits until they are durable. */
+  /** Whether a machine has placements whose start order must wait until they are durable. */
   hasStartsAwaitingDurability(machine: ScheduledMachine): boolean {
     for (const placement of machine.placements.values()) {
       const { placedByThisProcess, startSentWith, stopRequest } = placement;
@@ -80,7 +80,7 @@
     return false;
   }
 
-  /** Any heartbeat renews the worker's lease, also a late one. */
+  /** Records the contact and the extended worker lease: any heartbeat extends the lease, even a late one. */
   private recordContact(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): void {
     const { clock, settings } = this.shardState;
     machine.endpoint = heartbeat.endpoint;
@@ -90,7 +90,7 @@
       machine.confirmedAt = 0;
     }
     const leaseExpiry = clock.now + settings.workers.lease_s * 1000;
-    // Under the current token no earlier owner can renew the lease any more.
+    // Once the worker has seen the current token, no earlier owner can extend the lease.
     machine.earliestLeaseExpiry =
       heartbeat.fencingToken === token ? leaseExpiry : Math.max(machine.earliestLeaseExpiry, leaseExpiry);
   }
@@ -100,12 +100,12 @@
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.heartbeatSeq = heartbeat.sequence;
     if (!hasCurrentToken) return;
-    // Guards against releasing a machine for having been idle while it booted.
+    // The idle time starts at the first confirmation, so that a machine is not released for being idle while it booted.
     if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
     machine.confirmedAt = now;
   }
 
-  /** Updates a machine's placements by what its heartbeat lists and does not list. */
+  /** Updates the placements of a machine by the tasks that its heartbeat lists, and by those that it does not list. */
   private reconcilePlacements(
     machine: ScheduledMachine,
     heartbeat: Heartbeat,
@@ -116,8 +116,9 @@
       if (placement.job.unreadable) continue;
       const status = reported.get(key);
       if (status?.attempt === placement.attempt) {
-        // Guards against the old copy that a new owner hears of first: a repaired gang has the same attempt there again.
-        // That a task completed stays true; that it ended otherwise counts only under the current token.
+        // The first heartbeat that a new owner receives may be an old copy from an earlier agent session, and a repaired gang may have
+        // the same attempt on the machine again. So any exit other than completion counts only under the current token; a
+        // completion stays valid.
         const exitedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
         if (hasCurrentToken || !exitedIncomplete) this.applyTaskStatus(machine, placement, status);
       } else if (hasCurrentToken) {
@@ -128,7 +129,7 @@
     }
   }
 
-  /** Adds the order that a task which a worker lists asks for, if any: that it stops, or that the worker forgets it. */
+  /** Adds the order that a reported task requires, if any: to stop it, or to forget it. */
   private addOrderForTask(
     machine: ScheduledMachine,
     key: string,
@@ -137,14 +138,14 @@
     orders: TaskOrder[],
   ): void {
     const placement = machine.placements.get(key);
-    // Guards against stopping, or forgetting the result of, what a newer program has placed here.
+    // A task that a newer program version has placed must not be stopped, nor its result be forgotten.
     if (placement?.job.unreadable || this.shardState.replica.isJobUnreadable(status.job)) return;
     if (placement?.attempt === status.attempt) addStopOrder(placement, status, orders);
     else if (status.phase === 'exited') this.addForgetOrder(machine, key, status, orders);
     else if (hasCurrentToken) this.addUnknownTaskStop(machine, key, status, orders);
   }
 
-  /** Guards against losing a result: a task is forgotten only after its end is durable. */
+  /** Lets a worker forget an exited task, but only once the exit is durable: otherwise the result could be lost. */
   private addForgetOrder(
     machine: ScheduledMachine,
     key: string,
@@ -168,7 +169,11 @@
     { job: id, index, attempt }: TaskStatus,
     orders: TaskOrder[],
   ): void {
-    this.shardState.log('warn', 'unknown task reported', { piece: key, attempt, host: machine.host });
+    this.shardState.log('warn', 'worker reports a task that is not placed on it', {
+      piece: key,
+      attempt,
+      host: machine.host,
+    });
     const job = this.shardState.jobs.get(id);
     if (job && index < job.spec.tasks)
       this.shardState.onUnknownAttempt(key, attempt, chunkOf(job, index).lastAttempt);
@@ -186,9 +191,9 @@
       if (orders.length >= maxOrdersPerMessage) break;
       const { job, index, attempt, placedByThisProcess, startSentWith } = placement;
       const isUnsent = placedByThisProcess && startSentWith === null;
-      // Guards against a machine that has changed since it was chosen. What may have been sent stays where it is.
+      // The attributes of the machine may have changed since it was chosen. A start that may have been sent is left in place.
       if (isUnsent && job.match?.allows(machine.host) === false) {
-        this.shardState.removePlacement(placement, 'the machine matches no longer');
+        this.shardState.removePlacement(placement, 'machine no longer matches the job');
         continue;
       }
       const isReported = reported.get(key)?.attempt === attempt;
@@ -233,26 +238,33 @@
     this.unpersistedExits.set(unpersistedExitKey(host, key, attempt), { job, chunk, version: chunk.version });
   }
 
-  /** A heartbeat that is proof, and newer than the start, does not list the attempt: it is not on the machine. */
+  /**
+   * Handles an attempt that is proven not to be on the machine: a heartbeat under the current token, and newer than the start order,
+   * does not list it.
+   */
   private handleMissingTask(machine: ScheduledMachine, placement: Placement): void {
     const { shardState } = this;
     if (placement.stopRequest || placement.job.cancelled)
-      return shardState.removePlacement(placement, 'absent');
-    if (placement.phase !== 'placed') return shardState.removePlacement(placement, 'vanished', 'lost');
-    // The worker never listed it: its start is sent (again) with this response, unless the machine is to take none.
+      return shardState.removePlacement(placement, 'not on the machine');
+    if (placement.phase !== 'placed')
+      return shardState.removePlacement(placement, 'started task no longer reported', 'lost');
+    // The worker has never listed the attempt: its start is sent (again) with this response, unless the machine takes no more tasks.
     const isUnsentFromEarlierOwner = !placement.placedByThisProcess && placement.startSentWith === null;
     if (machine.reclaimAt > 0 || machine.quarantined)
-      shardState.removePlacement(placement, 'machine not to be used');
+      shardState.removePlacement(placement, 'machine takes no more tasks');
     else if (isUnsentFromEarlierOwner && !shardState.mayStillStart(placement))
-      shardState.removePlacement(placement, 'dropped by the earlier owner');
+      shardState.removePlacement(placement, 'possibly removed by the earlier owner');
   }
 
-  /** The cloud will reclaim a spot machine: gangs, and tasks that can save in time, are stopped; others may still finish. */
+  /**
+   * Handles the notice that the cloud will reclaim a spot machine: gangs, and tasks that can save their state in time, are stopped;
+   * other tasks may still finish.
+   */
   private handleReclaimNotice(machine: ScheduledMachine, noticeS: number): void {
     const { shardState } = this;
     machine.reclaimAt = shardState.clock.now + noticeS * 1000;
     shardState.hazard.recordInterruption();
-    shardState.log('info', 'notice', { host: machine.host, noticeS });
+    shardState.log('info', 'reclaim notice for spot machine', { host: machine.host, noticeS });
     for (const placement of machine.placements.values()) {
       const { spec } = placement.job;
       if (spec.shape === 'gang') shardState.stopGang(placement.job);
@@ -267,13 +279,13 @@
   return reported;
 }
 
-/** Adds the stop of a task that a worker lists as active, if it was requested. */
+/** Adds the stop order for a task that has not exited, if a stop was requested. */
 function addStopOrder(placement: Placement, status: TaskStatus, orders: TaskOrder[]): void {
   if (placement.stopRequest && status.phase !== 'exited')
     orders.push(stopOrder(placement, placement.stopRequest));
 }
 
-/** Whether a heartbeat is newer than the one at a position. */
+/** Whether a heartbeat is newer than the one at the given position. */
 export const isNewerHeartbeat = (
   heartbeat: Heartbeat,
   { agentEpoch, heartbeatSeq }: HeartbeatPosition,
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Routing of workers' heartbeats: answered here, redirected to the owner of their machine, or forwarded to it. */
+/** Routes the heartbeats of workers: answers them, redirects the worker to the owner of its machine, or forwards them to the owner. */
 import type { Settings } from '../config/settings.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import { encodeHeartbeatResponse, encodeRedirect } from '../wire/worker.js';
@@ -12,13 +12,13 @@
 import type { ShardManager } from './shard-manager.js';
 import type { ScheduledMachine } from './shard-state/types.js';
 
-/** How long a forwarded heartbeat may take, of the 4 s that workers wait for a response. */
+/** The timeout of a forwarded heartbeat, ms; workers wait 4 s for a response. */
 const forwardTimeoutMs = 2000;
 
-/** The controller that answers for a machine, and the fencing token that its responses carry. */
+/** The controller that is responsible for a machine, and the fencing token of its responses. */
 type MachineOwner = NonNullable<ReturnType<Replica['responsibleController']>>;
 
-/** What the router is created with. */
+/** The dependencies of a heartbeat router. */
 export interface HeartbeatRouterOptions {
   readonly settings: Settings;
   /** Identifies this process. */
@@ -29,22 +29,22 @@
   readonly peers: Peers;
   readonly loadSharing: LoadSharing;
   readonly clock: Clock;
-  /** The most heartbeats that wait for a peer's response. */
+  /** The maximum number of forwarded heartbeats that wait for a peer's response. */
   readonly maxForwarded: number;
-  /** Called with the fencing token that a worker has seen. */
+  /** Called with the highest fencing token that a worker has seen. */
   readonly onTokenReported: (token: number) => void;
-  /** Whether the replica is fresh enough for workers to be answered from it. */
+  /** Whether the replica is recent enough to answer workers from it. */
   readonly mayAnswerWorkers: () => boolean;
-  /** Whether the state service refuses writes, or users wait for theirs. */
+  /** Whether the state service rejects writes, or user requests wait for their writes. */
   readonly areWritesScarce: () => boolean;
   readonly isLeader: () => boolean;
 }
 
-/** Takes in heartbeats from workers and peers, and produces their responses. */
+/** Handles heartbeats from workers and peers, and produces the responses. */
 export class HeartbeatRouter {
   /** When a worker was last redirected to its machine's owner, by host, ms. */
   private readonly redirectedAt = new Map<string, number>();
-  /** When a heartbeat was forwarded, by request, ms; oldest first. */
+  /** When each pending forwarded heartbeat was forwarded, by request id, ms; oldest first. */
   private readonly forwardedAt = new Map<number, number>();
   private readonly heldResponses: HeldResponses;
 
@@ -53,12 +53,12 @@
     this.heldResponses = new HeldResponses(settings, shardManager.heartbeatReconciler, clock);
   }
 
-  /** Routes a heartbeat. `forwardedBy`: the peer that forwarded it; null: it came from the worker. */
+  /** Routes a heartbeat. `forwardedBy` is the peer that forwarded it; null if it came directly from the worker. */
   route(requestId: number, heartbeat: Heartbeat, forwardedBy: string | null, out: Effect[]): void {
     const { replica, autoscaler, loadSharing, onTokenReported } = this.options;
     onTokenReported(heartbeat.fencingToken);
-    // Guards against acting on an old replica: a cancellation seen by users could be missed here, and the response
-    // would keep the task alive.
+    // No response is sent from an outdated replica: it may lack a cancellation that users have seen, and the response would keep the
+    // task alive.
     if (!this.mayRespond) return respond(out, requestId, 503, {}, 1);
     const machine = replica.machines.get(heartbeat.host);
     if (!machine) return this.routeUnknownMachine(requestId, heartbeat, out);
@@ -66,7 +66,7 @@
     if (!owner || !this.isThisProcess(owner))
       return this.routeToOwner(requestId, heartbeat, owner, forwardedBy, out);
     this.redirectedAt.delete(heartbeat.host);
-    // A newer token was granted to another process: this one is the stale owner and has not learned of it yet.
+    // The newer token belongs to another process: this one no longer owns the shard, but its replica does not show it yet.
     if (heartbeat.fencingToken > owner.token) return respond(out, requestId, 421, encodeRedirect(null));
     loadSharing.recordHeartbeat(forwardedBy);
     if (machine.shard < 0) {
@@ -91,7 +91,7 @@
     respond(out, requestId, 503, {}, 1);
   }
 
-  /** Answers the heartbeat of a machine of ours. */
+  /** Responds to the heartbeat of a machine that this process owns. */
   private respondAsOwner(
     requestId: number,
     heartbeat: Heartbeat,
@@ -103,24 +103,24 @@
     const { host } = heartbeat;
     const machine = shardManager.machines.get(host);
     if (!machine) return respond(out, requestId, 503, {}, 1);
-    // Only a worker that has seen the current token may be redirected: its machine has been proven then.
+    // Only a worker that has seen the current token may be redirected: its heartbeat has already confirmed what runs on the machine.
     const mayRedirect = forwardedBy === null && heartbeat.fencingToken === token;
     const helper = mayRedirect ? loadSharing.takeRedirectTarget() : null;
     if (helper !== null) return respond(out, requestId, 421, encodeRedirect(helper));
     autoscaler.recordHeartbeat(host);
-    // A late copy is no newer heartbeat: the worker may still wait for the response that is held.
+    // A late copy does not supersede the held response: the worker may still be waiting for it.
     const isNewer = isNewerHeartbeat(heartbeat, machine);
     const superseded = isNewer ? this.heldResponses.releaseSuperseded(host) : null;
     if (superseded) respondReleased(out, superseded);
     const orders = shardManager.heartbeatReconciler.reconcile(machine, heartbeat, token);
-    // Where time or writes are scarce, starts are late anyway.
+    // If CPU time or writes are scarce, starts are delayed anyway and holding the response gains nothing.
     const hasSlack = !loadSharing.isBusy && !areWritesScarce();
     const mayHold = isNewer && forwardedBy === null && orders.length === 0 && hasSlack;
     if (mayHold && this.heldResponses.tryHold(machine, heartbeat, token, requestId)) return;
     respond(out, requestId, 200, encodeHeartbeatResponse(token, orders));
   }
 
-  /** Redirects a worker to the owner of its machine, or forwards its heartbeat there. */
+  /** Redirects a worker to the owner of its machine, or forwards its heartbeat to the owner. */
   private routeToOwner(
     requestId: number,
     heartbeat: Heartbeat,
@@ -132,8 +132,8 @@
     const { host } = heartbeat;
     if (owner === null || owner.member === settings.member || !replica.isAlive(owner.member, owner.run))
       return respond(out, requestId, 421, encodeRedirect(null));
-    // A worker that was redirected and is here again cannot reach the owner: its heartbeat is forwarded, so that a
-    // partition between two zones does not cost its lease. So is that of a worker whose owner is offloading.
+    // A worker that comes back after a redirect cannot reach the owner: its heartbeat is forwarded, so that a network partition between
+    // two zones does not cost the worker its lease. Heartbeats are also forwarded to an owner that is offloading.
     const redirectedAt = this.redirectedAt.get(host) ?? -Infinity;
     const cannotReachOwner = clock.now - redirectedAt < settings.workers.lease_s * 1000;
     const shouldForward = forwardedBy === null && (cannotReachOwner || peers.wantsForwarding(owner.member));
@@ -147,12 +147,12 @@
     respond(out, requestId, 421, encodeRedirect(owner.member));
   }
 
-  /** The owner's response to a forwarded heartbeat. */
+  /** Passes the owner's response to a forwarded heartbeat on to the worker. */
   onForwardedResponse(requestId: number, status: number, body: object | string, out: Effect[]): void {
     if (this.forwardedAt.delete(requestId)) respond(out, requestId, status, body);
   }
 
-  /** One step: times out forwarded heartbeats, and releases held responses. */
+  /** Runs one step: times out forwarded heartbeats, and sends the held responses that are due. */
   tick(out: Effect[]): void {
     const { now } = this.options.clock;
     for (const [requestId, at] of this.forwardedAt) {
@@ -164,7 +164,7 @@
     for (const released of due) respondReleased(out, released);
   }
 
-  /** Whether a heartbeat that was taken in earlier may still be answered under this token. */
+  /** Whether this process still owns a machine under the given token, so that an earlier heartbeat may still be answered. */
   private stillOwns(machine: ScheduledMachine, token: number): boolean {
     const { replica, shardManager } = this.options;
     const record = replica.machines.get(machine.host);
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -1,4 +1,4 @@
-/** Acquires and releases shards, and gives scheduling cycles and maintenance of the shards their turns. */
+/** Acquires and releases shards, and runs the scheduling cycles and the maintenance of the owned shards. */
 import type { OperatorSettings } from '../config/operators.js';
 import type { Settings } from '../config/settings.js';
 import type { Matcher } from '../policy/matching.js';
@@ -15,24 +15,24 @@
 import { summarize } from './summary.js';
 import { requestHeartbeats, sendStops } from './task-orders.js';
 
-/** How often the machines and the stored records of the shards are maintained, ms. */
+/** The interval between maintenance runs for the machines and stored records of the owned shards, ms. */
 const maintenanceIntervalMs = 1000;
 
-/** What a process's shards are managed with. */
+/** The dependencies of a shard manager. */
 export interface ShardManagerOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
-  /** Identifies this process among those that its member has started. */
+  /** Identifies this process; each start of the member has a new one. */
   readonly instanceId: string;
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
   readonly clock: Clock;
   readonly log: Log;
-  /** Matches jobs' expressions with machines' attributes; null: no job has any. */
+  /** Matches the expressions of jobs with the attributes of machines; null if jobs have no expressions. */
   readonly matcher: Matcher | null;
 }
 
-/** Manages the shards of this process: which they are, and the turns of what is done for them. */
+/** Manages the shards that this process owns: acquires and releases them, and runs their scheduling and maintenance. */
 export class ShardManager {
   readonly shardState: ShardState;
   readonly heartbeatReconciler: HeartbeatReconciler;
@@ -46,11 +46,11 @@
   private readonly cycleRunner: CycleRunner;
   private lastMaintenanceAt = -1;
   private lastSummaryAt = 0;
-  /** When a shard was last acquired, ms. */
+  /** When a shard was last acquired, in monotonic ms. */
   lastAcquiredAt = -Infinity;
-  /** Machines that had placements when their shard was acquired, until they are confirmed or gone. */
+  /** Machines that had placements when their shard was acquired, and that have neither been confirmed nor gone since. */
   private readonly awaitingConfirmation = new Set<ScheduledMachine>();
-  /** Fields that others add to the summary in the log. */
+  /** Provides additional fields for the logged summary. */
   extraSummary: () => object = () => ({});
 
   constructor({ instanceId, ...options }: ShardManagerOptions) {
@@ -70,32 +70,32 @@
     this.cycleRunner = new CycleRunner(this.shardState);
   }
 
-  /** Another feature level is in force: records may have to be rewritten. */
+  /** Handles a change of the feature level in force: records may have to be rewritten in another format. */
   levelChanged(): void {
     this.recordMigrator.restart();
   }
 
-  /** The jobs of this process's shards, by id. */
+  /** The jobs of the owned shards, by job id. */
   get jobs(): ReadonlyMap<string, ScheduledJob> {
     return this.shardState.jobs;
   }
 
-  /** The machines of this process's shards, by host. */
+  /** The machines of the owned shards, by host. */
   get machines(): ReadonlyMap<string, ScheduledMachine> {
     return this.shardState.machines;
   }
 
-  /** The shards of this process. */
+  /** The numbers of the shards that this process owns. */
   get ownedShards(): ReadonlySet<number> {
     return this.shardState.ownedShards;
   }
 
-  /** How many machines scheduling cycles have examined. */
+  /** The total number of machines that scheduling cycles have examined. */
   get machinesExamined(): number {
     return this.cycleRunner.machinesExamined;
   }
 
-  /** Acquires shards that are assigned to this process, and releases those that no longer are. */
+  /** Acquires the shards that are assigned to this process, and releases those that no longer are. */
   reconcileShards(): void {
     const { shardState, replica } = this;
     for (const shard of [...shardState.ownedShards])
@@ -105,7 +105,7 @@
       }
     for (const [shard, { modRevision }] of replica.shards) {
       if (shardState.ownedShards.has(shard) || !this.isAssignedToThisProcess(shard)) continue;
-      // The replica must include all that earlier owners wrote, so it has to have reached the assignment.
+      // The replica must include everything that earlier owners wrote, so it must have reached the revision of the assignment.
       if (replica.watchRevision >= modRevision) this.acquireShard(shard, modRevision);
     }
   }
@@ -121,7 +121,7 @@
     this.log('info', 'shard acquired', { shard, grant: modRevision, ...counts });
   }
 
-  /** Machines that had placements when their shard was acquired, and are neither confirmed nor gone since. */
+  /** The machines that had placements when their shard was acquired, and that have neither been confirmed nor gone since. */
   get unconfirmedMachines(): readonly ScheduledMachine[] {
     for (const machine of this.awaitingConfirmation) {
       const isCurrent = this.machines.get(machine.host) === machine;
@@ -137,7 +137,7 @@
     return assignment?.owner === this.settings.member && assignment.instanceId === this.instanceId;
   }
 
-  /** One step: writes, maintenance and scheduling as far as they are due, and orders that do not wait for heartbeats. */
+  /** Runs one step: writes, maintenance and scheduling that are due, and orders that are sent without waiting for a heartbeat. */
   tick(out: Effect[]): void {
     const { now } = this.clock;
     const { taskWriter } = this.shardState;
--- a/src/core/task-orders.ts
+++ b/src/core/task-orders.ts
@@ -1,13 +1,13 @@
-/** Orders to workers, and those that are sent without waiting for a heartbeat. */
+/** Creates orders for workers, and sends those that do not wait for a heartbeat. */
 import type { TaskOrder } from '../model/heartbeat.js';
 import type { Effect } from './effects.js';
 import type { ShardState } from './shard-state/shard-state.js';
 import type { Placement, ScheduledMachine, StopRequest } from './shard-state/types.js';
 
-/** How many orders go to a worker in one message at most. */
+/** The maximum number of orders in one message to a worker. */
 export const maxOrdersPerMessage = 400;
 
-/** The order that stops a task. */
+/** Creates the order that stops a task. */
 export const stopOrder = ({ job, index, attempt }: Placement, { graceS }: StopRequest): TaskOrder => ({
   op: 'stop',
   job: job.id,
@@ -17,8 +17,8 @@
 });
 
 /**
- * Sends the stops that workers have not received yet: a cancelled task is of no use to anybody, and a gang's tasks must receive
- * an orderly stop at about the same time.
+ * Sends the stop orders that workers have not received yet, without waiting for their heartbeats: a cancelled task only wastes
+ * resources, and the tasks of a gang must receive a graceful stop at about the same time.
  */
 export function sendStops({ unsentStops, machines }: ShardState, out: Effect[]): void {
   if (unsentStops.size === 0) return;
@@ -43,9 +43,9 @@
 }
 
 /**
- * In a pool, asks machines for a heartbeat when there is something to start on them. The starts themselves go with its response:
- * one that was sent at once could be carried out after a heartbeat that was on its way then, and that lists nothing, had been taken
- * for proof that the task is not there.
+ * In a pool, asks machines for a heartbeat when tasks are to be started on them. The start orders are sent with the response to that
+ * heartbeat. If they were sent immediately, a heartbeat that was already in transit and does not list the task would be taken as proof
+ * that the task is not on the machine, and the start could be executed after that.
  */
 export function requestHeartbeats(shardState: ShardState, out: Effect[]): void {
   const { unsentStarts } = shardState;
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -1,4 +1,4 @@
-/** User requests: submissions, status queries and cancellations, and when each may be answered (read-your-writes). */
+/** Handles user requests (submissions, status queries and cancellations), with read-your-writes consistency. */
 import {
   AdmissionQueue,
   TokenBucket,
@@ -32,58 +32,58 @@
 import type { Replica } from './replica.js';
 import type { Transaction } from '../wire/store.js';
 
-/** A request that is answered once the replica is known to be as new as the request. */
+/** A request that is answered once the replica is known to be as recent as the request. */
 interface PendingRead {
   requestId: number;
   id: string;
   since: number;
-  /** Revision that the replica must have reached; null: not read yet. */
+  /** The revision that the replica must reach; null if it has not been read yet. */
   revision: number | null;
   action: 'status' | 'cancel' | { status: number; body: object };
 }
 
-/** A submission that waits for admission. */
+/** A submission that is queued for admission. */
 interface PendingSubmission extends QueueEntry {
   spec: JobSpec;
   requestIds: number[];
   since: number;
 }
 
-/** A submission that would wait longer than this is rejected at once; users wait 5 s for a response. */
+/** A submission that would be queued for longer than this is rejected immediately; users wait 5 s for a response. */
 const maxAdmissionDelayMs = 3000;
-/** How long users retry, and the longest `Retry-After` that they respect. */
+/** How long clients retry, and the longest `Retry-After` that they respect. */
 const clientRetryPeriodMs = 60_000;
 const maxRetryAfterMs = 30_000;
 
-/** Of an equal share of the state service's requests: what revision reads for users may take. */
+/** The part of an equal share of the state service's request rate that revision reads for users may use. */
 const revisionReadShare = 0.5;
-/** For this long after a submission had to wait, the demand of each team and class is reported to the peers, ms. */
+/** After a submission had to wait, the demand of each team and class is reported to the peers for this long. */
 const backlogMemoryMs = 10_000;
 const urgencyWeight = (spec: JobSpec): number => 2 ** urgencyRank[spec.urgency];
 
-/** Timeouts within those of users: 2 s for a status query, 5 s for other requests. */
+/** Timeouts of this controller, shorter than those of clients: 2 s for a status query, 5 s for other requests. */
 const readTimeoutMs = 1500;
 const writeTimeoutMs = 4000;
 
-/** What user requests are handled with. */
+/** The dependencies and limits of the user request handling. */
 export interface UserRequestsOptions {
   readonly settings: Settings;
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
   readonly clock: Readonly<Clock>;
-  /** Requests that may wait at a time. */
+  /** The maximum number of requests that may wait at the same time. */
   readonly maxPending: number;
-  /** Jobs are admitted by the fair shares of teams and classes. */
+  /** Whether jobs are admitted by the fair shares of teams and classes. */
   readonly fairAdmission: boolean;
   readonly random: Random;
-  /** Whether it is certain of every job whether it was ever accepted. */
+  /** Whether the replica is known to contain every accepted job, so that users may be told that a job does not exist. */
   readonly canConfirmAbsence: () => boolean;
 }
 
 /**
- * Handles user requests. Final states are answered from the replica. Any other response waits until the revision was read
- * after the request arrived and the watch has reached it: no user may see a state older than what another controller has
- * already shown.
+ * Handles user requests. Final states are answered from the replica. Any other response waits until the state service's revision has
+ * been read after the request arrived, and the watch has reached that revision: no user may see an older state than another
+ * controller has already shown.
  */
 export class UserRequests {
   private readonly settings: Settings;
@@ -96,21 +96,21 @@
   private pendingReads: PendingRead[] = [];
   private revisionRequested = false;
   private nextRevisionReadAt = -Infinity;
-  /** Limits revision reads to half of an equal share of the state service's requests, however many users poll. */
+  /** Limits revision reads to half of an equal share of the state service's request rate, however many users poll. */
   private readonly revisionReadIntervalMs: number;
-  /** Submissions that wait for admission, and those whose write is in flight, by job. */
+  /** Submissions that wait for admission, and those whose write is in flight, by job id. */
   private readonly pendingSubmissions = new Map<string, PendingSubmission>();
   private readonly submissionWrites = new Map<string, { requestIds: number[]; since: number }>();
   private readonly admission: AdmissionQueue<PendingSubmission>;
   private readonly arrivals = new RateMeter();
-  /** Admits bursts of submissions within the rate that is allowed on average. */
+  /** Allows bursts of submissions within the permitted average rate. */
   private readonly burstLimiter = new TokenBucket(maxAdmissionDelayMs / 1000);
   private newlyRejected: Rejection[] = [];
-  /** Rejected submissions since the last log line, by team, class and bottleneck. */
+  /** The number of rejected submissions since the last log line, by team, class and bottleneck. */
   readonly rejections = new Map<string, number>();
   private readonly demandEstimates: DemandEstimates;
   private lastBacklogAt = -Infinity;
-  /** Rates of teams and classes in the allocation; empty: their weights are quota and urgency. */
+  /** The rates of teams and classes in the allocation; if empty, they are weighted by quota and urgency. */
   private workloadRates: ReadonlyMap<string, number> = new Map();
   private defaultWorkloadRate = 1;
   private readonly cancellationWrites = new Map<string, { requestIds: number[]; since: number }>();
@@ -145,7 +145,7 @@
     );
   }
 
-  /** Handles a submission; a repeated one is idempotent. */
+  /** Handles a submission. Submissions are idempotent. */
   submit(requestId: number, spec: JobSpec, effects: Effect[]): void {
     if (this.replica.watchRevision < 0 || this.replica.machineTypes.length === 0)
       return this.respondRetryLater(requestId, effects);
@@ -154,7 +154,7 @@
     if (this.replica.jobs.has(spec.id)) return this.query(requestId, spec.id, effects);
     if (this.isExistenceUnknown(spec.id)) return this.respondRetryLater(requestId, effects);
     const reason = rejectionReason(spec, this.replica.machineTypes, this.settings);
-    // A job that was accepted must never get 422, so look once more whether it is known.
+    // A job that was accepted must never get 422, so check the replica again once it is recent enough.
     if (reason !== null)
       return this.awaitRevision(requestId, spec.id, { status: 422, body: { error: reason } }, effects);
     const pendingWrite = this.submissionWrites.get(spec.id);
@@ -188,24 +188,24 @@
     if (rejected) this.reject(rejected, effects);
   }
 
-  /** Writes per second that new jobs need. */
+  /** The writes per second that new jobs need. */
   writeDemand(): number {
     return this.arrivals.rate(this.clock.now) + this.admission.size;
   }
 
-  /** Whether a submission had to wait recently until it could be written. */
+  /** Whether a submission recently had to wait until it could be written. */
   get backlogged(): boolean {
     return this.clock.now - this.lastBacklogAt < backlogMemoryMs;
   }
 
-  /** Demand by team and class while submissions wait, otherwise empty. */
+  /** The demand by team and class while there is a backlog of submissions, otherwise empty. */
   groupDemand(): WorkloadDemand[] {
     const { now } = this.clock;
     if (this.admission.size > 0) this.lastBacklogAt = now;
     return this.backlogged ? this.demandEstimates.largest(now) : [];
   }
 
-  /** Jobs that other controllers have rejected: they keep their place here, too. */
+  /** Records jobs that other controllers have rejected, so that a retry keeps its place in the queue at this controller, too. */
   rejectedElsewhere(list: readonly Rejection[]): void {
     this.admission.recordPeerRejections(
       list.filter((rejection) => !this.replica.jobs.has(rejection.id)),
@@ -213,7 +213,7 @@
     );
   }
 
-  /** A job was accepted, by any controller. */
+  /** Handles the acceptance of a job by any controller: its retry ticket is dropped. */
   jobAccepted(id: string): void {
     this.admission.tickets.remove(id);
   }
@@ -240,10 +240,10 @@
       });
   }
 
-  /** The resource whose shortage makes jobs wait, for the log. */
+  /** The scarce resource that makes jobs wait; it is logged with rejections. */
   bottleneck = 'writes';
 
-  /** Admits as many jobs as may be written now. `factor`: the share of them that other scarce resources allow. */
+  /** Admits as many jobs as may be written now. `factor` is the share of them that other scarce resources allow. */
   admit(share: LocalWriteShare, factor: number, effects: Effect[]): void {
     const { now } = this.clock;
     this.admission.rate = share.newJobs * factor;
@@ -260,7 +260,7 @@
       this.pendingSubmissions.delete(submission.id);
       this.writeJob(submission);
     }
-    // In order of arrival.
+    // The submissions are in order of arrival, so the first one that has not timed out ends the search.
     for (const submission of this.pendingSubmissions.values()) {
       if (now - submission.since <= writeTimeoutMs) break;
       this.reject(this.admission.expire(submission, now), effects);
@@ -270,7 +270,7 @@
     this.newlyRejected = [];
   }
 
-  /** The rate of a team or class in the allocation; one that it does not name has had little demand and gets the highest. */
+  /** The rate of a team or class in the allocation. One that is not listed has had little demand and gets the highest rate. */
   private workloadRate(workload: string): number {
     return this.workloadRates.get(workload) ?? this.defaultWorkloadRate;
   }
@@ -322,7 +322,7 @@
     if (this.respondIfFinal(requestId, id, effects)) return;
     if (!isJobId(id))
       return void effects.push({ type: 'respond', requestId, status: 404, body: { error: 'no such job' } });
-    // Guards against a cancellation that nobody can carry effects, since what runs is not known.
+    // A cancellation is not accepted while it is unknown what runs: nobody could carry it out.
     if (this.replica.watchRevision < 0 || this.replica.levels.mustStandBy || this.replica.isJobUnreadable(id))
       return this.respondRetryLater(requestId, effects);
     const job = this.replica.jobs.get(id);
@@ -349,7 +349,7 @@
         return this.cancellation(record);
       },
       onCommitted: () => respondToAll((waitingId) => this.cancel(waitingId, id, this.stepEffects)),
-      // The job reached a final state meanwhile: answered once the watch has delivered it.
+      // The job has reached a final state in the meantime: respond once the watch has delivered it.
       onConflict: () =>
         respondToAll((waitingId) => this.awaitRevision(waitingId, id, 'cancel', this.stepEffects)),
       onUnavailable: () => {
@@ -360,8 +360,8 @@
   }
 
   /**
-   * Whether it is unknown if a job exists, so that no user may be told that it does not: its record cannot be read, or
-   * this program is older than the stored records and may not know all of them.
+   * Whether it is unknown if a job exists, so that no user may be told that it does not: its record cannot be read, this program
+   * version is too old for the stored records and may not know all of them, or accepted jobs may be missing from the replica.
    */
   private isExistenceUnknown(id: string): boolean {
     return (
@@ -370,7 +370,7 @@
     );
   }
 
-  /** The transaction that cancels a job. The record keeps its placements until their end is confirmed. */
+  /** The transaction that cancels a job. The record keeps the placements until their tasks are confirmed to have ended. */
   private cancellation({ id, acceptedAt, spec, modRevision, tasksInline }: JobRecord): Transaction {
     const key = jobKey(id);
     const conditions = [{ key, stamp: modRevision }];
@@ -392,7 +392,7 @@
     };
   }
 
-  /** Answers all waiting requests with a retry: the core is restarted. */
+  /** Asks the users of all waiting requests to retry, because the core is restarted. */
   rejectAll(effects: Effect[]): void {
     for (const read of this.pendingReads) this.respondRetryLater(read.requestId, effects);
     for (const list of [this.submissionWrites, this.cancellationWrites, this.pendingSubmissions])
@@ -400,7 +400,7 @@
         for (const requestId of requestIds) this.respondRetryLater(requestId, effects);
   }
 
-  /** Effects of the current step, for outcomes of writes; set by the controller. */
+  /** Receives the effects of write outcomes in the current step; set by the controller. */
   stepEffects: Effect[] = [];
 
   private respondIfFinal(requestId: number, id: string, effects: Effect[]): boolean {
@@ -443,8 +443,9 @@
   }
 
   /**
-   * The result of a revision read that was sent at `sentAt`; null: it failed. Then requests are answered with a retry,
-   * except status queries about known jobs while peers confirm the replica's freshness: these wait for the confirmation.
+   * Handles the result of a revision read that was sent at `sentAt`; `revision` is null if the read failed. Then users are asked to
+   * retry, except for status queries about known jobs while the peers confirm the replica's freshness: these wait for the next
+   * confirmation.
    */
   revisionRead(sentAt: number, revision: number | null, effects: Effect[], confirmedByPeers: boolean): void {
     this.revisionRequested = false;
@@ -461,14 +462,17 @@
     }
   }
 
-  /** `confirmedByPeersAt`: the view holds all ends of jobs that anybody had been told of by then. */
+  /**
+   * Responds to the pending reads that are ready, requests a revision read if one is due, and times out writes. `confirmedAt` is the
+   * time up to which peers have confirmed the replica: it contains every final job state that any user had been shown by then.
+   */
   flush(effects: Effect[], confirmedAt: number): void {
     for (const request of this.takeReadyReads(effects, confirmedAt)) this.respondToRead(request, effects);
     this.requestRevisionRead(effects);
     this.expireWrites(effects);
   }
 
-  /** Removes the reads that can be answered from those that wait; answers the ones that have timed out with a retry. */
+  /** Removes and returns the pending reads that can be answered; asks the users of those that have timed out to retry. */
   private takeReadyReads(effects: Effect[], confirmedAt: number): PendingRead[] {
     const ready: PendingRead[] = [];
     if (this.pendingReads.length === 0) return ready;
@@ -508,7 +512,7 @@
     for (const writes of [this.submissionWrites, this.cancellationWrites])
       for (const write of writes.values()) {
         if (now - write.since <= writeTimeoutMs || write.requestIds.length === 0) continue;
-        // Timed out: the write itself may still succeed, and an idempotent retry finds it.
+        // Only the response times out: the write may still succeed, and an idempotent retry then finds its result.
         for (const requestId of write.requestIds.splice(0)) this.respondRetryLater(requestId, effects);
         write.since = now;
       }
