--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -1,11 +1,11 @@
-/** Held (long-poll) responses to heartbeats. */
+/** Holds responses to heartbeats for a short time (long polling), so that start orders can go out with them. */
 import type { Settings } from '../config/settings.js';
 import type { Heartbeat, TaskOrder } from '../model/heartbeat.js';
 import type { Clock } from './effects.js';
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js';
 import type { ScheduledMachine } from './shard-state/types.js';
 
-/** Workers wait 4 s for a response: the other half is left for the network and for a process that is late. */
+/** How long a response is held: workers wait 4 s, and half of that is left for the network and for a delayed process. */
 const holdTimeoutMs = 4000 * 0.5;
 
 interface HeldResponse {
@@ -16,19 +16,19 @@
   readonly heldAt: number;
 }
 
-/** A response that is held no longer. */
+/** A held response that is to be sent now. */
 export interface ReleasedResponse {
   readonly requestId: number;
   readonly token: number;
-  /** null: this process no longer answers for the machine, the worker is to retry. */
+  /** The orders to respond with; null if this process no longer owns the machine and the worker should retry. */
   readonly orders: TaskOrder[] | null;
 }
 
 /**
- * Start orders go out in responses to heartbeats only. So the response to a machine that has nothing to do, or whose next
- * tasks are about to become durable, is held for a short time: otherwise these tasks would wait for the machine's next
- * heartbeat. Holding proves and prolongs nothing: the worker's lease counts from when the heartbeat was sent, and the
- * worker drops a response that comes after 4 s.
+ * The held responses, by host. Start orders are only sent in responses to heartbeats. So the response to a machine that is idle, or
+ * whose next tasks are about to become durable, is held for a short time; otherwise these tasks would wait for the machine's next
+ * heartbeat. Holding a response does not affect leases: the worker's lease counts from the time at which it sent the heartbeat, and the
+ * worker drops a response that arrives after more than 4 s.
  */
 export class HeldResponses {
   private readonly held = new Map<string, HeldResponse>();
@@ -39,11 +39,11 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Holds the response to a heartbeat that no order answers, if that may be of use; whether it is held. */
+  /** Holds the response to a heartbeat for which there are no orders, if this may be useful; returns whether it is held. */
   tryHold(machine: ScheduledMachine, heartbeat: Heartbeat, token: number, requestId: number): boolean {
-    // In a pool, agents are asked for a heartbeat when there is something to start.
+    // In a pool, agents are asked for a heartbeat when there are tasks to start.
     if (this.settings.pool) return false;
-    // A machine that is about to go must not wait for its next heartbeat.
+    // A machine that is about to be reclaimed or released must not be delayed in sending its next heartbeat.
     if (heartbeat.fencingToken !== token || heartbeat.noticeS !== null || machine.quarantined) return false;
     if (machine.record.state !== 'use' || machine.releasing) return false;
     const hasTasks = [...machine.placements.values()].some(
@@ -57,7 +57,10 @@
     return true;
   }
 
-  /** The worker has sent a newer heartbeat and dropped the request before: its response may start nothing any more. */
+  /**
+   * Releases the response that is held for a machine, if any, because the worker has sent a newer heartbeat and dropped the earlier
+   * request: the response must not start anything.
+   */
   releaseSuperseded(host: string): ReleasedResponse | null {
     const held = this.held.get(host);
     if (!held) return null;
@@ -66,8 +69,8 @@
   }
 
   /**
-   * Responses that have been held for long enough, or whose tasks may start. `stillOwns`: whether this process still
-   * answers for the machine under this token.
+   * Releases the responses that have been held for long enough, or whose tasks may start. `stillOwns` tells whether this process still
+   * owns a machine under the given token.
    */
   *releaseDue(stillOwns: (machine: ScheduledMachine, token: number) => boolean): Generator<ReleasedResponse> {
     for (const [host, { requestId, machine, heartbeat, token, heldAt }] of this.held) {
--- a/src/core/load-sharing.ts
+++ b/src/core/load-sharing.ts
@@ -1,6 +1,6 @@
 /**
- * Load sharing between controllers: an overloaded owner has its peers keep the agents that reach them and forward their
- * heartbeats, redirects agents to a peer, and as a last resort hands its shards over.
+ * Load sharing between controllers: an overloaded owner asks its peers to accept the connections of its agents and forward their
+ * heartbeats, redirects agents to a peer, and as a last resort hands over its shards.
  */
 import type { Settings } from '../config/settings.js';
 import {
@@ -16,44 +16,44 @@
 import type { Peers } from './peers.js';
 import type { ShardManager } from './shard-manager.js';
 
-/** A shard that was handed over stays for so many worker leases. */
+/** A controller keeps its shards for at least this many worker leases after it last acquired one. */
 const minOwnershipLeases = 4;
-/** Share of a worker lease between two looks at whether a shard should be handed over. */
+/** The interval between checks whether a shard should be handed over, in worker leases. */
 const handoverCheckLeases = 0.5;
-/** At most this share of the machines is redirected between two measurements: the helper's load must show first. */
+/** The maximum share of the machines that is redirected between two load measurements, so that the helper's added load is seen first. */
 const maxRedirectedShare = 0.1;
 
-/** What load sharing is created with. */
+/** The dependencies of load sharing. */
 export interface LoadSharingOptions {
   readonly settings: Settings;
   readonly shardManager: ShardManager;
   readonly peers: Peers;
   readonly clock: Clock;
-  /** Above so many connections an owner wants its peers to keep agents. */
+  /** With more connections than this, an owner asks its peers to accept agents' connections. */
   readonly preferredConnections: number;
-  /** Whether the replica is fresh enough for workers to be answered from it. */
+  /** Whether the replica is recent enough to answer workers from it. */
   readonly mayAnswerWorkers: () => boolean;
-  /** Grants a shard to another process. */
+  /** Assigns a shard to another process. */
   readonly handOver: (shard: number, member: string, instanceId: string) => void;
   readonly log: Log;
 }
 
-/** Measures the load of this controller, and decides what of it peers take. */
+/** Tracks the load of this controller, and decides which part of it is moved to peers. */
 export class LoadSharing {
   private load: ControllerLoad = { utilization: 0, connections: 0, machines: 0, forwardedShare: 0 };
   private offloading = false;
-  /** Heartbeats since the load was last measured, and how many of them peers forwarded. */
+  /** The number of heartbeats since the load was last measured, and how many of them were forwarded by peers. */
   private heartbeats = 0;
   private forwardedHeartbeats = 0;
   private redirects = 0;
-  /** Heartbeats since the last look at handover: received directly, and forwarded by each peer. */
+  /** Heartbeats since the last handover check: received directly, and forwarded by each peer. */
   private direct = 0;
   private forwardedBy = new Map<string, number>();
   private checkedAt = 0;
 
   constructor(private readonly options: LoadSharingOptions) {}
 
-  /** The share of its time that this controller is busy. */
+  /** The share of time that this controller is busy. */
   get utilization(): number {
     return this.load.utilization;
   }
@@ -63,12 +63,12 @@
     return this.load.utilization >= offloadAbove;
   }
 
-  /** Whether peers are asked to keep the agents that reach them, and to forward their heartbeats. */
+  /** Whether peers are asked to accept agents' connections and forward their heartbeats. */
   get isOffloading(): boolean {
     return this.offloading;
   }
 
-  /** Counts a heartbeat of a machine of ours. `forwardedBy`: the peer that forwarded it; null: it came directly. */
+  /** Counts a heartbeat of an owned machine. `forwardedBy` is the peer that forwarded it; null if it came directly. */
   recordHeartbeat(forwardedBy: string | null): void {
     this.heartbeats++;
     if (forwardedBy === null) {
@@ -79,7 +79,7 @@
     this.forwardedBy.set(forwardedBy, (this.forwardedBy.get(forwardedBy) ?? 0) + 1);
   }
 
-  /** The peer that one more agent should be redirected to, or null. A redirect is counted. */
+  /** Returns the peer to which one more agent should be redirected, and counts the redirect; null if there is none. */
   takeRedirectTarget(): string | null {
     const { shardManager, peers, preferredConnections } = this.options;
     const maxRedirects = Math.max(1, shardManager.machines.size * maxRedirectedShare);
@@ -90,7 +90,7 @@
     return helper.member;
   }
 
-  /** A measurement of this process since the last one. */
+  /** Takes the load of this process since the previous measurement, and updates whether this controller is offloading. */
   onLoadMeasured(utilization: number, connections: number): void {
     const { shardManager, preferredConnections, log } = this.options;
     const forwardedShare = this.heartbeats > 0 ? this.forwardedHeartbeats / this.heartbeats : 0;
@@ -105,7 +105,7 @@
     log('info', message, { ...this.load });
   }
 
-  /** One step: looks from time to time whether a shard would be served better by a peer. */
+  /** Runs one step: checks periodically whether a peer should take over the shards. */
   tick(): void {
     const { settings, clock } = this.options;
     const intervalMs = settings.workers.lease_s * 1000 * handoverCheckLeases;
--- a/src/core/machine-health.ts
+++ b/src/core/machine-health.ts
@@ -1,19 +1,19 @@
-/** The judgement of machines on which tasks fail, and of jobs that fail on several machines. */
+/** Handles machines on which tasks fail, and jobs that fail on several machines. */
 import { evidenceAgainst, isSuspect, quarantineEvidence, suspectHostCount } from './failure-attribution.js';
 import type { ShardState } from './shard-state/shard-state.js';
 import type { ScheduledJob, ScheduledMachine } from './shard-state/types.js';
 
-/** A suspect job is tried again after so many worker leases at the latest. */
+/** The maximum retry delay of a suspect job, in worker leases. */
 const maxRetryDelayLeases = 2.5;
 
-/** For how many report intervals nothing is placed on a machine with evidence against it. */
+/** A machine with evidence against it receives no tasks for this many report intervals. */
 const failureCooldownReports = 4;
 
-/** Notes failures of tasks; cools down and quarantines machines, and slows down suspect jobs. */
+/** Records task failures, excludes faulty machines for a cooldown time or permanently, and delays retries of suspect jobs. */
 export class MachineHealth {
   constructor(private readonly shardState: ShardState) {}
 
-  /** Notes that a task of a job failed on a machine. */
+  /** Records that a task of a job failed on a machine. */
   recordTaskFailure(machine: ScheduledMachine, job: ScheduledJob): void {
     machine.failuresByJob.set(job.id, (machine.failuresByJob.get(job.id) ?? 0) + 1);
     const hostsBefore = job.failedHosts.size;
@@ -24,7 +24,7 @@
     if (becameSuspect) this.handleNewSuspect(job);
   }
 
-  /** Judges anew the machines that a job failed on: what is known of the job has changed. */
+  /** Evaluates the machines on which a job failed again, after the failure history of the job has changed. */
   reassessFailedHosts(job: ScheduledJob): void {
     for (const host of job.failedHosts) {
       const machine = this.shardState.machines.get(host);
@@ -35,23 +35,26 @@
   private delayRetry(job: ScheduledJob): void {
     const { clock, settings } = this.shardState;
     const { lease_s, report_s } = settings.workers;
-    // Guards against many first tries that all fail at about the same time: together they count as one.
+    // Tasks that start together may all fail at about the same time: together they count as one failed attempt.
     if (job.placements.size <= 1) job.failedProbes++;
     const delayS = Math.min(maxRetryDelayLeases * lease_s, report_s * 2 ** job.failedProbes);
     job.retryNotBefore = clock.now + delayS * 1000;
   }
 
-  /** Clears the machines that the job failed on first, and has its failed hosts written. */
+  /** Clears the machines on which the job failed while it was not yet suspect, and has the failed hosts stored. */
   private handleNewSuspect(job: ScheduledJob): void {
     const { log, taskWriter } = this.shardState;
-    log('info', 'job fails on several machines', { job: job.id, hosts: [...job.failedHosts] });
+    log('info', 'job is suspect because it fails on several machines', {
+      job: job.id,
+      hosts: [...job.failedHosts],
+    });
     this.reassessFailedHosts(job);
     const [firstChunk] = job.chunks;
     firstChunk.version++;
     taskWriter.noteTermination(job, firstChunk);
   }
 
-  /** Quarantines a machine, lets it cool down, or clears it, by the evidence against it. */
+  /** Quarantines a machine, starts its cooldown, or clears it, depending on the evidence against it. */
   private reassessMachine(machine: ScheduledMachine): void {
     const { clock, jobs, log, settings } = this.shardState;
     const evidence = evidenceAgainst(machine.failuresByJob, (id) => jobs.get(id));
@@ -62,7 +65,10 @@
     }
     if (machine.quarantined) return;
     const { host } = machine;
-    log('warn', 'machine fails its tasks', { host, failures: Object.fromEntries(machine.failuresByJob) });
+    log('warn', 'quarantining machine because tasks fail on it', {
+      host,
+      failures: Object.fromEntries(machine.failuresByJob),
+    });
     machine.quarantined = true;
     for (const placement of machine.placements.values()) {
       const { shape, saveS } = placement.job.spec;
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -1,4 +1,4 @@
-/** The lifecycle of machines: expiry of their workers' leases, and release of machines that are idle or lost. */
+/** The lifecycle of machines: expiry of worker leases, and release of machines that are idle, lost, faulty or reclaimed. */
 import type { MachineType } from '../model/machine.js';
 import type { Settings } from '../config/settings.js';
 import type { ShardState } from './shard-state/shard-state.js';
@@ -11,28 +11,28 @@
   shardKey,
 } from './storage/index.js';
 
-/** Steady clocks differ by up to 0.05%: the margin for that, ms per second of the lease. */
+/** The margin for clock drift, ms per second of the lease; monotonic clocks differ by up to 0.05%. */
 const clockDriftMsPerS = 1.5;
 
-/** The margin for a worker's lease check that comes late, ms. */
+/** The margin for a worker that checks its lease late, ms. */
 const lateLeaseCheckMs = 1000;
 
-/** For how many of its boots a machine that never reported is waited for. */
+/** A machine that has never reported is given up after this many times its boot time, plus a worker lease. */
 const bootTimeoutFactor = 4;
 
-/** The least share of the replacement time for which the most expensive machines are kept idle. */
+/** The most expensive machines are kept idle for at least this share of the idle time of the cheapest ones. */
 const minIdleShare = 0.5;
 
-/** What becomes of a machine that a shard releases: `free` goes to the leader for other shards, `dead` is deleted. */
+/** The state of a machine that a shard releases: `free` machines go to the leader for other shards, `dead` ones are deleted. */
 type ReleasedState = 'free' | 'dead';
 
-/** Why a machine is released, and to what. */
+/** The decision to release a machine: its next state, and the reason. */
 interface ReleaseDecision {
   readonly state: ReleasedState;
   readonly reason: string;
 }
 
-/** Supervises the machines of this process's shards. */
+/** Supervises the machines of the owned shards. */
 export class MachineLifecycle {
   private readonly workers: Settings['workers'];
 
@@ -43,7 +43,7 @@
     this.workers = shardState.settings.workers;
   }
 
-  /** Removes placements whose leases expired, and releases machines that are silent, quarantined, reclaimed or idle. */
+  /** Removes placements whose worker leases have expired, and releases machines that are silent, quarantined, reclaimed or idle. */
   sweep(elapsedS: number): void {
     const { shardState } = this;
     let spotMachines = 0;
@@ -65,14 +65,18 @@
     const driftMs = this.workers.lease_s * clockDriftMsPerS;
     const isExpired = clock.now > machine.earliestLeaseExpiry + driftMs + lateLeaseCheckMs;
     if (machine.placements.size === 0 || !isExpired) return;
-    log('info', 'lease of a silent machine expired', { host: machine.host, silentS: this.silentS(machine) });
+    log('info', 'worker lease expired: removing the placements of a silent machine', {
+      host: machine.host,
+      silentS: this.silentS(machine),
+    });
     for (const placement of [...machine.placements.values()])
       this.shardState.removePlacement(placement, 'lease expired', 'lost');
   }
 
   /**
-   * Guards against releasing the fleet for having been idle through an outage: work waits for it. And against releasing, and
-   * getting back at once, what is reserved for a gang that waits.
+   * Whether the idle time of a machine does not count. While no tasks can be placed, as in an outage, idle machines are kept for the
+   * work that waits. Machines that are reserved for a waiting gang are kept, because they would be released and requested again
+   * immediately.
    */
   private isKeptWhileIdle({ host }: ScheduledMachine): boolean {
     return !this.shardState.canPlaceTasks() || this.shardState.reservations.byHost.has(host);
@@ -82,17 +86,17 @@
     return (this.shardState.clock.now - machine.lastHeartbeatAt) / 1000;
   }
 
-  /** Whether a machine is to be released. Machines of a pool are not released for being silent or idle. */
+  /** Decides whether a machine is released; null if not. Machines of a pool are not released for being silent or idle. */
   private decideRelease(machine: ScheduledMachine): ReleaseDecision | null {
     const { clock, hazard, settings } = this.shardState;
     const hasReported = machine.lastHeartbeatAt > 0;
     const isEmpty = machine.placements.size === 0;
     if (!settings.pool && this.isSilent(machine)) {
       if (machine.record.spot && hasReported && machine.reclaimAt === 0) hazard.recordInterruption();
-      return { state: 'dead', reason: hasReported ? 'silent' : 'never came up' };
+      return { state: 'dead', reason: hasReported ? 'silent' : 'never reported' };
     }
-    if (machine.quarantined && isEmpty) return { state: 'dead', reason: 'failing' };
-    if (machine.reclaimAt > 0 && isEmpty) return { state: 'dead', reason: 'notice' };
+    if (machine.quarantined && isEmpty) return { state: 'dead', reason: 'quarantined' };
+    if (machine.reclaimAt > 0 && isEmpty) return { state: 'dead', reason: 'reclaim notice' };
     if (settings.pool || !isEmpty || machine.confirmedAt <= 0) return null;
     return clock.now - machine.idleSince > this.maxIdleMs(machine) ? { state: 'free', reason: 'idle' } : null;
   }
@@ -100,14 +104,14 @@
   private isSilent(machine: ScheduledMachine): boolean {
     const { lease_s, report_s } = this.workers;
     if (machine.lastHeartbeatAt > 0) return this.silentS(machine) > lease_s + 2 * report_s;
-    // Guards against a hasty new owner: a machine may be up under the earlier owner, and not have reported here yet.
+    // The time counts from the acquisition: a machine may already be up and have reported to the earlier owner only.
     const ownedS = (this.shardState.clock.now - machine.acquiredAt) / 1000;
     return ownedS > machine.type.bootS * bootTimeoutFactor + lease_s;
   }
 
   /**
-   * How long an idle machine is worth keeping: in proportion to the time until a replacement could be used, boot and largest image,
-   * and down to half of that for the most expensive machines.
+   * How long an idle machine is kept: in proportion to the time until a replacement could be used (boot and fetching the largest
+   * image), and down to half of that for the most expensive machines.
    */
   private maxIdleMs(machine: ScheduledMachine): number {
     const { operators, replica } = this.shardState;
@@ -118,7 +122,7 @@
     return operators['idle-boots'] * idleShare * replacementS * 1000;
   }
 
-  /** Releases a machine to the leader, which assigns free ones to other shards and deletes dead ones. */
+  /** Releases a machine to the leader, which assigns free machines to other shards and deletes dead ones. */
   private release(machine: ScheduledMachine, { state, reason }: ReleaseDecision): void {
     const { host } = machine;
     const { log, machines, ownedShards, replica } = this.shardState;
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -1,16 +1,16 @@
-/** The other controllers of the deployment: the status that they broadcast, and this controller's own broadcasts. */
+/** Tracks the status of the other controllers of the deployment, and broadcasts the status of this controller. */
 import type { MemberDemand, MemberStatus } from '../admission/index.js';
 import type { Settings } from '../config/settings.js';
 import type { Clock, Effect, PeerStatus } from './effects.js';
 import type { Replica } from './replica.js';
 
-/** A status older than so many state leases is ignored. */
+/** A status that is older than this many state leases is ignored. */
 const maxStatusAgeLeases = 2;
-/** A status is broadcast at least so many times in a state lease. */
+/** The minimum number of status broadcasts per state lease. */
 const broadcastsPerLease = 4;
 /**
- * A controller that does not reach the state service for this share of its state lease, or has asked it, knows that its
- * presence is gone.
+ * After this share of a state lease, a controller whose presence record is gone knows about it: it has either asked the state service
+ * or been unable to reach it.
  */
 const presenceLossKnownLeases = 0.5;
 
@@ -19,17 +19,17 @@
   readonly receivedAt: number;
 }
 
-/** What a status says apart from what the replica knows. */
+/** The part of a status that is not derived from the replica. */
 export type OwnStatus = Pick<PeerStatus, 'utilizationPermille' | 'wantsForwarding' | 'demand'>;
 
-/** What the register of peers is created with. */
+/** The dependencies of the peer registry. */
 export interface PeersOptions {
   readonly settings: Settings;
   /** Identifies this process. */
   readonly instanceId: string;
   readonly replica: Replica;
   readonly clock: Clock;
-  /** How long this process's state lease lasts. */
+  /** The duration of this process's state lease, ms. */
   readonly leaseTtlMs: number;
 }
 
@@ -37,12 +37,12 @@
 export class Peers {
   private readonly members: readonly string[];
   private readonly statuses = new Map<string, ReceivedStatus>();
-  /** When each peer's presence record was last seen, ms. */
+  /** When the presence record of each peer was last seen, ms. */
   private readonly presentAt = new Map<string, number>();
   private broadcastAt = -Infinity;
-  /** The newest revision that a peer has reported, and when a peer was last heard, ms. */
+  /** The newest revision that any peer has reported, and when a status of any peer was last received, ms. */
   newestKnown = { revision: -1, at: -Infinity };
-  /** How many jobs this process knows. */
+  /** Returns the number of jobs that this process knows. */
   ownJobCount: () => number;
 
   constructor(private readonly options: PeersOptions) {
@@ -50,16 +50,16 @@
     this.ownJobCount = () => options.replica.jobCount;
   }
 
-  /** Takes in a peer's status. */
+  /** Records a status received from a peer. */
   onStatus(from: string, status: PeerStatus): void {
     const { now } = this.options.clock;
-    // A process that has just started waits to hear from everybody.
+    // A peer that has just started waits for the status of every controller, so broadcast in the next step.
     if (this.statuses.get(from)?.status.instanceId !== status.instanceId) this.broadcastAt = -Infinity;
     this.statuses.set(from, { status, receivedAt: now });
     this.newestKnown = { revision: Math.max(this.newestKnown.revision, status.revision), at: now };
   }
 
-  /** Peers that are present and were heard recently, and how busy they are. */
+  /** The peers that are present and have recently sent a status, with the share of time that they are busy. */
   *livePeers(): Generator<{ member: string; busy: number }> {
     for (const [member, received] of this.statuses) {
       const { instanceId, utilizationPermille } = received.status;
@@ -68,27 +68,27 @@
     }
   }
 
-  /** How many peers have followed the state further than this revision. */
+  /** The number of peers that have followed the state beyond a revision. */
   countAhead(revision: number): number {
     return this.recentStatuses().filter((s) => s.revision > revision).length;
   }
 
-  /** The largest number of jobs that a peer knows. */
+  /** The largest number of jobs that any peer knows. */
   get maxJobCount(): number {
     return Math.max(0, ...this.recentStatuses().map((s) => s.jobCount));
   }
 
-  /** Whether every peer has been heard since this process started. */
+  /** Whether a status of every peer has been received since this process started. */
   get heardFromAll(): boolean {
     return this.members.every((m) => this.statuses.has(m));
   }
 
-  /** The process that was last heard under a peer's name. */
+  /** The instance id of the process that last sent a status under a peer's name. */
   instanceIdOf(member: string): string | undefined {
     return this.statuses.get(member)?.status.instanceId;
   }
 
-  /** Whether a peer asks the others to keep its workers and to forward their heartbeats. */
+  /** Whether a peer asks the others to accept heartbeats of its workers and forward them. */
   wantsForwarding(member: string): boolean {
     const received = this.statuses.get(member);
     return received !== undefined && received.status.wantsForwarding && this.isRecent(received);
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Broadcasts the status of this controller if it is due. `newRevision`: a revision that the peers should learn of at
-   * once; null: there is no news. `ownStatus` is asked for only if a status is sent.
+   * Broadcasts the status of this controller if it is due. `newRevision` is a revision that peers should learn of immediately; null if
+   * there is none. `ownStatus` is called only if a status is sent.
    */
   broadcastStatus(out: Effect[], ownStatus: () => OwnStatus, newRevision: number | null): void {
     const { instanceId, replica, clock, leaseTtlMs } = this.options;
@@ -122,8 +122,8 @@
   }
 
   /**
-   * The share of the state service's writes that each peer wants; null: it was not heard. A peer whose presence is gone
-   * writes nothing.
+   * The write demand and presence of each peer. The demand is null if no recent status was received, or if the peer's presence record is
+   * gone: such a peer does not write.
    */
   demands(): Map<string, Omit<MemberStatus, 'name'>> {
     const { replica, clock, leaseTtlMs } = this.options;
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -1,11 +1,11 @@
-/** The summary of a shard that is logged for operators: how its machines are used, and what waiting tasks wait for. */
+/** The summary of the owned shards that is logged for operators: how machines are used, and what waiting tasks wait for. */
 import { fitCount } from '../model/machine.js';
 import { isSuspect } from './failure-attribution.js';
 import { waitingTaskCount } from './shard-state/jobs.js';
 import type { ShardState } from './shard-state/shard-state.js';
 import type { ScheduledJob } from './shard-state/types.js';
 
-/** Of a type of machines: how many are up, being started and idle, and the share of their resources in use. */
+/** The machines of one type: how many are up, starting up and idle, and the shares of their CPUs and GPUs in use. */
 interface MachineSummary {
   up: number;
   coming: number;
@@ -14,7 +14,7 @@
   gpus: number;
 }
 
-/** Of a class of jobs: its tasks by state, and what the waiting ones wait for. */
+/** The jobs of one class: the tasks by state, and the number of waiting tasks by what they wait for. */
 interface ClassSummary {
   jobs: number;
   waiting: number;
@@ -24,7 +24,7 @@
   because: Record<string, number>;
 }
 
-/** Of a team: its jobs since the shard was acquired, its tasks, and what they use of its limit. */
+/** The jobs of one team: open jobs, jobs done since the shard was acquired, tasks, and what they use of the team's limit. */
 interface TeamSummary {
   open: number;
   done: number;
@@ -34,7 +34,7 @@
   gpus: number;
 }
 
-/** Logs the summary. `looked`: how many machines placement has examined; `extraFields` are logged along with it. */
+/** Logs the summary. `machinesExamined` is the total that scheduling cycles have examined; `extraFields` are logged with it. */
 export function summarize(shardState: ShardState, machinesExamined: number, extraFields: object): void {
   shardState.log('info', 'summary', {
     fleet: summarizeMachines(shardState),
@@ -119,7 +119,7 @@
   return byTeam;
 }
 
-/** What a job's waiting tasks wait for, in words for operators. */
+/** What a job's waiting tasks wait for, as logged for operators. */
 function waitingReason(shardState: ShardState, job: ScheduledJob): string {
   if (job.cancelled) return 'cancelled';
   if (job.finalizing) return 'its end being recorded';
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -1,4 +1,4 @@
-/** The write budget: its allocation to controllers, teams and classes, and this controller's share of it. */
+/** The write budget of the state service: its allocation to controllers, teams and classes, and this controller's share of it. */
 import {
   divideWrites,
   equalShare,
@@ -19,20 +19,20 @@
 import type { Replica } from './replica.js';
 import { allocationData, allocationKey, WritePriority, type TransactionBatcher } from './storage/index.js';
 
-/** How often the leader works out a new allocation, and writes one at most, in a state lease. */
+/** How often per state lease the leader evaluates a new allocation, and the maximum number of times that it writes one. */
 const evaluationsPerLease = 4;
 const writesPerLease = 2;
-/** A controller that does not follow the last allocation after so many state leases has fallen back to its minimum. */
+/** After this many state leases, a controller that does not follow the last allocation has fallen back to its minimum. */
 const settledLeases = 1.25;
 
-/** What this controller may write, and what all controllers together may admit, a second. */
+/** The writes per second that this controller may use, and the new jobs per second that all controllers together may admit. */
 export interface LocalWriteShare extends WriteShare {
   readonly totalNewJobs: number;
-  /** The rates by which teams and classes take turns here; none: by guarantee and urgency. */
+  /** The rates by which this controller alternates between teams and classes; if empty, guarantee and urgency decide. */
   readonly workloadRates: ReadonlyMap<string, number>;
 }
 
-/** What the write budget works with. */
+/** The dependencies of the write budget. */
 export interface WriteBudgetOptions {
   readonly settings: Settings;
   readonly replica: Replica;
@@ -47,15 +47,15 @@
 const noRates: ReadonlyMap<string, number> = new Map();
 
 /**
- * The leader works out the allocation from what all controllers report, and stores it; every controller applies its share of the
- * newest that it knows. A controller whose replica is older than its state lease falls back to its minimum: so an allocation
- * that is older than that is followed by none, and each controller needs its own clock only.
+ * The leader computes the allocation from the demands that all controllers report, and stores it. Every controller applies its share of
+ * the newest allocation that it knows. A controller whose replica is older than its state lease falls back to its minimum. So no
+ * controller follows an allocation that was replaced longer ago than that, and each controller needs only its own clock.
  */
 export class WriteBudget {
   private evaluatedAt = -Infinity;
   private writtenAt = -Infinity;
   private isWriting = false;
-  /** Since when the allocation in force is known here, ms. */
+  /** The version of the allocation in force, and since when this controller knows it, ms. */
   private knownAllocation = { version: -1, since: -Infinity };
   private readonly teamWeight: (team: string) => number;
 
@@ -67,7 +67,7 @@
     return this.options.replica.levels.isEnabled('admission-plan');
   }
 
-  /** The version of the allocation that this controller follows if its replica is fresh; 0: none. */
+  /** The version of the allocation that this controller follows if its replica is recent enough; 0 if none. */
   get followedVersion(): number {
     return this.isEnabled ? (this.options.replica.writeAllocation?.version ?? 0) : 0;
   }
@@ -77,7 +77,7 @@
     return [member, ...peers.map((peer) => peer.member)];
   }
 
-  /** Notes the allocation in force and the peers' presence; in each step, so that a new leader knows how old they are. */
+  /** Tracks the allocation in force and the peers' presence; called in each step, so that a new leader knows how old they are. */
   observe(): void {
     const { replica, clock, peers } = this.options;
     const version = replica.writeAllocation?.version ?? 0;
@@ -85,7 +85,7 @@
     peers.demands();
   }
 
-  /** This controller's share. */
+  /** Computes this controller's share of the budget. */
   localShare(local: MemberDemand): LocalWriteShare {
     const { settings, replica, freshness, membership } = this.options;
     if (!this.isEnabled) return this.shareByReports(local);
@@ -96,8 +96,8 @@
       const totalNewJobs = [...writeAllocation.members.values()].reduce((sum, m) => sum + m.newJobs, 0);
       return { ...allocated, totalNewJobs };
     }
-    // Guards against following an allocation that was replaced while this controller was cut off, that counts it as gone, or that
-    // cannot be read.
+    // An allocation is not followed if it may have been replaced while this controller was disconnected, if it counts this controller as
+    // absent, or if it cannot be read. In these cases the controller uses only its minimum.
     const mayBeInForce =
       !isUpToDate || writeAllocation !== null || replica.unreadableRecords.has(allocationKey);
     const memberCount = this.memberNames.length;
@@ -105,7 +105,10 @@
     return { ...share, totalNewJobs: share.newJobs * memberCount, workloadRates: noRates };
   }
 
-  /** Without allocations all controllers divide the budget by the same reports. One that has not reported counts as equal. */
+  /**
+   * Without allocations, all controllers divide the budget by the same reported demands. A controller that has not reported counts with
+   * an equal share.
+   */
   private shareByReports(local: MemberDemand): LocalWriteShare {
     const { settings, peers } = this.options;
     const writesPerS = settings.state.write_rps;
@@ -119,7 +122,7 @@
     return { ...shares[0], totalNewJobs, workloadRates: noRates };
   }
 
-  /** As the leader: writes the next allocation, if it is worth it. */
+  /** As the leader: writes the next allocation if it differs enough from the current one. */
   proposeNext(local: MemberDemand): void {
     const { settings, replica, membership, clock } = this.options;
     const { leaseTtlMs } = membership;
@@ -144,7 +147,7 @@
       priority: WritePriority.membership,
       build: () => {
         const { leader } = replica;
-        // Guards against a former leader, which knows neither what the others follow nor the newest allocation.
+        // A former leader must not write: it knows neither what the others follow nor the newest allocation.
         if (!leader || !membership.isLeader || !this.isEnabled) {
           endWrite();
           return null;
