--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -1,30 +1,30 @@
-/** What a heartbeat proves, and what only the end of a lease does. */
+/** What a heartbeat proves, and what only the expiry of a lease proves. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { kill, longWorld } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { spec } from './support/fixtures.js';
 
-// Guards against the old copy of a report that a new owner hears before anything else of a machine: a gang that was mended
-// has the attempt there again that had ended in an earlier session.
-test('an end that an old report tells of counts only under the present token', () => {
+// Guards against an old copy of a heartbeat that is the first one a new owner receives from a machine: a repaired gang may have the same
+// attempt on the machine again that exited in an earlier agent session.
+test('a task exit in an old heartbeat counts only under the current fencing token', () => {
   const w = longWorld(1);
   const gang = spec('req-1', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 });
   assert.equal(w.nodes[0].submit(gang)?.status, 201);
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   w.advance(5);
-  const [m] = [...w.workers.values()];
-  const old = m.report();
-  old.tasks = old.tasks.map((t) => ({ ...t, phase: 'exited', exitReason: 'alone' }));
+  const [worker] = [...w.workers.values()];
+  const oldReport = worker.report();
+  oldReport.tasks = oldReport.tasks.map((t) => ({ ...t, phase: 'exited', exitReason: 'alone' }));
   for (const x of w.workers.values()) x.silent = true;
-  const was = ownerOf(w)!;
-  kill(w, was);
+  const previousOwner = ownerOf(w)!;
+  kill(w, previousOwner);
   assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined, 20));
   const owner = ownerOf(w)!;
-  owner.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report: old });
+  owner.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report: oldReport });
   w.advance(0.1);
   for (const x of w.workers.values()) x.silent = false;
-  was.boot();
+  previousOwner.boot();
   w.advance(30);
   assert.deepEqual(
     owner.logLines.filter(([, what]) => what === 'gang torn down'),
@@ -35,60 +35,64 @@
   assert.deepEqual(w.violations, []);
 });
 
-// Guards against a second zone for a job that has tasks on a machine whose record is lost: nobody knows which zone that is.
-test('a job of one zone gets no second one while some of its tasks are in an unknown one', () => {
+// Guards against a second zone for a oneZone job with tasks on a machine whose record is lost: the zone of that machine is unknown.
+test('a oneZone job is not placed in another zone while some of its tasks are in an unknown zone', () => {
   const w = longWorld(2, {
     capacity: 0,
     prepare: (world) => ['north', 'south'].forEach((zone) => world.addWorker('box', zone, false)),
   });
   for (const zone of ['north', 'south']) {
-    const held = spec(`req-1${zone.length}${zone === 'north' ? 0 : 1}`, { team: 'blue', tasks: 1, zone });
-    assert.equal(w.nodes[0].submit(held)?.status, 201);
+    const occupyingJob = spec(`req-1${zone.length}${zone === 'north' ? 0 : 1}`, {
+      team: 'blue',
+      tasks: 1,
+      zone,
+    });
+    assert.equal(w.nodes[0].submit(occupyingJob)?.status, 201);
   }
   assert.ok(w.advanceUntil(() => [...w.workers.values()].every((x) => x.tasks.size === 1), 60));
   const job = spec('req-2', { team: 'blue', tasks: 8, cpus: 2, oneZone: true });
   assert.equal(w.nodes[0].submit(job)?.status, 201);
   assert.ok(w.advanceUntil(() => w.running('req-2').length === 3, 30));
   w.advance(5);
-  const lost = w.workers.get(w.running('req-2')[0].host)!;
+  const lostWorker = w.workers.get(w.running('req-2')[0].host)!;
   for (const n of w.nodes) kill(w, n);
   w.advance(0.1);
-  lost.silent = w.cloudDown = true;
-  // What hung on leases is gone, too.
-  const all = w.state
+  lostWorker.silent = w.cloudDown = true;
+  // The keys that were attached to state leases are lost as well.
+  const remaining = w.state
     .items()
-    .filter((c) => c.key !== `dp/m/${lost.host}` && !/^dp\/(node|chief)/.test(c.key));
+    .filter((c) => c.key !== `dp/m/${lostWorker.host}` && !/^dp\/(node|chief)/.test(c.key));
   w.state.loseData(
-    all.map((c) => [c.key, c]),
+    remaining.map((c) => [c.key, c]),
     w.state.epoch,
   );
   for (const n of w.nodes) n.boot();
   w.advance(13);
-  lost.silent = false;
+  lostWorker.silent = false;
   w.cloudDown = false;
   w.advance(60);
   assert.deepEqual(w.violations, []);
   assert.ok(
     w.advanceUntil(() => w.running('req-2').length >= 3, 60),
-    'goes on',
+    'the job continues',
   );
 });
 
-// Guards against a leader that is cut off and acts until its view is older than its lease lasts: it was renewed before the view
-// was last confirmed, so it may have ended, and another lead.
-test('a leader acts only while its lease surely lasts', () => {
+// Guards against a disconnected leader that acts until its replica is older than the duration of its lease: the lease was last renewed
+// before the replica was last confirmed, so it may have expired already, and another controller may lead.
+test('a leader acts only while its lease is definitely valid', () => {
   for (let offset = 0; offset < 12; offset++) {
     const w = longWorld(3);
     w.advance(offset * 0.09);
     const leader = leaderOf(w)!;
     const { membership } = leader.controller;
-    assert.ok(membership.holdsValidLease(w.now), 'it leads');
+    assert.ok(membership.holdsValidLease(w.now), 'the leader holds a valid lease');
     leader.cutFromState = true;
     while (w.state.entries.has('dp/chief') && w.now < 60_000) {
       w.advance(0.01);
       const another = w.nodes.some((n) => n !== leader && n.controller.membership.isLeader);
       assert.ok(!membership.holdsValidLease(w.now) || !another);
     }
-    assert.ok(!membership.holdsValidLease(w.now), `cut ${offset * 90} ms later`);
+    assert.ok(!membership.holdsValidLease(w.now), `disconnected ${offset * 90} ms later`);
   }
 });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,4 +1,4 @@
-/** The rules of the protocol, each under the failures that could break it. */
+/** The guarantees of the scheduler, each tested under the failures that could violate it. A prefix in a title names the rule. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { quarantineEvidence, evidenceAgainst } from '../src/core/failure-attribution.js';
@@ -7,7 +7,7 @@
 import { box, spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-const up = (w: World): void =>
+const waitUntilReady = (w: World): void =>
   assert.ok(
     w.advanceUntil(
       () =>
@@ -21,9 +21,9 @@
     ),
   );
 
-test('a job is accepted once, runs, and stays done at every controller', () => {
+test('a job is accepted once, completes, and is reported as done by every controller', () => {
   const w = new World(3);
-  up(w);
+  waitUntilReady(w);
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
   assert.equal(w.nodes[1].submit(spec('req-1'))?.status, 200);
   assert.ok(w.advanceUntil(() => w.nodes[2].status('req-1')?.body['status'] === 'done', 120));
@@ -36,21 +36,21 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('not_done: the end is told only after every task is done and durable', () => {
+test('not_done: a job is reported as done only after all of its tasks have completed durably', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 12, team: 'blue' }));
-  let toldAt = -1;
+  let finishedWhenReported = -1;
   w.advanceUntil(() => {
-    if (w.nodes[0].status('req-1')?.body['status'] === 'done') toldAt = w.finished.length;
-    return toldAt >= 0;
+    if (w.nodes[0].status('req-1')?.body['status'] === 'done') finishedWhenReported = w.finished.length;
+    return finishedWhenReported >= 0;
   }, 200);
-  assert.equal(toldAt, 12);
+  assert.equal(finishedWhenReported, 12);
 });
 
-test('invented and forgotten: unknown jobs get 404, known ones never, also after all controllers restart', () => {
+test('invented and forgotten: unknown jobs get 404, known jobs never do, even after all controllers restart', () => {
   const w = new World(3);
-  up(w);
+  waitUntilReady(w);
   assert.equal(w.nodes[0].status('req-77')?.status, 404);
   assert.equal(w.nodes[0].cancel('req-77')?.status, 404);
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
@@ -63,9 +63,9 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('forgotten: a view that lags behind makes no 404 and no 422 of an accepted job', () => {
+test('forgotten: a controller with an outdated replica answers neither 404 nor 422 for an accepted job', () => {
   const w = new World(2);
-  up(w);
+  waitUntilReady(w);
   w.nodes[1].cutFromState = true;
   assert.equal(w.nodes[0].submit(spec('req-1'))?.status, 201);
   assert.equal(w.nodes[1].status('req-1')?.status, 503);
@@ -74,39 +74,39 @@
   assert.equal(w.nodes[1].status('req-1')?.status, 200);
 });
 
-test('what can never run gets 422, and an outage gets 503 at once with Retry-After', () => {
+test('a job that can never run gets 422; during an outage a submission gets 503 with Retry-After immediately', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   const n = w.nodes[0];
   assert.equal(n.submit(spec('req-1', { team: 'nobody' }))?.status, 422);
   assert.equal(n.submit(spec('req-2', { cpus: 9 }))?.status, 422);
   assert.equal(n.submit(spec('req-3', { shape: 'gang', tasks: 17 }))?.status, 422);
   assert.equal(n.submit(spec('req-4', { tasks: 17 }))?.status, 201);
   w.state.unavailable = true;
-  const before = w.now;
-  const a = n.submit(spec('req-5'));
-  assert.equal(a?.status, 503);
-  assert.ok((a?.retryAfterS ?? 0) >= 1);
-  assert.ok(w.now - before < 1000);
+  const submittedAt = w.now;
+  const response = n.submit(spec('req-5'));
+  assert.equal(response?.status, 503);
+  assert.ok((response?.retryAfterS ?? 0) >= 1);
+  assert.ok(w.now - submittedAt < 1000);
 });
 
-test('quota: a cap counts everything that is not proven gone', () => {
+test('quota: the limit counts every task that is not proven to have ended', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 30, cpus: 1 }));
-  let most = 0;
+  let maxRunning = 0;
   w.advanceUntil(() => {
-    most = Math.max(most, w.running('req-1').length);
+    maxRunning = Math.max(maxRunning, w.running('req-1').length);
     return w.now > 100_000;
   }, 100);
-  assert.equal(most, 16);
+  assert.equal(maxRunning, 16);
 });
 
-test('wrong_place: type, zone, kind, oneZone and apart are kept', () => {
+test('wrong_place: the constraints on type, zone, spot, oneZone and apart are respected', () => {
   const w = new World(1);
   w.types = [box, { ...box, name: 'big', cpus: 32, memGb: 128, price: 2, spotPrice: 0.2 }];
   w.capacity = 40;
-  up(w);
+  waitUntilReady(w);
   const n = w.nodes[0];
   n.submit(spec('req-1', { team: 'blue', types: ['box'], zone: 'south', tasks: 4 }));
   n.submit(spec('req-2', { team: 'blue', shape: 'gang', apart: true, tasks: 5, cpus: 8, spot: true }));
@@ -118,20 +118,21 @@
       120,
     ),
   );
-  const where = (job: string) =>
+  const workersByTask = (job: string) =>
     new Map(
       w.starts.filter((s) => s.piece.startsWith(`${job}/`)).map((s) => [s.piece, w.workers.get(s.host)!]),
     );
-  for (const m of where('req-1').values()) assert.deepEqual([m.type, m.zone], ['box', 'south']);
-  const zones = [...where('req-2').values()].map((m) => m.zone);
+  for (const m of workersByTask('req-1').values()) assert.deepEqual([m.type, m.zone], ['box', 'south']);
+  const zones = [...workersByTask('req-2').values()].map((m) => m.zone);
   for (const z of ['north', 'south']) assert.ok(zones.filter((x) => x === z).length <= 3);
-  assert.equal(new Set([...where('req-3').values()].map((m) => m.zone)).size, 1);
-  for (const job of ['req-2', 'req-4']) for (const m of where(job).values()) assert.equal(m.spot, false);
+  assert.equal(new Set([...workersByTask('req-3').values()].map((m) => m.zone)).size, 1);
+  for (const job of ['req-2', 'req-4'])
+    for (const m of workersByTask(job).values()) assert.equal(m.spot, false);
 });
 
-test('ran_cancelled: a cancellation stops tasks, also through a takeover', () => {
+test('ran_cancelled: a cancellation stops the tasks, even if their owner has failed', () => {
   const w = new World(3);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 3 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
   const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
@@ -145,20 +146,20 @@
   for (const n of w.nodes.filter((x) => x.alive)) assert.equal(n.status('req-1')?.body['status'], 'aborted');
 });
 
-test('a cancellation that races a start wins: the placement fails and nothing is started', () => {
+test('a cancellation that races with a start wins: the placement fails and nothing is started', () => {
   const w = new World(2);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1'));
   // The owner does not see the cancellation before it commits its placement.
   w.nodes[1].cancel('req-1');
-  const cancelled = w.now;
+  const cancelledAt = w.now;
   w.advance(60);
-  assert.ok(w.starts.every((s) => !s.piece.startsWith('req-1/') || s.at <= cancelled));
+  assert.ok(w.starts.every((s) => !s.piece.startsWith('req-1/') || s.at <= cancelledAt));
 });
 
-test('ran_twice: a new owner leaves tasks where they are, and the stale owner is not obeyed', () => {
+test('ran_twice: a new owner keeps tasks where they run, and workers ignore the stale owner', () => {
   const w = new World(2, { shards: 1 });
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 4 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 4, 60));
   const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
@@ -169,9 +170,9 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('ran_twice: silence frees a task only when its lease has surely ended', () => {
+test('ran_twice: a task of a silent machine is placed again only after the worker lease has definitely expired', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1, shape: 'service' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 1, 60));
   const host = w.running('req-1')[0].host;
@@ -180,33 +181,33 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('a late report proves nothing: its tasks list is as old as itself', () => {
+test('a late heartbeat proves nothing: its task list is out of date', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1, shape: 'service' }));
   const host = () => w.running('req-1')[0]?.host;
   w.advanceUntil(() => [...w.workers.values()].some((x) => x.token > 0), 30);
   const worker = [...w.workers.values()].find((x) => x.token > 0)!;
-  const old = worker.report();
+  const oldReport = worker.report();
   assert.ok(w.advanceUntil(() => host() !== undefined, 60));
   w.advance(5);
   w.nodes[0].push({
     type: 'heartbeat',
     requestId: 5,
-    report: { ...old, host: host(), fencingToken: w.workers.get(host())!.token },
+    report: { ...oldReport, host: host(), fencingToken: w.workers.get(host())!.token },
   });
   w.advance(30);
   assert.equal(w.running('req-1').length, 1);
   assert.equal(w.starts.filter((s) => s.piece === 'req-1/0').length, 1);
 });
 
-test('commit before start: a crash between commit and start loses nothing and starts nothing twice', () => {
+test('commit before start: a crash between the commit and the start loses no task and starts none twice', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 3 }));
-  const placed = () =>
+  const isPlacementCommitted = () =>
     w.commits.some((c) => c.txn.writes.some((a) => a.key.startsWith('dp/t/') || a.data?.['t'] !== undefined));
-  assert.ok(w.advanceUntil(placed, 60));
+  assert.ok(w.advanceUntil(isPlacementCommitted, 60));
   assert.equal(w.starts.length, 0);
   w.nodes[0].alive = false;
   w.advance(4);
@@ -215,39 +216,39 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('a lost commit answer: the submission is accepted once and its task placed once', () => {
+test('a lost commit response: the submission is accepted once and each task is placed once', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.state.dropsResponses = true;
   w.schedule(2500, () => (w.state.dropsResponses = false));
-  const a = w.nodes[0].submit(spec('req-1'));
-  assert.ok(a?.status === 201 || a?.status === 200 || a?.status === 503);
+  const response = w.nodes[0].submit(spec('req-1'));
+  assert.ok(response?.status === 201 || response?.status === 200 || response?.status === 503);
   assert.ok(w.advanceUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 120));
   assert.equal(w.finished.length, 2);
   assert.deepEqual(w.violations, []);
 });
 
-test('went_back: cancelled stays cancelled though its tasks finish at the same moment', () => {
+test('went_back: the status reported by a cancellation stays, even if tasks finish at the same moment', () => {
   const w = new World(2);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1 }));
   assert.ok(w.advanceUntil(() => w.finished.length === 1, 90));
-  const first = w.nodes[1].cancel('req-1')?.body['status'];
+  const statusAfterCancellation = w.nodes[1].cancel('req-1')?.body['status'];
   w.advance(10);
-  for (const n of w.nodes) assert.equal(n.status('req-1')?.body['status'], first);
+  for (const n of w.nodes) assert.equal(n.status('req-1')?.body['status'], statusAfterCancellation);
 });
 
-test('late rental: a machine nobody asked for is used or returned', () => {
+test('late rental: a machine that was not requested is used or returned', () => {
   const w = new World(1);
-  up(w);
-  const stray = w.addWorker('box', 'north', false);
-  assert.ok(w.advanceUntil(() => w.deleted.includes(stray.host), 60));
+  waitUntilReady(w);
+  const unrequested = w.addWorker('box', 'north', false);
+  assert.ok(w.advanceUntil(() => w.deleted.includes(unrequested.host), 60));
 });
 
-test('hire names are never used again, also by later leaders', () => {
+test('names of rental requests are never reused, even by later leaders', () => {
   const w = new World(2);
   w.capacity = 0;
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1'));
   w.advance(30);
   const leader = w.nodes.find((n) => n.controller.membership.isLeader)!;
@@ -259,9 +260,9 @@
   assert.equal(new Set(w.rentals.map((r) => r.name)).size, w.rentals.length);
 });
 
-test('gang: a lost task takes the attempt down; the next one starts whole after all of it is gone', () => {
+test('gang: the loss of a task tears down the attempt; the next attempt starts as a whole once all of it is gone', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { shape: 'gang', tasks: 2, cpus: 8 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   const lost = w.workers.get(w.running('req-1')[0].host)!;
@@ -270,21 +271,21 @@
   assert.deepEqual(w.violations, []);
 });
 
-test('a machine that fails its tasks is given up and the job is done elsewhere', () => {
+test('a machine on which tasks fail is deleted, and the job completes on other machines', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 2 }));
   w.advanceUntil(() => w.workers.size > 0, 30);
-  const sick = [...w.workers.values()][0];
-  sick.failsTasks = true;
+  const faultyWorker = [...w.workers.values()][0];
+  faultyWorker.failsTasks = true;
   assert.ok(w.advanceUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 200));
-  assert.ok(w.deleted.includes(sick.host));
+  assert.ok(w.deleted.includes(faultyWorker.host));
 });
 
-test('jobs with a mistake: healthy machines stay, none is rented for them, tries back off and go on', () => {
+test('faulty jobs: healthy machines are kept, none is rented for the jobs, and retries continue with backoff', () => {
   const w = new World(1);
   w.capacity = 4;
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { team: 'blue', shape: 'service', tasks: 3, cpus: 7 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
   for (const id of ['req-2', 'req-3', 'req-4']) {
@@ -292,23 +293,25 @@
     w.nodes[0].submit(spec(id, { team: 'blue', tasks: 6 }));
   }
   w.advance(20);
-  const rented = w.rentals.length;
-  const early = w.starts.length;
+  const rentalsBefore = w.rentals.length;
+  const startsBefore = w.starts.length;
   w.advance(60);
-  const first = w.starts.length - early;
+  const firstMinuteStarts = w.starts.length - startsBefore;
   w.advance(300);
-  const late = w.starts.slice(early + first).filter((s) => w.failingJobs.has(s.piece.split('/')[0]));
-  // Three jobs, a try in 2.5 leases of 16 s each.
-  assert.ok(late.length >= 9 && late.length <= 30, String(late.length));
-  // Idle ones may be returned; none is given up.
+  const laterStarts = w.starts
+    .slice(startsBefore + firstMinuteStarts)
+    .filter((s) => w.failingJobs.has(s.piece.split('/')[0]));
+  // Three jobs, each with one retry per 2.5 worker leases of 16 s.
+  assert.ok(laterStarts.length >= 9 && laterStarts.length <= 30, String(laterStarts.length));
+  // Idle machines may be returned, but none is released as faulty.
   const writes = w.commits.flatMap((c) => c.txn.writes);
   assert.ok(writes.every((a) => a.data?.['st'] !== 'dead'));
-  assert.equal(w.rentals.length, rented);
+  assert.equal(w.rentals.length, rentalsBefore);
   assert.equal(w.running('req-1').length, 3);
   assert.equal(w.nodes[0].cancel('req-2')?.body['status'], 'aborted');
 });
 
-test('a faulty machine among jobs with a mistake is still found', () => {
+test('a faulty machine is detected even if faulty jobs fail on it, too', () => {
   const good = { failedHosts: new Set(['a']), completedCount: 1 };
   const mistaken = { failedHosts: new Set(['a', 'b']), completedCount: 0 };
   const fresh = { failedHosts: new Set(['a']), completedCount: 0 };
@@ -324,14 +327,14 @@
   assert.ok(of(['good', 1], ['fresh', 1], ['mistaken', 9]) >= quarantineEvidence);
 });
 
-test('a guest that filled the fleet gives way: at once to a guarantee, without loss to work of higher urgency', () => {
+test('a job that fills all machines beyond its guarantee is preempted: immediately for a guarantee, without loss of work for higher urgency', () => {
   for (const [team, urgency] of [
     ['red', 'low'],
     ['blue', 'normal'],
   ] as const) {
     const w = new World(1);
     w.capacity = 2;
-    up(w);
+    waitUntilReady(w);
     w.serviceJobs.add('req-1');
     w.nodes[0].submit(
       spec('req-1', { team: 'blue', urgency: 'low', tasks: 40, checkpointS: 5, saveS: 1, estimateS: 300 }),
@@ -347,9 +350,9 @@
   }
 });
 
-test('a takeover does not mistake machines it has not heard yet for ones that never came up', () => {
+test('a new owner does not mistake machines that have not reported to it yet for machines that never started', () => {
   const w = new World(2, { shards: 1 });
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 2 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   w.advance(60);
@@ -359,17 +362,17 @@
   assert.equal(w.running('req-1').length, 2);
 });
 
-test('ran_twice: a task lost soon after a takeover is handed out once', () => {
+test('ran_twice: a task that is lost shortly after a failover is placed only once', () => {
   const w = new World(2, { shards: 1 });
   w.capacity = 2;
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 5, team: 'blue', cpus: 4 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 4, 60));
   w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!.alive = false;
   w.advance(20);
-  // One task lost and one that never had a place: both find one on the same machine in the same round.
-  const lost = w.running('req-1')[3];
-  const { report } = w.workers.get(lost.host)!.tasks.get(lost.piece)!;
+  // One task is lost and one was never placed: both are placed on the same machine in the same scheduling cycle.
+  const lostTask = w.running('req-1')[3];
+  const { report } = w.workers.get(lostTask.host)!.tasks.get(lostTask.piece)!;
   report.phase = 'exited';
   report.exitReason = 'error';
   w.capacity = 1;
@@ -378,9 +381,9 @@
   assert.equal(new Set(w.running('req-1').map((r) => r.piece)).size, 5);
 });
 
-test('a cut between a worker and its owner: its reports go through another controller', () => {
+test('a worker that cannot reach its owner: another controller forwards its heartbeats', () => {
   const w = new World(3, { shards: 1 });
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { shape: 'service', tasks: 1 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 1, 60));
   const owner = w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!;
@@ -391,11 +394,11 @@
   assert.equal(w.running('req-1').length, 1);
 });
 
-test('an owner and leader that stands still at any moment: nothing is done on what it held before', () => {
-  for (const frozenS of [4, 12, 35])
+test('an owner and leader that is paused at any moment does not act on its outdated state afterwards', () => {
+  for (const pausedS of [4, 12, 35])
     for (let at = 0; at < 26; at += 1.3) {
       const w = new World(2);
-      up(w);
+      waitUntilReady(w);
       const owner = w.nodes.find((n) => n.controller.shardManager.ownedShards.size > 0)!;
       const other = w.nodes.find((n) => n !== owner)!;
       other.submit(spec('req-1', { tasks: 4 }));
@@ -404,24 +407,24 @@
       w.advance(at);
       owner.paused = true;
       w.advance(0.3);
-      const told = other.cancel('req-3')?.body['status'];
-      if (told === 'aborted') w.cancelledAt.set('req-3', w.now);
-      w.advance(frozenS);
+      const reportedStatus = other.cancel('req-3')?.body['status'];
+      if (reportedStatus === 'aborted') w.cancelledAt.set('req-3', w.now);
+      w.advance(pausedS);
       owner.paused = false;
-      const over = (id: string) => other.status(id)?.body['status'] === 'done';
+      const isDone = (id: string) => other.status(id)?.body['status'] === 'done';
       assert.ok(
-        w.advanceUntil(() => over('req-1') && over('req-2'), 150),
-        `frozen for ${frozenS} s at ${at}`,
+        w.advanceUntil(() => isDone('req-1') && isDone('req-2'), 150),
+        `paused for ${pausedS} s at ${at}`,
       );
       w.advance(20);
-      assert.deepEqual(w.violations, [], `frozen for ${frozenS} s at ${at}`);
-      for (const n of w.nodes) assert.equal(n.status('req-3')?.body['status'], told);
+      assert.deepEqual(w.violations, [], `paused for ${pausedS} s at ${at}`);
+      for (const n of w.nodes) assert.equal(n.status('req-3')?.body['status'], reportedStatus);
     }
 });
 
-test('a lost peer: its lease is ended at once, and its shard is taken up long before it would have expired', () => {
+test('a lost peer: its state lease is ended immediately, and its shards are acquired long before the lease would have expired', () => {
   const w = new World(3, { shards: 3 });
-  up(w);
+  waitUntilReady(w);
   w.advance(20);
   const [owner, ...others] = [...w.nodes].sort(
     (a, b) => b.controller.shardManager.ownedShards.size - a.controller.shardManager.ownedShards.size,
@@ -431,12 +434,12 @@
   owner.alive = false;
   for (const n of others) n.push({ type: 'peer-lost', member: owner.member });
   w.advance(1);
-  for (const k of shards) assert.ok(others.some((n) => n.controller.shardManager.ownedShards.has(k)));
+  for (const shard of shards) assert.ok(others.some((n) => n.controller.shardManager.ownedShards.has(shard)));
 });
 
-test('a node cut off alone from the state service sends its users away; in a common outage all stay', () => {
+test('a controller that alone cannot reach the state service is unhealthy; in a common outage all stay healthy', () => {
   const w = new World(2);
-  up(w);
+  waitUntilReady(w);
   w.advance(5);
   w.nodes[1].cutFromState = true;
   w.nodes[0].submit(spec('req-1'));
@@ -450,26 +453,26 @@
   assert.ok(w.nodes.every((n) => n.controller.healthy));
 });
 
-// Guards against the leader that is cut off from the state service and its peers, not from its users: nobody could tell it
-// that the others are served, and it kept its users, whose every poll failed for as long as the cut lasted.
-test('a node cut off from the state service and from all others sends its users away, and has them back after it', () => {
+// Guards against a leader that is disconnected from the state service and its peers, but not from its users. It could not learn that
+// the other controllers still work, stayed healthy and kept its users, whose every poll failed until the connection was restored.
+test('a controller that can reach neither the state service nor its peers is unhealthy until the connection is restored', () => {
   const w = new World(3);
-  up(w);
+  waitUntilReady(w);
   w.advance(5);
-  const [one, ...others] = w.nodes;
-  one.isolatedFromPeers = true;
+  const [isolated, ...others] = w.nodes;
+  isolated.isolatedFromPeers = true;
   w.advance(20);
-  assert.ok(one.controller.healthy, 'who reaches the state service serves');
-  one.cutFromState = true;
+  assert.ok(isolated.controller.healthy, 'a controller that reaches the state service is healthy');
+  isolated.cutFromState = true;
   w.advance(6);
-  assert.equal(one.controller.healthy, false);
+  assert.equal(isolated.controller.healthy, false);
   assert.ok(others.every((n) => n.controller.healthy));
-  one.cutFromState = one.isolatedFromPeers = false;
+  isolated.cutFromState = isolated.isolatedFromPeers = false;
   w.advance(3);
-  assert.ok(one.controller.healthy);
+  assert.ok(isolated.controller.healthy);
 });
 
-test('garbage, oversized and split frames between controllers', () => {
+test('malformed, oversized and split frames between controllers', () => {
   const response = { type: 'forwarded-response', id: 7, status: 200, body: '{"x":"ä"}' } as const;
   const frame = encodeFrame(response);
   const reader = new FrameReader();
@@ -489,9 +492,11 @@
       workloads: [{ team: 'a', class: 'b', weight: 2, jobsPerS: 0.5 }],
     },
   };
-  const got = reader.push(Buffer.concat([frame.subarray(3), encodeFrame({ type: 'peer-status', status })]));
-  assert.deepEqual(got, [response, { type: 'peer-status', status }]);
-  // Guards against zeros, which are not sent: who wants nothing was taken for one that does not say what it wants.
+  const frames = reader.push(
+    Buffer.concat([frame.subarray(3), encodeFrame({ type: 'peer-status', status })]),
+  );
+  assert.deepEqual(frames, [response, { type: 'peer-status', status }]);
+  // Guards against confusing a demand of zero with no reported demand: zeros are not encoded in the frame.
   for (const demand of [
     { acceptedWork: 0, newJobs: 0, backlogS: 0, allocationVersion: 0, workloads: [] },
     null,
@@ -513,9 +518,9 @@
   assert.throws(() => new FrameReader().push(Buffer.from('00000003ffffff', 'hex')), MalformedFrameError);
 });
 
-test('moves: tasks leave overpriced spot after their residency, a few per window, and only to a free place', () => {
+test('moves: tasks leave overpriced spot machines after their minimum residency, a few per window, and only for free capacity', () => {
   const w = new World(1);
-  up(w);
+  waitUntilReady(w);
   w.serviceJobs.add('req-1');
   w.nodes[0].submit(spec('req-1', { team: 'blue', spot: true, tasks: 3, checkpointS: 5, saveS: 1 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 60));
@@ -530,15 +535,15 @@
   const moves = w.starts
     .filter((s) => s.piece.startsWith('req-1/') && !w.workers.get(s.host)?.spot)
     .map((s) => s.at);
-  // One move a window: ceil(0.05 x 4 tasks).
+  // One move per window: ceil(0.05 x 4 tasks).
   for (let i = 1; i < moves.length; i++) assert.ok(moves[i] - moves[i - 1] > 7000);
   assert.deepEqual(w.violations, []);
 });
 
-test('a gang too big for its block: the leader enlarges it with idle machines of another, and it starts whole', () => {
+test('a gang too large for its shard: the leader adds idle machines of another shard, and the gang starts as a whole', () => {
   const w = new World(2, { shards: 2 });
   w.capacity = 4;
-  up(w);
+  waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { team: 'red', tasks: 2, cpus: 8 }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 2, 60));
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 4, cpus: 8 }));
