--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -54,6 +54,7 @@
   /** The number of keys of the initial snapshot that have been read so far. */
   | { type: 'snapshot-progress'; keys: number }
   | { type: 'snapshot-loaded'; items: Change[]; revision: number }
+  /** Changes delivered by the watch of the state service, up to a revision. */
   | { type: 'changes'; changes: Change[]; revision: number }
   | { type: 'commit-result'; outcome: CommitOutcome }
   /** A page of the stored records, read for the audit; `revision` is null if the request got no answer. */
@@ -96,13 +97,16 @@
   /** Responds to a request. A string body is sent unchanged. */
   | { type: 'respond'; requestId: number; status: number; body: object | string; retryAfterS?: number }
   | { type: 'commit'; txn: Transaction }
+  /** Reads the current revision of the state service; the result arrives as a 'revision-read' command. */
   | { type: 'read-revision' }
+  /** Makes the watch of the state service reach a revision without delay. */
   | { type: 'catch-up'; revision: number }
   /** Forwards a heartbeat to the owner of its machine; the response arrives as a 'forwarded-response' command. */
   | { type: 'forward-heartbeat'; to: string; requestId: number; report: Heartbeat }
   | { type: 'peer-status'; status: PeerStatus }
   | { type: 'rejected-jobs'; list: Rejection[] }
   | { type: 'query-freshness'; query: FreshnessQuery }
+  /** Answers a peer's freshness query with the changes that the peer lacks. */
   | { type: 'confirm-freshness'; to: string; query: FreshnessQuery; known: Change[] }
   /** Reads a page of up to `keys` stored records that follow the key `from`. */
   | { type: 'audit'; from: string; keys: number }
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -20,7 +20,7 @@
 /** A machine that has never reported is given up after this many times its boot time, plus a worker lease. */
 const bootTimeoutFactor = 4;
 
-/** The most expensive machines are kept idle for at least this share of the idle time of the cheapest ones. */
+/** The minimum share of the full idle time, which applies to the most expensive machines. */
 const minIdleShare = 0.5;
 
 /** The state of a machine that a shard releases: `free` machines go to the leader for other shards, `dead` ones are deleted. */
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Without allocations, all controllers divide the budget by the same reported demands. A controller that has not reported counts with
-   * an equal share.
+   * Without allocations, all controllers divide the budget by the same reported demands. A present controller that has not reported
+   * counts with an equal share.
    */
   private shareByReports(local: MemberDemand): LocalWriteShare {
     const { settings, peers } = this.options;
