--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -49,10 +49,10 @@
     const hasTasks = [...machine.placements.values()].some(
       (placement) => placement.startSentWith !== null || !placement.placedByThisProcess,
     );
-    const isWorthHolding = hasTasks
+    const shouldHold = hasTasks
       ? this.heartbeatReconciler.hasStartsAwaitingDurability(machine)
       : heartbeat.tasks.length === 0;
-    if (!isWorthHolding) return false;
+    if (!shouldHold) return false;
     this.held.set(machine.host, { requestId, machine, heartbeat, token, heldAt: this.clock.now });
     return true;
   }
--- a/src/core/load-sharing.ts
+++ b/src/core/load-sharing.ts
@@ -49,7 +49,7 @@
   /** Heartbeats since the last handover check: received directly, and forwarded by each peer. */
   private direct = 0;
   private forwardedBy = new Map<string, number>();
-  private checkedAt = 0;
+  private handoverCheckedAt = 0;
 
   constructor(private readonly options: LoadSharingOptions) {}
 
@@ -109,8 +109,8 @@
   tick(): void {
     const { settings, clock } = this.options;
     const intervalMs = settings.workers.lease_s * 1000 * handoverCheckLeases;
-    if (clock.now - this.checkedAt < intervalMs) return;
-    this.checkedAt = clock.now;
+    if (clock.now - this.handoverCheckedAt < intervalMs) return;
+    this.handoverCheckedAt = clock.now;
     this.considerHandover(this.takeTraffic());
   }
 
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -46,7 +46,7 @@
   ownJobCount: () => number;
 
   constructor(private readonly options: PeersOptions) {
-    this.members = options.settings.peers.map((p) => p.member);
+    this.members = options.settings.peers.map((peer) => peer.member);
     this.ownJobCount = () => options.replica.jobCount;
   }
 
@@ -70,17 +70,17 @@
 
   /** The number of peers that have followed the state beyond a revision. */
   countAhead(revision: number): number {
-    return this.recentStatuses().filter((s) => s.revision > revision).length;
+    return this.recentStatuses().filter((status) => status.revision > revision).length;
   }
 
   /** The largest number of jobs that any peer knows. */
   get maxJobCount(): number {
-    return Math.max(0, ...this.recentStatuses().map((s) => s.jobCount));
+    return Math.max(0, ...this.recentStatuses().map((status) => status.jobCount));
   }
 
   /** Whether a status of every peer has been received since this process started. */
   get heardFromAll(): boolean {
-    return this.members.every((m) => this.statuses.has(m));
+    return this.members.every((member) => this.statuses.has(member));
   }
 
   /** The instance id of the process that last sent a status under a peer's name. */
@@ -99,7 +99,9 @@
   }
 
   private recentStatuses(): PeerStatus[] {
-    return [...this.statuses.values()].filter((r) => this.isRecent(r)).map((r) => r.status);
+    return [...this.statuses.values()]
+      .filter((received) => this.isRecent(received))
+      .map((received) => received.status);
   }
 
   /**
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -58,7 +58,7 @@
 /** The part of an equal share of the state service's request rate that revision reads for users may use. */
 const revisionReadShare = 0.5;
 /** After a submission had to wait, the demand of each team and class is reported to the peers for this long. */
-const backlogMemoryMs = 10_000;
+const backlogReportMs = 10_000;
 const urgencyWeight = (spec: JobSpec): number => 2 ** urgencyRank[spec.urgency];
 
 /** Timeouts of this controller, shorter than those of clients: 2 s for a status query, 5 s for other requests. */
@@ -195,7 +195,7 @@
 
   /** Whether a submission recently had to wait until it could be written. */
   get backlogged(): boolean {
-    return this.clock.now - this.lastBacklogAt < backlogMemoryMs;
+    return this.clock.now - this.lastBacklogAt < backlogReportMs;
   }
 
   /** The demand by team and class while there is a backlog of submissions, otherwise empty. */
@@ -346,7 +346,7 @@
           respondToAll((waitingId) => this.cancel(waitingId, id, this.stepEffects));
           return null;
         }
-        return this.cancellation(record);
+        return this.cancellationTransaction(record);
       },
       onCommitted: () => respondToAll((waitingId) => this.cancel(waitingId, id, this.stepEffects)),
       // The job has reached a final state in the meantime: respond once the watch has delivered it.
@@ -371,7 +371,13 @@
   }
 
   /** The transaction that cancels a job. The record keeps the placements until their tasks are confirmed to have ended. */
-  private cancellation({ id, acceptedAt, spec, modRevision, tasksInline }: JobRecord): Transaction {
+  private cancellationTransaction({
+    id,
+    acceptedAt,
+    spec,
+    modRevision,
+    tasksInline,
+  }: JobRecord): Transaction {
     const key = jobKey(id);
     const conditions = [{ key, stamp: modRevision }];
     const tasks = tasksInline ? this.replica.chunks.get(id)?.get(0) : undefined;
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -93,7 +93,10 @@
     const allocated = writeAllocation?.members.get(settings.member);
     const isUpToDate = !freshness.isStale && membership.isPresent;
     if (writeAllocation && allocated && isUpToDate) {
-      const totalNewJobs = [...writeAllocation.members.values()].reduce((sum, m) => sum + m.newJobs, 0);
+      const totalNewJobs = [...writeAllocation.members.values()].reduce(
+        (sum, share) => sum + share.newJobs,
+        0,
+      );
       return { ...allocated, totalNewJobs };
     }
     // An allocation is not followed if it may have been replaced while this controller was disconnected, if it counts this controller as
