--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciliation of workers' heartbeats with the placements, and the orders that heartbeats are answered with. */
+/** Reconciles the placements with the tasks that workers report in heartbeats, and computes the orders of the responses. */
 import { taskKey } from '../model/job.js';
 import type { Heartbeat, TaskOrder, TaskStatus } from '../model/heartbeat.js';
 import { imageFetchS } from '../policy/pricing.js';
@@ -14,64 +14,64 @@
 } from './shard-state/types.js';
 import { maxOrdersPerMessage, stopOrder } from './task-orders.js';
 
-/** For how many report intervals nothing is placed on a machine that had no room for a task. */
+/** A machine that had no free capacity for a task receives no tasks for this many report intervals. */
 const fullMachineCooldownReports = 2;
 
-/** The end of a task, which its worker may forget once it is durable. */
-interface UnwrittenEnd {
+/** The exit of a task; its worker may forget the task once the exit is durable. */
+interface UnpersistedExit {
   readonly job: ScheduledJob;
   readonly chunk: TaskChunk;
-  /** The chunk's version that holds the end. */
+  /** The version of the chunk that contains the exit. */
   readonly version: number;
 }
 
-/** The tasks that a heartbeat lists, by their keys. */
+/** The tasks that a heartbeat lists, by task key. */
 type ReportedTasks = ReadonlyMap<string, TaskStatus>;
 
 /**
- * Takes heartbeats as evidence of what runs, and turns durable placements into orders. A heartbeat that carries the fencing token of
- * the current owner is proof also of what does not run: no earlier owner can have anything started after it.
+ * Updates the placements by what heartbeats report as running, and turns durable placements into orders. A heartbeat that carries the
+ * current owner's fencing token also proves which tasks do not run: after it, no earlier owner can have a task started.
  */
 export class HeartbeatReconciler {
-  /** Ends of tasks that their workers still list, by machine and attempt. */
-  private readonly unwrittenEnds = new Map<string, UnwrittenEnd>();
+  /** Exits of tasks that their workers still list, by machine, task and attempt. */
+  private readonly unpersistedExits = new Map<string, UnpersistedExit>();
 
   constructor(
     private readonly shardState: ShardState,
     private readonly machineHealth: MachineHealth,
   ) {}
 
-  /** Takes in the heartbeat of a machine of this process's shards; returns the orders to answer with. */
+  /** Processes the heartbeat of a machine in an owned shard; returns the orders for the response. */
   reconcile(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): TaskOrder[] {
-    const isProof = heartbeat.fencingToken === token;
-    this.noteContact(machine, heartbeat, token);
-    // Guards against the late heartbeat: its list is as old as itself, and its response will be dropped.
+    const hasCurrentToken = heartbeat.fencingToken === token;
+    this.recordContact(machine, heartbeat, token);
+    // A late heartbeat is not acted on: its task list is out of date, and the worker drops the response.
     if (!isNewerHeartbeat(heartbeat, machine)) return [];
-    this.notePosition(machine, heartbeat, isProof);
+    this.recordPosition(machine, heartbeat, hasCurrentToken);
     if (heartbeat.noticeS !== null && machine.reclaimAt === 0)
       this.handleReclaimNotice(machine, heartbeat.noticeS);
     const reported = reportedTasks(heartbeat);
-    this.reconcilePlacements(machine, heartbeat, reported, isProof);
+    this.reconcilePlacements(machine, heartbeat, reported, hasCurrentToken);
     const orders: TaskOrder[] = [];
-    for (const [key, status] of reported) this.addOrderFor(machine, key, status, isProof, orders);
-    if (isProof) this.addStarts(machine, heartbeat, reported, orders);
+    for (const [key, status] of reported) this.addOrderForTask(machine, key, status, hasCurrentToken, orders);
+    if (hasCurrentToken) this.addStartOrders(machine, heartbeat, reported, orders);
     return orders.slice(0, maxOrdersPerMessage);
   }
 
-  /** The orders for a machine as of now, in response to its newest heartbeat, which was reconciled before. */
+  /** The current orders for a machine, in response to its newest heartbeat, which has been reconciled already. */
   currentOrders(machine: ScheduledMachine, heartbeat: Heartbeat): TaskOrder[] {
     const orders: TaskOrder[] = [];
     const reported = reportedTasks(heartbeat);
     for (const status of heartbeat.tasks) {
       const placement = machine.placements.get(taskKey(status.job, status.index));
-      if (placement?.attempt === status.attempt) addStop(placement, status, orders);
+      if (placement?.attempt === status.attempt) addStopOrder(placement, status, orders);
     }
-    this.addStarts(machine, heartbeat, reported, orders);
+    this.addStartOrders(machine, heartbeat, reported, orders);
     return orders;
   }
 
-  /** Whether a machine has placements whose start waits until they are durable. */
-  awaitsDurableStart(machine: ScheduledMachine): boolean {
+  /** Whether a machine has placements whose start order must wait until they are durable. */
+  hasStartsAwaitingDurability(machine: ScheduledMachine): boolean {
     for (const placement of machine.placements.values()) {
       const { placedByThisProcess, startSentWith, stopRequest } = placement;
       if (!placedByThisProcess || startSentWith !== null || stopRequest !== null) continue;
@@ -80,8 +80,8 @@
     return false;
   }
 
-  /** Any heartbeat renews the worker's lease, also a late one. */
-  private noteContact(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): void {
+  /** Records the contact and the extended worker lease: any heartbeat extends the lease, even a late one. */
+  private recordContact(machine: ScheduledMachine, heartbeat: Heartbeat, token: number): void {
     const { clock, settings } = this.shardState;
     machine.endpoint = heartbeat.endpoint;
     machine.lastHeartbeatAt = clock.now;
@@ -90,37 +90,38 @@
       machine.confirmedAt = 0;
     }
     const leaseExpiry = clock.now + settings.workers.lease_s * 1000;
-    // Under the current token no earlier owner can renew the lease any more.
+    // Once the worker has seen the current token, no earlier owner can extend the lease.
     machine.earliestLeaseExpiry =
       heartbeat.fencingToken === token ? leaseExpiry : Math.max(machine.earliestLeaseExpiry, leaseExpiry);
   }
 
-  private notePosition(machine: ScheduledMachine, heartbeat: Heartbeat, isProof: boolean): void {
+  private recordPosition(machine: ScheduledMachine, heartbeat: Heartbeat, hasCurrentToken: boolean): void {
     const { now } = this.shardState.clock;
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.heartbeatSeq = heartbeat.sequence;
-    if (!isProof) return;
-    // Guards against releasing a machine for having been idle while it booted.
+    if (!hasCurrentToken) return;
+    // The idle time starts at the first confirmation, so that a machine is not released for being idle while it booted.
     if (machine.confirmedAt === 0 && machine.placements.size === 0) machine.idleSince = now;
     machine.confirmedAt = now;
   }
 
-  /** Updates a machine's placements by what its heartbeat lists and does not list. */
+  /** Updates the placements of a machine by the tasks that its heartbeat lists, and by those that it does not list. */
   private reconcilePlacements(
     machine: ScheduledMachine,
     heartbeat: Heartbeat,
     reported: ReportedTasks,
-    isProof: boolean,
+    hasCurrentToken: boolean,
   ): void {
     for (const [key, placement] of [...machine.placements]) {
       if (placement.job.unreadable) continue;
       const status = reported.get(key);
       if (status?.attempt === placement.attempt) {
-        // Guards against the old copy that a new owner hears of first: a repaired gang has the same attempt there again.
-        // That a task completed stays true; that it ended otherwise counts only under the current token.
-        const endedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
-        if (isProof || !endedIncomplete) this.applyTaskStatus(machine, placement, status);
-      } else if (isProof) {
+        // The first heartbeat that a new owner receives may be an old copy from an earlier agent session, and a repaired gang may have
+        // the same attempt on the machine again. So any exit other than completion counts only under the current token; a
+        // completion stays valid.
+        const exitedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
+        if (hasCurrentToken || !exitedIncomplete) this.applyTaskStatus(machine, placement, status);
+      } else if (hasCurrentToken) {
         const { startSentWith } = placement;
         if (startSentWith === null || isNewerHeartbeat(heartbeat, startSentWith))
           this.handleMissingTask(machine, placement);
@@ -128,49 +129,58 @@
     }
   }
 
-  /** Adds the order that a task which a worker lists asks for, if any: that it stops, or that the worker forgets it. */
-  private addOrderFor(
+  /** Adds the order that a reported task requires, if any: to stop it, or to forget it. */
+  private addOrderForTask(
     machine: ScheduledMachine,
     key: string,
     status: TaskStatus,
-    isProof: boolean,
+    hasCurrentToken: boolean,
     orders: TaskOrder[],
   ): void {
     const placement = machine.placements.get(key);
-    // Guards against stopping, or forgetting the result of, what a newer program has placed here.
+    // A task that a newer program version has placed must not be stopped, nor its result be forgotten.
     if (placement?.job.unreadable || this.shardState.replica.isJobUnreadable(status.job)) return;
-    if (placement?.attempt === status.attempt) addStop(placement, status, orders);
-    else if (status.phase === 'exited') this.addForget(machine, key, status, orders);
-    else if (isProof) this.addStopOfUnknownTask(machine, key, status, orders);
+    if (placement?.attempt === status.attempt) addStopOrder(placement, status, orders);
+    else if (status.phase === 'exited') this.addForgetOrder(machine, key, status, orders);
+    else if (hasCurrentToken) this.addUnknownTaskStop(machine, key, status, orders);
   }
 
-  /** Guards against losing a result: a task is forgotten only after its end is durable. */
-  private addForget(machine: ScheduledMachine, key: string, status: TaskStatus, orders: TaskOrder[]): void {
+  /** Lets a worker forget an exited task, but only once the exit is durable: otherwise the result could be lost. */
+  private addForgetOrder(
+    machine: ScheduledMachine,
+    key: string,
+    status: TaskStatus,
+    orders: TaskOrder[],
+  ): void {
     const { jobs, replica } = this.shardState;
     const { job, index, attempt } = status;
-    const endKey = unwrittenEndKey(machine.host, key, attempt);
-    const end = this.unwrittenEnds.get(endKey);
-    const isDurable = !end || end.chunk.durableVersion >= end.version;
-    if (!isDurable && jobs.get(end.job.id) === end.job) return;
+    const exitKey = unpersistedExitKey(machine.host, key, attempt);
+    const exit = this.unpersistedExits.get(exitKey);
+    const isDurable = !exit || exit.chunk.durableVersion >= exit.version;
+    if (!isDurable && jobs.get(exit.job.id) === exit.job) return;
     if (isDurable || replica.jobs.get(job)?.state !== 'open')
       orders.push({ op: 'forget', job, index, attempt });
-    this.unwrittenEnds.delete(endKey);
+    this.unpersistedExits.delete(exitKey);
   }
 
-  private addStopOfUnknownTask(
+  private addUnknownTaskStop(
     machine: ScheduledMachine,
     key: string,
     { job: id, index, attempt }: TaskStatus,
     orders: TaskOrder[],
   ): void {
-    this.shardState.log('warn', 'unknown task reported', { piece: key, attempt, host: machine.host });
+    this.shardState.log('warn', 'worker reports a task that is not placed on it', {
+      piece: key,
+      attempt,
+      host: machine.host,
+    });
     const job = this.shardState.jobs.get(id);
     if (job && index < job.spec.tasks)
       this.shardState.onUnknownAttempt(key, attempt, chunkOf(job, index).lastAttempt);
     orders.push({ op: 'stop', job: id, index, attempt, graceS: 0 });
   }
 
-  private addStarts(
+  private addStartOrders(
     machine: ScheduledMachine,
     heartbeat: Heartbeat,
     reported: ReportedTasks,
@@ -181,9 +191,9 @@
       if (orders.length >= maxOrdersPerMessage) break;
       const { job, index, attempt, placedByThisProcess, startSentWith } = placement;
       const isUnsent = placedByThisProcess && startSentWith === null;
-      // Guards against a machine that has changed since it was chosen. What may have been sent stays where it is.
+      // The attributes of the machine may have changed since it was chosen. A start that may have been sent is left in place.
       if (isUnsent && job.match?.allows(machine.host) === false) {
-        this.shardState.removePlacement(placement, 'the machine matches no longer');
+        this.shardState.removePlacement(placement, 'machine no longer matches the job');
         continue;
       }
       const isReported = reported.get(key)?.attempt === attempt;
@@ -219,35 +229,42 @@
       this.shardState.removePlacement(placement, 'done', 'completed');
     } else {
       this.shardState.log('debug', 'task ended', { piece: key, host, why: reason });
-      if (reason === 'error') this.machineHealth.noteTaskError(machine, job);
+      if (reason === 'error') this.machineHealth.recordTaskFailure(machine, job);
       if (reason === 'full' || reason === 'busy')
         machine.cooldownUntil = now + reportMs * fullMachineCooldownReports;
       if (reason === 'unknown') job.retryNotBefore = now + reportMs;
       this.shardState.removePlacement(placement, reason ?? 'exited');
     }
-    this.unwrittenEnds.set(unwrittenEndKey(host, key, attempt), { job, chunk, version: chunk.version });
+    this.unpersistedExits.set(unpersistedExitKey(host, key, attempt), { job, chunk, version: chunk.version });
   }
 
-  /** A heartbeat that is proof, and newer than the start, does not list the attempt: it is not on the machine. */
+  /**
+   * Handles an attempt that is proven not to be on the machine: a heartbeat under the current token, and newer than the start order,
+   * does not list it.
+   */
   private handleMissingTask(machine: ScheduledMachine, placement: Placement): void {
     const { shardState } = this;
     if (placement.stopRequest || placement.job.cancelled)
-      return shardState.removePlacement(placement, 'absent');
-    if (placement.phase !== 'placed') return shardState.removePlacement(placement, 'vanished', 'lost');
-    // The worker never listed it: its start is sent (again) with this response, unless the machine is to take none.
-    const isUnsentOfEarlierOwner = !placement.placedByThisProcess && placement.startSentWith === null;
+      return shardState.removePlacement(placement, 'not on the machine');
+    if (placement.phase !== 'placed')
+      return shardState.removePlacement(placement, 'started task no longer reported', 'lost');
+    // The worker has never listed the attempt: its start is sent (again) with this response, unless the machine takes no more tasks.
+    const isUnsentFromEarlierOwner = !placement.placedByThisProcess && placement.startSentWith === null;
     if (machine.reclaimAt > 0 || machine.quarantined)
-      shardState.removePlacement(placement, 'machine not to be used');
-    else if (isUnsentOfEarlierOwner && !shardState.mayStillStart(placement))
-      shardState.removePlacement(placement, 'dropped by the earlier owner');
+      shardState.removePlacement(placement, 'machine takes no more tasks');
+    else if (isUnsentFromEarlierOwner && !shardState.mayStillStart(placement))
+      shardState.removePlacement(placement, 'possibly removed by the earlier owner');
   }
 
-  /** The cloud will reclaim a spot machine: gangs, and tasks that can save in time, are stopped; others may still finish. */
+  /**
+   * Handles the notice that the cloud will reclaim a spot machine: gangs, and tasks that can save their state in time, are stopped;
+   * other tasks may still finish.
+   */
   private handleReclaimNotice(machine: ScheduledMachine, noticeS: number): void {
     const { shardState } = this;
     machine.reclaimAt = shardState.clock.now + noticeS * 1000;
     shardState.hazard.recordInterruption();
-    shardState.log('info', 'notice', { host: machine.host, noticeS });
+    shardState.log('info', 'reclaim notice for spot machine', { host: machine.host, noticeS });
     for (const placement of machine.placements.values()) {
       const { spec } = placement.job;
       if (spec.shape === 'gang') shardState.stopGang(placement.job);
@@ -262,13 +279,13 @@
   return reported;
 }
 
-/** Adds the stop of a task that a worker lists as active, if it was requested. */
-function addStop(placement: Placement, status: TaskStatus, orders: TaskOrder[]): void {
+/** Adds the stop order for a task that has not exited, if a stop was requested. */
+function addStopOrder(placement: Placement, status: TaskStatus, orders: TaskOrder[]): void {
   if (placement.stopRequest && status.phase !== 'exited')
     orders.push(stopOrder(placement, placement.stopRequest));
 }
 
-/** Whether a heartbeat is newer than the one at a position. */
+/** Whether a heartbeat is newer than the one at the given position. */
 export const isNewerHeartbeat = (
   heartbeat: Heartbeat,
   { agentEpoch, heartbeatSeq }: HeartbeatPosition,
@@ -276,4 +293,5 @@
   heartbeat.agentEpoch > agentEpoch ||
   (heartbeat.agentEpoch === agentEpoch && heartbeat.sequence > heartbeatSeq);
 
-const unwrittenEndKey = (host: string, key: string, attempt: number): string => `${host} ${key} ${attempt}`;
+const unpersistedExitKey = (host: string, key: string, attempt: number): string =>
+  `${host} ${key} ${attempt}`;
--- a/src/core/write-budget.ts
+++ b/src/core/write-budget.ts
@@ -1,4 +1,4 @@
-/** The write budget: its allocation to controllers, teams and classes, and this controller's share of it. */
+/** The write budget of the state service: its allocation to controllers, teams and classes, and this controller's share of it. */
 import {
   divideWrites,
   equalShare,
@@ -19,20 +19,20 @@
 import type { Replica } from './replica.js';
 import { allocationData, allocationKey, WritePriority, type TransactionBatcher } from './storage/index.js';
 
-/** How often the leader works out a new allocation, and writes one at most, in a state lease. */
+/** How often per state lease the leader evaluates a new allocation, and the maximum number of times that it writes one. */
 const evaluationsPerLease = 4;
 const writesPerLease = 2;
-/** A controller that does not follow the last allocation after so many state leases has fallen back to its minimum. */
+/** After this many state leases, a controller that does not follow the last allocation has fallen back to its minimum. */
 const settledLeases = 1.25;
 
-/** What this controller may write, and what all controllers together may admit, a second. */
+/** The writes per second that this controller may use, and the new jobs per second that all controllers together may admit. */
 export interface LocalWriteShare extends WriteShare {
   readonly totalNewJobs: number;
-  /** The rates by which teams and classes take turns here; none: by guarantee and urgency. */
+  /** The rates by which this controller alternates between teams and classes; if empty, guarantee and urgency decide. */
   readonly workloadRates: ReadonlyMap<string, number>;
 }
 
-/** What the write budget works with. */
+/** The dependencies of the write budget. */
 export interface WriteBudgetOptions {
   readonly settings: Settings;
   readonly replica: Replica;
@@ -47,16 +47,16 @@
 const noRates: ReadonlyMap<string, number> = new Map();
 
 /**
- * The leader works out the allocation from what all controllers report, and stores it; every controller applies its share of the
- * newest that it knows. A controller whose replica is older than its state lease falls back to its minimum: so an allocation
- * that is older than that is followed by none, and each controller needs its own clock only.
+ * The leader computes the allocation from the demands that all controllers report, and stores it. Every controller applies its share of
+ * the newest allocation that it knows. A controller whose replica is older than its state lease falls back to its minimum. So no
+ * controller follows an allocation that was replaced longer ago than that, and each controller needs only its own clock.
  */
 export class WriteBudget {
   private evaluatedAt = -Infinity;
   private writtenAt = -Infinity;
   private isWriting = false;
-  /** Since when the allocation in force is known here, ms. */
-  private known = { version: -1, since: -Infinity };
+  /** The version of the allocation in force, and since when this controller knows it, ms. */
+  private knownAllocation = { version: -1, since: -Infinity };
   private readonly teamWeight: (team: string) => number;
 
   constructor(private readonly options: WriteBudgetOptions) {
@@ -67,7 +67,7 @@
     return this.options.replica.levels.isEnabled('admission-plan');
   }
 
-  /** The version of the allocation that this controller follows if its replica is fresh; 0: none. */
+  /** The version of the allocation that this controller follows if its replica is recent enough; 0 if none. */
   get followedVersion(): number {
     return this.isEnabled ? (this.options.replica.writeAllocation?.version ?? 0) : 0;
   }
@@ -77,34 +77,41 @@
     return [member, ...peers.map((peer) => peer.member)];
   }
 
-  /** Notes the allocation in force and the peers' presence; in each step, so that a new leader knows how old they are. */
+  /** Tracks the allocation in force and the peers' presence; called in each step, so that a new leader knows how old they are. */
   observe(): void {
     const { replica, clock, peers } = this.options;
     const version = replica.writeAllocation?.version ?? 0;
-    if (version !== this.known.version) this.known = { version, since: clock.now };
+    if (version !== this.knownAllocation.version) this.knownAllocation = { version, since: clock.now };
     peers.demands();
   }
 
-  /** This controller's share. */
+  /** Computes this controller's share of the budget. */
   localShare(local: MemberDemand): LocalWriteShare {
     const { settings, replica, freshness, membership } = this.options;
     if (!this.isEnabled) return this.shareByReports(local);
     const { writeAllocation } = replica;
     const allocated = writeAllocation?.members.get(settings.member);
-    const isFresh = !freshness.isStale && membership.isPresent;
-    if (writeAllocation && allocated && isFresh) {
-      const totalNewJobs = [...writeAllocation.members.values()].reduce((sum, m) => sum + m.newJobs, 0);
+    const isUpToDate = !freshness.isStale && membership.isPresent;
+    if (writeAllocation && allocated && isUpToDate) {
+      const totalNewJobs = [...writeAllocation.members.values()].reduce(
+        (sum, share) => sum + share.newJobs,
+        0,
+      );
       return { ...allocated, totalNewJobs };
     }
-    // Guards against following an allocation that was replaced while this controller was cut off, that counts it as gone, or that
-    // cannot be read.
-    const mayBeInForce = !isFresh || writeAllocation !== null || replica.unreadableRecords.has(allocationKey);
+    // An allocation is not followed if it may have been replaced while this controller was disconnected, if it counts this controller as
+    // absent, or if it cannot be read. In these cases the controller uses only its minimum.
+    const mayBeInForce =
+      !isUpToDate || writeAllocation !== null || replica.unreadableRecords.has(allocationKey);
     const memberCount = this.memberNames.length;
     const share = fallbackWrites(settings.state.write_rps, memberCount, mayBeInForce);
     return { ...share, totalNewJobs: share.newJobs * memberCount, workloadRates: noRates };
   }
 
-  /** Without allocations all controllers divide the budget by the same reports. One that has not reported counts as equal. */
+  /**
+   * Without allocations, all controllers divide the budget by the same reported demands. A present controller that has not reported
+   * counts with an equal share.
+   */
   private shareByReports(local: MemberDemand): LocalWriteShare {
     const { settings, peers } = this.options;
     const writesPerS = settings.state.write_rps;
@@ -118,7 +125,7 @@
     return { ...shares[0], totalNewJobs, workloadRates: noRates };
   }
 
-  /** As the leader: writes the next allocation, if it is worth it. */
+  /** As the leader: writes the next allocation if it differs enough from the current one. */
   proposeNext(local: MemberDemand): void {
     const { settings, replica, membership, clock } = this.options;
     const { leaseTtlMs } = membership;
@@ -128,7 +135,8 @@
     this.evaluatedAt = now;
     if (now - this.writtenAt < leaseTtlMs / writesPerLease) return;
     if (replica.unreadableRecords.has(allocationKey)) return;
-    if (!isWorthWriting(replica.writeAllocation, this.next(local), settings.state.write_rps)) return;
+    if (!isWorthWriting(replica.writeAllocation, this.computeNextAllocation(local), settings.state.write_rps))
+      return;
     this.writtenAt = now;
     this.write(local);
   }
@@ -137,14 +145,14 @@
     const { settings, replica, batcher, membership, log } = this.options;
     const valueKb = settings.state.value_kb;
     this.isWriting = true;
-    const settle = (): void => void (this.isWriting = false);
+    const endWrite = (): void => void (this.isWriting = false);
     batcher.enqueue({
       priority: WritePriority.membership,
       build: () => {
         const { leader } = replica;
-        // Guards against a former leader, which knows neither what the others follow nor the newest allocation.
+        // A former leader must not write: it knows neither what the others follow nor the newest allocation.
         if (!leader || !membership.isLeader || !this.isEnabled) {
-          settle();
+          endWrite();
           return null;
         }
         return {
@@ -152,11 +160,11 @@
             { key: allocationKey, stamp: replica.modRevisionOf(allocationKey) },
             { key: replica.activeLeaderKey, stamp: leader.modRevision },
           ],
-          writes: [{ key: allocationKey, data: allocationData(this.next(local), valueKb) }],
+          writes: [{ key: allocationKey, data: allocationData(this.computeNextAllocation(local), valueKb) }],
         };
       },
       onCommitted: () => {
-        settle();
+        endWrite();
         const { writeAllocation } = replica;
         if (writeAllocation)
           log('debug', 'write allocation', {
@@ -164,11 +172,11 @@
             ...allocationData(writeAllocation, valueKb),
           });
       },
-      onConflict: settle,
+      onConflict: endWrite,
     });
   }
 
-  private next(local: MemberDemand): WriteAllocation {
+  private computeNextAllocation(local: MemberDemand): WriteAllocation {
     const { settings, replica, peers, membership, clock } = this.options;
     const reported = peers.demands();
     const members = this.memberNames.map((name): MemberStatus => {
@@ -176,7 +184,7 @@
       const demand = { ...local, allocationVersion: this.followedVersion };
       return { name, isPresent: true, hasFallenBack: false, demand };
     });
-    const isSettled = clock.now - this.known.since > settledLeases * membership.leaseTtlMs;
+    const isSettled = clock.now - this.knownAllocation.since > settledLeases * membership.leaseTtlMs;
     return nextAllocation(
       replica.writeAllocation,
       settings.state.write_rps,
