--- a/src/cli/agent-command.ts
+++ b/src/cli/agent-command.ts
@@ -1,4 +1,4 @@
-/** `dapplepick agent`: runs an agent. */
+/** The command `dapplepick agent`: runs an agent. */
 import type { Command } from 'commander';
 import type { Fail } from './exit.js';
 import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
@@ -14,13 +14,13 @@
   const settings = parseAgentSettings(readFile(path, fail), path);
   const agent = new Agent(settings, seededRandom(randomInt(2 ** 31)), makeLog(settings.name));
   await agent.start();
-  // Its commands go on: the agent adopts them when it is started again.
+  // The commands of its tasks keep running: the agent adopts them when it is started again.
   onTerminationSignal(() => {
     agent.stop();
     process.exit(0);
   });
   const reason = await agent.released;
-  process.stderr.write(`dapplepick: agent ${settings.name} ends: ${reason}\n`);
+  process.stderr.write(`dapplepick: agent ${settings.name} exits: ${reason}\n`);
   process.exit(0);
 }
 
@@ -30,7 +30,7 @@
   agent
     .command('run')
     .description('join a control service and run its tasks on this machine')
-    .argument('<settings>', 'its settings (S-expressions)')
+    .argument('<settings>', 'settings file (S-expressions)')
     .addHelpText('after', '\nExample:\n  dapplepick agent run deploy/agent.scm\n')
     .action((path: string) => exitOnKnownErrors(fail, () => runAgent(path, fail)));
 }
--- a/src/cli/api-client.ts
+++ b/src/cli/api-client.ts
@@ -1,4 +1,4 @@
-/** Access of the command line to the HTTP API, and the parts of its responses that commands show. */
+/** HTTP API client of the command line, and the parts of the API responses that commands show. */
 import { request } from 'node:http';
 import { splitAddress } from '../config/settings.js';
 import { JsonClient, type JsonResponse } from '../net/client.js';
@@ -6,7 +6,7 @@
 
 const requestTimeoutMs = 5000;
 
-/** A job, as the API describes it. */
+/** A job in API responses. Field names are part of the API. */
 export interface JobSummary {
   nameId: string;
   status: string;
@@ -16,7 +16,7 @@
   failed?: number;
 }
 
-/** How the last attempt of a task ended, as the API describes it. */
+/** The last attempt of a task in API responses. Field names are part of the API. */
 export interface AttemptSummary {
   attempt: number;
   host: string;
@@ -27,7 +27,7 @@
   endedAt: number;
 }
 
-/** A task, as the API describes it. */
+/** A task in API responses. Field names are part of the API. */
 export interface TaskSummary {
   index: number;
   state: string;
@@ -39,7 +39,7 @@
 export const describeEnd = ({ signal, exit }: AttemptSummary): string =>
   signal ?? (exit === null ? '' : `exit ${exit}`);
 
-/** A client of a controller's or control service's HTTP API. Its failures end the program. */
+/** A client of the HTTP API of a controller or control service. Failures end the program. */
 export class ApiClient {
   private readonly http: JsonClient;
 
@@ -51,14 +51,14 @@
     this.http = new JsonClient(node, 1);
   }
 
-  /** Sends a request; any response is returned, no response ends the program. */
+  /** Sends a request and returns the response, whatever its status; a missing response ends the program. */
   async request(method: string, path: string, body: object | null): Promise<JsonResponse> {
     const response = await this.http.call(method, path, body, requestTimeoutMs);
     if (response === null) this.fail(`no answer from ${this.node}`);
     return response;
   }
 
-  /** Sends a request and returns the body of the response; a status other than 2xx ends the program with its reason. */
+  /** Sends a request and returns the body of the response; a status other than 2xx ends the program with the reason given. */
   async requestOk(method: string, path: string, body: object | null): Promise<unknown> {
     const response = await this.request(method, path, body);
     if (response.status < 300) return response.body;
@@ -67,7 +67,7 @@
     process.exit(exitCodes.refused);
   }
 
-  /** Streams a response to standard output. */
+  /** Streams a response to standard output; an error response goes to standard error and ends the program. */
   streamToStdout(path: string): Promise<void> {
     const { host, port } = splitAddress(this.node);
     return new Promise((resolve) => {
--- a/src/cli/client-command.ts
+++ b/src/cli/client-command.ts
@@ -1,7 +1,7 @@
-/** What the commands that talk to a running service have in common. */
+/** The common parts of commands that talk to a running service. */
 import type { Command } from 'commander';
 
-/** The options that all of these commands have. */
+/** Options of all these commands. */
 export interface CommonOptions {
   node: string;
   json?: boolean;
--- a/src/cli/client-commands.ts
+++ b/src/cli/client-commands.ts
@@ -20,14 +20,14 @@
       .command(name)
       .description(description)
       .option('--node <address>', 'a controller or control service, HOST:PORT', '127.0.0.1:8080')
-      .option('--json', 'answer as JSON')
+      .option('--json', 'print the result as JSON')
       .addHelpText('after', `\nExample:\n  ${example}\n`);
   addSubmitCommand(command, fail);
   addJobCommands(command, fail);
   addMachineCommands(command, fail);
   command(
     'snapshot',
-    'write a snapshot of the store, while it goes on',
+    'write a snapshot of the store while it keeps running',
     'dapplepick snapshot --node 127.0.0.1:2379',
   ).action((options: CommonOptions) => takeSnapshot(options, fail));
 }
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -1,4 +1,4 @@
-/** `dapplepick condor`: HTCondor's submit files and match expressions. */
+/** The command `dapplepick condor`: submit files and match expressions of HTCondor. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import {
@@ -19,7 +19,7 @@
 import { newJobId } from './job-id.js';
 import { printLine } from './output.js';
 
-/** Expressions on the command line may depend on time and chance. */
+/** Context of expressions on the command line, which may use the current time and random numbers. */
 const evaluationContext = (): EvaluationContext => ({ nowS: Date.now() / 1000, random: Math.random });
 
 /** Reads a file, `-` for standard input; ends the program if it cannot be read. */
@@ -41,13 +41,13 @@
   }
 }
 
-/** Ends the program with a message in the form that editors understand: it begins with the file name. */
+/** Ends the program with a message that begins with the file name, so that editors can locate the mistake. */
 function failAtPosition(message: string): never {
   process.stderr.write(`${message}\n`);
   process.exit(1);
 }
 
-/** All jobs as one JSON array, in chunks, because there may be a hundred thousand jobs. */
+/** All jobs as one JSON array, in chunks because there may be a hundred thousand jobs. */
 function* jsonChunks(ads: Iterable<Ad>): Generator<string> {
   let first = true;
   for (const ad of ads) {
@@ -61,7 +61,7 @@
   const text = readInput(file, fail);
   try {
     const submission = new Submission(text, file, submitHost());
-    // All jobs are made first: nothing is printed of a file with a mistake further on.
+    // All jobs are created before any is printed: a file with a mistake further on prints none.
     const ads = [...submission.jobs()];
     for (const warning of submission.warnings) process.stderr.write(`${warning}\n`);
     let buffer = '';
@@ -85,7 +85,7 @@
   return `${job['ClusterId']}.${job['ProcId']}  ${job['Cmd']} ${job['Args'] ?? ''}`.trimEnd();
 }
 
-/** Submits the jobs of a file, after all of the file was parsed. */
+/** Submits the jobs of a file, once the whole file has been parsed. */
 async function submit(file: string, json: boolean, node: string, team: string, fail: Fail): Promise<void> {
   const text = readInput(file, fail);
   const submissions: { first: number; count: number; job: Record<string, unknown> }[] = [];
@@ -115,14 +115,14 @@
       process.stderr.write(`dapplepick: process ${processes}: ${reason}\n`);
       if (submitted.length > 0)
         process.stderr.write(
-          `dapplepick: submitted before: ${submitted.map((job) => job.nameId).join(' ')}\n`,
+          `dapplepick: already submitted: ${submitted.map((entry) => entry.nameId).join(' ')}\n`,
         );
       process.exit(response ? exitCodes.refused : 1);
     }
     submitted.push({ processes, nameId });
   }
   if (json) printLine(JSON.stringify(submitted));
-  else for (const job of submitted) printLine(`${job.nameId}  processes ${job.processes}`);
+  else for (const entry of submitted) printLine(`${entry.nameId}  processes ${entry.processes}`);
   process.exit(0);
 }
 
@@ -145,9 +145,9 @@
     .description('submit the jobs of a submit file, or show them')
     .argument('<file>', 'a submit file; - reads standard input')
     .option('--dry-run', 'only show what would be submitted')
-    .option('--json', 'as a JSON array, one object for each job')
+    .option('--json', 'print a JSON array with one object per job')
     .option('--node <address>', 'a control service, HOST:PORT', '127.0.0.1:8080')
-    .option('--team <name>', 'whose limits count, unless accounting_group says', 'default')
+    .option('--team <name>', 'team whose limits apply, unless accounting_group names one', 'default')
     .addHelpText('after', '\nExample:\n  dapplepick condor submit --dry-run --json job.sub\n')
     .action(
       async (file: string, options: { dryRun?: boolean; json?: boolean; node: string; team: string }) => {
@@ -157,10 +157,10 @@
     );
   condor
     .command('analyze')
-    .description('why a job has the machines that it has: what excludes how many')
+    .description('explain which machines match a job: how many each condition excludes')
     .argument('<id>', 'a job')
     .option('--node <address>', 'a control service, HOST:PORT', '127.0.0.1:8080')
-    .option('--json', 'answer as JSON')
+    .option('--json', 'print the result as JSON')
     .addHelpText('after', '\nExample:\n  dapplepick condor analyze req-000412\n')
     .action((id: string, options: { node: string; json?: boolean }) =>
       analyze(id, options.node, options.json ?? false, fail),
@@ -168,9 +168,9 @@
   condor
     .command('eval')
     .description('print the value of an expression')
-    .argument('<expr>', 'an expression of the language')
-    .option('--my <file>', "attributes that it sees as its own: a record, or one 'Attr = expression' a line")
-    .option('--target <file>', 'attributes of the other side')
+    .argument('<expr>', 'a match expression (ClassAd)')
+    .option('--my <file>', "attributes of its own side (MY): a record, or one 'Attr = expression' per line")
+    .option('--target <file>', 'attributes of the other side (TARGET)')
     .addHelpText(
       'after',
       "\nExample:\n  dapplepick condor eval 'TARGET.Memory >= MY.RequestMemory' --my job.ad --target slot.ad\n",
--- a/src/cli/control-command.ts
+++ b/src/cli/control-command.ts
@@ -1,4 +1,4 @@
-/** `dapplepick control`: runs a control service. */
+/** The command `dapplepick control`: runs a control service. */
 import type { Command } from 'commander';
 import type { Fail } from './exit.js';
 import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
@@ -14,12 +14,12 @@
   onTerminationSignal(() => void opened.close().then(() => process.exit(0)));
 }
 
-/** Registers `control`. */
+/** Registers the command. */
 export function addControlCommand(program: Command, fail: Fail): void {
   program
     .command('control')
-    .description('run a control service: the schedule, a store, agents instead of a cloud')
-    .argument('<settings>', 'its settings (S-expressions)')
+    .description('run a control service: a scheduler and a store, with agents instead of a cloud')
+    .argument('<settings>', 'settings file (S-expressions)')
     .addHelpText('after', '\nExample:\n  dapplepick control deploy/control.scm\n')
     .action((path: string) => exitOnKnownErrors(fail, () => runControl(path, fail)));
 }
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -1,4 +1,4 @@
-/** `dapplepick demo`: runs a control service, two agents and a batch of jobs in a fresh directory. */
+/** The command `dapplepick demo`: runs a control service, two agents and a batch of jobs in a temporary directory. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdtempSync, openSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -11,11 +11,11 @@
 import { formatSeconds, printLine } from './output.js';
 
 const mainProgram = fileURLToPath(new URL('../main.js', import.meta.url));
-/** Long enough for a busy machine, which takes several times as long as an idle one. */
+/** Long enough for a busy machine, which needs several times as long as an idle one. */
 const timeoutS = 120;
 const pollIntervalMs = 300;
 const requestTimeoutMs = 5000;
-/** How long the child processes may take to end after SIGTERM. */
+/** How long the child processes may take to exit after SIGTERM before they are killed. */
 const terminationGraceMs = 5000;
 
 /** A job of the demo. */
@@ -23,7 +23,7 @@
   readonly title: string;
   /** Its submission, without an ID. */
   readonly job: object;
-  /** How many of its tasks are meant to fail. */
+  /** How many of its tasks are expected to fail. */
   readonly failed: number;
 }
 
@@ -62,7 +62,7 @@
   { title: 'two without a command', job: { ...baseSubmission, shape: 'sweep', pieces: 2 }, failed: 0 },
 ];
 
-/** A submit file as HTCondor's users write it; only one of the two agents has the required attribute. */
+/** An HTCondor submit file. Only one of the two agents has the required attribute. */
 const submitFile = `
 executable   = /bin/sh
 arguments    = "-c 'echo page $(Process) is read'"
@@ -83,7 +83,7 @@
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Runs the demo; the exit code of the program. */
+/** Runs the demo and returns the exit code of the program. */
 export async function demo(): Promise<number> {
   const dir = mkdtempSync(join(tmpdir(), 'dapplepick-demo-'));
   const children: ChildProcess[] = [];
@@ -118,7 +118,7 @@
     printLine(`A control service at ${node} and two agents, all in ${dir}`);
     const succeeded = await runBatch(new JsonClient(node, 2));
     await terminateAll(children);
-    printLine(succeeded ? 'All as it should be.' : `Not as it should be: the logs are in ${dir}`);
+    printLine(succeeded ? 'All jobs ended as expected.' : `Unexpected results: the logs are in ${dir}`);
     if (succeeded) rmSync(dir, { recursive: true, force: true });
     return succeeded ? 0 : 1;
   } finally {
@@ -126,7 +126,7 @@
   }
 }
 
-/** Ends the child processes and waits for them: agents that still run write to the directory that is removed next. */
+/** Terminates the child processes and waits for them: running agents would still write to the directory that is removed next. */
 async function terminateAll(children: ChildProcess[]): Promise<void> {
   const alive = children.splice(0).filter((child) => child.exitCode === null && child.signalCode === null);
   const ends = Promise.all(alive.map((child) => new Promise((resolve) => child.once('exit', resolve))));
@@ -145,18 +145,18 @@
 
 type FinishedJob = JobSummary & { tasks: TaskSummary[] };
 
-/** Submits the demo jobs, waits until they have ended, and prints their results; whether all ended as they should. */
+/** Submits the demo jobs, waits until they have ended, and prints their results. Returns whether all ended as expected. */
 async function runBatch(client: JsonClient): Promise<boolean> {
   const deadline = Date.now() + timeoutS * 1000;
   const firstId = 100000 + (Date.now() % 800000);
   const jobs = [...demoJobs, await submitFileJob()].map((job, i) => ({ ...job, id: `req-${firstId + i}` }));
   for (const job of jobs) if (!(await submitJob(client, job, deadline))) return false;
-  printLine(`${jobs.length} jobs are accepted`);
+  printLine(`${jobs.length} jobs accepted`);
   const finished = await awaitJobs(client, jobs, deadline);
   return printResults(jobs, finished);
 }
 
-/** Submits a job until it is accepted; false: not before the deadline. */
+/** Retries a submission until it is accepted; returns false if the deadline passes before that. */
 async function submitJob(client: JsonClient, { id, job }: SubmittedJob, deadline: number): Promise<boolean> {
   for (;;) {
     const response = await client.call('POST', jobPath, { nameId: id, ...job }, requestTimeoutMs);
@@ -166,7 +166,7 @@
   }
 }
 
-/** Waits until all jobs have ended or the deadline has passed; those that have ended, by ID. */
+/** Waits until all jobs have ended or the deadline has passed. Returns the jobs that have ended, by ID. */
 async function awaitJobs(
   client: JsonClient,
   jobs: readonly SubmittedJob[],
@@ -192,13 +192,13 @@
   return finished;
 }
 
-/** Prints each job with its tasks; whether all jobs have ended with the failures that they should have. */
+/** Prints each job with its tasks. Returns whether all jobs have ended with the expected number of failed tasks. */
 function printResults(jobs: readonly SubmittedJob[], finished: ReadonlyMap<string, FinishedJob>): boolean {
   let succeeded = finished.size === jobs.length;
   for (const { id, title, failed } of jobs) {
     const job = finished.get(id);
     if (!job || job.failed !== failed) succeeded = false;
-    printLine(`${id}  ${title.padEnd(22)} ${job ? `${job.status}, ${job.failed} failed` : 'not over'}`);
+    printLine(`${id}  ${title.padEnd(22)} ${job ? `${job.status}, ${job.failed} failed` : 'not finished'}`);
     for (const { index, state, last } of job?.tasks ?? [])
       if (last) {
         const { host, attempt, reason, endedAt, startedAt } = last;
--- a/src/cli/exit.ts
+++ b/src/cli/exit.ts
@@ -1,13 +1,13 @@
-/** How commands of the command line end in failure. */
+/** Exit codes of the command line, and exiting with an error. */
 
-/** Ends the program with a message and exit code 1. */
+/** A function that ends the program with a message and exit code 1. */
 export type Fail = (message: string) => never;
 
-/** Exit codes beside 0 and 1, on which scripts rely. */
+/** Exit codes other than 0 and 1. Scripts rely on them. */
 export const exitCodes = {
   /** The service refused the request. */
   refused: 2,
-  /** The job that was waited for failed or was cancelled. */
+  /** The awaited job failed or was cancelled. */
   failed: 3,
   /** The awaited state was not reached in time. */
   timedOut: 4,
--- a/src/cli/follow-job.ts
+++ b/src/cli/follow-job.ts
@@ -1,11 +1,14 @@
-/** Following a job until it has ended. */
+/** Waits for a job and shows its progress. */
 import { jobPath } from '../wire/user.js';
 import type { ApiClient, JobSummary } from './api-client.js';
 import { exitCodes } from './exit.js';
 
 const pollIntervalMs = 500;
 
-/** Waits until a job has ended and shows its progress: a bar on a terminal, a line for each change elsewhere. */
+/**
+ * Waits until a job has ended. Progress goes to standard error: a bar on a terminal, otherwise a line for each change. A
+ * timeout ends the program.
+ */
 export async function followJob(client: ApiClient, id: string, timeoutS: number | null): Promise<JobSummary> {
   const { SingleBar, Presets } = (await import('cli-progress')).default;
   const bar = process.stderr.isTTY
@@ -35,7 +38,7 @@
     }
     if (Date.now() > deadline) {
       bar?.stop();
-      process.stderr.write(`dapplepick: ${id}: not over after ${timeoutS} s\n`);
+      process.stderr.write(`dapplepick: ${id}: not finished after ${timeoutS} s\n`);
       process.exit(exitCodes.timedOut);
     }
     await new Promise((resolve) => setTimeout(resolve, pollIntervalMs));
--- a/src/cli/job-commands.ts
+++ b/src/cli/job-commands.ts
@@ -1,4 +1,4 @@
-/** The commands on jobs and tasks: `status`, `list`, `logs`, `withdraw`. */
+/** The commands for jobs and tasks: `status`, `list`, `logs` and `withdraw`. */
 import { jobPath, cancelSuffix } from '../wire/user.js';
 import { ApiClient, describeEnd, type JobSummary, type TaskSummary } from './api-client.js';
 import type { AddCommand, CommonOptions } from './client-command.js';
@@ -67,7 +67,7 @@
       job.acceptedAt,
     ]);
     printTable(['job', 'status', 'done', 'running', 'failed', 'class', 'accepted'], rows);
-    if (more) printLine('(there are more: --limit)');
+    if (more) printLine('(more jobs exist: raise --limit to list them)');
   }
   process.exit(0);
 }
@@ -91,19 +91,19 @@
   process.exit(0);
 }
 
-/** Registers the commands on jobs. */
+/** Registers the commands for jobs. */
 export function addJobCommands(command: AddCommand, fail: Fail): void {
   command('status', 'show a job', 'dapplepick status req-000412 --tasks')
     .argument('<id>')
-    .option('--tasks', 'each task: state, machine, how it ended')
+    .option('--tasks', 'show the state, machine and result of each task')
     .action((id: string, options: StatusOptions) => showStatus(id, options, fail));
   command('list', 'list jobs, newest first', 'dapplepick list --status running')
-    .option('--status <s>', 'pending, running, done or aborted')
-    .option('--limit <n>', 'so many at most', '20')
+    .option('--status <s>', 'only jobs with this status: pending, running, done or aborted')
+    .option('--limit <n>', 'maximum number of jobs', '20')
     .action((options: ListOptions) => listJobs(options, fail));
   command('logs', "show a task's output", 'dapplepick logs req-000412/3 --stderr')
     .argument('<task>', 'JOB/N')
-    .option('--stderr', 'standard error instead of standard output')
+    .option('--stderr', 'show standard error instead of standard output')
     .action((task: string, options: LogsOptions) => showLogs(task, options, fail));
   command('withdraw', 'cancel a job', 'dapplepick withdraw req-000412')
     .argument('<id>')
--- a/src/cli/job-id.ts
+++ b/src/cli/job-id.ts
@@ -1,4 +1,4 @@
-/** IDs of jobs that the command line submits. */
+/** Generates IDs for jobs that the command line submits. */
 import { randomInt } from 'node:crypto';
 
 /** A random job ID. */
--- a/src/cli/level-store.ts
+++ b/src/cli/level-store.ts
@@ -1,4 +1,4 @@
-/** The stored records about the feature level, as `dapplepick level` reads and changes them. */
+/** Access of `dapplepick level` to the stored records about the feature level. */
 import {
   levelKey,
   membersKey,
@@ -21,10 +21,10 @@
 import type { Fail } from './exit.js';
 
 const requestTimeoutMs = 5000;
-/** Keys of members that are present end with the member's name. */
+/** Prefix of the keys of present members; the member's name follows it. */
 const nodePrefix = 'dp/node/';
 
-/** Reads the records, and writes the operators' request. Failures end the program. */
+/** Reads the records about the feature level, and writes the operators' request. Failures end the program. */
 export class LevelStore {
   private readonly store: Store;
 
@@ -49,13 +49,13 @@
     return record ? readLevel(record.data, record.stamp) : initialLevelState;
   }
 
-  /** What operators have requested. */
+  /** The operators' request. */
   async requestedLevel(): Promise<RequestedLevel> {
     const record = await this.readKey(requestedLevelKey);
     return record ? readRequestedLevel(record.data, record.stamp) : noRequestedLevel;
   }
 
-  /** What each member was last seen with, and the leader's note about the request. */
+  /** The capabilities last recorded for each member, and the leader's note about the operators' request. */
   async members(): Promise<ReturnType<typeof readMembers>> {
     const record = await this.readKey(membersKey);
     return record ? readMembers(record.data) : { capabilities: new Map(), note: null };
@@ -72,7 +72,7 @@
     );
   }
 
-  /** Changes the operators' request; the revision of the change. */
+  /** Changes the operators' request and returns the revision of the change. */
   async updateRequest(change: (current: RequestedLevel) => Partial<RequestedLevel>): Promise<number> {
     const current = await this.requestedLevel();
     const outcome = await this.store.commit({
@@ -82,8 +82,8 @@
     if (outcome.type === 'ok') return outcome.revision;
     return this.fail(
       outcome.type === 'conflict'
-        ? 'somebody else has just changed it: look again'
-        : `not written: ${outcome.type}`,
+        ? 'the requested level was changed concurrently: check `dapplepick level show` and try again'
+        : `the requested level was not stored: ${outcome.type}`,
     );
   }
 }
--- a/src/cli/level.ts
+++ b/src/cli/level.ts
@@ -1,4 +1,4 @@
-/** `dapplepick level`: shows the feature level in force, and changes what operators request of it. */
+/** The command `dapplepick level`: shows the feature level in force, and changes the operators' request. */
 import type { Command } from 'commander';
 import { loadSettings, SettingsError } from '../config/settings.js';
 import { exitCodes, type Fail } from './exit.js';
@@ -25,15 +25,15 @@
   );
   if (request.maxLevel !== null)
     printLine(`held at ${request.maxLevel}${request.lower ? ', to be lowered to it' : ''}`);
-  if (request.departedMembers.length > 0) printLine(`gone for good: ${request.departedMembers.join(' ')}`);
+  if (request.departedMembers.length > 0) printLine(`permanently gone: ${request.departedMembers.join(' ')}`);
   for (const [member, capabilities] of new Map([...members.capabilities, ...present]))
     printLine(
-      `${member.padEnd(16)} program ${capabilities.program}, levels ${capabilities.minLevel} to ${capabilities.maxLevel}, ${present.has(member) ? 'here' : 'not here'}`,
+      `${member.padEnd(16)} program ${capabilities.program}, levels ${capabilities.minLevel} to ${capabilities.maxLevel}, ${present.has(member) ? 'present' : 'not present'}`,
     );
   if (members.note && members.note.wish === request.modRevision) printLine(members.note.text);
 }
 
-/** Requests a lower level and waits until it is in force, or the leader has noted why it cannot be. */
+/** Requests a lower level and waits until it is in force, or until the leader has noted why it refuses. */
 async function lowerLevel(store: LevelStore, target: number, timeoutS: number): Promise<void> {
   const requestRevision = await store.updateRequest(() => ({ maxLevel: target, lower: true }));
   const deadline = performance.now() + timeoutS * 1000;
@@ -47,11 +47,11 @@
     }
     await new Promise((resolve) => setTimeout(resolve, pollIntervalMs));
   }
-  process.stderr.write('dapplepick: not lowered yet; it goes on: see `dapplepick level show`\n');
+  process.stderr.write('dapplepick: not lowered yet, still in progress: see `dapplepick level show`\n');
   process.exit(exitCodes.timedOut);
 }
 
-/** The store that the options name; ends the program if they name none. */
+/** Opens the state service that the options name; ends the program if they name none. */
 function openStore(options: LevelOptions, fail: Fail): LevelStore {
   if (options.state !== undefined) {
     if (!/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/.test(options.state))
@@ -76,14 +76,19 @@
 
 /** Registers `level` and its subcommands. */
 export function addLevelCommands(program: Command, fail: Fail): void {
-  const level = program.command('level').description('the level in force: what controllers may store and do');
+  const level = program
+    .command('level')
+    .description('show or change the feature level: what controllers may store and do');
   const command = (usage: string, description: string): Command =>
     level
       .command(usage)
       .description(description)
-      .option('--settings <file>', "the platform's settings (TOML), for the state service's address")
+      .option(
+        '--settings <file>',
+        "the platform's settings (TOML), which contain the state service's address",
+      )
       .option('--state <address>', "the state service's address, IPv4:PORT");
-  command('show', 'what is in force, and what each member was last seen with').action(
+  command('show', 'show the level in force and the last known program and levels of each member').action(
     (options: LevelOptions) => showLevel(openStore(options, fail)),
   );
   addRequestCommands(command, fail);
@@ -92,9 +97,9 @@
 
 type AddCommand = (usage: string, description: string) => Command;
 
-/** The subcommands that request a level. */
+/** Registers the subcommands that request a level. */
 function addRequestCommands(command: AddCommand, fail: Fail): void {
-  command('hold <level>', 'no level above this, until `level release`').action(
+  command('hold <level>', 'allow no level above this one until `level release`').action(
     async (text: string, options: LevelOptions) => {
       await openStore(options, fail).updateRequest(() => ({
         maxLevel: parseLevel(text, fail),
@@ -103,33 +108,34 @@
       printLine(`held at ${text}`);
     },
   );
-  command('release', 'whatever level all members have').action(async (options: LevelOptions) => {
+  command('release', 'allow any level that all members support').action(async (options: LevelOptions) => {
     await openStore(options, fail).updateRequest(() => ({ maxLevel: null, lower: false }));
     printLine('released');
   });
-  command('lower <level>', 'go back to a level, as long as nothing stored needs more; it is held there')
-    .option('--within <seconds>', 'how long to wait for it', '60')
+  command('lower <level>', 'go back to a level and hold it there, if no stored record needs a higher one')
+    .option('--within <seconds>', 'how long to wait until it is lowered', '60')
     .action((text: string, options: LevelOptions & { within: string }) =>
       lowerLevel(openStore(options, fail), parseLevel(text, fail), Number(options.within)),
     );
 }
 
-/** The subcommands about members that will not come back. */
+/** Registers the subcommands for members that will not come back. */
 function addMemberCommands(command: AddCommand, fail: Fail): void {
-  command('gone <member>', 'a member that will not come back: it is not waited for').action(
-    async (member: string, options: LevelOptions) => {
-      await openStore(options, fail).updateRequest(({ departedMembers }) => ({
-        departedMembers: [...new Set([...departedMembers, member])],
-      }));
-      printLine(`${member} is not waited for`);
-    },
-  );
-  command('back <member>', 'a member named gone is waited for again').action(
+  command(
+    'gone <member>',
+    'declare that a member will not come back, so that it is no longer waited for',
+  ).action(async (member: string, options: LevelOptions) => {
+    await openStore(options, fail).updateRequest(({ departedMembers }) => ({
+      departedMembers: [...new Set([...departedMembers, member])],
+    }));
+    printLine(`${member} is no longer waited for`);
+  });
+  command('back <member>', 'wait again for a member that was declared gone').action(
     async (member: string, options: LevelOptions) => {
       await openStore(options, fail).updateRequest(({ departedMembers }) => ({
         departedMembers: departedMembers.filter((name) => name !== member),
       }));
-      printLine(`${member} is waited for`);
+      printLine(`${member} is waited for again`);
     },
   );
 }
--- a/src/cli/machine-commands.ts
+++ b/src/cli/machine-commands.ts
@@ -1,4 +1,4 @@
-/** The commands on machines: `machines`, `drain`, `forget`. */
+/** The commands for machines: `machines`, `drain` and `forget`. */
 import { ApiClient } from './api-client.js';
 import type { AddCommand, CommonOptions } from './client-command.js';
 import type { Fail } from './exit.js';
@@ -6,7 +6,7 @@
 
 type MachineRow = Record<string, string | number | null | undefined>;
 
-/** Fields of the API, in the order of the columns. */
+/** Fields of the API response, in the order of the table columns. */
 const columns = ['name', 'host', 'state', 'type', 'zone', 'cpus', 'usedCpus', 'tasks', 'silentS', 'held'];
 
 async function listMachines(options: CommonOptions, fail: Fail): Promise<void> {
@@ -32,15 +32,15 @@
   process.exit(0);
 }
 
-/** Registers the commands on machines. */
+/** Registers the commands for machines. */
 export function addMachineCommands(command: AddCommand, fail: Fail): void {
   command('machines', 'list machines', 'dapplepick machines --json').action((options: CommonOptions) =>
     listMachines(options, fail),
   );
   const changing = (action: 'drain' | 'forget', description: string): void =>
     void command(action, description, `dapplepick ${action} desk-1`)
-      .argument('<machine>', 'name of an agent, or of its machine')
+      .argument('<machine>', 'name of an agent, or host name of its machine')
       .action((machine: string, options: CommonOptions) => changeMachine(action, machine, options, fail));
-  changing('drain', 'have an agent leave once what runs there is over');
-  changing('forget', 'say that a machine is gone, with all that ran on it: its tasks are started elsewhere');
+  changing('drain', 'make an agent leave once its running tasks have ended');
+  changing('forget', 'declare that a machine and everything on it is gone: its tasks are started elsewhere');
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The command line: a controller with `--config`, and all other commands, whose modules are loaded on demand. */
+/** The command line: `--config` runs a controller; the modules of all other commands are loaded on demand. */
 import { Command } from 'commander';
 import { operatorDefaults, loadOperatorSettings, type OperatorSettings } from '../config/operators.js';
 import { version } from '../version.js';
@@ -37,7 +37,7 @@
   }
 }
 
-/** Runs the command line that the arguments name. */
+/** Parses the arguments and runs the command that they name. */
 export async function main(argv: string[]): Promise<void> {
   const program = new Command('dapplepick')
     .description('A cluster scheduler: takes jobs, rents machines, runs tasks through workers.')
@@ -50,7 +50,7 @@
     });
   program
     .command('check')
-    .description('check settings files and print what is in force')
+    .description('check settings files and print the settings in force')
     .argument('<config>', "the platform's settings (TOML)")
     .argument('[operators]', "the operators' own settings (S-expressions)")
     .action((config: string, operators?: string) => {
@@ -62,7 +62,7 @@
   await program.parseAsync(argv);
 }
 
-/** Registers the commands. The modules of `level` and `condor` load slowly: only if the first argument names them. */
+/** Registers the commands. The modules of `level` and `condor` load slowly, so only if the first argument names them. */
 async function addCommands(program: Command, name: string | undefined): Promise<void> {
   const [{ addClientCommands }, { addProgramCommands }] = await Promise.all([
     import('./client-commands.js'),
@@ -71,7 +71,10 @@
   addClientCommands(program, exitWithError);
   addProgramCommands(program, exitWithError);
   if (name === 'level') (await import('./level.js')).addLevelCommands(program, exitWithError);
-  else program.command('level').description('the level in force: what controllers may store and do');
+  else
+    program
+      .command('level')
+      .description('show or change the feature level: what controllers may store and do');
   if (name === 'condor') (await import('./condor.js')).addCondorCommands(program, exitWithError);
   else program.command('condor').description('submit files and match expressions of HTCondor');
 }
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,4 +1,4 @@
-/** What commands print on standard output. */
+/** Functions that print to standard output. */
 
 /** Prints a line. */
 export const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
@@ -18,5 +18,5 @@
     );
 }
 
-/** A duration as the tables and the demo show it. */
+/** Formats a duration in seconds with one decimal. */
 export const formatSeconds = (ms: number): string => `${(ms / 1000).toFixed(1)} s`;
--- a/src/cli/program-commands.ts
+++ b/src/cli/program-commands.ts
@@ -1,4 +1,4 @@
-/** The commands that run the programs of the product. Each program is loaded only if it is run. */
+/** The commands that run the long-running programs and the demo. Each program is loaded only if it is run. */
 import type { Command } from 'commander';
 import { addAgentCommand } from './agent-command.js';
 import { addControlCommand } from './control-command.js';
@@ -11,7 +11,7 @@
   addAgentCommand(program, fail);
   program
     .command('demo')
-    .description('a control service and two agents in a fresh directory run a batch, and end')
+    .description('run a batch of jobs on a control service and two agents in a temporary directory')
     .action(async () => {
       const { demo } = await import('./demo.js');
       process.exit(await demo());
--- a/src/cli/run-program.ts
+++ b/src/cli/run-program.ts
@@ -1,9 +1,9 @@
-/** How the long-running programs of the command line read their files, fail and end. */
+/** Helpers of the long-running programs: reading files, reporting known errors, handling signals. */
 import { readFileSync } from 'node:fs';
 import { SettingsError } from '../config/settings.js';
 import type { Fail } from './exit.js';
 
-/** Reads a text file that the operator named; ends the program if it cannot be read. */
+/** Reads a text file named on the command line; ends the program if it cannot be read. */
 export function readFile(path: string, fail: Fail): string {
   try {
     return readFileSync(path, 'utf8');
@@ -12,7 +12,7 @@
   }
 }
 
-/** Runs a program; mistakes in its settings, addresses or directories end it with one line and no stack trace. */
+/** Runs a program. Errors in its settings, addresses or directories end it with one line and without a stack trace. */
 export async function exitOnKnownErrors(fail: Fail, run: () => Promise<void>): Promise<void> {
   try {
     await run();
@@ -26,7 +26,7 @@
   }
 }
 
-/** Calls `end` on SIGINT or SIGTERM, once. */
+/** Calls `end` on the first SIGINT and on the first SIGTERM. */
 export const onTerminationSignal = (end: () => void): void => {
   for (const name of ['SIGINT', 'SIGTERM'] as const) process.once(name, end);
 };
--- a/src/cli/store-commands.ts
+++ b/src/cli/store-commands.ts
@@ -1,4 +1,4 @@
-/** `dapplepick store`: runs a store for several control services, and restores one from a snapshot. */
+/** The command `dapplepick store`: runs a store for several control services, or restores one from a snapshot. */
 import { existsSync } from 'node:fs';
 import type { Command } from 'commander';
 import { splitAddress } from '../config/settings.js';
@@ -33,7 +33,7 @@
 }
 
 async function restoreStore(snapshot: string, directory: string, fail: Fail): Promise<void> {
-  if (!existsSync(snapshot)) fail(`${snapshot}: there is no such file`);
+  if (!existsSync(snapshot)) fail(`${snapshot}: no such file`);
   const { restoreSnapshot } = await import('../store/index.js');
   const { keys, epoch } = await restoreSnapshot(snapshot, directory);
   process.stdout.write(`${directory}: ${keys} keys at revision ${epoch}\n`);
@@ -43,16 +43,16 @@
 export function addStoreCommands(program: Command, fail: Fail): void {
   const store = program
     .command('store')
-    .description('run a store for several control services; keep it safe');
+    .description('run a store for several control services, or restore one');
   store
     .command('run')
     .description('serve a store over HTTP')
-    .requiredOption('--dir <directory>', 'where it keeps everything')
-    .option('--listen <address>', 'IPv4:port', '127.0.0.1:2379')
+    .requiredOption('--dir <directory>', 'directory of its data')
+    .option('--listen <address>', 'address to listen on, IPv4:port', '127.0.0.1:2379')
     .action((options: RunOptions) => exitOnKnownErrors(fail, () => runStore(options, fail)));
   store
     .command('restore')
-    .description('make a store from a snapshot')
+    .description('create a store from a snapshot')
     .argument('<snapshot>')
     .requiredOption('--dir <directory>', 'a new directory')
     .action((snapshot: string, options: { dir: string }) =>
--- a/src/cli/submit-command.ts
+++ b/src/cli/submit-command.ts
@@ -1,4 +1,4 @@
-/** `dapplepick submit`: submits a job from a file or from a command with options. */
+/** The command `dapplepick submit`: submits a job, described by a file or by a command and options. */
 import { readFileSync } from 'node:fs';
 import { jobPath, defaultSubmission } from '../wire/user.js';
 import { ApiClient, type JobSummary } from './api-client.js';
@@ -24,7 +24,7 @@
   dir?: string;
 }
 
-/** The submission that a command with its options stands for. */
+/** Builds the submission of a command given on the command line with its options. */
 function submissionFromOptions(command: string[], options: SubmitOptions, fail: Fail): object {
   const number = (name: string, text: string): number => {
     const value = Number(text);
@@ -55,7 +55,7 @@
   };
 }
 
-/** Reads a submission as JSON from a file, `-` for standard input; an ID is added if it has none. */
+/** Reads a submission as JSON from a file, `-` for standard input, and adds an ID if it has none. */
 function readJobFile(file: string, fail: Fail): Record<string, unknown> {
   let job: unknown;
   try {
@@ -63,15 +63,15 @@
   } catch (error) {
     fail(`${file}: ${String((error as Error).message)}`);
   }
-  if (typeof job !== 'object' || job === null || Array.isArray(job)) fail(`${file}: a job is a JSON object`);
+  if (typeof job !== 'object' || job === null || Array.isArray(job)) fail(`${file}: expected a JSON object`);
   return { nameId: newJobId(), ...job };
 }
 
 async function submit(file: string | undefined, options: SubmitOptions, fail: Fail): Promise<void> {
-  // Commander takes the first word behind `--` for the file argument: the command is taken from the arguments themselves.
+  // Commander takes the first word after `--` for the file argument, so the command is read from `process.argv` directly.
   const separator = process.argv.indexOf('--');
   const command = separator >= 0 ? process.argv.slice(separator + 1) : [];
-  if (command.length === 0 && file === undefined) fail('submit: a file, or -- and a command');
+  if (command.length === 0 && file === undefined) fail('submit: expected a file, or -- and a command');
   const client = new ApiClient(options.node, fail);
   const job = command.length > 0 ? submissionFromOptions(command, options, fail) : readJobFile(file!, fail);
   const { nameId } = job as { nameId: string };
@@ -85,28 +85,28 @@
   process.exit(options.wait && (answer.status !== 'done' || failed > 0) ? exitCodes.failed : 0);
 }
 
-/** Registers `submit`. */
+/** Registers the command. */
 export function addSubmitCommand(command: AddCommand, fail: Fail): void {
   command(
     'submit',
-    'submit a job: a file, or a command to run',
+    'submit a job from a file, or a command to run',
     'dapplepick submit --tasks 4 --wait -- sh -c "echo $DAPPLEPICK_INDEX"',
   )
     .argument('[file]', 'the job as JSON; - for standard input')
-    .argument('[command...]', 'behind --: what each task runs')
-    .option('--wait', 'until it is over; exit code 3 if it failed or was withdrawn')
-    .option('--timeout <s>', 'with --wait: exit code 4 after so long')
-    .option('--tasks <n>', 'tasks', '1')
-    .option('--gang', 'all tasks at the same time')
-    .option('--cpus <n>', 'CPUs of a task', '1')
-    .option('--mem <GB>', 'memory of a task; it is ended above', '0.5')
-    .option('--wall <s>', 'a task is ended after so long')
-    .option('--retries <n>', 'a task that fails is tried again so often', '0')
-    .option('--team <name>', 'whose limits count', 'default')
+    .argument('[command...]', 'after --: the command that each task runs')
+    .option('--wait', 'wait until the job has ended; exit code 3 if it failed or was cancelled')
+    .option('--timeout <s>', 'with --wait: give up after this time, with exit code 4')
+    .option('--tasks <n>', 'number of tasks', '1')
+    .option('--gang', 'run all tasks at the same time')
+    .option('--cpus <n>', 'CPUs per task', '1')
+    .option('--mem <GB>', 'memory per task; a task that uses more is ended', '0.5')
+    .option('--wall <s>', 'run time limit per task')
+    .option('--retries <n>', 'how often a failed task is retried', '0')
+    .option('--team <name>', 'team whose limits apply', 'default')
     .option('--class <name>', 'class of the job', 'command')
     .option('--urgency <u>', 'production, urgent, normal or low', 'normal')
-    .option('--env <NAME=VALUE...>', 'environment of its tasks')
-    .option('--dir <path>', 'where its tasks run')
+    .option('--env <NAME=VALUE...>', 'environment variables of the tasks')
+    .option('--dir <path>', 'working directory of the tasks')
     .action((file: string | undefined, _command: string[], options: SubmitOptions) =>
       submit(file, options, fail),
     );
--- a/src/cloud/cloud-provider.ts
+++ b/src/cloud/cloud-provider.ts
@@ -1,4 +1,4 @@
-/** The cloud's HTTP API: machine types, and the machines that are requested, listed and deleted. */
+/** Client of the cloud's HTTP API: lists machine types, and rents, lists and deletes machines. */
 import { JsonClient } from '../net/client.js';
 import {
   encodeDeletion,
@@ -15,25 +15,25 @@
 const pageSize = 500;
 const maxSockets = 4;
 
-/** A provider of machines: the cloud, or what stands in its place. */
+/** A provider of machines: the cloud, or a replacement such as a pool of agents. */
 export interface CloudProvider {
-  /** The machine types on offer; null: no answer. */
+  /** The available machine types; null: no response. */
   listMachineTypes(): Promise<MachineType[] | null>;
-  /** Requests machines. Requests of the same name are idempotent. */
+  /** Rents machines. Repeating a request with the same name has no further effect. */
   rentMachines(request: RentRequest): Promise<RentalOutcome>;
-  /** True: the machines, and all tasks that were on them, are gone. */
+  /** Deletes machines. Returns true if the machines, and all tasks on them, are gone; false if that is unknown. */
   deleteMachines(hosts: string[]): Promise<boolean>;
-  /** All machines that are there; null: no answer. */
+  /** All machines that exist; null: no response. */
   listMachines(): Promise<ListedMachine[] | null>;
 }
 
-/** The cloud's API over HTTP. Its request limit is kept by the autoscaler. */
+/** The cloud's API over HTTP. The autoscaler enforces the API's request limit. */
 export class HttpCloudProvider implements CloudProvider {
   private readonly client: JsonClient;
 
   constructor(
     address: string,
-    /** After this long a request counts as unanswered. */
+    /** A request without a response within this time counts as unanswered, ms. */
     private readonly timeoutMs: number,
   ) {
     this.client = new JsonClient(address, maxSockets);
--- a/src/config/forms.ts
+++ b/src/config/forms.ts
@@ -1,21 +1,22 @@
-/** Reader of S-expression settings: forms of a name and values, with errors that name the origin and the line. */
+/** Parser of settings written as S-expressions. Its errors name the origin of the text and the line. */
 import { createRequire } from 'node:module';
 import { SettingsError } from './settings.js';
 
+/** A node of the syntax tree that `sexpr-plus` returns. */
 interface RawNode {
   type: string;
   content: string | RawNode[];
   location?: { start: { line: number } };
 }
 
-/** One setting: (NAME VALUE ...), a value being an atom, a string or a setting of its own. */
+/** One setting, `(NAME VALUE ...)`. A value is an atom, a string or a nested setting. */
 export interface Form {
   name: string;
   line: number;
   values: (string | Form)[];
 }
 
-/** Reads `(HEAD (NAME VALUE ...) ...)`. Errors name the origin and the line. */
+/** Parses `(HEAD (NAME VALUE ...) ...)` and returns the settings; an empty text has none. Throws a `SettingsError`. */
 export function readForms(text: string, origin: string, head: string): Form[] {
   const requireModule = createRequire(import.meta.url);
   const { parse } = requireModule('sexpr-plus') as { parse: (text: string) => RawNode[] };
@@ -40,44 +41,42 @@
   const [name, ...rest] = Array.isArray(raw.content) ? raw.content : [];
   if (raw.type !== 'list' || typeof name?.content !== 'string' || rest.length === 0)
     throw new SettingsError(`${origin}: line ${line}: expected (NAME VALUE)`);
-  const values = rest.map((value) =>
-    typeof value.content === 'string' ? value.content : readForm(value, origin),
-  );
+  const values = rest.map((arg) => (typeof arg.content === 'string' ? arg.content : readForm(arg, origin)));
   return { name: name.content, line, values };
 }
 
-/** Reads the values of forms, with errors that name what is wrong where. */
+/** Converts and validates the values of settings. Its errors name the origin, the line and the setting. */
 export class FormReader {
   constructor(private readonly origin: string) {}
 
-  /** Throws an error that names origin, line and setting. */
+  /** Throws a `SettingsError` that names the origin, the line, the setting and the reason. */
   fail(form: Form, reason: string): never {
     throw new SettingsError(`${this.origin}: line ${form.line}: ${form.name}: ${reason}`);
   }
 
-  /** The one value of a form, as text. */
+  /** The only value of a setting, as text. */
   text(form: Form): string {
     const [value] = form.values;
     if (form.values.length !== 1 || typeof value !== 'string' || value === '')
-      this.fail(form, 'must be one word or text');
+      this.fail(form, 'must be a single atom or string');
     return value;
   }
 
-  /** The one value of a form, as a number. */
+  /** The only value of a setting, as a number of at least `min`. */
   number(form: Form, min = 0): number {
     const value = Number(this.text(form));
     if (!Number.isFinite(value) || value < min) this.fail(form, `must be a number of at least ${min}`);
     return value;
   }
 
-  /** All values of a form, as texts. */
+  /** All values of a setting, as texts. */
   texts(form: Form): string[] {
     return form.values.map((value) =>
-      typeof value === 'string' && value !== '' ? value : this.fail(form, 'must be words or texts'),
+      typeof value === 'string' && value !== '' ? value : this.fail(form, 'must be atoms or strings'),
     );
   }
 
-  /** HOST:PORT, the host as an IPv4 address. */
+  /** The only value of a setting, an address `IPv4:port`. */
   address(form: Form): { host: string; port: number } {
     const match = /^((?:\d{1,3}\.){3}\d{1,3}):(\d{1,5})$/.exec(this.text(form));
     if (!match || Number(match[2]) > 65535) this.fail(form, 'must be IPv4:port');
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -1,63 +1,65 @@
-/** The operators' own settings: their defaults, and how they are read. */
+/** The operators' settings: their defaults and their parser. */
 import { readFileSync } from 'node:fs';
 import { readForms } from './forms.js';
 import { SettingsError } from './settings.js';
 
 /**
- * The operators' own settings, written as S-expressions:
+ * The defaults of the operators' settings. A settings file overrides them with an S-expression:
  *
  *     (dapplepick (hazard-weight 10) (round-s 10))
  *
- * Every one has a default; `docs/settings.md` tells what they do. Times that depend on the
- * deployment are ratios to figures of the platform's settings.
+ * `docs/settings.md` describes them in full. Times that depend on the deployment are ratios to values of the platform's
+ * settings.
  */
 export const operatorDefaults = {
-  /** A of HELIOS: price of one interruption, per CPU-hour and unit of hazard. */
+  /** Price of an interruption, per CPU-hour and unit of hazard (A in the HELIOS paper). */
   'hazard-weight': 10,
-  /** Weight of the gap between a premium machine's price and the cheapest on-demand price. */
+  /** Weight of the distance of a premium job's machine from the cheapest on-demand price. */
   'anchor-weight': 0.5,
-  /** Share of each machine's CPUs kept free in placement. */
+  /** Share of each machine's CPUs that placement keeps free. */
   headroom: 0,
-  /** Length of a placement round. */
+  /** Length of a placement round, s. */
   'round-s': 1,
-  /** Hazard is counted per step of this length (the paper's step is its 5-minute round). */
+  /** Length of the step that hazard is expressed per, s (in the paper, the 5-minute round). */
   'hazard-step-s': 10,
-  /** Hazard assumed before anything was seen, per machine-hour. */
+  /** Hazard assumed before any machine was observed, per machine-hour. */
   'hazard-prior': 0.5,
-  /** Share of running tasks that may move in one move window. */
+  /** Share of the running tasks that may be migrated within one move window. */
   'move-share': 0.05,
+  /** Shortest time between two rounds of migrations, s. */
   'move-window-s': 10,
+  /** How long a task must have run on its machine before it may be migrated, s. */
   'residency-s': 60,
-  /** How long a grant is good for without being confirmed. */
+  /** How old the replica may be, at most, for workers to be answered from it without a confirmation, s. */
   'grant-s': 30,
-  /** A node's state lease, as a share of the workers' lease. */
+  /** Duration of a controller's lease in the state service, as a share of the workers' lease. */
   'node-lease-ratio': 0.2,
-  /** After taking up a shard, all of its machines should be proven within so many worker leases. */
+  /** Within this many worker leases after acquiring a shard, all of its machines should be proven. */
   'recovery-leases': 0.75,
-  /** An idle machine is kept for this many times what it would take to replace: boot and its largest image. */
+  /** How long an idle machine is kept, as a multiple of the time to replace it: its boot and the fetch of its largest image. */
   'idle-boots': 0.6,
-  /** Shards; 0: one per controller. */
+  /** Number of shards; 0: one per controller. */
   shards: 1,
-  /** No level above this is taken part in (see upgrades); 0: all that the program knows. */
+  /** The highest feature level that this controller supports (see upgrades); 0: all that the program knows. */
   'level-most': 0,
-  /** 1: jobs are taken in fairly by team and class, and the writes divided among all controllers (see admission). */
+  /** 1: jobs are admitted fairly by team and class, and writes are divided among all controllers (see admission). */
   'fair-admission': 0,
-  /** Of an equal part of the room: what each team and class that waits is to have had over a window (see admission); 0: none. */
+  /** Minimum share of each waiting team and class over a window, as a share of an equal part (see admission); 0: none. */
   'floor-share': 0,
-  /** The window, in worker leases. */
+  /** Length of the window of `floor-share`, in worker leases. */
   'floor-leases': 2,
-  /** 1: placements and ends of many jobs share one write, once all controllers can read that (see CAPACITY). */
+  /** 1: the placements and ends of many jobs share one write, once all controllers can read that (see `docs/CAPACITY.md`). */
   'task-log': 0,
-  /** A task's placement stays in the task log for so many worker leases before it is checkpointed. */
+  /** How long a task's placement stays in the task log before it is checkpointed, in worker leases. */
   'task-log-leases': 8,
-  /** Share of the state service's writes that go into rewriting records after a change of the level. */
+  /** Share of the state service's writes that may be spent on rewriting records after a change of the feature level. */
   'sweep-share': 0.1,
 };
 
-/** All operators' settings, by name. */
+/** The values of all operators' settings, by name. */
 export type OperatorSettings = Record<keyof typeof operatorDefaults, number>;
 
-/** Reads settings over the defaults. Throws a `SettingsError` that names origin, line and setting. */
+/** Parses settings; those that the text does not name keep their defaults. Throws a `SettingsError`. */
 export function parseOperatorSettings(text: string, origin = 'operators'): OperatorSettings {
   const settings: OperatorSettings = { ...operatorDefaults };
   for (const { name, line, values } of readForms(text, origin, 'dapplepick')) {
@@ -90,7 +92,7 @@
   return settings;
 }
 
-/** Reads a file of settings; null: all defaults. */
+/** Reads and parses a file of operators' settings. Throws a `SettingsError`. */
 export function loadOperatorSettings(path: string): OperatorSettings {
   let text: string;
   try {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,9 +1,9 @@
-/** The platform's settings: the TOML file that it hands over, checked and named after the model. */
+/** The platform's settings: validates the platform's TOML file and maps it to the program's terms. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 
-/** A settings problem that the operator can mend: one line, naming the field. */
+/** A mistake in the settings that the operator can correct. The message is one line that names the field. */
 export class SettingsError extends Error {}
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -28,6 +28,7 @@
   times: v.optional(amount, 1),
 });
 
+/** The platform's file. `location` is a zone, `back` this controller's address for peers, `others` the other controllers. */
 const settingsFileSchema = v.object({
   member: name,
   location: name,
@@ -62,12 +63,15 @@
 });
 
 type SettingsFile = v.InferOutput<typeof settingsFileSchema>;
-/** A team's guarantee and quota; 0: none. */
+/** A team's guaranteed resources and its quota (`cpus_max`, `gpus_max`); 0: none. */
 export type TeamLimits = v.InferOutput<typeof teamSchema>;
-/** A service-level objective of a class of jobs. */
+/** A service-level objective for a class of jobs. */
 export type Objective = v.InferOutput<typeof objectiveSchema>;
 
-/** The platform's settings. Groups of limits keep the file's field names. */
+/**
+ * The platform's settings. The groups `teams`, `objectives`, `workers`, `state`, `cloud` and `quota` keep the field names of
+ * the file.
+ */
 export interface Settings {
   member: string;
   zone: string;
@@ -83,11 +87,14 @@
   state: SettingsFile['deployment']['state'];
   cloud: SettingsFile['deployment']['cloud'];
   quota: { cores: number; mem_mb: number; fd_limit: number };
-  /** Machines join and leave by themselves: none is rented, and none given back unless it left or was forgotten. */
+  /**
+   * Whether machines join and leave by themselves. If so, none is rented, and none is returned unless it has left or was
+   * declared gone.
+   */
   pool?: boolean;
 }
 
-/** Reads and checks the text of a settings file. Throws a `SettingsError` that names the field. */
+/** Parses and validates the text of a settings file. Throws a `SettingsError` that names the field. */
 export function parseSettings(text: string, origin = 'settings'): Settings {
   let raw: unknown;
   try {
@@ -122,7 +129,7 @@
   };
 }
 
-/** Reads and checks a settings file. */
+/** Reads, parses and validates a settings file. Throws a `SettingsError`. */
 export function loadSettings(path: string): Settings {
   let text: string;
   try {
@@ -133,7 +140,7 @@
   return parseSettings(text, path);
 }
 
-/** Host and port of an address `IPv4:port`. */
+/** Splits an address `HOST:PORT` into host and port. */
 export function splitAddress(addr: string): { host: string; port: number } {
   const separator = addr.lastIndexOf(':');
   return { host: addr.slice(0, separator), port: Number(addr.slice(separator + 1)) };
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -1,19 +1,20 @@
 /** Machine types, rented machines, and resource arithmetic. */
 
-/** An amount of resources: what a task takes, or what a machine has. */
+/** Amounts of resources, of a task or a machine. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-/** A type of machine that the cloud offers. Types are stored as JSON: the names of these fields are part of that format. */
+/** A machine type that the cloud offers. Stored as JSON, so the names of these fields are part of the stored format. */
 export interface MachineType extends Readonly<Resources> {
   readonly name: string;
-  /** The disk space for images. */
+  /** Disk space for cached images. */
   readonly cacheGb: number;
+  /** Rate at which images are fetched. */
   readonly fetchGbPerS: number;
-  /** Price per hour, on demand and as a spot machine. */
+  /** Prices per hour, on demand and as a spot machine. */
   readonly price: number;
   readonly spotPrice: number;
   /** Time from the rental to the first heartbeat, s. */
@@ -21,7 +22,7 @@
   readonly zones: readonly string[];
 }
 
-/** `use`: leased to a shard; `free`: with the leader; `dead`: abandoned, to be returned. The values are stored. */
+/** `use`: assigned to a shard; `free`: held by the leader; `dead`: abandoned, to be deleted. The values are stored. */
 export type MachineState = 'use' | 'free' | 'dead';
 
 /** The durable record of a rented machine. */
@@ -30,17 +31,17 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Owning shard, or -1: with the leader. */
+  /** The owning shard; -1: held by the leader. */
   readonly shard: number;
   readonly state: MachineState;
-  /** Time of day of the rental, ms. */
+  /** Wall-clock time of the rental, ms. */
   readonly since: number;
 }
 
-/** What a machine of the type costs per hour. */
+/** Price per hour of a machine of this type. */
 export const hourlyPrice = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
 
-/** Amounts are decimals: sums of them may be off by rounding errors of up to this much. */
+/** Amounts are floating-point numbers: sums of them may be off by rounding errors of up to this much. */
 export const roundingTolerance = 1e-6;
 
 /** Whether `need` fits into `free`. */
@@ -58,7 +59,7 @@
   return Math.max(0, count);
 }
 
-/** Adds `amount`, `times` times, to `target` in place; negative `times` take it away. */
+/** Adds `amount` multiplied by `times` to `target` in place; a negative `times` subtracts it. */
 export function addResources(target: Resources, amount: Readonly<Resources>, times: number): void {
   target.cpus += times * amount.cpus;
   target.gpus += times * amount.gpus;
--- a/src/model/task-command.ts
+++ b/src/model/task-command.ts
@@ -1,10 +1,10 @@
-/** Commands of arrays, in which a placeholder stands for the number of the task. */
+/** Expands the placeholder for the task number in the commands of array jobs. */
 import type { CommandSpec } from './job.js';
 
-/** Stands for the task's number in a command: a character of Unicode's private use area, which no command contains otherwise. */
+/** Placeholder for the task number in a command: a character of Unicode's private use area, which no command contains otherwise. */
 export const taskIndexPlaceholder = '\uE000';
 
-/** The command of one task, with its number (counted from `first`) in place of placeholders; without `first` there are none. */
+/** The command of one task: placeholders are replaced by its number, counted from `first`. A command without `first` has none. */
 export function commandForTask(command: CommandSpec, index: number): CommandSpec {
   const { first } = command;
   if (first === undefined) return command;
--- a/src/net/client.ts
+++ b/src/net/client.ts
@@ -1,4 +1,4 @@
-/** JSON over HTTP: requests with a deadline. */
+/** HTTP client for JSON requests with a timeout. */
 import { Agent, request, type IncomingMessage } from 'node:http';
 import { splitAddress } from '../config/settings.js';
 
@@ -11,8 +11,8 @@
 const maxResponseBytes = 64 * 1024 * 1024;
 
 /**
- * Sends one JSON request; `timeoutMs` bounds all of it. Null: there was no usable response, and whether the request was
- * executed is unknown.
+ * Sends one JSON request; `timeoutMs` covers the whole exchange. Resolves to null if there was no usable response; it is then
+ * unknown whether the request was executed.
  */
 export function requestJson(
   agent: Agent,
@@ -46,7 +46,7 @@
   });
 }
 
-/** Reads a response to its end and parses it. `abort` ends the request if the response is too long. */
+/** Reads a whole response and parses it. Calls `abort` to end the request if the response is too long. */
 function collectResponse(
   res: IncomingMessage,
   settle: (response: JsonResponse | null) => void,
@@ -64,7 +64,7 @@
   res.on('close', () => settle(null));
 }
 
-/** A body that is not JSON is as good as no response. */
+/** Treats a body that is not JSON like a missing response. */
 function parseResponse(status: number, text: string): JsonResponse | null {
   try {
     return { status, body: text === '' ? null : (JSON.parse(text) as unknown) };
@@ -73,7 +73,7 @@
   }
 }
 
-/** A JSON client of one server, which keeps connections open. */
+/** A JSON client of one server that reuses connections. */
 export class JsonClient {
   private readonly agent: Agent;
 
--- a/src/net/json.ts
+++ b/src/net/json.ts
@@ -1,7 +1,7 @@
-/** JSON bodies of HTTP requests and responses, on the server's side. */
+/** JSON bodies of HTTP requests and responses, for servers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** The body of a request as JSON; undefined: too long, or not JSON. */
+/** Reads and parses the JSON body of a request; undefined if it is too long or not JSON. */
 export async function readJson(req: IncomingMessage, maxBytes: number): Promise<unknown> {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -17,7 +17,7 @@
   }
 }
 
-/** Answers with JSON, once; a body that is text already goes out as it is. */
+/** Sends a JSON response unless one was sent already; a string body is sent as it is. */
 export function sendJson(
   res: ServerResponse,
   status: number,
--- a/src/net/port.ts
+++ b/src/net/port.ts
@@ -1,7 +1,7 @@
-/** Ports for tests and demonstrations. */
+/** Finds ports for tests and the demo. */
 import { createServer } from 'node:net';
 
-/** A port on loopback that nobody listens on just now. */
+/** A port of the loopback address on which nothing listens at the moment. */
 export async function findFreePort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', () => resolve()));
--- a/src/peers/frame-reader.ts
+++ b/src/peers/frame-reader.ts
@@ -1,10 +1,10 @@
-/** Cuts the stream of bytes of a connection into frames. */
+/** Splits the byte stream of a connection into frames. */
 import { decodeFrame, lengthPrefixBytes, type Frame } from './frames.js';
 
-/** Far above what any frame needs: a longer one is taken for garbage. */
+/** Far above the length of any valid frame: a longer one means that the stream is corrupt. */
 const maxFrameBytes = 256 * 1024;
 
-/** The length of a frame is above what is accepted. */
+/** The length prefix of a frame is above the accepted maximum. */
 export class FrameTooLargeError extends Error {
   override readonly name = 'FrameTooLargeError';
 
@@ -12,11 +12,11 @@
     readonly frameBytes: number,
     readonly maxBytes: number,
   ) {
-    super(`frame of ${frameBytes} bytes, at most ${maxBytes} are accepted`);
+    super(`frame of ${frameBytes} bytes exceeds the limit of ${maxBytes} bytes`);
   }
 }
 
-/** The bytes of a frame are no protobuf message. */
+/** The body of a frame is not a valid protobuf message. */
 export class MalformedFrameError extends Error {
   override readonly name = 'MalformedFrameError';
 
@@ -24,19 +24,23 @@
     readonly frameBytes: number,
     cause: unknown,
   ) {
-    super(`frame of ${frameBytes} bytes: ${cause instanceof Error ? cause.message : String(cause)}`, {
-      cause,
-    });
+    super(
+      `cannot decode frame of ${frameBytes} bytes: ${cause instanceof Error ? cause.message : String(cause)}`,
+      {
+        cause,
+      },
+    );
   }
 }
 
-/** Keeps the bytes of an incomplete frame until the rest arrives. */
+/** Parses frames from received data. Buffers an incomplete frame until the rest of it arrives. */
 export class FrameReader {
   private unparsed: Buffer = Buffer.alloc(0);
 
   /**
-   * The frames that are complete with these bytes. Throws `FrameTooLargeError` or `MalformedFrameError`: the reader
-   * cannot be used any more then, and the connection is to be closed.
+   * Appends received data and returns the frames that it completes; those that `decodeFrame` does not know are skipped.
+   * Throws `FrameTooLargeError` or `MalformedFrameError`; after that the reader is unusable and the connection must be
+   * closed.
    */
   push(data: Buffer): Frame[] {
     this.unparsed = this.unparsed.length === 0 ? data : Buffer.concat([this.unparsed, data]);
--- a/src/peers/frame-schema.ts
+++ b/src/peers/frame-schema.ts
@@ -1,11 +1,11 @@
 /**
- * The protobuf schema of the frames that controllers exchange, and the types of decoded messages.
+ * The protobuf schema of the frames that controllers exchange, and the types of the decoded messages.
  *
- * Field numbers and types are fixed: controllers of different program versions talk to each other. Names do not appear on
- * the wire. The codec in `frames.ts` maps every field by hand, so that renaming a field of an internal type cannot drop it
- * from the wire.
+ * Field numbers and types must not change, because controllers of different program versions exchange frames. Names do not
+ * appear on the wire. The codec in `frames.ts` maps every field explicitly, so that renaming a field of an internal type
+ * cannot drop it from the wire.
  *
- * Counters are doubles: they are exact below 2^53 and need no 64-bit integers.
+ * Counters are doubles: these are exact below 2^53 and avoid 64-bit integers.
  */
 import protobuf from 'protobufjs/light.js';
 
@@ -39,12 +39,12 @@
       fields: {
         member: { type: 'string', id: 1 },
         instanceId: { type: 'string', id: 2 },
-        /** The message formats that the sender reads; 0: it reads only the first. */
+        /** The oldest and newest message format that the sender can read; 0: it reads only format 1. */
         minFormat: { type: 'uint32', id: 3 },
         maxFormat: { type: 'uint32', id: 4 },
       },
     },
-    /** A worker's heartbeat that reached a controller that does not own its machine. */
+    /** A worker's heartbeat, forwarded by a controller that does not own the worker's machine to the one that does. */
     ForwardedHeartbeat: {
       fields: { id: { type: 'uint32', id: 1 }, heartbeat: { type: 'Heartbeat', id: 2 } },
     },
@@ -58,7 +58,7 @@
         agentEpoch: { type: 'double', id: 6 },
         sequence: { type: 'double', id: 7 },
         fencingToken: { type: 'double', id: 8 },
-        /** Below zero: no notice. */
+        /** Time until the machine is reclaimed, s; negative: no notice was given. */
         noticeS: { type: 'double', id: 9 },
         tasks: { rule: 'repeated', type: 'TaskStatus', id: 10 },
       },
@@ -68,13 +68,14 @@
         job: { type: 'string', id: 1 },
         index: { type: 'uint32', id: 2 },
         attempt: { type: 'double', id: 3 },
+        /** Numbers of phases and exit reasons: see `frames.ts`. */
         phase: { type: 'uint32', id: 4 },
-        /** 0: none. */
+        /** 0: the task has not ended. */
         exitReason: { type: 'uint32', id: 5 },
         saved: { type: 'bool', id: 6 },
       },
     },
-    /** The response to a forwarded heartbeat, as the worker is to get it. */
+    /** The HTTP response to a forwarded heartbeat, to be passed on to the worker unchanged. */
     ForwardedResponse: {
       fields: {
         id: { type: 'uint32', id: 1 },
@@ -84,27 +85,27 @@
     },
     PeerStatus: {
       fields: {
-        /** The newest revision that the sender knows of. */
+        /** The newest revision of the state service that the sender knows. */
         revision: { type: 'double', id: 1 },
         instanceId: { type: 'string', id: 2 },
         utilizationPermille: { type: 'uint32', id: 3 },
         wantsForwarding: { type: 'bool', id: 4 },
-        /** Writes a second that the sender wants, for accepted work and for new jobs. */
+        /** Writes per second that the sender requests, for accepted work and for new jobs. */
         acceptedWork: { type: 'uint32', id: 5 },
         newJobs: { type: 'uint32', id: 6 },
-        /** Whether the demand is set: without this, a demand of zeros could not be told from an unset one. */
+        /** Whether the demand is set: distinguishes a demand of zeros from an absent one. */
         hasDemand: { type: 'bool', id: 7 },
-        /** The backlog of its writes for accepted work, tenths of a second. */
+        /** Backlog of its writes for accepted work, in tenths of a second. */
         backlogTenthsS: { type: 'uint32', id: 8 },
-        /** The version of the write allocation that it follows. */
+        /** Version of the write allocation that it applies. */
         allocationVersion: { type: 'uint32', id: 9 },
         workloads: { rule: 'repeated', type: 'WorkloadDemand', id: 10 },
-        /** The incarnation of the state that it follows. */
+        /** Incarnation of the state that it replicates. */
         incarnation: { type: 'uint32', id: 11 },
         jobCount: { type: 'uint32', id: 12 },
       },
     },
-    /** The new jobs a second that a team and class want there. */
+    /** New jobs per second of one team and class at the sender, and the workload's weight. */
     WorkloadDemand: {
       fields: {
         team: { type: 'string', id: 1 },
@@ -113,7 +114,7 @@
         jobsPerS: { type: 'float', id: 4 },
       },
     },
-    /** Jobs that were rejected, and for how long their users have tried. */
+    /** Jobs that the sender rejected, and for how long their users have been trying to submit them. */
     RejectedJobs: { fields: { rejections: { rule: 'repeated', type: 'Rejection', id: 1 } } },
     Rejection: {
       fields: {
@@ -123,13 +124,13 @@
         ageMs: { type: 'uint32', id: 4 },
       },
     },
-    /** Asks for the changes above a revision. */
+    /** Asks a peer for all changes that it knows above a revision. */
     FreshnessQuery: {
       fields: {
         nonce: { type: 'uint32', id: 1 },
         revision: { type: 'double', id: 2 },
         instanceId: { type: 'string', id: 3 },
-        /** The incarnation of the state that the sender follows. */
+        /** Incarnation of the state that the sender replicates. */
         incarnation: { type: 'uint32', id: 4 },
       },
     },
@@ -137,17 +138,17 @@
       fields: {
         query: { type: 'FreshnessQuery', id: 1 },
         instanceId: { type: 'string', id: 2 },
-        /** All changes that the sender knows above the query's revision, as JSON. */
+        /** All changes that the sender knows above the query's revision, as JSON text. */
         changes: { type: 'string', id: 3 },
       },
     },
   },
 });
 
-/** The message type of every frame. */
+/** The protobuf type of a frame: exactly one message per frame. */
 export const frameType = root.lookupType('Frame');
 
-/** Message `Hello`. */
+/** The protobuf message `Hello`, decoded. */
 export interface WireHello {
   member: string;
   instanceId: string;
@@ -155,7 +156,7 @@
   maxFormat: number;
 }
 
-/** Message `TaskStatus`. */
+/** The protobuf message `TaskStatus`, decoded. */
 export interface WireTaskStatus {
   job: string;
   index: number;
@@ -165,7 +166,7 @@
   saved: boolean;
 }
 
-/** Message `Heartbeat`. */
+/** The protobuf message `Heartbeat`, decoded. */
 export interface WireHeartbeat {
   host: string;
   endpoint: string;
@@ -179,7 +180,7 @@
   tasks: WireTaskStatus[];
 }
 
-/** Message `WorkloadDemand`. */
+/** The protobuf message `WorkloadDemand`, decoded. */
 export interface WireWorkloadDemand {
   team: string;
   class: string;
@@ -187,7 +188,7 @@
   jobsPerS: number;
 }
 
-/** Message `PeerStatus`. */
+/** The protobuf message `PeerStatus`, decoded. */
 export interface WirePeerStatus {
   revision: number;
   instanceId: string;
@@ -203,7 +204,7 @@
   jobCount: number;
 }
 
-/** Message `Rejection`. */
+/** The protobuf message `Rejection`, decoded. */
 export interface WireRejection {
   id: string;
   team: string;
@@ -211,7 +212,7 @@
   ageMs: number;
 }
 
-/** Message `FreshnessQuery`. */
+/** The protobuf message `FreshnessQuery`, decoded. */
 export interface WireFreshnessQuery {
   nonce: number;
   revision: number;
@@ -219,7 +220,7 @@
   incarnation: number;
 }
 
-/** A decoded frame: at most one of the fields is set, none if the sender's program is newer than this one. */
+/** A decoded frame: at most one field is set; none if a newer program sent a message that this one does not know. */
 export interface WireFrame {
   hello?: WireHello | null;
   forwardedHeartbeat?: { id: number; heartbeat: WireHeartbeat | null } | null;
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -1,8 +1,9 @@
 /**
- * Codec of the frames that controllers exchange: one protobuf message a frame, behind its length as a 32-bit number.
+ * Encodes and decodes the frames that controllers exchange. A frame is one protobuf message, preceded by its length as a
+ * 32-bit big-endian number.
  *
- * Frames only speed things up, or carry a worker's heartbeat to the owner of its machine. The state service remains the
- * source of truth, so that a lost frame costs time and nothing else.
+ * Frames either shorten delays or carry a worker's heartbeat to the owner of its machine. The state service remains the
+ * source of truth, so a lost frame costs time and nothing else.
  */
 import type { MemberDemand, Rejection } from '../admission/index.js';
 import type { Speaks } from '../formats/index.js';
@@ -21,10 +22,10 @@
 
 /** A message between controllers. */
 export type Frame =
-  /** The first frame of a connection: who sends, and which message formats the sender reads. */
+  /** The first frame of a connection: the identity of the sender and the message formats that it can read. */
   | { readonly type: 'hello'; readonly member: string; readonly instanceId: string; readonly speaks: Speaks }
   | { readonly type: 'forwarded-heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
-  /** The response to a forwarded heartbeat, as the worker is to get it. */
+  /** The HTTP response to a forwarded heartbeat, to be passed on to the worker unchanged. */
   | {
       readonly type: 'forwarded-response';
       readonly id: number;
@@ -33,7 +34,7 @@
     }
   | { readonly type: 'peer-status'; readonly status: PeerStatus }
   | { readonly type: 'freshness-query'; readonly query: FreshnessQuery }
-  /** The changes that the sender knows above the query's revision, as text. */
+  /** The changes that the sender knows above the query's revision, as JSON text. */
   | {
       readonly type: 'freshness-answer';
       readonly query: FreshnessQuery;
@@ -42,14 +43,15 @@
     }
   | { readonly type: 'rejected-jobs'; readonly rejections: readonly Rejection[] };
 
+/** The first frame of a connection. */
 export type HelloFrame = Extract<Frame, { type: 'hello' }>;
 
-/** The length in front of every frame, bytes. */
+/** Size of the length prefix of every frame, bytes. */
 export const lengthPrefixBytes = 4;
 
-/** Task phases by their number on the wire. */
+/** Task phases, indexed by their number on the wire. */
 const phases: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
-/** Exit reasons by their number on the wire. */
+/** Exit reasons, indexed by their number on the wire. */
 const exitReasons: readonly (ExitReason | null)[] = [
   null,
   'done',
@@ -99,7 +101,7 @@
       job: task.job,
       index: task.index,
       attempt: task.attempt,
-      // A phase that this program does not know still means that the task is on the machine.
+      // A phase that only newer programs know still means that the task is on the machine.
       phase: phases[task.phase] ?? 'running',
       exitReason: task.exitReason < exitReasons.length ? exitReasons[task.exitReason] : 'error',
       saved: task.saved,
@@ -168,7 +170,7 @@
   maxFormat: speaks.most,
 });
 
-/** A sender that names no formats reads only the first. */
+/** A sender that states no formats reads only format 1. */
 const decodeHello = ({ member, instanceId, minFormat, maxFormat }: WireHello): HelloFrame => ({
   type: 'hello',
   member,
@@ -225,7 +227,7 @@
   }
 }
 
-/** The bytes of a frame, its length included. */
+/** Encodes a frame, including its length prefix. */
 export function encodeFrame(frame: Frame): Buffer {
   const body = frameType.encode(encodeMessage(frame)).finish();
   const bytes = Buffer.allocUnsafe(lengthPrefixBytes + body.length);
@@ -234,7 +236,10 @@
   return bytes;
 }
 
-/** Decodes a frame without its length. Null: a message that this program does not know, or that lacks its content. */
+/**
+ * Decodes a frame without its length prefix. Returns null for a message that this program does not know, or that lacks a
+ * required nested message.
+ */
 export function decodeFrame(body: Uint8Array): Frame | null {
   const message = frameType.decode(body) as WireFrame;
   if (message.hello) return decodeHello(message.hello);
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -1,4 +1,4 @@
-/** The mesh of connections between the controllers. */
+/** The full mesh of TCP connections between the controllers. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { splitAddress, type Settings } from '../config/settings.js';
 import type { Log } from '../core/effects.js';
@@ -8,23 +8,26 @@
 import { encodeFrame, type Frame, type HelloFrame } from './frames.js';
 
 /**
- * Above so many bytes that a connection has not taken yet, frames are dropped: a status or an answer that waited behind
- * more would be too old when it arrives.
+ * Frames are dropped while more than this many bytes are queued on a connection: a status or an answer sent behind them
+ * would be outdated on arrival.
  */
 const maxQueuedBytes = 1024 * 1024;
 
-/** What the mesh is created with. */
+/** Options of `PeerMesh`. */
 export interface PeerMeshOptions {
   readonly settings: Settings;
   /** Identifies this process. */
   readonly instanceId: string;
-  /** How connections are opened again. */
+  /** Timeout and backoff of connection attempts. */
   readonly retry: RetryPolicy;
   readonly random: Random;
   readonly maxInboundConnections: number;
   readonly log: Log;
   readonly onFrame: (from: string, frame: Frame) => void;
-  /** Called when the connection to a peer broke and a new one was refused at once: its process has most likely ended. */
+  /**
+   * Called when an established connection to a peer was lost and reconnecting was refused at once: its process has most
+   * likely ended.
+   */
   readonly onPeerLost: (member: string) => void;
 }
 
@@ -35,8 +38,8 @@
 }
 
 /**
- * Each controller dials every other one and sends on its own connection. What cannot be sent at once is dropped: nothing
- * here is needed for correctness.
+ * The connections to and from all peers. Each controller connects to every other one and sends only on the connection that
+ * it opened itself. A frame that cannot be sent at once is dropped, because correctness depends on no frame.
  */
 export class PeerMesh {
   private readonly links = new Map<string, OutboundLink>();
@@ -48,7 +51,7 @@
     this.server.maxConnections = options.maxInboundConnections;
   }
 
-  /** Listens for peers, and dials all of them. */
+  /** Listens for connections from peers, and connects to all of them. */
   async start(): Promise<void> {
     const { settings } = this.options;
     const { host, port } = splitAddress(settings.peerAddr);
@@ -59,12 +62,12 @@
     for (const { member, addr } of settings.peers) this.dial(member, addr);
   }
 
-  /** Sends a frame to a peer; false: it was dropped. */
+  /** Sends a frame to a peer; returns false if it was dropped. */
   send(to: string, frame: Frame): boolean {
     const link = this.links.get(to);
     if (!link?.isConnected || !link.socket || link.socket.writableLength > maxQueuedBytes) return false;
     const { socket } = link;
-    // What one step sends goes out together.
+    // Batches all frames that are sent in the same step.
     if (socket.writableCorked === 0) {
       socket.cork();
       process.nextTick(() => socket.uncork());
@@ -104,7 +107,7 @@
         const { member: ownMember } = settings;
         socket.write(encodeFrame({ type: 'hello', member: ownMember, instanceId, speaks: messageFormats }));
       });
-      // Peers send on connections of their own; reading lets the end of this one be noticed.
+      // Peers send on connections that they open; this one is read only to notice when the peer closes it.
       socket.on('data', () => undefined);
       socket.on('error', (e: NodeJS.ErrnoException) => {
         if (isReconnect && e.code === 'ECONNREFUSED') onPeerLost(member);
--- a/src/users/connections.ts
+++ b/src/users/connections.ts
@@ -1,35 +1,37 @@
-/** Open connections of the HTTP server, and which of them are closed first. */
+/** Tracks the open connections of the HTTP server and closes the least important idle ones. */
 import type { Socket } from 'node:net';
 
-/** Who is at the other end, by what was asked last; in order of need, least first. */
-export type ClientKind = 'nobody' | 'user' | 'probe' | 'worker';
-const priorityOrder: ClientKind[] = ['nobody', 'user', 'probe', 'worker'];
+/** The kind of client, by its latest request; `unknown`: it has sent none. `probe`: a health check. */
+export type ClientKind = 'unknown' | 'user' | 'probe' | 'worker';
+/** Least important first: the order in which idle connections are closed. */
+const priorityOrder: ClientKind[] = ['unknown', 'user', 'probe', 'worker'];
 
 interface ConnectionState {
   client: ClientKind;
-  /** Requests that have no answer yet. */
+  /** Requests without a response yet. */
   openRequests: number;
   lastUsedAt: number;
 }
 
-/** The open connections of the HTTP side, and which of them can be done without. */
+/** The open connections of the HTTP server. */
 export class Connections {
   private readonly states = new Map<Socket, ConnectionState>();
 
-  /** `idleMs`: a connection unused for less than this may be about to be used again. */
+  /** `idleMs`: a connection counts as idle after this time; one used more recently may be about to be used again. */
   constructor(private readonly idleMs: number) {}
 
+  /** The number of open connections. */
   get size(): number {
     return this.states.size;
   }
 
-  /** A connection was opened. */
+  /** Records that a connection was opened. */
   opened(socket: Socket, now: number): void {
-    this.states.set(socket, { client: 'nobody', openRequests: 0, lastUsedAt: now });
+    this.states.set(socket, { client: 'unknown', openRequests: 0, lastUsedAt: now });
     socket.on('close', () => this.states.delete(socket));
   }
 
-  /** A request has come in on a connection. */
+  /** Records that a request has arrived on a connection. */
   requestStarted(socket: Socket, client: ClientKind, now: number): void {
     const state = this.states.get(socket);
     if (!state) return;
@@ -38,7 +40,7 @@
     state.lastUsedAt = now;
   }
 
-  /** A request was answered. */
+  /** Records that a request was answered or its connection closed. */
   requestFinished(socket: Socket, now: number): void {
     const state = this.states.get(socket);
     if (!state) return;
@@ -46,7 +48,10 @@
     state.lastUsedAt = now;
   }
 
-  /** Closes so many as are above `most`: idle ones only, those that are needed least and idle longest first. */
+  /**
+   * Closes idle connections until at most `maxConnections` are open, the least important kind first, and within a kind the
+   * longest unused first. Returns how many were closed.
+   */
   trim(maxConnections: number, now: number): number {
     const excess = this.states.size - maxConnections;
     if (excess <= 0) return 0;
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -12,29 +12,30 @@
 const maxBodyBytes = 64 * 1024;
 const matchingUnsupported = 'requirements, rank: only a control service with matching knows them';
 
-/** What a program around the core adds to the HTTP side. */
+/** Extension points for a program that embeds the core, such as the control service. */
 export interface ServerHooks {
-  /** Takes a request over; false: it is none of its own. */
+  /** Handles a request; returns false if it is not one of the extension. */
   handle(req: IncomingMessage, res: ServerResponse, path: string): boolean;
-  /** What is wrong with a job, beyond what the protocol knows; null: nothing. */
+  /** Validates a job beyond the checks of the protocol; returns the reason to reject it, or null. */
   rejectionReason(spec: JobSpec): string | null;
-  /** Looks at a worker's report before the core does. `pass` hands it on, `refuse` answers instead. */
+  /** Intercepts a worker's heartbeat before the core. `pass` forwards it to the core, `refuse` responds instead. */
   heartbeat(
     raw: unknown,
     heartbeat: Heartbeat,
     pass: (heartbeat: Heartbeat) => void,
     refuse: (status: number, body: object) => void,
   ): void;
-  /** The answer to a worker, as it goes out. */
+  /** Transforms the response to a heartbeat before it is sent. */
   transformResponse(host: string, status: number, body: object): object;
 }
 
-/** The HTTP side towards users, workers and health checks: requests become commands. */
+/** Serves users, workers and health checks over HTTP: turns requests into commands of the core. */
 export class PublicServer {
   private readonly pending = new Map<number, ServerResponse>();
   private lastRequestId = 0;
-  /** Whose report a request is, where somebody wants to see the answer. */
+  /** Hosts of pending heartbeat requests whose responses the hooks transform, by request ID. */
   private readonly heartbeatHosts = new Map<number, string>();
+  /** The underlying HTTP server. */
   readonly server: Server;
   private readonly connections: Connections;
 
@@ -42,7 +43,7 @@
     private readonly enqueue: (command: Command) => void,
     private readonly healthy: () => boolean,
     private readonly sockets: Pick<Limits['sockets'], 'max' | 'closeIdleAbove'>,
-    /** Workers come again within this time, ms. */
+    /** Workers send heartbeats at this interval, ms. */
     heartbeatIntervalMs: number,
     private readonly hooks: ServerHooks | null = null,
   ) {
@@ -60,13 +61,13 @@
     });
   }
 
-  /** Closes what is needed least where there are too many connections; how many are open. */
+  /** Closes idle connections if too many are open; returns how many are open. */
   trimConnections(now: number): number {
     this.connections.trim(this.sockets.closeIdleAbove, now);
     return this.connections.size;
   }
 
-  /** Answers a request that waits; does nothing if its client is gone. */
+  /** Responds to a pending request; does nothing if its client has disconnected. */
   respond(requestId: number, status: number, body: object | string, retryAfterS?: number): void {
     const res = this.pending.get(requestId);
     const host = this.heartbeatHosts.get(requestId);
@@ -95,12 +96,8 @@
       return this.readBody(req, res, (body) => {
         const spec = parseSubmission(body);
         if (typeof spec === 'string') return reply(res, 400, { error: spec });
-        const reason = this.hooks
-          ? this.hooks.rejectionReason(spec)
-          : spec.match
-            ? matchingUnsupported
-            : null;
-        if (reason !== null) return reply(res, 400, { error: reason });
+        const issue = this.hooks ? this.hooks.rejectionReason(spec) : spec.match ? matchingUnsupported : null;
+        if (issue !== null) return reply(res, 400, { error: issue });
         this.enqueue({ type: 'submit', requestId: this.registerRequest(res), spec });
       });
     }
@@ -149,12 +146,12 @@
     return requestId;
   }
 
-  /** Reads a body of bounded size; `use` gets it as JSON, `skip` ignores what it says. */
+  /** Reads a body of bounded size, and passes it to `onJson` parsed; if that is null, calls `onEnd` and ignores the body. */
   private readBody(
     req: IncomingMessage,
     res: ServerResponse,
     onJson: ((body: unknown) => void) | null,
-    onIgnored?: () => void,
+    onEnd?: () => void,
   ): void {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -173,7 +170,7 @@
     req.on('error', () => undefined);
     req.on('end', () => {
       if (isRejected) return;
-      if (!onJson) return onIgnored!();
+      if (!onJson) return onEnd!();
       let body: unknown;
       try {
         body = JSON.parse(Buffer.concat(chunks).toString('utf8'));
--- a/test/demo.test.ts
+++ b/test/demo.test.ts
@@ -1,4 +1,4 @@
-/** The README's demo runs and ends well. */
+/** The command `dapplepick demo` as a whole. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
@@ -6,8 +6,8 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 
-// Guards against the demo that removed its directory while its agents still wrote there: it ended with ENOTEMPTY.
-test('the demo runs to its end, says so by its exit code and leaves nothing behind', async () => {
+// Guards against removing the directory while agents still write to it: the demo then failed with ENOTEMPTY.
+test('the demo succeeds with exit code 0 and removes its directory', async () => {
   const main = fileURLToPath(new URL('../src/main.js', import.meta.url));
   const child = spawn(process.execPath, [main, 'demo'], { stdio: ['ignore', 'pipe', 'pipe'] });
   let output = '';
@@ -15,7 +15,7 @@
   child.stderr.on('data', (d: Buffer) => (output += d.toString()));
   const [code] = (await once(child, 'exit')) as [number | null];
   assert.equal(code, 0, output);
-  assert.match(output, /All as it should be/);
+  assert.match(output, /All jobs ended as expected/);
   const dir = /all in (\S+)/.exec(output)?.[1];
   assert.ok(dir !== undefined && !existsSync(dir), dir);
 });
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for users and workers: malformed bodies, long lines, connections. */
+/** The HTTP server for users and workers: wrong paths and methods, malformed bodies, garbage on a connection. */
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { request, type IncomingMessage } from 'node:http';
@@ -56,7 +56,7 @@
     assert.equal((await call(port, 'GET', '/healthz')).statusCode, 503);
   }));
 
-test('HTTP: garbage on the socket is refused and harms nobody else', () =>
+test('HTTP: garbage on a connection closes it and affects no other connection', () =>
   withServer(async (port) => {
     const socket = connect(port, '127.0.0.1');
     socket.on('error', () => undefined);
--- a/test/level-cli.test.ts
+++ b/test/level-cli.test.ts
@@ -1,4 +1,4 @@
-/** The `level` commands against a real store. */
+/** The `level` commands against a real state service, and a controller process that receives SIGTERM. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
@@ -17,14 +17,14 @@
 
 const main = fileURLToPath(new URL('../src/main.js', import.meta.url));
 
-/** A state service on loopback, and what to call with it. */
-async function withStore(run: (addr: string, engine: Engine, dir: string) => Promise<void>): Promise<void> {
+/** Runs a test body with a state service on the loopback address. */
+async function withStore(body: (addr: string, engine: Engine, dir: string) => Promise<void>): Promise<void> {
   const dir = mkdtempSync(join(tmpdir(), 'dapplepick-level-'));
   const engine = await Engine.open(await LevelDisk.open(join(dir, 'store')), () => undefined, assert.ifError);
   const server = storeServer(engine, dir);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', () => resolve()));
   try {
-    await run(`127.0.0.1:${(server.address() as AddressInfo).port}`, engine, dir);
+    await body(`127.0.0.1:${(server.address() as AddressInfo).port}`, engine, dir);
   } finally {
     server.close();
     server.closeAllConnections();
@@ -43,7 +43,7 @@
   return { code, out, err };
 }
 
-test('operators see the level, hold it, lower it and name who is gone', () =>
+test('operators show, hold and lower the level, and declare members gone', () =>
   withStore(async (addr, engine) => {
     const put = (key: string, data: Record<string, unknown>) =>
       engine.commit({ conditions: [], writes: [{ key, data }] });
@@ -67,18 +67,18 @@
     for (const line of [
       /^level 2$/m,
       /^held at 2$/m,
-      /^gone for good: n1$/m,
-      new RegExp(`^n0 .*levels 1 to ${newestLevel}, here$`, 'm'),
-      /^n1 .*before levels.*not here$/m,
+      /^permanently gone: n1$/m,
+      new RegExp(`^n0 .*levels 1 to ${newestLevel}, present$`, 'm'),
+      /^n1 .*before levels.*not present$/m,
     ])
       assert.match(output, line);
     await level('back', 'n1');
     assert.doesNotMatch((await level('show')).out, /gone/);
-    // Lowered by nobody: it says so, and goes on.
+    // No leader lowers the level: the command times out, and the request stays.
     const timedOut = await level('lower', '1', '--within', '1');
     assert.equal(timedOut.code, 4);
     assert.match(timedOut.err, /not lowered yet/);
-    // Refused by the leader, for this very wish.
+    // The leader refuses: its note names the revision of this very request.
     const lowering = level('lower', '1', '--within', '20');
     const http = new JsonClient(addr, 1);
     for (let stamp = 0; stamp === 0;) {
@@ -101,7 +101,7 @@
     assert.match(refused.err, /not lowered: 1 records/);
     await level('release');
     assert.doesNotMatch((await level('show')).out, /held/);
-    // Mistakes.
+    // Invalid arguments and an unreachable state service.
     for (const [args, message] of [
       [['hold', 'high', '--state', addr], /expected a whole number/],
       [['show'], /expected --settings FILE or --state ADDRESS/],
@@ -114,7 +114,7 @@
     }
   }));
 
-test('SIGTERM: unhealthy at once, then the end, with 0', () =>
+test('SIGTERM: the health check fails at once, then the process exits with code 0', () =>
   withStore(async (addr, _, dir) => {
     const address = `127.0.0.1:${await findFreePort()}`;
     const file = join(dir, 'n0.toml');
