--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -39,7 +39,7 @@
 
 /**
  * The connections to and from all peers. Each controller connects to every other one and sends only on the connection that
- * it opened itself. A frame that cannot be sent at once is dropped, because correctness depends on no frame.
+ * it opened itself. A frame that cannot be sent at once is dropped, because correctness does not depend on any of them.
  */
 export class PeerMesh {
   private readonly links = new Map<string, OutboundLink>();
