--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,9 +1,9 @@
-/** The platform's settings: the TOML file that it hands over, checked and named after the model. */
+/** The platform's settings: validates the platform's TOML file and maps it to the program's terms. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 
-/** A settings problem that the operator can mend: one line, naming the field. */
+/** A mistake in the settings that the operator can correct. The message is one line that names the field. */
 export class SettingsError extends Error {}
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -28,6 +28,7 @@
   times: v.optional(amount, 1),
 });
 
+/** The platform's file. `location` is a zone, `back` this controller's address for peers, `others` the other controllers. */
 const settingsFileSchema = v.object({
   member: name,
   location: name,
@@ -62,12 +63,15 @@
 });
 
 type SettingsFile = v.InferOutput<typeof settingsFileSchema>;
-/** A team's guarantee and quota; 0: none. */
+/** A team's guaranteed resources and its quota (`cpus_max`, `gpus_max`); 0: none. */
 export type TeamLimits = v.InferOutput<typeof teamSchema>;
-/** A service-level objective of a class of jobs. */
+/** A service-level objective for a class of jobs. */
 export type Objective = v.InferOutput<typeof objectiveSchema>;
 
-/** The platform's settings. Groups of limits keep the file's field names. */
+/**
+ * The platform's settings. The groups `teams`, `objectives`, `workers`, `state`, `cloud` and `quota` keep the field names of
+ * the file.
+ */
 export interface Settings {
   member: string;
   zone: string;
@@ -83,11 +87,14 @@
   state: SettingsFile['deployment']['state'];
   cloud: SettingsFile['deployment']['cloud'];
   quota: { cores: number; mem_mb: number; fd_limit: number };
-  /** Machines join and leave by themselves: none is rented, and none given back unless it left or was forgotten. */
+  /**
+   * Whether machines join and leave by themselves. If so, none is rented, and none is returned unless it has left or was
+   * declared gone.
+   */
   pool?: boolean;
 }
 
-/** Reads and checks the text of a settings file. Throws a `SettingsError` that names the field. */
+/** Parses and validates the text of a settings file. Throws a `SettingsError` that names the field. */
 export function parseSettings(text: string, origin = 'settings'): Settings {
   let raw: unknown;
   try {
@@ -100,29 +107,29 @@
     const issue = result.issues[0];
     throw new SettingsError(`${origin}: ${v.getDotPath(issue) ?? '(top level)'}: ${issue.message}`);
   }
-  const s = result.output;
-  const d = s.deployment;
-  if (d.workers.cancel_s <= d.workers.lease_s)
+  const file = result.output;
+  const deployment = file.deployment;
+  if (deployment.workers.cancel_s <= deployment.workers.lease_s)
     throw new SettingsError(`${origin}: deployment.workers.cancel_s: must be longer than lease_s`);
   return {
-    member: s.member,
-    zone: s.location,
-    publicAddr: s.public_addr,
-    peerAddr: s.back,
-    peers: s.others.map((o) => ({ member: o.member, zone: o.location, addr: o.peer_addr })),
-    endpoints: s.endpoints,
-    zones: d.zones,
-    timeBoundMs: d.time_bound_ms,
-    teams: d.teams,
-    objectives: d.objectives,
-    workers: d.workers,
-    state: d.state,
-    cloud: d.cloud,
-    quota: d.quota,
+    member: file.member,
+    zone: file.location,
+    publicAddr: file.public_addr,
+    peerAddr: file.back,
+    peers: file.others.map((peer) => ({ member: peer.member, zone: peer.location, addr: peer.peer_addr })),
+    endpoints: file.endpoints,
+    zones: deployment.zones,
+    timeBoundMs: deployment.time_bound_ms,
+    teams: deployment.teams,
+    objectives: deployment.objectives,
+    workers: deployment.workers,
+    state: deployment.state,
+    cloud: deployment.cloud,
+    quota: deployment.quota,
   };
 }
 
-/** Reads and checks a settings file. */
+/** Reads, parses and validates a settings file. Throws a `SettingsError`. */
 export function loadSettings(path: string): Settings {
   let text: string;
   try {
@@ -133,8 +140,8 @@
   return parseSettings(text, path);
 }
 
-/** Host and port of an address `IPv4:port`. */
+/** Splits an address `HOST:PORT` into host and port. */
 export function splitAddress(addr: string): { host: string; port: number } {
-  const at = addr.lastIndexOf(':');
-  return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
+  const separator = addr.lastIndexOf(':');
+  return { host: addr.slice(0, separator), port: Number(addr.slice(separator + 1)) };
 }
--- a/src/net/json.ts
+++ b/src/net/json.ts
@@ -1,23 +1,23 @@
-/** JSON bodies of HTTP requests and responses, on the server's side. */
+/** JSON bodies of HTTP requests and responses, for servers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** The body of a request as JSON; undefined: too long, or not JSON. */
+/** Reads and parses the JSON body of a request; undefined if it is too long or not JSON. */
 export async function readJson(req: IncomingMessage, maxBytes: number): Promise<unknown> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  for await (const part of req as AsyncIterable<Buffer>) {
-    size += part.length;
+  for await (const chunk of req as AsyncIterable<Buffer>) {
+    size += chunk.length;
     if (size > maxBytes) return undefined;
-    parts.push(part);
+    chunks.push(chunk);
   }
   try {
-    return JSON.parse(Buffer.concat(parts).toString('utf8')) as unknown;
+    return JSON.parse(Buffer.concat(chunks).toString('utf8')) as unknown;
   } catch {
     return undefined;
   }
 }
 
-/** Answers with JSON, once; a body that is text already goes out as it is. */
+/** Sends a JSON response unless one was sent already; a string body is sent as it is. */
 export function sendJson(
   res: ServerResponse,
   status: number,
