--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -1,4 +1,4 @@
-/** Notices that the state service has lost data, and restores what controllers still know. */
+/** Detects that the state service has lost data, and restores the lost records from what controllers have replicated. */
 import type { Settings } from '../config/settings.js';
 import { features } from '../feature-levels/index.js';
 import { DataLossMonitor, type LossSuspicion } from './data-loss/data-loss-monitor.js';
@@ -10,7 +10,7 @@
 import type { Replica } from './replica.js';
 import type { TransactionBatcher } from './storage/index.js';
 
-/** What data-loss recovery is created with. */
+/** Dependencies and settings of data-loss recovery. */
 export interface DataLossRecoveryOptions {
   readonly settings: Settings;
   readonly instanceId: string;
@@ -19,20 +19,21 @@
   readonly peers: Peers;
   readonly clock: Clock;
   readonly stateLeaseMs: number;
-  /** How long a controller may answer workers without having confirmed its replica, and then a worker's lease, ms. */
+  /** How long a controller may answer workers from an unconfirmed replica, plus one worker lease, ms. */
   readonly staleAnswerWindowMs: number;
-  /** What this process knew when it noticed a loss; null: it has noticed none. */
+  /** The records that this process knew when it detected a loss; null if it has detected none. */
   readonly recoveryRecords: RecoveryRecords | null;
   readonly log: Log;
 }
 
 /**
- * A controller that notices a loss of data restarts with the records that it knew. One controller opens the next incarnation of
- * the state by a conditional write, all of them write what the state lacks, and work resumes. Every write is on condition of the
- * incarnation: a controller that has not joined it can change nothing.
+ * Coordinates recovery from a loss of data. A controller that detects a loss restarts with the records that it knew. One
+ * controller opens the next incarnation of the state by a conditional write, all controllers write the records that the state
+ * lacks, and work resumes. Every write is conditional on the incarnation, so a controller that has not joined it cannot change
+ * anything.
  */
 export class DataLossRecovery {
-  /** What is heard of the state goes here. */
+  /** Receives everything that is observed of the state. */
   readonly monitor: DataLossMonitor;
   private readonly restorer: RecordRestorer;
   private readonly incarnations: IncarnationManager;
@@ -48,12 +49,15 @@
     this.incarnations = new IncarnationManager(options);
   }
 
-  /** Whether any controller may act: write, grant, start, rent, return, answer workers. */
+  /** Whether controllers may act: write, grant leases, start tasks, rent and return machines, answer workers. */
   get mayAct(): boolean {
     return this.essentialsRestored && this.options.replica.incarnation?.stage !== 'open';
   }
 
-  /** Whether what other controllers need to act has been restored of what this process knew; finished jobs may follow. */
+  /**
+   * Whether this process has restored those of its records that controllers need in order to act; finished jobs may still
+   * follow.
+   */
   get essentialsRestored(): boolean {
     return this.restorer.essentialsRestored;
   }
@@ -64,15 +68,15 @@
   }
 
   /**
-   * Whether a job that the state lacks was never accepted. What may be running somewhere is known then, too: it has been
-   * reported, or its lease has expired.
+   * Whether a job that is missing from the state was certainly never accepted. By then everything that may still be running is
+   * known, too: it has been reported, or its lease has expired.
    */
   get canConfirmAbsence(): boolean {
     const stage = this.options.replica.incarnation?.stage ?? 'whole';
     return this.mayAct && stage === 'whole' && this.monitor.isConfirmed;
   }
 
-  /** Evaluates the evidence; true: data was lost, and this controller is to restart with what it knew. */
+  /** Evaluates the evidence. Returns whether data was lost, so that this controller must restart with the records it knew. */
   detect(out: Effect[]): boolean {
     const { replica } = this.options;
     if (replica.watchRevision < 0) return false;
@@ -89,11 +93,11 @@
     return false;
   }
 
-  /** Below the level that brought incarnations there are programs beside this one that could not join one. */
+  /** Below the feature level that introduced incarnations, other controllers may run programs that cannot join one. */
   private mayRecover(): boolean {
     const { levels } = this.options.replica;
     if (levels.isEnabled('incarnations') || !this.restorer.isDone) return true;
-    // Until the state names its level, nothing can be concluded from the one in force.
+    // While the state has no record of its level, nothing can be concluded from the level in force.
     return levels.state.modRevision === 0 && levels.ownCapabilities.maxLevel >= features.incarnations.level;
   }
 
@@ -103,7 +107,7 @@
     const newest = Math.max(
       this.incarnations.newestSeenNumber,
       known?.incarnation ?? 0,
-      this.monitor.minIncarnation,
+      this.monitor.minNextIncarnation,
     );
     const incarnation = joinsExisting ? newest - 1 : newest;
     log('error', 'state service has lost data', { why: reason, incarnation });
@@ -111,7 +115,7 @@
     out.push({ type: 'restart', recoveryRecords });
   }
 
-  /** Restores records and leads incarnations through their stages. */
+  /** Restores records and advances incarnations through their stages. */
   tick(isLeader: boolean): void {
     const { replica } = this.options;
     if (replica.watchRevision < 0) return;
@@ -123,7 +127,7 @@
       this.restorer.tick();
     }
     if (incarnation !== null) this.incarnations.advance(incarnation, this.restorer);
-    // The first one is named once all controllers know what it is.
-    else if (isLeader && replica.levels.isEnabled('incarnations')) this.incarnations.nameFirst();
+    // The first incarnation is recorded once all controllers support incarnations.
+    else if (isLeader && replica.levels.isEnabled('incarnations')) this.incarnations.recordFirst();
   }
 }
--- a/src/core/data-loss/data-loss-monitor.ts
+++ b/src/core/data-loss/data-loss-monitor.ts
@@ -1,4 +1,4 @@
-/** Gathers evidence that the state service has lost data, and tells when the state has been confirmed. */
+/** Gathers evidence that the state service has lost data, and determines when the state is confirmed to be complete. */
 import {
   comparePage,
   DataLossDetector,
@@ -12,10 +12,11 @@
 import type { Replica } from '../replica.js';
 import { jobKey } from '../storage/index.js';
 
-/** How many keys one page of the audit reads, and the audit's share of the state service's requests. */
+/** Keys that one page of the audit reads. */
 const auditPageKeys = 50;
+/** The audit's share of the state service's requests. */
 const auditShare = 0.005;
-/** How often the revision is read until the state is confirmed, in a state lease. */
+/** Revision reads per state lease until the state is confirmed. */
 const revisionReadsPerLease = 32;
 
 const jobPrefix = jobKey('');
@@ -23,63 +24,67 @@
 /** A suspected loss. */
 export interface LossSuspicion {
   readonly reason: string;
-  /** Another controller has opened an incarnation already: what this process knew belongs to the one before. */
+  /** Whether another controller has already opened an incarnation, so that this process's records belong to the previous one. */
   readonly joinsExisting: boolean;
 }
 
-/** What the monitor is created with. */
+/** Dependencies and settings of the monitor. */
 export interface DataLossMonitorOptions {
   readonly replica: Replica;
   readonly peers: Peers;
   readonly clock: Clock;
   readonly stateLeaseMs: number;
-  /** Whether there are other controllers by the settings. */
+  /** Whether other controllers are configured. */
   readonly hasPeers: boolean;
-  /** Requests per second that the state service takes. */
+  /** Requests per second that the state service accepts. */
   readonly requestsPerS: number;
 }
 
-/** Compares everything that is heard of the state (readings, failed conditions, tokens, peers, an audit) with the replica. */
+/**
+ * Compares all observations of the state (revision reads, failed conditions, fencing tokens, peers' reports, an audit) with the
+ * replica.
+ */
 export class DataLossMonitor {
   private readonly detector = new DataLossDetector();
   private pendingSuspicion: LossSuspicion | null = null;
   private latestRead: { readonly sentAt: number; readonly revision: number } | null = null;
-  /** The newest incarnation that a worker has a fencing token of. */
+  /** The newest incarnation of which a worker has reported a fencing token. */
   private reportedIncarnation = 0;
   private lastAuditAt = -Infinity;
   private auditCursor = '';
   private auditInFlight = false;
-  /** A page that waits until the watch has reached the revision it was read at. */
+  /** An audit page that waits until the watch has reached the revision at which the page was read. */
   private pendingAudit: KeyPage | null = null;
   private loadedAt = -1;
-  private allPeersHeardAt = -1;
+  private allPeersReportedAt = -1;
   private revisionRequestedAt = -Infinity;
   private confirmed = false;
 
   constructor(private readonly options: DataLossMonitorOptions) {}
 
+  /** The suspected loss; null if there is none. */
   get suspicion(): LossSuspicion | null {
     return this.pendingSuspicion;
   }
 
-  /** The next incarnation has to be at least this: workers have seen fencing tokens of it. */
-  get minIncarnation(): number {
+  /** A lower bound for the next incarnation: workers have seen fencing tokens of this one. */
+  get minNextIncarnation(): number {
     return this.reportedIncarnation;
   }
 
   /**
-   * Whether the state is known to be complete. A new process that comes to a state that has lost data knows of nothing else. The
-   * others do, or notice by their next write: so the state is confirmed once all of them have reported what they follow and a
-   * reading since agrees, or when none has contradicted it for a state lease.
+   * Whether the state is known to be complete. A process that starts after a loss of data cannot detect it, because it knows no
+   * earlier state. The other controllers do, or detect the loss by their next write. The state is therefore confirmed once all of
+   * them have reported the revision that they follow and a later read agrees, or once none has contradicted it for a state lease.
    */
   get isConfirmed(): boolean {
     return this.confirmed;
   }
 
-  /** Whether the revision is to be read now, so that the state can be confirmed. */
+  /** Whether the revision should be read now to confirm the state. A true result counts as a read that was sent. */
   get wantsRevisionRead(): boolean {
     const { clock, stateLeaseMs } = this.options;
-    if (this.confirmed || this.allPeersHeardAt < 0) return false;
+    if (this.confirmed || this.allPeersReportedAt < 0) return false;
     if (clock.now - this.revisionRequestedAt < stateLeaseMs / revisionReadsPerLease) return false;
     this.revisionRequestedAt = clock.now;
     return true;
@@ -87,60 +92,64 @@
 
   // ---- evidence ----
 
-  /** A commit of ours was executed at this revision. */
+  /** Handles the result of an own commit that was executed at this revision. */
   revisionReached(revision: number): void {
     this.detector.revisionReached(revision, this.options.clock.now);
   }
 
-  /** The answer to a reading of the revision that was sent at `sentAt`; null: there was none. */
+  /** Handles the response to a revision read that was sent at `sentAt`; `revision` is null if there was no response. */
   revisionRead(sentAt: number, revision: number | null): void {
     if (revision === null) return;
     this.suspect(this.detector.revisionRead(sentAt, revision, this.currentIncarnation));
     this.latestRead = { sentAt, revision };
   }
 
+  /** Handles a status report of another controller. */
   peerHeard(status: Pick<PeerStatus, 'incarnation' | 'revision' | 'jobCount'>): void {
     const { incarnation, revision, jobCount } = status;
     this.detector.peerReported(incarnation, revision, jobCount, this.options.clock.now);
   }
 
-  /** A worker reports an attempt at a task; `lastRecorded`: the newest attempt that the state knows. */
+  /** Handles a worker's report of an attempt at a task; `lastRecorded` is the newest attempt that the state records. */
   attemptReported(task: string, attempt: number, lastRecorded: number): void {
     if (attempt > lastRecorded)
-      this.suspect(`a worker has ${task} in attempt ${attempt}, after ${lastRecorded}`);
+      this.suspect(
+        `a worker reports ${task} in attempt ${attempt}, but the last recorded attempt is ${lastRecorded}`,
+      );
   }
 
-  /** Conditions of ours failed at this revision. */
+  /** Handles conditions of an own commit that failed at this revision. */
   conditionsFailed(failed: readonly KeyRevision[], revision: number): void {
-    // A key whose absence was the condition may have come and gone again.
+    // A key that was required to be absent may have been created and deleted again, so its failure proves nothing.
     for (const f of failed) if (f.stamp > 0) this.detector.conditionFailed(f.key, f.stamp, revision);
   }
 
-  /** A worker reports the newest fencing token that it has seen. */
+  /** Handles a worker's report of the newest fencing token that it has seen. */
   tokenReported(token: number): void {
     const incarnation = incarnationOf(token);
-    // Guards against a worker that invents its token: no incarnation could go above it.
+    // Ignores a token that a faulty worker made up: no incarnation could be numbered above it.
     if (token === 0 || incarnation > maxIncarnations) return;
     if (incarnation > this.currentIncarnation)
       this.reportedIncarnation = Math.max(this.reportedIncarnation, incarnation);
     this.suspect(this.detector.tokenReported(token, this.currentIncarnation, this.options.clock.now));
   }
 
-  /** A complete reading: jobs are never removed, so one that it lacks was lost. */
+  /** Handles a complete read of the state. Job records are never removed, so a job that is missing from it was lost. */
   snapshotLoaded(items: readonly { readonly key: string }[], revision: number): void {
     const { replica } = this.options;
     if (replica.watchRevision < 0 || replica.incarnation === null) return;
     const present = new Set(items.map((i) => i.key));
     for (const { key, stamp } of replica.knownKeys())
       if (stamp <= revision && key.startsWith(jobPrefix) && !present.has(key))
-        return this.suspect(`${key} is gone`);
+        return this.suspect(`${key} is missing from a complete read of the state`);
   }
 
-  /** Records a suspicion, unless there is one already. */
+  /** Records a suspected loss, unless one is recorded already; a null reason is ignored. */
   suspect(reason: string | null, joinsExisting = false): void {
     if (reason !== null) this.pendingSuspicion ??= { reason, joinsExisting };
   }
 
+  /** Discards the suspected loss. */
   dismissSuspicion(): void {
     this.pendingSuspicion = null;
   }
@@ -149,7 +158,7 @@
     return this.options.replica.incarnation?.number ?? 1;
   }
 
-  // ---- the audit: the leader compares what is stored with the replica, page by page, again and again ----
+  // ---- audit: the leader continually compares the stored keys with the replica, page by page ----
 
   /** Requests the next page of the audit when it is due. */
   requestAudit(out: Effect[]): void {
@@ -161,7 +170,7 @@
     out.push({ type: 'audit', from: this.auditCursor, keys: auditPageKeys });
   }
 
-  /** A page of the audit was read; `revision` null: there was no answer. */
+  /** Handles a page of the audit; `revision` is null if there was no response. */
   auditPageRead(from: string, items: readonly KeyRevision[], more: boolean, revision: number | null): void {
     this.auditInFlight = false;
     if (revision === null) return;
@@ -172,7 +181,7 @@
 
   // ---- evaluation ----
 
-  /** Evaluates the evidence that the replica has caught up with. */
+  /** Evaluates the evidence up to the revision that the replica has reached. */
   evaluate(): void {
     const { replica, clock, peers } = this.options;
     const { watchRevision } = replica;
@@ -184,11 +193,11 @@
       this.suspect(comparePage(page, replica.knownKeys()));
     }
     if (this.loadedAt < 0) this.loadedAt = clock.now;
-    if (this.allPeersHeardAt < 0 && peers.heardFromAll) this.allPeersHeardAt = clock.now;
+    if (this.allPeersReportedAt < 0 && peers.heardFromAll) this.allPeersReportedAt = clock.now;
     this.updateConfirmation(this.evaluateLatestRead());
   }
 
-  /** When the reading that the replica has caught up with was sent; -1: there is none. */
+  /** Evaluates the latest revision read once the replica has caught up with it. Returns when it was sent; -1 if there is none. */
   private evaluateLatestRead(): number {
     const { replica } = this.options;
     if (!this.latestRead || replica.watchRevision < this.latestRead.revision) return -1;
@@ -203,7 +212,7 @@
   private updateConfirmation(agreedReadSentAt: number): void {
     const { clock, stateLeaseMs, hasPeers } = this.options;
     const isUncontradicted = this.loadedAt >= 0 && clock.now - this.loadedAt > stateLeaseMs;
-    const allAgree = this.allPeersHeardAt >= 0 && agreedReadSentAt > this.allPeersHeardAt;
+    const allAgree = this.allPeersReportedAt >= 0 && agreedReadSentAt > this.allPeersReportedAt;
     this.confirmed ||= isUncontradicted || !hasPeers || allAgree;
   }
 }
--- a/src/core/data-loss/incarnation-manager.ts
+++ b/src/core/data-loss/incarnation-manager.ts
@@ -1,4 +1,4 @@
-/** Opens incarnations of the state after a loss of data, and leads them through their stages. */
+/** Opens incarnations of the state after a loss of data, and advances them through their stages. */
 import { mergeRecords, type Incarnation, type IncarnationStage } from '../../data-loss/index.js';
 import type { Settings } from '../../config/settings.js';
 import type { Write } from '../../wire/store.js';
@@ -19,18 +19,18 @@
   type ParsedKey,
 } from '../storage/index.js';
 
-/** A controller waits for each other one that knows more, before it opens an incarnation itself: this share of a state lease. */
+/** Before it opens an incarnation, a controller waits this many state leases for each controller that has newer records. */
 const rankDelayLeases = 0.5;
-/** A controller that opened an incarnation and was not heard of for so many state leases is taken for lost. */
+/** A controller that opened an incarnation counts as lost after this many state leases without a message from it. */
 const openerLostLeases = 2;
 /**
- * Absent members are waited for during so many worker leases before everything counts as found: longer than starts have to wait
- * in any case, and short enough that nobody who asks about a job stays without an answer for long.
+ * Worker leases to wait for absent members before the state is declared complete. This is longer than task starts have to wait
+ * in any case, and short enough that queries for jobs do not go unanswered for long.
  */
 const absentMemberLeases = 2.5;
 
-/** Records that a new incarnation starts without: members join anew, and nobody acts on grants from before. */
-const kindsDroppedOnOpen: ReadonlySet<ParsedKey['kind']> = new Set([
+/** Records that are deleted when an incarnation is opened: members join again, and nobody acts on earlier grants. */
+const recordKindsDeletedOnOpen: ReadonlySet<ParsedKey['kind']> = new Set([
   'node',
   'shard',
   'inc',
@@ -38,13 +38,13 @@
   'plan',
 ] as const);
 
-/** How far the restoring of records is. */
+/** Progress of restoring records. */
 export interface RestoreProgress {
   readonly essentialsRestored: boolean;
   readonly isDone: boolean;
 }
 
-/** What the incarnation manager is created with. */
+/** Dependencies and settings of the incarnation manager. */
 export interface IncarnationManagerOptions {
   readonly settings: Settings;
   readonly instanceId: string;
@@ -53,26 +53,29 @@
   readonly peers: Peers;
   readonly clock: Clock;
   readonly stateLeaseMs: number;
-  /** The longest time for which workers may have been answered on state from before the loss, and then a worker's lease, ms. */
+  /** The longest time for which workers may be answered from state before the loss, plus one worker lease, ms. */
   readonly staleAnswerWindowMs: number;
   readonly log: Log;
 }
 
-/** Every change of an incarnation is a conditional write, so that one controller opens it and one advances it. */
+/**
+ * Opens and advances incarnations. Every change is a conditional write, so that only one controller opens an incarnation and
+ * only one advances it.
+ */
 export class IncarnationManager {
-  /** The newest incarnation that this process has seen, and when it first did; number 0: the state names none. */
+  /** The newest incarnation that this process has seen, and when it first saw it; number 0 if the state records none. */
   private newestSeen: { readonly number: number; readonly at: number } | null = null;
-  private openerHeardAt = 0;
+  private openerLastHeardAt = 0;
   private writeInFlight = false;
 
   constructor(private readonly options: IncarnationManagerOptions) {}
 
-  /** The newest incarnation that this process has seen; 0: none. */
+  /** The newest incarnation that this process has seen; 0 if none. */
   get newestSeenNumber(): number {
     return this.newestSeen?.number ?? 0;
   }
 
-  /** Notes the incarnation that the state names now; whether it replaced one that this process had followed. */
+  /** Takes note of the recorded incarnation. Returns whether it replaced one that this process had followed. */
   observe(incarnation: Incarnation | null): boolean {
     if (incarnation === null) return false;
     const previous = this.newestSeen;
@@ -81,12 +84,12 @@
     return previous !== null && previous.number > 0;
   }
 
-  /** Names the first incarnation. */
-  nameFirst(): void {
-    this.write('incarnation named', null, 1, 'whole', []);
+  /** Writes the record of the first incarnation. */
+  recordFirst(): void {
+    this.write('first incarnation recorded', null, 1, 'whole', []);
   }
 
-  /** Opens the next incarnation; the controller that knows most goes first. */
+  /** Opens the next incarnation. The controller with the newest records goes first. */
   open(incarnation: Incarnation | null, known: RecoveryRecords): void {
     const { clock, peers, replica, stateLeaseMs } = this.options;
     this.newestSeen ??= { number: incarnation?.number ?? 0, at: clock.now };
@@ -94,13 +97,16 @@
     if (clock.now - this.newestSeen.at < rank * rankDelayLeases * stateLeaseMs) return;
     const number = Math.max(incarnation?.number ?? 0, known.incarnation) + 1;
     const deletions = [...replica.knownKeys()]
-      .filter(({ key }) => kindsDroppedOnOpen.has(parseKey(key)!.kind))
+      .filter(({ key }) => recordKindsDeletedOnOpen.has(parseKey(key)!.kind))
       .map(({ key }): Write => ({ key, data: undefined }));
-    this.write('incarnation opened', incarnation, number, 'open', [...deletions, ...this.levelWrites(known)]);
+    this.write('incarnation opened', incarnation, number, 'open', [
+      ...deletions,
+      ...this.legacyCompatibilityWrites(known),
+    ]);
   }
 
-  /** What programs from before the level must see before anything else, so that they do not act on an empty state. */
-  private levelWrites({ records }: RecoveryRecords): Write[] {
+  /** Records that programs older than the level must see first, so that they do not act on an empty state. */
+  private legacyCompatibilityWrites({ records }: RecoveryRecords): Write[] {
     const { replica } = this.options;
     const placeholder = records.has(levelKey) ? { ...leaderPlaceholder } : undefined;
     const writes: Write[] = [];
@@ -114,18 +120,19 @@
     return writes;
   }
 
-  /** Leads an incarnation to its next stage, as the controller that opened it or in its place. */
+  /** Advances an incarnation to its next stage, as the controller that opened it or as its replacement. */
   advance(incarnation: Incarnation, restore: RestoreProgress): void {
     if (incarnation.stage === 'whole' || this.writeInFlight) return;
-    const isOpenedHere = this.isOpenedHere(incarnation);
-    if (isOpenedHere || this.isOpenerHeard(incarnation)) this.openerHeardAt = this.options.clock.now;
-    if (!isOpenedHere) this.takeOverIfOpenerLost(incarnation, restore);
-    else if (incarnation.stage === 'serving') this.completeIfSettled(incarnation, restore);
+    const isOpenedByThisProcess = this.wasOpenedByThisProcess(incarnation);
+    if (isOpenedByThisProcess || this.isOpenerHeard(incarnation))
+      this.openerLastHeardAt = this.options.clock.now;
+    if (!isOpenedByThisProcess) this.takeOverIfOpenerLost(incarnation, restore);
+    else if (incarnation.stage === 'serving') this.completeIfRecovered(incarnation, restore);
     else if (restore.essentialsRestored)
       this.write('work resumed', incarnation, incarnation.number, 'serving', []);
   }
 
-  private isOpenedHere({ openedBy, instanceId }: Incarnation): boolean {
+  private wasOpenedByThisProcess({ openedBy, instanceId }: Incarnation): boolean {
     return openedBy === this.options.settings.member && instanceId === this.options.instanceId;
   }
 
@@ -136,14 +143,14 @@
   private takeOverIfOpenerLost(incarnation: Incarnation, { isDone }: RestoreProgress): void {
     const { clock, stateLeaseMs } = this.options;
     const { number, stage } = incarnation;
-    if (this.openerHeardAt === 0) this.openerHeardAt = clock.now;
-    const isLost = clock.now - this.openerHeardAt > openerLostLeases * stateLeaseMs;
-    // What it has written is there; what it knew beyond that only the other controllers can know.
+    if (this.openerLastHeardAt === 0) this.openerLastHeardAt = clock.now;
+    const isLost = clock.now - this.openerLastHeardAt > openerLostLeases * stateLeaseMs;
+    // What the opener wrote is stored; anything else that it knew can only be restored by the other controllers.
     if (isLost && isDone) this.write('incarnation taken over', incarnation, number, stage, []);
   }
 
-  /** Declares the state complete when every member has had its time to restore what it knows. */
-  private completeIfSettled(incarnation: Incarnation, { isDone }: RestoreProgress): void {
+  /** Declares the state complete when every member has had time to restore the records that it knows. */
+  private completeIfRecovered(incarnation: Incarnation, { isDone }: RestoreProgress): void {
     const { settings, replica, clock, peers, staleAnswerWindowMs, log } = this.options;
     const elapsedMs = clock.now - this.newestSeen!.at;
     if (!isDone || elapsedMs <= staleAnswerWindowMs) return;
@@ -153,9 +160,13 @@
     const allJobsKnown = peers.maxJobCount <= replica.jobCount;
     if (!waitedForAbsent && (absent.length > 0 || !allJobsKnown)) return;
     if (absent.length > 0)
-      log('warn', 'not all members were there: what only they knew is lost until they come', {
-        members: absent,
-      });
+      log(
+        'warn',
+        'recovery completes without some members: records that only they know are missing until they return',
+        {
+          members: absent,
+        },
+      );
     this.write('data-loss recovery complete', incarnation, incarnation.number, 'whole', []);
   }
 
--- a/src/core/data-loss/record-restorer.ts
+++ b/src/core/data-loss/record-restorer.ts
@@ -1,4 +1,4 @@
-/** Writes back, after a loss of data, the records that this controller knows and the state lacks. */
+/** After a loss of data, writes back the records that this controller knows and the state lacks. */
 import { mergeRecords, sameRecord } from '../../data-loss/index.js';
 import type { Data } from '../../formats/index.js';
 import type { Clock, Log } from '../effects.js';
@@ -6,24 +6,24 @@
 import type { Replica } from '../replica.js';
 import { jobKey, parseKey, WritePriority, recordKindOf, type TransactionBatcher } from '../storage/index.js';
 
-/** How many records are being written at a time. */
+/** The most record writes in flight at the same time. */
 const maxWritesInFlight = 48;
 
 const jobPrefix = jobKey('');
 
-/** What the restorer is created with. */
+/** Dependencies and settings of the restorer. */
 export interface RecordRestorerOptions {
   readonly replica: Replica;
   readonly batcher: TransactionBatcher;
   readonly clock: Clock;
-  /** Progress is logged this often, ms. */
+  /** Interval at which progress is logged, ms. */
   readonly progressIntervalMs: number;
-  /** What the process knew when it noticed the loss; null: there is nothing to restore. */
+  /** The records that the process knew when it detected the loss; null if there is nothing to restore. */
   readonly recoveryRecords: RecoveryRecords | null;
   readonly log: Log;
 }
 
-/** Restores records in their order: first what controllers need to act and open jobs, finished jobs last. */
+/** Restores records in order: first open jobs and what controllers need in order to act, finished jobs last. */
 export class RecordRestorer {
   private recoveryRecords: RecoveryRecords | null;
   private readonly pending: [string, Data][];
@@ -39,16 +39,17 @@
     this.recoveredJobCount = this.pending.filter(([key]) => key.startsWith(jobPrefix)).length;
   }
 
-  /** What the process knew; null once all of it has been restored. */
+  /** The records to restore; null once all of them have been restored. */
   get records(): RecoveryRecords | null {
     return this.recoveryRecords;
   }
 
+  /** Whether all records have been restored. */
   get isDone(): boolean {
     return this.recoveryRecords === null;
   }
 
-  /** Whether everything that controllers need to act has been restored; finished jobs may still follow. */
+  /** Whether all records that controllers need in order to act have been restored; finished jobs may still follow. */
   get essentialsRestored(): boolean {
     return this.isDone || this.essentialsWritten;
   }
@@ -62,12 +63,12 @@
   tick(): void {
     if (this.recoveryRecords === null) return;
     const { replica, log } = this.options;
-    // Guards against workers' leases that end while finished jobs are restored: those come last.
+    // Finished jobs do not count here: workers' leases must not expire while finished jobs are being restored.
     this.essentialsWritten ||=
-      this.writesInFlight === 0 && (this.pending.length === 0 || this.isNextFinished);
-    const holdsBackFinished = !this.essentialsWritten || replica.incarnation?.stage === 'open';
+      this.writesInFlight === 0 && (this.pending.length === 0 || this.isNextFinishedJob);
+    const defersFinishedJobs = !this.essentialsWritten || replica.incarnation?.stage === 'open';
     while (this.writesInFlight < maxWritesInFlight && this.pending.length > 0) {
-      if (holdsBackFinished && this.isNextFinished) break;
+      if (defersFinishedJobs && this.isNextFinishedJob) break;
       const [key, data] = this.pending.shift()!;
       if (this.recordToWrite(key, data)) this.write(key, data);
     }
@@ -80,7 +81,7 @@
     this.recoveryRecords = null;
   }
 
-  private get isNextFinished(): boolean {
+  private get isNextFinishedJob(): boolean {
     return isFinishedJob(...this.pending[0]);
   }
 
@@ -95,7 +96,7 @@
     });
   }
 
-  /** The stored record and the known one merged; null: the stored one lacks nothing. */
+  /** Merges the stored record with the known one. Returns null if the stored record lacks nothing. */
   private recordToWrite(key: string, known: Data): Data | null {
     const stored = storedRecordOf(this.options.replica, key);
     const merged = mergeRecords(recordKindOf(parseKey(key)!), stored, known);
@@ -108,7 +109,7 @@
     batcher.enqueue({
       priority: isFinishedJob(key, known) ? WritePriority.cleanup : WritePriority.membership,
       build: () => {
-        // Merged once more: other controllers restore the same records.
+        // Merged again, because other controllers restore the same records in the meantime.
         const data = this.isDone ? null : this.recordToWrite(key, known);
         if (data === null) {
           this.writesInFlight--;
--- a/src/data-loss/data-loss-detector.ts
+++ b/src/data-loss/data-loss-detector.ts
@@ -1,22 +1,25 @@
-/** Tells a loss of data in the state service from everything else that may look like one. */
+/** Distinguishes a loss of data in the state service from delays and other conditions that can look like one. */
 import { incarnationOf, tokenBase } from './incarnation.js';
 
-/** A key, and the revision of its present value. */
+/** A key, and the revision of its current value. */
 export interface KeyRevision {
   readonly key: string;
   readonly stamp: number;
 }
 
-interface RevisionSighting {
+/** A revision that the state service was known to have reached at some time. */
+interface ObservedRevision {
   readonly at: number;
   readonly revision: number;
 }
 
+/** A condition of an own commit that failed. */
 interface FailedCondition extends KeyRevision {
   /** The revision at which it failed. */
   readonly revision: number;
 }
 
+/** What another controller reported of the state that it follows. */
 interface PeerReport {
   readonly incarnation: number;
   readonly revision: number;
@@ -24,71 +27,75 @@
   readonly at: number;
 }
 
+/** A fencing token that a worker reported. */
 interface ReportedToken {
-  /** The revision that the token was made from. */
+  /** The revision from which the token was derived. */
   readonly revision: number;
   readonly incarnation: number;
   readonly at: number;
 }
 
-/** How much evidence of one sort is kept. */
-const maxObservations = 256;
+/** The most entries of evidence that are kept of each kind. */
+const maxEvidenceEntries = 256;
 
 /**
- * A delay, a lagging answer, an expired lease and a legal deletion can be explained by changes that are still to come, a loss
- * cannot. So a verdict is final: it holds however late an answer is. Methods that evaluate evidence return the reason for a
- * verdict of loss, or null.
+ * Collects observations of the state and detects contradictions that only a loss of data explains. A delay, a late response, an
+ * expired lease and a regular deletion can all be explained by changes that have yet to arrive; a loss cannot. A verdict is
+ * therefore final: it holds however late a response is. Methods that evaluate evidence return the reason for a verdict of loss,
+ * or null.
  */
 export class DataLossDetector {
-  private readonly sightings: RevisionSighting[] = [];
+  private readonly observedRevisions: ObservedRevision[] = [];
   private readonly failedConditions: FailedCondition[] = [];
   private readonly peerReports: PeerReport[] = [];
   private reportedTokens: ReportedToken[] = [];
 
-  /** The state service has been at this revision, by its changes or by the answer to a commit. */
+  /** Records that the state service has reached this revision, according to its change stream or the response to a commit. */
   revisionReached(revision: number, now: number): void {
-    const last = this.sightings.at(-1);
+    const last = this.observedRevisions.at(-1);
     if (last && last.revision >= revision) return;
-    this.sightings.push({ at: now, revision });
-    if (this.sightings.length > maxObservations) this.sightings.shift();
+    this.observedRevisions.push({ at: now, revision });
+    if (this.observedRevisions.length > maxEvidenceEntries) this.observedRevisions.shift();
   }
 
-  /** A request that was sent at `sentAt` read this revision. It cannot be below one that was known then. */
+  /** Evaluates a revision read by a request sent at `sentAt`. It cannot be lower than a revision known at that time. */
   revisionRead(sentAt: number, revision: number, incarnation = 1): string | null {
     let knownBefore = -1;
-    for (const s of this.sightings) if (s.at < sentAt) knownBefore = Math.max(knownBefore, s.revision);
-    if (revision < knownBefore) return `revision ${revision} after ${knownBefore}`;
-    // Tokens of an incarnation that is over say nothing of this one.
+    for (const s of this.observedRevisions)
+      if (s.at < sentAt) knownBefore = Math.max(knownBefore, s.revision);
+    if (revision < knownBefore) return `read revision ${revision} after ${knownBefore} had been observed`;
+    // Tokens of an earlier incarnation say nothing about this one.
     this.reportedTokens = this.reportedTokens.filter((t) => t.incarnation === incarnation);
     return this.checkTokens(sentAt, revision);
   }
 
-  /** A condition that the key is at `stamp` failed at `revision`: the changes up to there must explain it. */
+  /** Records that the condition that the key is at `stamp` failed at `revision`; the changes up to there must explain it. */
   conditionFailed(key: string, stamp: number, revision: number): void {
-    if (this.failedConditions.length < maxObservations) this.failedConditions.push({ key, stamp, revision });
+    if (this.failedConditions.length < maxEvidenceEntries)
+      this.failedConditions.push({ key, stamp, revision });
   }
 
-  /** Evaluates failed conditions; `modRevisionOf` gives keys' revisions as followed up to `revision`. */
+  /** Evaluates failed conditions; `modRevisionOf` returns the revision of a key according to the changes up to `revision`. */
   checkFailedConditions(revision: number, modRevisionOf: (key: string) => number): string | null {
     for (let i = this.failedConditions.length - 1; i >= 0; i--) {
       const failed = this.failedConditions[i];
       if (failed.revision > revision) continue;
       this.failedConditions.splice(i, 1);
       if (modRevisionOf(failed.key) === failed.stamp)
-        return `${failed.key} is not at ${failed.stamp}, and no change says so`;
+        return `${failed.key} is not at ${failed.stamp}, and no received change explains it`;
     }
     return null;
   }
 
-  /** Another controller follows this incarnation up to this revision, and knows so many jobs, which are never removed. */
+  /** Records that another controller follows this incarnation up to this revision, and knows this many jobs. Jobs are never removed. */
   peerReported(incarnation: number, revision: number, jobCount: number, now: number): void {
-    if (this.peerReports.length < maxObservations)
+    if (this.peerReports.length < maxEvidenceEntries)
       this.peerReports.push({ incarnation, revision, jobCount, at: now });
   }
 
   /**
-   * Evaluates what peers reported before `sentAt`, when a request was sent that read `revision`; what was followed up to there
-   * names this incarnation (0: none) and so many jobs. `isComplete`: everything known has been restored in this incarnation.
+   * Evaluates what peers reported before `sentAt`, when a request was sent that read `revision`. `incarnation` (0: none) and
+   * `jobCount` are those of the replica at that revision; `isComplete`: all known records have been restored in this incarnation.
    */
   checkPeers(
     sentAt: number,
@@ -102,59 +109,61 @@
       if (report.at >= sentAt) continue;
       this.peerReports.splice(i, 1);
       if (report.incarnation > incarnation)
-        return `another controller follows incarnation ${report.incarnation}, here it is ${incarnation}`;
+        return `another controller follows incarnation ${report.incarnation}, this one follows ${incarnation}`;
       if (report.incarnation < incarnation) continue;
       if (report.revision > revision)
-        return `another controller has seen revision ${report.revision}, now it is ${revision}`;
-      // Until everything is restored, other controllers know more.
+        return `another controller has seen revision ${report.revision}, but the state is at revision ${revision}`;
+      // Until all records have been restored, other controllers may know of more jobs.
       if (isComplete && report.jobCount > jobCount)
-        return `another controller knows ${report.jobCount} jobs, here are ${jobCount}`;
+        return `another controller knows ${report.jobCount} jobs, this one knows ${jobCount}`;
     }
     return null;
   }
 
-  /** A worker has seen this fencing token. */
+  /** Evaluates a fencing token that a worker has seen. */
   tokenReported(token: number, incarnation: number, now: number): string | null {
-    if (incarnationOf(token) > incarnation) return `a worker has seen token ${token}, of a later incarnation`;
-    if (this.reportedTokens.length < maxObservations)
+    if (incarnationOf(token) > incarnation)
+      return `a worker has seen fencing token ${token}, which is of a later incarnation`;
+    if (this.reportedTokens.length < maxEvidenceEntries)
       this.reportedTokens.push({ revision: token - tokenBase(incarnation), incarnation, at: now });
     return null;
   }
 
-  /** Tokens are made from revisions: one above the present revision comes from a state that was lost. */
+  /** Evaluates reported tokens. Tokens are derived from revisions, so one above the current revision comes from a lost state. */
   private checkTokens(sentAt: number, revision: number): string | null {
     for (let i = this.reportedTokens.length - 1; i >= 0; i--) {
       const token = this.reportedTokens[i];
       if (token.at >= sentAt) continue;
       this.reportedTokens.splice(i, 1);
       if (token.revision > revision)
-        return `a worker has seen revision ${token.revision}, now it is ${revision}`;
+        return `a worker has seen revision ${token.revision}, but the state is at revision ${revision}`;
     }
     return null;
   }
 }
 
-/** Keys of the state service, read at one revision. */
+/** A page of keys of the state service, read at one revision. */
 export interface KeyPage {
-  /** The page covers the keys behind this one ... */
+  /** The page covers the keys after this one, exclusive. */
   readonly from: string;
-  /** ... up to this one; null: all that follow. */
+  /** The last key that the page covers, inclusive; null: it covers all that follow. */
   readonly to: string | null;
   readonly items: readonly KeyRevision[];
   readonly revision: number;
 }
 
 /**
- * Compares a page with the keys as they were followed up to the page's revision at least. A key that is missing in the page or
- * older there was lost; keys that changed after the page was read are left out.
+ * Compares a page with the keys of a replica that has followed the state at least up to the page's revision. A key that is
+ * missing from the page, or older in it, was lost; keys that changed after the page was read are ignored. Returns the reason for
+ * a verdict of loss, or null.
  */
 export function comparePage(page: KeyPage, followed: Iterable<KeyRevision>): string | null {
   const stampsInPage = new Map(page.items.map((i) => [i.key, i.stamp]));
   for (const { key, stamp } of followed) {
     if (key <= page.from || (page.to !== null && key > page.to) || stamp > page.revision) continue;
     const stampInPage = stampsInPage.get(key);
-    if (stampInPage === undefined) return `${key} is gone, and no change says so`;
-    if (stampInPage < stamp) return `${key} is at ${stampInPage} after ${stamp}`;
+    if (stampInPage === undefined) return `${key} is gone, and no received change explains it`;
+    if (stampInPage < stamp) return `${key} is at ${stampInPage} after ${stamp} had been observed`;
   }
   return null;
 }
--- a/src/data-loss/incarnation.ts
+++ b/src/data-loss/incarnation.ts
@@ -1,36 +1,41 @@
-/** Incarnations of the state, and the ranges of numbers that each of them uses. */
+/** Incarnations of the state, and the number ranges reserved for each of them. */
 
 /**
- * The state from one loss of data to the next. Fencing tokens, attempts and names of rentals are made from revisions and counters
- * that a loss sets back; they keep rising because each incarnation has a range of its own.
+ * An incarnation is the state from one loss of data to the next. Fencing tokens, attempt numbers and names of rentals are derived
+ * from revisions and counters that a loss sets back; they still keep increasing, because each incarnation has its own range.
  */
 export interface Incarnation {
-  /** From 1. */
+  /** Numbered from 1. */
   readonly number: number;
-  /** The member, and the process of it, that opened the incarnation or took its opening over. */
+  /** The member that opened the incarnation, or took its opening over. */
   readonly openedBy: string;
+  /** The process of that member. */
   readonly instanceId: string;
   readonly stage: IncarnationStage;
   readonly modRevision: number;
 }
 
 /**
- * `open`: records are being restored, no controller acts. `serving`: the machines and all jobs that are not finished are there, so
- * work goes on; a query for a job that is not there is answered 503. `whole`: everything known has been restored.
+ * The stages of an incarnation, stored under these names.
+ * `open`: records are being restored, and no controller acts.
+ * `serving`: the machines and all unfinished jobs have been restored, so work continues; a query for a job that is missing is
+ * answered with 503.
+ * `whole`: all known records have been restored.
  */
 export type IncarnationStage = 'open' | 'serving' | 'whole';
 
-/** Ranges: exact in JSON numbers (below 2^53) for 2^17 incarnations of 2^36 revisions, and of 2^20 attempts at a task. */
+/** Revisions per incarnation: 2^17 incarnations of 2^36 revisions stay exact in JSON numbers (below 2^53). */
 const tokenRange = 2 ** 36;
+/** Attempts at a task per incarnation: 2^17 incarnations of 2^20 attempts stay exact, too. */
 const attemptRange = 2 ** 20;
 
-/** Tokens of later incarnations would not be exact any more: no controller has issued one. */
+/** The highest incarnation whose tokens are exact numbers; no controller issues tokens of later ones. */
 export const maxIncarnations = 2 ** 17 - 2;
 
-/** Fencing tokens of an incarnation are above this. */
+/** The lower bound, exclusive, of the fencing tokens of an incarnation. */
 export const tokenBase = (incarnation: number): number => Math.max(0, incarnation - 1) * tokenRange;
-/** Attempts at a task in an incarnation are above this. */
+/** The lower bound, exclusive, of the attempt numbers of a task in an incarnation. */
 export const attemptBase = (incarnation: number): number => Math.max(0, incarnation - 1) * attemptRange;
 
-/** The incarnation that a fencing token was issued in. */
+/** The incarnation in which a fencing token was issued. */
 export const incarnationOf = (token: number): number => Math.floor(token / tokenRange) + 1;
--- a/src/data-loss/index.ts
+++ b/src/data-loss/index.ts
@@ -1,4 +1,4 @@
-/** Losses of data in the state service: noticing them, incarnations of the state, merging of records. Pure functions and state. */
+/** Loss of data in the state service: detection, incarnations of the state, merging of records. Contains no I/O. */
 export {
   attemptBase,
   incarnationOf,
--- a/src/data-loss/merge.ts
+++ b/src/data-loss/merge.ts
@@ -1,25 +1,26 @@
-/** Merges what the state holds of a record after a loss of data with what a controller knows of it. */
+/** Merges the stored version of a record after a loss of data with the version that a controller knows. */
 import type { Data, Kind } from '../formats/index.js';
 
-/** A placement as it is stored: the task's index, the attempt's number, the machine. */
+/** A placement in its stored form: the task's index, the attempt number, the machine. */
 type StoredPlacement = [index: number, attempt: number, host: string];
 
-/** The state of some tasks as it is stored. */
+/** The state of a range of tasks in its stored form. */
 interface StoredTasks {
-  /** The last attempt's number. */
+  /** The number of the last attempt. */
   n: number;
-  /** Completed tasks: a bit each, in base64. */
+  /** Completed tasks: a bitmap in base64. */
   d: string;
+  /** Current placements. */
   p: StoredPlacement[];
   /** Hosts on which tasks failed. */
   f?: string[];
-  /** The version that the task log goes on from. */
+  /** The version from which the task log continues. */
   r?: number;
 }
 
 /**
- * Merges two states of a record from different times so that no rule can be broken: what is over stays over, a placement stands
- * until a worker's report frees it, a number that was used is not used again.
+ * Merges two versions of a record from different times without breaking an invariant: finished jobs and tasks stay finished, a
+ * placement stays until a worker's report releases it, and a number that was used is not used again.
  */
 export function mergeRecords(kind: Kind, stored: Data | undefined, known: Data): Data {
   if (stored === undefined) return known;
@@ -31,7 +32,7 @@
     case 'level':
       return Number(known['level']) > Number(stored['level']) ? known : stored;
     case 'machine':
-      // A leader that came to an empty state took machines for free that were in use.
+      // A leader that started with an empty state may have recorded machines as free that were in use.
       return known['st'] === 'dead' || (stored['st'] === 'free' && known['st'] === 'use') ? known : stored;
     case 'block':
       return mergeBlocks(stored, known);
@@ -42,7 +43,7 @@
   }
 }
 
-/** A machine that had left its block comes back to it: it will be found absent, and abandoned in order. */
+/** Merges two versions of a block. A machine that had left the block returns to it; it is found absent later and abandoned then. */
 function mergeBlocks(stored: Data, known: Data): Data {
   const storedHosts = stored['h'] as string[];
   const hosts = new Set([...storedHosts, ...(known['h'] as string[])]);
@@ -50,26 +51,26 @@
 }
 
 function mergeJobs(stored: Data, known: Data): Data {
-  // Users were answered that a job is done or cancelled: that prevails, and of two such answers the one that is stored.
-  const isOver = (job: Data): boolean => job['s'] !== 'open';
-  const base = isOver(stored) || !isOver(known) ? stored : known;
+  // A final state may already have been reported to users, so it prevails; of two final states the stored one does.
+  const isFinished = (job: Data): boolean => job['s'] !== 'open';
+  const base = isFinished(stored) || !isFinished(known) ? stored : known;
   const other = base === stored ? known : stored;
   if (base['s'] === 'done') return base;
   const [baseTasks, otherTasks] = [base['t'], other['t']] as (StoredTasks | undefined)[];
   if (!otherTasks) return base;
-  // Tasks that may be running stay recorded, also those of a cancelled job.
+  // Tasks that may still be running stay recorded, even those of a cancelled job.
   const tasks = baseTasks ? mergeTasks(baseTasks, otherTasks) : (otherTasks as unknown as Data);
   return sameRecord(tasks, base['t']) ? base : { ...withInlineTasks(base), t: tasks };
 }
 
-/** A job in the format that holds the state of its tasks. */
+/** Converts a job to the format that contains the state of its tasks. */
 function withInlineTasks(job: Data): Data {
   if (job['spec'] === undefined) return { ...job, v: 2 };
   const { spec, ...rest } = job;
   return { ...rest, v: 2, n: (spec as { tasks: number }).tasks, job: spec };
 }
 
-/** Fields that only one of the two has are kept. */
+/** Merges two versions of the tasks' state. Fields that only one of them has are kept. */
 function mergeTasks(stored: StoredTasks, known: StoredTasks): Data {
   const done = unionBits(stored.d, known.d);
   const placements = newestPlacements([...stored.p, ...known.p], done);
@@ -80,20 +81,20 @@
     n: Math.max(stored.n, known.n),
     d: done.toString('base64'),
     p: placements,
-    // The merged state is newer than either.
+    // The merged state is newer than both.
     ...(version > 0 ? { r: version + 1 } : {}),
   };
   const isUnchanged = merged.n === stored.n && merged.d === stored.d && samePlacements(placements, stored.p);
   return (isUnchanged ? stored : merged) as unknown as Data;
 }
 
-/** Of each task that is not completed the placement of its latest attempt, by the task's index. */
+/** For each task that is not completed, the placement of its latest attempt, ordered by task index. */
 function newestPlacements(all: readonly StoredPlacement[], done: Buffer): StoredPlacement[] {
   const newest = new Map<number, StoredPlacement>();
   for (const placement of all) {
     const [index, attempt] = placement;
     const other = newest.get(index);
-    if (!hasBit(done, index) && (!other || other[1] < attempt)) newest.set(index, placement);
+    if (!isBitSet(done, index) && (!other || other[1] < attempt)) newest.set(index, placement);
   }
   return [...newest.values()].sort((a, b) => a[0] - b[0]);
 }
@@ -112,17 +113,18 @@
   return union;
 }
 
-const hasBit = (bits: Buffer, index: number): boolean => ((bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
+const isBitSet = (bits: Buffer, index: number): boolean =>
+  ((bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
 
-/** Whether two records hold the same, whichever process wrote them and in whatever order their fields are. */
+/** Whether two records are equal, regardless of the process that wrote them and of the order of their fields. */
 export const sameRecord = (a: unknown, b: unknown): boolean =>
-  JSON.stringify(normalized(a)) === JSON.stringify(normalized(b));
+  JSON.stringify(normalizedForComparison(a)) === JSON.stringify(normalizedForComparison(b));
 
-/** Without the writer's mark, and with the fields sorted. */
-function normalized(value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(normalized);
+/** The value with its fields sorted, and without `w`, the mark of the write that stored it. */
+function normalizedForComparison(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(normalizedForComparison);
   if (typeof value !== 'object' || value === null) return value;
   const fields = Object.entries(value).filter(([name, x]) => name !== 'w' && x !== undefined);
   fields.sort(([a], [b]) => (a < b ? -1 : 1));
-  return Object.fromEntries(fields.map(([name, x]) => [name, normalized(x)]));
+  return Object.fromEntries(fields.map(([name, x]) => [name, normalizedForComparison(x)]));
 }
--- a/src/feature-levels/feature-levels.ts
+++ b/src/feature-levels/feature-levels.ts
@@ -1,11 +1,12 @@
-/** Feature levels: which feature needs which level, what a program can do, and what is in force. */
+/** Feature levels: which level each feature requires, what a program supports, and which features are in force. */
 import { formats } from '../formats/index.js';
 
-/** What a program can do, as its member's presence says. */
+/** What a program supports, according to its member's presence record. */
 export interface Capabilities {
   readonly program: string;
-  /** The levels at which it can participate. */
+  /** The lowest level at which the program can participate. */
   readonly minLevel: number;
+  /** The highest level at which the program can participate. */
   readonly maxLevel: number;
   readonly features: readonly string[];
   /** The newest format of each kind of record that has more than one. */
@@ -15,7 +16,7 @@
 /** The newest level that this program knows. */
 export const newestLevel = 5;
 
-/** Of a program whose presence says nothing: it is from before there were levels. */
+/** The capabilities of a program whose presence record states none: it is older than feature levels. */
 export const legacyCapabilities: Capabilities = {
   program: 'before levels',
   minLevel: 1,
@@ -24,31 +25,32 @@
   formats: {},
 };
 
+/** When a feature is used. */
 interface FeatureRequirement {
-  /** The level from which on the feature is used. */
+  /** The lowest level at which the feature is used. */
   readonly level: number;
-  /** Whether it is still used while that level is being lowered, until the level has been left. */
+  /** Whether the feature stays in use while that level is being lowered, until the lowering is complete. */
   readonly usedWhileLowering: boolean;
 }
 
-/** What needs a level. Whether a feature is in force says `FeatureLevels.isEnabled`. The names are stored in presences. */
+/** The features that require a level; see `FeatureLevels.isEnabled`. Their names are stored in presence records. */
 export const features = {
-  /** Small jobs keep the state of their tasks in their own record. */
+  /** The record of a small job contains the state of its tasks. */
   'small-jobs': { level: 2, usedWhileLowering: false },
-  /** Leadership and machine types are at keys that programs without levels neither read nor write. */
+  /** Leadership and machine types are stored under keys that programs without levels neither read nor write. */
   'barred-lead': { level: 2, usedWhileLowering: true },
-  /** The division of the state service's writes among controllers is stored. */
+  /** The allocation of the state service's writes to controllers is stored. */
   'admission-plan': { level: 3, usedWhileLowering: false },
-  /** The state names its incarnation, and every write is on condition that it is unchanged. */
+  /** The state records its incarnation, and every write is conditional on that record being unchanged. */
   incarnations: { level: 4, usedWhileLowering: true },
-  /** Placements and completions of many jobs may be in one record, which other controllers follow. */
+  /** Placements and completions of many jobs may be stored in one record, which other controllers follow. */
   'task-log': { level: 5, usedWhileLowering: false },
 } as const satisfies Record<string, FeatureRequirement>;
 
-/** A feature that needs a level. */
+/** The name of a feature that requires a level. */
 export type Feature = keyof typeof features;
 
-/** The capabilities of this program; `maxAllowed`: the highest level that operators allow it, 0 for no limit. */
+/** Returns the capabilities of this program; `maxAllowed` is the highest level that operators allow it, 0 for no limit. */
 export function capabilitiesOf(program: string, maxAllowed = 0): Capabilities {
   const maxLevel = maxAllowed > 0 ? Math.min(maxAllowed, newestLevel) : newestLevel;
   const available = Object.entries(features).filter(([, feature]) => feature.level <= maxLevel);
@@ -62,33 +64,34 @@
   };
 }
 
-/** The level that is stored. */
+/** The stored feature level. */
 export interface LevelState {
-  /** What is stored may need this level: programs that do not know it stand by. */
+  /** Stored records may require this level, so programs that do not support it stand by. */
   readonly level: number;
-  /** What is written needs no more than this level; below the other while that is being lowered. */
+  /** Written records require no more than this level. It is below `level` while that is being lowered. */
   readonly writeLevel: number;
-  /** The revision at which it was written: every write is on condition that it is unchanged. */
+  /** The revision at which the level was written; every write is conditional on it being unchanged. */
   readonly modRevision: number;
 }
 
-/** The level of a state that has no record of it. */
+/** The level of a state that has no level record. */
 export const initialLevelState: LevelState = { level: 1, writeLevel: 1, modRevision: 0 };
 
-/** The level in force, as one program follows it. */
+/** The level in force as this process follows it. */
 export class FeatureLevels {
   state: LevelState = initialLevelState;
-  /** The level's record, or one that the level allowed, cannot be read: what is in force is unknown. */
+  /** Whether the level record, or a record that the level allows, cannot be read, so that the level in force is unknown. */
   unreadable = false;
 
   constructor(readonly ownCapabilities: Capabilities) {}
 
+  /** Whether a feature is in force. */
   isEnabled(feature: Feature): boolean {
     const { level, usedWhileLowering } = features[feature];
     return (usedWhileLowering ? this.state.level : this.state.writeLevel) >= level;
   }
 
-  /** Whether this program is older than what is in force: it must neither act nor write. */
+  /** Whether this program does not support the level in force, so that it must neither act nor write. */
   get mustStandBy(): boolean {
     return this.unreadable || !canParticipate(this.state, this.ownCapabilities);
   }
--- a/src/feature-levels/index.ts
+++ b/src/feature-levels/index.ts
@@ -1,4 +1,4 @@
-/** Feature levels: what programs of different ages can do together, and how the level in force changes. Pure functions and state. */
+/** Feature levels: what programs of different versions support in common, and how the level in force changes. Contains no I/O. */
 export {
   capabilitiesOf,
   canParticipate,
@@ -15,6 +15,6 @@
   type Decision,
   type LevelDecisionInput,
   type RequestedLevel,
-} from './decide.js';
+} from './level-decision.js';
 export { RecordMigration, type MigrationProgress } from './record-migration.js';
 export { GracefulShutdown, type ShutdownDuties, type ShutdownPhase } from './graceful-shutdown.js';
--- a/src/feature-levels/decide.ts
+++ b/src/feature-levels/level-decision.ts
@@ -1,18 +1,18 @@
-/** Decides when the feature level in force is raised or lowered. Pure; the leader carries decisions out. */
+/** Decides when the feature level in force is raised or lowered. Pure functions; the leader carries out the decisions. */
 import { legacyCapabilities, type Capabilities, type LevelState } from './feature-levels.js';
 
-/** What operators request of the level; all of it is optional. */
+/** What operators request of the feature level; every part is optional. */
 export interface RequestedLevel {
-  /** No level above this; null: no limit. */
+  /** The highest level allowed; null: no limit. */
   readonly maxLevel: number | null;
-  /** If the level in force is above the limit: go back to it. */
+  /** Whether to lower the level in force if it is above the limit. */
   readonly lower: boolean;
-  /** Members that will not come back: they are not waited for. */
+  /** Members that will not return: raising the level does not wait for them. */
   readonly departedMembers: readonly string[];
   readonly modRevision: number;
 }
 
-/** Operators request nothing. */
+/** The request of operators who request nothing. */
 export const noRequestedLevel: RequestedLevel = {
   maxLevel: null,
   lower: false,
@@ -20,47 +20,48 @@
   modRevision: 0,
 };
 
-/** What the leader decides from. */
+/** The input of the leader's decision. */
 export interface LevelDecisionInput {
   readonly state: LevelState;
   /** The newest level that this program knows. */
   readonly newestLevel: number;
-  /** The members that a rise waits for, by the leader's settings, itself included. */
+  /** The members that raising the level waits for: those in the leader's settings, the leader included. */
   readonly configured: readonly string[];
-  /** What each member was last seen with, as recorded, and as the leader itself has seen it, which is newer. */
+  /** The capabilities that each member was last seen with, according to the stored record. */
   readonly recordedCapabilities: ReadonlyMap<string, Capabilities>;
+  /** The capabilities that the leader itself has seen, which are newer than the recorded ones. */
   readonly observedCapabilities: ReadonlyMap<string, Capabilities>;
   readonly requested: RequestedLevel;
-  /** How many records that only the level in force can express are still to be rewritten. */
+  /** Records that only the level in force can express and that are still to be rewritten. */
   readonly unmigratedRecords: number;
   /** Keys of records that no lower level can express. */
   readonly blockingKeys: readonly string[];
 }
 
-/** What the leader is to do about the level. */
+/** What the leader must do about the level. */
 export type Decision =
-  /** `why` is empty if there is no newer level. */
+  /** Keep the level. `why` is empty if there is no newer level. */
   | { readonly type: 'stay'; readonly why: string }
-  /** Members' capabilities have changed, and are to be recorded. */
+  /** Record the members' capabilities, which have changed. */
   | { readonly type: 'record-capabilities'; readonly capabilities: Map<string, Capabilities> }
   | { readonly type: 'raise'; readonly to: number; readonly capabilities: Map<string, Capabilities> }
-  /** From now on nothing that needs the level is written, and what is stored is rewritten. */
+  /** Stop writing what needs the level, and rewrite the stored records that need it. */
   | { readonly type: 'begin-lowering'; readonly to: number }
   | { readonly type: 'lower'; readonly to: number }
-  /** Operators request what cannot be done. */
+  /** Refuse a request of operators that cannot be fulfilled. */
   | { readonly type: 'refuse'; readonly text: string };
 
 const sameCapabilities = (a: Capabilities | undefined, b: Capabilities): boolean =>
   a !== undefined && a.program === b.program && a.minLevel === b.minLevel && a.maxLevel === b.maxLevel;
 
-/** What each member was last seen with. */
-const latestCapabilities = (input: LevelDecisionInput): Map<string, Capabilities> =>
+/** The capabilities that each member was last seen with. */
+const latestCapabilitiesByMember = (input: LevelDecisionInput): Map<string, Capabilities> =>
   new Map([...input.recordedCapabilities, ...input.observedCapabilities]);
 
-/** One step of the level, if it is time for one. It is carried out on condition that nothing of the input has changed. */
+/** Decides the next step of the level. The step is carried out on condition that the input has not changed. */
 export function decide(input: LevelDecisionInput): Decision {
   const { state, requested } = input;
-  const capabilities = latestCapabilities(input);
+  const capabilities = latestCapabilitiesByMember(input);
   if (state.writeLevel < state.level) return decideWhileLowering(input, capabilities);
   if (state.level > (requested.maxLevel ?? Infinity)) return decideAboveLimit(input, capabilities);
   return decideRise(input, capabilities);
@@ -68,22 +69,28 @@
 
 type CapabilitiesByMember = Map<string, Capabilities>;
 
-/** Required members that do not have a level. */
-function membersWithout(level: number, input: LevelDecisionInput, latest: CapabilitiesByMember): string[] {
+/** The required members that do not support a level. */
+function membersLackingLevel(
+  level: number,
+  input: LevelDecisionInput,
+  latest: CapabilitiesByMember,
+): string[] {
   const { configured, requested } = input;
   return configured
     .filter((member) => !requested.departedMembers.includes(member))
     .filter((member) => (latest.get(member) ?? legacyCapabilities).maxLevel < level);
 }
 
-const haveChanged = ({ recordedCapabilities }: LevelDecisionInput, latest: CapabilitiesByMember): boolean =>
-  [...latest].some(([member, c]) => !sameCapabilities(recordedCapabilities.get(member), c));
+const capabilitiesChanged = (
+  { recordedCapabilities }: LevelDecisionInput,
+  latest: CapabilitiesByMember,
+): boolean => [...latest].some(([member, c]) => !sameCapabilities(recordedCapabilities.get(member), c));
 
 function decideWhileLowering(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
   const { state, requested, unmigratedRecords } = input;
   const isStillRequested = requested.lower && state.level > (requested.maxLevel ?? Infinity);
-  // Operators have withdrawn the request, and no member has come that the level was being lowered for.
-  if (!isStillRequested && membersWithout(state.level, input, latest).length === 0)
+  // Operators have withdrawn the request, and no member has joined that needs the lower level.
+  if (!isStillRequested && membersLackingLevel(state.level, input, latest).length === 0)
     return { type: 'raise', to: state.level, capabilities: latest };
   if (unmigratedRecords === 0) return { type: 'lower', to: state.writeLevel };
   return {
@@ -98,7 +105,7 @@
     if (blockingKeys.length > 0) return { type: 'refuse', text: refusalText(input) };
     return { type: 'begin-lowering', to: Math.max(1, state.level - 1) };
   }
-  if (haveChanged(input, latest)) return { type: 'record-capabilities', capabilities: latest };
+  if (capabilitiesChanged(input, latest)) return { type: 'record-capabilities', capabilities: latest };
   return { type: 'stay', why: `held at ${requested.maxLevel}, but ${state.level} is in force` };
 }
 
@@ -106,17 +113,17 @@
   const { state, requested, newestLevel } = input;
   const limit = requested.maxLevel ?? Infinity;
   const to = state.level + 1;
-  const lacking = membersWithout(to, input, latest);
+  const lacking = membersLackingLevel(to, input, latest);
   if (to <= Math.min(newestLevel, limit) && lacking.length === 0)
     return { type: 'raise', to, capabilities: latest };
-  if (haveChanged(input, latest)) return { type: 'record-capabilities', capabilities: latest };
+  if (capabilitiesChanged(input, latest)) return { type: 'record-capabilities', capabilities: latest };
   if (to > newestLevel) return { type: 'stay', why: '' };
   if (to > limit) return { type: 'stay', why: `held at ${limit} by operators` };
   const named = lacking.map((member) => `${member} (${latest.get(member)?.program ?? 'never seen'})`);
   return { type: 'stay', why: `waits for ${named.join(', ')}` };
 }
 
-/** How many keys a refusal names. */
+/** The most keys that a refusal names. */
 const maxNamedKeys = 5;
 
 function refusalText({ blockingKeys, state }: LevelDecisionInput): string {
--- a/src/feature-levels/record-migration.ts
+++ b/src/feature-levels/record-migration.ts
@@ -1,6 +1,6 @@
-/** The pace at which stored records are rewritten for another feature level. */
+/** Rate limit and progress of rewriting stored records for another feature level. */
 
-/** Progress of a migration, as it is logged. */
+/** Progress of a migration, logged under these field names. */
 export interface MigrationProgress {
   /** Records still to be rewritten. */
   readonly remaining: number;
@@ -9,8 +9,8 @@
 }
 
 /**
- * Limits the rewriting of records that no other write reaches to a share of the state service's writes. It keeps nothing that
- * must survive: what is still to be rewritten shows in the records themselves, so another owner continues where this one ended.
+ * Limits the rewriting of records that no other write reaches to a share of the state service's writes. It holds no durable
+ * state: the records themselves show which of them are still to be rewritten, so another owner continues where this one stopped.
  */
 export class RecordMigration {
   private allowance = 0;
@@ -21,15 +21,15 @@
   private startedAt = 0;
 
   constructor(
-    /** Writes per second that the state service takes. */
+    /** Writes per second that the state service accepts. */
     private readonly writesPerS: number,
-    /** The share of them that the migration may take. */
+    /** The share of these writes that the migration may use. */
     private readonly share: number,
-    /** How often progress is reported, ms. */
+    /** Interval at which progress is reported, ms. */
     private readonly reportIntervalMs: number,
   ) {}
 
-  /** How many writes may be made now. Those that are made are to be passed to `recordWrites`. */
+  /** Returns how many writes may be made now. The caller reports those that it makes to `recordWrites`. */
   availableWrites(now: number): number {
     if (this.refilledAt >= 0)
       this.allowance = Math.min(
@@ -40,12 +40,13 @@
     return Math.floor(this.allowance);
   }
 
+  /** Deducts writes that were made from the allowance. */
   recordWrites(writes: number): void {
     this.allowance -= writes;
     this.writesDone += writes;
   }
 
-  /** The progress to be reported now, with this many records still to be rewritten; null: nothing is to be reported. */
+  /** Returns the progress to report now, with `remaining` records still to be rewritten; null if no report is due. */
   progress(now: number, remaining: number): MigrationProgress | null {
     const isFinished = remaining === 0 && this.remaining > 0;
     const isStarting = remaining > 0 && this.remaining <= 0;
--- a/src/limits/index.ts
+++ b/src/limits/index.ts
@@ -1,2 +1,2 @@
-/** Limits on what a controller uses, derived from the platform's quota. */
+/** Limits on a controller's resource use, derived from the platform's quota. */
 export { limitsOf, type Limits, type LimitSettings } from './limits.js';
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -1,4 +1,4 @@
-/** Limits on what a controller uses: each is a share of what the platform's settings give it. */
+/** Limits on a controller's resource use. Each is a share of the quota in the platform's settings. */
 
 /** The settings that the limits are derived from. */
 export interface LimitSettings {
@@ -8,47 +8,47 @@
 
 /** Limits on connections. */
 export interface SocketLimits {
-  /** The most connections of users, workers and probes; more are refused. */
+  /** The most connections from users, workers and health probes; further ones are refused. */
   readonly max: number;
-  /** Above so many connections the idle ones are closed. */
+  /** Above this number of connections, idle ones are closed. */
   readonly closeIdleAbove: number;
-  /** Above so many connections workers are asked to report through another controller. */
+  /** Above this number of connections, workers are asked to report through another controller. */
   readonly preferred: number;
-  /** The most connections to workers for orders. */
+  /** The most outgoing connections that deliver orders to workers. */
   readonly outgoingOrders: number;
-  /** The most connections of other controllers. */
+  /** The most connections from other controllers. */
   readonly peers: number;
 }
 
 /** Limits on memory, MB. */
 export interface MemoryLimits {
-  /** Above so much in use, garbage is collected at once. */
+  /** Above this memory use, garbage is collected at once. */
   readonly collectGarbageAboveMb: number;
-  /** Above so much still in use after that, only the most important requests are accepted. */
+  /** If memory use is still above this after the collection, only the most important requests are accepted. */
   readonly shedLoadAboveMb: number;
 }
 
-/** The limits that a controller keeps to. */
+/** All limits of a controller. */
 export interface Limits {
   readonly sockets: SocketLimits;
-  /** The most requests of users that wait for a reading of the state. */
+  /** The most user requests that may wait for a read of the state. */
   readonly maxWaitingRequests: number;
-  /** The most heartbeats that wait for the response of their machine's owner. */
+  /** The most forwarded heartbeats that may wait for the response of their machine's owner. */
   readonly maxForwardedHeartbeats: number;
   readonly memory: MemoryLimits;
 }
 
-/** Shares of the descriptors. */
+/** Shares of the file descriptors. */
 const maxSocketShare = 0.8;
 const closeIdleShare = 2 / 3;
 const preferredShare = 0.5;
 const outgoingOrderShare = 1 / 16;
-/** Connections that each peer may have: a new one is opened before the end of an old one is noticed. */
+/** Connections per peer: it may open a new one before the end of an old one is noticed. */
 const connectionsPerPeer = 8;
 /** Shares of the memory. */
 const collectGarbageShare = 0.75;
 const shedLoadShare = 0.85;
-/** A waiting request takes some 10 kB: so many for each MB use at most a tenth of the memory. */
+/** A waiting request takes about 10 kB, so this number per MB uses at most a tenth of the memory. */
 const waitingRequestsPerMb = 10;
 
 /** Derives the limits from the settings. */
--- a/src/queues/bounded-priority-queues.ts
+++ b/src/queues/bounded-priority-queues.ts
@@ -1,12 +1,12 @@
-/** Bounded queues that share their service by weight and shed load by priority. */
+/** Bounded queues that are served in proportion to weights and shed load by priority. */
 
 /** The limits of one queue. */
 export interface QueueLimits {
-  /** Its share of the service while other queues have items too, relative to theirs. */
+  /** The queue's weight: its share of the service relative to those of other queues that have items. */
   readonly share: number;
-  /** Items that may wait in it. */
+  /** The most items that may wait in the queue. */
   readonly maxWaiting: number;
-  /** After this long the sender of an item does not wait for the answer any more, ms. */
+  /** The time after which the sender of an item no longer waits for the response, ms. */
   readonly maxWaitMs: number;
 }
 
@@ -19,23 +19,23 @@
   readonly name: K;
   readonly limits: QueueLimits;
   items: WaitingItem<T>[];
-  /** Service that it has earned and not used yet, in items. */
+  /** Service that the queue has accrued and not used yet, in items. */
   credit: number;
 }
 
 /**
- * Queues of decreasing priority. Each is served by its share, so that none starves; what one does not use is there for the
- * others. If together they hold too many items, the newest of the lowest priority is rejected.
+ * Queues of decreasing priority. Each is served according to its share, so that none starves; what one does not use is available
+ * to the others. If they hold too many items in total, the newest item of the lowest priority is rejected.
  */
 export class BoundedPriorityQueues<K extends string, T> {
   /** Highest priority first. */
   private readonly queues: Queue<K, T>[];
   private waitingCount = 0;
 
-  /** `limits`: by name, in order of priority. */
+  /** `limits`: the limits of each queue by name, in order of decreasing priority. */
   constructor(
     limits: Record<K, QueueLimits>,
-    /** Items that may wait in all queues together. */
+    /** The most items that may wait in all queues together. */
     private readonly maxWaitingTotal: number,
   ) {
     this.queues = (Object.entries(limits) as [K, QueueLimits][]).map(([name, queueLimits]) => ({
@@ -46,18 +46,18 @@
     }));
   }
 
-  /** Items that wait in all queues together. */
+  /** The number of items that wait in all queues together. */
   get size(): number {
     return this.waitingCount;
   }
 
-  /** How full a queue is, as a share of its limit. */
+  /** Returns how full a queue is, as a share of its limit. */
   fillRatio(name: K): number {
     const { items, limits } = this.queueOf(name);
     return items.length / limits.maxWaiting;
   }
 
-  /** Adds an item. Returns the items that are rejected for it: itself, one of lower priority, or none. */
+  /** Adds an item. Returns the items that are rejected in exchange: the item itself, one of lower priority, or none. */
   offer(name: K, item: T, now: number): T[] {
     const queue = this.queueOf(name);
     if (queue.items.length >= queue.limits.maxWaiting) return [item];
@@ -73,7 +73,7 @@
     return [];
   }
 
-  /** Removes the next items, `count` at most, and those whose senders do not wait any more. */
+  /** Removes and returns the next items, at most `count`, and the expired ones, whose senders no longer wait. */
   take(count: number, now: number): { items: T[]; expired: T[] } {
     const expired = this.removeExpired(now);
     if (this.waitingCount <= count) return { items: this.removeAll(), expired };
--- a/src/recovery/index.ts
+++ b/src/recovery/index.ts
@@ -1,4 +1,4 @@
-/** Recovery of a controller after its start: phases and times, for operators. */
+/** Recovery of a controller after its start: phases and durations that are reported to operators. */
 export {
   phaseOf,
   RecoveryTracker,
--- a/src/recovery/recovery.ts
+++ b/src/recovery/recovery.ts
@@ -1,53 +1,53 @@
 /**
- * The phases of a controller's start, from its first instruction until it serves, and their times.
+ * The phases of a controller's recovery after its start, until it serves its shard. The names are logged.
  *
- *     reading   reads the state, page by page; nothing can be answered from the replica yet
+ *     reading   reads the state page by page; nothing can be answered from the replica yet
  *     joining   has a complete replica; its presence record is being written
  *     standby   present, without a shard: answers users, redirects workers to the owner of their machine
- *     proving   owns a shard; machines with tasks on them have to report under its fencing token first
- *     serving   every machine that held tasks when the shard was acquired has reported or is proven gone
+ *     proving   owns a shard; machines with tasks must first report under its fencing token
+ *     serving   every machine that held tasks when the shard was acquired has reported or is proven to be gone
  *
- * A controller returns from any phase to an earlier one when what that phase rests on is lost.
+ * A controller returns from any phase to an earlier one when a precondition of the phase is lost.
  */
 export type RecoveryPhase = 'reading' | 'joining' | 'standby' | 'proving' | 'serving';
 
-/** What the phase depends on. */
+/** The facts that determine the phase. */
 export interface RecoveryFacts {
-  /** The first reading of the state is complete. */
+  /** Whether the first read of the state is complete. */
   readonly isStateLoaded: boolean;
-  /** The state service holds the presence record of this process. */
+  /** Whether the state service holds the presence record of this process. */
   readonly isPresent: boolean;
-  /** How many shards this process owns. */
+  /** Shards that this process owns. */
   readonly ownedShards: number;
-  /** Machines that held tasks when their shard was acquired, and have neither reported nor gone since. */
+  /** Machines that held tasks when their shard was acquired, and have neither reported since nor been proven to be gone. */
   readonly unprovenMachines: number;
-  /** Placements that this process has decided so far. */
+  /** Placements that this process has made so far. */
   readonly placementCount: number;
 }
 
-/** A change of the phase, as it is logged. */
+/** A change of the phase, logged under these field names. */
 export interface PhaseTransition {
   readonly from: RecoveryPhase;
   readonly to: RecoveryPhase;
-  /** Since the process started, ms. */
+  /** Time since the process started, ms. */
   readonly atMs: number;
-  /** How long the phase that ends has lasted, ms. */
+  /** Duration of the phase that ends, ms. */
   readonly lastedMs: number;
 }
 
-/** The times of a recovery, as they are logged. */
+/** The durations of a recovery, logged under these field names. */
 export interface RecoverySummary {
-  /** From owning a shard to the proof of all of its machines, ms. */
+  /** From acquiring a shard until all of its machines were proven, ms. */
   readonly provenMs: number;
-  /** The same for all but a few machines, ms: those that have died take longest. */
+  /** From acquiring a shard until all but a few of its machines were proven, ms: dead machines take longest. */
   readonly mostProvenMs: number;
-  /** From the start of the process to its first placement, ms; null: nothing has been placed yet. */
+  /** From the start of the process to its first placement, ms; null if nothing has been placed yet. */
   readonly firstPlacementMs: number | null;
-  /** Whether it took longer than the bound. */
+  /** Whether `mostProvenMs` exceeds the target. */
   readonly late: boolean;
 }
 
-/** The phase that a controller is in. */
+/** Returns the phase of a controller. */
 export function phaseOf(facts: RecoveryFacts): RecoveryPhase {
   if (!facts.isStateLoaded) return 'reading';
   if (!facts.isPresent) return 'joining';
@@ -55,31 +55,32 @@
   return facts.unprovenMachines > 0 ? 'proving' : 'serving';
 }
 
-/** This share of a shard's machines may have died or be cut off without the recovery counting as late. */
+/** The share of a shard's machines that may be dead or cut off without the recovery counting as late. */
 const maxUnprovenShare = 0.05;
 
-/** The proof of the machines since this process came to own a shard. */
+/** Progress of proving the machines since this process acquired a shard. */
 interface ProvingProgress {
   readonly startedAt: number;
-  /** Machines to be proven at the start. */
+  /** Machines to be proven when the shard was acquired. */
   readonly machineCount: number;
+  /** Set once all but a few machines are proven. */
   mostProvenMs: number | null;
   overdueTaken: boolean;
   summaryTaken: boolean;
 }
 
-/** Follows a process through the phases and keeps the times. Times are since the process started, ms. */
+/** Tracks the phases of a process and their durations. Times are in ms since the process started. */
 export class RecoveryTracker {
   phase: RecoveryPhase = 'reading';
-  private phaseSince = 0;
+  private phaseStartedAt = 0;
   private firstPlacementMs: number | null = null;
-  /** null: this process owns no shard. */
+  /** Null while this process owns no shard. */
   private proving: ProvingProgress | null = null;
 
-  /** `boundMs`: all machines should be proven this long after the process came to own a shard. */
-  constructor(private readonly boundMs: number) {}
+  /** `provingTargetMs`: the time after acquiring a shard within which the machines should be proven. */
+  constructor(private readonly provingTargetMs: number) {}
 
-  /** Takes in the facts of a step; the change of the phase, if there is one. */
+  /** Updates the phase from the current facts. Returns the change of the phase; null if there is none. */
   update(now: number, facts: RecoveryFacts): PhaseTransition | null {
     if (facts.ownedShards === 0) this.proving = null;
     else
@@ -94,32 +95,32 @@
     if (proving && facts.unprovenMachines <= proving.machineCount * maxUnprovenShare)
       proving.mostProvenMs ??= now - proving.startedAt;
     if (this.firstPlacementMs === null && facts.placementCount > 0) this.firstPlacementMs = now;
-    return this.enter(phaseOf(facts), now);
+    return this.enterPhase(phaseOf(facts), now);
   }
 
-  private enter(phase: RecoveryPhase, now: number): PhaseTransition | null {
+  private enterPhase(phase: RecoveryPhase, now: number): PhaseTransition | null {
     if (phase === this.phase) return null;
-    const transition = { from: this.phase, to: phase, atMs: now, lastedMs: now - this.phaseSince };
+    const transition = { from: this.phase, to: phase, atMs: now, lastedMs: now - this.phaseStartedAt };
     this.phase = phase;
-    this.phaseSince = now;
+    this.phaseStartedAt = now;
     return transition;
   }
 
-  /** True once for each time that this process came to own a shard and not all of it was proven within the bound. */
+  /** Returns true once per acquisition of a shard whose machines were not all proven within the target. */
   takeOverdue(now: number): boolean {
     const { proving } = this;
     if (this.phase !== 'proving' || proving === null || proving.overdueTaken) return false;
-    proving.overdueTaken = now - proving.startedAt > this.boundMs;
+    proving.overdueTaken = now - proving.startedAt > this.provingTargetMs;
     return proving.overdueTaken;
   }
 
-  /** The times, once for each time that this process came to own a shard and all of it is proven. */
+  /** Returns the durations once per acquisition of a shard, when all of its machines are proven; null otherwise. */
   takeSummary(now: number): RecoverySummary | null {
     const { proving, firstPlacementMs } = this;
     if (this.phase !== 'serving' || proving === null || proving.summaryTaken) return null;
     proving.summaryTaken = true;
     const provenMs = now - proving.startedAt;
     const mostProvenMs = proving.mostProvenMs ?? provenMs;
-    return { provenMs, mostProvenMs, firstPlacementMs, late: mostProvenMs > this.boundMs };
+    return { provenMs, mostProvenMs, firstPlacementMs, late: mostProvenMs > this.provingTargetMs };
   }
 }
--- a/src/retry/attempts.ts
+++ b/src/retry/backoff.ts
@@ -1,21 +1,21 @@
 /** Exponential backoff with jitter for failed calls. */
 import type { Random } from './random.js';
 
-/** How failed calls of one kind are retried. Times in ms. */
+/** How failed calls of one kind are retried. */
 export interface RetryPolicy {
   readonly initialDelayMs: number;
   readonly maxDelayMs: number;
-  /** Each delay is so many times the one before. */
+  /** The factor by which each delay exceeds the previous one. */
   readonly multiplier: number;
-  /** The random share of a delay, so that callers that failed together do not retry together. */
+  /** The share of a delay that is random, so that callers that failed together do not retry together. */
   readonly jitter: number;
-  /** A call without an answer counts as failed after this long. */
+  /** A call without a response counts as failed after this time. */
   readonly timeoutMs: number;
 }
 
-/** The delay after so many consecutive failures (one or more). */
+/** Returns the delay after `failures` consecutive failures (one or more). */
 export function backoffDelayMs(policy: RetryPolicy, failures: number, random: Random): number {
-  // Bounded before the power is taken: after an outage of hours it would be infinite.
+  // The exponent is bounded first: after an outage of hours the power would be infinite.
   const { initialDelayMs, maxDelayMs, multiplier, jitter } = policy;
   const stepsToMax = Math.ceil(Math.log(maxDelayMs / initialDelayMs) / Math.log(multiplier));
   const steps = Math.min(failures - 1, stepsToMax);
@@ -24,8 +24,9 @@
 }
 
 /**
- * When calls of one kind may go out. While they succeed: always. After a failure: one probe at a time, after growing
- * delays, so that an outage is met with few calls, and its end is noticed by one. A success ends the backoff.
+ * Decides when calls of one kind may be sent. While calls succeed, they may always be sent. After a failure, one probe at a time
+ * is allowed after growing delays, so that few calls are sent during an outage and one of them notices its end. A success ends
+ * the backoff.
  */
 export class RetryBackoff {
   private consecutiveFailures = 0;
@@ -37,34 +38,34 @@
     private readonly random: Random,
   ) {}
 
-  /** Failures since the last success. */
+  /** Number of failures since the last success. */
   get failureCount(): number {
     return this.consecutiveFailures;
   }
 
-  /** When the next call may go out, ms. */
+  /** The time before which no call may be sent, ms. */
   get notBefore(): number {
     return this.blockedUntil;
   }
 
-  /** Whether a call may go out now. If so, the caller is to make it. */
+  /** Returns whether a call may be sent now. If so, the caller must send it. */
   tryAcquire(now: number): boolean {
     if (this.consecutiveFailures === 0) return true;
     if (now < this.blockedUntil) return false;
     this.probing = true;
-    // Guards against the probe whose answer never comes: another may follow after the timeout.
+    // If the probe never gets a response, another may be sent after the timeout.
     this.blockedUntil = now + this.policy.timeoutMs;
     return true;
   }
 
-  /** A call succeeded. */
+  /** Records that a call succeeded. */
   onSuccess(): void {
     this.consecutiveFailures = 0;
     this.blockedUntil = -Infinity;
     this.probing = false;
   }
 
-  /** A call failed. Of calls that went out together only the first failure lengthens the delay. */
+  /** Records that a call failed. Of calls that were sent together, only the first failure lengthens the delay. */
   onFailure(now: number): void {
     if (this.consecutiveFailures > 0 && !this.probing && now < this.blockedUntil) return;
     this.consecutiveFailures++;
--- a/src/retry/policies.ts
+++ b/src/retry/policies.ts
@@ -1,29 +1,30 @@
 /** Retry policies of all outgoing calls, derived from the platform's settings. */
-import type { RetryPolicy } from './attempts.js';
+import type { RetryPolicy } from './backoff.js';
 
 /** The settings that the policies are derived from. */
 export interface RetrySettings {
   readonly workers: { readonly report_s: number; readonly lease_s: number };
   readonly cloud: { readonly list_lag_s: number };
-  /** A controller's state lease, ms. */
+  /** Duration of a controller's state lease, ms. */
   readonly stateLeaseMs: number;
 }
 
 /** How each kind of call is retried. */
 export interface RetryPolicies {
-  /** Commits, lease renewals, readings. A state lease must survive two failed attempts. */
+  /** Commits, lease renewals and reads of the state service. A state lease must survive two failed attempts. */
   readonly state: RetryPolicy;
+  /** Calls to the cloud provider. */
   readonly cloud: RetryPolicy;
   /** Connections to the other controllers. */
   readonly peers: RetryPolicy;
-  /** Orders sent directly to workers: never repeated, the next heartbeat's response carries the same. */
+  /** Orders sent directly to workers. They are never repeated: the next heartbeat's response contains them, too. */
   readonly workers: RetryPolicy;
 }
 
 const multiplier = 2;
 const jitter = 0.3;
 
-/** One policy for every kind of outgoing call. All times are ratios to settings. */
+/** Derives one policy for each kind of outgoing call. All times are ratios to settings. */
 export function retryPolicies({ workers, cloud, stateLeaseMs }: RetrySettings): RetryPolicies {
   const heartbeatMs = workers.report_s * 1000;
   const listLagMs = Math.max(cloud.list_lag_s, workers.report_s) * 1000;
