--- a/src/admission/demand-estimates.ts
+++ b/src/admission/demand-estimates.ts
@@ -1,7 +1,8 @@
-/** Estimates of how many jobs users of each team and class submit. */
+/** Estimates of the rates at which users of each team and class submit jobs. */
 import { maxNamedWorkloads, workloadKey, type WorkloadDemand } from './workloads.js';
 import { RateMeter } from './rate-limiter.js';
 
+/** The estimate of one workload. */
 interface WorkloadEstimate {
   readonly team: string;
   readonly class: string;
@@ -10,13 +11,14 @@
   lastArrivalAt: number;
 }
 
-/** Counts the classes of a team that are too many to be counted each. */
+/** Stands for all classes of a team that are counted together, because there are too many to be counted individually. */
 const otherClasses = '*';
+/** Averaging window of arrival rates. */
 const arrivalWindowMs = 3000;
-/** Smaller rates are not reported, jobs a second. */
+/** Smaller rates are not reported, jobs per second. */
 const minJobsPerS = 0.05;
 
-/** Arrival rates by workload (team and class). Bounded: classes beyond the limit are counted together, by team. */
+/** Arrival rates by workload (team and class). Memory is bounded: classes beyond the limit are counted together, by team. */
 export class DemandEstimates {
   private readonly estimates = new Map<string, WorkloadEstimate>();
 
@@ -26,7 +28,7 @@
     private readonly retentionMs: number,
   ) {}
 
-  /** A job of a team and class was submitted. */
+  /** Records that a job of a team and class was submitted. */
   recordArrival(team: string, jobClass: string, weight: number, now: number): void {
     let countedClass = jobClass;
     if (!this.estimates.has(workloadKey(team, jobClass)) && this.estimates.size >= this.maxWorkloads) {
@@ -45,7 +47,7 @@
     estimate.arrivals.add(1, now);
   }
 
-  /** The workloads with the highest rates, in that order; as many as an allocation names. */
+  /** Returns the workloads with the highest rates, highest first; at most as many as an allocation names. */
   largest(now: number): WorkloadDemand[] {
     return [...this.estimates.values()]
       .map(({ team, class: jobClass, weight, arrivals }) => ({
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,27 +1,29 @@
-/** A fair queue in two levels: teams are served in turn, and within each team its classes. */
+/** A two-level fair queue: teams are served in turn, and within each team its classes. */
 import { StrideScheduler, type Flow } from './stride-scheduler.js';
 
-/** What waits in the queue. */
+/** An entry that waits in the queue. */
 export interface QueueEntry {
   readonly id: string;
   readonly team: string;
   readonly class: string;
-  /** When its user first tried, ms. */
+  /** Time of its user's first attempt, ms. */
   firstAttemptAt: number;
 }
 
+/** The entries of one class of a team. */
 interface ClassFlow<T> extends Flow {
-  /** Oldest first attempt first. */
+  /** Ordered by first attempt, oldest first. */
   readonly entries: T[];
 }
+/** The entries of one team, by class. */
 interface TeamFlow<T> extends Flow {
   readonly classes: StrideScheduler<ClassFlow<T>>;
 }
 
 /**
- * Entries by team, then by class. The flow that was served least for its weight is next, so a flood waits behind its own
- * entries, and a flow that had none waiting is served at once; within a class the oldest first attempt is first. Memory is bounded by
- * what waits.
+ * Queues entries by team, then by class. The flow that was served least relative to its weight is next, so a flood of entries
+ * only delays its own flow, and a flow that had none waiting is served at once. Within a class, the entry with the oldest first
+ * attempt is first. Memory use is bounded by the number of waiting entries.
  */
 export class FairQueue<T extends QueueEntry> {
   private readonly teams = new StrideScheduler<TeamFlow<T>>();
@@ -32,18 +34,18 @@
     private readonly classWeight: (entry: T) => number,
   ) {}
 
-  /** How many entries wait. */
+  /** The number of waiting entries. */
   get size(): number {
     return this.entryCount;
   }
 
-  /** How many entries of its class an entry would wait behind, and how many entries its class has. */
+  /** The number of entries of its class that an entry would wait behind, and the number of entries that its class has. */
   position(entry: QueueEntry): { ahead: number; total: number } {
     const entries = this.classOf(entry)?.entries ?? [];
     return { ahead: insertionIndex(entries, entry.firstAttemptAt), total: entries.length };
   }
 
-  /** The share of the turns that an entry's class has now, if all waiting flows stay backlogged. */
+  /** The share of turns that an entry's class has now, as long as all waiting flows stay backlogged. */
   shareOf(entry: T): number {
     const team = this.teams.get(entry.team);
     const teamShare = this.teams.shareOf(entry.team, this.teamWeight(entry.team));
@@ -70,7 +72,7 @@
     return this.classOf(entry)?.entries.at(-1);
   }
 
-  /** Removes an entry. Returns whether it was there. */
+  /** Removes an entry. Returns whether it was in the queue. */
   remove(entry: T): boolean {
     const team = this.teams.get(entry.team);
     const flow = team?.classes.get(entry.class);
@@ -81,7 +83,7 @@
     return true;
   }
 
-  /** Removes and returns the next entry; null: none waits. */
+  /** Removes and returns the next entry; null if none waits. */
   dequeue(): T | null {
     const team = this.teams.selectNext();
     const flow = team?.classes.selectNext();
@@ -107,7 +109,7 @@
   }
 }
 
-/** The place of a first attempt at this time: behind earlier and equal ones. */
+/** The index at which an entry with this first attempt is inserted: after earlier and equal ones. */
 function insertionIndex(entries: readonly QueueEntry[], firstAttemptAt: number): number {
   let low = 0;
   let high = entries.length;
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,4 +1,4 @@
-/** Admission control, overload control and fair sharing of what is scarce. */
+/** Admission control, overload control and fair sharing of scarce resources. */
 export { AdmissionQueue, type AdmissionLimits, type RejectedEntry } from './admission.js';
 export {
   allocatableWrites,
@@ -19,6 +19,6 @@
 export { maxStarvationS, MinimumShares, type ShareDeficit, type WorkloadUsage } from './minimum-shares.js';
 export { OverloadMonitor, type OverloadSnapshot, type ResourceLoad } from './overload.js';
 export { RateMeter, TokenBucket } from './rate-limiter.js';
-export { RetryTickets, type Rejection } from './retry-tickets.js';
+export { RejectionTracker, type Rejection } from './rejection-tracker.js';
 export { teamWeights } from './weights.js';
 export { maxNamedWorkloads, workloadKey, type WorkloadDemand } from './workloads.js';
--- a/src/admission/minimum-shares.ts
+++ b/src/admission/minimum-shares.ts
@@ -1,32 +1,34 @@
-/** Minimum shares: no workload starves after acceptance. */
+/** Minimum shares, which prevent accepted workloads from starving. */
 
-/** What a workload (team and class) of accepted jobs uses, and whether some of it waits for room. */
+/** The resource usage of a workload (team and class) of accepted jobs. */
 export interface WorkloadUsage {
   readonly workload: string;
   readonly team: string;
-  /** Of the fleet's resources, by its dominant one: CPUs or GPUs. */
+  /** The workload's share of the fleet's resources, by its dominant resource: CPUs or GPUs. */
   share: number;
+  /** Whether some of the workload waits for resources. */
   waiting: boolean;
 }
 
-/** A workload that is to get the next free room, up to this share of the fleet. */
+/** A workload that should get the next free resources, up to the share of the fleet that it lacks. */
 export interface ShareDeficit {
   readonly workload: string;
   readonly deficit: number;
 }
 
+/** The usage of a workload over time. */
 interface UsageHistory {
   averageShare: number;
-  /** Since when some of it has waited without interruption, ms. */
+  /** The time since which some of the workload has waited without interruption, ms. */
   waitingSince: number;
 }
 
-/** Workloads that have priority at the same time at most: those that have waited longest. */
+/** The most workloads that have priority at the same time: those that have waited longest. */
 const maxDeficits = 16;
 
 /**
- * Finds workloads that have waited for a whole window and used less than their minimum share over it. The minimum is a share
- * of an equal part, by team and then by class. Beyond it the placement order decides alone.
+ * Finds workloads that have waited for a whole window and used less than their minimum share over it. The minimum is a part of an
+ * equal share, by team and then by class. Above the minimum, only the placement order decides.
  */
 export class MinimumShares {
   private readonly histories = new Map<string, UsageHistory>();
@@ -34,11 +36,11 @@
 
   constructor(
     readonly windowMs: number,
-    /** The minimum, as a share of an equal part; 0: there is none. */
+    /** The minimum, as a part of an equal share; 0: there is none. */
     private readonly minimumShare: number,
   ) {}
 
-  /** Updates the averages with the present usage. Returns the workloads below their minimum, longest waiting first. */
+  /** Updates the averages with the current usage. Returns the workloads below their minimum, longest waiting first. */
   findDeficits(now: number, usages: readonly WorkloadUsage[]): ShareDeficit[] {
     if (this.minimumShare <= 0) return [];
     const weight = this.updatedAt < 0 ? 1 : 1 - Math.exp((this.updatedAt - now) / this.windowMs);
@@ -49,7 +51,7 @@
     const deficits: (ShareDeficit & { waitingSince: number })[] = [];
     for (const usage of usages) {
       const { workload, team, share } = usage;
-      const { averageShare, waitingSince } = this.update(usage, weight, now);
+      const { averageShare, waitingSince } = this.updateHistory(usage, weight, now);
       const minimum = this.minimumShare / classCounts.size / (classCounts.get(team) ?? 1);
       if (now - waitingSince < this.windowMs || averageShare >= minimum || share >= minimum) continue;
       deficits.push({ workload, deficit: minimum - share, waitingSince });
@@ -59,7 +61,11 @@
     return deficits.slice(0, maxDeficits).map(({ workload, deficit }) => ({ workload, deficit }));
   }
 
-  private update({ workload, share, waiting }: WorkloadUsage, weight: number, now: number): UsageHistory {
+  private updateHistory(
+    { workload, share, waiting }: WorkloadUsage,
+    weight: number,
+    now: number,
+  ): UsageHistory {
     let history = this.histories.get(workload);
     if (!history) this.histories.set(workload, (history = { averageShare: share, waitingSince: now }));
     history.averageShare += (share - history.averageShare) * weight;
@@ -74,14 +80,19 @@
 }
 
 /**
- * The longest that a task which fits an empty machine waits while its workload is below its minimum share, s: the window, then
- * until the next machine of a suitable type becomes empty or is new, then a scheduling cycle and the way to the worker.
+ * The longest time that a task which fits on an empty machine waits while its workload is below its minimum share, s: the window,
+ * the time until a machine of a suitable type becomes empty or a new one is ready, scheduling, and delivery to the worker.
  */
-export const maxStarvationS = (w: {
+export const maxStarvationS = (times: {
   readonly windowS: number;
-  /** The longest that tasks run there, and what a new machine takes to be up with the image. */
-  readonly runS: number;
-  readonly machineS: number;
-  readonly roundS: number;
-  readonly reportS: number;
-}): number => w.windowS + Math.min(w.runS, w.machineS) + 2 * w.roundS + 2 * w.reportS;
+  /** The longest run time of tasks on machines of that type. */
+  readonly maxTaskRunS: number;
+  /** The time until a new machine is up and has the image. */
+  readonly machineStartS: number;
+  readonly schedulingCycleS: number;
+  readonly heartbeatIntervalS: number;
+}): number =>
+  times.windowS +
+  Math.min(times.maxTaskRunS, times.machineStartS) +
+  2 * times.schedulingCycleS +
+  2 * times.heartbeatIntervalS;
--- a/src/admission/overload.ts
+++ b/src/admission/overload.ts
@@ -1,37 +1,38 @@
-/** Overload control: one measure of everything that is scarce, in place of limits that are independent of each other. */
+/** Overload control: one measure of all scarce resources, instead of limits that are independent of each other. */
 
-/** How much of each scarce resource is in use or wanted here, as a share of what there is. */
+/** The use of or demand for each scarce resource on this controller, as a share of what is available. */
 export interface ResourceLoad {
-  /** Writes that are wanted, of this controller's share. */
+  /** Requested writes, as a share of this controller's allocation. */
   writes: number;
-  /** Requests to the state service, of an equal share. */
+  /** Requests to the state service, relative to an equal share of them. */
   requests: number;
-  /** Of the process's time. */
+  /** Busy time of the process, as a share of elapsed time. */
   time: number;
   sockets: number;
   memory: number;
-  /** Queued requests, of as many as may be queued. */
+  /** Queued requests, as a share of the most that may be queued. */
   waiting: number;
 }
 
-/** The smoothed load, and what follows from it for admission. */
+/** The smoothed load, and the resulting admission factor. */
 export interface OverloadSnapshot {
   readonly load: Readonly<ResourceLoad>;
   /** The resource with the highest load. */
   readonly bottleneck: keyof ResourceLoad;
-  /** Share of the jobs within the write budget that may be admitted. */
+  /** The share of the jobs within the write budget that may be admitted. */
   readonly admissionFactor: number;
 }
 
-/** Above this load fewer jobs are admitted; at full load, the smallest factor. */
+/** Above this load, fewer jobs are admitted. */
 const overloadThreshold = 0.85;
+/** The admission factor at full load. */
 const minAdmissionFactor = 0.25;
-/** Weight of a new observation: one moment of full load is not overload yet. */
+/** Weight of a new observation: a single moment of full load does not count as overload. */
 const smoothing = 0.2;
 
 /**
- * Watches the load. The writes are limited by their allocation; when any other resource runs short, fewer jobs are admitted, so
- * that polls, cancellations, heartbeats and accepted work keep what they need.
+ * Monitors the load. Writes are limited by their allocation; when any other resource runs short, fewer jobs are admitted, so that
+ * queries, cancellations, heartbeats and accepted work keep the resources that they need.
  */
 export class OverloadMonitor {
   private readonly smoothed: ResourceLoad = {
@@ -43,19 +44,19 @@
     waiting: 0,
   };
 
-  /** Adds an observation. */
+  /** Adds an observation and returns the updated snapshot. */
   observe(load: Readonly<ResourceLoad>): OverloadSnapshot {
     for (const name of Object.keys(load) as (keyof ResourceLoad)[])
       this.smoothed[name] += (load[name] - this.smoothed[name]) * smoothing;
     return this.snapshot;
   }
 
-  /** The present state. */
+  /** The current smoothed load and admission factor. */
   get snapshot(): OverloadSnapshot {
     const load = { ...this.smoothed };
     const names = Object.keys(load) as (keyof ResourceLoad)[];
     const bottleneck = names.reduce((a, b) => (load[b] > load[a] ? b : a));
-    // Writes are divided by the allocation already.
+    // Writes are already limited by the allocation.
     const highest = Math.max(...names.filter((name) => name !== 'writes').map((name) => load[name]));
     const excess = Math.min(1, Math.max(0, (highest - overloadThreshold) / (1 - overloadThreshold)));
     return { load, bottleneck, admissionFactor: 1 - (1 - minAdmissionFactor) * excess };
--- a/src/admission/rate-limiter.ts
+++ b/src/admission/rate-limiter.ts
@@ -1,6 +1,6 @@
-/** Measuring and limiting rates. Times in ms. */
+/** Measurement and limiting of rates. Times are in ms. */
 
-/** A rate, averaged exponentially over a window. */
+/** Measures a rate as an exponential moving average over a window. */
 export class RateMeter {
   private average = 0;
   private updatedAt = -1;
@@ -13,7 +13,7 @@
     this.average += (count * 1000) / this.windowMs;
   }
 
-  /** Events per second. */
+  /** The rate at `now`, events per second. */
   rate(now: number): number {
     this.decay(now);
     return this.average;
@@ -30,10 +30,10 @@
   private tokens = 0;
   private refilledAt = -1;
 
-  /** `burstS`: it holds the tokens of so many seconds, and one at least. */
+  /** `burstS`: the bucket holds at most the tokens of this many seconds, but always at least one. */
   constructor(private readonly burstS = 1) {}
 
-  /** Adds the tokens since the last refill, `rate` a second. Returns how many whole ones there are. */
+  /** Adds the tokens earned since the last refill, `rate` per second. Returns the number of whole tokens in the bucket. */
   refill(rate: number, now: number): number {
     if (this.refilledAt < 0) this.tokens = rate;
     else {
@@ -44,7 +44,7 @@
     return Math.floor(this.tokens);
   }
 
-  /** Takes tokens. */
+  /** Removes tokens from the bucket. */
   take(count: number): void {
     this.tokens -= count;
   }
--- a/src/admission/weights.ts
+++ b/src/admission/weights.ts
@@ -1,6 +1,6 @@
 /** Weights of teams in fair queueing. */
 
-/** A team's weight, from 1 to 2: by its part of all guaranteed CPUs. Of an unknown team: 1. */
+/** Returns a function that gives a team's weight: from 1 to 2 by its share of all guaranteed CPUs, 1 for an unknown team. */
 export function teamWeights(teams: readonly { name: string; cpus: number }[]): (team: string) => number {
   const guaranteed = teams.reduce((sum, { cpus }) => sum + cpus, 0);
   const weights = new Map(
--- a/src/admission/workload-division.ts
+++ b/src/admission/workload-division.ts
@@ -1,48 +1,50 @@
-/** Division of the jobs that may be admitted: by team, then by class, then among the controllers to which their users come. */
+/** Division of the jobs that may be admitted: by team, then by class, then by the controller that receives them. */
 import { burstFactor } from './member-allocation.js';
 import { maxMinShares, sum } from './max-min-fairness.js';
 import { workloadKey, type WorkloadDemand } from './workloads.js';
 
-/** What a controller may admit. */
+/** The jobs that a controller may admit. */
 export interface AdmissionShare {
-  /** Jobs a second of the workloads that it has named. */
+  /** Jobs per second of the workloads that the controller has reported. */
   jobsPerS: number;
-  /** The rates by which teams (`workloadKey(team, '')`), and the classes of each, take turns there. */
+  /** The rates that weight the turns of teams (`workloadKey(team, '')`) and of their classes at the controller. */
   readonly workloadRates: Map<string, number>;
 }
 
+/** The demand of one class of a team, in total and by controller. */
 interface ClassDemand {
   readonly weight: number;
   total: number;
   readonly byMember: number[];
 }
 
-/** A flow whose whole demand is met, and the rates of the flows with which it takes turns on a controller. */
+/** A flow whose whole demand is met, and the rates of the flows with which it takes turns at a controller. */
 interface SatisfiedFlow {
   readonly member: number;
   readonly key: string;
   readonly rates: ReadonlyMap<string, number>;
 }
 
-/** Teams and classes with demand get at least this share of an equal one, whatever their weights. */
+/** Teams and classes with demand get at least this part of an equal share, regardless of their weights. */
 const minEqualShare = 0.5;
-/** Smallest rate by which a flow takes turns, jobs a second. */
+/** The lowest rate by which a flow takes turns, jobs per second. */
 const minRate = 0.01;
 const tolerance = 1e-6;
 
-/** Rounds down to two digits: they are enough, and the sum never exceeds what there is. */
+/** Rounds down to two decimal places, which are precise enough; rounding down keeps the sum within the total. */
 export const roundDown = (value: number): number => Math.floor(value * 100) / 100;
 
-/** The division as it is built up: by controller, and the satisfied flows of all. */
+/** The intermediate state of a division: shares and rates by controller, and all satisfied flows. */
 interface Division {
   readonly shares: AdmissionShare[];
+  /** The rates of teams, by controller. */
   readonly teamRates: Map<string, number>[];
   readonly satisfied: SatisfiedFlow[];
 }
 
 /**
- * Divides the jobs a second that may be admitted. `demands`: the workloads that each controller has named. Weighted max-min
- * fairness between teams and between the classes of each, with a minimum for each that has demand.
+ * Divides the jobs per second that may be admitted, by weighted max-min fairness between teams and between the classes of each
+ * team, with a minimum for each that has demand. `demands`: the workloads that each controller has reported.
  */
 export function divideAmongWorkloads(
   jobsPerS: number,
@@ -55,16 +57,16 @@
     teamRates: demands.map(() => new Map<string, number>()),
     satisfied: [],
   };
-  const jobsByTeam = divideFairly(
+  const jobsByTeam = divideWithEqualMinimum(
     jobsPerS,
-    teams.map(([team, classes]) => ({ demand: totalOf(classes), weight: teamWeight(team) })),
+    teams.map(([team, classes]) => ({ demand: totalDemandOf(classes), weight: teamWeight(team) })),
   );
   teams.forEach(([team, classes], t) => divideAmongClasses(division, team, classes, jobsByTeam[t]));
   const { shares, teamRates, satisfied } = division;
   teamRates.forEach((rates, member) =>
     rates.forEach((rate, key) => shares[member].workloadRates.set(key, rate)),
   );
-  // A flow whose demand is met is to be served at once: in proportion to its few jobs it would wait among many.
+  // A flow whose demand is met should be served at once: weighted by its own low rate, it would wait behind many other jobs.
   for (const { member, key, rates } of satisfied)
     shares[member].workloadRates.set(key, Math.max(...rates.values()));
   for (const { workloadRates } of shares)
@@ -72,7 +74,7 @@
   return shares;
 }
 
-/** Divides a team's jobs by class, and each class's by the controllers that have named it. */
+/** Divides a team's jobs by class, and those of each class among the controllers that have reported it. */
 function divideAmongClasses(
   { shares, teamRates, satisfied }: Division,
   team: string,
@@ -81,7 +83,7 @@
 ): void {
   const teamKey = workloadKey(team, '');
   const classRates = shares.map(() => new Map<string, number>());
-  const jobsByClass = divideFairly(
+  const jobsByClass = divideWithEqualMinimum(
     jobsPerS,
     [...classes.values()].map(({ total, weight }) => ({ demand: total, weight })),
   );
@@ -97,14 +99,14 @@
       if (jobsByClass[c] > total - tolerance) satisfied.push({ member, key, rates });
     }),
   );
-  const isSatisfied = jobsPerS > totalOf(classes) - tolerance;
+  const isSatisfied = jobsPerS > totalDemandOf(classes) - tolerance;
   classRates.forEach((rates, member) => {
     if (isSatisfied && rates.size > 0) satisfied.push({ member, key: teamKey, rates: teamRates[member] });
     for (const [key, rate] of rates) shares[member].workloadRates.set(key, rate);
   });
 }
 
-/** The demand by team and class, in the order in which it was first named. */
+/** Sums the demand by team and class, in the order in which they are first reported. */
 function collectTeams(
   demands: readonly (readonly WorkloadDemand[])[],
 ): Map<string, Map<string, ClassDemand>> {
@@ -122,11 +124,14 @@
   return teams;
 }
 
-const totalOf = (classes: ReadonlyMap<string, ClassDemand>): number =>
+const totalDemandOf = (classes: ReadonlyMap<string, ClassDemand>): number =>
   sum([...classes.values()].map(({ total }) => total));
 
-/** Weighted max-min fairness with the same minimum for each claim. */
-function divideFairly(total: number, claims: readonly { demand: number; weight: number }[]): number[] {
+/** Divides by weighted max-min fairness with the same minimum for each claim. */
+function divideWithEqualMinimum(
+  total: number,
+  claims: readonly { demand: number; weight: number }[],
+): number[] {
   const minimum = (minEqualShare * total) / Math.max(1, claims.length);
   return maxMinShares(
     total,
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -8,7 +8,7 @@
   FairQueue,
   maxMinShares,
   divideWrites,
-  RetryTickets,
+  RejectionTracker,
   type QueueEntry,
 } from '../src/admission/index.js';
 import { Flood, flooding, floodable } from './support/flood.js';
@@ -111,7 +111,7 @@
 });
 
 test('retry tickets: bounded, told by others, and gone when the job is taken in or its user has given up', () => {
-  const t = new RetryTickets(100, 60_000);
+  const t = new RejectionTracker(100, 60_000);
   const turned = (n: number, ageMs = 0) => ({ id: `req-${n}`, team: 'a', class: 'c', ageMs });
   for (let n = 0; n < 150; n++) t.record(turned(n), n);
   assert.equal(t.outstandingCount('a', 'c'), 100);
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -389,7 +389,13 @@
     none.run(80);
     assert.equal(lowStarts(none.w).length, 0);
     const { w, run, at } = crowdedFleet(0.25);
-    const bound = maxStarvationS({ windowS: 32, runS: 10, machineS: 11, roundS: 1, reportS: 2 });
+    const bound = maxStarvationS({
+      windowS: 32,
+      maxTaskRunS: 10,
+      machineStartS: 11,
+      schedulingCycleS: 1,
+      heartbeatIntervalS: 2,
+    });
     run(Math.ceil(bound));
     assert.ok(lowStarts(w).length > 0 && (lowStarts(w)[0].at - at) / 1000 <= bound);
     // An eighth of 32 CPUs: two classes of one team, a quarter of an equal part.
