--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -1,4 +1,4 @@
-/** Admission under overload: fair queues, retry tickets, minimum shares, floods on the scripted world. */
+/** Admission under overload: fair queues, tracked rejections, minimum shares, floods in the simulated cluster. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -22,46 +22,47 @@
   minimum: amount,
 });
 
-test('max-min: never more than the whole or than wanted, floors first, nobody could get more without one who has less', () => {
+test('max-min fairness: within total and demand, minimums first, no share can grow except at the cost of a smaller one', () => {
   fc.assert(
     fc.property(amount, fc.array(claim, { minLength: 1, maxLength: 8 }), (total, claims) => {
-      const parts = maxMinShares(total, claims);
-      const sum = parts.reduce((a, b) => a + b, 0);
+      const shares = maxMinShares(total, claims);
+      const sum = shares.reduce((a, b) => a + b, 0);
       assert.ok(sum <= total + 1e-6);
-      const floors = claims.map((c) => Math.min(c.demand, c.minimum));
+      const minimums = claims.map((c) => Math.min(c.demand, c.minimum));
       const scale = Math.min(
         1,
         total /
           Math.max(
             1e-9,
-            floors.reduce((a, b) => a + b, 0),
+            minimums.reduce((a, b) => a + b, 0),
           ),
       );
       claims.forEach((c, i) => {
-        assert.ok(parts[i] <= c.demand + 1e-6);
-        assert.ok(parts[i] >= floors[i] * scale - 1e-6);
+        assert.ok(shares[i] <= c.demand + 1e-6);
+        assert.ok(shares[i] >= minimums[i] * scale - 1e-6);
       });
-      const wanted = claims.reduce((a, c) => a + c.demand, 0);
-      assert.ok(sum >= Math.min(total, wanted) - 1e-6);
-      // Of two that are short, neither has more beyond its floor, for its weight, than the other.
-      const level = (i: number) => (parts[i] - floors[i] * scale) / claims[i].weight;
-      const short = claims.map((_, i) => i).filter((i) => parts[i] < claims[i].demand - 1e-6);
-      for (const i of short) for (const j of short) assert.ok(Math.abs(level(i) - level(j)) < 1e-4);
+      const demandSum = claims.reduce((a, c) => a + c.demand, 0);
+      assert.ok(sum >= Math.min(total, demandSum) - 1e-6);
+      // All unmet claims have the same amount above their minimum, relative to their weight.
+      const excessPerWeight = (i: number) => (shares[i] - minimums[i] * scale) / claims[i].weight;
+      const unmet = claims.map((_, i) => i).filter((i) => shares[i] < claims[i].demand - 1e-6);
+      for (const i of unmet)
+        for (const j of unmet) assert.ok(Math.abs(excessPerWeight(i) - excessPerWeight(j)) < 1e-4);
     }),
   );
 });
 
-test('write shares: all controllers together stay below the whole, whatever they want, and each has something', () => {
-  const wants = fc.array(fc.record({ acceptedWork: amount, newJobs: amount, backlogS: amount }), {
+test('write shares: all controllers together stay within the budget, whatever the demand, and each gets a share', () => {
+  const demands = fc.array(fc.record({ acceptedWork: amount, newJobs: amount, backlogS: amount }), {
     minLength: 1,
     maxLength: 7,
   });
   fc.assert(
-    fc.property(fc.double({ min: 1, max: 200, noNaN: true }), wants, (writes, list) => {
-      const parts = divideWrites(writes, list);
-      assert.ok(parts.reduce((a, p) => a + p.total, 0) <= writes);
-      for (const p of parts) assert.ok(p.newJobs <= p.total + 1e-9);
-      parts.forEach((p, i) => assert.ok(p.newJobs > 0 || list[i].newJobs === 0));
+    fc.property(fc.double({ min: 1, max: 200, noNaN: true }), demands, (writes, list) => {
+      const shares = divideWrites(writes, list);
+      assert.ok(shares.reduce((a, p) => a + p.total, 0) <= writes);
+      for (const p of shares) assert.ok(p.newJobs <= p.total + 1e-9);
+      shares.forEach((p, i) => assert.ok(p.newJobs > 0 || list[i].newJobs === 0));
     }),
   );
   assert.ok(equalShare(40, 3).total * 3 <= 40);
@@ -78,54 +79,54 @@
   n,
 });
 
-test('the queue: teams take turns, then classes by weight; the oldest first; who comes back does not catch up', () => {
-  const q = new FairQueue<Item>(
+test('fair queue: teams take turns, then classes by weight; oldest first; a returning flow does not catch up', () => {
+  const queue = new FairQueue<Item>(
     () => 1,
     (e) => (e.class === 'heavy' ? 2 : 1),
   );
-  for (let n = 0; n < 60; n++) q.enqueue(item('a', 'flood', n));
-  for (let n = 0; n < 30; n++) q.enqueue(item('b', n % 2 ? 'heavy' : 'light', n));
-  const took = Array.from({ length: 24 }, () => q.dequeue()!);
-  assert.equal(took.filter((e) => e.team === 'a').length, 12);
-  assert.equal(took.filter((e) => e.class === 'heavy').length, 8);
+  for (let n = 0; n < 60; n++) queue.enqueue(item('a', 'flood', n));
+  for (let n = 0; n < 30; n++) queue.enqueue(item('b', n % 2 ? 'heavy' : 'light', n));
+  const dequeued = Array.from({ length: 24 }, () => queue.dequeue()!);
+  assert.equal(dequeued.filter((e) => e.team === 'a').length, 12);
+  assert.equal(dequeued.filter((e) => e.class === 'heavy').length, 8);
   assert.deepEqual(
-    took.filter((e) => e.team === 'a').map((e) => e.n),
+    dequeued.filter((e) => e.team === 'a').map((e) => e.n),
     Array.from({ length: 12 }, (_, i) => i),
   );
-  // It had nothing waiting: its next goes before the flood's, once.
-  q.enqueue(item('c', 'small', 1));
-  assert.equal(q.dequeue()!.team, 'c');
-  q.enqueue(item('c', 'small', 2));
-  q.enqueue(item('c', 'small', 3));
-  const next = Array.from({ length: 4 }, () => q.dequeue()!.team);
-  assert.equal(next.filter((t) => t === 'c').length <= 2, true);
-  // One that tried longer than all goes first in its class, and can be taken out.
-  const old = item('a', 'flood', 99, -5);
-  q.enqueue(old);
-  assert.deepEqual(q.position(item('a', 'flood', 98, -4)).ahead, 1);
-  assert.ok(q.remove(old) && !q.remove(old));
-  const size = q.size;
-  assert.equal([...q].length, size);
-  while (q.dequeue() !== null);
-  assert.equal(q.size, 0);
+  // A flow that had nothing waiting goes before the flood, once.
+  queue.enqueue(item('c', 'small', 1));
+  assert.equal(queue.dequeue()!.team, 'c');
+  queue.enqueue(item('c', 'small', 2));
+  queue.enqueue(item('c', 'small', 3));
+  const nextTeams = Array.from({ length: 4 }, () => queue.dequeue()!.team);
+  assert.equal(nextTeams.filter((t) => t === 'c').length <= 2, true);
+  // The entry with the oldest first attempt goes first in its class, and can be removed.
+  const oldest = item('a', 'flood', 99, -5);
+  queue.enqueue(oldest);
+  assert.deepEqual(queue.position(item('a', 'flood', 98, -4)).ahead, 1);
+  assert.ok(queue.remove(oldest) && !queue.remove(oldest));
+  const size = queue.size;
+  assert.equal([...queue].length, size);
+  while (queue.dequeue() !== null);
+  assert.equal(queue.size, 0);
 });
 
-test('retry tickets: bounded, told by others, and gone when the job is taken in or its user has given up', () => {
-  const t = new RejectionTracker(100, 60_000);
-  const turned = (n: number, ageMs = 0) => ({ id: `req-${n}`, team: 'a', class: 'c', ageMs });
-  for (let n = 0; n < 150; n++) t.record(turned(n), n);
-  assert.equal(t.outstandingCount('a', 'c'), 100);
-  assert.equal(t.firstAttemptAt('req-10'), undefined);
-  assert.equal(t.firstAttemptAt('req-149'), 149);
-  t.record(turned(149, 400), 200);
-  assert.equal(t.firstAttemptAt('req-149'), -200);
-  t.remove('req-149');
-  assert.equal(t.outstandingCount('a', 'c'), 99);
-  t.prune(200_000);
-  assert.equal(t.outstandingCount('a', 'c'), 0);
+test('tracked rejections: bounded, reported by peers, forgotten when the job is accepted or its user has stopped trying', () => {
+  const tracker = new RejectionTracker(100, 60_000);
+  const rejection = (n: number, ageMs = 0) => ({ id: `req-${n}`, team: 'a', class: 'c', ageMs });
+  for (let n = 0; n < 150; n++) tracker.record(rejection(n), n);
+  assert.equal(tracker.outstandingCount('a', 'c'), 100);
+  assert.equal(tracker.firstAttemptAt('req-10'), undefined);
+  assert.equal(tracker.firstAttemptAt('req-149'), 149);
+  tracker.record(rejection(149, 400), 200);
+  assert.equal(tracker.firstAttemptAt('req-149'), -200);
+  tracker.remove('req-149');
+  assert.equal(tracker.outstandingCount('a', 'c'), 99);
+  tracker.prune(200_000);
+  assert.equal(tracker.outstandingCount('a', 'c'), 0);
 });
 
-test('who is turned away is told when to come, spread, at most 30 s and before its user gives up; the oldest gets in', () => {
+test('rejected users get spread Retry-After times, at most 30 s and before they stop trying; the oldest is admitted', () => {
   const limits = {
     maxQueued: 100,
     maxQueueWaitMs: 1000,
@@ -133,77 +134,78 @@
     maxRetryAfterMs: 30_000,
     maxTickets: 5000,
   };
-  let n = 0;
-  const a = new AdmissionQueue<Item>(
+  let calls = 0;
+  const admission = new AdmissionQueue<Item>(
     limits,
     () => 1,
     () => 1,
-    () => (n++ % 10) / 10,
+    () => (calls++ % 10) / 10,
   );
-  a.rate = 10;
-  a.totalRate = 30;
-  const away = Array.from({ length: 400 }, (_, i) => a.offer(item('t', 'c', i, 0), 0)).filter(
+  admission.rate = 10;
+  admission.totalRate = 30;
+  const rejected = Array.from({ length: 400 }, (_, i) => admission.offer(item('t', 'c', i, 0), 0)).filter(
     (x) => x !== null,
   );
-  assert.equal(away.length, 390);
-  const pauses = away.map((x) => x.retryAfterS);
-  assert.ok(pauses.every((s) => s >= 1 && s <= 30));
-  assert.ok(new Set(pauses).size > 50);
-  while (a.dequeue() !== null);
-  // It comes again after 20 s, through here or elsewhere: it has tried for longest, so the youngest makes way.
-  a.recordPeerRejections([{ id: 'tc5000', team: 't', class: 'c', ageMs: 20_000 }], 25_000);
-  for (let i = 0; i < 20; i++) a.offer(item('t', 'c', 6000 + i, 25_000), 25_000);
-  const back = item('t', 'c', 5000, 25_000);
-  const gone = a.offer(back, 25_000);
-  assert.notEqual(gone?.entry, back);
-  assert.ok([...a['queue']].includes(back));
-  // Its last try comes before its user gives up.
-  const late = a.offer(item('t', 'c', 7000, 30_000), 78_000);
-  assert.ok(late !== null && late.retryAfterS <= 10, String(late?.retryAfterS));
+  assert.equal(rejected.length, 390);
+  const retryDelays = rejected.map((x) => x.retryAfterS);
+  assert.ok(retryDelays.every((s) => s >= 1 && s <= 30));
+  assert.ok(new Set(retryDelays).size > 50);
+  while (admission.dequeue() !== null);
+  // A retry after 20 s, at any controller, has the oldest first attempt, so it displaces the newest entry.
+  admission.recordPeerRejections([{ id: 'tc5000', team: 't', class: 'c', ageMs: 20_000 }], 25_000);
+  for (let i = 0; i < 20; i++) admission.offer(item('t', 'c', 6000 + i, 25_000), 25_000);
+  const retried = item('t', 'c', 5000, 25_000);
+  const displaced = admission.offer(retried, 25_000);
+  assert.notEqual(displaced?.entry, retried);
+  assert.ok([...admission['queue']].includes(retried));
+  // The last retry comes before the user stops trying.
+  const lastRejection = admission.offer(item('t', 'c', 7000, 30_000), 78_000);
+  assert.ok(lastRejection !== null && lastRejection.retryAfterS <= 10, String(lastRejection?.retryAfterS));
 });
 
-interface Case {
-  what: string;
+interface FloodCase {
+  title: string;
   streams?: typeof flooding;
-  during?: (w: World) => void;
-  /** Of the small team and class, accepted within 1 s. */
-  quick?: number;
+  disturb?: (w: World) => void;
+  /** The minimum share of the small team's and the small class's jobs that is accepted within 1 s. */
+  minQuickShare?: number;
 }
 
-const through = (i: number) => flooding.map((s) => ({ ...s, through: [i] }));
-const killed = (pick: (w: World) => { alive: boolean; boot(): void } | undefined) => (w: World) =>
-  w.schedule(15_000, () => {
-    const n = pick(w);
-    if (!n) return;
-    n.alive = false;
-    w.schedule(4000, () => n.boot());
-  });
+const throughController = (i: number) => flooding.map((s) => ({ ...s, through: [i] }));
+const killAndRestart =
+  (selectNode: (w: World) => { alive: boolean; boot(): void } | undefined) => (w: World) =>
+    w.schedule(15_000, () => {
+      const n = selectNode(w);
+      if (!n) return;
+      n.alive = false;
+      w.schedule(4000, () => n.boot());
+    });
 
-const cases: Case[] = [
-  { what: 'through all controllers', quick: 0.98 },
-  { what: 'through one', streams: through(1), quick: 0.98 },
+const floodCases: FloodCase[] = [
+  { title: 'through all controllers', minQuickShare: 0.98 },
+  { title: 'through one controller', streams: throughController(1), minQuickShare: 0.98 },
   {
-    what: 'the flooding team is the one with the guarantee',
-    quick: 0.98,
+    title: 'the flooding team is the one with guaranteed CPUs',
+    minQuickShare: 0.98,
     streams: flooding.map((s) => ({ ...s, job: { ...s.job, team: s.job.team === 'red' ? 'blue' : 'red' } })),
   },
   {
-    what: 'clients that ignore Retry-After',
-    quick: 0.95,
+    title: 'clients that ignore Retry-After',
+    minQuickShare: 0.95,
     streams: flooding.map((s) => (s.name === 'flood' ? { ...s, deaf: true } : s)),
   },
   {
-    what: 'a flood of gangs',
-    quick: 0.95,
+    title: 'a flood of gangs',
+    minQuickShare: 0.95,
     streams: flooding.map((s) =>
       s.name === 'flood' ? { ...s, job: { ...s.job, shape: 'gang' as const } } : s,
     ),
   },
-  { what: 'the leader killed', during: killed(leaderOf), quick: 0.85 },
+  { title: 'the leader is killed', disturb: killAndRestart(leaderOf), minQuickShare: 0.85 },
   {
-    what: 'the owner cut off for 10 s',
-    quick: 0.8,
-    during: (w) =>
+    title: 'the owner is cut off from the state service for 10 s',
+    minQuickShare: 0.8,
+    disturb: (w) =>
       w.schedule(15_000, () => {
         const n = ownerOf(w)!;
         n.cutFromState = true;
@@ -211,38 +213,38 @@
       }),
   },
   {
-    what: 'all restarted',
-    quick: 0.8,
-    during: (w) =>
+    title: 'all controllers are restarted',
+    minQuickShare: 0.8,
+    disturb: (w) =>
       w.schedule(20_000, () => {
         for (const n of w.nodes) n.alive = false;
         w.schedule(4000, () => w.nodes.forEach((n) => n.boot()));
       }),
   },
   {
-    what: 'users come unevenly: the flood through one controller, the others through two',
-    quick: 0.98,
+    title: 'uneven users: the flood through one controller, the others through two',
+    minQuickShare: 0.98,
     streams: flooding.map((s) => ({ ...s, through: s.name === 'flood' ? [0] : [1, 2] })),
   },
   {
-    what: 'a class that is seen for the first time in it',
-    quick: 0.98,
+    title: 'a class that appears for the first time during the flood',
+    minQuickShare: 0.98,
     streams: flooding.map((s) => (s.name === 'class' ? { ...s, fromMs: 30_000, forMs: 30_000 } : s)),
   },
   {
-    what: 'one controller of an earlier program: all go by pulses',
-    quick: 0.98,
-    during: (w) => {
+    title: 'one controller runs an earlier program: all divide the budget by peer reports',
+    minQuickShare: 0.98,
+    disturb: (w) => {
       w.nodes[2].operators = { ...w.nodes[2].operators, 'level-most': 2 };
       w.nodes[2].boot();
     },
   },
   {
-    what: 'a storm of polls with it',
-    quick: 0.98,
-    during: (w) => {
+    title: 'with a flood of queries',
+    minQuickShare: 0.98,
+    disturb: (w) => {
       let requestId = 5_000_000;
-      const storm = (): void => {
+      const sendQueries = (): void => {
         for (const n of w.nodes)
           for (let i = 0; i < 3; i++) {
             n.responses.delete(requestId - 3000);
@@ -252,39 +254,39 @@
               id: `req-${100_001 + ((requestId * 7) % 2000)}`,
             });
           }
-        if (w.now < 70_000) w.schedule(10, storm);
+        if (w.now < 70_000) w.schedule(10, sendQueries);
       };
-      storm();
+      sendQueries();
     },
   },
   {
-    what: 'a state service that takes half',
-    quick: 0.75,
-    during: (w) => w.schedule(10_000, () => (w.state.writesPerS = 15)),
+    title: 'the state service accepts only half of the writes',
+    minQuickShare: 0.75,
+    disturb: (w) => w.schedule(10_000, () => (w.state.writesPerS = 15)),
   },
 ];
 
-for (const c of cases)
-  test(`flood: ${c.what}: neither the small team nor the small class starves`, () => {
+for (const floodCase of floodCases)
+  test(`flood: ${floodCase.title}: neither the small team nor the small class starves`, () => {
     const w = floodable();
-    const users = new Flood(w, c.streams ?? flooding);
+    const users = new Flood(w, floodCase.streams ?? flooding);
     for (const j of users.jobs) w.gangs.set(j.spec.id, 1);
-    c.during?.(w);
+    floodCase.disturb?.(w);
     for (let i = 0; i < 13; i++) {
       for (const x of w.workers.values()) x.taskDurationS = 5;
       for (const j of users.jobs) if (j.spec.shape === 'gang') w.gangs.set(j.spec.id, 1);
       w.advance(10);
     }
     for (const name of ['team', 'class']) {
-      const f = users.of(name);
-      const text = `${name}: ${JSON.stringify(f)}`;
-      assert.ok(f.quick >= (c.quick ?? 0.98), text);
-      assert.ok(f.accepted >= 0.98 && f.run >= 0.95, text);
+      const results = users.of(name);
+      const text = `${name}: ${JSON.stringify(results)}`;
+      assert.ok(results.quick >= (floodCase.minQuickShare ?? 0.98), text);
+      assert.ok(results.accepted >= 0.98 && results.run >= 0.95, text);
     }
     assert.deepEqual(w.violations, []);
   });
 
-test('a flood that ends: a few seconds later everybody is taken in at once', () => {
+test('after a flood: a few seconds later all jobs are accepted at once', () => {
   const w = new World(3, { 'idle-boots': 1000, 'fair-admission': 1 });
   w.state.writesPerS = 30;
   w.capacity = 10;
@@ -294,11 +296,11 @@
     { name: 'after', perS: 3, fromMs: 85_000, forMs: 15_000, job: { team: 'blue', class: 'flood' } },
   ]);
   w.advance(105);
-  const f = users.of('after');
-  assert.ok(f.jobs > 30 && f.quick === 1, JSON.stringify(f));
+  const results = users.of('after');
+  assert.ok(results.jobs > 30 && results.quick === 1, JSON.stringify(results));
 });
 
-test('10,000 classes in one team: each gets its turn, and a decision stays cheap', () => {
+test('10,000 classes in one team: each gets its turn, and a decision stays fast', () => {
   const limits = {
     maxQueued: 20_000,
     maxQueueWaitMs: 1000,
@@ -306,24 +308,24 @@
     maxRetryAfterMs: 30_000,
     maxTickets: 5000,
   };
-  const cost: number[] = [];
-  for (const classes of [10, 1000, 10_000]) {
-    const a = new AdmissionQueue<Item>(
+  const costsMs: number[] = [];
+  for (const classCount of [10, 1000, 10_000]) {
+    const admission = new AdmissionQueue<Item>(
       limits,
       () => 1,
       () => 1,
       () => 0.5,
     );
-    a.rate = 10;
-    for (let i = 0; i < classes; i++) a.offer(item('t', `c${i}`, i), i);
-    const from = performance.now();
+    admission.rate = 10;
+    for (let i = 0; i < classCount; i++) admission.offer(item('t', `c${i}`, i), i);
+    const startedAt = performance.now();
     for (let i = 0; i < 200; i++) {
-      a.offer(item('u', 'small', classes + i), classes + i);
-      a.dequeue();
+      admission.offer(item('u', 'small', classCount + i), classCount + i);
+      admission.dequeue();
     }
-    cost.push((performance.now() - from) / 200);
-    // The other team's come every second turn at least.
-    assert.ok(a.size <= classes + 2, String(a.size));
+    costsMs.push((performance.now() - startedAt) / 200);
+    // The other team gets at least every second turn.
+    assert.ok(admission.size <= classCount + 2, String(admission.size));
   }
-  assert.ok(cost[2] < 5, `${cost.map((c) => c.toFixed(3)).join(', ')} ms`);
+  assert.ok(costsMs[2] < 5, `${costsMs.map((c) => c.toFixed(3)).join(', ')} ms`);
 });
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -1,4 +1,4 @@
-/** The write budget's allocation between controllers, teams and classes. */
+/** Allocation of the write budget to controllers, teams and classes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -27,25 +27,30 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-const demand = (tasks: number, users: number, follows = 0, kinds: WorkloadDemand[] = []): MemberDemand => ({
+const demand = (
+  tasks: number,
+  users: number,
+  allocationVersion = 0,
+  workloads: WorkloadDemand[] = [],
+): MemberDemand => ({
   acceptedWork: tasks,
   newJobs: users,
   backlogS: 0,
-  workloads: kinds,
-  allocationVersion: follows,
+  workloads,
+  allocationVersion,
 });
-const alike = (): number => 1;
+const equalWeights = (): number => 1;
 const rate = fc.double({ min: 0, max: 80, noNaN: true });
 
-test('allocations: whichever plan each follows, all of them together never write more than the whole', () => {
-  // Each step: what each wants, who has caught up with the newest plan, who has told the leader so, who is gone, time passes.
+test('allocations: whichever one each controller follows, all together never exceed the budget', () => {
+  // Each step: the demands, who has caught up with the newest allocation, who has reported that, who is absent, time passing.
   const step = fc.record({
     wants: fc.array(fc.tuple(rate, rate), { minLength: 4, maxLength: 4 }),
-    catches: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
-    tells: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
-    here: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
-    fallen: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
-    settled: fc.boolean(),
+    catchesUp: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
+    reports: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
+    isPresent: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
+    hasFallenBack: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
+    isSettled: fc.boolean(),
   });
   fc.assert(
     fc.property(
@@ -54,42 +59,44 @@
       fc.array(step),
       (n, writes, steps) => {
         const names = ['a', 'b', 'c', 'd'].slice(0, n);
-        let plan: WriteAllocation | null = null;
-        const plans = new Map<number, WriteAllocation>();
-        /** The plan that each follows (0: none yet, an equal share; -1: its view is old, its floor), and has told of. */
-        const follows = names.map(() => 0);
-        const told = names.map(() => 0);
+        let allocation: WriteAllocation | null = null;
+        const allocations = new Map<number, WriteAllocation>();
+        /** The version that each controller follows (0: none yet, equal share; -1: outdated replica, minimum share). */
+        const followedVersions = names.map(() => 0);
+        /** The version that each controller has reported. */
+        const reportedVersions = names.map(() => 0);
         for (const s of steps) {
           names.forEach((_, i) => {
-            if (plan && s.catches[i]) follows[i] = plan.version;
-            if (s.tells[i]) told[i] = Math.max(told[i], follows[i]);
-            // Older than views may be: whoever does not follow the last one has fallen back.
-            if (plan && s.settled && follows[i] < plan.version) follows[i] = -1;
-            if (plan && !s.here[i] && s.fallen[i]) follows[i] = -1;
+            if (allocation && s.catchesUp[i]) followedVersions[i] = allocation.version;
+            if (s.reports[i]) reportedVersions[i] = Math.max(reportedVersions[i], followedVersions[i]);
+            // The allocation is older than any replica can be: who does not follow it has fallen back.
+            if (allocation && s.isSettled && followedVersions[i] < allocation.version)
+              followedVersions[i] = -1;
+            if (allocation && !s.isPresent[i] && s.hasFallenBack[i]) followedVersions[i] = -1;
           });
           const members = names.map((name, i): MemberStatus => ({
             name,
-            isPresent: s.here[i],
-            hasFallenBack: !s.here[i] && s.fallen[i],
-            demand: s.here[i] ? demand(s.wants[i][0], s.wants[i][1], told[i]) : null,
+            isPresent: s.isPresent[i],
+            hasFallenBack: !s.isPresent[i] && s.hasFallenBack[i],
+            demand: s.isPresent[i] ? demand(s.wants[i][0], s.wants[i][1], reportedVersions[i]) : null,
           }));
-          plan = nextAllocation(plan, writes, members, s.settled, alike);
-          plans.set(plan.version, plan);
+          allocation = nextAllocation(allocation, writes, members, s.isSettled, equalWeights);
+          allocations.set(allocation.version, allocation);
           const used = names.map((name, i) => {
-            if (follows[i] === 0) return fallbackWrites(writes, n, false).total;
-            if (follows[i] < 0) return fallbackWrites(writes, n, true).total;
-            return plans.get(follows[i])!.members.get(name)!.total;
+            if (followedVersions[i] === 0) return fallbackWrites(writes, n, false).total;
+            if (followedVersions[i] < 0) return fallbackWrites(writes, n, true).total;
+            return allocations.get(followedVersions[i])!.members.get(name)!.total;
           });
           const sum = used.reduce((x, y) => x + y, 0);
           assert.ok(
             sum <= allocatableWrites(writes) + 1e-6,
             `${used.join(' + ')} of ${allocatableWrites(writes)}`,
           );
-          for (const p of plan.members.values()) {
+          for (const member of allocation.members.values()) {
             assert.ok(
-              p.total >= minMemberWrites(writes, n) - 1e-9 &&
-                p.newJobs <= p.total + 1e-9 &&
-                p.total <= p.maxInUse + 1e-9,
+              member.total >= minMemberWrites(writes, n) - 1e-9 &&
+                member.newJobs <= member.total + 1e-9 &&
+                member.total <= member.maxInUse + 1e-9,
             );
           }
         }
@@ -99,62 +106,66 @@
   );
 });
 
-test('allocations: what is taken from one is given to another only when the first follows', () => {
-  const members = (follows: number): MemberStatus[] => [
-    { name: 'a', isPresent: true, hasFallenBack: false, demand: demand(40, 5, follows) },
-    { name: 'b', isPresent: true, hasFallenBack: false, demand: demand(0, 2, follows) },
+test('allocations: a share is given to another controller only after the first one follows its reduction', () => {
+  const members = (followedVersion: number): MemberStatus[] => [
+    { name: 'a', isPresent: true, hasFallenBack: false, demand: demand(40, 5, followedVersion) },
+    { name: 'b', isPresent: true, hasFallenBack: false, demand: demand(0, 2, followedVersion) },
   ];
-  const first = nextAllocation(null, 40, members(0), false, alike);
-  const of = (p: WriteAllocation, name: string) => p.members.get(name)!.total;
-  assert.ok(of(first, 'a') <= allocatableWrites(40) / 2 && of(first, 'b') < allocatableWrites(40) / 2);
-  const early = nextAllocation(first, 40, members(0), false, alike);
-  assert.ok(of(early, 'a') <= of(first, 'a') + 1e-9);
-  const second = nextAllocation(early, 40, members(early.version), false, alike);
-  assert.ok(of(second, 'a') > allocatableWrites(40) * 0.6, String(of(second, 'a')));
-  // Another leader knows of nobody what it follows, until it is told or time has passed.
-  assert.ok(of(nextAllocation(second, 40, members(0), false, alike), 'a') >= of(second, 'a') - 1e-9);
-  // Who is gone keeps its floor, the others get the rest once it is settled.
-  const gone: MemberStatus[] = [
+  const first = nextAllocation(null, 40, members(0), false, equalWeights);
+  const totalOf = (allocation: WriteAllocation, name: string) => allocation.members.get(name)!.total;
+  assert.ok(
+    totalOf(first, 'a') <= allocatableWrites(40) / 2 && totalOf(first, 'b') < allocatableWrites(40) / 2,
+  );
+  const early = nextAllocation(first, 40, members(0), false, equalWeights);
+  assert.ok(totalOf(early, 'a') <= totalOf(first, 'a') + 1e-9);
+  const second = nextAllocation(early, 40, members(early.version), false, equalWeights);
+  assert.ok(totalOf(second, 'a') > allocatableWrites(40) * 0.6, String(totalOf(second, 'a')));
+  // A new leader does not know which allocation members follow until they report it or enough time has passed.
+  assert.ok(
+    totalOf(nextAllocation(second, 40, members(0), false, equalWeights), 'a') >= totalOf(second, 'a') - 1e-9,
+  );
+  // A departed member keeps its minimum; the others get the rest once the allocation is settled.
+  const departed: MemberStatus[] = [
     members(9)[0],
     { name: 'b', isPresent: false, hasFallenBack: true, demand: null },
   ];
-  const third = nextAllocation(second, 40, gone, true, alike);
-  assert.ok(Math.abs(of(third, 'b') - minMemberWrites(40, 2)) < 1e-9);
-  assert.equal(isWorthWriting(third, nextAllocation(third, 40, gone, true, alike), 40), false);
+  const third = nextAllocation(second, 40, departed, true, equalWeights);
+  assert.ok(Math.abs(totalOf(third, 'b') - minMemberWrites(40, 2)) < 1e-9);
+  assert.equal(isWorthWriting(third, nextAllocation(third, 40, departed, true, equalWeights), 40), false);
 });
 
-test('allocations: team first, then class, and those to whom their users come; who wants little takes its turn at once', () => {
-  const kind = (team: string, cls: string, want: number, weight = 1): WorkloadDemand => ({
+test('allocations: by team, then class, then the receiving controller; small demands are served at once', () => {
+  const workload = (team: string, cls: string, jobsPerS: number, weight = 1): WorkloadDemand => ({
     team,
     class: cls,
     weight,
-    jobsPerS: want,
+    jobsPerS,
   });
   const members: MemberStatus[] = [
     {
       name: 'a',
       isPresent: true,
       hasFallenBack: false,
-      demand: demand(0, 45, 1, [kind('x', 'flood', 20), kind('y', 'flood', 10)]),
+      demand: demand(0, 45, 1, [workload('x', 'flood', 20), workload('y', 'flood', 10)]),
     },
     {
       name: 'b',
       isPresent: true,
       hasFallenBack: false,
-      demand: demand(0, 12, 1, [kind('y', 'flood', 10), kind('y', 'small', 1)]),
+      demand: demand(0, 12, 1, [workload('y', 'flood', 10), workload('y', 'small', 1)]),
     },
   ];
-  const before: WriteAllocation = nextAllocation(null, 20, members, true, alike);
-  const { members: parts } = nextAllocation(before, 20, members, true, alike);
-  const [a, b] = [parts.get('a')!, parts.get('b')!];
-  // Half of all for x, which comes to a alone; of y's half its small class gets all it wants.
+  const before: WriteAllocation = nextAllocation(null, 20, members, true, equalWeights);
+  const { members: shares } = nextAllocation(before, 20, members, true, equalWeights);
+  const [a, b] = [shares.get('a')!, shares.get('b')!];
+  // Team x gets half of the total, all at controller a; of team y's half, its small class gets its whole demand.
   assert.ok(a.newJobs > b.newJobs * 1.5, `${a.newJobs} ${b.newJobs}`);
   assert.ok(a.workloadRates.get('x flood')! > a.workloadRates.get('y flood')! * 1.7);
   assert.ok(b.workloadRates.get('y small')! >= b.workloadRates.get('y flood')!);
 });
 
-test('allocations are records like others: their format, what fits into a value, damaged ones', () => {
-  const kinds = Array.from({ length: 16 }, (_, i) => ({
+test('allocations are stored records: format, size limit of a value, damaged ones', () => {
+  const workloads = Array.from({ length: 16 }, (_, i) => ({
     team: 't',
     class: `${'c'.repeat(150)}${i}`,
     weight: 1,
@@ -164,33 +175,33 @@
     name,
     isPresent: true,
     hasFallenBack: false,
-    demand: demand(9, 9, 0, kinds),
+    demand: demand(9, 9, 0, workloads),
   }));
-  const plan = nextAllocation(null, 40, members, false, alike);
-  const data = allocationData(plan, 8);
+  const allocation = nextAllocation(null, 40, members, false, equalWeights);
+  const data = allocationData(allocation, 8);
   assert.ok(JSON.stringify(data).length <= 4096);
   assert.deepEqual(inspect('plan', data), { ok: true, format: 1, extras: null });
-  assert.equal(readAllocation(data).members.get('b')!.total, plan.members.get('b')!.total);
+  assert.equal(readAllocation(data).members.get('b')!.total, allocation.members.get('b')!.total);
   assert.match(JSON.stringify(inspect('plan', { n: 1, p: { a: [1, 2] } })), /damaged.*p\.a/);
   assert.equal(formats.plan.length, 1);
 });
 
-test('what users wish is told by team and class, bounded; pressure slows the taking in, writes do not count twice', () => {
-  const w = new DemandEstimates(100, 60_000);
-  for (let i = 0; i < 10_000; i++) w.recordArrival('t', `c${i}`, 1, i);
-  for (let i = 0; i < 300; i++) w.recordArrival('u', 'one', 1, 10_000 + i * 10);
-  const list = w.largest(13_000);
-  assert.ok(list.length <= 16 && list.some((k) => k.team === 't' && k.class === '*'));
-  assert.ok(list.some((k) => k.team === 'u' && k.jobsPerS > 20));
-  const p = new OverloadMonitor();
+test('demand is reported by team and class, bounded; overload reduces admission, writes are not counted twice', () => {
+  const estimates = new DemandEstimates(100, 60_000);
+  for (let i = 0; i < 10_000; i++) estimates.recordArrival('t', `c${i}`, 1, i);
+  for (let i = 0; i < 300; i++) estimates.recordArrival('u', 'one', 1, 10_000 + i * 10);
+  const largest = estimates.largest(13_000);
+  assert.ok(largest.length <= 16 && largest.some((k) => k.team === 't' && k.class === '*'));
+  assert.ok(largest.some((k) => k.team === 'u' && k.jobsPerS > 20));
+  const monitor = new OverloadMonitor();
   const load = { writes: 3, requests: 0.2, time: 0.3, sockets: 0.1, memory: 0.4, waiting: 0 };
-  for (let i = 0; i < 50; i++) p.observe(load);
-  assert.deepEqual([p.snapshot.admissionFactor, p.snapshot.bottleneck], [1, 'writes']);
-  for (let i = 0; i < 50; i++) p.observe({ ...load, writes: 0.5, memory: 1 });
-  assert.ok(p.snapshot.admissionFactor < 0.3 && p.snapshot.bottleneck === 'memory');
+  for (let i = 0; i < 50; i++) monitor.observe(load);
+  assert.deepEqual([monitor.snapshot.admissionFactor, monitor.snapshot.bottleneck], [1, 'writes']);
+  for (let i = 0; i < 50; i++) monitor.observe({ ...load, writes: 0.5, memory: 1 });
+  assert.ok(monitor.snapshot.admissionFactor < 0.3 && monitor.snapshot.bottleneck === 'memory');
 });
 
-const tired = { timeout: 120_000 };
+const longTimeout = { timeout: 120_000 };
 
 function floodWorld(): { w: World; users: Flood } {
   const w = floodable();
@@ -198,95 +209,96 @@
   return { w, users: new Flood(w, flooding) };
 }
 
-const planOf = (w: World) => w.state.entries.get('dp/plan')!;
-const served = (users: Flood, quick: number): void => {
+const storedAllocation = (w: World) => w.state.entries.get('dp/plan')!;
+const assertServed = (users: Flood, minQuickShare: number): void => {
   for (const name of ['team', 'class']) {
-    const f = users.of(name);
-    assert.ok(f.quick >= quick && f.accepted >= 0.98, `${name}: ${JSON.stringify(f)}`);
+    const results = users.of(name);
+    assert.ok(
+      results.quick >= minQuickShare && results.accepted >= 0.98,
+      `${name}: ${JSON.stringify(results)}`,
+    );
   }
 };
 
 test(
-  'a leader that stood still in the flood comes back with an old plan: it writes none, and follows the newest',
-  tired,
+  'a leader that was paused during the flood resumes with an old allocation: it writes none and follows the newest',
+  longTimeout,
   () => {
     const { w, users } = floodWorld();
     w.advance(15);
-    const old = leaderOf(w)!;
-    const { version: number } = old.controller.replica.writeAllocation!;
-    assert.ok(number >= 2);
-    old.paused = true;
+    const pausedLeader = leaderOf(w)!;
+    const { version: versionBefore } = pausedLeader.controller.replica.writeAllocation!;
+    assert.ok(versionBefore >= 2);
+    pausedLeader.paused = true;
     w.advance(20);
-    const by = w.nodes.find(
+    const newLeader = w.nodes.find(
       (n) => n.member === (w.state.entries.get('dp/chief')!.data as { member: string }).member,
     )!;
-    assert.notEqual(by, old);
-    const stamp = planOf(w).stamp;
-    const mark = w.commits.length;
-    old.paused = false;
+    assert.notEqual(newLeader, pausedLeader);
+    const stamp = storedAllocation(w).stamp;
+    const commitsBefore = w.commits.length;
+    pausedLeader.paused = false;
     w.advance(0.05);
-    // It acts on what it had: within its floor, and no plan of it gets through.
-    assert.ok(old.controller['components'].batcher.writesPerS <= minMemberWrites(30, 3) + 1e-9);
+    // It keeps to its minimum share, and none of its allocations is committed.
+    assert.ok(pausedLeader.controller['components'].batcher.writesPerS <= minMemberWrites(30, 3) + 1e-9);
     w.advance(10);
-    const plans = w.commits.slice(mark).filter((c) => c.txn.writes.some((a) => a.key === 'dp/plan'));
-    assert.ok(plans.every((c) => c.member === by.member || c.outcome.type !== 'ok'));
-    assert.ok(planOf(w).stamp >= stamp);
+    const allocationCommits = w.commits
+      .slice(commitsBefore)
+      .filter((c) => c.txn.writes.some((a) => a.key === 'dp/plan'));
+    assert.ok(allocationCommits.every((c) => c.member === newLeader.member || c.outcome.type !== 'ok'));
+    assert.ok(storedAllocation(w).stamp >= stamp);
     assert.equal(
-      old.controller.replica.writeAllocation!.version,
-      by.controller.replica.writeAllocation!.version,
+      pausedLeader.controller.replica.writeAllocation!.version,
+      newLeader.controller.replica.writeAllocation!.version,
     );
     w.advance(90);
-    served(users, 0.8);
+    assertServed(users, 0.8);
     assert.deepEqual(w.violations, []);
   },
 );
 
-test(
-  'two plans in force at once, users at one controller, no talk between them: few commits are refused',
-  tired,
-  () => {
-    const { w, users } = floodWorld();
-    w.peersConnected = false;
-    const follower = w.nodes.find((n) => n !== leaderOf(w) && n !== ownerOf(w))!;
-    const refused = w.state.rateLimitedCount;
-    const commits = w.commits.length;
-    w.schedule(10_000, () => (follower.cutFromState = true));
-    w.schedule(14_000, () => (follower.cutFromState = false));
-    w.advance(130);
-    const share = (w.state.rateLimitedCount - refused) / (w.commits.length - commits);
-    assert.ok(share < 0.02, String(share));
-    served(users, 0.8);
-    assert.deepEqual(w.violations, []);
-  },
-);
+test('two allocations in force at once, peers disconnected: few commits are refused', longTimeout, () => {
+  const { w, users } = floodWorld();
+  w.peersConnected = false;
+  const follower = w.nodes.find((n) => n !== leaderOf(w) && n !== ownerOf(w))!;
+  const refusedBefore = w.state.rateLimitedCount;
+  const commitsBefore = w.commits.length;
+  w.schedule(10_000, () => (follower.cutFromState = true));
+  w.schedule(14_000, () => (follower.cutFromState = false));
+  w.advance(130);
+  const refusedShare = (w.state.rateLimitedCount - refusedBefore) / (w.commits.length - commitsBefore);
+  assert.ok(refusedShare < 0.02, String(refusedShare));
+  assertServed(users, 0.8);
+  assert.deepEqual(w.violations, []);
+});
 
-test('plans are written seldom, and hardly at all when nothing changes', tired, () => {
+test('allocations are written rarely, and hardly ever when nothing changes', longTimeout, () => {
   const { w } = floodWorld();
-  const written = () =>
+  const allocationWrites = () =>
     w.commits.filter((c) => c.outcome.type === 'ok' && c.txn.writes.some((a) => a.key === 'dp/plan')).length;
-  const before = written();
+  const before = allocationWrites();
   w.advance(60);
-  // Two a state lease (3.2 s) at most.
-  assert.ok(written() - before <= 60 / 1.6, String(written() - before));
+  // At most two per state lease (3.2 s).
+  assert.ok(allocationWrites() - before <= 60 / 1.6, String(allocationWrites() - before));
   w.advance(90);
-  const quiet = written();
+  const beforeQuiet = allocationWrites();
   w.advance(60);
-  assert.ok(written() - quiet <= 10, String(written() - quiet));
+  assert.ok(allocationWrites() - beforeQuiet <= 10, String(allocationWrites() - beforeQuiet));
 });
 
-test('clocks apart by the most that they may be: parts hold, nobody starves', tired, () => {
+test('clocks that differ by the allowed maximum: shares hold, nobody starves', longTimeout, () => {
   const { w, users } = floodWorld();
   w.nodes.forEach((n, i) => (n.clockRate = 1 + (i - 1) * 0.0005));
-  const refused = w.state.rateLimitedCount;
-  const commits = w.commits.length;
+  const refusedBefore = w.state.rateLimitedCount;
+  const commitsBefore = w.commits.length;
   w.advance(130);
-  assert.ok((w.state.rateLimitedCount - refused) / (w.commits.length - commits) < 0.02);
-  served(users, 0.98);
+  assert.ok((w.state.rateLimitedCount - refusedBefore) / (w.commits.length - commitsBefore) < 0.02);
+  assertServed(users, 0.98);
 });
 
 test(
-  'the level is lowered and raised in the flood: without the plan all go by pulses, then by it again',
-  tired,
+  'the level is lowered and raised during a flood: all divide the budget by peer reports, then follow the allocation again',
+  longTimeout,
   () => {
     const { w, users } = floodWorld();
     w.advance(10);
@@ -299,64 +311,66 @@
     w.advance(100);
     assert.ok(
       w.nodes.every(
-        (n) => n.controller['components'].writeBudget.followedVersion === (planOf(w).data as { n: number }).n,
+        (n) =>
+          n.controller['components'].writeBudget.followedVersion ===
+          (storedAllocation(w).data as { n: number }).n,
       ),
     );
-    served(users, 0.9);
+    assertServed(users, 0.9);
     assert.deepEqual(w.violations, []);
   },
 );
 
 test(
-  'a plan that cannot be read: each falls back to its floor, serving goes on, and it is followed when it can be',
-  tired,
+  'an unreadable allocation: each controller falls back to its minimum, and follows the allocation once it is readable',
+  longTimeout,
   () => {
     const { w } = floodWorld();
-    const { data } = planOf(w);
+    const { data } = storedAllocation(w);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: { v: 9, x: 1 } }] });
     w.advance(2);
     for (const n of w.nodes)
       assert.ok(n.controller['components'].batcher.writesPerS <= minMemberWrites(30, 3) + 1e-9);
-    assert.equal((planOf(w).data as { v: number }).v, 9);
+    assert.equal((storedAllocation(w).data as { v: number }).v, 9);
     w.state.commit({ conditions: [], writes: [{ key: 'dp/plan', data: data as Record<string, unknown> }] });
     w.advance(4);
     for (const n of w.nodes) assert.ok(n.controller['components'].writeBudget.followedVersion > 0);
   },
 );
 
-test('minimum shares: a deficit after a whole window with less, up to the floor, by team and then by class, those that waited longest first', () => {
-  const f = new MinimumShares(10_000, 0.5);
-  const uses = (small: number, waits = true): WorkloadUsage[] => [
-    { workload: 'a big', team: 'a', share: 1 - small, waiting: true },
-    { workload: 'b small', team: 'b', share: small, waiting: waits },
+test('minimum shares: a deficit after a whole window below the minimum, by team, then class, longest waiting first', () => {
+  const minimumShares = new MinimumShares(10_000, 0.5);
+  const usages = (smallShare: number, isWaiting = true): WorkloadUsage[] => [
+    { workload: 'a big', team: 'a', share: 1 - smallShare, waiting: true },
+    { workload: 'b small', team: 'b', share: smallShare, waiting: isWaiting },
     { workload: 'b other', team: 'b', share: 0, waiting: false },
   ];
-  assert.deepEqual(f.findDeficits(0, uses(0)), []);
-  assert.deepEqual(f.findDeficits(9000, uses(0)), []);
-  // Half of an equal part: a quarter for the team, all of it for its only class that has work.
-  assert.deepEqual(f.findDeficits(10_000, uses(0)), [{ workload: 'b small', deficit: 0.25 }]);
+  assert.deepEqual(minimumShares.findDeficits(0, usages(0)), []);
+  assert.deepEqual(minimumShares.findDeficits(9000, usages(0)), []);
+  // Half of an equal share: a quarter for the team, all of it for its only class that has work.
+  assert.deepEqual(minimumShares.findDeficits(10_000, usages(0)), [{ workload: 'b small', deficit: 0.25 }]);
   assert.deepEqual(
-    f.findDeficits(11_000, uses(0.2)).map((o) => Math.round(o.deficit * 100)),
+    minimumShares.findDeficits(11_000, usages(0.2)).map((o) => Math.round(o.deficit * 100)),
     [5],
   );
-  assert.deepEqual(f.findDeficits(12_000, uses(0.25)), []);
-  // It had nothing waiting meanwhile: a window begins anew.
-  f.findDeficits(20_000, uses(0, false));
-  assert.deepEqual(f.findDeficits(29_000, uses(0)), []);
-  const many = Array.from({ length: 10_000 }, (_, i) => ({
+  assert.deepEqual(minimumShares.findDeficits(12_000, usages(0.25)), []);
+  // Nothing of it waited in between, so the window starts again.
+  minimumShares.findDeficits(20_000, usages(0, false));
+  assert.deepEqual(minimumShares.findDeficits(29_000, usages(0)), []);
+  const manyUsages = Array.from({ length: 10_000 }, (_, i) => ({
     workload: `c ${i}`,
     team: 'c',
     share: 0,
     waiting: true,
   }));
-  const g = new MinimumShares(1000, 0.5);
-  g.findDeficits(0, many);
-  assert.equal(g.findDeficits(1000, many).length, 16);
+  const manyWorkloads = new MinimumShares(1000, 0.5);
+  manyWorkloads.findDeficits(0, manyUsages);
+  assert.equal(manyWorkloads.findDeficits(1000, manyUsages).length, 16);
 });
 
-/** The fleet is full, and work with deadlines for twice of it goes on coming; what nobody waits for goes behind all of it. */
-function crowdedFleet(floorShare: number, over: Partial<JobSpec> = {}) {
-  const w = new World(3, { 'idle-boots': 1000, 'floor-share': floorShare });
+/** A full fleet with jobs with deadlines arriving for twice its capacity; jobs without a deadline are placed after all of them. */
+function fullFleet(minimumShare: number, overrides: Partial<JobSpec> = {}) {
+  const w = new World(3, { 'idle-boots': 1000, 'floor-share': minimumShare });
   w.capacity = 4;
   w.advance(6);
   const users = new Flood(w, [
@@ -375,36 +389,38 @@
     }
   };
   run(40);
-  const at = w.now;
-  w.nodes[0].submit(spec('req-1', { team: 'blue', class: 'low', tasks: 20, ...over }));
-  return { w, users, run, at };
+  const submittedAt = w.now;
+  w.nodes[0].submit(spec('req-1', { team: 'blue', class: 'low', tasks: 20, ...overrides }));
+  return { w, users, run, at: submittedAt };
 }
-const lowStarts = (w: World) => w.starts.filter((s) => s.piece.startsWith('req-1/'));
+const startsWithoutDeadline = (w: World) => w.starts.filter((s) => s.piece.startsWith('req-1/'));
 
 test(
-  'a flood of work with deadlines: work without gets its floor within the stated time, no more, and nothing is stopped for it',
-  tired,
+  'a flood of jobs with deadlines: jobs without get their minimum share in time, not more, and nothing is preempted',
+  longTimeout,
   () => {
-    const none = crowdedFleet(0);
-    none.run(80);
-    assert.equal(lowStarts(none.w).length, 0);
-    const { w, run, at } = crowdedFleet(0.25);
-    const bound = maxStarvationS({
+    const withoutMinimum = fullFleet(0);
+    withoutMinimum.run(80);
+    assert.equal(startsWithoutDeadline(withoutMinimum.w).length, 0);
+    const { w, run, at } = fullFleet(0.25);
+    const maxWaitS = maxStarvationS({
       windowS: 32,
       maxTaskRunS: 10,
       machineStartS: 11,
       schedulingCycleS: 1,
       heartbeatIntervalS: 2,
     });
-    run(Math.ceil(bound));
-    assert.ok(lowStarts(w).length > 0 && (lowStarts(w)[0].at - at) / 1000 <= bound);
-    // An eighth of 32 CPUs: two classes of one team, a quarter of an equal part.
-    let most = 0;
+    run(Math.ceil(maxWaitS));
+    assert.ok(
+      startsWithoutDeadline(w).length > 0 && (startsWithoutDeadline(w)[0].at - at) / 1000 <= maxWaitS,
+    );
+    // An eighth of 32 CPUs: a quarter of an equal share, with two classes of one team.
+    let maxRunning = 0;
     for (let i = 0; i < 40; i++) {
       run(1);
-      most = Math.max(most, w.running('req-1').length);
+      maxRunning = Math.max(maxRunning, w.running('req-1').length);
     }
-    assert.ok(most >= 3 && most <= 4, String(most));
+    assert.ok(maxRunning >= 3 && maxRunning <= 4, String(maxRunning));
     assert.equal(
       w.nodes
         .flatMap((n) => n.logLines)
@@ -416,13 +432,13 @@
 );
 
 test(
-  'a gang with less than its floor gets machines that run empty for it, in spite of single tasks that go first',
-  tired,
+  'a gang below its minimum share gets machines that are drained for it, although single tasks are ahead',
+  longTimeout,
   () => {
-    const { w, run } = crowdedFleet(0.25, { shape: 'gang', tasks: 2, cpus: 8 });
+    const { w, run } = fullFleet(0.25, { shape: 'gang', tasks: 2, cpus: 8 });
     w.gangs.set('req-1', 2);
     run(80);
-    assert.equal(new Set(lowStarts(w).map((s) => s.piece)).size, 2);
+    assert.equal(new Set(startsWithoutDeadline(w).map((s) => s.piece)).size, 2);
     assert.deepEqual(w.violations, []);
   },
 );
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -1,4 +1,4 @@
-/** Loss of data in the state service: noticing it, and bringing the state back. */
+/** Loss of data in the state service: detecting it, and restoring the state. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -24,7 +24,7 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-test('ranges: tokens and attempts of an incarnation are above all from before, and exact', () => {
+test('number ranges: tokens and attempts of an incarnation exceed all earlier ones and are exact numbers', () => {
   assert.equal(tokenBase(1), 0);
   assert.ok(tokenBase(2) > 2 ** 35 && attemptBase(2) > 10 ** 6);
   assert.ok(Number.isSafeInteger(tokenBase(2 ** 17) + 2 ** 36 - 1));
@@ -34,54 +34,62 @@
   );
 });
 
-test('a loss is told from a lagging answer, a lease that ended and a legal deletion', () => {
-  const w = new DataLossDetector();
-  w.revisionReached(10, 100);
-  w.revisionReached(20, 200);
-  // Sent before 20 was known: an answer that lags.
-  assert.equal(w.revisionRead(150, 15), null);
-  assert.equal(w.revisionRead(200, 12), null);
-  assert.match(w.revisionRead(201, 19)!, /revision 19 after 20/);
-  // What failed is explained by a change that came, and not by none.
-  w.conditionFailed('dp/a', 7, 30);
+test('detection: a loss is distinguished from a late response, an expired lease and a regular deletion', () => {
+  const detector = new DataLossDetector();
+  detector.revisionReached(10, 100);
+  detector.revisionReached(20, 200);
+  // The request was sent before revision 20 was known, so the response is only late.
+  assert.equal(detector.revisionRead(150, 15), null);
+  assert.equal(detector.revisionRead(200, 12), null);
+  assert.match(detector.revisionRead(201, 19)!, /revision 19 after 20/);
+  // A change that arrives explains a failed condition; without a change it is a loss.
+  detector.conditionFailed('dp/a', 7, 30);
   assert.equal(
-    w.checkFailedConditions(29, () => 7),
+    detector.checkFailedConditions(29, () => 7),
     null,
   );
   assert.equal(
-    w.checkFailedConditions(30, () => 28),
+    detector.checkFailedConditions(30, () => 28),
     null,
   );
-  w.conditionFailed('dp/a', 7, 30);
+  detector.conditionFailed('dp/a', 7, 30);
   assert.match(
-    w.checkFailedConditions(31, () => 7)!,
+    detector.checkFailedConditions(31, () => 7)!,
     /dp\/a is not at 7/,
   );
-  // A token of a revision that is still to be seen, and one of a revision that never comes.
-  assert.equal(w.tokenReported(25, 1, 300), null);
-  assert.equal(w.revisionRead(290, 22), null);
-  assert.match(w.revisionRead(301, 24)!, /worker has seen revision 25/);
-  assert.match(w.tokenReported(tokenBase(4) + 1, 2, 300)!, /later incarnation/);
-  const mine = [
+  // The revision of a reported token may be reached later; if it is not, the token comes from a lost state.
+  assert.equal(detector.tokenReported(25, 1, 300), null);
+  assert.equal(detector.revisionRead(290, 22), null);
+  assert.match(detector.revisionRead(301, 24)!, /worker has seen revision 25/);
+  assert.match(detector.tokenReported(tokenBase(4) + 1, 2, 300)!, /later incarnation/);
+  const replicaKeys = [
     { key: 'dp/a', stamp: 3 },
     { key: 'dp/b', stamp: 9 },
     { key: 'dp/c', stamp: 30 },
     { key: 'dp/d', stamp: 4 },
   ];
-  const page = (items: typeof mine, to: string | null = 'dp/c') => ({ items, from: '', to, revision: 10 });
-  assert.equal(comparePage(page([mine[0], mine[1]]), mine), null);
-  assert.match(comparePage(page([mine[1]]), mine)!, /dp\/a is gone/);
-  assert.match(comparePage(page([mine[0], { key: 'dp/b', stamp: 8 }]), mine)!, /dp\/b is at 8 after 9/);
-  assert.match(comparePage(page([mine[0], mine[1]], null), mine)!, /dp\/d is gone/);
+  const page = (items: typeof replicaKeys, to: string | null = 'dp/c') => ({
+    items,
+    from: '',
+    to,
+    revision: 10,
+  });
+  assert.equal(comparePage(page([replicaKeys[0], replicaKeys[1]]), replicaKeys), null);
+  assert.match(comparePage(page([replicaKeys[1]]), replicaKeys)!, /dp\/a is gone/);
+  assert.match(
+    comparePage(page([replicaKeys[0], { key: 'dp/b', stamp: 8 }]), replicaKeys)!,
+    /dp\/b is at 8 after 9/,
+  );
+  assert.match(comparePage(page([replicaKeys[0], replicaKeys[1]], null), replicaKeys)!, /dp\/d is gone/);
 });
 
-test('what several know of a record is put together so that no rule can be broken', () => {
+test('merging records: versions known to several controllers are merged without breaking an invariant', () => {
   const job = spec('req-1', { tasks: 3 });
-  const tasks = (last: number, done: number[], placed: [number, number, string][]) => {
+  const tasksRecord = (last: number, done: number[], placed: [number, number, string][]) => {
     const bits = new BitSet();
     done.forEach((i) => bits.add(i));
-    const p = placed.map(([index, attempt, host]) => ({ index, attempt, host }));
-    return chunkData({ lastAttempt: last, done: bits, placements: p, failedHosts: [] });
+    const placements = placed.map(([index, attempt, host]) => ({ index, attempt, host }));
+    return chunkData({ lastAttempt: last, done: bits, placements, failedHosts: [] });
   };
   const open = openJobData(job, 5);
   const done = doneJobData(5, 3);
@@ -94,16 +102,16 @@
     [mergeRecords('job', cancelled, open), mergeRecords('job', open, cancelled)],
     [cancelled, cancelled],
   );
-  // A cancelled job goes on telling what may run of it.
-  const whole = inlineJobData(job, 5, tasks(2, [0], [[1, 2, 'm1']]));
-  assert.deepEqual(mergeRecords('job', whole, cancelled)['t'], whole['t']);
-  assert.equal(mergeRecords('job', whole, cancelled)['s'], 'cancelled');
-  const both = mergeRecords('job', open, whole);
-  assert.deepEqual([both['v'], both['t'], both['spec']], [2, whole['t'], undefined]);
-  // Of two places of a task the later attempt counts, none of a task that is done, and numbers go on.
-  const c = mergeRecords(
+  // A cancelled job keeps the state of tasks that may still be running.
+  const inlineJob = inlineJobData(job, 5, tasksRecord(2, [0], [[1, 2, 'm1']]));
+  assert.deepEqual(mergeRecords('job', inlineJob, cancelled)['t'], inlineJob['t']);
+  assert.equal(mergeRecords('job', inlineJob, cancelled)['s'], 'cancelled');
+  const merged = mergeRecords('job', open, inlineJob);
+  assert.deepEqual([merged['v'], merged['t'], merged['spec']], [2, inlineJob['t'], undefined]);
+  // Of two placements of a task the later attempt wins, finished tasks have none, and attempt numbers continue.
+  const mergedTasks = mergeRecords(
     'chunk',
-    tasks(
+    tasksRecord(
       3,
       [],
       [
@@ -111,7 +119,7 @@
         [1, 3, 'm2'],
       ],
     ),
-    tasks(
+    tasksRecord(
       4,
       [2],
       [
@@ -121,8 +129,8 @@
     ),
   );
   assert.deepEqual(
-    c,
-    tasks(
+    mergedTasks,
+    tasksRecord(
       4,
       [2],
       [
@@ -136,35 +144,36 @@
   assert.deepEqual(mergeRecords('machine', machineData({ ...machine, state: 'use' }), dead), dead);
 });
 
-type Kept = ReturnType<World['state']['snapshot']>;
+type StateSnapshot = ReturnType<World['state']['snapshot']>;
 
-/** How the state comes back, from a copy of what it was some time ago. */
-const losses: Record<string, (w: World, ago: Kept) => void> = {
+/** The ways in which the state service loses data; `snapshot` is an older copy of the state. */
+const dataLosses: Record<string, (w: World, snapshot: StateSnapshot) => void> = {
   wiped: (w) => w.state.loseData([], 1),
   'wiped, at a higher revision': (w) => w.state.loseData([], w.state.epoch + 1000),
-  'an older copy': (w, ago) => w.state.loseData(ago.keys, ago.epoch),
-  'an older copy, at a higher revision': (w, ago) => w.state.loseData(ago.keys, w.state.epoch + 500),
-  'every second record gone': (w) =>
+  'restored from an older snapshot': (w, snapshot) => w.state.loseData(snapshot.keys, snapshot.epoch),
+  'restored from an older snapshot, at a higher revision': (w, snapshot) =>
+    w.state.loseData(snapshot.keys, w.state.epoch + 500),
+  'every second record lost': (w) =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 2 === 0),
       w.state.epoch,
     ),
 };
 for (const kind of ['node', 'shard', 'teams', 'kinds', 'b', 'm', 'j', 't', 'level', 'inc'])
-  losses[`all records of ${kind} gone`] = (w) =>
+  dataLosses[`all records of kind ${kind} lost`] = (w) =>
     w.state.loseData(
       [...w.state.entries].filter(([key]) => key.split('/')[1] !== kind),
       w.state.epoch,
     );
 
-/** Who is started anew while the service is away. */
-const restarts: Record<string, (w: World) => Node[]> = {
-  nobody: () => [],
+/** The controllers that are restarted while the state service is unavailable. */
+const restartedNodes: Record<string, (w: World) => Node[]> = {
+  none: () => [],
   'the owner': (w) => [ownerOf(w)!],
-  'all but one': (w) => w.nodes.filter((n) => n !== ownerOf(w)),
+  'all but the owner': (w) => w.nodes.filter((n) => n !== ownerOf(w)),
 };
 
-function served(seed: number): { w: World; users: Traffic } {
+function worldUnderLoad(seed: number): { w: World; users: Traffic } {
   const w = new World(3, {}, seed);
   w.capacity = 30;
   w.advance(6);
@@ -175,51 +184,54 @@
   return { w, users };
 }
 
-/** The service is away, comes back with less, and everybody has to get their answer all the same. */
-function loses(
+/** The state service becomes unavailable and returns with less data. All jobs must finish without violating a rule. */
+function runDataLossScenario(
   w: World,
   users: Traffic,
-  lose: (w: World, ago: Kept) => void,
-  who: (w: World) => Node[],
-  agoS = 4,
-  lost = /^nothing$/,
+  loseData: (w: World, snapshot: StateSnapshot) => void,
+  selectRestarted: (w: World) => Node[],
+  snapshotAgeS = 4,
+  expectedViolations = /^nothing$/,
 ): void {
-  const broken = (): string[] => w.violations.filter((b) => !lost.test(b));
-  const ago = w.state.snapshot();
-  w.advance(agoS);
-  const restarted = who(w);
+  const unexpectedViolations = (): string[] =>
+    w.violations.filter((violation) => !expectedViolations.test(violation));
+  const snapshot = w.state.snapshot();
+  w.advance(snapshotAgeS);
+  const restarted = selectRestarted(w);
   w.state.unavailable = true;
   for (const n of restarted) n.alive = false;
   w.advance(3);
-  lose(w, ago);
+  loseData(w, snapshot);
   w.state.unavailable = false;
   for (const n of restarted) n.boot();
   w.advance(60);
-  assert.deepEqual(broken(), []);
+  assert.deepEqual(unexpectedViolations(), []);
   users.stop();
-  const over = w.advanceUntil(() => users.over, 300);
-  assert.deepEqual(broken(), []);
-  const open = [...users.jobs.keys()].filter((id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''));
-  assert.ok(over, `not over: ${open.map((id) => `${id} ${users.told.get(id)}`).join(', ')}`);
+  const allFinished = w.advanceUntil(() => users.over, 300);
+  assert.deepEqual(unexpectedViolations(), []);
+  const unfinished = [...users.jobs.keys()].filter(
+    (id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''),
+  );
+  assert.ok(allFinished, `not finished: ${unfinished.map((id) => `${id} ${users.told.get(id)}`).join(', ')}`);
 }
 
-// Guards against taking a machine without a record for one that was given back: the record was lost, and nobody had noticed yet.
-test('rebuild: a machine whose record is gone still holds its tasks, whoever takes them up', () => {
+// Guards against treating a machine without a record as returned when its record was lost and the loss is not yet detected.
+test('recovery: a machine whose record is lost still holds its tasks, whichever controller takes them over', () => {
   for (let seed = 10; seed < 22; seed++) {
-    const { w, users } = served(seed);
-    loses(w, users, losses['all records of b gone'], restarts['the owner']);
+    const { w, users } = worldUnderLoad(seed);
+    runDataLossScenario(w, users, dataLosses['all records of kind b lost'], restartedNodes['the owner']);
   }
 });
 
-for (const [what, lose] of Object.entries(losses))
-  for (const [who, restart] of Object.entries(restarts))
-    test(`rebuild: ${what}; ${who} started anew`, () => {
-      const { w, users } = served(3);
-      loses(w, users, lose, restart);
+for (const [lossName, loseData] of Object.entries(dataLosses))
+  for (const [restartName, selectRestarted] of Object.entries(restartedNodes))
+    test(`recovery: ${lossName}; ${restartName} restarted`, () => {
+      const { w, users } = worldUnderLoad(3);
+      runDataLossScenario(w, users, loseData, selectRestarted);
     });
 
-test('rebuild: two losses, the second in mid-rebuild; the one that rebuilds is killed', () => {
-  const { w, users } = served(5);
+test('recovery: two losses, the second during the recovery; the controller that leads the recovery is killed', () => {
+  const { w, users } = worldUnderLoad(5);
   w.schedule(9000, () =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 3 > 0),
@@ -227,67 +239,67 @@
     ),
   );
   w.schedule(12_000, () => {
-    const by = [...w.state.entries.values()].find((k) => k.key.startsWith('dp/inc/'))?.data as
+    const incarnationRecord = [...w.state.entries.values()].find((k) => k.key.startsWith('dp/inc/'))?.data as
       { by: string } | undefined;
-    const n = w.nodes.find((x) => x.member === by?.by);
-    if (!n) return;
-    n.alive = false;
-    w.schedule(5000, () => n.boot());
+    const opener = w.nodes.find((x) => x.member === incarnationRecord?.by);
+    if (!opener) return;
+    opener.alive = false;
+    w.schedule(5000, () => opener.boot());
   });
-  loses(w, users, losses['wiped'], restarts['nobody']);
+  runDataLossScenario(w, users, dataLosses['wiped'], restartedNodes['none']);
 });
 
-test('rebuild: a controller that stood still with the old memory wakes after a minute, and late transactions come', () => {
-  const { w, users } = served(6);
-  const still = w.nodes.find((n) => n !== ownerOf(w))!;
-  still.holdsCommits = true;
+test('recovery: a controller that was paused with an earlier state resumes after a minute; delayed transactions arrive', () => {
+  const { w, users } = worldUnderLoad(6);
+  const pausedNode = w.nodes.find((n) => n !== ownerOf(w))!;
+  pausedNode.holdsCommits = true;
   w.advance(2);
-  still.paused = true;
-  loses(
+  pausedNode.paused = true;
+  runDataLossScenario(
     w,
     users,
-    (x, ago) => {
-      losses['an older copy'](x, ago);
+    (x, snapshot) => {
+      dataLosses['restored from an older snapshot'](x, snapshot);
       x.schedule(20_000, () =>
         x.heldCommits.forEach((txn) => assert.notEqual(x.state.commit(txn).type, 'ok')),
       );
       x.schedule(55_000, () => {
-        still.holdsCommits = false;
-        still.paused = false;
+        pausedNode.holdsCommits = false;
+        pausedNode.paused = false;
       });
     },
-    restarts['nobody'],
+    restartedNodes['none'],
   );
 });
 
-test('rebuild: everything is gone, and workers have seen tokens from before: they are led again', () => {
-  const { w, users } = served(7);
+test('recovery: all data is lost, and workers have seen earlier tokens: they accept a controller again', () => {
+  const { w, users } = worldUnderLoad(7);
   users.stop();
-  // Much has happened: revisions, and tokens with them, are high.
+  // A high revision, and therefore high tokens.
   w.state.epoch += 5000;
-  const n1 = ownerOf(w)!;
-  n1.alive = false;
+  const owner = ownerOf(w)!;
+  owner.alive = false;
   w.advance(5);
-  n1.boot();
+  owner.boot();
   w.advance(15);
-  const before = Math.max(...[...w.workers.values()].map((x) => x.token));
-  loses(
+  const maxTokenBefore = Math.max(...[...w.workers.values()].map((x) => x.token));
+  runDataLossScenario(
     w,
     new Traffic(w, 1e9),
-    (x) => losses['wiped'](x, x.state.snapshot()),
+    (x) => dataLosses['wiped'](x, x.state.snapshot()),
     (x) => x.nodes,
     4,
     /^forgotten/,
   );
-  // What nobody knows any more gets 404 after the stated time; nothing else is broken.
-  const n = w.nodes[0];
-  assert.equal(n.submit(spec('req-7', { team: 'blue' }))?.status, 201);
-  assert.ok(w.advanceUntil(() => n.controller.replica.jobs.get('req-7')?.state === 'done', 120));
-  assert.ok([...w.workers.values()].some((x) => x.token > before + 2 ** 30));
+  // Jobs that no controller knows any more are answered with 404 after the documented time; no other rule is violated.
+  const node = w.nodes[0];
+  assert.equal(node.submit(spec('req-7', { team: 'blue' }))?.status, 201);
+  assert.ok(w.advanceUntil(() => node.controller.replica.jobs.get('req-7')?.state === 'done', 120));
+  assert.ok([...w.workers.values()].some((x) => x.token > maxTokenBefore + 2 ** 30));
 });
 
-test('no loss, no doubt: outages, cuts, leases that end, lost answers and restarts are none', () => {
-  const { w, users } = served(8);
+test('no false detection: outages, network partitions, expired leases, lost responses and restarts', () => {
+  const { w, users } = worldUnderLoad(8);
   w.state.dropsResponseTo = (txn) => txn.writes.length % 5 === 0;
   w.schedule(5000, () => (w.state.unavailable = true));
   w.schedule(25_000, () => (w.state.unavailable = false));
@@ -310,7 +322,7 @@
   );
 });
 
-test('a worker that makes its token up raises no doubt: no incarnation could go above it', () => {
+test('no false detection: a made-up token of a worker is ignored, as no incarnation could be numbered above it', () => {
   const w = new World(3);
   w.advance(6);
   w.nodes[0].submit(spec('req-1', { team: 'blue' }));
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -1,4 +1,4 @@
-/** Feature levels: which level is in force, record migration, graceful shutdown. */
+/** Feature levels: the level in force, record migration, graceful shutdown. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { common, inspect, type Format, type Formats, formats } from '../src/formats/index.js';
@@ -21,14 +21,14 @@
 import { openJobData, inlineJobData } from '../src/core/storage/index.js';
 import { spec } from './support/fixtures.js';
 
-const can = (most: number): Capabilities => ({
-  program: `p${most}`,
+const capabilitiesUpTo = (maxLevel: number): Capabilities => ({
+  program: `p${maxLevel}`,
   minLevel: 1,
-  maxLevel: most,
+  maxLevel,
   features: [],
   formats: {},
 });
-const standing = (over: Partial<LevelDecisionInput>): LevelDecisionInput => ({
+const decisionInput = (overrides: Partial<LevelDecisionInput>): LevelDecisionInput => ({
   state: initialLevelState,
   newestLevel: 2,
   configured: ['a', 'b', 'c'],
@@ -37,11 +37,12 @@
   requested: noRequestedLevel,
   unmigratedRecords: 0,
   blockingKeys: [],
-  ...over,
+  ...overrides,
 });
-const all = (most: number) => new Map(['a', 'b', 'c'].map((m) => [m, can(most)]));
+const allMembersUpTo = (maxLevel: number) =>
+  new Map(['a', 'b', 'c'].map((m) => [m, capabilitiesUpTo(maxLevel)]));
 
-test('formats: what is known is read, what is not survives, what is newer, damaged or too old is not acted on', () => {
+test('formats: known fields are read, unknown fields are kept, newer, damaged or too old records are rejected', () => {
   const job = openJobData(spec('req-1'), 5);
   assert.deepEqual(inspect('job', job), { ok: true, format: 1, extras: null });
   assert.deepEqual(inspect('job', { ...job, w: 'x', more: [1] }), {
@@ -49,93 +50,117 @@
     format: 1,
     extras: { more: [1] },
   });
-  const whole = inlineJobData(spec('req-1'), 5, { n: 1, d: '', p: [[0, 1, 'n-1']] });
-  assert.deepEqual(inspect('job', whole), { ok: true, format: 2, extras: null });
-  const why = (kind: Parameters<typeof inspect>[0], data: unknown): string => {
-    const v = inspect(kind, data);
-    return v.ok ? 'ok' : `${v.why}: ${v.text}`;
+  const inlineJob = inlineJobData(spec('req-1'), 5, { n: 1, d: '', p: [[0, 1, 'n-1']] });
+  assert.deepEqual(inspect('job', inlineJob), { ok: true, format: 2, extras: null });
+  const inspectionResult = (kind: Parameters<typeof inspect>[0], data: unknown): string => {
+    const result = inspect(kind, data);
+    return result.ok ? 'ok' : `${result.why}: ${result.text}`;
   };
-  assert.equal(why('job', { ...job, v: 3 }), 'newer: format 3, this program reads up to 2');
+  assert.equal(inspectionResult('job', { ...job, v: 3 }), 'newer: format 3, this program reads up to 2');
   assert.equal(
-    why('job', { ...job, spec: { ...spec('req-1'), tasks: 'many' } }),
+    inspectionResult('job', { ...job, spec: { ...spec('req-1'), tasks: 'many' } }),
     'damaged: spec.tasks: not a count',
   );
   assert.equal(
-    why('job', { ...whole, t: { n: 1, d: '', p: [[0]] } }),
+    inspectionResult('job', { ...inlineJob, t: { n: 1, d: '', p: [[0]] } }),
     'damaged: p: not a list of index, attempt and machine',
   );
-  for (const bad of [null, 5, 'text', [], { v: 0 }, { v: 'two' }, { s: 'lost', at: 1 }])
-    assert.match(why('job', bad), /^damaged/, JSON.stringify(bad));
-  assert.match(why('teams', { shards: 'x' }), /^damaged: shards/);
-  assert.match(why('node', { run: 'r', hold: 1, can: { most: 2 } }), /^damaged: can/);
-  // A program reads its own format and the two before it, and says of one that it has dropped that it has.
+  for (const damaged of [null, 5, 'text', [], { v: 0 }, { v: 'two' }, { s: 'lost', at: 1 }])
+    assert.match(inspectionResult('job', damaged), /^damaged/, JSON.stringify(damaged));
+  assert.match(inspectionResult('teams', { shards: 'x' }), /^damaged: shards/);
+  assert.match(inspectionResult('node', { run: 'r', hold: 1, can: { most: 2 } }), /^damaged: can/);
+  // A program reads its own format and the two before it, and reports older ones as too old.
   const format = (...names: string[]): Format => ({ fields: new Set(['v', ...names]), wrong: () => null });
-  const four: Formats = { ...formats, teams: [null, format('b'), format('b', 'c'), format('d')] };
+  const fourTeamFormats: Formats = { ...formats, teams: [null, format('b'), format('b', 'c'), format('d')] };
   assert.deepEqual(
-    [1, 2, 3, 4, 5].map((v) => inspect('teams', { v }, four)).map((v) => (v.ok ? v.format : v.why)),
+    [1, 2, 3, 4, 5]
+      .map((v) => inspect('teams', { v }, fourTeamFormats))
+      .map((v) => (v.ok ? v.format : v.why)),
     ['too old', 2, 3, 4, 'newer'],
   );
 });
 
-test('messages: the newest format that both read, or none', () => {
+test('messages: the newest format that both sides read is used, or none', () => {
   assert.equal(common({ least: 1, most: 1 }), 1);
   assert.equal(common({ least: 1, most: 9 }), 1);
   assert.equal(common({ least: 2, most: 9 }), null);
   assert.equal(common({ least: 2, most: 4 }, { least: 3, most: 5 }), 4);
 });
 
-test('the level rises only when every configured member was last seen with it, here or not', () => {
-  assert.equal(decide(standing({ observedCapabilities: all(2) })).type, 'raise');
-  // Down or cut off just now, but last seen with it.
-  const two = new Map([...all(2)].slice(0, 2));
-  assert.equal(decide(standing({ recordedCapabilities: all(2), observedCapabilities: two })).type, 'raise');
-  // Never seen, or last seen without.
-  assert.deepEqual(decide(standing({ recordedCapabilities: two, observedCapabilities: two })), {
-    type: 'stay',
-    why: 'waits for c (never seen)',
-  });
-  const old = new Map([...two, ['c', legacyCapabilities]]);
-  assert.deepEqual(decide(standing({ recordedCapabilities: old, observedCapabilities: old })), {
-    type: 'stay',
-    why: 'waits for c (before levels)',
-  });
-  // One that comes back older counts as it is now.
+test('the level is raised only when every configured member was last seen with it, present or not', () => {
+  assert.equal(decide(decisionInput({ observedCapabilities: allMembersUpTo(2) })).type, 'raise');
+  // A member that is down or cut off counts as it was last seen.
+  const twoMembers = new Map([...allMembersUpTo(2)].slice(0, 2));
+  assert.equal(
+    decide(decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: twoMembers })).type,
+    'raise',
+  );
+  // A member that was never seen, or last seen without the level, blocks the rise.
+  assert.deepEqual(
+    decide(decisionInput({ recordedCapabilities: twoMembers, observedCapabilities: twoMembers })),
+    {
+      type: 'stay',
+      why: 'waits for c (never seen)',
+    },
+  );
+  const withLegacyMember = new Map([...twoMembers, ['c', legacyCapabilities]]);
+  assert.deepEqual(
+    decide(decisionInput({ recordedCapabilities: withLegacyMember, observedCapabilities: withLegacyMember })),
+    {
+      type: 'stay',
+      why: 'waits for c (before levels)',
+    },
+  );
+  // A member that returns with an older program counts with that.
   assert.equal(
-    decide(standing({ recordedCapabilities: all(2), observedCapabilities: old })).type,
+    decide(decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: withLegacyMember }))
+      .type,
     'record-capabilities',
   );
-  // Two old versions at once; and one step at a time.
-  const mixed = new Map([
-    ['a', can(3)],
-    ['b', can(2)],
-    ['c', can(1)],
+  // Two older versions at the same time; the level is raised one step at a time.
+  const mixedVersions = new Map([
+    ['a', capabilitiesUpTo(3)],
+    ['b', capabilitiesUpTo(2)],
+    ['c', capabilitiesUpTo(1)],
   ]);
   assert.equal(
-    decide(standing({ newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed })).type,
+    decide(
+      decisionInput({
+        newestLevel: 3,
+        recordedCapabilities: mixedVersions,
+        observedCapabilities: mixedVersions,
+      }),
+    ).type,
     'stay',
   );
-  const up = decide(standing({ newestLevel: 3, observedCapabilities: all(3) }));
-  assert.ok(up.type === 'raise' && up.to === 2);
+  const decision = decide(decisionInput({ newestLevel: 3, observedCapabilities: allMembersUpTo(3) }));
+  assert.ok(decision.type === 'raise' && decision.to === 2);
   const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
   assert.equal(
-    decide(standing({ state, newestLevel: 3, recordedCapabilities: mixed, observedCapabilities: mixed }))
-      .type,
+    decide(
+      decisionInput({
+        state,
+        newestLevel: 3,
+        recordedCapabilities: mixedVersions,
+        observedCapabilities: mixedVersions,
+      }),
+    ).type,
     'stay',
   );
 });
 
-test('operators hold a level, name who is gone, and lower it again unless something needs it', () => {
-  const wish = (over: Partial<RequestedLevel>): RequestedLevel => ({
+test('operators limit the level, name departed members, and lower the level unless a record requires it', () => {
+  const requestedLevel = (overrides: Partial<RequestedLevel>): RequestedLevel => ({
     ...noRequestedLevel,
     modRevision: 4,
-    ...over,
+    ...overrides,
   });
   assert.deepEqual(
     decide(
-      standing({
-        recordedCapabilities: all(2),
-        observedCapabilities: all(2),
-        requested: wish({ maxLevel: 1 }),
+      decisionInput({
+        recordedCapabilities: allMembersUpTo(2),
+        observedCapabilities: allMembersUpTo(2),
+        requested: requestedLevel({ maxLevel: 1 }),
       }),
     ),
     {
@@ -143,52 +168,71 @@
       why: 'held at 1 by operators',
     },
   );
-  const two = new Map([...all(2)].slice(0, 2));
+  const twoMembers = new Map([...allMembersUpTo(2)].slice(0, 2));
   assert.equal(
     decide(
-      standing({
-        recordedCapabilities: two,
-        observedCapabilities: two,
-        requested: wish({ departedMembers: ['c'] }),
+      decisionInput({
+        recordedCapabilities: twoMembers,
+        observedCapabilities: twoMembers,
+        requested: requestedLevel({ departedMembers: ['c'] }),
       }),
     ).type,
     'raise',
   );
   const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
-  const seen = all(2);
-  const lower = wish({ maxLevel: 1, lower: true });
-  // Held below what is in force, without being asked to go back: it stays.
+  const recorded = allMembersUpTo(2);
+  const lowerToOne = requestedLevel({ maxLevel: 1, lower: true });
+  // A limit below the level in force, without a request to lower it: the level stays.
   assert.equal(
-    decide(standing({ state, recordedCapabilities: seen, requested: wish({ maxLevel: 1 }) })).type,
+    decide(
+      decisionInput({ state, recordedCapabilities: recorded, requested: requestedLevel({ maxLevel: 1 }) }),
+    ).type,
     'stay',
   );
-  assert.deepEqual(decide(standing({ state, recordedCapabilities: seen, requested: lower })), {
+  assert.deepEqual(decide(decisionInput({ state, recordedCapabilities: recorded, requested: lowerToOne })), {
     type: 'begin-lowering',
     to: 1,
   });
   const refused = decide(
-    standing({ state, recordedCapabilities: seen, requested: lower, blockingKeys: ['dp/j/req-1'] }),
+    decisionInput({
+      state,
+      recordedCapabilities: recorded,
+      requested: lowerToOne,
+      blockingKeys: ['dp/j/req-1'],
+    }),
   );
   assert.ok(refused.type === 'refuse' && /dp\/j\/req-1; start the newest program/.test(refused.text));
   const lowering: LevelState = { level: 2, writeLevel: 1, modRevision: 10 };
   assert.equal(
-    decide(standing({ state: lowering, recordedCapabilities: seen, requested: lower, unmigratedRecords: 3 }))
-      .type,
+    decide(
+      decisionInput({
+        state: lowering,
+        recordedCapabilities: recorded,
+        requested: lowerToOne,
+        unmigratedRecords: 3,
+      }),
+    ).type,
     'stay',
   );
-  assert.deepEqual(decide(standing({ state: lowering, recordedCapabilities: seen, requested: lower })), {
-    type: 'lower',
-    to: 1,
-  });
-  // They change their mind.
-  assert.deepEqual(decide(standing({ state: lowering, recordedCapabilities: seen, unmigratedRecords: 3 })), {
-    type: 'raise',
-    to: 2,
-    capabilities: seen,
-  });
+  assert.deepEqual(
+    decide(decisionInput({ state: lowering, recordedCapabilities: recorded, requested: lowerToOne })),
+    {
+      type: 'lower',
+      to: 1,
+    },
+  );
+  // The request is withdrawn during the lowering.
+  assert.deepEqual(
+    decide(decisionInput({ state: lowering, recordedCapabilities: recorded, unmigratedRecords: 3 })),
+    {
+      type: 'raise',
+      to: 2,
+      capabilities: recorded,
+    },
+  );
 });
 
-test('features: one place tells what is in force; who is older than that stands by', () => {
+test('features: FeatureLevels tells which are in force; a program older than the level stands by', () => {
   const levels = new FeatureLevels(capabilitiesOf('x'));
   assert.deepEqual(levels.ownCapabilities.features, [
     'small-jobs',
@@ -211,40 +255,40 @@
   assert.ok(levels.isEnabled('task-log') && !levels.mustStandBy);
   levels.state = { level: newestLevel + 1, writeLevel: newestLevel + 1, modRevision: 5 };
   assert.equal(levels.mustStandBy, true);
-  const held = new FeatureLevels(capabilitiesOf('x', 1));
-  assert.deepEqual(held.ownCapabilities.features, []);
-  held.state = { level: 2, writeLevel: 2, modRevision: 1 };
-  assert.equal(held.mustStandBy, true);
+  const limitedLevels = new FeatureLevels(capabilitiesOf('x', 1));
+  assert.deepEqual(limitedLevels.ownCapabilities.features, []);
+  limitedLevels.state = { level: 2, writeLevel: 2, modRevision: 1 };
+  assert.equal(limitedLevels.mustStandBy, true);
 });
 
-test('the sweep keeps to its share and tells its progress', () => {
-  const s = new RecordMigration(40, 0.1, 1000);
+test('record migration keeps to its share of the writes and reports its progress', () => {
+  const migration = new RecordMigration(40, 0.1, 1000);
   let writes = 0;
   for (let now = 0; now <= 60_000; now += 500) {
-    const n = s.availableWrites(now);
-    writes += n;
-    s.recordWrites(n);
+    const available = migration.availableWrites(now);
+    writes += available;
+    migration.recordWrites(available);
   }
   assert.ok(writes >= 236 && writes <= 240, String(writes));
-  assert.deepEqual(s.progress(0, 10)?.remaining, 10);
-  assert.equal(s.progress(500, 9), null);
-  assert.equal(s.progress(1000, 8)?.remaining, 8);
-  assert.equal(s.progress(1100, 0)?.remaining, 0);
-  assert.equal(s.progress(1200, 0), null);
+  assert.deepEqual(migration.progress(0, 10)?.remaining, 10);
+  assert.equal(migration.progress(500, 9), null);
+  assert.equal(migration.progress(1000, 8)?.remaining, 8);
+  assert.equal(migration.progress(1100, 0)?.remaining, 0);
+  assert.equal(migration.progress(1200, 0), null);
 });
 
-test('leaving: handed on first, drained next; what cannot be handed on does not keep it', () => {
-  const has: ShutdownDuties = { ownedShards: 1, leading: true, present: true, busy: false };
-  const free: ShutdownDuties = { ownedShards: 0, leading: false, present: false, busy: false };
-  const l = new GracefulShutdown(10_000, 4000);
-  assert.equal(l.phase(0, has), 'running');
-  l.begin(0);
-  assert.equal(l.phase(100, has), 'handing-over');
-  assert.equal(l.phase(200, free), 'draining');
-  assert.equal(l.phase(4100, { ...free, busy: true }), 'draining');
-  assert.equal(l.phase(4200, free), 'stopped');
-  const stuck = new GracefulShutdown(10_000, 4000);
-  stuck.begin(0);
-  assert.equal(stuck.phase(9000, has), 'handing-over');
-  assert.equal(stuck.phase(10_001, { ...has, busy: true }), 'stopped');
+test('graceful shutdown: duties are handed over, then requests drained; a failing handover does not block it', () => {
+  const remainingDuties: ShutdownDuties = { ownedShards: 1, leading: true, present: true, busy: false };
+  const noDuties: ShutdownDuties = { ownedShards: 0, leading: false, present: false, busy: false };
+  const shutdown = new GracefulShutdown(10_000, 4000);
+  assert.equal(shutdown.phase(0, remainingDuties), 'running');
+  shutdown.begin(0);
+  assert.equal(shutdown.phase(100, remainingDuties), 'handing-over');
+  assert.equal(shutdown.phase(200, noDuties), 'draining');
+  assert.equal(shutdown.phase(4100, { ...noDuties, busy: true }), 'draining');
+  assert.equal(shutdown.phase(4200, noDuties), 'stopped');
+  const blockedShutdown = new GracefulShutdown(10_000, 4000);
+  blockedShutdown.begin(0);
+  assert.equal(blockedShutdown.phase(9000, remainingDuties), 'handing-over');
+  assert.equal(blockedShutdown.phase(10_001, { ...remainingDuties, busy: true }), 'stopped');
 });
