--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -30,7 +30,7 @@
 const finalRetryMarginMs = 3000;
 /** If less time than this remains until the last retry, it no longer limits the delay, ms. */
 const minRemainingMs = 1000;
-/** Lower bound of a class's admission rate when a delay is calculated, jobs a second. */
+/** Lower bound of a class's admission rate when a delay is calculated, jobs per second. */
 const minClassRate = 1e-3;
 const minRetryAfterS = 1;
 
