--- a/src/effect-handlers.ts
+++ b/src/effect-handlers.ts
@@ -54,18 +54,20 @@
 > = {
   commit: ({ txn }, { store, complete }) =>
     void store.commit(txn).then((outcome) => complete({ type: 'commit-result', outcome })),
-  'read-revision': (_, { follower }) => follower.ask(),
-  'catch-up': ({ revision }, { follower }) => follower.hurry(revision),
+  'read-revision': (_, { follower }) => follower.requestPoll(),
+  'catch-up': ({ revision }, { follower }) => follower.requestRevision(revision),
   audit: ({ from, keys }, { store, complete }) =>
-    void store.part(from, keys).then((page) => {
+    void store.limitedPage(from, keys).then((page) => {
       const { items, more, revision } = page ?? { items: [], more: false, revision: null };
       complete({ type: 'audit-result', from, items, more, revision });
     }),
   'grant-lease': ({ ttlMs }, { store, complete }) =>
-    void store.lease(ttlMs).then((leaseId) => complete({ type: 'lease-granted', leaseId })),
+    void store.grantLease(ttlMs).then((leaseId) => complete({ type: 'lease-granted', leaseId })),
   'renew-lease': ({ leaseId }, { store, complete }) =>
-    void store.renew(leaseId).then((outcome) => complete({ type: 'lease-renewal-result', leaseId, outcome })),
-  'revoke-lease': ({ leaseId }, { store }) => void store.unlease(leaseId),
+    void store
+      .renewLease(leaseId)
+      .then((outcome) => complete({ type: 'lease-renewal-result', leaseId, outcome })),
+  'revoke-lease': ({ leaseId }, { store }) => void store.revokeLease(leaseId),
 };
 
 /** Requests to the cloud and to workers. */
--- a/src/formats/high-volume-records.ts
+++ b/src/formats/high-volume-records.ts
@@ -1,5 +1,5 @@
 /** Formats of the records that there are many of. */
-import { fieldsOf, type Data, type Format } from './record-types.js';
+import { fieldSet, type Data, type Format } from './record-types.js';
 
 /**
  * Formats of records that there are by the hundred thousand: checked by hand, since a start reads all of them on a quarter
@@ -11,7 +11,7 @@
 const shapes = new Set(['array', 'gang', 'service']);
 const urgencies = new Set(['production', 'high', 'normal', 'low']);
 
-function wrongSpec(spec: unknown): string | null {
+function specError(spec: unknown): string | null {
   if (!isObject(spec)) return 'spec: not an object';
   for (const name of ['id', 'team', 'image', 'class'])
     if (typeof spec[name] !== 'string') return `spec.${name}: not a string`;
@@ -23,7 +23,7 @@
   return null;
 }
 
-function wrongUse(use: unknown): string | null {
+function usageError(use: unknown): string | null {
   if (!isObject(use) || typeof use['team'] !== 'string') return 'u.team: not a string';
   for (const name of ['cpus', 'gpus', 'memGb'])
     if (typeof use[name] !== 'number') return `u.${name}: not a number`;
@@ -33,7 +33,7 @@
 const isPlacement = (p: unknown): boolean =>
   Array.isArray(p) && isCount(p[0]) && isCount(p[1]) && typeof p[2] === 'string';
 
-function wrongTasks(d: Data): string | null {
+function taskStateError(d: Data): string | null {
   if (!isCount(d['n'])) return 'n: not a count';
   if (typeof d['d'] !== 'string') return 'd: not a string';
   const placed = d['p'];
@@ -44,26 +44,26 @@
   return null;
 }
 
-function wrongJob(d: Data, spec: unknown): string | null {
+function jobError(d: Data, spec: unknown): string | null {
   if (d['s'] !== 'open' && d['s'] !== 'done' && d['s'] !== 'cancelled') return 's: unknown';
   if (typeof d['at'] !== 'number') return 'at: not a number';
-  if (d['s'] === 'open') return wrongSpec(spec);
+  if (d['s'] === 'open') return specError(spec);
   if (!isCount(d['n'])) return 'n: not a count';
-  return d['u'] === undefined ? null : wrongUse(d['u']);
+  return d['u'] === undefined ? null : usageError(d['u']);
 }
 
-export const job: Format[] = [
-  { fields: fieldsOf('s', 'at', 'n', 'spec', 'u'), wrong: (d) => wrongJob(d, d['spec']) },
+export const jobFormats: Format[] = [
+  { fields: fieldSet('s', 'at', 'n', 'spec', 'u'), wrong: (d) => jobError(d, d['spec']) },
   /** The state of its tasks is in it. */
   {
-    fields: fieldsOf('s', 'at', 'n', 'job', 'u', 't'),
-    wrong: (d) => wrongJob(d, d['job']) ?? (isObject(d['t']) ? wrongTasks(d['t']) : 't: not an object'),
+    fields: fieldSet('s', 'at', 'n', 'job', 'u', 't'),
+    wrong: (d) => jobError(d, d['job']) ?? (isObject(d['t']) ? taskStateError(d['t']) : 't: not an object'),
   },
 ];
 
-export const chunk: Format[] = [{ fields: fieldsOf('n', 'd', 'p', 'f', 'r'), wrong: wrongTasks }];
+export const chunkFormats: Format[] = [{ fields: fieldSet('n', 'd', 'p', 'f', 'r'), wrong: taskStateError }];
 
-const isEntry = (e: unknown): boolean =>
+const isTaskLogEntry = (e: unknown): boolean =>
   Array.isArray(e) &&
   typeof e[0] === 'string' &&
   e.slice(1, 5).every(isCount) &&
@@ -73,34 +73,35 @@
   (e[8] === null || Array.isArray(e[8]));
 
 /** A record of the task log. */
-export const log: Format[] = [
+export const logFormats: Format[] = [
   {
-    fields: fieldsOf('e'),
+    fields: fieldSet('e'),
     wrong: (d) =>
-      Array.isArray(d['e']) && d['e'].every(isEntry) ? null : 'e: not a list of entries of a task log',
+      Array.isArray(d['e']) && d['e'].every(isTaskLogEntry) ? null : 'e: not a list of entries of a task log',
   },
 ];
 
-const wrongKind = (d: Data): string | null => {
+const machineFieldsError = (d: Data): string | null => {
   if (typeof d['f'] !== 'string') return 'f: not a string';
   if (typeof d['y'] !== 'string') return 'y: not a string';
   if (typeof d['l'] !== 'boolean') return 'l: not true or false';
   return Number.isSafeInteger(d['s']) ? null : 's: not a number';
 };
 
-export const machine: Format[] = [
+export const machineFormats: Format[] = [
   {
-    fields: fieldsOf('f', 'y', 'l', 's', 'st', 'at'),
+    fields: fieldSet('f', 'y', 'l', 's', 'st', 'at'),
     wrong: (d) =>
-      wrongKind(d) ?? (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown standing'),
+      machineFieldsError(d) ??
+      (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown standing'),
   },
 ];
 
-export const block: Format[] = [
+export const blockFormats: Format[] = [
   {
-    fields: fieldsOf('f', 'y', 'l', 's', 'at', 'h'),
+    fields: fieldSet('f', 'y', 'l', 's', 'at', 'h'),
     wrong: (d) =>
-      wrongKind(d) ??
+      machineFieldsError(d) ??
       (Array.isArray(d['h']) && d['h'].every((h) => typeof h === 'string') ? null : 'h: not a list of names'),
   },
 ];
--- a/src/formats/record-types.ts
+++ b/src/formats/record-types.ts
@@ -25,6 +25,6 @@
 }
 
 /** Fields that any record may have: its format's number (none: 1), and the mark of the write that made it. */
-const common = ['v', 'w'];
+const commonFields = ['v', 'w'];
 
-export const fieldsOf = (...names: string[]): ReadonlySet<string> => new Set([...common, ...names]);
+export const fieldSet = (...names: string[]): ReadonlySet<string> => new Set([...commonFields, ...names]);
--- a/src/formats/registry.ts
+++ b/src/formats/registry.ts
@@ -1,17 +1,17 @@
 /** All formats of all kinds of records, and the check of a record before it is used. */
 import type { Data, Format, Kind } from './record-types.js';
-import { block, chunk, job, log, machine } from './high-volume-records.js';
+import { blockFormats, chunkFormats, jobFormats, logFormats, machineFormats } from './high-volume-records.js';
 import {
-  inc,
-  lead,
-  levelRecord,
-  members,
-  node,
-  plan,
-  shard,
-  teams,
-  types,
-  wish,
+  incFormats,
+  leadFormats,
+  levelFormats,
+  membersFormats,
+  nodeFormats,
+  planFormats,
+  shardFormats,
+  teamsFormats,
+  typesFormats,
+  wishFormats,
 } from './low-volume-records.js';
 
 /**
@@ -21,21 +21,21 @@
 export type Formats = Readonly<Record<Kind, readonly (Format | null)[]>>;
 
 export const formats: Formats = {
-  node,
-  lead,
-  types,
-  teams,
-  shard,
-  block,
-  machine,
-  job,
-  chunk,
-  level: levelRecord,
-  members,
-  wish,
-  plan,
-  inc,
-  log,
+  node: nodeFormats,
+  lead: leadFormats,
+  types: typesFormats,
+  teams: teamsFormats,
+  shard: shardFormats,
+  block: blockFormats,
+  machine: machineFormats,
+  job: jobFormats,
+  chunk: chunkFormats,
+  level: levelFormats,
+  members: membersFormats,
+  wish: wishFormats,
+  plan: planFormats,
+  inc: incFormats,
+  log: logFormats,
 };
 
 export type Verdict =
@@ -44,23 +44,27 @@
   | { ok: false; why: 'newer' | 'too old' | 'damaged'; text: string };
 
 /** A record's format: those of programs that knew none are of the first. */
-export const formatOf = (data: Data): number => (data['v'] === undefined ? 1 : (data['v'] as number));
+export const formatNumberOf = (data: Data): number => (data['v'] === undefined ? 1 : (data['v'] as number));
 
 /** Looks at a record before anybody acts on it. `extras`: fields that this program does not know, and that must survive. */
 export function inspect(kind: Kind, data: unknown, known: Formats = formats): Verdict {
   if (typeof data !== 'object' || data === null || Array.isArray(data))
     return { ok: false, why: 'damaged', text: 'not an object' };
   const record = data as Data;
-  const number = formatOf(record);
+  const number = formatNumberOf(record);
   if (!Number.isSafeInteger(number) || number < 1)
     return { ok: false, why: 'damaged', text: 'v: not a format number' };
-  const list = known[kind];
-  if (number > list.length)
-    return { ok: false, why: 'newer', text: `format ${number}, this program reads up to ${list.length}` };
-  const format = list[number - 1];
+  const knownFormats = known[kind];
+  if (number > knownFormats.length)
+    return {
+      ok: false,
+      why: 'newer',
+      text: `format ${number}, this program reads up to ${knownFormats.length}`,
+    };
+  const format = knownFormats[number - 1];
   if (format === null) return { ok: false, why: 'too old', text: `format ${number} is not read any more` };
-  const wrong = format.wrong(record);
-  if (wrong !== null) return { ok: false, why: 'damaged', text: wrong };
+  const problem = format.wrong(record);
+  if (problem !== null) return { ok: false, why: 'damaged', text: problem };
   let extras: Data | null = null;
   for (const name in record) if (!format.fields.has(name)) (extras ??= {})[name] = record[name];
   return { ok: true, format: number, extras };
--- a/src/memory-usage.ts
+++ b/src/memory-usage.ts
@@ -14,47 +14,47 @@
  * which is the same for all deployments; so it is told to collect when the deployment's limit is near.
  */
 export class MemoryUsage {
-  private collectedAt = -Infinity;
-  private collect: (() => void) | null = null;
-  private short = false;
+  private lastCollectionAt = -Infinity;
+  private collectGarbage: (() => void) | null = null;
+  private wasShort = false;
   /** Of what may be held before only what is needed most is taken in. */
   utilization = 0;
 
   constructor(
     private readonly limits: Limits['memory'],
     private readonly log: Log,
-    private readonly measureMb: () => number = residentMb,
+    private readonly measureMb: () => number = privateResidentMb,
   ) {}
 
   /** Whether only what is needed most should be taken in now. */
   check(now: number): boolean {
-    let held = this.measureMb();
-    if (held > this.limits.collectGarbageAboveMb && now - this.collectedAt > collectionIntervalMs) {
-      this.collectedAt = now;
-      this.collector()();
-      const before = held;
-      held = this.measureMb();
-      this.log('info', 'memory collected', { before: Math.round(before), after: Math.round(held) });
+    let usedMb = this.measureMb();
+    if (usedMb > this.limits.collectGarbageAboveMb && now - this.lastCollectionAt > collectionIntervalMs) {
+      this.lastCollectionAt = now;
+      this.garbageCollector()();
+      const usedBeforeMb = usedMb;
+      usedMb = this.measureMb();
+      this.log('info', 'memory collected', { before: Math.round(usedBeforeMb), after: Math.round(usedMb) });
     }
-    this.utilization = held / this.limits.shedLoadAboveMb;
-    const tight = held > this.limits.shedLoadAboveMb;
-    if (tight !== this.short)
-      this.log('warn', tight ? 'memory is short' : 'memory is enough again', { held: Math.round(held) });
-    this.short = tight;
-    return tight;
+    this.utilization = usedMb / this.limits.shedLoadAboveMb;
+    const isShort = usedMb > this.limits.shedLoadAboveMb;
+    if (isShort !== this.wasShort)
+      this.log('warn', isShort ? 'memory is short' : 'memory is enough again', { held: Math.round(usedMb) });
+    this.wasShort = isShort;
+    return isShort;
   }
 
-  private collector(): () => void {
-    if (!this.collect) {
+  private garbageCollector(): () => void {
+    if (!this.collectGarbage) {
       setFlagsFromString('--expose-gc');
-      this.collect = runInNewContext('gc') as () => void;
+      this.collectGarbage = runInNewContext('gc') as () => void;
     }
-    return this.collect;
+    return this.collectGarbage;
   }
 }
 
 /** What the process holds itself, without the program's pages, which all processes of a machine share. */
-function residentMb(): number {
+function privateResidentMb(): number {
   try {
     const [, resident, shared] = readFileSync('/proc/self/statm', 'latin1').split(' ').map(Number);
     return ((resident - shared) * pageKb) / 1024;
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -1,9 +1,9 @@
 /** Follows the state service: the first snapshot, then changes by polls or a watch. */
 import type { RetryBackoff } from '../retry/index.js';
 import type { Change } from '../wire/store.js';
-import type { Source } from './service.js';
+import type { FollowerSource } from './service.js';
 
-const watchMs = 2000;
+const watchDurationMs = 2000;
 
 /** What the follower hands on. A reading tells that the view was complete at `sentAt` once it has reached `epoch`. */
 export interface FollowerEvents {
@@ -15,7 +15,7 @@
 }
 
 /** How often the follower may make requests. */
-export interface FollowerPace {
+export interface FollowerLimits {
   /** Between two polls; the request budget is shared by all controllers. */
   everyMs: number;
   /** Between two pages of the first reading, and how many may go at once before that. */
@@ -29,135 +29,137 @@
  * a watch open. What fails is tried again as the retry policy says, and meanwhile whoever asks is told at once.
  */
 export class Follower {
-  private from = -1;
-  private wanted = -1;
-  private asked = false;
+  private followedRevision = -1;
+  private requestedRevision = -1;
+  private pollRequested = false;
   private polling = false;
-  private polledAt = -Infinity;
-  private timer: NodeJS.Timeout | null = null;
-  private wake: (() => void) | null = null;
+  private lastPollAt = -Infinity;
+  private pollTimer: NodeJS.Timeout | null = null;
+  private interruptPause: (() => void) | null = null;
   private stopped = false;
   private restarts = 0;
 
   constructor(
-    private readonly source: Source,
-    private readonly pace: FollowerPace,
-    private readonly attempts: RetryBackoff,
+    private readonly source: FollowerSource,
+    private readonly limits: FollowerLimits,
+    private readonly backoff: RetryBackoff,
     private readonly now: () => number,
     private readonly events: FollowerEvents,
   ) {}
 
   /** Somebody waits for this revision. */
-  hurry(revision: number): void {
-    if (revision <= this.from) return;
-    this.wanted = Math.max(this.wanted, revision);
-    this.ask();
+  requestRevision(revision: number): void {
+    if (revision <= this.followedRevision) return;
+    this.requestedRevision = Math.max(this.requestedRevision, revision);
+    this.requestPoll();
   }
 
   /** Somebody waits for a view that is as new as now. */
-  ask(): void {
+  requestPoll(): void {
     // Guards against a request of every user in an outage: those who ask between two tries are told so at once.
-    if (this.attempts.failureCount > 0 && this.now() < this.attempts.notBefore)
+    if (this.backoff.failureCount > 0 && this.now() < this.backoff.notBefore)
       return this.events.read(this.now(), null);
-    this.asked = true;
-    this.wake?.();
-    if (this.from >= 0) this.schedule();
+    this.pollRequested = true;
+    this.interruptPause?.();
+    if (this.followedRevision >= 0) this.schedulePoll();
   }
 
   /** Forgets what it has followed: the state is another one. What was asked for before counts no more. */
   restart(): void {
     this.restarts++;
-    this.from = this.wanted = -1;
-    this.asked = false;
-    this.wake?.();
+    this.followedRevision = this.requestedRevision = -1;
+    this.pollRequested = false;
+    this.interruptPause?.();
   }
 
   /** Ends the following. */
   stop(): void {
     this.stopped = true;
-    if (this.timer) clearTimeout(this.timer);
-    this.wake?.();
+    if (this.pollTimer) clearTimeout(this.pollTimer);
+    this.interruptPause?.();
   }
 
   async run(): Promise<void> {
     while (!this.stopped) {
-      if (this.from < 0) await this.load();
+      if (this.followedRevision < 0) await this.loadSnapshot();
       // Polls bring the changes as long as they follow each other; a watch beside them would bring them twice.
-      if (this.polling || this.timer !== null) {
-        await this.pause(this.pace.everyMs);
+      if (this.polling || this.pollTimer !== null) {
+        await this.pause(this.limits.everyMs);
         continue;
       }
-      await this.take(watchMs);
-      await this.pause(Math.max(this.pace.everyMs * 2, this.attempts.notBefore - this.now()));
+      await this.readChanges(watchDurationMs);
+      await this.pause(Math.max(this.limits.everyMs * 2, this.backoff.notBefore - this.now()));
     }
   }
 
   /** Reads everything, page by page. A page that does not come is asked for again: what was read stays good. */
-  private async load(): Promise<void> {
+  private async loadSnapshot(): Promise<void> {
     const { restarts } = this;
     const items: Change[] = [];
     let revision = -1;
-    let left = this.pace.burst;
+    let burstPagesLeft = this.limits.burst;
     for (let from = ''; !this.stopped;) {
       const page = await this.source.page(from);
       if (restarts !== this.restarts) return;
       if (page === null || page === 'busy') {
-        this.attempts.onFailure(this.now());
+        this.backoff.onFailure(this.now());
         if (page === null) this.events.read(this.now(), null);
-        this.asked = false;
-        await this.pause(Math.max(this.pace.everyMs, this.attempts.notBefore - this.now()));
+        this.pollRequested = false;
+        await this.pause(Math.max(this.limits.everyMs, this.backoff.notBefore - this.now()));
         continue;
       }
-      this.attempts.onSuccess();
+      this.backoff.onSuccess();
       // Changes made since the first page are read behind it.
       if (revision < 0) revision = page.revision;
       for (const i of page.items) items.push(i);
       if (!page.more || page.items.length === 0) break;
       this.events.reading(items.length);
       from = page.items[page.items.length - 1].key;
-      if (--left <= 0) await this.sleep(this.pace.pageMs);
+      if (--burstPagesLeft <= 0) await this.sleep(this.limits.pageMs);
     }
     if (this.stopped || restarts !== this.restarts) return;
-    this.from = revision;
+    this.followedRevision = revision;
     this.events.loaded(items, revision);
   }
 
-  private schedule(): void {
-    if (this.stopped || this.polling || this.timer !== null) return;
-    const at = Math.max(this.polledAt + this.pace.everyMs, this.attempts.notBefore);
-    this.timer = setTimeout(
+  private schedulePoll(): void {
+    if (this.stopped || this.polling || this.pollTimer !== null) return;
+    const dueAt = Math.max(this.lastPollAt + this.limits.everyMs, this.backoff.notBefore);
+    this.pollTimer = setTimeout(
       () => {
-        this.timer = null;
+        this.pollTimer = null;
         void this.poll();
       },
-      Math.max(0, at - this.now()),
+      Math.max(0, dueAt - this.now()),
     );
   }
 
   private async poll(): Promise<void> {
     this.polling = true;
-    this.asked = false;
-    this.polledAt = this.now();
-    await this.take(0);
+    this.pollRequested = false;
+    this.lastPollAt = this.now();
+    await this.readChanges(0);
     this.polling = false;
-    if (this.from >= 0 && (this.asked || this.wanted > this.from)) this.schedule();
+    if (this.followedRevision >= 0 && (this.pollRequested || this.requestedRevision > this.followedRevision))
+      this.schedulePoll();
   }
 
-  private async take(blockMs: number): Promise<void> {
+  private async readChanges(blockMs: number): Promise<void> {
     const sentAt = this.now();
     const { restarts } = this;
-    const r = await this.source.changes(this.from, blockMs);
+    const result = await this.source.changes(this.followedRevision, blockMs);
     if (restarts !== this.restarts) return;
-    if (r === 'old') this.from = -1;
-    else if (r === 'busy') this.asked = true;
-    else if (r === null) {
-      this.attempts.onFailure(this.now());
+    if (result === 'old') this.followedRevision = -1;
+    else if (result === 'busy') this.pollRequested = true;
+    else if (result === null) {
+      this.backoff.onFailure(this.now());
       if (blockMs === 0) this.events.read(sentAt, null);
     } else {
-      this.attempts.onSuccess();
-      if (this.from >= 0) this.from = Math.max(this.from, r.revision);
-      this.events.changed(r.changes, r.revision);
-      this.events.read(sentAt, r.revision);
+      this.backoff.onSuccess();
+      if (this.followedRevision >= 0)
+        this.followedRevision = Math.max(this.followedRevision, result.revision);
+      this.events.changed(result.changes, result.revision);
+      this.events.read(sentAt, result.revision);
     }
   }
 
@@ -170,11 +172,11 @@
     return new Promise((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
-        this.wake = null;
+        this.interruptPause = null;
         resolve();
       };
       const timer = setTimeout(done, ms);
-      this.wake = done;
+      this.interruptPause = done;
     });
   }
 }
--- a/src/state/service.ts
+++ b/src/state/service.ts
@@ -16,18 +16,18 @@
 }
 
 /** What the follower reads from. */
-export interface Source {
+export interface FollowerSource {
   page(from: string): Promise<Page | 'busy' | null>;
   changes(from: number, blockMs: number): Promise<Changes | 'old' | 'busy' | null>;
 }
 
 /** The state service as the core needs it, wherever it is. */
-export interface StateService extends Source {
+export interface StateService extends FollowerSource {
   /** So many keys behind this one; null: no answer. */
-  part(from: string, keys: number): Promise<Page | null>;
+  limitedPage(from: string, keys: number): Promise<Page | null>;
   commit(txn: Transaction): Promise<CommitOutcome>;
   /** null: no answer. */
-  lease(ttlMs: number): Promise<number | null>;
-  renew(hold: number): Promise<'ok' | 'gone' | 'failed'>;
-  unlease(hold: number): Promise<void>;
+  grantLease(ttlMs: number): Promise<number | null>;
+  renewLease(leaseId: number): Promise<'ok' | 'gone' | 'failed'>;
+  revokeLease(leaseId: number): Promise<void>;
 }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -17,72 +17,82 @@
   type Transaction,
 } from '../wire/store.js';
 
-const pageItems = 1000;
+const keysPerPage = 1000;
 
 /** The state service as the core sees it. */
 export class Store implements StateService {
-  private readonly calls: JsonClient;
-  private readonly watches: JsonClient;
+  private readonly requestClient: JsonClient;
+  private readonly watchClient: JsonClient;
 
   constructor(
     addr: string,
     /** How long an answer is waited for. */
     private readonly timeoutMs: number,
   ) {
-    this.calls = new JsonClient(addr, 6);
-    this.watches = new JsonClient(addr, 3);
+    this.requestClient = new JsonClient(addr, 6);
+    this.watchClient = new JsonClient(addr, 3);
   }
 
   async commit(txn: Transaction): Promise<CommitOutcome> {
-    const r = await this.calls.call('POST', '/commit', encodeTransaction(txn), this.timeoutMs);
+    const r = await this.requestClient.call('POST', '/commit', encodeTransaction(txn), this.timeoutMs);
     if (r === null) return { type: 'unknown' };
     if (r.status === 200) {
       const revision = parseRevision(r.body);
       return revision === null ? { type: 'unknown' } : { type: 'ok', revision };
     }
     if (r.status === 409) {
-      const f = parseConflict(r.body);
-      return f === null ? { type: 'unknown' } : { type: 'conflict', ...f };
+      const conflict = parseConflict(r.body);
+      return conflict === null ? { type: 'unknown' } : { type: 'conflict', ...conflict };
     }
     if (r.status === 400) {
-      const why = (r.body as { error?: unknown } | null)?.error;
-      return { type: why === 'no such lease' ? 'lease-expired' : 'malformed' };
+      const error = (r.body as { error?: unknown } | null)?.error;
+      return { type: error === 'no such lease' ? 'lease-expired' : 'malformed' };
     }
     if (r.status === 429) return { type: 'rate-limited' };
     return r.status === 503 ? { type: 'rejected' } : { type: 'unknown' };
   }
 
-  async lease(ttlMs: number): Promise<number | null> {
-    const r = await this.calls.call('POST', '/leases', encodeLeaseRequest(ttlMs), this.timeoutMs);
+  async grantLease(ttlMs: number): Promise<number | null> {
+    const r = await this.requestClient.call('POST', '/leases', encodeLeaseRequest(ttlMs), this.timeoutMs);
     return r?.status === 200 ? parseLeaseId(r.body) : null;
   }
 
-  async renew(hold: number): Promise<'ok' | 'gone' | 'failed'> {
-    const r = await this.calls.call('POST', `/leases/${hold}/renew`, {}, this.timeoutMs);
+  async renewLease(leaseId: number): Promise<'ok' | 'gone' | 'failed'> {
+    const r = await this.requestClient.call('POST', `/leases/${leaseId}/renew`, {}, this.timeoutMs);
     return r?.status === 200 ? 'ok' : r?.status === 404 ? 'gone' : 'failed';
   }
 
-  async unlease(hold: number): Promise<void> {
-    await this.calls.call('DELETE', `/leases/${hold}`, null, this.timeoutMs);
+  async revokeLease(leaseId: number): Promise<void> {
+    await this.requestClient.call('DELETE', `/leases/${leaseId}`, null, this.timeoutMs);
   }
 
   /** One page of what is under our prefix, in order of keys, beginning after `from`; null: no answer. */
   async page(from: string): Promise<Page | 'busy' | null> {
-    const r = await this.calls.call('GET', scanPath(keyPrefix, from, pageItems), null, this.timeoutMs * 2);
+    const r = await this.requestClient.call(
+      'GET',
+      scanPath(keyPrefix, from, keysPerPage),
+      null,
+      this.timeoutMs * 2,
+    );
     if (r?.status === 429) return 'busy';
     return r?.status === 200 ? parsePage(r.body) : null;
   }
 
-  async part(from: string, keys: number): Promise<Page | null> {
-    const r = await this.calls.call('GET', scanPath(keyPrefix, from, keys), null, this.timeoutMs);
+  async limitedPage(from: string, keys: number): Promise<Page | null> {
+    const r = await this.requestClient.call('GET', scanPath(keyPrefix, from, keys), null, this.timeoutMs);
     return r?.status === 200 ? parsePage(r.body) : null;
   }
 
   /** All keys under a prefix of somebody else's; null: no answer. */
-  async list(starts: string): Promise<Change[] | null> {
+  async list(prefix: string): Promise<Change[] | null> {
     const all: Change[] = [];
     for (let from = ''; ;) {
-      const r = await this.calls.call('GET', scanPath(starts, from, pageItems), null, this.timeoutMs * 2);
+      const r = await this.requestClient.call(
+        'GET',
+        scanPath(prefix, from, keysPerPage),
+        null,
+        this.timeoutMs * 2,
+      );
       const page = r?.status === 200 ? parsePage(r.body) : null;
       if (!page) return null;
       for (const i of page.items) all.push(i);
@@ -97,7 +107,7 @@
    */
   async changes(from: number, blockMs: number): Promise<Changes | 'old' | 'busy' | null> {
     const path = watchPath(keyPrefix, from, blockMs);
-    const r = await this.watches.call('GET', path, null, blockMs + this.timeoutMs);
+    const r = await this.watchClient.call('GET', path, null, blockMs + this.timeoutMs);
     if (r?.status === 410) return 'old';
     if (r?.status === 429) return 'busy';
     return r?.status === 200 ? parseChangeLog(r.body) : null;
--- a/src/store/disk.ts
+++ b/src/store/disk.ts
@@ -28,16 +28,16 @@
 const headKey = 'm!head';
 const keyPrefix = 'k!';
 const leasePrefix = 'l!';
-const markFile = 'answered';
+const answeredFileName = 'answered';
 /** The newest answered revision is noted beside the database so often. */
-const markEveryMs = 1000;
+const answeredWriteIntervalMs = 1000;
 
-const sealed = (value: unknown): string => {
+const encodeWithChecksum = (value: unknown): string => {
   const text = JSON.stringify(value);
   return `${crc32(text).toString(16).padStart(8, '0')}${text}`;
 };
 
-function unsealed(key: string, value: string): unknown {
+function decodeWithChecksum(key: string, value: string): unknown {
   const text = value.slice(8);
   if (crc32(text).toString(16).padStart(8, '0') !== value.slice(0, 8))
     throw new StoreError('damaged', `the value of ${key} is damaged: restore a snapshot`);
@@ -46,18 +46,18 @@
 
 /** A directory on disk, held by one process, through LevelDB: batches are written whole and synced. */
 export class LevelDisk implements Disk {
-  private readonly mark: number;
-  private markedAt = 0;
-  private written = 0;
+  private readonly answeredFile: number;
+  private answeredWrittenAt = 0;
+  private durableRevision = 0;
 
   private constructor(
     private readonly dir: string,
     private readonly db: ClassicLevel,
     private readonly now: () => number,
   ) {
-    this.mark = openSync(join(dir, markFile), 'a+');
-    closeSync(this.mark);
-    this.mark = openSync(join(dir, markFile), 'r+');
+    this.answeredFile = openSync(join(dir, answeredFileName), 'a+');
+    closeSync(this.answeredFile);
+    this.answeredFile = openSync(join(dir, answeredFileName), 'r+');
   }
 
   static async open(dir: string, now = (): number => performance.now()): Promise<LevelDisk> {
@@ -66,20 +66,20 @@
       mkdirSync(dir, { recursive: true });
       await db.open();
     } catch (e) {
-      throw explained(e, dir);
+      throw toStoreError(e, dir);
     }
     return new LevelDisk(dir, db, now);
   }
 
   async load(): Promise<Loaded> {
     try {
-      return await this.read();
+      return await this.readDatabase();
     } catch (e) {
-      throw explained(e, this.dir);
+      throw toStoreError(e, this.dir);
     }
   }
 
-  private async read(): Promise<Loaded> {
+  private async readDatabase(): Promise<Loaded> {
     const stored = await this.db.get(formatKey);
     if (stored === undefined) {
       for await (const key of this.db.keys({ limit: 1 }))
@@ -87,7 +87,7 @@
       await this.db.batch(
         [
           { type: 'put', key: formatKey, value: String(format) },
-          { type: 'put', key: headKey, value: sealed({ epoch: 0, nextHold: 1 }) },
+          { type: 'put', key: headKey, value: encodeWithChecksum({ epoch: 0, nextHold: 1 }) },
         ],
         { sync: true },
       );
@@ -100,24 +100,24 @@
     const leases: [number, number][] = [];
     let head: { epoch: number; nextHold: number } | null = null;
     for await (const [key, value] of this.db.iterator()) {
-      if (key === headKey) head = unsealed(key, value) as { epoch: number; nextHold: number };
+      if (key === headKey) head = decodeWithChecksum(key, value) as { epoch: number; nextHold: number };
       else if (key.startsWith(keyPrefix))
-        entries.push([key.slice(keyPrefix.length), unsealed(key, value) as Entry]);
+        entries.push([key.slice(keyPrefix.length), decodeWithChecksum(key, value) as Entry]);
       else if (key.startsWith(leasePrefix))
-        leases.push([Number(key.slice(leasePrefix.length)), unsealed(key, value) as number]);
+        leases.push([Number(key.slice(leasePrefix.length)), decodeWithChecksum(key, value) as number]);
     }
     if (!head) throw new StoreError('damaged', `${this.dir}: its head is missing: restore a snapshot`);
     for (const [key, e] of entries)
       if (e.stamp > head.epoch)
         throw new StoreError('damaged', `${this.dir}: ${key} is newer than the store: restore a snapshot`);
-    const answered = this.answered();
+    const answered = this.readAnswered();
     // Guards against the database that silently comes up without its newest batches after its log was damaged.
     if (answered > head.epoch)
       throw new StoreError(
         'damaged',
         `${this.dir}: ends at revision ${head.epoch}, but ${answered} was answered: restore a snapshot`,
       );
-    this.written = head.epoch;
+    this.durableRevision = head.epoch;
     return { ...head, entries, leases };
   }
 
@@ -127,72 +127,74 @@
     const batch = this.db.batch();
     for (const d of deltas) {
       // In order: a key that one commit puts and a later one drops is gone.
-      for (const [key, entry] of d.puts) batch.put(keyPrefix + key, sealed(entry));
+      for (const [key, entry] of d.puts) batch.put(keyPrefix + key, encodeWithChecksum(entry));
       for (const key of d.drops) batch.del(keyPrefix + key);
-      for (const [hold, ttlMs] of d.leases) batch.put(leasePrefix + hold, sealed(ttlMs));
-      for (const hold of d.ended) batch.del(leasePrefix + hold);
+      for (const [leaseId, ttlMs] of d.leases) batch.put(leasePrefix + leaseId, encodeWithChecksum(ttlMs));
+      for (const leaseId of d.endedLeases) batch.del(leasePrefix + leaseId);
     }
-    batch.put(headKey, sealed({ epoch: last.epoch, nextHold: last.nextHold }));
-    const durable = this.written;
+    batch.put(headKey, encodeWithChecksum({ epoch: last.epoch, nextHold: last.nextHold }));
+    const durable = this.durableRevision;
     try {
-      await Promise.all([batch.write({ sync: true }), this.note(durable)]);
+      await Promise.all([batch.write({ sync: true }), this.recordAnswered(durable)]);
     } catch (e) {
-      throw explained(e, this.dir);
+      throw toStoreError(e, this.dir);
     }
-    this.written = last.epoch;
+    this.durableRevision = last.epoch;
   }
 
   async close(): Promise<void> {
-    this.put(this.written);
-    fdatasyncSync(this.mark);
-    closeSync(this.mark);
+    this.writeAnswered(this.durableRevision);
+    fdatasyncSync(this.answeredFile);
+    closeSync(this.answeredFile);
     await this.db.close();
   }
 
   /** Notes a revision that is durable already: it may lag behind, never run ahead. */
-  private note(epoch: number): Promise<void> {
+  private recordAnswered(epoch: number): Promise<void> {
     const now = this.now();
-    if (now - this.markedAt < markEveryMs) return Promise.resolve();
-    this.markedAt = now;
-    this.put(epoch);
-    return new Promise((resolve, reject) => fsync(this.mark, (e) => (e ? reject(e) : resolve())));
+    if (now - this.answeredWrittenAt < answeredWriteIntervalMs) return Promise.resolve();
+    this.answeredWrittenAt = now;
+    this.writeAnswered(epoch);
+    return new Promise((resolve, reject) => fsync(this.answeredFile, (e) => (e ? reject(e) : resolve())));
   }
 
-  private put(epoch: number): void {
+  private writeAnswered(epoch: number): void {
     writeSync(
-      this.mark,
+      this.answeredFile,
       `${String(epoch).padStart(16, '0')} ${crc32(String(epoch)).toString(16).padStart(8, '0')}\n`,
       0,
     );
   }
 
-  private answered(): number {
-    const path = join(this.dir, markFile);
-    const m = existsSync(path) ? /^(\d{16}) ([0-9a-f]{8})$/.exec(readFileSync(path, 'latin1').trim()) : null;
+  private readAnswered(): number {
+    const path = join(this.dir, answeredFileName);
+    const match = existsSync(path)
+      ? /^(\d{16}) ([0-9a-f]{8})$/.exec(readFileSync(path, 'latin1').trim())
+      : null;
     // A mark that was being written when the machine stopped says nothing.
-    return m &&
-      crc32(String(Number(m[1])))
+    return match &&
+      crc32(String(Number(match[1])))
         .toString(16)
-        .padStart(8, '0') === m[2]
-      ? Number(m[1])
+        .padStart(8, '0') === match[2]
+      ? Number(match[1])
       : 0;
   }
 }
 
 /** An error of the library or the system, in an operator's words. */
-function explained(e: unknown, dir: string): StoreError {
+function toStoreError(e: unknown, dir: string): StoreError {
   if (e instanceof StoreError) return e;
   const err = e as NodeJS.ErrnoException & { cause?: NodeJS.ErrnoException };
-  const inner = err.cause ?? err;
-  const text = inner.message;
-  if (inner.code === 'LEVEL_LOCKED')
+  const cause = err.cause ?? err;
+  const text = cause.message;
+  if (cause.code === 'LEVEL_LOCKED')
     return new StoreError('locked', `${dir}: another process has it open: stop that one first`);
-  if (inner.code === 'ENOSPC' || /no space left/i.test(text))
+  if (cause.code === 'ENOSPC' || /no space left/i.test(text))
     return new StoreError(
       'full',
       `${dir}: no space left on the disk: free some and start again; nothing answered is lost`,
     );
-  if (inner.code === 'LEVEL_CORRUPTION' || /corrupt/i.test(text))
+  if (cause.code === 'LEVEL_CORRUPTION' || /corrupt/i.test(text))
     return new StoreError('damaged', `${dir}: damaged (${text}): restore a snapshot`);
   // A file of the database that cannot be read as one.
   if (/\.(ldb|log|sst)\b|MANIFEST|CURRENT/.test(text))
--- a/src/store/embedded.ts
+++ b/src/store/embedded.ts
@@ -5,7 +5,7 @@
 import type { Change, Transaction } from '../wire/store.js';
 import type { Engine } from './engine.js';
 
-const pageItems = 1000;
+const keysPerPage = 1000;
 
 /** An engine in this process, as the core's state service. */
 export class EmbeddedStore implements StateService {
@@ -15,33 +15,33 @@
     return this.engine.commit(txn);
   }
 
-  lease(ttlMs: number): Promise<number | null> {
-    return this.engine.lease(ttlMs);
+  grantLease(ttlMs: number): Promise<number | null> {
+    return this.engine.grantLease(ttlMs);
   }
 
-  async renew(hold: number): Promise<'ok' | 'gone' | 'failed'> {
-    if (this.engine.broken) return 'failed';
-    return this.engine.renew(hold) ? 'ok' : 'gone';
+  async renewLease(leaseId: number): Promise<'ok' | 'gone' | 'failed'> {
+    if (this.engine.failure) return 'failed';
+    return this.engine.renewLease(leaseId) ? 'ok' : 'gone';
   }
 
-  async unlease(hold: number): Promise<void> {
-    await this.engine.end(hold);
+  async revokeLease(leaseId: number): Promise<void> {
+    await this.engine.endLease(leaseId);
   }
 
   async page(from: string): Promise<Page | 'busy' | null> {
-    return this.engine.broken ? null : this.engine.scan(keyPrefix, from, pageItems);
+    return this.engine.failure ? null : this.engine.scan(keyPrefix, from, keysPerPage);
   }
 
-  async part(from: string, keys: number): Promise<Page | null> {
-    return this.engine.broken ? null : this.engine.scan(keyPrefix, from, keys);
+  async limitedPage(from: string, keys: number): Promise<Page | null> {
+    return this.engine.failure ? null : this.engine.scan(keyPrefix, from, keys);
   }
 
   /** All keys under a prefix of somebody else's. */
-  async list(starts: string): Promise<Change[] | null> {
+  async list(prefix: string): Promise<Change[] | null> {
     const all: Change[] = [];
     for (let from = ''; ;) {
-      if (this.engine.broken) return null;
-      const page = this.engine.scan(starts, from, pageItems);
+      if (this.engine.failure) return null;
+      const page = this.engine.scan(prefix, from, keysPerPage);
       for (const i of page.items) all.push(i);
       if (!page.more || page.items.length === 0) return all;
       from = page.items[page.items.length - 1].key;
@@ -49,6 +49,6 @@
   }
 
   async changes(from: number, blockMs: number): Promise<Changes | 'old' | 'busy' | null> {
-    return this.engine.broken ? null : this.engine.changes(keyPrefix, from, blockMs);
+    return this.engine.failure ? null : this.engine.changes(keyPrefix, from, blockMs);
   }
 }
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -12,7 +12,7 @@
   /** The disk failed: it may be durable or not. */
   | { type: 'unknown' };
 
-interface Waiting {
+interface PendingWrite {
   /** null: only waits for what came before. */
   delta: Delta | null;
   done(ok: boolean): void;
@@ -22,25 +22,25 @@
   wake(): void;
 }
 
-const mostItems = 1000;
-const mostBytes = 512 * 1024;
+const maxPageItems = 1000;
+const maxPageBytes = 512 * 1024;
 /** Leases may end up to 100 ms late. */
-const sweepMs = 50;
+const leaseExpiryIntervalMs = 50;
 
 /**
  * The state service: a keyspace in memory, made durable by groups. Whatever waits is written together with one sync, and
  * answered then. Readers see only what is durable.
  */
 export class Engine {
-  private readonly space: Keyspace;
-  private seen: View;
-  private waiting: Waiting[] = [];
+  private readonly keyspace: Keyspace;
+  private durableView: View;
+  private pendingWrites: PendingWrite[] = [];
   private flushing: Promise<void> | null = null;
   private readonly watchers = new Set<Watcher>();
-  private readonly timer: NodeJS.Timeout;
+  private readonly expiryTimer: NodeJS.Timeout;
   private closed = false;
   /** Why nothing can be written any more. */
-  broken: StoreError | null = null;
+  failure: StoreError | null = null;
 
   private constructor(
     private readonly disk: Disk,
@@ -48,12 +48,12 @@
     private readonly log: Log,
     private readonly now: () => number,
     /** Called once when the disk has failed: what is in memory is ahead of it, so the process has to start anew. */
-    private readonly onBroken: (e: StoreError) => void,
+    private readonly onFailure: (e: StoreError) => void,
   ) {
-    this.space = space;
-    this.seen = space.view();
-    this.timer = setInterval(() => this.sweep(), sweepMs);
-    this.timer.unref();
+    this.keyspace = space;
+    this.durableView = space.view();
+    this.expiryTimer = setInterval(() => this.endExpiredLeases(), leaseExpiryIntervalMs);
+    this.expiryTimer.unref();
   }
 
   static async open(
@@ -62,88 +62,88 @@
     onBroken: (e: StoreError) => void,
     now = (): number => performance.now(),
   ): Promise<Engine> {
-    const at = now();
+    const startedAt = now();
     const loaded = await disk.load();
     const engine = new Engine(disk, new Keyspace(loaded, now()), log, now, onBroken);
     log('info', 'store open', {
-      epoch: engine.epoch,
-      keys: engine.seen.keys.size,
-      tookMs: Math.round(now() - at),
+      epoch: engine.revision,
+      keys: engine.durableView.keys.size,
+      tookMs: Math.round(now() - startedAt),
     });
     return engine;
   }
 
   /** The newest durable revision. */
-  get epoch(): number {
-    return this.seen.epoch;
+  get revision(): number {
+    return this.durableView.revision;
   }
 
   commit(txn: Transaction): Promise<Outcome> {
     if (this.stopped) return Promise.resolve({ type: 'unknown' });
-    const v = this.space.commit(txn, this.now());
-    if (v.type === 'lease-expired') return Promise.resolve(v);
+    const result = this.keyspace.commit(txn, this.now());
+    if (result.type === 'lease-expired') return Promise.resolve(result);
     // A refusal, too, tells of changes that may not be durable yet.
-    if (v.type === 'conflict' || v.delta === null)
-      return this.behind().then((ok) => (ok ? strip(v) : { type: 'unknown' }));
-    return this.durable(v.delta).then((ok) =>
-      ok ? { type: 'ok', revision: v.revision } : { type: 'unknown' },
+    if (result.type === 'conflict' || result.delta === null)
+      return this.waitForPending().then((ok) => (ok ? withoutDelta(result) : { type: 'unknown' }));
+    return this.makeDurable(result.delta).then((ok) =>
+      ok ? { type: 'ok', revision: result.revision } : { type: 'unknown' },
     );
   }
 
-  async lease(ttlMs: number): Promise<number | null> {
+  async grantLease(ttlMs: number): Promise<number | null> {
     if (this.stopped) return null;
-    const { hold, delta } = this.space.lease(ttlMs, this.now());
-    return (await this.durable(delta)) ? hold : null;
+    const { leaseId, delta } = this.keyspace.grantLease(ttlMs, this.now());
+    return (await this.makeDurable(delta)) ? leaseId : null;
   }
 
-  renew(hold: number): boolean {
-    return this.space.renew(hold, this.now());
+  renewLease(leaseId: number): boolean {
+    return this.keyspace.renewLease(leaseId, this.now());
   }
 
   /** Gives every lease its full time again, as after an outage. */
   renewAll(): void {
-    this.space.renewAll(this.now());
+    this.keyspace.renewAllLeases(this.now());
   }
 
-  async end(hold: number): Promise<boolean> {
+  async endLease(leaseId: number): Promise<boolean> {
     if (this.stopped) return false;
-    const delta = this.space.end(hold);
-    return delta !== null && this.durable(delta);
+    const delta = this.keyspace.endLease(leaseId);
+    return delta !== null && this.makeDurable(delta);
   }
 
   get(key: string): { entry: Entry | undefined; revision: number } {
-    return { entry: this.seen.keys.get(key), revision: this.seen.epoch };
+    return { entry: this.durableView.keys.get(key), revision: this.durableView.revision };
   }
 
-  scan(starts: string, from: string, limit: number): { items: Change[]; more: boolean; revision: number } {
-    const page = scan(this.seen, starts, from, Math.min(limit, mostItems), mostBytes);
-    return { ...page, revision: this.seen.epoch };
+  scan(prefix: string, from: string, limit: number): { items: Change[]; more: boolean; revision: number } {
+    const page = scan(this.durableView, prefix, from, Math.min(limit, maxPageItems), maxPageBytes);
+    return { ...page, revision: this.durableView.revision };
   }
 
   /** Changes after a revision, at once or when there are any; 'old': not remembered any more. */
   changes(
-    starts: string,
+    prefix: string,
     from: number,
     blockMs: number,
   ): Promise<{ changes: Change[]; revision: number } | 'old'> {
-    const now = (): { changes: Change[]; revision: number } | 'old' => {
-      const changes = this.space.changes(starts, from, this.seen.epoch);
-      return changes === null ? 'old' : { changes, revision: this.seen.epoch };
+    const read = (): { changes: Change[]; revision: number } | 'old' => {
+      const changes = this.keyspace.changes(prefix, from, this.durableView.revision);
+      return changes === null ? 'old' : { changes, revision: this.durableView.revision };
     };
-    const first = now();
+    const first = read();
     if (first === 'old' || first.changes.length > 0 || blockMs <= 0 || this.closed)
       return Promise.resolve(first);
     return new Promise((resolve) => {
-      const end = (): void => {
+      const finish = (): void => {
         clearTimeout(timer);
         this.watchers.delete(watcher);
-        resolve(now());
+        resolve(read());
       };
-      const timer = setTimeout(end, blockMs);
+      const timer = setTimeout(finish, blockMs);
       const watcher = {
         wake: () => {
-          const r = now();
-          if (r === 'old' || r.changes.length > 0) end();
+          const result = read();
+          if (result === 'old' || result.changes.length > 0) finish();
         },
       };
       this.watchers.add(watcher);
@@ -152,39 +152,39 @@
 
   /** One moment of the whole store, for a snapshot; it stays as it is. */
   view(): View {
-    return this.seen;
+    return this.durableView;
   }
 
   async close(): Promise<void> {
     this.closed = true;
-    clearInterval(this.timer);
+    clearInterval(this.expiryTimer);
     for (const w of [...this.watchers]) w.wake();
     while (this.flushing) await this.flushing;
-    if (!this.broken) await this.disk.close();
+    if (!this.failure) await this.disk.close();
   }
 
   private get stopped(): boolean {
-    return this.closed || this.broken !== null;
+    return this.closed || this.failure !== null;
   }
 
-  private sweep(): void {
+  private endExpiredLeases(): void {
     if (this.stopped) return;
-    for (const hold of this.space.due(this.now())) {
-      const delta = this.space.end(hold);
-      this.log('info', 'lease ended', { hold });
-      if (delta) void this.durable(delta);
+    for (const leaseId of this.keyspace.expiredLeases(this.now())) {
+      const delta = this.keyspace.endLease(leaseId);
+      this.log('info', 'lease ended', { hold: leaseId });
+      if (delta) void this.makeDurable(delta);
     }
   }
 
   /** Resolves once everything that is in memory now is durable. */
-  private behind(): Promise<boolean> {
-    if (this.waiting.length === 0 && !this.flushing) return Promise.resolve(true);
-    return this.durable(null);
+  private waitForPending(): Promise<boolean> {
+    if (this.pendingWrites.length === 0 && !this.flushing) return Promise.resolve(true);
+    return this.makeDurable(null);
   }
 
-  private durable(delta: Delta | null): Promise<boolean> {
+  private makeDurable(delta: Delta | null): Promise<boolean> {
     return new Promise((resolve) => {
-      this.waiting.push({ delta, done: resolve });
+      this.pendingWrites.push({ delta, done: resolve });
       this.flushing ??= this.flush().finally(() => (this.flushing = null));
     });
   }
@@ -192,11 +192,11 @@
   private async flush(): Promise<void> {
     // What comes in the same turn goes along.
     await Promise.resolve();
-    while (this.waiting.length > 0 && this.broken === null) {
-      const group = this.waiting;
-      this.waiting = [];
+    while (this.pendingWrites.length > 0 && this.failure === null) {
+      const group = this.pendingWrites;
+      this.pendingWrites = [];
       // Taken now: what is committed during the write is not durable with it.
-      const view = this.space.view();
+      const view = this.keyspace.view();
       const deltas = group.flatMap((w) => (w.delta ? [w.delta] : []));
       try {
         if (deltas.length > 0) await this.disk.write(deltas);
@@ -204,23 +204,23 @@
         this.fail(e as StoreError, group);
         return;
       }
-      this.seen = view;
+      this.durableView = view;
       for (const w of group) w.done(true);
       for (const w of [...this.watchers]) w.wake();
     }
   }
 
-  private fail(e: StoreError, group: Waiting[]): void {
-    this.broken = e;
+  private fail(e: StoreError, group: PendingWrite[]): void {
+    this.failure = e;
     this.log('error', 'store cannot write', { error: e.message });
-    for (const w of [...group, ...this.waiting.splice(0)]) w.done(false);
-    this.onBroken(e);
+    for (const w of [...group, ...this.pendingWrites.splice(0)]) w.done(false);
+    this.onFailure(e);
   }
 }
 
-const strip = (
-  v: { type: 'ok'; revision: number } | { type: 'conflict'; failed: string[]; revision: number },
+const withoutDelta = (
+  result: { type: 'ok'; revision: number } | { type: 'conflict'; failed: string[]; revision: number },
 ): Outcome =>
-  v.type === 'ok'
-    ? { type: 'ok', revision: v.revision }
-    : { type: 'conflict', failed: v.failed, revision: v.revision };
+  result.type === 'ok'
+    ? { type: 'ok', revision: result.revision }
+    : { type: 'conflict', failed: result.failed, revision: result.revision };
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -16,8 +16,8 @@
 import type { Engine } from './engine.js';
 import { snapshotInto } from './snapshot.js';
 
-const mostBody = 64 * 1024;
-const longestWatchMs = 60_000;
+const maxBodyBytes = 64 * 1024;
+const maxWatchMs = 60_000;
 
 /** A request that a gate did not let pass, and the status that it is answered with. */
 export interface Refusal {
@@ -55,20 +55,25 @@
 ): Promise<void> {
   const url = new URL(req.url ?? '/', 'http://store');
   const route = `${req.method ?? ''} ${url.pathname}`;
-  const lease = /^(POST|DELETE) \/leases\/(\d+)(\/renew)?$/.exec(route);
-  if (engine.broken) return reply(res, 503, { error: engine.broken.message });
+  const leaseRoute = /^(POST|DELETE) \/leases\/(\d+)(\/renew)?$/.exec(route);
+  if (engine.failure) return reply(res, 503, { error: engine.failure.message });
   const refusal = await gate.request();
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
-  if (route === 'POST /commit') return commit(engine, gate, await readJson(req, mostBody), res);
+  if (route === 'POST /commit') return commit(engine, gate, await readJson(req, maxBodyBytes), res);
   if (route === 'POST /leases') {
-    const ttl = parseLeaseRequest(await readJson(req, mostBody));
-    if (typeof ttl === 'string') return reply(res, 400, { error: ttl });
-    const hold = await engine.lease(ttl);
-    return hold === null ? reply(res, 503, { error: 'not written' }) : reply(res, 200, encodeLease(hold));
+    const ttlMs = parseLeaseRequest(await readJson(req, maxBodyBytes));
+    if (typeof ttlMs === 'string') return reply(res, 400, { error: ttlMs });
+    const leaseId = await engine.grantLease(ttlMs);
+    return leaseId === null
+      ? reply(res, 503, { error: 'not written' })
+      : reply(res, 200, encodeLease(leaseId));
   }
-  if (lease) {
-    const hold = Number(lease[2]);
-    const ok = lease[1] === 'DELETE' ? await engine.end(hold) : lease[3] !== undefined && engine.renew(hold);
+  if (leaseRoute) {
+    const leaseId = Number(leaseRoute[2]);
+    const ok =
+      leaseRoute[1] === 'DELETE'
+        ? await engine.endLease(leaseId)
+        : leaseRoute[3] !== undefined && engine.renewLease(leaseId);
     return reply(res, ok ? 200 : 404, ok ? {} : { error: leaseNotFound });
   }
   if (route === 'GET /kv') {
@@ -93,21 +98,21 @@
   if (typeof txn === 'string') return reply(res, 400, { error: txn });
   const refusal = gate.transaction(txn);
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
-  const o = await engine.commit(txn);
-  if (o.type === 'ok') reply(res, 200, encodeRevision(o.revision));
-  else if (o.type === 'conflict') reply(res, 409, encodeConflict(o.failed, o.revision));
-  else if (o.type === 'lease-expired') reply(res, 400, { error: leaseNotFound });
+  const outcome = await engine.commit(txn);
+  if (outcome.type === 'ok') reply(res, 200, encodeRevision(outcome.revision));
+  else if (outcome.type === 'conflict') reply(res, 409, encodeConflict(outcome.failed, outcome.revision));
+  else if (outcome.type === 'lease-expired') reply(res, 400, { error: leaseNotFound });
   // It may be on disk or not: no answer says so.
   else res.destroy();
 }
 
-async function watch(engine: Engine, q: URLSearchParams, res: ServerResponse): Promise<void> {
-  const from = Number(q.get('from') ?? NaN);
-  const blockMs = Number(q.get('blockMs') ?? 0);
+async function watch(engine: Engine, query: URLSearchParams, res: ServerResponse): Promise<void> {
+  const from = Number(query.get('from') ?? NaN);
+  const blockMs = Number(query.get('blockMs') ?? 0);
   if (!Number.isInteger(from) || from < 0) return reply(res, 400, { error: 'from: must be a revision' });
-  if (!(blockMs >= 0 && blockMs <= longestWatchMs))
-    return reply(res, 400, { error: `blockMs: must be 0 to ${longestWatchMs}` });
-  const r = await engine.changes(q.get('starts') ?? '', from, blockMs);
-  if (r === 'old') reply(res, 410, { error: 'too old: read the keys again' });
-  else reply(res, 200, encodeChangeLog(r.changes, r.revision));
+  if (!(blockMs >= 0 && blockMs <= maxWatchMs))
+    return reply(res, 400, { error: `blockMs: must be 0 to ${maxWatchMs}` });
+  const result = await engine.changes(query.get('starts') ?? '', from, blockMs);
+  if (result === 'old') reply(res, 410, { error: 'too old: read the keys again' });
+  else reply(res, 200, encodeChangeLog(result.changes, result.revision));
 }
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -20,7 +20,7 @@
   puts: [string, Entry][];
   drops: string[];
   leases: [number, number][];
-  ended: number[];
+  endedLeases: number[];
 }
 
 export interface Loaded {
@@ -31,42 +31,42 @@
   leases: Iterable<[number, number]>;
 }
 
-export type Verdict =
+export type KeyspaceCommitResult =
   | { type: 'ok'; revision: number; delta: Delta | null }
   | { type: 'conflict'; failed: string[]; revision: number }
   | { type: 'lease-expired' };
 
 /** What readers see: one moment of the keyspace. Taking it costs nothing, the tree is shared until it changes. */
 export interface View {
-  epoch: number;
+  revision: number;
   keys: Tree;
 }
 
 /** So many changes are remembered; whoever is further behind reads anew. */
-const mostRemembered = 10_000;
+const minRememberedChanges = 10_000;
 
 interface Lease {
   ttlMs: number;
-  until: number;
+  expiresAt: number;
   keys: Set<string>;
 }
 
 /** The keys, leases and newest changes, by the rules of the protocol. On a clock that it is given; knows no disk. */
 export class Keyspace {
-  epoch: number;
-  private nextHold: number;
+  revision: number;
+  private nextLeaseId: number;
   private readonly keys: Tree = new BTree<string, Entry>();
   private readonly leases = new Map<number, Lease>();
-  private remembered: Change[] = [];
+  private rememberedChanges: Change[] = [];
   /** Changes up to this revision are not remembered. */
-  private floor: number;
+  private forgottenRevision: number;
 
   constructor(from: Loaded, now: number) {
-    this.epoch = this.floor = from.epoch;
-    this.nextHold = from.nextHold;
+    this.revision = this.forgottenRevision = from.epoch;
+    this.nextLeaseId = from.nextHold;
     // After a stop every lease has its full time again.
-    for (const [hold, ttlMs] of from.leases)
-      this.leases.set(hold, { ttlMs, until: now + ttlMs, keys: new Set() });
+    for (const [leaseId, ttlMs] of from.leases)
+      this.leases.set(leaseId, { ttlMs, expiresAt: now + ttlMs, keys: new Set() });
     for (const [key, entry] of from.entries) {
       this.keys.set(key, entry);
       if (entry.hold !== undefined) this.leases.get(entry.hold)?.keys.add(key);
@@ -74,133 +74,141 @@
   }
 
   view(): View {
-    return { epoch: this.epoch, keys: this.keys.clone() };
+    return { revision: this.revision, keys: this.keys.clone() };
   }
 
-  commit(txn: Transaction, now: number): Verdict {
+  commit(txn: Transaction, now: number): KeyspaceCommitResult {
     for (const w of txn.writes)
-      if (w.hold !== undefined && !this.lives(w.hold, now)) return { type: 'lease-expired' };
+      if (w.hold !== undefined && !this.isLeaseAlive(w.hold, now)) return { type: 'lease-expired' };
     const failed = txn.conditions
       .filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp)
       .map((c) => c.key);
-    if (failed.length > 0) return { type: 'conflict', failed, revision: this.epoch };
-    if (txn.writes.length === 0) return { type: 'ok', revision: this.epoch, delta: null };
-    const delta = this.begin();
+    if (failed.length > 0) return { type: 'conflict', failed, revision: this.revision };
+    if (txn.writes.length === 0) return { type: 'ok', revision: this.revision, delta: null };
+    const delta = this.beginRevision();
     for (const w of txn.writes)
-      if (w.data === undefined) this.drop(w.key, delta);
+      if (w.data === undefined) this.deleteKey(w.key, delta);
       else
-        this.put(
+        this.putKey(
           w.key,
-          { data: w.data, stamp: this.epoch, ...(w.hold === undefined ? {} : { hold: w.hold }) },
+          { data: w.data, stamp: this.revision, ...(w.hold === undefined ? {} : { hold: w.hold }) },
           delta,
         );
-    return { type: 'ok', revision: this.epoch, delta };
+    return { type: 'ok', revision: this.revision, delta };
   }
 
-  lease(ttlMs: number, now: number): { hold: number; delta: Delta } {
-    const hold = this.nextHold++;
-    this.leases.set(hold, { ttlMs, until: now + ttlMs, keys: new Set() });
-    return { hold, delta: { ...this.empty(), leases: [[hold, ttlMs]] } };
+  grantLease(ttlMs: number, now: number): { leaseId: number; delta: Delta } {
+    const leaseId = this.nextLeaseId++;
+    this.leases.set(leaseId, { ttlMs, expiresAt: now + ttlMs, keys: new Set() });
+    return { leaseId: leaseId, delta: { ...this.emptyDelta(), leases: [[leaseId, ttlMs]] } };
   }
 
-  renew(hold: number, now: number): boolean {
-    if (!this.lives(hold, now)) return false;
-    const lease = this.leases.get(hold)!;
-    lease.until = now + lease.ttlMs;
+  renewLease(leaseId: number, now: number): boolean {
+    if (!this.isLeaseAlive(leaseId, now)) return false;
+    const lease = this.leases.get(leaseId)!;
+    lease.expiresAt = now + lease.ttlMs;
     return true;
   }
 
-  renewAll(now: number): void {
-    for (const lease of this.leases.values()) lease.until = now + lease.ttlMs;
+  renewAllLeases(now: number): void {
+    for (const lease of this.leases.values()) lease.expiresAt = now + lease.ttlMs;
   }
 
   /** Ends a lease and drops its keys; null: there is none. */
-  end(hold: number): Delta | null {
-    const lease = this.leases.get(hold);
+  endLease(leaseId: number): Delta | null {
+    const lease = this.leases.get(leaseId);
     if (!lease) return null;
-    this.leases.delete(hold);
-    const delta = lease.keys.size > 0 ? this.begin() : this.empty();
-    for (const key of lease.keys) this.drop(key, delta);
-    delta.ended.push(hold);
+    this.leases.delete(leaseId);
+    const delta = lease.keys.size > 0 ? this.beginRevision() : this.emptyDelta();
+    for (const key of lease.keys) this.deleteKey(key, delta);
+    delta.endedLeases.push(leaseId);
     return delta;
   }
 
   /** Leases that have run out. */
-  due(now: number): number[] {
-    return [...this.leases].filter(([, l]) => l.until <= now).map(([hold]) => hold);
+  expiredLeases(now: number): number[] {
+    return [...this.leases].filter(([, l]) => l.expiresAt <= now).map(([leaseId]) => leaseId);
   }
 
   /** Changes after `from` and up to `to` under a prefix; null: too long ago. */
-  changes(starts: string, from: number, to: number): Change[] | null {
-    if (from < this.floor) return null;
+  changes(prefix: string, from: number, to: number): Change[] | null {
+    if (from < this.forgottenRevision) return null;
     // Few readers are far behind: from the end.
-    let at = this.remembered.length;
-    while (at > 0 && this.remembered[at - 1].stamp > from) at--;
-    return this.remembered.slice(at).filter((c) => c.stamp <= to && c.key.startsWith(starts));
+    let start = this.rememberedChanges.length;
+    while (start > 0 && this.rememberedChanges[start - 1].stamp > from) start--;
+    return this.rememberedChanges.slice(start).filter((c) => c.stamp <= to && c.key.startsWith(prefix));
   }
 
-  private lives(hold: number, now: number): boolean {
-    return (this.leases.get(hold)?.until ?? -Infinity) > now;
+  private isLeaseAlive(leaseId: number, now: number): boolean {
+    return (this.leases.get(leaseId)?.expiresAt ?? -Infinity) > now;
   }
 
-  private empty(): Delta {
-    return { epoch: this.epoch, nextHold: this.nextHold, puts: [], drops: [], leases: [], ended: [] };
+  private emptyDelta(): Delta {
+    return {
+      epoch: this.revision,
+      nextHold: this.nextLeaseId,
+      puts: [],
+      drops: [],
+      leases: [],
+      endedLeases: [],
+    };
   }
 
-  private begin(): Delta {
-    this.epoch++;
-    return this.empty();
+  private beginRevision(): Delta {
+    this.revision++;
+    return this.emptyDelta();
   }
 
-  private put(key: string, entry: Entry, delta: Delta): void {
-    this.detach(key);
+  private putKey(key: string, entry: Entry, delta: Delta): void {
+    this.detachFromLease(key);
     if (entry.hold !== undefined) this.leases.get(entry.hold)!.keys.add(key);
     this.keys.set(key, entry);
     delta.puts.push([key, entry]);
     this.remember({ key, data: entry.data, stamp: entry.stamp });
   }
 
-  private drop(key: string, delta: Delta): void {
-    this.detach(key);
+  private deleteKey(key: string, delta: Delta): void {
+    this.detachFromLease(key);
     if (!this.keys.delete(key)) return;
     delta.drops.push(key);
-    this.remember({ key, data: undefined, stamp: this.epoch });
+    this.remember({ key, data: undefined, stamp: this.revision });
   }
 
-  private detach(key: string): void {
-    const hold = this.keys.get(key)?.hold;
-    if (hold !== undefined) this.leases.get(hold)?.keys.delete(key);
+  private detachFromLease(key: string): void {
+    const leaseId = this.keys.get(key)?.hold;
+    if (leaseId !== undefined) this.leases.get(leaseId)?.keys.delete(key);
   }
 
   private remember(change: Change): void {
-    this.remembered.push(change);
-    if (this.remembered.length < mostRemembered * 2) return;
-    const gone = this.remembered.splice(0, mostRemembered);
-    this.floor = gone[gone.length - 1].stamp;
+    this.rememberedChanges.push(change);
+    if (this.rememberedChanges.length < minRememberedChanges * 2) return;
+    const gone = this.rememberedChanges.splice(0, minRememberedChanges);
+    this.forgottenRevision = gone[gone.length - 1].stamp;
     // A revision is remembered whole or not at all.
-    this.remembered = this.remembered.filter((c) => c.stamp > this.floor);
+    this.rememberedChanges = this.rememberedChanges.filter((c) => c.stamp > this.forgottenRevision);
   }
 }
 
 /** Keys under a prefix in order, beginning after `from`. */
 export function scan(
   view: View,
-  starts: string,
+  prefix: string,
   from: string,
-  most: number,
-  mostBytes: number,
+  maxItems: number,
+  maxBytes: number,
 ): { items: Change[]; more: boolean } {
   const items: Change[] = [];
   let bytes = 0;
-  let at: [string, Entry] | undefined;
-  if (from >= starts && from !== '') at = view.keys.nextHigherPair(from);
-  else if (view.keys.has(starts)) at = [starts, view.keys.get(starts)!];
+  let pair: [string, Entry] | undefined;
+  if (from >= prefix && from !== '') pair = view.keys.nextHigherPair(from);
+  else if (view.keys.has(prefix)) pair = [prefix, view.keys.get(prefix)!];
   // Every other key with the prefix comes behind the prefix itself.
-  else at = view.keys.nextHigherPair(starts === '' ? undefined : starts);
-  for (; at !== undefined && at[0].startsWith(starts); at = view.keys.nextHigherPair(at[0])) {
-    const [key, { data, stamp }] = at;
+  else pair = view.keys.nextHigherPair(prefix === '' ? undefined : prefix);
+  for (; pair !== undefined && pair[0].startsWith(prefix); pair = view.keys.nextHigherPair(pair[0])) {
+    const [key, { data, stamp }] = pair;
     const size = JSON.stringify(data).length + key.length;
-    if (items.length >= most || (items.length > 0 && bytes + size > mostBytes)) return { items, more: true };
+    if (items.length >= maxItems || (items.length > 0 && bytes + size > maxBytes))
+      return { items, more: true };
     bytes += size;
     items.push({ key, data, stamp });
   }
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -19,27 +19,27 @@
 import type { Entry, View } from './keyspace.js';
 
 /** So many keys go to the file between two turns of others. */
-const together = 500;
+const keysPerTurn = 500;
 
 /**
  * Writes one moment of the store to a file, while the store goes on: a line that says what it is, a line a key, a line
  * with the digest of all before it. The file has its name only once it is whole and on disk.
  */
 export async function writeSnapshot(view: View, path: string): Promise<{ keys: number; epoch: number }> {
-  const part = `${path}.part`;
-  const file = openSync(part, 'w', 0o600);
+  const temporaryPath = `${path}.part`;
+  const file = openSync(temporaryPath, 'w', 0o600);
   const digest = createHash('sha256');
-  const line = (value: unknown): void => {
+  const writeLine = (value: unknown): void => {
     const text = `${JSON.stringify(value)}\n`;
     digest.update(text);
     writeSync(file, text);
   };
   try {
-    line({ dapplepick: 'snapshot', format, epoch: view.epoch, keys: view.keys.size });
-    let n = 0;
+    writeLine({ dapplepick: 'snapshot', format, epoch: view.revision, keys: view.keys.size });
+    let writtenKeys = 0;
     for (const [key, { data, stamp }] of view.keys.entries()) {
-      line([key, data, stamp]);
-      if (++n % together === 0) await new Promise((resolve) => setImmediate(resolve));
+      writeLine([key, data, stamp]);
+      if (++writtenKeys % keysPerTurn === 0) await new Promise((resolve) => setImmediate(resolve));
     }
     writeSync(file, `${JSON.stringify({ sha256: digest.digest('hex') })}\n`);
     fsyncSync(file);
@@ -48,8 +48,8 @@
   } finally {
     closeSync(file);
   }
-  renameSync(part, path);
-  return { keys: view.keys.size, epoch: view.epoch };
+  renameSync(temporaryPath, path);
+  return { keys: view.keys.size, epoch: view.revision };
 }
 
 /** A snapshot of an open store, in its directory, named by its revision. */
@@ -60,7 +60,7 @@
   const view = engine.view();
   const folder = join(dir, 'snapshots');
   mkdirSync(folder, { recursive: true, mode: 0o700 });
-  const path = join(folder, `${String(view.epoch).padStart(12, '0')}.jsonl`);
+  const path = join(folder, `${String(view.revision).padStart(12, '0')}.jsonl`);
   return { path, ...(await writeSnapshot(view, path)) };
 }
 
@@ -72,14 +72,14 @@
   if (existsSync(dir) && readdirSync(dir).length > 0)
     throw new StoreError('foreign', `${dir}: not empty: a snapshot is restored into a new directory only`);
   const damaged = (why: string): StoreError => new StoreError('damaged', `${path}: ${why}`);
-  const { head, entries } = await readWhole(path, damaged);
+  const { head, entries } = await readSnapshot(path, damaged);
   const disk = await LevelDisk.open(dir);
   try {
     await disk.load();
     const nextHold = 1 + Math.max(0, ...entries.map(([, e]) => e.hold ?? 0));
-    const empty = { epoch: head.epoch, nextHold, drops: [], leases: [], ended: [] };
-    for (let i = 0; i < entries.length; i += together)
-      await disk.write([{ ...empty, puts: entries.slice(i, i + together) }]);
+    const empty = { epoch: head.epoch, nextHold, drops: [], leases: [], endedLeases: [] };
+    for (let i = 0; i < entries.length; i += keysPerTurn)
+      await disk.write([{ ...empty, puts: entries.slice(i, i + keysPerTurn) }]);
     await disk.write([{ ...empty, puts: [] }]);
   } finally {
     await disk.close();
@@ -87,32 +87,32 @@
   return { keys: entries.length, epoch: head.epoch };
 }
 
-interface Head {
+interface SnapshotHeader {
   dapplepick?: string;
   format?: number;
   epoch: number;
   keys: number;
 }
 
-async function readWhole(
+async function readSnapshot(
   path: string,
   damaged: (why: string) => StoreError,
 ): Promise<{ head: { epoch: number; keys: number }; entries: [string, Entry][] }> {
   const digest = createHash('sha256');
-  let head = null as Head | null;
+  let head = null as SnapshotHeader | null;
   const entries: [string, Entry][] = [];
-  let sum: string | null = null;
-  let n = 0;
+  let recordedDigest: string | null = null;
+  let lineNumber = 0;
   for await (const text of createInterface({ input: createReadStream(path), crlfDelay: Infinity })) {
-    n++;
+    lineNumber++;
     let value: unknown;
     try {
       value = JSON.parse(text);
     } catch {
-      throw damaged(`line ${n}: not JSON`);
+      throw damaged(`line ${lineNumber}: not JSON`);
     }
     if (head === null) {
-      head = value as Head;
+      head = value as SnapshotHeader;
       if (head.dapplepick !== 'snapshot') throw damaged('not a snapshot of a store');
       if (head.format !== format)
         throw new StoreError('version', `${path}: format ${head.format}, this program reads ${format}`);
@@ -120,13 +120,14 @@
       const [key, data, stamp] = value as [string, unknown, number];
       entries.push([key, { data, stamp }]);
     } else {
-      sum = (value as { sha256: string }).sha256;
+      recordedDigest = (value as { sha256: string }).sha256;
       break;
     }
     digest.update(`${text}\n`);
   }
   if (head === null) throw damaged('empty');
-  if (sum === null || entries.length !== head.keys) throw damaged(`cut short after line ${n}`);
-  if (sum !== digest.digest('hex')) throw damaged('its digest does not match');
+  if (recordedDigest === null || entries.length !== head.keys)
+    throw damaged(`cut short after line ${lineNumber}`);
+  if (recordedDigest !== digest.digest('hex')) throw damaged('its digest does not match');
   return { head, entries };
 }
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -120,21 +120,21 @@
   test(`store ${form}: a lease takes its keys along, never early; renewed, it stays; ended, it goes at once`, () =>
     withStore(async (s) => {
       // Long enough for a machine whose disk is busy with other tests: a commit may take more than a second there.
-      const [a, b] = [(await s.lease(3000))!, (await s.lease(1200))!];
+      const [a, b] = [(await s.grantLease(3000))!, (await s.grantLease(1200))!];
       await s.commit({ conditions: [], writes: [put('dp/a', 1, a), put('dp/b', 1, b)] });
       for (let i = 0; i < 5; i++) {
         await pause(700);
-        assert.equal(await s.renew(a), 'ok');
+        assert.equal(await s.renewLease(a), 'ok');
       }
       assert.deepEqual(
         ((await s.page('')) as { items: { key: string }[] }).items.map((i) => i.key),
         ['dp/a'],
       );
-      assert.equal(await s.renew(b), 'gone');
-      await s.unlease(a);
+      assert.equal(await s.renewLease(b), 'gone');
+      await s.revokeLease(a);
       assert.deepEqual(((await s.page('')) as { items: unknown[] }).items, []);
       // A key that was put again without its lease stays.
-      const c = (await s.lease(100))!;
+      const c = (await s.grantLease(100))!;
       await s.commit({ conditions: [], writes: [put('dp/c', 1, c)] });
       await s.commit({ conditions: [], writes: [put('dp/c', 2)] });
       await pause(300);
@@ -198,7 +198,7 @@
       const lines = said.split('\n').slice(0, -1);
       for (const l of lines) {
         const [epoch, key] = l.split(' ');
-        assert.ok(Number(epoch) <= engine.epoch);
+        assert.ok(Number(epoch) <= engine.revision);
         assert.ok(engine.get(key).entry, key);
       }
       await engine.close();
@@ -290,7 +290,7 @@
     for (let i = 0; i < 300; i++) await once.commit({ conditions: [], writes: [put(`k${i}`, i)] });
     await once.close();
     const again = await openAt(other);
-    assert.equal(again.epoch, 300);
+    assert.equal(again.revision, 300);
     await again.close();
     for (const f of readdirSync(join(other, 'db')))
       if (f.endsWith('.ldb')) truncateSync(join(other, 'db', f), 100);
@@ -312,7 +312,7 @@
     await engine.close();
     await restoreSnapshot(snap.path, join(dir, 'b'));
     const b = await openAt(join(dir, 'b'));
-    assert.equal(b.epoch, snap.epoch);
+    assert.equal(b.revision, snap.epoch);
     assert.equal(b.get('later').entry, undefined);
     assert.deepEqual(b.get('k7').entry, { data: { n: 7 }, stamp: 8 });
     await b.close();
