--- a/src/effect-handlers.ts
+++ b/src/effect-handlers.ts
@@ -1,4 +1,4 @@
-/** Execution of the core's effects by the adapters of a process. */
+/** Executes the core's effects by the adapters of a process. */
 import { performance } from 'node:perf_hooks';
 import type { CloudProvider } from './cloud/cloud-provider.js';
 import type { Command, Effect } from './core/effects.js';
@@ -9,20 +9,22 @@
 import { encodeChanges } from './wire/store.js';
 import type { WorkerClient } from './workers/worker-client.js';
 
-/** What effects are executed with. */
+/** The adapters and callbacks that effects are executed with. */
 export interface EffectContext {
   readonly store: StateService;
   readonly cloud: CloudProvider;
   readonly workerClient: WorkerClient;
   readonly follower: Follower;
-  /** null: there are no peers, or the mesh has not started yet. */
+  /** null: there are no peers, or the mesh has not been started yet. */
   readonly peerMesh: PeerMesh | null;
   readonly instanceId: string;
   /** Queues a command. */
   readonly enqueue: (command: Command) => void;
-  /** Queues the result of a request, unless the core was restarted since. */
+  /** Queues the result of a request, unless the core has been restarted since. */
   readonly complete: (command: Command) => void;
+  /** Sends the response to a request. */
   readonly respond: (response: Extract<Effect, { type: 'respond' }>) => void;
+  /** Restarts the core with the records that it knew. */
   readonly restart: (recoveryRecords: RecoveryRecords) => void;
 }
 
@@ -30,7 +32,7 @@
 type Handlers = { readonly [T in Effect['type']]: Handler<Extract<Effect, { type: T }>> };
 type HandlersOf<T extends Effect['type']> = Pick<Handlers, T>;
 
-/** Messages to other controllers. They are not acknowledged: the core repeats what must arrive. */
+/** Messages to other controllers. They are not acknowledged; the core repeats those that must arrive. */
 const peerHandlers: HandlersOf<
   'forward-heartbeat' | 'peer-status' | 'rejected-jobs' | 'query-freshness' | 'confirm-freshness'
 > = {
@@ -96,9 +98,9 @@
   restart: ({ recoveryRecords }, { restart }) => restart(recoveryRecords),
 };
 
-/** Executes one effect; results of requests come back as commands. */
+/** Executes one effect. The results of requests are queued as commands. */
 export function executeEffect(effect: Effect, context: EffectContext): void {
-  // The table maps each type to the handler of just that effect, which the compiler cannot relate to the union.
+  // The table maps each type to a handler of that type of effect, which the compiler cannot infer for the union.
   const handler = handlers[effect.type] as Handler<Effect>;
   handler(effect, context);
 }
--- a/src/formats/high-volume-records.ts
+++ b/src/formats/high-volume-records.ts
@@ -1,10 +1,11 @@
-/** Formats of the records that there are many of. */
+/** Formats of the kinds of records with many records: jobs, their tasks and machines. */
 import { fieldSet, type Data, type Format } from './record-types.js';
 
-/**
- * Formats of records that there are by the hundred thousand: checked by hand, since a start reads all of them on a quarter
- * of a core. Only what the core would stumble over is looked at.
+/*
+ * There are hundreds of thousands of these records, and a starting process reads all of them on a quarter of a core. So they
+ * are checked by hand-written code instead of schemas, and only the fields that the core relies on are checked.
  */
+
 const isObject = (x: unknown): x is Data => typeof x === 'object' && x !== null && !Array.isArray(x);
 const isCount = (x: unknown): boolean => Number.isSafeInteger(x) && (x as number) >= 0;
 
@@ -30,9 +31,14 @@
   return null;
 }
 
+/** A task's placement: its index, attempt and machine. */
 const isPlacement = (p: unknown): boolean =>
   Array.isArray(p) && isCount(p[0]) && isCount(p[1]) && typeof p[2] === 'string';
 
+/**
+ * Checks the state of some tasks. `n`: highest attempt used; `d`: completed tasks, as a bit set in base64; `p`: placements; `f`:
+ * machines on which the job failed; `r`: version of the state.
+ */
 function taskStateError(d: Data): string | null {
   if (!isCount(d['n'])) return 'n: not a count';
   if (typeof d['d'] !== 'string') return 'd: not a string';
@@ -44,6 +50,7 @@
   return null;
 }
 
+/** Checks a job. `s`: state; `at`: time of acceptance; `n`: number of tasks; `u`: resources of a cancelled job's tasks. */
 function jobError(d: Data, spec: unknown): string | null {
   if (d['s'] !== 'open' && d['s'] !== 'done' && d['s'] !== 'cancelled') return 's: unknown';
   if (typeof d['at'] !== 'number') return 'at: not a number';
@@ -52,17 +59,20 @@
   return d['u'] === undefined ? null : usageError(d['u']);
 }
 
+/** A job. */
 export const jobFormats: Format[] = [
   { fields: fieldSet('s', 'at', 'n', 'spec', 'u'), wrong: (d) => jobError(d, d['spec']) },
-  /** The state of its tasks is in it. */
+  /** Contains the state of the job's tasks, `t`. */
   {
     fields: fieldSet('s', 'at', 'n', 'job', 'u', 't'),
     wrong: (d) => jobError(d, d['job']) ?? (isObject(d['t']) ? taskStateError(d['t']) : 't: not an object'),
   },
 ];
 
+/** The state of some of a job's tasks. */
 export const chunkFormats: Format[] = [{ fields: fieldSet('n', 'd', 'p', 'f', 'r'), wrong: taskStateError }];
 
+/** An entry of the task log. Its elements are in the order of `StoredEntry` in the core's task log. */
 const isTaskLogEntry = (e: unknown): boolean =>
   Array.isArray(e) &&
   typeof e[0] === 'string' &&
@@ -72,15 +82,16 @@
   [e[6], e[7]].every((list) => Array.isArray(list) && list.every(isCount)) &&
   (e[8] === null || Array.isArray(e[8]));
 
-/** A record of the task log. */
-export const logFormats: Format[] = [
+/** A record of the task log: `e` is the list of its entries. */
+export const taskLogFormats: Format[] = [
   {
     fields: fieldSet('e'),
     wrong: (d) =>
-      Array.isArray(d['e']) && d['e'].every(isTaskLogEntry) ? null : 'e: not a list of entries of a task log',
+      Array.isArray(d['e']) && d['e'].every(isTaskLogEntry) ? null : 'e: not a list of task log entries',
   },
 ];
 
+/** Checks the fields that machines and blocks have in common. `f`: machine type; `y`: zone; `l`: spot; `s`: shard. */
 const machineFieldsError = (d: Data): string | null => {
   if (typeof d['f'] !== 'string') return 'f: not a string';
   if (typeof d['y'] !== 'string') return 'y: not a string';
@@ -88,15 +99,17 @@
   return Number.isSafeInteger(d['s']) ? null : 's: not a number';
 };
 
+/** A machine. `st`: its state; `at`: the time since which it has that state. */
 export const machineFormats: Format[] = [
   {
     fields: fieldSet('f', 'y', 'l', 's', 'st', 'at'),
     wrong: (d) =>
       machineFieldsError(d) ??
-      (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown standing'),
+      (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown state'),
   },
 ];
 
+/** The machines of one rental. `h`: their names. */
 export const blockFormats: Format[] = [
   {
     fields: fieldSet('f', 'y', 'l', 's', 'at', 'h'),
--- a/src/formats/record-types.ts
+++ b/src/formats/record-types.ts
@@ -1,4 +1,6 @@
-/** Kinds of durable records. */
+/** What a format of a durable record consists of. */
+
+/** The kinds of durable records. */
 export type Kind =
   | 'node'
   | 'lead'
@@ -16,15 +18,17 @@
   | 'inc'
   | 'log';
 
+/** A stored record, as decoded from JSON. */
 export type Data = Record<string, unknown>;
 
-/** One format of a kind of record: the fields that it has, and what is wrong with a record of it, or null. */
+/** One format of a kind of record. `fields`: the fields that it defines; `wrong`: what is wrong with a record; null: nothing. */
 export interface Format {
   fields: ReadonlySet<string>;
   wrong(data: Data): string | null;
 }
 
-/** Fields that any record may have: its format's number (none: 1), and the mark of the write that made it. */
+/** Fields that any record may have. `v`: the number of its format (absent: 1); `w`: the ID of the write that stored it. */
 const commonFields = ['v', 'w'];
 
+/** A format's own fields, and those that any record may have. */
 export const fieldSet = (...names: string[]): ReadonlySet<string> => new Set([...commonFields, ...names]);
--- a/src/formats/registry.ts
+++ b/src/formats/registry.ts
@@ -1,53 +1,61 @@
-/** All formats of all kinds of records, and the check of a record before it is used. */
+/** The formats of all kinds of records, and the check of a record before it is used. */
 import type { Data, Format, Kind } from './record-types.js';
-import { blockFormats, chunkFormats, jobFormats, logFormats, machineFormats } from './high-volume-records.js';
 import {
-  incFormats,
-  leadFormats,
+  blockFormats,
+  chunkFormats,
+  jobFormats,
+  taskLogFormats,
+  machineFormats,
+} from './high-volume-records.js';
+import {
+  incarnationFormats,
+  leaderFormats,
   levelFormats,
   membersFormats,
-  nodeFormats,
-  planFormats,
-  shardFormats,
-  teamsFormats,
-  typesFormats,
-  wishFormats,
+  presenceFormats,
+  allocationFormats,
+  shardGrantFormats,
+  teamShardFormats,
+  machineTypeFormats,
+  requestedLevelFormats,
 } from './low-volume-records.js';
 
 /**
- * Every format of every kind of durable record, oldest first: the first has number 1. What a program cannot read any more
- * stays as null, so that the numbers stay.
+ * The formats of each kind of durable record, oldest first; the first has number 1. A format that is no longer supported is
+ * replaced by null, so that the numbers of the others do not change.
  */
 export type Formats = Readonly<Record<Kind, readonly (Format | null)[]>>;
 
+/** The formats that this program reads. */
 export const formats: Formats = {
-  node: nodeFormats,
-  lead: leadFormats,
-  types: typesFormats,
-  teams: teamsFormats,
-  shard: shardFormats,
+  node: presenceFormats,
+  lead: leaderFormats,
+  types: machineTypeFormats,
+  teams: teamShardFormats,
+  shard: shardGrantFormats,
   block: blockFormats,
   machine: machineFormats,
   job: jobFormats,
   chunk: chunkFormats,
   level: levelFormats,
   members: membersFormats,
-  wish: wishFormats,
-  plan: planFormats,
-  inc: incFormats,
-  log: logFormats,
+  wish: requestedLevelFormats,
+  plan: allocationFormats,
+  inc: incarnationFormats,
+  log: taskLogFormats,
 };
 
-export type Verdict =
+/** Whether a record can be used. `extras`: its fields that this program does not know; null: none. */
+export type InspectionResult =
   | { ok: true; format: number; extras: Data | null }
-  /** Written by a newer program, by one too old, or damaged: not to be acted on, nor written over. */
+  /** A record of a newer format or one no longer supported, or a damaged one: it must neither be acted on nor overwritten. */
   | { ok: false; why: 'newer' | 'too old' | 'damaged'; text: string };
 
-/** A record's format: those of programs that knew none are of the first. */
+/** The number of a record's format. Records of programs from before format numbers have format 1. */
 export const formatNumberOf = (data: Data): number => (data['v'] === undefined ? 1 : (data['v'] as number));
 
-/** Looks at a record before anybody acts on it. `extras`: fields that this program does not know, and that must survive. */
-export function inspect(kind: Kind, data: unknown, known: Formats = formats): Verdict {
+/** Checks a record before it is acted on. Fields in `extras` must be preserved when the record is rewritten. */
+export function inspect(kind: Kind, data: unknown, known: Formats = formats): InspectionResult {
   if (typeof data !== 'object' || data === null || Array.isArray(data))
     return { ok: false, why: 'damaged', text: 'not an object' };
   const record = data as Data;
@@ -62,7 +70,7 @@
       text: `format ${number}, this program reads up to ${knownFormats.length}`,
     };
   const format = knownFormats[number - 1];
-  if (format === null) return { ok: false, why: 'too old', text: `format ${number} is not read any more` };
+  if (format === null) return { ok: false, why: 'too old', text: `format ${number} is no longer supported` };
   const problem = format.wrong(record);
   if (problem !== null) return { ok: false, why: 'damaged', text: problem };
   let extras: Data | null = null;
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** The library: everything a program needs to run, embed or test a controller. */
+/** The public API of the library, to run, embed or test a controller. */
 export { parseSettings, loadSettings, SettingsError, type Settings } from './config/settings.js';
 export {
   parseOperatorSettings as parseOperators,
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,10 +1,10 @@
-/** The process's log: JSON lines on standard error. */
+/** The log of a process: JSON lines on standard error. */
 import { pino } from 'pino';
 import type { Log } from './core/effects.js';
 
 const levels = new Set(['trace', 'debug', 'info', 'warn', 'error', 'fatal', 'silent']);
 
-/** Logs to standard error, at the level of LOG_LEVEL. */
+/** Creates a logger at the level that the environment variable LOG_LEVEL sets, by default `info`. */
 export function createLogger(member: string): Log {
   const wanted = process.env['LOG_LEVEL'] ?? 'info';
   const logger = pino(
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The executable. */
+/** The entry point of the executable. */
 import { main } from './cli/main.js';
 
 await main(process.argv);
--- a/src/memory-usage.ts
+++ b/src/memory-usage.ts
@@ -1,23 +1,24 @@
-/** Memory of the process against the deployment's limit: when to collect garbage, when to shed load. */
+/** Compares the memory of the process with the deployment's limits, to collect garbage and to shed load in time. */
 import { readFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import type { Log } from './core/effects.js';
 import type { Limits } from './limits/index.js';
 
-/** A collection that was asked for costs much: so long after one none is asked for again. */
+/** The least time between two requested garbage collections, because they are expensive. */
 const collectionIntervalMs = 20_000;
+/** The size of a memory page. */
 const pageKb = 4;
 
 /**
- * Keeps what the process holds below what the settings give it. The engine takes its own limit from the command line,
- * which is the same for all deployments; so it is told to collect when the deployment's limit is near.
+ * Keeps the memory of the process below the deployment's limit. The heap limit of V8 comes from the command line, which is the same
+ * for all deployments; so garbage is collected on request when the deployment's limit is near.
  */
 export class MemoryUsage {
   private lastCollectionAt = -Infinity;
   private collectGarbage: (() => void) | null = null;
   private wasShort = false;
-  /** Of what may be held before only what is needed most is taken in. */
+  /** The memory in use, as a share of the limit above which load is shed. */
   utilization = 0;
 
   constructor(
@@ -26,7 +27,7 @@
     private readonly measureMb: () => number = privateResidentMb,
   ) {}
 
-  /** Whether only what is needed most should be taken in now. */
+  /** Measures the memory, and collects garbage if needed. Returns whether load must be shed. */
   check(now: number): boolean {
     let usedMb = this.measureMb();
     if (usedMb > this.limits.collectGarbageAboveMb && now - this.lastCollectionAt > collectionIntervalMs) {
@@ -44,6 +45,7 @@
     return isShort;
   }
 
+  /** The garbage collector's function, which V8 provides only with the flag --expose-gc. */
   private garbageCollector(): () => void {
     if (!this.collectGarbage) {
       setFlagsFromString('--expose-gc');
@@ -53,7 +55,7 @@
   }
 }
 
-/** What the process holds itself, without the program's pages, which all processes of a machine share. */
+/** The resident memory of the process, MB, without the pages of the program, which all processes on a machine share. */
 function privateResidentMb(): number {
   try {
     const [, resident, shared] = readFileSync('/proc/self/statm', 'latin1').split(' ').map(Number);
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -1,40 +1,40 @@
-/** The queue of commands that wait for the next step of the core. */
+/** The queue of commands for the next step of the core. */
 import type { Settings } from './config/settings.js';
 import type { Command, Effect } from './core/effects.js';
 import type { Limits } from './limits/index.js';
 import { BoundedPriorityQueues } from './queues/index.js';
 import type { Random } from './retry/index.js';
 
-/** Commands that are requests of users and workers, by decreasing priority. */
+/** The commands that are requests of users and workers, by decreasing priority. */
 const requestTypes = ['cancel', 'heartbeat', 'submit', 'query'] as const;
 type RequestType = (typeof requestTypes)[number];
 type Request = Extract<Command, { type: RequestType }>;
 
-/** Requests that one step handles at most: the next step sees what has come meanwhile. */
+/** The most requests that one step handles. The next step also sees those that have arrived meanwhile. */
 const maxRequestsPerStep = 128;
-/** After this share of the time for which its sender waits, a response would come too late. */
+/** A request that has waited for this share of its sender's timeout is rejected: the response would come too late. */
 const usableWaitShare = 0.75;
-/** How long senders wait for a response by the protocol, ms. */
+/** The timeouts of senders by the protocol, ms. */
 const senderWaitMs: Record<RequestType, number> = {
   cancel: 5000,
   heartbeat: 4000,
   submit: 5000,
   query: 2000,
 };
-/** Rejected requests are repeated after 1 s, plus a random share of this many heartbeat intervals. */
+/** Rejected requests are to be retried after 1 s, plus a random share of this many heartbeat intervals. */
 const retrySpreadIntervals = 1;
 
 const isRequest = (command: Command): command is Request =>
   (requestTypes as readonly string[]).includes(command.type);
 
 /**
- * Commands that wait. Results of the core's own effects are handled first and never rejected; requests go through bounded priority
- * queues, so that thousands of workers and hundreds of users that come at once do not starve each other.
+ * Commands that wait for the next step. Results of the core's own effects are handled first and never rejected. Requests go through
+ * bounded priority queues, so that thousands of workers and hundreds of users do not starve each other.
  */
 export class RequestQueue {
   private internal: Command[] = [];
   private readonly requests: BoundedPriorityQueues<RequestType, Request>;
-  /** Memory is short: only requests that stop work or keep it alive are accepted. */
+  /** Whether memory is short: then only cancellations and heartbeats are accepted. */
   memoryShort = false;
 
   constructor(
@@ -60,12 +60,12 @@
     );
   }
 
-  /** Whether no command waits. */
+  /** Whether no commands wait. */
   get empty(): boolean {
     return this.internal.length === 0 && this.requests.size === 0;
   }
 
-  /** Adds a command. Returns the responses to the requests that are rejected for it. */
+  /** Adds a command. Returns the responses to the requests that are rejected to make room for it, which may include itself. */
   offer(command: Command, now: number): Effect[] {
     if (!isRequest(command)) {
       this.internal.push(command);
@@ -81,12 +81,12 @@
     return this.requests.fillRatio('submit');
   }
 
-  /** Drops results of effects: the core restarts. Requests stay. */
+  /** Drops results of effects, for a restart of the core. Requests stay queued. */
   discardResponses(): void {
     this.internal = [];
   }
 
-  /** Removes the commands of the next step. `answers`: the responses to requests that have waited for too long. */
+  /** Removes and returns the commands for the next step. `answers`: the responses to requests that have waited too long. */
   take(now: number): { commands: Command[]; answers: Effect[] } {
     const { items, expired } = this.requests.take(maxRequestsPerStep, now);
     const commands = this.internal.concat(items);
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,4 +1,4 @@
-/** The process of a controller: joins the core and the adapters. */
+/** The process of a controller: connects the core to its adapters. */
 import { randomBytes } from 'node:crypto';
 import { performance } from 'node:perf_hooks';
 import { HttpCloudProvider, type CloudProvider } from './cloud/cloud-provider.js';
@@ -22,11 +22,15 @@
 import { PublicServer, type ServerHooks } from './users/server.js';
 import { decodeChanges } from './wire/store.js';
 
+/** How often the core gets a tick. */
 const tickMs = 50;
 const loadReportIntervalMs = 1000;
-/** No client waits longer than this for a response. */
+/** How long open connections may take to close at shutdown. No client waits longer than this for a response. */
 const drainTimeoutMs = 5000;
-/** Of this controller's share of the request budget, the watch may use this much; the first snapshot all of it. */
+/**
+ * The part of this controller's share of the request budget that polls and watches may use. The snapshot at startup may use all of
+ * the share.
+ */
 const watchRequestShare = 1 / 3;
 
 /** Replacements for the adapters of the platform's state service and cloud, and extensions of the HTTP server. */
@@ -37,8 +41,9 @@
   matcher: Matcher;
 }
 
-/** Runs the core in a process: queues commands, lets it step over them in batches, and executes the effects. */
+/** Runs the core in a process: queues commands, passes them to the core in batches, and executes the effects. */
 export class Service {
+  /** The core; replaced when the state service has lost data. */
   controller: Controller;
   private readonly store: StateService;
   private instanceId: string;
@@ -53,7 +58,7 @@
   private readonly requestQueue: RequestQueue;
   private readonly memoryUsage: MemoryUsage;
   private peerMesh: PeerMesh | null = null;
-  /** Heartbeats that peers forwarded and that have no response yet, by our request id. */
+  /** Heartbeats forwarded by peers that have no response yet, by this process's request ID. */
   private readonly forwardedRequests = new Map<number, { to: string; id: number }>();
   private forwardedCount = 0;
   private effectContext: EffectContext;
@@ -67,7 +72,7 @@
     private readonly operators: OperatorSettings,
     private readonly log: Log,
     private readonly dependencies: Partial<ServiceDependencies> = {},
-    /** Version of this program. */
+    /** The version of this program. */
     private readonly program = '?',
   ) {
     const seed = randomBytes(4);
@@ -121,7 +126,10 @@
     });
   }
 
-  /** Replaces the core after the state service has lost data: it starts as a new process would, with what it knew. */
+  /**
+   * Replaces the core after the state service has lost data. The new core starts like a new process, with the records that the old
+   * one knew.
+   */
   private restartController(recoveryRecords: RecoveryRecords): void {
     this.instanceId = `${this.instanceId.split('.')[0]}.${++this.restarts}`;
     this.requestQueue.discardResponses();
@@ -142,7 +150,7 @@
     this.timers.push(setInterval(() => this.enqueue({ type: 'tick' }), tickMs));
     this.timers.push(setInterval(() => this.reportLoad(), loadReportIntervalMs));
     if (this.settings.peers.length === 0) return;
-    // Imported late: it is needed only now, and the time until the first response counts.
+    // Imported only when needed, to shorten the time until the first response.
     const { PeerMesh } = await import('./peers/mesh.js');
     const mesh = new PeerMesh({
       settings: this.settings,
@@ -159,14 +167,14 @@
     this.effectContext = this.createEffectContext();
   }
 
-  /** The port on which users and workers reach it. */
+  /** The port that users and workers connect to. */
   get address(): { port: number } {
     return this.publicServer.server.address() as { port: number };
   }
 
   /**
-   * Graceful shutdown: health checks fail, shards and leadership are handed over, open requests are answered. What cannot
-   * be handed over is acquired by others after lease expiry, as after a crash.
+   * Shuts down gracefully: health checks fail, shards and leadership are handed over, open requests are answered. What cannot be
+   * handed over is acquired by others after lease expiry, as after a crash.
    */
   async shutDown(): Promise<void> {
     if (this.shutdown === null) {
@@ -222,7 +230,7 @@
         this.enqueue({ type: 'peer-status', from, status: frame.status });
         break;
       case 'forwarded-heartbeat': {
-        // Negative, so that they never collide with the ids of our own server's requests.
+        // Negative, so that the IDs never collide with those of the requests to this process's own server.
         const requestId = -++this.forwardedCount;
         this.forwardedRequests.set(requestId, { to: from, id: frame.id });
         this.enqueue({ type: 'heartbeat', requestId, report: frame.heartbeat, from });
@@ -286,7 +294,7 @@
     executeEffect(effect, this.effectContext);
   }
 
-  /** What effects are executed with until the core is restarted or the mesh started. */
+  /** The context of effects until the core is restarted or the mesh is started. */
   private createEffectContext(): EffectContext {
     const { store, cloud, workerClient, follower, peerMesh, instanceId, restarts } = this;
     return {
@@ -297,14 +305,14 @@
       peerMesh,
       instanceId,
       enqueue: (command) => this.enqueue(command),
-      // Results of requests made before a restart of the core are dropped.
+      // Results of requests from before a restart of the core are dropped.
       complete: (command) => void (restarts === this.restarts && this.enqueue(command)),
       respond: (response) => this.respond(response),
       restart: (recoveryRecords) => this.restartController(recoveryRecords),
     };
   }
 
-  /** Responds to a request of our own server, or through the peer that forwarded it. */
+  /** Responds to a request to this process's own server, or through the peer that forwarded it. */
   private respond(response: Extract<Effect, { type: 'respond' }>): void {
     const { requestId, status, body, retryAfterS } = response;
     const forwarded = this.forwardedRequests.get(requestId);
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -1,42 +1,54 @@
-/** Follows the state service: the first snapshot, then changes by polls or a watch. */
+/** Follows the state service: reads a snapshot first, then the changes since, by polling or by a watch. */
 import type { RetryBackoff } from '../retry/index.js';
 import type { Change } from '../wire/store.js';
 import type { FollowerSource } from './service.js';
 
+/** How long a watch waits for changes before it returns without any. */
 const watchDurationMs = 2000;
 
-/** What the follower hands on. A reading tells that the view was complete at `sentAt` once it has reached `epoch`. */
+/** What the follower reports. */
 export interface FollowerEvents {
-  /** A page of the first reading has come. */
+  /** A page of the snapshot was read, though not the last; `keys`: how many keys have been read so far. */
   reading(keys: number): void;
+  /** The snapshot is complete. Changes after `revision` follow. */
   loaded(items: Change[], revision: number): void;
+  /** Changes up to `revision`, in order. */
   changed(changes: Change[], revision: number): void;
+  /**
+   * A request for changes, sent at `sentAt`, was answered: a view that has reached `revision` contains everything that was
+   * committed before `sentAt`. `revision` null: the request failed, or was not sent because of the backoff.
+   */
   read(sentAt: number, revision: number | null): void;
 }
 
-/** How often the follower may make requests. */
+/** Limits on the rate of the follower's requests. */
 export interface FollowerLimits {
-  /** Between two polls; the request budget is shared by all controllers. */
+  /** The least time between two polls, ms. The request budget is shared by all controllers. */
   everyMs: number;
-  /** Between two pages of the first reading, and how many may go at once before that. */
+  /** The time between two pages of the snapshot, ms, after the first `burst` pages. */
   pageMs: number;
+  /** How many pages of the snapshot may be read without a delay. */
   burst: number;
 }
 
 /**
- * Follows the state: reads it whole, then its changes. While somebody waits for a fresh view it asks for them
- * over and over, which tells the present revision and brings the view there in one request; otherwise it leaves
- * a watch open. What fails is tried again as the retry policy says, and meanwhile whoever asks is told at once.
+ * Follows the state: reads all of it, then the changes since. While a caller waits for a fresh view it polls, since one
+ * poll both tells the current revision and brings the view up to it; otherwise it keeps a watch open. Failed requests are
+ * retried with backoff; callers that ask during the backoff are told of the failure at once.
  */
 export class Follower {
+  /** The view contains all changes up to this revision; -1: no snapshot has been loaded. */
   private followedRevision = -1;
+  /** The newest revision that a caller waits for; -1: none. */
   private requestedRevision = -1;
   private pollRequested = false;
   private polling = false;
   private lastPollAt = -Infinity;
   private pollTimer: NodeJS.Timeout | null = null;
+  /** Ends the current pause early; null: there is no pause. */
   private interruptPause: (() => void) | null = null;
   private stopped = false;
+  /** Incremented by each restart, so that results of earlier requests are ignored. */
   private restarts = 0;
 
   constructor(
@@ -47,16 +59,16 @@
     private readonly events: FollowerEvents,
   ) {}
 
-  /** Somebody waits for this revision. */
+  /** Polls until this revision has been reached. */
   requestRevision(revision: number): void {
     if (revision <= this.followedRevision) return;
     this.requestedRevision = Math.max(this.requestedRevision, revision);
     this.requestPoll();
   }
 
-  /** Somebody waits for a view that is as new as now. */
+  /** Polls once more, so that a caller gets a view that is as new as this call. */
   requestPoll(): void {
-    // Guards against a request of every user in an outage: those who ask between two tries are told so at once.
+    // No request is sent during the backoff: otherwise each user's query would cause one in an outage. Callers are told at once.
     if (this.backoff.failureCount > 0 && this.now() < this.backoff.notBefore)
       return this.events.read(this.now(), null);
     this.pollRequested = true;
@@ -64,7 +76,7 @@
     if (this.followedRevision >= 0) this.schedulePoll();
   }
 
-  /** Forgets what it has followed: the state is another one. What was asked for before counts no more. */
+  /** Starts over with a new snapshot, because the state has been replaced. Earlier requests of callers are dropped. */
   restart(): void {
     this.restarts++;
     this.followedRevision = this.requestedRevision = -1;
@@ -72,17 +84,18 @@
     this.interruptPause?.();
   }
 
-  /** Ends the following. */
+  /** Stops following. */
   stop(): void {
     this.stopped = true;
     if (this.pollTimer) clearTimeout(this.pollTimer);
     this.interruptPause?.();
   }
 
+  /** Follows the state until `stop` is called. */
   async run(): Promise<void> {
     while (!this.stopped) {
       if (this.followedRevision < 0) await this.loadSnapshot();
-      // Polls bring the changes as long as they follow each other; a watch beside them would bring them twice.
+      // While polls are under way they return the changes; a concurrent watch would return the same changes twice.
       if (this.polling || this.pollTimer !== null) {
         await this.pause(this.limits.everyMs);
         continue;
@@ -92,7 +105,7 @@
     }
   }
 
-  /** Reads everything, page by page. A page that does not come is asked for again: what was read stays good. */
+  /** Reads the whole state, page by page. A page that cannot be read is requested again; the pages before it stay valid. */
   private async loadSnapshot(): Promise<void> {
     const { restarts } = this;
     const items: Change[] = [];
@@ -109,7 +122,7 @@
         continue;
       }
       this.backoff.onSuccess();
-      // Changes made since the first page are read behind it.
+      // The revision of the first page: changes that are made while later pages are read follow from there.
       if (revision < 0) revision = page.revision;
       for (const i of page.items) items.push(i);
       if (!page.more || page.items.length === 0) break;
@@ -167,7 +180,7 @@
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  /** Ends early when somebody asks. */
+  /** Ends early when a caller requests a poll, or when the follower is restarted or stopped. */
   private pause(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,4 +1,4 @@
-/** The client of the state service. */
+/** The client of a remote state service. */
 import type { CommitOutcome } from '../core/effects.js';
 import { keyPrefix } from '../core/storage/index.js';
 import { JsonClient } from '../net/client.js';
@@ -19,20 +19,21 @@
 
 const keysPerPage = 1000;
 
-/** The state service as the core sees it. */
+/** A remote state service, over HTTP. */
 export class Store implements StateService {
   private readonly requestClient: JsonClient;
   private readonly watchClient: JsonClient;
 
   constructor(
     addr: string,
-    /** How long an answer is waited for. */
+    /** How long to wait for a response. */
     private readonly timeoutMs: number,
   ) {
     this.requestClient = new JsonClient(addr, 6);
     this.watchClient = new JsonClient(addr, 3);
   }
 
+  /** Commits a transaction. */
   async commit(txn: Transaction): Promise<CommitOutcome> {
     const r = await this.requestClient.call('POST', '/commit', encodeTransaction(txn), this.timeoutMs);
     if (r === null) return { type: 'unknown' };
@@ -52,21 +53,24 @@
     return r.status === 503 ? { type: 'rejected' } : { type: 'unknown' };
   }
 
+  /** Grants a lease and returns its ID; null: no answer. */
   async grantLease(ttlMs: number): Promise<number | null> {
     const r = await this.requestClient.call('POST', '/leases', encodeLeaseRequest(ttlMs), this.timeoutMs);
     return r?.status === 200 ? parseLeaseId(r.body) : null;
   }
 
+  /** Renews a lease. 'gone': it has expired or was revoked; 'failed': whether it was renewed is unknown. */
   async renewLease(leaseId: number): Promise<'ok' | 'gone' | 'failed'> {
     const r = await this.requestClient.call('POST', `/leases/${leaseId}/renew`, {}, this.timeoutMs);
     return r?.status === 200 ? 'ok' : r?.status === 404 ? 'gone' : 'failed';
   }
 
+  /** Ends a lease, which deletes the keys attached to it. */
   async revokeLease(leaseId: number): Promise<void> {
     await this.requestClient.call('DELETE', `/leases/${leaseId}`, null, this.timeoutMs);
   }
 
-  /** One page of what is under our prefix, in order of keys, beginning after `from`; null: no answer. */
+  /** A page of the keys under the controllers' prefix, in order, after `from`; 'busy': rate limit; null: no answer. */
   async page(from: string): Promise<Page | 'busy' | null> {
     const r = await this.requestClient.call(
       'GET',
@@ -78,12 +82,13 @@
     return r?.status === 200 ? parsePage(r.body) : null;
   }
 
+  /** At most `keys` keys after `from`; null: no answer. */
   async limitedPage(from: string, keys: number): Promise<Page | null> {
     const r = await this.requestClient.call('GET', scanPath(keyPrefix, from, keys), null, this.timeoutMs);
     return r?.status === 200 ? parsePage(r.body) : null;
   }
 
-  /** All keys under a prefix of somebody else's; null: no answer. */
+  /** All keys under any prefix; null: no answer. */
   async list(prefix: string): Promise<Change[] | null> {
     const all: Change[] = [];
     for (let from = ''; ;) {
@@ -102,8 +107,8 @@
   }
 
   /**
-   * Changes after a revision, at once or as soon as there are any; 'old' if the service has forgotten them; null
-   * if it gave none.
+   * The changes after revision `from`; if there are none yet, waits up to `blockMs` for some. 'old': the service no longer
+   * remembers them; 'busy': the rate limit was exceeded; null: no answer.
    */
   async changes(from: number, blockMs: number): Promise<Changes | 'old' | 'busy' | null> {
     const path = watchPath(keyPrefix, from, blockMs);
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -1,70 +1,79 @@
-/** The store: commits made durable in groups, leases, watches. */
+/** The store's engine: group commit, leases and watches. */
 import type { Log } from '../core/effects.js';
 import type { Change, Transaction } from '../wire/store.js';
 import type { Disk } from './disk.js';
 import type { StoreError } from './errors.js';
 import { Keyspace, scan, type Delta, type Entry, type View } from './keyspace.js';
 
+/** What became of a transaction. */
 export type Outcome =
   | { type: 'ok'; revision: number }
   | { type: 'conflict'; failed: string[]; revision: number }
   | { type: 'lease-expired' }
-  /** The disk failed: it may be durable or not. */
+  /** The disk failed: whether the transaction is durable is unknown. */
   | { type: 'unknown' };
 
+/** A write that waits for its group to become durable. */
 interface PendingWrite {
-  /** null: only waits for what came before. */
+  /** null: nothing to write; it only waits for the writes before it. */
   delta: Delta | null;
   done(ok: boolean): void;
 }
 
+/** A watch that waits for changes. */
 interface Watcher {
   wake(): void;
 }
 
+/** Limits on a page of keys. */
 const maxPageItems = 1000;
 const maxPageBytes = 512 * 1024;
-/** Leases may end up to 100 ms late. */
+/** How often expired leases are ended. Leases may end up to 100 ms late. */
 const leaseExpiryIntervalMs = 50;
 
 /**
- * The state service: a keyspace in memory, made durable by groups. Whatever waits is written together with one sync, and
- * answered then. Readers see only what is durable.
+ * The state service: a keyspace in memory that is made durable by group commit. All pending writes are written to disk as one
+ * batch with one sync, and only then acknowledged. Readers see only durable data.
  */
 export class Engine {
   private readonly keyspace: Keyspace;
+  /** The newest durable state, which readers see. */
   private durableView: View;
   private pendingWrites: PendingWrite[] = [];
   private flushing: Promise<void> | null = null;
   private readonly watchers = new Set<Watcher>();
   private readonly expiryTimer: NodeJS.Timeout;
   private closed = false;
-  /** Why nothing can be written any more. */
+  /** The disk error after which nothing can be written any more; null: none. */
   failure: StoreError | null = null;
 
   private constructor(
     private readonly disk: Disk,
-    space: Keyspace,
+    keyspace: Keyspace,
     private readonly log: Log,
     private readonly now: () => number,
-    /** Called once when the disk has failed: what is in memory is ahead of it, so the process has to start anew. */
+    /**
+     * Called once, when a write to the disk has failed. The keyspace in memory is then ahead of the disk, so the process must
+     * restart.
+     */
     private readonly onFailure: (e: StoreError) => void,
   ) {
-    this.keyspace = space;
-    this.durableView = space.view();
+    this.keyspace = keyspace;
+    this.durableView = keyspace.view();
     this.expiryTimer = setInterval(() => this.endExpiredLeases(), leaseExpiryIntervalMs);
     this.expiryTimer.unref();
   }
 
+  /** Loads what is on the disk and opens the store. */
   static async open(
     disk: Disk,
     log: Log,
-    onBroken: (e: StoreError) => void,
+    onFailure: (e: StoreError) => void,
     now = (): number => performance.now(),
   ): Promise<Engine> {
     const startedAt = now();
     const loaded = await disk.load();
-    const engine = new Engine(disk, new Keyspace(loaded, now()), log, now, onBroken);
+    const engine = new Engine(disk, new Keyspace(loaded, now()), log, now, onFailure);
     log('info', 'store open', {
       epoch: engine.revision,
       keys: engine.durableView.keys.size,
@@ -78,11 +87,12 @@
     return this.durableView.revision;
   }
 
+  /** Commits a transaction; resolves once it is durable. */
   commit(txn: Transaction): Promise<Outcome> {
     if (this.stopped) return Promise.resolve({ type: 'unknown' });
     const result = this.keyspace.commit(txn, this.now());
     if (result.type === 'lease-expired') return Promise.resolve(result);
-    // A refusal, too, tells of changes that may not be durable yet.
+    // A conflict, too, reveals changes that may not be durable yet: it is reported only once they are.
     if (result.type === 'conflict' || result.delta === null)
       return this.waitForPending().then((ok) => (ok ? withoutDelta(result) : { type: 'unknown' }));
     return this.makeDurable(result.delta).then((ok) =>
@@ -90,37 +100,45 @@
     );
   }
 
+  /** Grants a lease and returns its ID; null: it could not be made durable. */
   async grantLease(ttlMs: number): Promise<number | null> {
     if (this.stopped) return null;
     const { leaseId, delta } = this.keyspace.grantLease(ttlMs, this.now());
     return (await this.makeDurable(delta)) ? leaseId : null;
   }
 
+  /** Renews a lease; false: it has expired or does not exist. */
   renewLease(leaseId: number): boolean {
     return this.keyspace.renewLease(leaseId, this.now());
   }
 
-  /** Gives every lease its full time again, as after an outage. */
+  /** Renews all leases, for example after an outage. */
   renewAll(): void {
     this.keyspace.renewAllLeases(this.now());
   }
 
+  /** Ends a lease and deletes the keys attached to it; false: there is no such lease, or the disk failed. */
   async endLease(leaseId: number): Promise<boolean> {
     if (this.stopped) return false;
     const delta = this.keyspace.endLease(leaseId);
     return delta !== null && this.makeDurable(delta);
   }
 
+  /** The durable entry of a key, and the revision at which it was read. */
   get(key: string): { entry: Entry | undefined; revision: number } {
     return { entry: this.durableView.keys.get(key), revision: this.durableView.revision };
   }
 
+  /** A page of the keys under a prefix, in order, after `from`. */
   scan(prefix: string, from: string, limit: number): { items: Change[]; more: boolean; revision: number } {
     const page = scan(this.durableView, prefix, from, Math.min(limit, maxPageItems), maxPageBytes);
     return { ...page, revision: this.durableView.revision };
   }
 
-  /** Changes after a revision, at once or when there are any; 'old': not remembered any more. */
+  /**
+   * The changes after revision `from` to keys under a prefix; if there are none yet, waits up to `blockMs` for some. 'old': the
+   * changes are no longer remembered.
+   */
   changes(
     prefix: string,
     from: number,
@@ -150,11 +168,12 @@
     });
   }
 
-  /** One moment of the whole store, for a snapshot; it stays as it is. */
+  /** An immutable view of all durable data, for a snapshot. */
   view(): View {
     return this.durableView;
   }
 
+  /** Ends all watches, waits for pending writes and closes the disk. */
   async close(): Promise<void> {
     this.closed = true;
     clearInterval(this.expiryTimer);
@@ -176,12 +195,13 @@
     }
   }
 
-  /** Resolves once everything that is in memory now is durable. */
+  /** Resolves once everything that is in memory now is durable; false: the disk failed. */
   private waitForPending(): Promise<boolean> {
     if (this.pendingWrites.length === 0 && !this.flushing) return Promise.resolve(true);
     return this.makeDurable(null);
   }
 
+  /** Adds a write to the next group; resolves once it is durable; false: the disk failed. */
   private makeDurable(delta: Delta | null): Promise<boolean> {
     return new Promise((resolve) => {
       this.pendingWrites.push({ delta, done: resolve });
@@ -190,12 +210,12 @@
   }
 
   private async flush(): Promise<void> {
-    // What comes in the same turn goes along.
+    // Writes that are added in the same turn of the event loop join this group.
     await Promise.resolve();
     while (this.pendingWrites.length > 0 && this.failure === null) {
       const group = this.pendingWrites;
       this.pendingWrites = [];
-      // Taken now: what is committed during the write is not durable with it.
+      // Taken before the write: transactions that are committed while it runs are not part of this batch.
       const view = this.keyspace.view();
       const deltas = group.flatMap((w) => (w.delta ? [w.delta] : []));
       try {
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -1,4 +1,4 @@
-/** The state service's protocol over HTTP. */
+/** The state service's HTTP server. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import {
   encodeChangeLog,
@@ -10,7 +10,7 @@
   leaseNotFound,
   parseLeaseRequest,
   parseTransaction,
-} from '../wire/store-side.js';
+} from '../wire/store-server.js';
 import { readJson, sendJson as reply } from '../net/json.js';
 import type { Transaction } from '../wire/store.js';
 import type { Engine } from './engine.js';
@@ -19,24 +19,24 @@
 const maxBodyBytes = 64 * 1024;
 const maxWatchMs = 60_000;
 
-/** A request that a gate did not let pass, and the status that it is answered with. */
+/** The response to a request that the gate has rejected. */
 export interface Refusal {
   status: 400 | 429 | 503;
   error: string;
 }
 
-/** Decides which requests are served: rate limits, sizes, outages. The HTTP server of a store has none unless it is given one. */
+/** Decides which requests are served, by rate limits, size limits and simulated outages. By default all requests are served. */
 export interface RequestGate {
-  /** Resolves when the request may go on, with a refusal if it may not. */
+  /** Resolves with null once the request may proceed, or with the response that rejects it. */
   request(): Promise<Refusal | null>;
-  /** Asked once more for a transaction, when its size is known. */
+  /** Checks a transaction in addition, once its size is known. */
   transaction(txn: Transaction): Refusal | null;
 }
 
-const openGate: RequestGate = { request: () => Promise.resolve(null), transaction: () => null };
+const allowAllGate: RequestGate = { request: () => Promise.resolve(null), transaction: () => null };
 
-/** The state service's protocol over HTTP, for an engine. */
-export function storeServer(engine: Engine, dir: string, gate: RequestGate = openGate): Server {
+/** Creates the HTTP server of a store. `dir`: where it writes snapshots. */
+export function storeServer(engine: Engine, dir: string, gate: RequestGate = allowAllGate): Server {
   const server = createServer({ keepAliveTimeout: 120_000, requestTimeout: 10_000 }, (req, res) => {
     serve(engine, dir, gate, req, res).catch((e: unknown) =>
       reply(res, 503, { error: String((e as Error).message) }),
@@ -102,7 +102,7 @@
   if (outcome.type === 'ok') reply(res, 200, encodeRevision(outcome.revision));
   else if (outcome.type === 'conflict') reply(res, 409, encodeConflict(outcome.failed, outcome.revision));
   else if (outcome.type === 'lease-expired') reply(res, 400, { error: leaseNotFound });
-  // It may be on disk or not: no answer says so.
+  // Whether it is durable is unknown, so the connection is closed without a response.
   else res.destroy();
 }
 
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,4 +1,4 @@
-/** The state service as a product of this repository: its one face. */
+/** The state service's implementation: a small key-value store with transactions, leases and watches. */
 export { Engine, type Outcome } from './engine.js';
 export { EmbeddedStore } from './embedded.js';
 export { format, LevelDisk, type Disk } from './disk.js';
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -1,19 +1,21 @@
-/** Keys, leases and remembered changes of the store, by the rules of the protocol. */
+/** The store's keys, leases and recent changes, in memory. */
 import BTreeModule from 'sorted-btree';
 import type { Change, Transaction } from '../wire/store.js';
 
-// The package is CommonJS: its class is the default of what is imported.
+// The package is CommonJS: its class is the `default` member of the imported default.
 const BTree = BTreeModule.default;
 type Tree = InstanceType<typeof BTreeModule.default<string, Entry>>;
 
+/** The value of a key. The names of its fields are part of the stored format. */
 export interface Entry {
   data: unknown;
+  /** The revision of its last change. */
   stamp: number;
-  /** The lease it is attached to. */
+  /** The ID of the lease that it is attached to. */
   hold?: number;
 }
 
-/** What has to reach the disk for a change to be durable. */
+/** What has to be written to disk to make a change durable. `epoch`: its revision; `nextHold`: the next lease's ID. */
 export interface Delta {
   epoch: number;
   nextHold: number;
@@ -23,27 +25,32 @@
   endedLeases: number[];
 }
 
+/** What was read from disk. `epoch`: the newest revision; `nextHold`: the next lease's ID. */
 export interface Loaded {
   epoch: number;
   nextHold: number;
   entries: Iterable<[string, Entry]>;
-  /** Leases and how long they last, ms. */
+  /** The IDs of leases with their time to live, ms. */
   leases: Iterable<[number, number]>;
 }
 
+/** What became of a transaction. `delta`: what has to be made durable; null: nothing. */
 export type KeyspaceCommitResult =
   | { type: 'ok'; revision: number; delta: Delta | null }
   | { type: 'conflict'; failed: string[]; revision: number }
   | { type: 'lease-expired' };
 
-/** What readers see: one moment of the keyspace. Taking it costs nothing, the tree is shared until it changes. */
+/** An immutable view of the keyspace. It is cheap to take: the tree is copied on write. */
 export interface View {
   revision: number;
   keys: Tree;
 }
 
-/** So many changes are remembered; whoever is further behind reads anew. */
-const minRememberedChanges = 10_000;
+/**
+ * When twice as many changes are remembered, the oldest are dropped until about so many are left. A reader that needs older ones has
+ * to read all keys again.
+ */
+const rememberedChangeCount = 10_000;
 
 interface Lease {
   ttlMs: number;
@@ -51,20 +58,21 @@
   keys: Set<string>;
 }
 
-/** The keys, leases and newest changes, by the rules of the protocol. On a clock that it is given; knows no disk. */
+/** The keys, leases and recent changes, by the rules of the protocol. It gets the time from its caller, and does no I/O. */
 export class Keyspace {
+  /** The newest revision. */
   revision: number;
   private nextLeaseId: number;
   private readonly keys: Tree = new BTree<string, Entry>();
   private readonly leases = new Map<number, Lease>();
   private rememberedChanges: Change[] = [];
-  /** Changes up to this revision are not remembered. */
+  /** Changes up to this revision are no longer remembered. */
   private forgottenRevision: number;
 
   constructor(from: Loaded, now: number) {
     this.revision = this.forgottenRevision = from.epoch;
     this.nextLeaseId = from.nextHold;
-    // After a stop every lease has its full time again.
+    // After a restart every lease starts with its full time to live.
     for (const [leaseId, ttlMs] of from.leases)
       this.leases.set(leaseId, { ttlMs, expiresAt: now + ttlMs, keys: new Set() });
     for (const [key, entry] of from.entries) {
@@ -73,10 +81,12 @@
     }
   }
 
+  /** An immutable view of the current state. */
   view(): View {
     return { revision: this.revision, keys: this.keys.clone() };
   }
 
+  /** Applies a transaction if its conditions hold and the leases that it uses are alive. */
   commit(txn: Transaction, now: number): KeyspaceCommitResult {
     for (const w of txn.writes)
       if (w.hold !== undefined && !this.isLeaseAlive(w.hold, now)) return { type: 'lease-expired' };
@@ -97,12 +107,14 @@
     return { type: 'ok', revision: this.revision, delta };
   }
 
+  /** Grants a lease. */
   grantLease(ttlMs: number, now: number): { leaseId: number; delta: Delta } {
     const leaseId = this.nextLeaseId++;
     this.leases.set(leaseId, { ttlMs, expiresAt: now + ttlMs, keys: new Set() });
-    return { leaseId: leaseId, delta: { ...this.emptyDelta(), leases: [[leaseId, ttlMs]] } };
+    return { leaseId, delta: { ...this.emptyDelta(), leases: [[leaseId, ttlMs]] } };
   }
 
+  /** Renews a lease; false: it has expired or does not exist. */
   renewLease(leaseId: number, now: number): boolean {
     if (!this.isLeaseAlive(leaseId, now)) return false;
     const lease = this.leases.get(leaseId)!;
@@ -110,11 +122,12 @@
     return true;
   }
 
+  /** Renews all leases, expired ones that have not been ended yet included. */
   renewAllLeases(now: number): void {
     for (const lease of this.leases.values()) lease.expiresAt = now + lease.ttlMs;
   }
 
-  /** Ends a lease and drops its keys; null: there is none. */
+  /** Ends a lease and deletes the keys attached to it; null: there is no such lease. */
   endLease(leaseId: number): Delta | null {
     const lease = this.leases.get(leaseId);
     if (!lease) return null;
@@ -125,15 +138,15 @@
     return delta;
   }
 
-  /** Leases that have run out. */
+  /** The IDs of expired leases that have not been ended yet. */
   expiredLeases(now: number): number[] {
     return [...this.leases].filter(([, l]) => l.expiresAt <= now).map(([leaseId]) => leaseId);
   }
 
-  /** Changes after `from` and up to `to` under a prefix; null: too long ago. */
+  /** Changes after revision `from` and up to `to` to keys under a prefix; null: they are no longer remembered. */
   changes(prefix: string, from: number, to: number): Change[] | null {
     if (from < this.forgottenRevision) return null;
-    // Few readers are far behind: from the end.
+    // Searched from the end, since few readers are far behind.
     let start = this.rememberedChanges.length;
     while (start > 0 && this.rememberedChanges[start - 1].stamp > from) start--;
     return this.rememberedChanges.slice(start).filter((c) => c.stamp <= to && c.key.startsWith(prefix));
@@ -154,6 +167,7 @@
     };
   }
 
+  /** Starts a new revision and returns the delta for its changes. */
   private beginRevision(): Delta {
     this.revision++;
     return this.emptyDelta();
@@ -181,15 +195,15 @@
 
   private remember(change: Change): void {
     this.rememberedChanges.push(change);
-    if (this.rememberedChanges.length < minRememberedChanges * 2) return;
-    const gone = this.rememberedChanges.splice(0, minRememberedChanges);
+    if (this.rememberedChanges.length < rememberedChangeCount * 2) return;
+    const gone = this.rememberedChanges.splice(0, rememberedChangeCount);
     this.forgottenRevision = gone[gone.length - 1].stamp;
-    // A revision is remembered whole or not at all.
+    // The changes of one revision are remembered either all or not at all.
     this.rememberedChanges = this.rememberedChanges.filter((c) => c.stamp > this.forgottenRevision);
   }
 }
 
-/** Keys under a prefix in order, beginning after `from`. */
+/** A page of the keys under a prefix, in order, after `from`. The first entry is returned whatever its size. */
 export function scan(
   view: View,
   prefix: string,
@@ -202,7 +216,7 @@
   let pair: [string, Entry] | undefined;
   if (from >= prefix && from !== '') pair = view.keys.nextHigherPair(from);
   else if (view.keys.has(prefix)) pair = [prefix, view.keys.get(prefix)!];
-  // Every other key with the prefix comes behind the prefix itself.
+  // All other keys with this prefix sort after the prefix itself.
   else pair = view.keys.nextHigherPair(prefix === '' ? undefined : prefix);
   for (; pair !== undefined && pair[0].startsWith(prefix); pair = view.keys.nextHigherPair(pair[0])) {
     const [key, { data, stamp }] = pair;
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the store: written while it serves, checked and restored. */
+/** Snapshots of the store: written while it serves requests, verified and restored. */
 import { createHash } from 'node:crypto';
 import {
   closeSync,
@@ -18,12 +18,12 @@
 import type { Engine } from './engine.js';
 import type { Entry, View } from './keyspace.js';
 
-/** So many keys go to the file between two turns of others. */
+/** So many keys are written in one turn of the event loop. */
 const keysPerTurn = 500;
 
 /**
- * Writes one moment of the store to a file, while the store goes on: a line that says what it is, a line a key, a line
- * with the digest of all before it. The file has its name only once it is whole and on disk.
+ * Writes a view of the store to a file, while the store serves requests. The file has a header line, one line for each key, and a
+ * last line with the SHA-256 digest of all lines before it. It gets its final name only once it is complete and synced.
  */
 export async function writeSnapshot(view: View, path: string): Promise<{ keys: number; epoch: number }> {
   const temporaryPath = `${path}.part`;
@@ -52,7 +52,7 @@
   return { keys: view.keys.size, epoch: view.revision };
 }
 
-/** A snapshot of an open store, in its directory, named by its revision. */
+/** Writes a snapshot of an open store into its directory. The file is named by the revision. */
 export async function snapshotInto(
   engine: Engine,
   dir: string,
@@ -65,12 +65,15 @@
 }
 
 /**
- * Makes a store from a snapshot, in a directory that holds none. Leases are not restored: whoever held one has to ask for
- * another, and what was attached to it is gone, as after its end.
+ * Creates a store from a snapshot, in an empty or new directory. Leases are not restored: their holders have to request new ones,
+ * and the keys that were attached to a lease are gone, as after its end.
  */
 export async function restoreSnapshot(path: string, dir: string): Promise<{ keys: number; epoch: number }> {
   if (existsSync(dir) && readdirSync(dir).length > 0)
-    throw new StoreError('foreign', `${dir}: not empty: a snapshot is restored into a new directory only`);
+    throw new StoreError(
+      'foreign',
+      `${dir}: the directory is not empty: restore the snapshot into a new one`,
+    );
   const damaged = (why: string): StoreError => new StoreError('damaged', `${path}: ${why}`);
   const { head, entries } = await readSnapshot(path, damaged);
   const disk = await LevelDisk.open(dir);
@@ -87,6 +90,7 @@
   return { keys: entries.length, epoch: head.epoch };
 }
 
+/** The first line of a snapshot. */
 interface SnapshotHeader {
   dapplepick?: string;
   format?: number;
@@ -94,6 +98,7 @@
   keys: number;
 }
 
+/** Reads and verifies a snapshot. */
 async function readSnapshot(
   path: string,
   damaged: (why: string) => StoreError,
@@ -109,13 +114,16 @@
     try {
       value = JSON.parse(text);
     } catch {
-      throw damaged(`line ${lineNumber}: not JSON`);
+      throw damaged(`line ${lineNumber} is not valid JSON`);
     }
     if (head === null) {
       head = value as SnapshotHeader;
-      if (head.dapplepick !== 'snapshot') throw damaged('not a snapshot of a store');
+      if (head.dapplepick !== 'snapshot') throw damaged('it is not a snapshot of a store');
       if (head.format !== format)
-        throw new StoreError('version', `${path}: format ${head.format}, this program reads ${format}`);
+        throw new StoreError(
+          'version',
+          `${path}: stored in format ${head.format}, this program reads only format ${format}`,
+        );
     } else if (Array.isArray(value)) {
       const [key, data, stamp] = value as [string, unknown, number];
       entries.push([key, { data, stamp }]);
@@ -125,9 +133,9 @@
     }
     digest.update(`${text}\n`);
   }
-  if (head === null) throw damaged('empty');
+  if (head === null) throw damaged('the file is empty');
   if (recordedDigest === null || entries.length !== head.keys)
-    throw damaged(`cut short after line ${lineNumber}`);
-  if (recordedDigest !== digest.digest('hex')) throw damaged('its digest does not match');
+    throw damaged(`the file is truncated after line ${lineNumber}`);
+  if (recordedDigest !== digest.digest('hex')) throw damaged('the SHA-256 digest does not match');
   return { head, entries };
 }
--- a/src/wire/agent-side.ts
+++ b/src/wire/agent-side.ts
@@ -1,21 +1,22 @@
-/** The worker's side of its protocol, and what agents and a control service add to it. */
+/**
+ * The workers' protocol, on the workers' side: heartbeats out, task orders in. Also what agents and a control service add to it:
+ * results of tasks, joining, and descriptions of jobs. `worker.ts` explains the names of the protocol.
+ */
 import * as v from 'valibot';
 import { taskKey, parseTaskKey, type CommandSpec } from '../model/job.js';
 import type { ExitReason, TaskOrder, TaskPhase } from '../model/heartbeat.js';
 import { phaseName, exitReasonName } from './worker.js';
 
-/** The worker's side of its protocol: reports out, answers in; and what agents and a control service add to it. */
-
-/** How a task on an agent ended. Times of day, ms. */
+/** How a task on an agent ended. Times are times of day, ms. */
 export interface TaskResult {
-  /** null: it was ended by a signal, or nobody knows. */
+  /** The exit code; null: a signal ended the task, or the exit code is unknown. */
   exit: number | null;
   signal: string | null;
   reason: ResultReason;
   startedAt: number;
   endedAt: number;
 }
-/** How a task on an agent can end. */
+/** Why a task on an agent can have ended. */
 export const resultReasons = [
   'exited',
   'wall time',
@@ -25,7 +26,7 @@
   'lost',
   'gang',
 ] as const;
-/** How a task on an agent ended. */
+/** Why a task on an agent ended. */
 export type ResultReason = (typeof resultReasons)[number];
 
 /** A task as an agent reports it. */
@@ -34,7 +35,9 @@
   index: number;
   attempt: number;
   phase: TaskPhase;
+  /** Why it ended; null: it has not. */
   why: ExitReason | null;
+  /** Whether its progress was saved when it was stopped. */
   saved: boolean;
   result: TaskResult | null;
 }
@@ -83,7 +86,7 @@
 const heartbeatResponse = v.object({
   baton: v.optional(v.nullable(counter), null),
   orders,
-  /** Gangs of which every task is there, as "JOB ATTEMPT". */
+  /** Gangs all of whose tasks are on their machines, as "JOB ATTEMPT". */
   gangs: v.optional(v.nullable(v.array(v.string())), null),
 });
 const directOrders = v.object({
@@ -119,13 +122,13 @@
   return { token: r.output.baton, orders: decodeTaskOrders(r.output.orders), gangs: r.output.gangs ?? [] };
 }
 
-/** The owner that a 421 names; null: none. */
+/** The owner that a 421 response names (`boss`); null: none. */
 export function parseRedirect(body: unknown): string | null {
   const boss = (body as { boss?: unknown } | null)?.boss;
   return typeof boss === 'string' ? boss : null;
 }
 
-/** Reads direct task commands; null: malformed. */
+/** Reads task orders that were sent directly; null: malformed. */
 export function parseTaskOrders(
   body: unknown,
 ): { token: number | null; session: number | null; orders: TaskOrder[] } | null {
@@ -148,7 +151,7 @@
   ),
 });
 
-/** How the exited tasks of a report ended, where it says so. */
+/** The results of the exited tasks in a heartbeat that have one. */
 export function parseResults(body: unknown): { piece: string; attempt: number; result: TaskResult }[] {
   const r = v.safeParse(results, body);
   if (!r.success) return [];
@@ -157,8 +160,6 @@
   );
 }
 
-// ---- joining ----
-
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const shortName = v.pipe(v.string(), v.regex(/^[A-Za-z0-9][\w.-]{0,39}$/, 'must be a short name'));
 const joinRequest = v.object({
@@ -172,9 +173,9 @@
   attrs: v.optional(v.nullable(v.record(v.string(), v.union([v.string(), v.number(), v.boolean()]))), null),
 });
 
-/** What an agent says of itself when it joins. */
+/** What an agent announces about its machine when it joins. */
 export interface JoinRequest {
-  /** Made once, with its directory: tells it from another with the same name. */
+  /** Generated once, with the agent's directory; distinguishes agents with the same name. */
   id: string;
   name: string;
   type: string;
@@ -185,7 +186,7 @@
   attrs: Record<string, string | number | boolean>;
 }
 
-/** Reads an agent's request to join, or says what is wrong with it. */
+/** Reads an agent's request to join; a string says what is wrong with it. */
 export function parseJoinRequest(body: unknown): JoinRequest | string {
   const r = v.safeParse(joinRequest, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
@@ -198,24 +199,26 @@
   leaseS: v.pipe(v.number(), v.gtValue(0)),
   gangWaitS: v.pipe(v.number(), v.gtValue(0)),
 });
-/** What an agent is told when it has joined. */
+/** The response to an agent that has joined. */
 export type JoinResponse = v.InferOutput<typeof joinResponse>;
-/** Reads the answer to a request to join; null: malformed. */
+/** Reads the response to a request to join; null: malformed. */
 export function parseJoinResponse(body: unknown): JoinResponse | null {
   const r = v.safeParse(joinResponse, body);
   return r.success ? r.output : null;
 }
 
-/** What a task of a job without a command does. */
+/** How a task of a job without a command is simulated. */
 export interface SimulatedTask {
   sleepS: number;
-  /** Of so many tasks out of one, the share that fails. */
+  /** The share of tasks that fail. */
   fail: number;
+  /** Whether it never ends by itself. */
   hang: boolean;
+  /** The memory that it allocates. */
   memMb: number;
 }
 
-/** A job as an agent needs it. */
+/** The part of a job's description that an agent needs. */
 export interface AgentJob {
   cpus: number;
   gpus: number;
@@ -224,6 +227,7 @@
   saveS: number;
   checkpointS: number;
   command: CommandSpec | null;
+  /** How its tasks are simulated if it has no command. */
   standIn: SimulatedTask;
 }
 
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,4 +1,7 @@
-/** The cloud's protocol: machine types, machines, rentals and deletions. */
+/**
+ * The cloud's protocol: machine types, machines, rentals and deletions. Its names: `flavour` is a machine type, `cards` GPUs,
+ * `localGb` the image cache, `marketPrice` the spot price, `yard` a zone, `loaners` spot, `hire` the name of a rental.
+ */
 import * as v from 'valibot';
 import type { MachineType } from '../model/machine.js';
 
@@ -83,7 +86,7 @@
   };
 }
 
-/** A request for machines. Its name makes it idempotent and is never used again. */
+/** A request for machines. Its name makes it idempotent, and is never reused for another request. */
 export interface RentRequest {
   name: string;
   type: string;
@@ -99,10 +102,10 @@
   | { readonly type: 'no-capacity' }
   /** Certainly not executed. */
   | { readonly type: 'rejected' }
-  /** No answer: it may have been executed, or may be executed later. */
+  /** No response: it may have been executed, or may still be executed later. */
   | { readonly type: 'unknown' };
 
-/** A request for machines in the protocol's form. */
+/** The request body of a rental. */
 export const encodeRental = (r: RentRequest): object => ({
   hire: r.name,
   flavour: r.type,
@@ -110,11 +113,11 @@
   loaners: r.spot,
   howMany: r.count,
 });
-/** A deletion of machines in the protocol's form. */
+/** The request body of a deletion of machines. */
 export const encodeDeletion = (hosts: string[]): object => ({ hosts });
 
 const rented = v.object({ hosts: v.array(v.string()) });
-/** Reads the machines that were rented; null: malformed. */
+/** Reads the names of the machines that were rented; null: malformed. */
 export function parseRental(body: unknown): string[] | null {
   const r = v.safeParse(rented, body);
   return r.success ? r.output.hosts : null;
--- a/src/wire/store-side.ts
+++ b/src/wire/store-server.ts
@@ -1,9 +1,7 @@
-/** The state service's side of its protocol. */
+/** The state service's protocol, on the server's side: reads requests and encodes responses. `store.ts` explains its names. */
 import * as v from 'valibot';
 import type { Change, Transaction } from './store.js';
 
-/** The state service's side of its protocol: requests in, answers out. */
-
 const key = v.pipe(v.string(), v.minLength(1), v.regex(/^\S+$/, 'must not contain spaces'));
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 const data = v.record(v.string(), v.unknown());
@@ -25,7 +23,7 @@
 
 const maxKeyBytes = 200;
 
-/** The transaction asked for, or what is wrong with the request. */
+/** Reads a transaction; a string says what is wrong with the request. */
 export function parseTransaction(body: unknown): Transaction | string {
   const r = v.safeParse(txn, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
@@ -44,37 +42,37 @@
 }
 
 const leaseBody = v.object({ ttlMs: v.pipe(v.number(), v.integer(), v.minValue(100), v.maxValue(600_000)) });
-/** The time to live asked for, ms, or what is wrong with the request. */
+/** Reads the time to live of a requested lease, ms; a string says what is wrong with the request. */
 export function parseLeaseRequest(body: unknown): number | string {
   const r = v.safeParse(leaseBody, body);
   return r.success ? r.output.ttlMs : `ttlMs: ${r.issues[0].message}`;
 }
 
-/** A key with its value. */
+/** The response with a key and its value. */
 export const encodeEntry = (k: string, e: { data: unknown; stamp: number; hold?: number }): object => ({
   key: k,
   data: e.data,
   stamp: e.stamp,
   ...(e.hold === undefined ? {} : { hold: e.hold }),
 });
-/** A page of keys. */
+/** The response with a page of keys. */
 export const encodePage = (items: Change[], more: boolean, epoch: number): object => ({
   items,
   hasNext: more,
   epoch,
 });
-/** Changes after a revision. */
+/** The response with the changes after a revision. */
 export const encodeChangeLog = (changes: Change[], epoch: number): object => ({
   epoch,
   log: changes.map((c) =>
     c.data === undefined ? { drop: c.key, stamp: c.stamp } : { put: c.key, data: c.data, stamp: c.stamp },
   ),
 });
-/** A revision. */
+/** The response with a revision. */
 export const encodeRevision = (epoch: number): object => ({ epoch });
-/** The conditions of a transaction that failed. */
+/** The response to a transaction some of whose conditions failed. */
 export const encodeConflict = (failed: string[], epoch: number): object => ({ failed, epoch });
-/** A lease. */
+/** The response with the ID of a new lease. */
 export const encodeLease = (hold: number): object => ({ hold });
-/** The error of a put with an expired lease. */
+/** The error of a request with a lease that has expired or does not exist. */
 export const leaseNotFound = 'no such lease';
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,14 +1,18 @@
-/** The state service's protocol: transactions, pages, changes and leases. */
+/**
+ * The state service's protocol, on the client's side: transactions, pages, changes and leases. Its names: `epoch` is a revision,
+ * `stamp` the revision of a key's last change, `hold` a lease's ID, `when` and `apply` the conditions and writes of a transaction,
+ * `drop` the deletion of a key, `starts` a key prefix.
+ */
 import * as v from 'valibot';
 
-/** A change of one key: `data` undefined means that the key is gone. */
+/** A change of one key. `data` undefined: the key was deleted. `stamp`: the revision of the change. */
 export interface Change {
   key: string;
   data: unknown;
   stamp: number;
 }
 
-/** A key must have this revision of its last change; 0: it must not exist. */
+/** Requires that the last change of a key has the revision `stamp`; 0: that the key does not exist. */
 export interface Condition {
   key: string;
   stamp: number;
@@ -17,13 +21,13 @@
 /** A put or a deletion of a key. */
 export interface Write {
   key: string;
-  /** undefined: drop the key. */
+  /** undefined: delete the key. */
   data: Record<string, unknown> | undefined;
-  /** State lease the key is attached to. */
+  /** The ID of the lease to attach the key to. */
   hold?: number;
 }
 
-/** Writes that are carried out together if all conditions hold. */
+/** Writes that are applied atomically if all conditions hold. */
 export interface Transaction {
   conditions: Condition[];
   writes: Write[];
@@ -83,7 +87,7 @@
   return { changes, revision: r.epoch };
 }
 
-/** A transaction in the protocol's form. */
+/** The request body of a transaction. */
 export const encodeTransaction = (txn: Transaction): object => ({
   when: txn.conditions.map((c) => ({ key: c.key, stamp: c.stamp })),
   apply: txn.writes.map((w) =>
@@ -94,20 +98,20 @@
         : { put: w.key, data: w.data, hold: w.hold },
   ),
 });
-/** A request for a lease in the protocol's form. */
+/** The request body for a new lease. */
 export const encodeLeaseRequest = (ttlMs: number): object => ({ ttlMs });
-/** The path of a page of keys. */
+/** The path and query of a page of keys after `from`. */
 export const scanPath = (prefix: string, from: string, limit: number): string =>
   `/kv?starts=${prefix}${from === '' ? '' : `&from=${from}`}&limit=${limit}`;
-/** The path of a watch. */
+/** The path and query of a request for the changes after a revision. */
 export const watchPath = (prefix: string, from: number, blockMs: number): string =>
   `/changes?starts=${prefix}&from=${from}&blockMs=${blockMs}`;
 
-/** Changes as controllers send them to each other, as JSON. */
+/** Changes in the form in which controllers send them to each other: JSON. */
 export const encodeChanges = (changes: readonly Change[]): string =>
   JSON.stringify(changes.map(({ key, data, stamp }) => ({ key, data, stamp })));
 
-/** Throws if the text is not what `encodeChanges` gives. */
+/** Decodes the output of `encodeChanges`; throws if the text is malformed. */
 export const decodeChanges = (text: string): Change[] =>
   (JSON.parse(text) as { key: string; data: unknown; stamp: number }[]).map(({ key, data, stamp }) => ({
     key,
--- a/src/wire/user.ts
+++ b/src/wire/user.ts
@@ -1,4 +1,8 @@
-/** The users' protocol: submissions and states of jobs. */
+/**
+ * The users' protocol: submissions and states of jobs. Its names: `owner` is the team, `pieces` the number of tasks, `cards` GPUs,
+ * `bundle` and `pullGb` the image and its size, `flavours` machine types, `yard` the zone, `loaners` spot, `expectS` the estimated
+ * run time, `snapshotS` and `flushS` the interval and duration of checkpoints, `dueS` the deadline.
+ */
 import * as v from 'valibot';
 import type { CommandSpec, JobSpec, JobState, MatchSpec, JobShape, Urgency } from '../model/job.js';
 
@@ -6,7 +10,9 @@
 const text = v.pipe(v.string(), v.minLength(1), v.maxLength(120), v.regex(/^\S+$/));
 const optional = <T extends v.GenericSchema>(schema: T) => v.optional(v.nullable(schema), null);
 
+/** Job shapes by their names in the protocol. */
 const shapes: Record<string, JobShape> = { sweep: 'array', ensemble: 'gang', standing: 'service' };
+/** Urgencies by their names in the protocol. */
 const urgencies: Record<string, Urgency> = {
   production: 'production',
   urgent: 'high',
@@ -27,7 +33,7 @@
 };
 
 const expression = v.pipe(v.string(), v.minLength(1), v.maxLength(4096));
-/** The fields of jobs that look at machines' attributes. */
+/** The fields of jobs with expressions over machines' attributes. */
 const matchFields = {
   requirements: optional(expression),
   rank: optional(expression),
@@ -67,7 +73,7 @@
   dueS: optional(amount),
 });
 
-/** The job asked for, or what is wrong with the request. */
+/** Reads a submission; a string says what is wrong with it. */
 export function parseSubmission(body: unknown): JobSpec | string {
   const r = v.safeParse(submission, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
@@ -102,6 +108,7 @@
   };
 }
 
+/** The command of a submission; null: none; a string says what is wrong with it. */
 function commandOf(b: v.InferOutput<typeof submission>): CommandSpec | null | string {
   const { command, env, dir, stdout, stderr, wallS, retries, numberFrom } = b;
   if (command === null) {
@@ -114,11 +121,12 @@
   return { argv: command, env: env ?? {}, dir, stdout, stderr, wallS, retries: retries ?? 0, ...counted };
 }
 
+/** The match expressions of a submission; null: none; a string says what is wrong with them. */
 function matchOf(b: v.InferOutput<typeof submission>): MatchSpec | null | string {
   const { requirements, rank } = b;
   if (requirements === null && rank === null)
     return b.attributes === null ? null : 'attributes: only together with requirements or rank';
-  // What it takes is the job's, too; what it says itself comes before.
+  // The requested resources are attributes of the job too; attributes that it sets itself override them, in any letter case.
   const attributes: Record<string, string> = {
     RequestCpus: String(b.cpus),
     RequestGPUs: String(b.cards),
@@ -132,7 +140,7 @@
   return { requirements, rank, attributes };
 }
 
-/** A submission that asks for nothing special: no image, no place, no deadline. What it is and takes comes on top. */
+/** The defaults of a submission: no image, no restriction of machines, no deadline. */
 export const defaultSubmission = {
   urgency: 'normal',
   cpus: 1,
@@ -149,15 +157,15 @@
   dueS: null,
 };
 
-/** The path of jobs. */
+/** The path of job requests. */
 export const jobPath = '/work';
-/** The end of the path of a cancellation. */
+/** The last segment of the path of a cancellation. */
 export const cancelSuffix = 'withdraw';
 
-/** Ids are kept in keys of the state service: anything else was never accepted. */
+/** Whether this can be a job's ID. IDs are part of keys in the state service, so no others are accepted. */
 export const isJobId = (id: string): boolean => /^req-\d{1,20}$/.test(id);
 
-/** A job's state in the protocol's words. */
+/** The name of a job's state in the protocol. */
 export function jobStatus(state: JobState, running: number): 'pending' | 'running' | 'done' | 'aborted' {
   if (state === 'done') return 'done';
   if (state === 'cancelled') return 'aborted';
--- a/src/wire/worker.ts
+++ b/src/wire/worker.ts
@@ -1,8 +1,13 @@
-/** The workers' protocol: heartbeats and task commands. */
+/**
+ * The workers' protocol, on the controllers' side: heartbeats and task orders. Its names: `flavour` is the machine type, `yard` the
+ * zone, `loaners` spot, `tenure` the agent epoch, `tick` the sequence number, `baton` the fencing token, `recallS` the time until
+ * the machine is reclaimed, `piece` a task, `try` an attempt, `windDownS` the grace period.
+ */
 import * as v from 'valibot';
 import { taskKey, parseTaskKey } from '../model/job.js';
 import type { ExitReason, TaskOrder, Heartbeat, TaskPhase, TaskStatus } from '../model/heartbeat.js';
 
+/** Task phases by their names in the protocol. */
 const phases: Record<string, TaskPhase> = {
   pulling: 'fetching',
   waiting: 'waiting',
@@ -10,6 +15,7 @@
   saving: 'saving',
   exited: 'exited',
 };
+/** Exit reasons by their names in the protocol. */
 const exitReasons: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
@@ -43,7 +49,7 @@
   ),
 });
 
-/** Reads a heartbeat, or says what is wrong with it. */
+/** Reads a heartbeat; a string says what is wrong with it. */
 export function parseHeartbeat(body: unknown): Heartbeat | string {
   const r = v.safeParse(heartbeat, body);
   if (!r.success) return `${v.getDotPath(r.issues[0]) ?? 'body'}: ${r.issues[0].message}`;
@@ -51,12 +57,12 @@
   const tasks: TaskStatus[] = [];
   for (const p of b.pieces) {
     const id = parseTaskKey(p.piece);
-    // A state this version does not know still means that the task is on the machine.
     if (id === null) return `pieces: ${p.piece}: not a task`;
     tasks.push({
       job: id.job,
       index: id.index,
       attempt: p.try,
+      // A task in a phase that this version does not know is on the machine all the same.
       phase: phases[p.status] ?? 'running',
       exitReason: p.cause === null ? null : (exitReasons[p.cause] ?? 'error'),
       saved: p.stored === true,
@@ -88,19 +94,20 @@
   baton: token,
   orders: orders.map(encodeTaskOrder),
 });
-/** Direct task commands, in the protocol's form. */
+/** Task orders that are sent to a worker directly, in the protocol's form. */
 export const encodeTaskOrders = (token: number, session: number, orders: TaskOrder[]): object => ({
   baton: token,
   tenure: session,
   orders: orders.map(encodeTaskOrder),
 });
-/** The body of a 421: the owner to report to, if known. */
+/** The body of a 421 response: the owner to report to (`boss`), if known. */
 export const encodeRedirect = (owner: string | null): object => (owner === null ? {} : { boss: owner });
 
+/** The key of a value in a table; the value itself if it is not there. */
 const nameOf = <T extends string>(table: Record<string, T>, value: T): string =>
   Object.keys(table).find((k) => table[k] === value) ?? value;
 
-/** A phase in the protocol's words. */
+/** The name of a phase in the protocol. */
 export const phaseName = (phase: TaskPhase): string => nameOf(phases, phase);
-/** A reason in the protocol's words. */
+/** The name of an exit reason in the protocol. */
 export const exitReasonName = (why: ExitReason): string => nameOf(exitReasons, why);
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -1,4 +1,4 @@
-/** The store: transactions, leases, watches, snapshots, damage on disk. */
+/** The store: transactions, leases, watches, snapshots, and damaged files. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import {
@@ -31,9 +31,9 @@
   type Loaded,
 } from '../src/store/index.js';
 
-const quiet = (): undefined => undefined;
-const never = (e: StoreError): never => assert.fail(e.message);
-const inDir = async (use: (dir: string) => Promise<void>): Promise<void> => {
+const ignoreLog = (): undefined => undefined;
+const failOnStoreError = (e: StoreError): never => assert.fail(e.message);
+const withTemporaryDirectory = async (use: (dir: string) => Promise<void>): Promise<void> => {
   const dir = mkdtempSync(join(tmpdir(), 'dapplepick-store-'));
   try {
     await use(dir);
@@ -41,22 +41,23 @@
     rmSync(dir, { recursive: true, force: true });
   }
 };
-const openAt = async (dir: string): Promise<Engine> => Engine.open(await LevelDisk.open(dir), quiet, never);
+const openEngine = async (dir: string): Promise<Engine> =>
+  Engine.open(await LevelDisk.open(dir), ignoreLog, failOnStoreError);
 const put = (key: string, n: number, hold?: number) => ({
   key,
   data: { n },
   ...(hold === undefined ? {} : { hold }),
 });
 const failsWith = (kind: StoreError['kind']) => (e: unknown) => e instanceof StoreError && e.kind === kind;
-const pause = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
+const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 
-/** Both forms of the store: in this process, and over HTTP. */
+/** Both forms of the state service: embedded in this process, and over HTTP. */
 const forms: [string, (use: (s: StateService, e: Engine) => Promise<void>) => Promise<void>][] = [
   [
     'embedded',
     (use) =>
-      inDir(async (dir) => {
-        const engine = await openAt(dir);
+      withTemporaryDirectory(async (dir) => {
+        const engine = await openEngine(dir);
         await use(new EmbeddedStore(engine), engine);
         await engine.close();
       }),
@@ -64,8 +65,8 @@
   [
     'over HTTP',
     (use) =>
-      inDir(async (dir) => {
-        const engine = await openAt(dir);
+      withTemporaryDirectory(async (dir) => {
+        const engine = await openEngine(dir);
         const server = storeServer(engine, dir);
         await new Promise<void>((r) => server.listen(0, '127.0.0.1', () => r()));
         await use(new Store(`127.0.0.1:${(server.address() as AddressInfo).port}`, 2000), engine);
@@ -77,7 +78,7 @@
 ];
 
 for (const [form, withStore] of forms) {
-  test(`store ${form}: conditions, stamps, one revision for a transaction, what never happens is told`, () =>
+  test(`store ${form}: conditions are checked, a transaction has one revision, an unknown lease is reported`, () =>
     withStore(async (s) => {
       assert.deepEqual(
         await s.commit({ conditions: [{ key: 'dp/a', stamp: 0 }], writes: [put('dp/a', 1), put('dp/b', 1)] }),
@@ -117,13 +118,13 @@
       });
     }));
 
-  test(`store ${form}: a lease takes its keys along, never early; renewed, it stays; ended, it goes at once`, () =>
+  test(`store ${form}: keys are deleted with their lease: not while it is renewed, and at once when it is revoked`, () =>
     withStore(async (s) => {
-      // Long enough for a machine whose disk is busy with other tests: a commit may take more than a second there.
+      // Long enough for a disk that is busy with other tests, where a commit may take more than a second.
       const [a, b] = [(await s.grantLease(3000))!, (await s.grantLease(1200))!];
       await s.commit({ conditions: [], writes: [put('dp/a', 1, a), put('dp/b', 1, b)] });
       for (let i = 0; i < 5; i++) {
-        await pause(700);
+        await sleep(700);
         assert.equal(await s.renewLease(a), 'ok');
       }
       assert.deepEqual(
@@ -133,15 +134,15 @@
       assert.equal(await s.renewLease(b), 'gone');
       await s.revokeLease(a);
       assert.deepEqual(((await s.page('')) as { items: unknown[] }).items, []);
-      // A key that was put again without its lease stays.
+      // A key that was put again without its lease is not deleted with the lease.
       const c = (await s.grantLease(100))!;
       await s.commit({ conditions: [], writes: [put('dp/c', 1, c)] });
       await s.commit({ conditions: [], writes: [put('dp/c', 2)] });
-      await pause(300);
+      await sleep(300);
       assert.equal(((await s.page('')) as { items: unknown[] }).items.length, 1);
     }));
 
-  test(`store ${form}: pages in order, watches wake with what changed, old revisions are refused`, () =>
+  test(`store ${form}: pages are in order, watches return what has changed, too old revisions are rejected`, () =>
     withStore(async (s, engine) => {
       for (let i = 0; i < 12; i++)
         await s.commit({
@@ -153,14 +154,14 @@
       const second = await s.page(first.items[999].key);
       assert.ok(second && second !== 'busy' && !second.more && second.items.length === 200);
       assert.ok(second.items[0].key > first.items[999].key);
-      const waited = s.changes(12, 5000);
-      await pause(50);
+      const watch = s.changes(12, 5000);
+      await sleep(50);
       await s.commit({ conditions: [], writes: [put('other/x', 1)] });
       await s.commit({ conditions: [], writes: [put('dp/z', 1)] });
-      const woken = await waited;
-      assert.ok(woken && typeof woken === 'object');
+      const watched = await watch;
+      assert.ok(watched && typeof watched === 'object');
       assert.deepEqual(
-        woken.changes.map((c) => c.key),
+        watched.changes.map((c) => c.key),
         ['dp/z'],
       );
       for (let i = 0; i < 200; i++)
@@ -173,8 +174,8 @@
     }));
 }
 
-test('store: a process that is killed while many commit loses nothing that it has answered', () =>
-  inDir(async (dir) => {
+test('store: a process that is killed during concurrent commits loses no acknowledged commit', () =>
+  withTemporaryDirectory(async (dir) => {
     const program = `
       import { Engine, LevelDisk } from ${JSON.stringify(new URL('../src/store/index.js', import.meta.url).href)};
       const e = await Engine.open(await LevelDisk.open(process.argv[1]), () => {}, () => process.exit(9));
@@ -187,40 +188,40 @@
       const child = spawn(process.execPath, ['--input-type=module', '-e', program, dir], {
         stdio: ['ignore', 'pipe', 'inherit'],
       });
-      let said = '';
-      child.stdout.on('data', (d: Buffer) => (said += d.toString()));
-      const over = new Promise((r) => child.once('close', r));
-      while (said.length < 4000) await pause(10);
-      await pause(37 * round);
+      let output = '';
+      child.stdout.on('data', (d: Buffer) => (output += d.toString()));
+      const exited = new Promise((r) => child.once('close', r));
+      while (output.length < 4000) await sleep(10);
+      await sleep(37 * round);
       child.kill('SIGKILL');
-      await over;
-      const engine = await openAt(dir);
-      const lines = said.split('\n').slice(0, -1);
+      await exited;
+      const engine = await openEngine(dir);
+      const lines = output.split('\n').slice(0, -1);
       for (const l of lines) {
-        const [epoch, key] = l.split(' ');
-        assert.ok(Number(epoch) <= engine.revision);
+        const [revision, key] = l.split(' ');
+        assert.ok(Number(revision) <= engine.revision);
         assert.ok(engine.get(key).entry, key);
       }
       await engine.close();
     }
   }));
 
-/** A disk that can fail, and loses what was not synced. */
-class FlakyDisk implements Disk {
-  readonly kept = new Map<string, Entry>();
+/** A disk in memory whose writes can be made to fail; a failed batch is lost as a whole. */
+class FailingDisk implements Disk {
+  readonly durableEntries = new Map<string, Entry>();
   epoch = 0;
   failing = false;
   writes = 0;
   load(): Promise<Loaded> {
-    return Promise.resolve({ epoch: this.epoch, nextHold: 1, entries: [...this.kept], leases: [] });
+    return Promise.resolve({ epoch: this.epoch, nextHold: 1, entries: [...this.durableEntries], leases: [] });
   }
   async write(deltas: readonly Delta[]): Promise<void> {
     this.writes++;
-    await pause(3);
+    await sleep(3);
     if (this.failing) throw new StoreError('full', 'no space left');
     for (const d of deltas) {
-      for (const [k, e] of d.puts) this.kept.set(k, e);
-      for (const k of d.drops) this.kept.delete(k);
+      for (const [k, e] of d.puts) this.durableEntries.set(k, e);
+      for (const k of d.drops) this.durableEntries.delete(k);
       this.epoch = d.epoch;
     }
   }
@@ -229,10 +230,10 @@
   }
 }
 
-test('store: a full disk answers nothing as done, says so, and what was answered is there afterwards', async () => {
-  const disk = new FlakyDisk();
-  let broken: StoreError | null = null;
-  const engine = await Engine.open(disk, quiet, (e) => (broken = e));
+test('store: a full disk fails all commits, is reported, and loses no acknowledged commit', async () => {
+  const disk = new FailingDisk();
+  let reportedError: StoreError | null = null;
+  const engine = await Engine.open(disk, ignoreLog, (e) => (reportedError = e));
   const good = await Promise.all(
     Array.from({ length: 50 }, (_, i) => engine.commit({ conditions: [], writes: [put(`a${i}`, i)] })),
   );
@@ -244,85 +245,85 @@
     engine.commit({ conditions: [], writes: [put('c', 1)] }),
   ]);
   assert.deepEqual(bad, [{ type: 'unknown' }, { type: 'unknown' }]);
-  assert.equal((broken as StoreError | null)?.kind, 'full');
+  assert.equal((reportedError as StoreError | null)?.kind, 'full');
   assert.equal(engine.get('b').entry, undefined);
   assert.deepEqual(await engine.commit({ conditions: [], writes: [put('d', 1)] }), { type: 'unknown' });
   disk.failing = false;
-  const again = await Engine.open(disk, quiet, never);
-  assert.equal(again.get('a49').entry?.stamp, 50);
-  assert.deepEqual(await again.commit({ conditions: [{ key: 'b', stamp: 0 }], writes: [put('b', 1)] }), {
+  const reopened = await Engine.open(disk, ignoreLog, failOnStoreError);
+  assert.equal(reopened.get('a49').entry?.stamp, 50);
+  assert.deepEqual(await reopened.commit({ conditions: [{ key: 'b', stamp: 0 }], writes: [put('b', 1)] }), {
     type: 'ok',
     revision: 51,
   });
 });
 
-test('store: readers and refusals see only what is durable', async () => {
-  const disk = new FlakyDisk();
-  const engine = await Engine.open(disk, quiet, never);
+test('store: readers and conflicts see only what is durable', async () => {
+  const disk = new FailingDisk();
+  const engine = await Engine.open(disk, ignoreLog, failOnStoreError);
   const first = engine.commit({ conditions: [], writes: [put('a', 1)] });
-  const refused = engine.commit({ conditions: [{ key: 'a', stamp: 0 }], writes: [put('a', 2)] });
+  const conflicting = engine.commit({ conditions: [{ key: 'a', stamp: 0 }], writes: [put('a', 2)] });
   assert.equal(engine.get('a').entry, undefined);
   assert.equal((await first).type, 'ok');
-  assert.deepEqual(await refused, { type: 'conflict', failed: ['a'], revision: 1 });
+  assert.deepEqual(await conflicting, { type: 'conflict', failed: ['a'], revision: 1 });
   assert.equal(disk.epoch, 1);
 });
 
-test('store: a second process, another format, a foreign or damaged directory: one clear error each', () =>
-  inDir(async (dir) => {
+test('store: a locked, damaged or foreign directory is reported as a StoreError', () =>
+  withTemporaryDirectory(async (dir) => {
     const at = join(dir, 's');
-    const engine = await openAt(at);
-    await assert.rejects(openAt(at), failsWith('locked'));
+    const engine = await openEngine(at);
+    await assert.rejects(openEngine(at), failsWith('locked'));
     for (let i = 0; i < 300; i++) await engine.commit({ conditions: [], writes: [put(`k${i}`, i)] });
     await engine.close();
     const db = join(at, 'db');
-    const halve = (ending: RegExp): void => {
+    const truncateLargestFile = (ending: RegExp): void => {
       const files = readdirSync(db)
         .filter((f) => ending.test(f))
         .map((f) => join(db, f));
       const largest = files.sort((a, b) => statSync(b).size - statSync(a).size)[0];
       truncateSync(largest, Math.floor(statSync(largest).size / 2));
     };
-    // The log loses its end, as after a fault of the disk: what was answered is missing, and that is noticed.
-    halve(/\.log$/);
-    await assert.rejects(openAt(at), failsWith('damaged'));
+    // A truncated log, as after a disk fault, lacks acknowledged commits, which must be detected.
+    truncateLargestFile(/\.log$/);
+    await assert.rejects(openEngine(at), failsWith('damaged'));
     const other = join(dir, 'o');
-    const once = await openAt(other);
-    for (let i = 0; i < 300; i++) await once.commit({ conditions: [], writes: [put(`k${i}`, i)] });
-    await once.close();
-    const again = await openAt(other);
-    assert.equal(again.revision, 300);
-    await again.close();
+    const filled = await openEngine(other);
+    for (let i = 0; i < 300; i++) await filled.commit({ conditions: [], writes: [put(`k${i}`, i)] });
+    await filled.close();
+    const reopened = await openEngine(other);
+    assert.equal(reopened.revision, 300);
+    await reopened.close();
     for (const f of readdirSync(join(other, 'db')))
       if (f.endsWith('.ldb')) truncateSync(join(other, 'db', f), 100);
-    await assert.rejects(openAt(other), failsWith('damaged'));
+    await assert.rejects(openEngine(other), failsWith('damaged'));
     const foreign = join(dir, 'f');
     writeFileSync(foreign, 'x');
-    await assert.rejects(openAt(foreign), (e) => e instanceof StoreError);
+    await assert.rejects(openEngine(foreign), (e) => e instanceof StoreError);
   }));
 
-test('store: a snapshot is one moment, restores whole, and is refused when it is cut short or changed', () =>
-  inDir(async (dir) => {
-    const engine = await openAt(join(dir, 'a'));
+test('store: a snapshot is consistent, is restored completely, and is rejected if truncated or modified', () =>
+  withTemporaryDirectory(async (dir) => {
+    const engine = await openEngine(join(dir, 'a'));
     for (let i = 0; i < 1200; i++) void engine.commit({ conditions: [], writes: [put(`k${i}`, i)] });
     await engine.commit({ conditions: [], writes: [put('z', 1)] });
     const writing = snapshotInto(engine, join(dir, 'a'));
     await engine.commit({ conditions: [], writes: [put('later', 1)] });
-    const snap = await writing;
-    assert.equal(snap.keys, 1201);
+    const snapshot = await writing;
+    assert.equal(snapshot.keys, 1201);
     await engine.close();
-    await restoreSnapshot(snap.path, join(dir, 'b'));
-    const b = await openAt(join(dir, 'b'));
-    assert.equal(b.revision, snap.epoch);
+    await restoreSnapshot(snapshot.path, join(dir, 'b'));
+    const b = await openEngine(join(dir, 'b'));
+    assert.equal(b.revision, snapshot.epoch);
     assert.equal(b.get('later').entry, undefined);
     assert.deepEqual(b.get('k7').entry, { data: { n: 7 }, stamp: 8 });
     await b.close();
-    await assert.rejects(restoreSnapshot(snap.path, join(dir, 'b')), failsWith('foreign'));
-    const text = readFileSync(snap.path, 'utf8');
-    const cut = join(dir, 'cut');
-    writeFileSync(cut, text.slice(0, text.length / 2));
-    await assert.rejects(restoreSnapshot(cut, join(dir, 'c')), failsWith('damaged'));
-    const changed = join(dir, 'changed');
-    writeFileSync(changed, text.replace('["k7",{"n":7}', '["k7",{"n":8}'));
-    await assert.rejects(restoreSnapshot(changed, join(dir, 'd')), failsWith('damaged'));
-    appendFileSync(cut, '');
+    await assert.rejects(restoreSnapshot(snapshot.path, join(dir, 'b')), failsWith('foreign'));
+    const text = readFileSync(snapshot.path, 'utf8');
+    const truncated = join(dir, 'cut');
+    writeFileSync(truncated, text.slice(0, text.length / 2));
+    await assert.rejects(restoreSnapshot(truncated, join(dir, 'c')), failsWith('damaged'));
+    const modified = join(dir, 'changed');
+    writeFileSync(modified, text.replace('["k7",{"n":7}', '["k7",{"n":8}'));
+    await assert.rejects(restoreSnapshot(modified, join(dir, 'd')), failsWith('damaged'));
+    appendFileSync(truncated, '');
   }));
