--- a/src/formats/high-volume-records.ts
+++ b/src/formats/high-volume-records.ts
@@ -1,17 +1,18 @@
-/** Formats of the records that there are many of. */
-import { fieldsOf, type Data, type Format } from './record-types.js';
+/** Formats of the kinds of records with many records: jobs, their tasks and machines. */
+import { fieldSet, type Data, type Format } from './record-types.js';
 
-/**
- * Formats of records that there are by the hundred thousand: checked by hand, since a start reads all of them on a quarter
- * of a core. Only what the core would stumble over is looked at.
+/*
+ * There are hundreds of thousands of these records, and a starting process reads all of them on a quarter of a core. So they
+ * are checked by hand-written code instead of schemas, and only the fields that the core relies on are checked.
  */
+
 const isObject = (x: unknown): x is Data => typeof x === 'object' && x !== null && !Array.isArray(x);
 const isCount = (x: unknown): boolean => Number.isSafeInteger(x) && (x as number) >= 0;
 
 const shapes = new Set(['array', 'gang', 'service']);
 const urgencies = new Set(['production', 'high', 'normal', 'low']);
 
-function wrongSpec(spec: unknown): string | null {
+function specError(spec: unknown): string | null {
   if (!isObject(spec)) return 'spec: not an object';
   for (const name of ['id', 'team', 'image', 'class'])
     if (typeof spec[name] !== 'string') return `spec.${name}: not a string`;
@@ -23,17 +24,22 @@
   return null;
 }
 
-function wrongUse(use: unknown): string | null {
+function usageError(use: unknown): string | null {
   if (!isObject(use) || typeof use['team'] !== 'string') return 'u.team: not a string';
   for (const name of ['cpus', 'gpus', 'memGb'])
     if (typeof use[name] !== 'number') return `u.${name}: not a number`;
   return null;
 }
 
+/** A task's placement: its index, attempt and machine. */
 const isPlacement = (p: unknown): boolean =>
   Array.isArray(p) && isCount(p[0]) && isCount(p[1]) && typeof p[2] === 'string';
 
-function wrongTasks(d: Data): string | null {
+/**
+ * Checks the state of some tasks. `n`: highest attempt used; `d`: completed tasks, as a bit set in base64; `p`: placements; `f`:
+ * machines on which the job failed; `r`: version of the state.
+ */
+function taskStateError(d: Data): string | null {
   if (!isCount(d['n'])) return 'n: not a count';
   if (typeof d['d'] !== 'string') return 'd: not a string';
   const placed = d['p'];
@@ -44,26 +50,30 @@
   return null;
 }
 
-function wrongJob(d: Data, spec: unknown): string | null {
+/** Checks a job. `s`: state; `at`: time of acceptance; `n`: number of tasks; `u`: resources of a cancelled job's tasks. */
+function jobError(d: Data, spec: unknown): string | null {
   if (d['s'] !== 'open' && d['s'] !== 'done' && d['s'] !== 'cancelled') return 's: unknown';
   if (typeof d['at'] !== 'number') return 'at: not a number';
-  if (d['s'] === 'open') return wrongSpec(spec);
+  if (d['s'] === 'open') return specError(spec);
   if (!isCount(d['n'])) return 'n: not a count';
-  return d['u'] === undefined ? null : wrongUse(d['u']);
+  return d['u'] === undefined ? null : usageError(d['u']);
 }
 
-export const job: Format[] = [
-  { fields: fieldsOf('s', 'at', 'n', 'spec', 'u'), wrong: (d) => wrongJob(d, d['spec']) },
-  /** The state of its tasks is in it. */
+/** A job. */
+export const jobFormats: Format[] = [
+  { fields: fieldSet('s', 'at', 'n', 'spec', 'u'), wrong: (d) => jobError(d, d['spec']) },
+  /** Contains the state of the job's tasks, `t`. */
   {
-    fields: fieldsOf('s', 'at', 'n', 'job', 'u', 't'),
-    wrong: (d) => wrongJob(d, d['job']) ?? (isObject(d['t']) ? wrongTasks(d['t']) : 't: not an object'),
+    fields: fieldSet('s', 'at', 'n', 'job', 'u', 't'),
+    wrong: (d) => jobError(d, d['job']) ?? (isObject(d['t']) ? taskStateError(d['t']) : 't: not an object'),
   },
 ];
 
-export const chunk: Format[] = [{ fields: fieldsOf('n', 'd', 'p', 'f', 'r'), wrong: wrongTasks }];
+/** The state of some of a job's tasks. */
+export const chunkFormats: Format[] = [{ fields: fieldSet('n', 'd', 'p', 'f', 'r'), wrong: taskStateError }];
 
-const isEntry = (e: unknown): boolean =>
+/** An entry of the task log. Its elements are in the order of `StoredEntry` in the core's task log. */
+const isTaskLogEntry = (e: unknown): boolean =>
   Array.isArray(e) &&
   typeof e[0] === 'string' &&
   e.slice(1, 5).every(isCount) &&
@@ -72,35 +82,39 @@
   [e[6], e[7]].every((list) => Array.isArray(list) && list.every(isCount)) &&
   (e[8] === null || Array.isArray(e[8]));
 
-/** A record of the task log. */
-export const log: Format[] = [
+/** A record of the task log: `e` is the list of its entries. */
+export const taskLogFormats: Format[] = [
   {
-    fields: fieldsOf('e'),
+    fields: fieldSet('e'),
     wrong: (d) =>
-      Array.isArray(d['e']) && d['e'].every(isEntry) ? null : 'e: not a list of entries of a task log',
+      Array.isArray(d['e']) && d['e'].every(isTaskLogEntry) ? null : 'e: not a list of task log entries',
   },
 ];
 
-const wrongKind = (d: Data): string | null => {
+/** Checks the fields that machines and blocks have in common. `f`: machine type; `y`: zone; `l`: spot; `s`: shard. */
+const machineFieldsError = (d: Data): string | null => {
   if (typeof d['f'] !== 'string') return 'f: not a string';
   if (typeof d['y'] !== 'string') return 'y: not a string';
   if (typeof d['l'] !== 'boolean') return 'l: not true or false';
   return Number.isSafeInteger(d['s']) ? null : 's: not a number';
 };
 
-export const machine: Format[] = [
+/** A machine. `st`: its state; `at`: the time since which it has that state. */
+export const machineFormats: Format[] = [
   {
-    fields: fieldsOf('f', 'y', 'l', 's', 'st', 'at'),
+    fields: fieldSet('f', 'y', 'l', 's', 'st', 'at'),
     wrong: (d) =>
-      wrongKind(d) ?? (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown standing'),
+      machineFieldsError(d) ??
+      (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown state'),
   },
 ];
 
-export const block: Format[] = [
+/** The machines of one rental. `h`: their names. */
+export const blockFormats: Format[] = [
   {
-    fields: fieldsOf('f', 'y', 'l', 's', 'at', 'h'),
+    fields: fieldSet('f', 'y', 'l', 's', 'at', 'h'),
     wrong: (d) =>
-      wrongKind(d) ??
+      machineFieldsError(d) ??
       (Array.isArray(d['h']) && d['h'].every((h) => typeof h === 'string') ? null : 'h: not a list of names'),
   },
 ];
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -1,163 +1,178 @@
-/** Follows the state service: the first snapshot, then changes by polls or a watch. */
+/** Follows the state service: reads a snapshot first, then the changes since, by polling or by a watch. */
 import type { RetryBackoff } from '../retry/index.js';
 import type { Change } from '../wire/store.js';
-import type { Source } from './service.js';
+import type { FollowerSource } from './service.js';
 
-const watchMs = 2000;
+/** How long a watch waits for changes before it returns without any. */
+const watchDurationMs = 2000;
 
-/** What the follower hands on. A reading tells that the view was complete at `sentAt` once it has reached `epoch`. */
+/** What the follower reports. */
 export interface FollowerEvents {
-  /** A page of the first reading has come. */
+  /** A page of the snapshot was read, though not the last; `keys`: how many keys have been read so far. */
   reading(keys: number): void;
+  /** The snapshot is complete. Changes after `revision` follow. */
   loaded(items: Change[], revision: number): void;
+  /** Changes up to `revision`, in order. */
   changed(changes: Change[], revision: number): void;
+  /**
+   * A request for changes, sent at `sentAt`, was answered: a view that has reached `revision` contains everything that was
+   * committed before `sentAt`. `revision` null: the request failed, or was not sent because of the backoff.
+   */
   read(sentAt: number, revision: number | null): void;
 }
 
-/** How often the follower may make requests. */
-export interface FollowerPace {
-  /** Between two polls; the request budget is shared by all controllers. */
+/** Limits on the rate of the follower's requests. */
+export interface FollowerLimits {
+  /** The least time between two polls, ms. The request budget is shared by all controllers. */
   everyMs: number;
-  /** Between two pages of the first reading, and how many may go at once before that. */
+  /** The time between two pages of the snapshot, ms, after the first `burst` pages. */
   pageMs: number;
+  /** How many pages of the snapshot may be read without a delay. */
   burst: number;
 }
 
 /**
- * Follows the state: reads it whole, then its changes. While somebody waits for a fresh view it asks for them
- * over and over, which tells the present revision and brings the view there in one request; otherwise it leaves
- * a watch open. What fails is tried again as the retry policy says, and meanwhile whoever asks is told at once.
+ * Follows the state: reads all of it, then the changes since. While a caller waits for a fresh view it polls, since one
+ * poll both tells the current revision and brings the view up to it; otherwise it keeps a watch open. Failed requests are
+ * retried with backoff; callers that ask during the backoff are told of the failure at once.
  */
 export class Follower {
-  private from = -1;
-  private wanted = -1;
-  private asked = false;
+  /** The view contains all changes up to this revision; -1: no snapshot has been loaded. */
+  private followedRevision = -1;
+  /** The newest revision that a caller waits for; -1: none. */
+  private requestedRevision = -1;
+  private pollRequested = false;
   private polling = false;
-  private polledAt = -Infinity;
-  private timer: NodeJS.Timeout | null = null;
-  private wake: (() => void) | null = null;
+  private lastPollAt = -Infinity;
+  private pollTimer: NodeJS.Timeout | null = null;
+  /** Ends the current pause early; null: there is no pause. */
+  private interruptPause: (() => void) | null = null;
   private stopped = false;
+  /** Incremented by each restart, so that results of earlier requests are ignored. */
   private restarts = 0;
 
   constructor(
-    private readonly source: Source,
-    private readonly pace: FollowerPace,
-    private readonly attempts: RetryBackoff,
+    private readonly source: FollowerSource,
+    private readonly limits: FollowerLimits,
+    private readonly backoff: RetryBackoff,
     private readonly now: () => number,
     private readonly events: FollowerEvents,
   ) {}
 
-  /** Somebody waits for this revision. */
-  hurry(revision: number): void {
-    if (revision <= this.from) return;
-    this.wanted = Math.max(this.wanted, revision);
-    this.ask();
+  /** Polls until this revision has been reached. */
+  requestRevision(revision: number): void {
+    if (revision <= this.followedRevision) return;
+    this.requestedRevision = Math.max(this.requestedRevision, revision);
+    this.requestPoll();
   }
 
-  /** Somebody waits for a view that is as new as now. */
-  ask(): void {
-    // Guards against a request of every user in an outage: those who ask between two tries are told so at once.
-    if (this.attempts.failureCount > 0 && this.now() < this.attempts.notBefore)
+  /** Polls once more, so that a caller gets a view that is as new as this call. */
+  requestPoll(): void {
+    // No request is sent during the backoff: otherwise each user's query would cause one in an outage. Callers are told at once.
+    if (this.backoff.failureCount > 0 && this.now() < this.backoff.notBefore)
       return this.events.read(this.now(), null);
-    this.asked = true;
-    this.wake?.();
-    if (this.from >= 0) this.schedule();
+    this.pollRequested = true;
+    this.interruptPause?.();
+    if (this.followedRevision >= 0) this.schedulePoll();
   }
 
-  /** Forgets what it has followed: the state is another one. What was asked for before counts no more. */
+  /** Starts over with a new snapshot, because the state has been replaced. Earlier requests of callers are dropped. */
   restart(): void {
     this.restarts++;
-    this.from = this.wanted = -1;
-    this.asked = false;
-    this.wake?.();
+    this.followedRevision = this.requestedRevision = -1;
+    this.pollRequested = false;
+    this.interruptPause?.();
   }
 
-  /** Ends the following. */
+  /** Stops following. */
   stop(): void {
     this.stopped = true;
-    if (this.timer) clearTimeout(this.timer);
-    this.wake?.();
+    if (this.pollTimer) clearTimeout(this.pollTimer);
+    this.interruptPause?.();
   }
 
+  /** Follows the state until `stop` is called. */
   async run(): Promise<void> {
     while (!this.stopped) {
-      if (this.from < 0) await this.load();
-      // Polls bring the changes as long as they follow each other; a watch beside them would bring them twice.
-      if (this.polling || this.timer !== null) {
-        await this.pause(this.pace.everyMs);
+      if (this.followedRevision < 0) await this.loadSnapshot();
+      // While polls are under way they return the changes; a concurrent watch would return the same changes twice.
+      if (this.polling || this.pollTimer !== null) {
+        await this.pause(this.limits.everyMs);
         continue;
       }
-      await this.take(watchMs);
-      await this.pause(Math.max(this.pace.everyMs * 2, this.attempts.notBefore - this.now()));
+      await this.readChanges(watchDurationMs);
+      await this.pause(Math.max(this.limits.everyMs * 2, this.backoff.notBefore - this.now()));
     }
   }
 
-  /** Reads everything, page by page. A page that does not come is asked for again: what was read stays good. */
-  private async load(): Promise<void> {
+  /** Reads the whole state, page by page. A page that cannot be read is requested again; the pages before it stay valid. */
+  private async loadSnapshot(): Promise<void> {
     const { restarts } = this;
     const items: Change[] = [];
     let revision = -1;
-    let left = this.pace.burst;
+    let burstPagesLeft = this.limits.burst;
     for (let from = ''; !this.stopped;) {
       const page = await this.source.page(from);
       if (restarts !== this.restarts) return;
       if (page === null || page === 'busy') {
-        this.attempts.onFailure(this.now());
+        this.backoff.onFailure(this.now());
         if (page === null) this.events.read(this.now(), null);
-        this.asked = false;
-        await this.pause(Math.max(this.pace.everyMs, this.attempts.notBefore - this.now()));
+        this.pollRequested = false;
+        await this.pause(Math.max(this.limits.everyMs, this.backoff.notBefore - this.now()));
         continue;
       }
-      this.attempts.onSuccess();
-      // Changes made since the first page are read behind it.
+      this.backoff.onSuccess();
+      // The revision of the first page: changes that are made while later pages are read follow from there.
       if (revision < 0) revision = page.revision;
       for (const i of page.items) items.push(i);
       if (!page.more || page.items.length === 0) break;
       this.events.reading(items.length);
       from = page.items[page.items.length - 1].key;
-      if (--left <= 0) await this.sleep(this.pace.pageMs);
+      if (--burstPagesLeft <= 0) await this.sleep(this.limits.pageMs);
     }
     if (this.stopped || restarts !== this.restarts) return;
-    this.from = revision;
+    this.followedRevision = revision;
     this.events.loaded(items, revision);
   }
 
-  private schedule(): void {
-    if (this.stopped || this.polling || this.timer !== null) return;
-    const at = Math.max(this.polledAt + this.pace.everyMs, this.attempts.notBefore);
-    this.timer = setTimeout(
+  private schedulePoll(): void {
+    if (this.stopped || this.polling || this.pollTimer !== null) return;
+    const dueAt = Math.max(this.lastPollAt + this.limits.everyMs, this.backoff.notBefore);
+    this.pollTimer = setTimeout(
       () => {
-        this.timer = null;
+        this.pollTimer = null;
         void this.poll();
       },
-      Math.max(0, at - this.now()),
+      Math.max(0, dueAt - this.now()),
     );
   }
 
   private async poll(): Promise<void> {
     this.polling = true;
-    this.asked = false;
-    this.polledAt = this.now();
-    await this.take(0);
+    this.pollRequested = false;
+    this.lastPollAt = this.now();
+    await this.readChanges(0);
     this.polling = false;
-    if (this.from >= 0 && (this.asked || this.wanted > this.from)) this.schedule();
+    if (this.followedRevision >= 0 && (this.pollRequested || this.requestedRevision > this.followedRevision))
+      this.schedulePoll();
   }
 
-  private async take(blockMs: number): Promise<void> {
+  private async readChanges(blockMs: number): Promise<void> {
     const sentAt = this.now();
     const { restarts } = this;
-    const r = await this.source.changes(this.from, blockMs);
+    const result = await this.source.changes(this.followedRevision, blockMs);
     if (restarts !== this.restarts) return;
-    if (r === 'old') this.from = -1;
-    else if (r === 'busy') this.asked = true;
-    else if (r === null) {
-      this.attempts.onFailure(this.now());
+    if (result === 'old') this.followedRevision = -1;
+    else if (result === 'busy') this.pollRequested = true;
+    else if (result === null) {
+      this.backoff.onFailure(this.now());
       if (blockMs === 0) this.events.read(sentAt, null);
     } else {
-      this.attempts.onSuccess();
-      if (this.from >= 0) this.from = Math.max(this.from, r.revision);
-      this.events.changed(r.changes, r.revision);
-      this.events.read(sentAt, r.revision);
+      this.backoff.onSuccess();
+      if (this.followedRevision >= 0)
+        this.followedRevision = Math.max(this.followedRevision, result.revision);
+      this.events.changed(result.changes, result.revision);
+      this.events.read(sentAt, result.revision);
     }
   }
 
@@ -165,16 +180,16 @@
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  /** Ends early when somebody asks. */
+  /** Ends early when a caller requests a poll, or when the follower is restarted or stopped. */
   private pause(ms: number): Promise<void> {
     return new Promise((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
-        this.wake = null;
+        this.interruptPause = null;
         resolve();
       };
       const timer = setTimeout(done, ms);
-      this.wake = done;
+      this.interruptPause = done;
     });
   }
 }
--- a/src/store/http.ts
+++ b/src/store/http.ts
@@ -1,4 +1,4 @@
-/** The state service's protocol over HTTP. */
+/** The state service's HTTP server. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import {
   encodeChangeLog,
@@ -10,33 +10,33 @@
   leaseNotFound,
   parseLeaseRequest,
   parseTransaction,
-} from '../wire/store-side.js';
+} from '../wire/store-server.js';
 import { readJson, sendJson as reply } from '../net/json.js';
 import type { Transaction } from '../wire/store.js';
 import type { Engine } from './engine.js';
 import { snapshotInto } from './snapshot.js';
 
-const mostBody = 64 * 1024;
-const longestWatchMs = 60_000;
+const maxBodyBytes = 64 * 1024;
+const maxWatchMs = 60_000;
 
-/** A request that a gate did not let pass, and the status that it is answered with. */
+/** The response to a request that the gate has rejected. */
 export interface Refusal {
   status: 400 | 429 | 503;
   error: string;
 }
 
-/** Decides which requests are served: rate limits, sizes, outages. The HTTP server of a store has none unless it is given one. */
+/** Decides which requests are served, by rate limits, size limits and simulated outages. By default all requests are served. */
 export interface RequestGate {
-  /** Resolves when the request may go on, with a refusal if it may not. */
+  /** Resolves with null once the request may proceed, or with the response that rejects it. */
   request(): Promise<Refusal | null>;
-  /** Asked once more for a transaction, when its size is known. */
+  /** Checks a transaction in addition, once its size is known. */
   transaction(txn: Transaction): Refusal | null;
 }
 
-const openGate: RequestGate = { request: () => Promise.resolve(null), transaction: () => null };
+const allowAllGate: RequestGate = { request: () => Promise.resolve(null), transaction: () => null };
 
-/** The state service's protocol over HTTP, for an engine. */
-export function storeServer(engine: Engine, dir: string, gate: RequestGate = openGate): Server {
+/** Creates the HTTP server of a store. `dir`: where it writes snapshots. */
+export function storeServer(engine: Engine, dir: string, gate: RequestGate = allowAllGate): Server {
   const server = createServer({ keepAliveTimeout: 120_000, requestTimeout: 10_000 }, (req, res) => {
     serve(engine, dir, gate, req, res).catch((e: unknown) =>
       reply(res, 503, { error: String((e as Error).message) }),
@@ -55,20 +55,25 @@
 ): Promise<void> {
   const url = new URL(req.url ?? '/', 'http://store');
   const route = `${req.method ?? ''} ${url.pathname}`;
-  const lease = /^(POST|DELETE) \/leases\/(\d+)(\/renew)?$/.exec(route);
-  if (engine.broken) return reply(res, 503, { error: engine.broken.message });
+  const leaseRoute = /^(POST|DELETE) \/leases\/(\d+)(\/renew)?$/.exec(route);
+  if (engine.failure) return reply(res, 503, { error: engine.failure.message });
   const refusal = await gate.request();
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
-  if (route === 'POST /commit') return commit(engine, gate, await readJson(req, mostBody), res);
+  if (route === 'POST /commit') return commit(engine, gate, await readJson(req, maxBodyBytes), res);
   if (route === 'POST /leases') {
-    const ttl = parseLeaseRequest(await readJson(req, mostBody));
-    if (typeof ttl === 'string') return reply(res, 400, { error: ttl });
-    const hold = await engine.lease(ttl);
-    return hold === null ? reply(res, 503, { error: 'not written' }) : reply(res, 200, encodeLease(hold));
+    const ttlMs = parseLeaseRequest(await readJson(req, maxBodyBytes));
+    if (typeof ttlMs === 'string') return reply(res, 400, { error: ttlMs });
+    const leaseId = await engine.grantLease(ttlMs);
+    return leaseId === null
+      ? reply(res, 503, { error: 'not written' })
+      : reply(res, 200, encodeLease(leaseId));
   }
-  if (lease) {
-    const hold = Number(lease[2]);
-    const ok = lease[1] === 'DELETE' ? await engine.end(hold) : lease[3] !== undefined && engine.renew(hold);
+  if (leaseRoute) {
+    const leaseId = Number(leaseRoute[2]);
+    const ok =
+      leaseRoute[1] === 'DELETE'
+        ? await engine.endLease(leaseId)
+        : leaseRoute[3] !== undefined && engine.renewLease(leaseId);
     return reply(res, ok ? 200 : 404, ok ? {} : { error: leaseNotFound });
   }
   if (route === 'GET /kv') {
@@ -93,21 +98,21 @@
   if (typeof txn === 'string') return reply(res, 400, { error: txn });
   const refusal = gate.transaction(txn);
   if (refusal) return reply(res, refusal.status, { error: refusal.error });
-  const o = await engine.commit(txn);
-  if (o.type === 'ok') reply(res, 200, encodeRevision(o.revision));
-  else if (o.type === 'conflict') reply(res, 409, encodeConflict(o.failed, o.revision));
-  else if (o.type === 'lease-expired') reply(res, 400, { error: leaseNotFound });
-  // It may be on disk or not: no answer says so.
+  const outcome = await engine.commit(txn);
+  if (outcome.type === 'ok') reply(res, 200, encodeRevision(outcome.revision));
+  else if (outcome.type === 'conflict') reply(res, 409, encodeConflict(outcome.failed, outcome.revision));
+  else if (outcome.type === 'lease-expired') reply(res, 400, { error: leaseNotFound });
+  // Whether it is durable is unknown, so the connection is closed without a response.
   else res.destroy();
 }
 
-async function watch(engine: Engine, q: URLSearchParams, res: ServerResponse): Promise<void> {
-  const from = Number(q.get('from') ?? NaN);
-  const blockMs = Number(q.get('blockMs') ?? 0);
+async function watch(engine: Engine, query: URLSearchParams, res: ServerResponse): Promise<void> {
+  const from = Number(query.get('from') ?? NaN);
+  const blockMs = Number(query.get('blockMs') ?? 0);
   if (!Number.isInteger(from) || from < 0) return reply(res, 400, { error: 'from: must be a revision' });
-  if (!(blockMs >= 0 && blockMs <= longestWatchMs))
-    return reply(res, 400, { error: `blockMs: must be 0 to ${longestWatchMs}` });
-  const r = await engine.changes(q.get('starts') ?? '', from, blockMs);
-  if (r === 'old') reply(res, 410, { error: 'too old: read the keys again' });
-  else reply(res, 200, encodeChangeLog(r.changes, r.revision));
+  if (!(blockMs >= 0 && blockMs <= maxWatchMs))
+    return reply(res, 400, { error: `blockMs: must be 0 to ${maxWatchMs}` });
+  const result = await engine.changes(query.get('starts') ?? '', from, blockMs);
+  if (result === 'old') reply(res, 410, { error: 'too old: read the keys again' });
+  else reply(res, 200, encodeChangeLog(result.changes, result.revision));
 }
