--- a/src/agent/agent-directory.ts
+++ b/src/agent/agent-directory.ts
@@ -1,4 +1,4 @@
-/** The agent's directory: the record of the agent, and a directory with record and output for each task. */
+/** The agent's directory: the agent's own record, and a subdirectory for each task with the task's record and output. */
 import {
   closeSync,
   existsSync,
@@ -15,33 +15,35 @@
 import { join } from 'node:path';
 import type { AgentJob, AgentTask } from '../wire/agent-side.js';
 
-/** What an agent keeps of itself. A stored record: field names are part of the format. */
+/** The agent's own persistent state. It is stored, so its field names are part of the storage format. */
 export interface AgentRecord {
-  /** Generated with the directory; distinguishes the agent from others of the same name. */
+  /** Generated when the directory is created; distinguishes the agent from others with the same name. */
   id: string;
-  /** Its machine's host name in the core; null: not joined. */
+  /** The host name of the agent's machine in the core; null if the agent has not joined. */
   host: string | null;
+  /** The agent's current epoch. */
   session: number;
+  /** The highest fencing token seen. */
   token: number;
-  /** Where the next block of sequence numbers begins: they are reserved in blocks, so that not each one is written. */
+  /** The first sequence number of the next block: numbers are reserved in blocks, so that not each one is written to disk. */
   seqFrom: number;
 }
 
 /**
- * What an agent keeps of a task, from before it is started until the control service has recorded its end. A stored record:
- * field names are part of the format.
+ * The persistent state of a task, from before it is started until the control service has recorded its end. It is stored, so
+ * its field names are part of the storage format.
  */
 export interface TaskRecord {
   task: AgentTask;
   job: AgentJob | null;
-  /** The time of day when it was started, ms, and the machine's uptime then, s: the time of day may be set. */
+  /** When the task was started, as wall-clock time, ms, and as machine uptime, s, because the wall clock may be adjusted. */
   startedAt: number;
   startedUptimeS: number;
-  /** The boot of the machine in which it was started. */
+  /** The ID of the machine boot during which the task was started. */
   boot: string;
 }
 
-/** Writes a file so that it is either complete or, after a crash, as it was before. */
+/** Writes a file atomically: after a crash it has either the new or the previous contents. */
 function writeAtomically(path: string, text: string): void {
   const temporaryPath = `${path}.part`;
   const file = openSync(temporaryPath, 'w', 0o600);
@@ -63,7 +65,7 @@
     mkdirSync(this.tasksPath, { recursive: true, mode: 0o700 });
   }
 
-  /** The agent's record; null in a new directory. */
+  /** Reads the agent's record; null in a new directory. */
   loadAgent(): AgentRecord | null {
     const path = join(this.path, 'agent.json');
     return existsSync(path) ? (JSON.parse(readFileSync(path, 'utf8')) as AgentRecord) : null;
@@ -74,7 +76,7 @@
     writeAtomically(join(this.path, 'agent.json'), JSON.stringify(record));
   }
 
-  /** The directory of a task. */
+  /** Returns the directory of a task attempt. */
   taskDirectory(task: { job: string; index: number; attempt: number }): string {
     return join(this.tasksPath, `${task.job}.${task.index}.${task.attempt}`);
   }
@@ -86,15 +88,15 @@
     writeAtomically(join(dir, 'task.json'), JSON.stringify(record));
   }
 
-  /** Removes the record of a task whose end the control service has recorded; its output stays. */
-  forgetTask(task: { job: string; index: number; attempt: number }): void {
+  /** Removes the record of a task whose end the control service has recorded. The task's output is kept. */
+  removeTaskRecord(task: { job: string; index: number; attempt: number }): void {
     const dir = this.taskDirectory(task);
-    // The claim stays, so that a shim that is scheduled late does not run the command.
+    // The claim is kept, so that a shim process that is scheduled late does not run the command.
     for (const name of ['task.json', 'pid', 'exit'])
       rmSync(join(dir, name), { recursive: true, force: true });
   }
 
-  /** The records of all tasks. A task without a complete record was never started. */
+  /** Reads the records of all tasks. A task without a complete record was never started. */
   loadTasks(): TaskRecord[] {
     const records: TaskRecord[] = [];
     for (const name of readdirSync(this.tasksPath)) {
@@ -104,13 +106,13 @@
     return records;
   }
 
-  /** Removes the output of ended tasks, the oldest first, until `maxKept` are left. */
+  /** Removes the output of ended tasks, those that ended first before others, until at most `maxKept` are left. */
   pruneOutputs(maxKept: number): void {
     const ended = readdirSync(this.tasksPath).filter(
       (n) => !existsSync(join(this.tasksPath, n, 'task.json')),
     );
     if (ended.length <= maxKept) return;
-    // A directory was last changed when its record was removed.
+    // A task's directory is last modified when its record is removed.
     const endedAt = new Map(ended.map((n) => [n, statSync(join(this.tasksPath, n)).mtimeMs]));
     ended.sort((a, b) => endedAt.get(a)! - endedAt.get(b)!);
     for (const name of ended.slice(0, ended.length - maxKept))
--- a/src/agent/agent-lease.ts
+++ b/src/agent/agent-lease.ts
@@ -1,4 +1,4 @@
-/** The agent's lease on disk, and the watchdog that enforces it when the agent itself does not run. */
+/** The agent's lease on disk, and the watchdog process that enforces it even if the agent is not running. */
 import { spawn } from 'node:child_process';
 import { existsSync, readFileSync, renameSync, writeFileSync } from 'node:fs';
 import { uptime } from 'node:os';
@@ -6,9 +6,10 @@
 import { processesWithMark, markVariable, sendSignal } from './processes.js';
 
 /**
- * Checks once a second whether the agent's lease has expired, also after the agent itself has ended. If it has, it kills the
- * process groups of all tasks, and then, several times for processes that are just being started, every process with the
- * agent's mark. Arguments: the agent's directory and ID. (dash rejects `kill -KILL -- -PID`, hence `-s KILL`.)
+ * Checks once per second whether the agent's lease has expired, even after the agent process has exited. If it has, the
+ * script kills the process groups of all tasks, and then every process with the agent's mark; it repeats the latter to catch
+ * processes that are just being started. Arguments: the agent's directory and ID. The script uses `kill -s KILL` because
+ * dash rejects `kill -KILL -- -PID`.
  */
 const watchdogScript = `
 cd "$1" || exit 0
@@ -29,8 +30,8 @@
 `;
 
 /**
- * The lease as an uptime of the machine until which tasks may run. The control service places them elsewhere some time after
- * that, so they must have ended by then, whether or not this process still runs.
+ * The agent's lease, stored as the machine uptime until which tasks may run. The control service places the tasks elsewhere
+ * some time after that, so they must have ended by then, whether or not the agent process is still running.
  */
 export class AgentLease {
   private readonly path: string;
@@ -44,13 +45,16 @@
     this.path = join(directory, 'lease');
   }
 
-  /** When the lease on disk was last renewed, on this process's clock; -Infinity if that was in an earlier boot. */
-  startOnDisk(leaseMs: number): number {
+  /**
+   * Returns when the lease on disk was last renewed, on this process's monotonic clock, ms. Without a lease on disk this is
+   * the current time; for a lease of an earlier boot, -Infinity.
+   */
+  readLeaseStart(leaseMs: number): number {
     const now = performance.now();
     if (!existsSync(this.path)) return now;
-    const [until, boot] = readFileSync(this.path, 'latin1').trim().split(' ');
+    const [validUntilS, boot] = readFileSync(this.path, 'latin1').trim().split(' ');
     if (boot !== this.boot) return -Infinity;
-    return now - (uptime() - Number(until)) * 1000 - leaseMs;
+    return now - (uptime() - Number(validUntilS)) * 1000 - leaseMs;
   }
 
   /** Writes a renewed lease to disk. */
@@ -61,7 +65,7 @@
     renameSync(temporaryPath, this.path);
   }
 
-  /** Starts the watchdog unless it runs; it replaces the one of an earlier process. */
+  /** Starts the watchdog unless it is running, and replaces a watchdog of an earlier agent process. */
   startWatchdog(): void {
     if (this.watchdogRunning) return;
     this.stopWatchdog();
@@ -80,12 +84,12 @@
     return `watchdog:${this.directory}`;
   }
 
-  /** Notes that the lease has expired: the watchdog has ended, or is about to. */
+  /** Records that the lease has expired, so the watchdog has exited or is about to. */
   markExpired(): void {
     this.watchdogRunning = false;
   }
 
-  /** Ends the watchdog: no command runs that it would have to kill. */
+  /** Kills the watchdog, also one of an earlier agent process. It is not needed while no command is running. */
   stopWatchdog(): void {
     this.watchdogRunning = false;
     for (const { pid, mark } of processesWithMark(this.watchdogMark))
--- a/src/agent/agent-server.ts
+++ b/src/agent/agent-server.ts
@@ -1,4 +1,4 @@
-/** The agent's HTTP server: orders of the control service, the agent's state, output of tasks. */
+/** The agent's HTTP server: accepts orders from the control service, and serves the agent's state and task output. */
 import { createReadStream, existsSync } from 'node:fs';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -10,19 +10,19 @@
 
 const maxBodyBytes = 1024 * 1024;
 
-/** What the server needs of the agent. */
+/** What the server needs from the agent. */
 export interface AgentServerBackend {
   readonly listen: { readonly host: string; readonly port: number };
   readonly directory: AgentDirectory;
-  /** The worker's state; null before the agent has joined. */
+  /** Returns the worker state machine; null before the agent has joined. */
   worker(): Worker | null;
-  /** Carries out what orders have caused. */
+  /** Executes the effects of orders. */
   applyEffects(effects: readonly WorkerEffect[]): void;
-  /** Asks for a heartbeat before the next one is due. */
+  /** Requests that a heartbeat is sent before the next one is due. */
   requestHeartbeat(): void;
 }
 
-/** Serves the agent's requests. */
+/** The agent's HTTP server. */
 export class AgentServer {
   private readonly server: Server;
 
@@ -34,13 +34,13 @@
     });
   }
 
-  /** Where the server listens, HOST:PORT. */
+  /** The address that the server listens on, HOST:PORT. */
   get endpoint(): string {
     const { port } = this.server.address() as AddressInfo;
     return `${this.backend.listen.host}:${port}`;
   }
 
-  /** Resolves once the server listens; rejects if it cannot. */
+  /** Starts listening; rejects if that fails. */
   open(): Promise<void> {
     const { host, port } = this.backend.listen;
     return new Promise<void>((resolve, reject) => {
@@ -72,7 +72,7 @@
       return reply(res, 400, { error: 'baton and tenure are needed' });
     const effects = worker.onDirectOrders(message.token, message.session, message.orders);
     if (effects) this.backend.applyEffects(effects);
-    // Without orders it announces something that only the response to a heartbeat says.
+    // A message without orders means that the response to the next heartbeat contains news, so the heartbeat is sent now.
     if (effects && message.orders.length === 0) this.backend.requestHeartbeat();
     reply(res, effects ? 200 : 409, encodeAgentReport(worker.buildHeartbeat()));
   }
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -1,4 +1,4 @@
-/** The agent: a process on a machine that joins a control service, sends heartbeats and runs the tasks it is ordered to. */
+/** The agent: a process on a machine that joins a control service, sends heartbeats and runs the tasks assigned to it. */
 import { randomBytes } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import type { Log } from '../core/effects.js';
@@ -21,37 +21,37 @@
 import { TaskExecutor } from './task-executor.js';
 import { Worker, type WorkerEffect, type WorkerState } from './worker.js';
 
-/** The least time between two heartbeats, as a share of their interval. */
+/** The minimum time between two heartbeats, as a share of the heartbeat interval. */
 const minHeartbeatGapShare = 1 / 8;
-/** Heartbeats are sent after their interval times a random factor in this range. */
+/** The interval before each heartbeat is multiplied by a random factor from `min` to `min + range`. */
 const heartbeatJitter = { min: 0.75, range: 0.5 };
-/** The interval that retries are based on before the control service has set one, s. */
+/** The heartbeat interval on which retry delays are based until the control service sets one, s. */
 const defaultReportS = 2;
-/** Sequence numbers are reserved on disk in blocks, so that not every heartbeat is a write. */
+/** Sequence numbers are reserved on disk in blocks, so that not every heartbeat causes a write. */
 const sequenceBlockSize = 10_000;
 const leaseCheckIntervalMs = 100;
 
-/** An agent. It is started once; `released` tells that its control service has ended its membership. */
+/** An agent. It can be started once; `released` resolves when the control service has ended its membership. */
 export class Agent {
   private readonly directory: AgentDirectory;
   private readonly record: AgentRecord;
   private readonly bootId = readBootId();
   private readonly lease: AgentLease;
-  private readonly control: ControlClient;
-  private readonly jobs: JobDescriptions;
+  private readonly controlClient: ControlClient;
+  private readonly jobDescriptions: JobDescriptions;
   private readonly executor: TaskExecutor;
   private readonly server: AgentServer;
-  /** null until the agent has joined. */
+  /** The worker state machine; null until the agent has joined. */
   private worker: Worker | null = null;
   private joinTerms: JoinResponse | null = null;
   private workerState: WorkerState = { agentEpoch: 1, seq: 0, fencingToken: 0 };
   private failedAttempts = 0;
   private heartbeatRequested = false;
-  /** Ends the wait for the next heartbeat. */
+  /** Ends the wait before the next heartbeat. */
   private wakeHeartbeatLoop: () => void = () => undefined;
   private readonly timers = new Set<NodeJS.Timeout>();
   private stopped = false;
-  /** Resolves, with the reason, when the control service has ended the agent's membership: it was drained or forgotten. */
+  /** Resolves with the reason when the control service has ended the membership: the machine was drained or forgotten. */
   readonly released: Promise<string>;
   private resolveReleased: (reason: string) => void = () => undefined;
 
@@ -62,14 +62,14 @@
   ) {
     this.released = new Promise((resolve) => (this.resolveReleased = resolve));
     this.directory = new AgentDirectory(settings.directory);
-    const known = this.directory.loadAgent();
-    this.record = known ?? newAgentRecord();
-    if (!known) this.directory.saveAgent(this.record);
+    const savedRecord = this.directory.loadAgent();
+    this.record = savedRecord ?? newAgentRecord();
+    if (!savedRecord) this.directory.saveAgent(this.record);
     this.lease = new AgentLease(settings.directory, this.bootId, this.record.id);
-    this.control = new ControlClient(
+    this.controlClient = new ControlClient(
       settings.controls.map((address, i) => ({ address, name: settings.controlNames[i] })),
     );
-    this.jobs = new JobDescriptions(this.control);
+    this.jobDescriptions = new JobDescriptions(this.controlClient);
     this.executor = new TaskExecutor({
       settings,
       agentId: this.record.id,
@@ -89,13 +89,13 @@
     });
   }
 
-  /** Listens, and then joins and sends heartbeats until the agent is stopped. */
+  /** Starts the HTTP server, and then, in the background, joins and sends heartbeats until the agent is stopped. */
   async start(): Promise<void> {
     await this.server.open();
     void this.run();
   }
 
-  /** Stops the agent. Its commands run on, and the next process of this agent adopts them. */
+  /** Stops the agent. Its commands keep running, and the next process of this agent adopts them. */
   stop(): void {
     this.stopped = true;
     for (const timer of this.timers) clearTimeout(timer);
@@ -125,7 +125,7 @@
     };
   }
 
-  /** The delay before the next attempt, after one more has failed. */
+  /** Counts a failed attempt and returns the delay before the next one, ms. */
   private nextBackoffMs(): number {
     return backoffDelayMs(this.retryPolicy, ++this.failedAttempts, this.random);
   }
@@ -149,7 +149,7 @@
 
   private async join(): Promise<boolean> {
     const { name, type, zone, cpus, gpus, memGb, attrs } = this.settings;
-    const response = await this.control.call('POST', '/agents', {
+    const response = await this.controlClient.call('POST', '/agents', {
       id: this.record.id,
       name,
       type,
@@ -159,12 +159,12 @@
       memGb,
       attrs: { OpSys: 'LINUX', Arch: architectureName(process.arch), ...attrs },
     });
-    // An agent that was stopped while it waited must not adopt commands any more.
+    // An agent that was stopped while it waited for the response must not adopt commands.
     if (this.stopped) return false;
     const terms = response?.status === 200 ? parseJoinResponse(response.body) : null;
     if (!terms) {
       if (response) this.log('warn', 'membership refused', { status: response.status, body: response.body });
-      this.control.switchToNext();
+      this.controlClient.switchToNext();
       return false;
     }
     this.joinTerms = terms;
@@ -172,7 +172,7 @@
     return true;
   }
 
-  /** Restores the state on disk, unless the control service has given this machine a new host name. */
+  /** Restores the state on disk, or discards it if the control service has assigned a new host name to this machine. */
   private resume(terms: JoinResponse): void {
     const sameHost = this.record.host === terms.host;
     const leaseMs = terms.leaseS * 1000;
@@ -181,13 +181,13 @@
     this.workerState = sameHost
       ? { agentEpoch: session, seq: seqFrom, fencingToken: token }
       : { agentEpoch: session + 1, seq: seqFrom, fencingToken: 0 };
-    if (!sameHost) for (const { task } of records) this.directory.forgetTask(task);
+    if (!sameHost) for (const { task } of records) this.directory.removeTaskRecord(task);
     const tasks = sameHost ? records.map((record) => record.task) : [];
     this.record.host = terms.host;
     const { type, zone } = this.settings;
     const machine = { host: terms.host, endpoint: this.server.endpoint, type, zone };
-    // While no process of this agent ran, the lease ran on.
-    const leaseStart = sameHost ? this.lease.startOnDisk(leaseMs) : performance.now();
+    // The lease on disk kept running while no process of this agent was running.
+    const leaseStart = sameHost ? this.lease.readLeaseStart(leaseMs) : performance.now();
     this.worker = new Worker(machine, this.workerState, leaseMs, leaseStart, tasks);
     this.persistState();
     this.applyEffects(this.worker.tick(performance.now()));
@@ -195,14 +195,14 @@
     const held = new Set(this.worker.tasks);
     if (sameHost) for (const record of records) this.resumeTask(record, held.has(record.task));
     this.executor.sweepOrphans();
-    this.log('info', 'joined', {
+    this.log('info', 'joined control service', {
       host: terms.host,
       session: this.workerState.agentEpoch,
       tasks: tasks.length,
     });
   }
 
-  /** Adopts a recorded task that was started, or prepares it again. `held`: the lease has not expired meanwhile. */
+  /** Adopts a recorded task that was started, or prepares it again. `held` is false if the lease has expired meanwhile. */
   private resumeTask(record: TaskRecord, held: boolean): void {
     const { task, job } = record;
     if (job) this.executor.setJob(task, job);
@@ -215,7 +215,7 @@
     }
   }
 
-  /** The control service has drained or forgotten this machine: the agent ends, with all its tasks. */
+  /** Stops the agent and all of its tasks after the control service has drained or forgotten this machine. */
   private endMembership(reason: string): void {
     this.log('warn', 'membership ended', { why: reason });
     this.applyEffects(this.worker!.startEpoch(performance.now()));
@@ -227,14 +227,14 @@
 
   // ---- heartbeats ----
 
-  /** Sends one heartbeat and processes its response; the time until the next one, ms. */
+  /** Sends one heartbeat and processes its response; returns the delay before the next heartbeat, ms. */
   private async sendHeartbeat(): Promise<number> {
     const worker = this.worker!;
     const { agentEpoch } = worker;
     const sentAt = performance.now();
     const heartbeat = worker.buildHeartbeat();
     if (heartbeat.seq >= this.record.seqFrom) this.persistState();
-    const response = await this.control.call('POST', '/checkin', encodeAgentReport(heartbeat));
+    const response = await this.controlClient.call('POST', '/checkin', encodeAgentReport(heartbeat));
     if (this.stopped) return 0;
     const reportMs = this.joinTerms!.reportS * 1000;
     if (response?.status === 200) {
@@ -249,12 +249,12 @@
       return reportMs;
     }
     const owner = response?.status === 421 ? parseRedirect(response.body) : null;
-    if (owner !== null && this.control.switchTo(owner)) return 0;
-    this.control.switchToNext();
+    if (owner !== null && this.controlClient.switchTo(owner)) return 0;
+    this.controlClient.switchToNext();
     return this.nextBackoffMs();
   }
 
-  /** Waits for the given time, or until a heartbeat is requested. */
+  /** Waits for the given time, or until a heartbeat is requested, whichever is first. */
   private waitForNextHeartbeat(ms: number): Promise<void> {
     if (this.heartbeatRequested || ms <= 0) return Promise.resolve();
     return new Promise<void>((resolve) => {
@@ -277,7 +277,7 @@
   private checkLease(): void {
     const effects = this.worker!.tick(performance.now());
     if (effects.length === 0) return;
-    // The watchdog ends with the lease: tasks of the next epoch need a new one.
+    // The watchdog exits when the lease expires, so tasks of the next epoch need a new one.
     this.lease.markExpired();
     this.applyEffects(effects);
   }
@@ -314,11 +314,11 @@
       }
   }
 
-  /** Fetches the description of a task's job, repeatedly if necessary, and checks that the machine has room for the task. */
+  /** Fetches the description of a task's job, with retries, and checks that the machine has capacity for the task. */
   private async prepare(task: AgentTask): Promise<void> {
     const worker = this.worker!;
     for (let attempt = 1; task.phase === 'fetching' && !this.stopped; attempt++) {
-      const job = await this.jobs.fetch(task.job);
+      const job = await this.jobDescriptions.fetch(task.job);
       if (this.stopped) return;
       if (job === 'unknown') return this.applyEffects(worker.onExited(task, 'unknown', null, false));
       if (job) {
@@ -334,7 +334,7 @@
   private onTaskEnded(task: AgentTask, result: TaskResult, saved: boolean): void {
     const why = result.reason === 'stopped' ? 'stopped' : result.exit === 0 ? 'done' : 'error';
     this.applyEffects(this.worker!.onExited(task, why, result, saved));
-    // Of a task that was forgotten meanwhile nothing is recorded: no one would remove the record.
+    // If the task was forgotten meanwhile, its end is not recorded, because nothing would ever remove the record.
     if (this.worker!.holds(task)) this.executor.recordEnd(task);
   }
 }
@@ -347,11 +347,11 @@
   seqFrom: 0,
 });
 
-/** The name that match expressions use for a processor architecture. */
+/** Returns the name of a processor architecture in match expressions. */
 const architectureName = (arch: string): string =>
   arch === 'x64' ? 'X86_64' : arch === 'arm64' ? 'AARCH64' : arch.toUpperCase();
 
-/** Identifies the machine's current boot: process IDs and uptimes of another boot mean nothing. */
+/** Returns the ID of the machine's current boot. Process IDs and uptimes of another boot are meaningless in this one. */
 function readBootId(): string {
   try {
     return readFileSync('/proc/sys/kernel/random/boot_id', 'latin1').trim();
--- a/src/agent/command-runner.ts
+++ b/src/agent/command-runner.ts
@@ -1,4 +1,4 @@
-/** Runs the commands of tasks: starts, adopts and stops them, enforces their limits and determines how they ended. */
+/** Runs task commands: starts, adopts and stops them, enforces their limits and determines how they ended. */
 import type { ChildProcess } from 'node:child_process';
 import { uptime } from 'node:os';
 import type { Log } from '../core/effects.js';
@@ -10,52 +10,52 @@
 import { spawnCommand } from './spawn-command.js';
 import { claimTask, readExitCode, readGroupLeader, truncateOutput } from './task-files.js';
 
-/** Receives the ends of tasks. */
+/** Callbacks for task events. */
 export interface TaskEvents {
-  /** A task has ended. `saved`: it wrote a checkpoint before it was stopped. */
+  /** Called when a task has ended. `saved`: whether it wrote a checkpoint before it was stopped. */
   ended(task: AgentTask, result: TaskResult, saved: boolean): void;
 }
 
-/** The limits that a runner enforces, and its identity. */
+/** The limits that a runner enforces, and the ID of its agent. */
 export interface RunnerSettings {
-  /** The greatest size of each output file. */
+  /** The maximum size of each output file. */
   readonly outputBytes: number;
-  /** How often limits are checked, ms. */
+  /** The interval at which limits are checked, ms. */
   readonly checkIntervalMs: number;
-  /** For commands over their wall time: the time between SIGTERM and SIGKILL, s. */
+  /** For commands that exceed their wall time: the time between SIGTERM and SIGKILL, s. */
   readonly graceS: number;
-  /** Part of the mark of every process that is started. */
+  /** The agent's ID: part of the mark of every started process. */
   readonly agentId: string;
 }
 
-/** A command that runs, or whose processes are being cleaned up. */
+/** A task whose command is running, or whose processes are being cleaned up. */
 interface RunningTask {
   readonly record: TaskRecord;
   readonly job: AgentJob;
-  /** null if an earlier process of this agent has started it: its exit is not signalled to this one. */
+  /** The child process; null if an earlier agent process started it, so that this process receives no exit event. */
   child: ChildProcess | null;
-  /** The leader of its process group; null: not known yet. */
+  /** The PID of the leader of its process group; null if not known yet. */
   pid: number | null;
-  /** Why it is being stopped; null: it is not. */
+  /** Why it is being stopped, and when it is killed (on the monotonic clock, ms); null if it is not being stopped. */
   termination: { readonly reason: ResultReason; readonly killAt: number; killed: boolean } | null;
-  /** The command has exited; processes that it left behind are being looked for. */
+  /** Whether the command has exited and its leftover processes are being cleaned up. */
   exited: boolean;
 }
 
-/** How a command ended, without its times. */
+/** How a command ended, without the start and end times. */
 type CommandEnd = Pick<TaskResult, 'exit' | 'signal' | 'reason'>;
 
-/** Commands that exit within this time are cleaned up together, because all processes are listed for it. */
+/** Commands that exit within this time are cleaned up together, because each clean-up lists all processes. */
 const cleanupDelayMs = 20;
-/** A shell reports a command that a signal has ended by this much more than the signal's number. */
+/** A shell reports a command that was ended by a signal with this exit code plus the signal's number. */
 const shellSignalBase = 128;
 const maxSignal = 64;
 
 /** Runs commands, each in a process group of its own. */
 export class CommandRunner {
   private readonly running = new Map<AgentTask, RunningTask>();
-  /** Commands that have exited and wait for their clean-up. */
-  private readonly exits = new Map<RunningTask, CommandEnd>();
+  /** Commands that have exited and whose leftover processes are yet to be killed. */
+  private readonly pendingCleanups = new Map<RunningTask, CommandEnd>();
   private readonly checkTimer: NodeJS.Timeout;
   private cleanupTimer: NodeJS.Timeout | null = null;
 
@@ -68,14 +68,14 @@
     this.checkTimer = setInterval(() => this.enforceLimits(), settings.checkIntervalMs);
   }
 
-  /** Stops the runner's own work; the commands run on. */
+  /** Stops the runner's timers. The commands keep running. */
   close(): void {
     clearInterval(this.checkTimer);
     if (this.cleanupTimer) clearTimeout(this.cleanupTimer);
     for (const running of this.running.values()) running.child?.unref();
   }
 
-  /** Whether no command runs. */
+  /** Whether no command is running. */
   get idle(): boolean {
     return this.running.size === 0;
   }
@@ -89,7 +89,7 @@
       startedUptimeS: uptime(),
       boot,
     };
-    // Recorded before it is started, so that an agent that is restarted knows that it may have run.
+    // The record is written before the start, so that a restarted agent knows that the command may have run.
     this.directory.saveTask(record);
     const command = job.command && commandForTask(job.command, task.index);
     const running = this.track(record, job);
@@ -110,12 +110,12 @@
     }
   }
 
-  /** Takes over a task that an earlier process of this agent started: it runs, has exited, or never ran. */
+  /** Takes over a task from an earlier process of this agent: its command may be running, have exited, or never have run. */
   adopt(record: TaskRecord, job: AgentJob, boot: string): void {
     const { task } = record;
     const running = this.track(record, job);
     const directory = this.directory.taskDirectory(task);
-    // A claim by this process keeps the shim from running the command later, and the task is not started a second time.
+    // If this claim succeeds, the shim has not run the command, and now never will. The task is not started a second time.
     if (claimTask(directory) || record.boot !== boot) return this.fail(running, 'lost');
     running.pid = readGroupLeader(directory);
     this.log('info', 'task adopted', { piece: taskKey(task.job, task.index), pid: running.pid });
@@ -123,18 +123,18 @@
       this.onExit(running, null, null);
   }
 
-  /** Stops a task with SIGTERM, and with SIGKILL after `graceS`. */
+  /** Stops a task with SIGTERM, followed by SIGKILL after `graceS`. */
   stop(task: AgentTask, graceS: number): void {
     const running = this.running.get(task);
     if (running) this.terminate(running, 'stopped', graceS);
   }
 
-  /** Kills processes of this agent whose task does not run, left over from an earlier epoch. */
+  /** Kills leftover processes of this agent that belong to no running task, such as those of an earlier epoch. */
   sweepOrphans(): void {
-    const known = new Set([...this.running.keys()].map((task) => this.mark(task)));
+    const runningMarks = new Set([...this.running.keys()].map((task) => this.mark(task)));
     for (const { pid, mark } of processesWithMark(`${this.settings.agentId}/`))
-      if (!known.has(mark)) {
-        this.log('warn', 'orphan killed', { pid, mark });
+      if (!runningMarks.has(mark)) {
+        this.log('warn', 'orphan process killed', { pid, mark });
         sendSignal(pid, 'SIGKILL');
       }
   }
@@ -152,7 +152,7 @@
   private terminate(running: RunningTask, reason: ResultReason, graceS: number): void {
     const now = performance.now();
     if (running.termination) {
-      // Stopped a second time, now without grace.
+      // The task is already being stopped: a second stop without a grace period kills it.
       if (graceS <= 0) this.kill(running);
       return;
     }
@@ -164,7 +164,7 @@
   private kill(running: RunningTask): void {
     if (running.termination) running.termination.killed = true;
     if (running.pid !== null) sendSignal(-running.pid, 'SIGKILL');
-    // No exit event comes for an adopted task.
+    // An adopted task has no exit event.
     if (!running.child) this.onExit(running, null, 'SIGKILL');
   }
 
@@ -193,7 +193,7 @@
     }
   }
 
-  /** Whether the group leader still is the task's process, and not another one with a reused PID. */
+  /** Whether the group leader still is the task's process, and not another process with a reused PID. */
   private isAlive(running: RunningTask): boolean {
     return processesWithMark(this.mark(running.record.task)).some(({ pid }) => pid === running.pid);
   }
@@ -202,7 +202,7 @@
     this.finish(running, { exit: null, signal: null, reason });
   }
 
-  /** The shim has exited: what is left of the command's process group is killed. */
+  /** Handles the exit of the shim: kills the rest of the command's process group and schedules the clean-up. */
   private onExit(running: RunningTask, code: number | null, signal: NodeJS.Signals | null): void {
     if (running.exited || !this.running.has(running.record.task)) return;
     running.exited = true;
@@ -211,9 +211,9 @@
     const exit = recorded ?? code;
     const reason = running.termination?.reason ?? (exit === null ? 'lost' : 'exited');
     if (exit !== null && exit > shellSignalBase && exit <= shellSignalBase + maxSignal)
-      this.exits.set(running, { exit: null, signal: signalName(exit - shellSignalBase), reason });
+      this.pendingCleanups.set(running, { exit: null, signal: signalName(exit - shellSignalBase), reason });
     else
-      this.exits.set(running, {
+      this.pendingCleanups.set(running, {
         exit,
         signal: exit === null ? (signal ?? (running.termination ? 'SIGKILL' : null)) : null,
         reason,
@@ -221,21 +221,23 @@
     this.cleanupTimer ??= setTimeout(() => this.cleanUp(), cleanupDelayMs);
   }
 
-  /** Kills processes that have left the groups of exited commands, and only then reports the ends of the commands. */
+  /** Kills processes of exited commands that had left their process groups, and only then reports that the tasks ended. */
   private cleanUp(): void {
     this.cleanupTimer = null;
-    const exitedMarks = new Set([...this.exits.keys()].map((running) => this.mark(running.record.task)));
+    const exitedMarks = new Set(
+      [...this.pendingCleanups.keys()].map((running) => this.mark(running.record.task)),
+    );
     for (const { pid, mark } of processesWithMark(`${this.settings.agentId}/`))
       if (exitedMarks.has(mark)) sendSignal(pid, 'SIGKILL');
-    const ends = [...this.exits];
-    this.exits.clear();
+    const ends = [...this.pendingCleanups];
+    this.pendingCleanups.clear();
     for (const [running, end] of ends) this.finish(running, end);
   }
 
   private finish(running: RunningTask, end: CommandEnd): void {
     const { task, startedAt, startedUptimeS } = running.record;
     if (!this.running.delete(task)) return;
-    // By the machine's uptime: the time of day may have been set meanwhile.
+    // Based on the machine's uptime, because the wall clock may have been adjusted meanwhile.
     const endedAt = startedAt + Math.max(0, Math.round((uptime() - startedUptimeS) * 1000));
     const saved = end.reason === 'stopped' && end.exit === 0 && running.job.checkpointS > 0;
     this.events.ended(task, { ...end, startedAt, endedAt }, saved);
--- a/src/agent/processes.ts
+++ b/src/agent/processes.ts
@@ -1,7 +1,10 @@
-/** The machine's processes, as /proc shows them: groups, memory, and the marks by which tasks' processes are found. */
+/** Reads the machine's processes from /proc: process groups, memory, and the marks that identify the processes of tasks. */
 import { readdirSync, readFileSync } from 'node:fs';
 
-/** The environment variable that marks all processes of a task, also those that have left its process group. */
+/**
+ * The environment variable that holds a process's mark. Processes inherit it, so it identifies all processes of a task, even
+ * those that have left the task's process group.
+ */
 export const markVariable = 'DAPPLEPICK_TASK';
 const pageKb = 4;
 
@@ -21,12 +24,12 @@
   try {
     return readFileSync(path, 'latin1');
   } catch {
-    // The process has ended meanwhile.
+    // The process has exited meanwhile.
     return null;
   }
 }
 
-/** All processes by process group, without zombies. */
+/** Returns all processes by process group, except zombies. */
 export function processesByGroup(): Map<number, GroupMember[]> {
   const byGroup = new Map<number, GroupMember[]>();
   for (const pid of pids()) {
@@ -45,7 +48,7 @@
   return byGroup;
 }
 
-/** The processes whose mark begins with this prefix. */
+/** Returns the processes whose mark starts with a prefix. */
 export function processesWithMark(prefix: string): { pid: number; mark: string }[] {
   const found: { pid: number; mark: string }[] = [];
   for (const pid of pids()) {
@@ -58,11 +61,11 @@
   return found;
 }
 
-/** Sends a signal to a process, or to a group by its negative ID; without effect if there is none. */
+/** Sends a signal to a process, or to a process group if `pid` is negative. Does nothing if it does not exist. */
 export function sendSignal(pid: number, name: NodeJS.Signals): void {
   try {
     process.kill(pid, name);
   } catch {
-    // There is no such process any more.
+    // The process or group no longer exists.
   }
 }
--- a/src/agent/settings.ts
+++ b/src/agent/settings.ts
@@ -1,27 +1,28 @@
-/** The settings of an agent: the operators' file, its defaults and checks. */
+/** The settings of an agent: defaults, and parsing and validation of the settings file. */
 import { cpus, totalmem } from 'node:os';
 import { FormReader, readForms } from '../config/forms.js';
 import { SettingsError } from '../config/settings.js';
 import type { JoinRequest } from '../wire/agent-side.js';
 
-/** The settings of an agent: what it says of its machine when it joins, and how it works. */
+/** The settings of an agent: the description of its machine that it sends when it joins, and its own configuration. */
 export interface AgentSettings extends Omit<JoinRequest, 'id'> {
-  /** The addresses of control services, in the order in which they are tried, and their member names. */
+  /** The addresses of control services, HOST:PORT, in the order in which they are tried. */
   controls: string[];
+  /** The member names of the control services, in the same order. */
   controlNames: string[];
-  /** Where the agent listens; port 0: any free one. */
+  /** The address that the agent listens on; port 0 selects any free port. */
   listen: { host: string; port: number };
-  /** Where the agent keeps its records and the output of tasks. */
+  /** The directory for the agent's records and the output of tasks. */
   directory: string;
-  /** The greatest size of each output file. */
+  /** The maximum size of each output file. */
   outputBytes: number;
-  /** For commands over their wall time: the time between SIGTERM and SIGKILL, s. */
+  /** For commands that exceed their wall time: the time between SIGTERM and SIGKILL, s. */
   graceS: number;
-  /** How often commands are checked against their limits, ms. */
+  /** The interval at which commands are checked against their limits, ms. */
   checkIntervalMs: number;
 }
 
-/** The defaults; the machine's resources are measured. */
+/** Returns the default settings, with the machine's actual CPUs and memory. */
 export function agentDefaults(): AgentSettings {
   return {
     name: '',
@@ -67,8 +68,8 @@
         break;
       case 'control': {
         const [address, name] = reader.texts(form);
-        const at = reader.address({ ...form, values: [address] });
-        settings.controls.push(`${at.host}:${at.port}`);
+        const endpoint = reader.address({ ...form, values: [address] });
+        settings.controls.push(`${endpoint.host}:${endpoint.port}`);
         settings.controlNames.push(name ?? `control-${settings.controls.length - 1}`);
         break;
       }
@@ -103,12 +104,12 @@
   return validateAgentSettings(settings, origin);
 }
 
-/** Checks the settings and fills in the machine type. */
+/** Validates the settings and fills in the machine type if it is not set. */
 export function validateAgentSettings(settings: AgentSettings, origin: string): AgentSettings {
   if (settings.name === '') throw new SettingsError(`${origin}: name: missing`);
   if (settings.controls.length === 0) throw new SettingsError(`${origin}: control: missing`);
   if (settings.directory === '') throw new SettingsError(`${origin}: directory: missing`);
-  // Machines of one type must have the same resources, so the default name is made of them.
+  // Machines of one type must have the same resources, so the default type name is derived from them.
   if (settings.type === '') settings.type = `c${settings.cpus}-g${settings.gpus}-m${settings.memGb}`;
   return settings;
 }
--- a/src/agent/shim.ts
+++ b/src/agent/shim.ts
@@ -1,10 +1,11 @@
-/** The shell script between the agent and a command. */
+/** The shell script that the agent runs each command with. */
 
 /**
- * Records the end of a command on disk, so that it is known even if the agent does not run at that time. Arguments: the
- * task's directory, then the command. Creating the directory `claim` decides, once, whether the command runs: an agent that
- * is restarted and does not know creates it itself, and then the command never runs. Signals to the process group reach the
- * command; the shim ignores them, to write its exit code.
+ * Runs a command and records its exit code on disk, so that it is known even if the agent is not running at that time.
+ * Arguments: the task's directory, then the command. Only the process that creates the directory `claim` may decide whether
+ * the command runs. A restarted agent that does not know whether the command was started tries to create it; if it succeeds,
+ * the shim never runs the command. Signals to the process group reach the command, but do not end the shim, so that it can
+ * record the exit code.
  */
 export const shim = `
 d=$1; shift
--- a/src/agent/simulated-tasks.ts
+++ b/src/agent/simulated-tasks.ts
@@ -1,21 +1,21 @@
-/** Simulates the tasks of jobs without a command. */
+/** Simulates the tasks of jobs that have no command. */
 import { uptime } from 'node:os';
 import type { AgentJob, AgentTask, ResultReason } from '../wire/agent-side.js';
 import type { TaskEvents } from './command-runner.js';
 import type { Random } from '../retry/index.js';
 
-/** A simulated task that runs. */
+/** The state of a running simulated task. */
 interface Simulation {
   startedAt: number;
   startedUptimeS: number;
   job: AgentJob;
-  /** Fires when it ends; null: it hangs. */
+  /** Fires when the task ends; null if it hangs. */
   timer: NodeJS.Timeout | null;
-  /** What it allocates. */
+  /** The memory that it allocates; null if none. */
   memory: Buffer | null;
 }
 
-/** Simulated tasks sleep, fail, hang or allocate memory, as the settings of their class say. */
+/** Runs simulated tasks, which sleep, fail, hang or allocate memory according to the settings of their job class. */
 export class SimulatedTasks {
   private readonly running = new Map<AgentTask, Simulation>();
 
@@ -24,7 +24,7 @@
     private readonly events: TaskEvents,
   ) {}
 
-  /** Starts a task. */
+  /** Starts a simulated task. */
   start(task: AgentTask, job: AgentJob): void {
     const { sleepS, fail, hang, memMb } = job.standIn;
     const simulation: Simulation = {
@@ -44,12 +44,12 @@
     simulation.timer = setTimeout(() => this.end(task, 'exited', exit, null), sleepS * 1000);
   }
 
-  /** Whether this is a simulated task that runs. */
+  /** Whether a task is a running simulated task. */
   has(task: AgentTask): boolean {
     return this.running.has(task);
   }
 
-  /** Stops a task, which first takes its time for a checkpoint if there is enough of it. */
+  /** Stops a task. If `graceS` is long enough for a checkpoint, the task first takes the time to write one. */
   stop(task: AgentTask, graceS: number): void {
     const simulation = this.running.get(task);
     const savesCheckpoint =
@@ -59,7 +59,7 @@
     simulation.timer = setTimeout(() => this.end(task, 'stopped', 0, null), simulation.job.saveS * 1000);
   }
 
-  /** Drops all tasks without reporting their ends. */
+  /** Drops all tasks without reporting that they ended. */
   close(): void {
     for (const simulation of this.running.values()) if (simulation.timer) clearTimeout(simulation.timer);
     this.running.clear();
--- a/src/agent/spawn-command.ts
+++ b/src/agent/spawn-command.ts
@@ -1,4 +1,4 @@
-/** Spawns the process of a task's command, behind the shim that records its end. */
+/** Spawns a task's command by way of the shim that records its exit code. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdirSync, openSync, writeSync } from 'node:fs';
 import { isAbsolute, join } from 'node:path';
@@ -7,19 +7,19 @@
 import { markVariable } from './processes.js';
 import { shim } from './shim.js';
 
-/** What a command is spawned with. */
+/** The parameters for spawning a command. */
 export interface SpawnRequest {
   readonly task: AgentTask;
   readonly command: ReturnType<typeof commandForTask>;
   /** The task's directory. */
   readonly directory: string;
-  /** The mark of its processes. */
+  /** The mark of the command's processes. */
   readonly mark: string;
   /** The host name of this machine. */
   readonly host: string;
 }
 
-/** Spawns a command in a process group of its own. If that fails, the reason is written to its standard error, too. */
+/** Spawns a command in its own process group. If that fails, the error is also written to the command's standard error. */
 export function spawnCommand({ task, command, directory, mark, host }: SpawnRequest): ChildProcess {
   let stdoutFd = -1;
   let stderrFd = -1;
--- a/src/agent/task-executor.ts
+++ b/src/agent/task-executor.ts
@@ -1,4 +1,4 @@
-/** Executes the tasks of an agent: as processes, or simulated if their job has no command. */
+/** Executes an agent's tasks: as processes, or simulated if their job has no command. */
 import type { Log } from '../core/effects.js';
 import type { Random } from '../retry/index.js';
 import type { AgentJob, AgentTask } from '../wire/agent-side.js';
@@ -8,15 +8,15 @@
 import type { AgentSettings } from './settings.js';
 import { SimulatedTasks } from './simulated-tasks.js';
 
-/** The output of so many ended tasks is kept, the newest. */
+/** How many ended tasks have their output kept; older output is removed. */
 const maxKeptOutputs = 2000;
-/** Old output is removed once for so many ended tasks, because all task directories are listed for it. */
+/** Old output is removed only once per this many forgotten tasks, because that lists all task directories. */
 const pruneIntervalTasks = 100;
 
-/** Tolerance for sums of fractional resources. */
+/** Tolerance for rounding errors in sums of fractional resources. */
 const resourceTolerance = 1e-6;
 
-/** What the executor is built from. */
+/** The settings and dependencies of a task executor. */
 export interface TaskExecutorOptions {
   readonly settings: AgentSettings;
   readonly agentId: string;
@@ -28,10 +28,10 @@
   readonly events: TaskEvents;
 }
 
-/** Starts and stops tasks whose jobs are known, and keeps their records. */
+/** Starts and stops tasks whose job descriptions are known, and maintains their records. */
 export class TaskExecutor {
   private readonly runner: CommandRunner;
-  private readonly simulated: SimulatedTasks;
+  private readonly simulatedTasks: SimulatedTasks;
   private readonly jobs = new Map<AgentTask, AgentJob>();
   private forgottenTasks = 0;
 
@@ -44,20 +44,20 @@
       events,
       log,
     );
-    this.simulated = new SimulatedTasks(random, events);
+    this.simulatedTasks = new SimulatedTasks(random, events);
   }
 
-  /** Whether no command runs. */
+  /** Whether no command is running. */
   get idle(): boolean {
     return this.runner.idle;
   }
 
-  /** Sets the job of a task, which is needed for all else. */
+  /** Sets the job description of a task. Without it the task cannot be run or recorded. */
   setJob(task: AgentTask, job: AgentJob): void {
     this.jobs.set(task, job);
   }
 
-  /** Whether a task of that job fits beside the tasks that are held. */
+  /** Whether the machine has capacity for a task of a job in addition to the tasks that it holds. */
   hasCapacity(task: AgentTask, job: AgentJob, heldTasks: Iterable<AgentTask>): boolean {
     const { cpus, gpus, memGb } = this.options.settings;
     const free = { cpus, gpus, memGb };
@@ -71,29 +71,29 @@
     return Math.min(free.cpus, free.gpus, free.memGb) >= -resourceTolerance;
   }
 
-  /** Starts a task; a command's processes end with the lease, which a watchdog enforces. */
+  /** Starts a task. For a command it also starts the watchdog, which kills the command if the lease expires. */
   run(task: AgentTask, host: string): void {
     const job = this.jobs.get(task);
     if (!job) return;
-    if (!job.command) return this.simulated.start(task, job);
+    if (!job.command) return this.simulatedTasks.start(task, job);
     this.options.lease.startWatchdog();
     this.runner.start(task, job, host, this.options.bootId);
   }
 
-  /** Takes over a command that an earlier process of this agent started. */
+  /** Takes over a task's command from an earlier process of this agent. */
   adopt(record: TaskRecord, job: AgentJob): void {
     this.runner.adopt(record, job, this.options.bootId);
   }
 
-  /** Stops a task; it may take `graceS` for a checkpoint. */
+  /** Stops a task, which has `graceS` seconds to write a checkpoint. */
   stop(task: AgentTask, graceS: number): void {
-    if (this.simulated.has(task)) this.simulated.stop(task, graceS);
+    if (this.simulatedTasks.has(task)) this.simulatedTasks.stop(task, graceS);
     else this.runner.stop(task, graceS);
   }
 
   /**
-   * Records the end of a task until the control service has recorded it. Nothing is recorded of a simulated task: if its end
-   * is lost with the agent, it is simulated again.
+   * Records the end of a task on disk, where it stays until the control service has recorded it. Simulated tasks are not
+   * recorded: if the end of one is lost because the agent exits, the task is simulated again.
    */
   recordEnd(task: AgentTask): void {
     const job = this.jobs.get(task);
@@ -102,24 +102,24 @@
     directory.saveTask({ task, job, startedAt: 0, startedUptimeS: 0, boot: bootId });
   }
 
-  /** Removes the record of a task; the output of commands stays for a while. */
+  /** Removes the record of a task. The output of its command is kept until it is pruned. */
   forget(task: AgentTask): void {
     const simulated = this.jobs.get(task)?.command === null;
     this.jobs.delete(task);
     if (simulated) return;
     const { directory } = this.options;
-    directory.forgetTask(task);
+    directory.removeTaskRecord(task);
     if (++this.forgottenTasks % pruneIntervalTasks === 0) directory.pruneOutputs(maxKeptOutputs);
   }
 
-  /** Kills processes of this agent whose task does not run. */
+  /** Kills leftover processes of this agent that belong to no running task. */
   sweepOrphans(): void {
     this.runner.sweepOrphans();
   }
 
-  /** Stops the executor's own work; commands run on. */
+  /** Stops the executor's timers and all simulated tasks. Commands keep running. */
   close(): void {
     this.runner.close();
-    this.simulated.close();
+    this.simulatedTasks.close();
   }
 }
--- a/src/agent/task-files.ts
+++ b/src/agent/task-files.ts
@@ -1,4 +1,4 @@
-/** The files that a task's shim and command leave in the task's directory. */
+/** Reads and writes the files that a task's shim and command create in the task's directory. */
 import {
   closeSync,
   existsSync,
@@ -12,20 +12,20 @@
 } from 'node:fs';
 import { join } from 'node:path';
 
-/** The process group leader that the shim has recorded; null if it has not yet. */
+/** Returns the PID of the process group leader that the shim recorded; null if there is none yet. */
 export function readGroupLeader(directory: string): number | null {
   const path = join(directory, 'pid');
   const pid = existsSync(path) ? Number(readFileSync(path, 'latin1')) : NaN;
   return Number.isInteger(pid) && pid > 1 ? pid : null;
 }
 
-/** The exit code that the shim has recorded; null if the command has not exited. */
+/** Returns the exit code that the shim recorded; null if the command has not exited. */
 export function readExitCode(directory: string): number | null {
   const path = join(directory, 'exit');
   return existsSync(path) ? Number(readFileSync(path, 'latin1')) : null;
 }
 
-/** Claims the right to run a task, which its shim does before it runs the command; false if it is claimed already. */
+/** Claims the right to run a task, as its shim does before it runs the command; false if it cannot be claimed. */
 export function claimTask(directory: string): boolean {
   try {
     mkdirSync(join(directory, 'claim'));
@@ -35,7 +35,7 @@
   }
 }
 
-/** Cuts output files above the limit to half of it; what the command writes later follows a note about the cut. */
+/** Truncates output files that exceed the limit to half of it, and appends a notice; later output follows the notice. */
 export function truncateOutput(directory: string, maxBytes: number): void {
   for (const name of ['stdout', 'stderr']) {
     const path = join(directory, name);
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,11 +1,11 @@
-/** The worker's side of the protocol as a pure state machine: epochs, leases, fencing tokens and the tasks it holds. */
+/** The worker's side of the protocol as a pure state machine: epochs, the lease, fencing tokens and held tasks. */
 import type { TaskOrder } from '../model/heartbeat.js';
 import { taskKey } from '../model/job.js';
 import type { AgentReport, HeartbeatResponse, AgentTask, TaskResult } from '../wire/agent-side.js';
 
-/** What the worker's state machine asks its agent to do. */
+/** An action that the worker state machine requests from its agent. */
 export type WorkerEffect =
-  /** Fetch the job's description; then the task runs, or waits for its gang. */
+  /** Fetch the job description, after which the task runs or waits for its gang. */
   | { readonly type: 'prepare'; readonly task: AgentTask }
   | { readonly type: 'run'; readonly task: AgentTask }
   | { readonly type: 'stop'; readonly task: AgentTask; readonly graceS: number }
@@ -24,23 +24,23 @@
   readonly zone: string;
 }
 
-/** The part of the worker's state that outlives the process. */
+/** The part of the worker's state that is persisted across restarts. */
 export interface WorkerState {
-  /** Increased whenever the worker loses its tasks: with an expired lease, or under a new host name. */
+  /** Incremented whenever the worker loses its tasks: when its lease expires, or when it gets a new host name. */
   agentEpoch: number;
   /** The sequence number of the last heartbeat. */
   seq: number;
-  /** The highest fencing token seen: responses and orders with a lower one come from a deposed controller. */
+  /** The highest fencing token seen. Responses and orders with a lower one come from a controller that has lost the shard. */
   fencingToken: number;
 }
 
 /**
- * The state of a worker. It starts and stops nothing itself, but returns effects; times are on a monotonic clock that the
- * caller chooses, ms.
+ * The worker state machine. It performs no actions itself, but returns them as effects. Times are in ms on a monotonic clock
+ * of the caller's choice.
  */
 export class Worker {
   private readonly tasksByKey = new Map<string, AgentTask>();
-  /** When the last heartbeat that was answered was sent. */
+  /** When the most recent answered heartbeat was sent. */
   private leaseStartMs: number;
 
   constructor(
@@ -54,12 +54,12 @@
     for (const task of tasks) this.tasksByKey.set(attemptKey(task), task);
   }
 
-  /** All tasks that the worker holds, ended ones included. */
+  /** All tasks that the worker holds, including ended ones that the control service has not told it to forget. */
   get tasks(): Iterable<AgentTask> {
     return this.tasksByKey.values();
   }
 
-  /** Whether the worker holds this task, and not another of the same attempt. */
+  /** Whether the worker holds this very object, and not another one for the same attempt. */
   holds(task: AgentTask): boolean {
     return this.tasksByKey.get(attemptKey(task)) === task;
   }
@@ -74,12 +74,12 @@
     return this.state.fencingToken;
   }
 
-  /** When the lease was last renewed: its start is the sending time of the answered heartbeat. */
+  /** When the lease started: the time at which the most recent answered heartbeat was sent. */
   get leaseStart(): number {
     return this.leaseStartMs;
   }
 
-  /** The next heartbeat, with a new sequence number. */
+  /** Builds the next heartbeat, with a new sequence number. */
   buildHeartbeat(): AgentReport {
     const { agentEpoch: session, fencingToken: token } = this.state;
     const tasks = [...this.tasksByKey.values()];
@@ -89,7 +89,7 @@
   /** Processes the response to a heartbeat that was sent at `sentAt` in `agentEpoch`. */
   onHeartbeatResponse(response: HeartbeatResponse, sentAt: number, agentEpoch: number): WorkerEffect[] {
     const { state } = this;
-    // A late response, or one of a deposed controller, neither renews the lease nor gives orders.
+    // A response to an earlier epoch, or from a controller that has lost the shard, neither renews the lease nor gives orders.
     if (agentEpoch !== state.agentEpoch || response.token === null || response.token < state.fencingToken)
       return [];
     const effects: WorkerEffect[] = [];
@@ -103,7 +103,7 @@
     return effects;
   }
 
-  /** Processes orders outside of a heartbeat's response; null if they are of another epoch or of a deposed controller. */
+  /** Processes orders sent outside heartbeat responses; null if they are for another epoch or their token is outdated. */
   onDirectOrders(
     fencingToken: number,
     agentEpoch: number,
@@ -124,7 +124,7 @@
     return this.startEpoch(now);
   }
 
-  /** Starts a new epoch: every task is killed and forgotten. */
+  /** Starts a new epoch, in which all tasks are killed and forgotten. */
   startEpoch(now: number): WorkerEffect[] {
     this.state.agentEpoch++;
     this.leaseStartMs = now;
@@ -140,7 +140,7 @@
     for (const order of orders) {
       const task = this.tasksByKey.get(attemptKey(order));
       if (order.op === 'start') {
-        // A repeated order for an attempt that is held changes nothing.
+        // A repeated order for an attempt that the worker already holds has no effect.
         if (task) continue;
         const newTask: AgentTask = {
           job: order.job,
@@ -171,7 +171,7 @@
       task.phase = 'saving';
       return alreadyStopping ? [] : [{ type: 'stop', task, graceS }];
     }
-    // It was not started yet: its end is known at once.
+    // The task was not started yet, so it ends immediately.
     this.onExited(task, 'stopped', null, false);
     return [{ type: 'stop', task, graceS: 0 }, { type: 'heartbeat-soon' }];
   }
@@ -186,16 +186,16 @@
     return effects;
   }
 
-  // ---- events of the agent ----
+  // ---- events from the agent ----
 
-  /** The task's job is known and the machine has room: the task runs now, or waits for its gang. */
+  /** Handles that a task's job is known and the machine has capacity: the task runs now, or waits for its gang. */
   onPrepared(task: AgentTask, gang: boolean): WorkerEffect[] {
     if (task.phase !== 'fetching') return [];
     task.phase = gang ? 'waiting' : 'running';
     return gang ? [{ type: 'heartbeat-soon' }] : [{ type: 'run', task }, { type: 'heartbeat-soon' }];
   }
 
-  /** The task has ended, or cannot be run. */
+  /** Handles that a task has ended or cannot be run. */
   onExited(
     task: AgentTask,
     why: AgentTask['why'],
@@ -218,5 +218,5 @@
   result: null,
 };
 
-/** Identifies an attempt of a gang in responses, "JOB ATTEMPT". */
+/** Returns the identifier of a gang attempt in heartbeat responses, "JOB ATTEMPT". */
 export const gangKey = (task: { job: string; attempt: number }): string => `${task.job} ${task.attempt}`;
--- a/src/control/agent-job.ts
+++ b/src/control/agent-job.ts
@@ -1,13 +1,13 @@
-/** The description of a job that an agent fetches before it runs the job's tasks. */
+/** Builds the job description that an agent fetches before it runs the job's tasks. */
 import type { JobSpec } from '../model/job.js';
 import type { AgentJob } from '../wire/agent-side.js';
 import type { ClassSimulation } from './settings.js';
 
-/** How long a simulated task sleeps if neither its class nor its submission says so, s. */
+/** Sleep time of a simulated task if neither its class nor the job's estimate sets one, s. */
 const defaultSleepS = 1;
 const defaultSimulation: ClassSimulation = { sleepS: null, fail: 0, hang: false, memMb: 0 };
 
-/** Describes a job; `classes` says what tasks without a command simulate. */
+/** Builds the description of a job. `classes` maps a job class to what its tasks simulate if they have no command. */
 export function describeForAgent(spec: JobSpec, classes: ReadonlyMap<string, ClassSimulation>): AgentJob {
   const simulation = classes.get(spec.class) ?? defaultSimulation;
   return {
--- a/src/control/agent-pool.ts
+++ b/src/control/agent-pool.ts
@@ -1,32 +1,32 @@
-/** The pool of agents: their stored membership records, and the pool as the core's cloud provider. */
+/** The agent pool: stored membership records, and the adapter that presents the pool to the core as a cloud provider. */
 import type { CloudProvider } from '../cloud/cloud-provider.js';
 import type { Log } from '../core/effects.js';
 import type { MachineType } from '../model/machine.js';
 import type { JoinRequest } from '../wire/agent-side.js';
 import type { ListedMachine, RentalOutcome } from '../wire/cloud.js';
-import { listAll, putIf, type ControlStore } from './control-store.js';
+import { listAll, commitWithRetries, type ControlStore } from './control-store.js';
 
-/** The membership of an agent. A stored record: field names are part of the format. */
+/** The membership record of an agent. It is stored, so its field names are part of the storage format. */
 export interface PoolRecord extends JoinRequest {
-  /** The name of its machine in the core, never used again for another machine. */
+  /** The name of the agent's machine in the core; unique, and never reused for another machine. */
   host: string;
-  /** Time of day, ms. */
+  /** Wall-clock time, ms. */
   joinedAt: number;
-  /** Since when it is being drained: no new task is started on it. Time of day, ms; null: not drained. */
+  /** When draining started (wall-clock time, ms); null if not drained. A drained machine gets no new tasks. */
   drainedAt: number | null;
-  /** An operator has declared the machine lost. */
+  /** Whether an operator has declared the machine lost. */
   forgotten: boolean;
 }
 
-/** An agent of the pool: its record, and what this process has heard of it. */
+/** A pool member: its stored record, and what this process has learned since it started. */
 export interface PoolMember extends PoolRecord {
-  /** On this process's monotonic clock, ms; null: not since this process started. */
+  /** When it first joined or last sent a heartbeat, on this process's monotonic clock, ms; null if not since this process started. */
   lastHeartbeatAt: number | null;
-  /** Where its agent listens, HOST:PORT; null: not known since this process started. */
+  /** The address that the agent listens on, HOST:PORT; null if no heartbeat has arrived since this process started. */
   endpoint: string | null;
 }
 
-/** What became of an agent's request to join. */
+/** The outcome of a join request: the host name assigned to the agent, or why it was refused. */
 export type JoinOutcome = { readonly host: string } | { readonly refused: string };
 
 const keyPrefix = 'pool/';
@@ -34,20 +34,20 @@
 const memberKey = (host: string): string => `${keyPrefix}${host}`;
 
 /**
- * The agents that have joined. To the core the pool is a cloud provider whose machines cannot be rented: agents join by
- * themselves, and only machines that were drained or forgotten can be deleted.
+ * The agents that have joined. The core sees the pool as a cloud provider that never rents out machines: agents join on
+ * their own initiative, and only machines that were drained or forgotten can be deleted.
  */
 export class AgentPool implements CloudProvider {
   private readonly members = new Map<string, PoolMember>();
-  /** The read under way, shared by concurrent callers. */
+  /** The load in progress, shared by concurrent callers; null if there is none. */
   private loading: Promise<void> | null = null;
-  /** Settles when the last join in the queue has been decided. */
+  /** Settles when the most recently queued join request has been processed. */
   private lastJoin: Promise<unknown> = Promise.resolve();
-  /** Called with every new or changed member, and with null when a member was removed. */
+  /** Called for every new or changed member, and with null for a removed one. */
   onMemberChanged: (host: string, member: PoolRecord | null) => void = () => undefined;
-  /** Called when a machine type was not known before. */
+  /** Called when a member has a machine type that was not known before. */
   onNewMachineType: () => void = () => undefined;
-  /** Called when an operator has declared a machine lost through another control service. */
+  /** Called when an operator has declared a machine lost by way of another control service. */
   onForgotten: (host: string) => void = () => undefined;
 
   constructor(
@@ -58,51 +58,51 @@
     private readonly log: Log,
   ) {}
 
-  /** Reads the records again: other control services on the same store change them, too. */
+  /** Reloads all records from the store, where other control services may have changed them. */
   load(): Promise<void> {
     this.loading ??= this.readRecords().finally(() => (this.loading = null));
     return this.loading;
   }
 
   private async readRecords(): Promise<void> {
-    const types = new Set([...this.members.values()].map((m) => m.type));
+    const knownTypes = new Set([...this.members.values()].map((m) => m.type));
     const records = await listAll(this.store, keyPrefix);
-    const listed = new Set<string>();
+    const listedHosts = new Set<string>();
     for (const { data } of records) {
       const record = data as PoolRecord;
       const previous = this.members.get(record.host);
       const { lastHeartbeatAt, endpoint } = previous ?? { lastHeartbeatAt: null, endpoint: null };
       this.members.set(record.host, { ...record, lastHeartbeatAt, endpoint });
-      listed.add(record.host);
+      listedHosts.add(record.host);
       if (!previous || !sameAttributes(previous.attrs, record.attrs))
         this.onMemberChanged(record.host, record);
       if (record.forgotten && previous && !previous.forgotten) this.onForgotten(record.host);
     }
     for (const host of [...this.members.keys()])
-      if (!listed.has(host)) {
+      if (!listedHosts.has(host)) {
         this.members.delete(host);
         this.onMemberChanged(host, null);
       }
-    if ([...this.members.values()].some((m) => !types.has(m.type))) this.onNewMachineType();
+    if ([...this.members.values()].some((m) => !knownTypes.has(m.type))) this.onNewMachineType();
   }
 
-  /** The member of that host, also if it joined through another control service a moment ago. */
+  /** Returns the member on a host, reloading the records if it is unknown: it may have just joined elsewhere. */
   async findOrLoad(host: string): Promise<Readonly<PoolMember> | undefined> {
     if (!this.members.has(host)) await this.load();
     return this.members.get(host);
   }
 
-  /** All members that this process knows of. */
+  /** Returns all members that this process knows. */
   all(): Iterable<Readonly<PoolMember>> {
     return this.members.values();
   }
 
-  /** The member of that host, as far as this process knows. */
+  /** Returns the member on a host, if this process knows it. */
   get(host: string): Readonly<PoolMember> | undefined {
     return this.members.get(host);
   }
 
-  /** Finds a member by its host or by the name of its agent; of several with that name, the one that joined last. */
+  /** Finds a member by host name, or else by agent name: of those that are not forgotten, the one that joined last. */
   find(name: string): Readonly<PoolMember> | undefined {
     const exact = this.members.get(name);
     if (exact) return exact;
@@ -112,16 +112,16 @@
     return last;
   }
 
-  /** Admits an agent that joins for the first time or again: the host name it was given, or why it is refused. */
+  /** Processes a join request of a new or returning agent. */
   join(request: JoinRequest): Promise<JoinOutcome> {
-    // One after the other: of a thousand agents that join at once, all but one would fail the counter's precondition.
-    const turn = this.lastJoin.then(() => this.admit(request));
-    this.lastJoin = turn.catch(() => undefined);
-    return turn;
+    // Requests are serialised: if 1,000 agents join at once, all but one would fail the precondition on the counter.
+    const admission = this.lastJoin.then(() => this.admit(request));
+    this.lastJoin = admission.catch(() => undefined);
+    return admission;
   }
 
   private async admit(request: JoinRequest): Promise<JoinOutcome> {
-    // The counter is read before the members: whoever joins in between changes it, and then the write below fails.
+    // The counter is read before the members: an agent that joins elsewhere in between changes it, and the write fails.
     const counter = await listAll(this.store, hostCounterKey);
     await this.readRecords();
     if (!this.zones.includes(request.zone))
@@ -131,8 +131,8 @@
       return {
         refused: `type ${request.type}: ${sameType.name} of that type has other resources; give it a type of its own`,
       };
-    const known = await this.rejoin(request);
-    if (known) return known;
+    const rejoined = await this.rejoin(request);
+    if (rejoined) return rejoined;
     const hostNumber = ((counter[0]?.data as { n?: number } | undefined)?.n ?? 0) + 1;
     const record: PoolRecord = {
       ...request,
@@ -141,8 +141,8 @@
       drainedAt: null,
       forgotten: false,
     };
-    // The precondition keeps two control services from giving one host name to two agents.
-    await putIf(
+    // The precondition prevents two control services from assigning the same host name to two agents.
+    await commitWithRetries(
       this.store,
       [
         [hostCounterKey, { n: hostNumber }],
@@ -157,7 +157,7 @@
     return { host: record.host };
   }
 
-  /** Looks for active members of the requested name: the same agent gets its host back; null if the name is free. */
+  /** Looks for active members with the requested name. The same agent gets its host back; null if the name is free. */
   private async rejoin(request: JoinRequest): Promise<JoinOutcome | null> {
     for (const member of this.members.values()) {
       if (member.name !== request.name || member.forgotten || member.drainedAt !== null) continue;
@@ -179,7 +179,7 @@
     return null;
   }
 
-  /** Notes that a machine was heard of just now, and where its agent listens. */
+  /** Records that a heartbeat of a machine has just arrived, and the address that its agent listens on. */
   recordHeartbeat(host: string, endpoint: string): void {
     const member = this.members.get(host);
     if (!member) return;
@@ -187,12 +187,12 @@
     member.endpoint = endpoint;
   }
 
-  /** Starts the graceful eviction of a machine. */
+  /** Starts draining a machine. */
   async drain(host: string): Promise<void> {
     await this.update(host, { drainedAt: Date.now() });
   }
 
-  /** Records an operator's declaration that a machine and everything that ran on it is lost. */
+  /** Records an operator's declaration that a machine, and everything that ran on it, is lost. */
   async forget(host: string): Promise<void> {
     await this.update(host, { forgotten: true });
   }
@@ -201,13 +201,13 @@
     const member = this.members.get(host);
     if (!member) return;
     const { lastHeartbeatAt, endpoint, ...record } = member;
-    await putIf(this.store, [[memberKey(host), { ...record, ...changes }]]);
+    await commitWithRetries(this.store, [[memberKey(host), { ...record, ...changes }]]);
     this.members.set(host, { ...record, ...changes, lastHeartbeatAt, endpoint });
   }
 
-  // ---- the core's cloud provider ----
+  // ---- CloudProvider ----
 
-  /** One type for each distinct type of the members. */
+  /** Returns the distinct machine types of the members. */
   listMachineTypes(): Promise<MachineType[]> {
     const types = new Map<string, MachineType>();
     for (const m of this.members.values())
@@ -219,7 +219,7 @@
           memGb: m.memGb,
           cacheGb: 0,
           fetchGbPerS: 0,
-          // Agents' machines cost nothing; a price by CPU keeps the core from preferring any size.
+          // Agents' machines cost nothing. A price proportional to CPUs makes the core indifferent to machine size.
           price: m.cpus,
           spotPrice: m.cpus,
           bootS: 1,
@@ -228,29 +228,29 @@
     return Promise.resolve([...types.values()]);
   }
 
-  /** Agents join by themselves: there is nothing to rent. */
+  /** Always reports that there is no capacity: agents join on their own, so nothing can be rented. */
   rentMachines(): Promise<RentalOutcome> {
     return Promise.resolve({ type: 'no-capacity' });
   }
 
-  /** Removes drained and forgotten members; false, removing none, if any of the hosts is neither. */
+  /** Removes drained or forgotten members. If any of the hosts is neither, removes none and returns false. */
   async deleteMachines(hosts: string[]): Promise<boolean> {
     const members = hosts.flatMap((host) => this.members.get(host) ?? []);
     if (members.some((m) => m.drainedAt === null && !m.forgotten)) return false;
     if (members.length > 0)
-      await putIf(
+      await commitWithRetries(
         this.store,
         members.map((m) => [memberKey(m.host), undefined]),
       );
     for (const m of members) {
       this.members.delete(m.host);
       this.onMemberChanged(m.host, null);
-      this.log('info', 'agent gone', { host: m.host, why: m.forgotten ? 'forgotten' : 'drained' });
+      this.log('info', 'agent removed', { host: m.host, why: m.forgotten ? 'forgotten' : 'drained' });
     }
     return true;
   }
 
-  /** All members, as running machines. */
+  /** Lists all members as running machines. */
   listMachines(): Promise<ListedMachine[]> {
     const list: ListedMachine[] = [];
     for (const m of this.members.values())
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -1,4 +1,4 @@
-/** The HTTP API of a control service beside the core's protocol: agents that join, machines, jobs, results, output. */
+/** The HTTP API that a control service adds to the core's protocol: joining agents, machines, jobs, results and output. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readJson, sendJson as reply } from '../net/json.js';
 import { parseJoinRequest, type AgentJob } from '../wire/agent-side.js';
@@ -10,20 +10,20 @@
 const maxBodyBytes = 64 * 1024;
 const noActiveJob = { error: 'no such job, or it is over' };
 
-/** What the API needs of the control service. */
+/** What the API needs from the control service. */
 export interface ApiBackend extends MachineViewSources {
   readonly results: ResultStore;
-  /** The control service that owns the shard; null: none at the moment. */
+  /** The name of the control service that owns the shard; null if there is none at the moment. */
   readonly owner: string | null;
-  /** Reads results that another control service may have recorded. */
+  /** Loads a job's results that another control service may have recorded. */
   refreshResults(job: string): Promise<void>;
-  /** The description of an unfinished job for agents; null if there is none. */
+  /** Returns the description of an unfinished job for agents; null if there is no such job. */
   agentJob(id: string): AgentJob | null;
-  /** Which machines match an unfinished job and why; null if there is none. */
+  /** Analyzes which machines match an unfinished job and why; null if there is no such job. */
   analyze(id: string): object | null;
 }
 
-/** Routes the requests of the control service's own API. */
+/** Routes and handles the requests of this API. */
 export class ControlApi {
   constructor(
     private readonly control: ApiBackend,
@@ -31,7 +31,7 @@
     private readonly snapshot: (() => Promise<object>) | null,
   ) {}
 
-  /** Handles a request; false, leaving it untouched, if it does not belong to this API. */
+  /** Handles a request; returns false, without touching it, if it does not belong to this API. */
   serve(req: IncomingMessage, res: ServerResponse, path: string): boolean {
     const parts = path.split('/').slice(1);
     const route = `${req.method ?? ''} ${parts[0]}/${parts.length}/${parts[2] ?? ''}`;
@@ -75,7 +75,7 @@
     return false;
   }
 
-  /** Responds once results that another control service may have recorded were read. */
+  /** Responds after loading results that another control service may have recorded; 503 if the store is unavailable. */
   private async withCurrentResults(res: ServerResponse, job: string, respond: () => void): Promise<void> {
     try {
       await this.control.refreshResults(job);
@@ -129,7 +129,7 @@
     reply(res, job ? 200 : 404, job ?? { error: 'no such job' });
   }
 
-  /** Output stays on the machine where the attempt ran, and is fetched from there. */
+  /** Proxies a task's output, which stays on the machine where the attempt ran. */
   private respondOutput(id: string, index: number, query: URLSearchParams, res: ServerResponse): void {
     const { results, pool, service } = this.control;
     const location = locateTask(service.controller.replica, results, id, index);
--- a/src/control/control-store.ts
+++ b/src/control/control-store.ts
@@ -1,15 +1,16 @@
-/** The control service's own records in the store: conditional writes with retries, and the error for a store that fails. */
+/** Access to the control service's own records in the store: reads, conditional writes with retries, and their error. */
 import type { CommitOutcome } from '../core/effects.js';
 import type { Change, Condition, Transaction } from '../wire/store.js';
 
-/** The part of a store that the control service's own records need, embedded or remote. */
+/** The store operations that the control service's own records need; the store may be embedded or remote. */
 export interface ControlStore {
+  /** Applies a transaction if all of its conditions hold. */
   commit(transaction: Transaction): Promise<CommitOutcome>;
-  /** All keys under a prefix; null if the store does not answer. */
+  /** Lists all entries under a key prefix; null if the store does not answer. */
   list(prefix: string): Promise<Change[] | null>;
 }
 
-/** The store did not answer a read or did not accept a write. Clients are answered 503 and retry. */
+/** Thrown if the store does not answer a read or does not accept a write. Clients receive a 503 response and retry. */
 export class StoreUnavailableError extends Error {
   constructor(readonly operation: 'read' | 'write') {
     super(operation === 'read' ? 'the store does not answer' : 'the store did not take it');
@@ -17,10 +18,10 @@
   }
 }
 
-/** A write is attempted so often if its outcome is unknown. */
+/** How often a write is attempted while its outcome is unknown. */
 const maxAttempts = 3;
 
-/** Lists all keys under a prefix; throws if the store does not answer. */
+/** Lists all entries under a key prefix; throws `StoreUnavailableError` if the store does not answer. */
 export async function listAll(store: ControlStore, prefix: string): Promise<Change[]> {
   const records = await store.list(prefix);
   if (!records) throw new StoreUnavailableError('read');
@@ -28,11 +29,12 @@
 }
 
 /**
- * Compare-and-swap: writes the entries (`undefined` deletes a key) if all preconditions hold, else throws. A write whose
- * response was lost is repeated, which is safe because it writes the same values. If a precondition is itself among the
- * written keys, the repetition fails although the first write was applied: callers read again before they retry.
+ * Writes the entries atomically if all preconditions hold; `undefined` deletes a key. Throws `StoreUnavailableError` if
+ * the write is rejected or its outcome stays unknown. A write whose response was lost is repeated, which is safe because it
+ * writes the same values. If the write changes a key that is also a precondition, the repetition fails even though the
+ * first write was applied, so callers must read again before they retry.
  */
-export async function putIf(
+export async function commitWithRetries(
   store: ControlStore,
   entries: [string, Record<string, unknown> | undefined][],
   preconditions: readonly Condition[] = [],
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -1,4 +1,4 @@
-/** The control service: the core's controller on a store of its own, with a pool of agents in place of a cloud. */
+/** The control service: runs the core's controller on its own store, with a pool of agents instead of a cloud provider. */
 import { operatorDefaults } from '../config/operators.js';
 import type { Log } from '../core/effects.js';
 import { shardKey } from '../core/storage/index.js';
@@ -18,38 +18,38 @@
 import { ResultStore } from './result-store.js';
 import { platformSettings, type ControlSettings } from './settings.js';
 
-/** While the store does not answer at startup, one in so many attempts is logged. */
+/** While the store does not answer at startup, every n-th attempt is logged. */
 const logEveryAttempts = 20;
-/** At startup the store is retried after this share of the heartbeat interval. */
+/** Delay between attempts to reach the store at startup, as a share of the heartbeat interval. */
 const startupRetryShare = 0.25;
-/** With a shared store, the pool is read again once in so many heartbeat intervals. */
-const poolReloadIntervalReports = 2;
-/** An agent counts as alive for so many heartbeat intervals after its last heartbeat. */
-const aliveTimeoutReports = 4;
+/** With a remote store, which may be shared, the pool is reloaded at this interval, in heartbeat intervals. */
+const poolReloadIntervalHeartbeats = 2;
+/** How long an agent counts as alive after its last heartbeat, in heartbeat intervals. */
+const aliveTimeoutHeartbeats = 4;
 
-/** The match language; its modules are loaded only if it is enabled. */
+/** Support for match expressions in jobs. Its modules are loaded only if matching is enabled. */
 export interface MatchingSupport {
   readonly matcher: Matcher & { analyze(spec: MatchSpec): object };
-  /** What is wrong with a job's expressions; null if nothing is. */
+  /** Returns what is wrong with a job's match expressions; null if they are valid. */
   validate(spec: MatchSpec): string | null;
-  /** A machine's attributes, as expressions see them. */
+  /** Returns the attributes of a machine that match expressions can refer to. */
   machineAttributes(record: PoolRecord): MachineAttributes;
 }
 
-/** What a control service is built from. */
+/** The settings and dependencies of a control service. */
 export interface ControlServiceOptions {
   readonly settings: ControlSettings;
   readonly store: StateService & ControlStore;
   readonly log: Log;
   /** Writes a snapshot of the embedded store; null if the store is remote. */
   readonly snapshot?: (() => Promise<object>) | null;
-  /** null: jobs cannot use match expressions. */
+  /** Support for match expressions; null if jobs cannot use them. */
   readonly matching?: MatchingSupport | null;
 }
 
 /**
- * A self-contained controller: the core with agents in place of rented machines and a store in place of the platform's
- * state service.
+ * A self-contained controller: the core with agents instead of rented machines, and an embedded or remote store instead of
+ * the platform's state service.
  */
 export class ControlService {
   readonly service: Service;
@@ -59,8 +59,8 @@
   readonly matching: MatchingSupport | null;
   private readonly log: Log;
   private readonly api: ControlApi;
-  /** The revision of the shard grant under which all results were read last. */
-  private resultsGrantStamp = -1;
+  /** The revision of the shard grant under which all results were last loaded; -1 if they were not loaded yet. */
+  private loadedGrantRevision = -1;
   private resultsLoading: Promise<void> | null = null;
   private poolReloadTimer: NodeJS.Timeout | null = null;
   private stopped = false;
@@ -69,8 +69,8 @@
     this.settings = settings;
     this.log = log;
     this.matching = matching;
-    const { settings: platform, nodeLeaseRatio } = platformSettings(settings);
-    const aliveTimeoutMs = settings.reportS * 1000 * aliveTimeoutReports;
+    const { settings: coreSettings, nodeLeaseRatio } = platformSettings(settings);
+    const aliveTimeoutMs = settings.reportS * 1000 * aliveTimeoutHeartbeats;
     this.pool = new AgentPool(store, settings.zones, aliveTimeoutMs, () => performance.now(), log);
     this.results = new ResultStore(store);
     const operators = {
@@ -84,22 +84,22 @@
       hooks: this.hooks(),
       ...(matching ? { matcher: matching.matcher } : {}),
     };
-    this.service = new Service(platform, operators, log, adapters, version());
+    this.service = new Service(coreSettings, operators, log, adapters, version());
     this.api = new ControlApi(this, snapshot);
     this.forwardPoolChanges();
   }
 
-  /** What this program adds to the core's HTTP server. */
+  /** Returns the control service's extensions to the core's HTTP server. */
   private hooks(): ServerHooks {
     const interceptor = new HeartbeatInterceptor({
       pool: this.pool,
       results: this.results,
-      owns: () => this.owns,
+      ownsShard: () => this.ownsShard,
       drainS: this.settings.drainS,
       jobSpec: (id) => this.jobSpec(id),
       doneTasks: (id) => this.service.controller.replica.taskCounts(id).done,
-      ensureResultsOfGrant: () => this.ensureResultsOfGrant(),
-      push: (command) => this.service.enqueue(command),
+      loadResultsForGrant: () => this.loadResultsForGrant(),
+      enqueue: (command) => this.service.enqueue(command),
     });
     return {
       rejectionReason: (spec) => {
@@ -109,13 +109,13 @@
           : 'requirements, rank: matching is not switched on';
       },
       handle: (req, res, path) => this.api.serve(req, res, path),
-      heartbeat: (raw, heartbeat, pass, refuse) =>
-        void interceptor.intercept(raw, heartbeat, { pass, refuse }),
+      heartbeat: (raw, heartbeat, forward, reject) =>
+        void interceptor.intercept(raw, heartbeat, { forward, reject }),
       transformResponse: (host, status, body) => interceptor.extendResponse(host, status, body),
     };
   }
 
-  /** Tells the core of members that join, change or leave. */
+  /** Notifies the core of members that join, change or leave. */
   private forwardPoolChanges(): void {
     const { pool, service, matching } = this;
     if (matching)
@@ -130,24 +130,24 @@
       void pool.listMachineTypes().then((types) => service.enqueue({ type: 'machine-types', types }));
   }
 
-  /** Reads the stored state, waiting for the store if necessary, and starts the core. */
+  /** Loads the stored state, waiting for the store if necessary, and starts the core. */
   async start(): Promise<void> {
     await this.loadInitialState();
     await this.service.start();
     if (this.settings.store === null) return;
     // Operators may drain and forget machines through other control services on the same store.
-    const reloadIntervalMs = this.settings.reportS * poolReloadIntervalReports * 1000;
+    const reloadIntervalMs = this.settings.reportS * poolReloadIntervalHeartbeats * 1000;
     this.poolReloadTimer = setInterval(() => void this.pool.load().catch(() => undefined), reloadIntervalMs);
   }
 
-  /** Stops the core at once. The store stays open. */
+  /** Stops the core immediately. The store stays open. */
   stop(): void {
     this.stopped = true;
     if (this.poolReloadTimer) clearInterval(this.poolReloadTimer);
     this.service.stop();
   }
 
-  /** Waits for a store that is started later than this service, or is being restarted. */
+  /** Loads the pool and the results; retries while the store is not started yet or is being restarted. */
   private async loadInitialState(): Promise<void> {
     const retryIntervalMs = this.settings.reportS * 1000 * startupRetryShare;
     for (let attempt = 0; ; attempt++)
@@ -163,39 +163,40 @@
       }
   }
 
-  /** The control service that owns the shard, and with it all jobs; null: none at the moment. */
+  /** The name of the control service that owns the only shard, and so all jobs; null if there is none at the moment. */
   get owner(): string | null {
     return this.service.controller.replica.shards.get(0)?.owner ?? null;
   }
 
-  /** Whether this process owns the shard, as far as it knows. Its writes have the shard grant as precondition. */
-  get owns(): boolean {
+  /** Whether this process believes that it owns the shard. Its writes are safe either way: the grant is their precondition. */
+  get ownsShard(): boolean {
     return this.service.controller.shardManager.ownedShards.size > 0;
   }
 
-  /** Brings a job's results up to date: the owner has them in memory, other control services read them. */
+  /** Brings a job's results up to date: the shard's owner has them in memory, other control services read the store. */
   async refreshResults(job: string): Promise<void> {
-    if (this.owns) await this.ensureResultsOfGrant();
+    if (this.ownsShard) await this.loadResultsForGrant();
     else await this.results.load(job);
   }
 
   /**
-   * Reads all results once under each shard grant, for those that an earlier owner has recorded. What an earlier owner
-   * tries to record after that fails, because its grant is a precondition of its writes.
+   * Loads all results once per shard grant, to include those that a previous owner recorded. A previous owner cannot record
+   * more after that, because its grant is a precondition of its writes. Returns the precondition for writes under the
+   * current grant.
    */
-  private async ensureResultsOfGrant(): Promise<Condition[]> {
+  private async loadResultsForGrant(): Promise<Condition[]> {
     const stamp = this.service.controller.replica.shards.get(0)?.modRevision ?? 0;
-    if (this.resultsGrantStamp !== stamp) {
+    if (this.loadedGrantRevision !== stamp) {
       this.resultsLoading ??= this.results
         .load()
-        .then(() => void (this.resultsGrantStamp = stamp))
+        .then(() => void (this.loadedGrantRevision = stamp))
         .finally(() => (this.resultsLoading = null));
       await this.resultsLoading;
     }
     return [{ key: shardKey(0), stamp }];
   }
 
-  /** Which machines match an unfinished job, and which conditions exclude others; null if there is none. */
+  /** Analyzes which machines match an unfinished job, and which conditions exclude others; null if there is no such job. */
   analyze(id: string): object | null {
     const spec = this.jobSpec(id);
     if (!spec) return null;
@@ -207,7 +208,7 @@
     return this.service.controller.replica.jobs.get(id)?.spec ?? null;
   }
 
-  /** The description of an unfinished job for agents; null if there is none. */
+  /** Returns the description of an unfinished job for agents; null if there is no such job. */
   agentJob(id: string): AgentJob | null {
     const spec = this.jobSpec(id);
     return spec && describeForAgent(spec, this.settings.classes);
--- a/src/control/gang-rendezvous.ts
+++ b/src/control/gang-rendezvous.ts
@@ -1,18 +1,19 @@
-/** Synchronises the start of gangs: their tasks run only once all tasks of an attempt are present on their machines. */
+/** Synchronises gang starts: no task of a gang runs before all tasks of the attempt are ready on their machines. */
 import type { Heartbeat, TaskStatus } from '../model/heartbeat.js';
 
 /**
- * Tracks which tasks of each gang attempt are present (waiting, or already running if the attempt was complete before this
- * process started). Once all of them are, each machine is told in its next response to start its waiting tasks.
+ * Tracks which tasks of each gang attempt are present, that is, waiting, or already running because the attempt was complete
+ * before this process started. Once all are present, the next heartbeat response to each machine tells it to start its
+ * waiting tasks.
  */
 export class GangRendezvous {
-  /** By gang attempt, "JOB ATTEMPT": its present tasks by index, and the machine of each. */
+  /** By gang attempt, "JOB ATTEMPT": the machine of each present task, by task index. */
   private readonly present = new Map<string, Map<number, string>>();
 
-  /** `pendingTasks` returns the number of tasks that an unfinished gang still has to run; null for any other job. */
+  /** `pendingTasks` returns how many tasks an unfinished gang still has to run; null for any other job. */
   constructor(private readonly pendingTasks: (job: string) => number | null) {}
 
-  /** Updates the state from a heartbeat; returns the gang attempts, "JOB ATTEMPT", that may start on this machine now. */
+  /** Updates the state from a heartbeat; returns the gang attempts, "JOB ATTEMPT", that may now start on its machine. */
   observe(heartbeat: Heartbeat): string[] {
     const complete = new Set<string>();
     for (const task of heartbeat.tasks) {
@@ -35,7 +36,7 @@
     return [...complete];
   }
 
-  /** Tasks that a machine held earlier and no longer lists are not present any more. */
+  /** Removes tasks that a machine had reported earlier but does not list in this heartbeat. */
   private removeUnlisted(heartbeat: Heartbeat): void {
     const listed = new Set(heartbeat.tasks.map((task) => `${gangKey(task)} ${task.index}`));
     for (const [key, gang] of this.present) {
--- a/src/control/index.ts
+++ b/src/control/index.ts
@@ -1,4 +1,4 @@
-/** The control service. */
+/** The public interface of the control service: opening it, and its settings. */
 export { ControlService } from './control.js';
 export { openControl, type OpenControl } from './open-control.js';
 export { parseControlSettings, platformSettings, type ControlSettings } from './settings.js';
--- a/src/control/job-views.ts
+++ b/src/control/job-views.ts
@@ -1,14 +1,14 @@
-/** Jobs and tasks as the command line shows them. */
+/** Builds the API's views of jobs and tasks, which the command line displays. */
 import type { Replica } from '../core/replica.js';
 import type { JobRecord } from '../core/storage/index.js';
 import { jobStatus } from '../wire/user.js';
 import { succeeded, type ResultStore, type StoredResult } from './result-store.js';
 
-/** More than a fleet has machines, so that the jobs that run on it fit into one list. */
+/** Larger than the number of machines in a fleet, so that all jobs running on it fit into one list. */
 const maxListedJobs = 10_000;
 const defaultListedJobs = 100;
 
-/** Where an attempt of a task was placed. */
+/** The machine on which an attempt of a task was placed. */
 interface TaskLocation {
   readonly attempt: number;
   readonly host: string;
@@ -16,7 +16,7 @@
 
 type JobSummary = { status: string } & Record<string, unknown>;
 
-/** Jobs, newest first, filtered and limited as the query says. Field names are part of the API. */
+/** Lists jobs, newest first, filtered by the query's `status` and up to its `limit`. Field names are part of the API. */
 export function listJobs(replica: Replica, results: ResultStore, query: URLSearchParams): object {
   const wantedStatus = query.get('status');
   const requested = Number(query.get('limit') ?? defaultListedJobs) || defaultListedJobs;
@@ -35,7 +35,7 @@
   return { jobs, more };
 }
 
-/** A job with each of its tasks; null if there is no such job. */
+/** Returns a job with all of its tasks; null if there is no such job. Field names are part of the API. */
 export function jobWithTasks(replica: Replica, results: ResultStore, id: string): object | null {
   const job = replica.jobs.get(id);
   if (!job) return null;
@@ -55,7 +55,7 @@
   return { ...summarize(replica, results, job), tasks };
 }
 
-/** Where the newest known attempt of a task runs or has run; undefined if there was none. */
+/** Returns where the newest known attempt of a task runs or ran; undefined if there is none. */
 export function locateTask(
   replica: Replica,
   results: ResultStore,
@@ -87,7 +87,7 @@
     pieces: job.taskCount,
     done: job.state === 'done' ? job.taskCount : counts.done,
     running: job.state === 'open' ? counts.running : 0,
-    failed: results.failures(job.id),
+    failed: results.failedTaskCount(job.id),
     jobclass: job.spec?.class ?? null,
     owner: job.spec?.team ?? null,
     acceptedAt: new Date(job.acceptedAt).toISOString(),
--- a/src/control/machine-views.ts
+++ b/src/control/machine-views.ts
@@ -1,23 +1,23 @@
-/** Machines as the command line shows them. */
+/** Builds the API's view of machines, which the command line displays. */
 import type { Service } from '../service.js';
 import type { AgentPool, PoolMember } from './agent-pool.js';
 import type { ControlSettings } from './settings.js';
 
-/** What the list of machines is made from. */
+/** The sources from which the list of machines is built. */
 export interface MachineViewSources {
   readonly settings: ControlSettings;
   readonly service: Service;
   readonly pool: AgentPool;
-  /** Whether this process owns the shard, so that agents send their heartbeats here. */
-  readonly owns: boolean;
+  /** Whether this process owns the shard, so that agents send their heartbeats to it. */
+  readonly ownsShard: boolean;
 }
 
 /** Extra time, as a share of the lease, after which a worker has certainly noticed that its lease expired. */
-const expiryMargin = 1.5;
-const expiryMarginMs = 1000;
+const leaseExpiryMarginRatio = 1.5;
+const leaseExpiryMarginMs = 1000;
 
-/** All machines of the pool. Field names are part of the API. */
-export function listMachines({ settings, service, pool, owns }: MachineViewSources): object[] {
+/** Lists all machines of the pool. Field names are part of the API. */
+export function listMachines({ settings, service, pool, ownsShard }: MachineViewSources): object[] {
   const now = performance.now();
   const scheduledMachines = service.controller.shardManager.machines;
   return [...pool.all()].map((member) => {
@@ -28,7 +28,7 @@
     return {
       host: member.host,
       name: member.name,
-      state: machineState(member, owns, missing),
+      state: machineState(member, ownsShard, missing),
       type: member.type,
       zone: member.zone,
       cpus: member.cpus,
@@ -45,16 +45,17 @@
   });
 }
 
-function machineState(member: PoolMember, owns: boolean, missing: boolean): string {
+function machineState(member: PoolMember, ownsShard: boolean, missing: boolean): string {
   if (member.forgotten) return 'forgotten';
   if (member.drainedAt !== null) return 'draining';
-  if (!owns) return 'reports elsewhere';
+  if (!ownsShard) return 'reports elsewhere';
   return missing ? 'missing' : 'up';
 }
 
-/** Why the tasks of a missing machine are not placed elsewhere yet. */
+/** Explains why the tasks of a missing machine are not placed elsewhere yet. */
 function heldReason(leaseExpiry: number, now: number, leaseS: number): string {
-  const remainingS = (leaseExpiry + leaseS * 1000 * expiryMargin + expiryMarginMs - now) / 1000;
+  const remainingS =
+    (leaseExpiry + leaseS * 1000 * leaseExpiryMarginRatio + leaseExpiryMarginMs - now) / 1000;
   return remainingS > 0
     ? `its tasks may be running: its lease has surely ended in ${Math.ceil(remainingS)} s; if you know that it is gone: machine forget`
     : 'its lease has ended';
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -1,4 +1,4 @@
-/** Opens a control service: its store, embedded or remote, and the match language if it is enabled. */
+/** Opens a control service together with its embedded or remote store, and with matching support if it is enabled. */
 import type { Log } from '../core/effects.js';
 import { retryPolicies } from '../retry/index.js';
 import { Store } from '../state/store.js';
@@ -6,7 +6,7 @@
 import { ControlService, type MatchingSupport } from './control.js';
 import { platformSettings, type ControlSettings } from './settings.js';
 
-/** A control service that was opened, not started yet. */
+/** A control service that is open but not started. */
 export interface OpenControl {
   readonly control: ControlService;
   /** The embedded store; null if the store is remote. */
@@ -15,14 +15,17 @@
   close(): Promise<void>;
 }
 
-/** Loaded only if enabled: the match language and its libraries take memory. */
+/** Loads matching support only if it is enabled, because the match language and its libraries use memory. */
 async function loadMatching(settings: ControlSettings): Promise<MatchingSupport | null> {
   if (!settings.matching) return null;
   const { machineAttributes, ClassAdMatcher, matchSpecError } = await import('../matching/index.js');
   return { matcher: new ClassAdMatcher(), machineAttributes, validate: matchSpecError };
 }
 
-/** Opens the store that the settings name, and a control service on it. `onStoreFailure`: its disk accepts no writes any more. */
+/**
+ * Opens the store that the settings specify, and a control service on it. `onStoreFailure` is called if the embedded store's
+ * disk stops accepting writes.
+ */
 export async function openControl(
   settings: ControlSettings,
   log: Log,
@@ -32,11 +35,14 @@
     settings.directory === null
       ? null
       : await Engine.open(await LevelDisk.open(settings.directory), log, onStoreFailure);
-  const { settings: platform, nodeLeaseRatio } = platformSettings(settings);
+  const { settings: coreSettings, nodeLeaseRatio } = platformSettings(settings);
   const stateLeaseMs = settings.leaseS * 1000 * nodeLeaseRatio;
   const store = engine
     ? new EmbeddedStore(engine)
-    : new Store(platform.endpoints.state, retryPolicies({ ...platform, stateLeaseMs }).state.timeoutMs);
+    : new Store(
+        coreSettings.endpoints.state,
+        retryPolicies({ ...coreSettings, stateLeaseMs }).state.timeoutMs,
+      );
   const { directory } = settings;
   const snapshot = engine && directory !== null ? () => snapshotInto(engine, directory) : null;
   const control = new ControlService({
--- a/src/control/output-proxy.ts
+++ b/src/control/output-proxy.ts
@@ -1,10 +1,11 @@
-/** Forwards a task's output from the agent that holds it. */
+/** Proxies a task's output from the agent that stores it. */
 import { request, type ServerResponse } from 'node:http';
 import { sendJson } from '../net/json.js';
 
+/** Idle timeout of the connection to the agent. */
 const timeoutMs = 5000;
 
-/** The agent that holds the output did not answer in time. */
+/** The agent that stores the output did not answer in time. */
 class OutputTimeoutError extends Error {
   constructor(readonly host: string) {
     super('no answer');
@@ -12,18 +13,18 @@
   }
 }
 
-/** Which output is wanted, and the agent that holds it. */
+/** Identifies the requested output and the agent that stores it. */
 export interface OutputRequest {
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
   readonly stream: 'stdout' | 'stderr';
   readonly host: string;
-  /** Where the agent listens, HOST:PORT. */
+  /** The address that the agent listens on, HOST:PORT. */
   readonly endpoint: string;
 }
 
-/** Streams the output into the response; 503 if the agent does not answer. */
+/** Streams the output into the response; responds with 503 if the agent does not answer. */
 export function proxyOutput(output: OutputRequest, res: ServerResponse): void {
   const { job, index, attempt, stream, host, endpoint } = output;
   const path = `/output?job=${job}&index=${index}&attempt=${attempt}&stream=${stream}`;
--- a/src/control/result-store.ts
+++ b/src/control/result-store.ts
@@ -1,23 +1,23 @@
-/** The stored results of tasks: how their last attempt ended, and whether another attempt follows. */
+/** Stores task results: how the last attempt of each task ended, and whether another attempt follows. */
 import { taskKey } from '../model/job.js';
 import type { TaskResult } from '../wire/agent-side.js';
 import type { Condition } from '../wire/store.js';
-import { listAll, putIf, type ControlStore } from './control-store.js';
+import { listAll, commitWithRetries, type ControlStore } from './control-store.js';
 
-/** How an attempt ended. A stored record: field names are part of the format. */
+/** How an attempt ended. It is stored, so its field names are part of the storage format. */
 export interface StoredResult extends TaskResult {
   attempt: number;
   host: string;
-  /** No attempt follows: the task has ended. */
+  /** Whether the task has ended, that is, no further attempt follows. */
   final: boolean;
-  /** How many attempts of the task have failed, this one included. */
+  /** How many attempts of the task have failed, including this one. */
   failures: number;
 }
 
-/** What follows the end of an attempt. */
+/** Whether a task is done or is retried after the end of an attempt. */
 export type TaskDisposition = 'done' | 'retry';
 
-/** The job of a task whose result is recorded, as far as the decision about a retry needs it. */
+/** The properties of a job that determine whether its tasks are retried. */
 export interface ResultJob {
   readonly id: string;
   readonly retries: number;
@@ -36,49 +36,50 @@
 const resultKey = (job: string, index: number): string =>
   `${keyPrefix}${job}/${String(index).padStart(6, '0')}`;
 
-/** Whether the command itself ended the attempt: attempts that were stopped or lost do not use up a retry. */
+/** Whether the command itself ended the attempt. Attempts that were stopped or lost do not use up a retry. */
 const endedByCommand = (result: TaskResult): boolean =>
   result.reason !== 'stopped' && result.reason !== 'lost' && result.reason !== 'gang';
 
-/** Whether the command exited with 0. */
+/** Whether the command exited with code 0. */
 export const succeeded = (result: TaskResult): boolean => result.reason === 'exited' && result.exit === 0;
 
-/** The newest result of every task. Results are kept for ever, like the final states of jobs. */
+/** The newest result of every task, in memory and in the store. Results are never deleted, like the final states of jobs. */
 export class ResultStore {
   private results = new Map<string, StoredResult>();
-  /** Writes under way, by task: the same heartbeat may be repeated meanwhile. */
+  /** Writes in progress, by task: the same heartbeat may arrive again before a write completes. */
   private readonly pendingWrites = new Map<string, Promise<void>>();
-  /** By job: how many tasks have failed for good. */
-  private failedTasks = new Map<string, number>();
+  /** By job: how many tasks have failed permanently. */
+  private failedTaskCounts = new Map<string, number>();
 
   constructor(private readonly store: ControlStore) {}
 
-  /** Reads the stored results again: all of them, or those of one job. */
+  /** Reloads results from the store: all of them, or those of one job. */
   async load(job: string | null = null): Promise<void> {
     const records = await listAll(this.store, job === null ? keyPrefix : `${keyPrefix}${job}/`);
     if (job === null) {
       this.results = new Map();
-      this.failedTasks = new Map();
+      this.failedTaskCounts = new Map();
     }
     for (const { key, data } of records) {
       const [, recordJob, index] = key.split('/');
-      this.remember(recordJob, Number(index), data as StoredResult);
+      this.updateCache(recordJob, Number(index), data as StoredResult);
     }
   }
 
-  /** The newest known result of a task. */
+  /** Returns the newest known result of a task. */
   get(job: string, index: number): StoredResult | undefined {
     return this.results.get(taskKey(job, index));
   }
 
-  /** How many tasks of a job have failed for good. */
-  failures(job: string): number {
-    return this.failedTasks.get(job) ?? 0;
+  /** Returns how many tasks of a job have failed permanently. */
+  failedTaskCount(job: string): number {
+    return this.failedTaskCounts.get(job) ?? 0;
   }
 
   /**
-   * Records the end of an attempt once, before any component may discard it, and decides whether the task is retried. If
-   * one task of a gang has failed for good, all of its tasks end.
+   * Records the end of an attempt, and decides whether the task is retried. Repeated reports of the same end are recorded
+   * only once. This must complete before any component may discard the result. If one task of a gang has failed
+   * permanently, no task of the gang is retried.
    */
   async record(
     job: ResultJob,
@@ -88,9 +89,9 @@
     const key = taskKey(job.id, index);
     await this.pendingWrites.get(key);
     const previous = this.results.get(key);
-    // The same end reported again, or the end of an older attempt than the recorded one.
+    // This end is already recorded, or belongs to an older attempt than the recorded one.
     if (previous && previous.attempt >= attempt) return dispositionOf(previous);
-    const gangFailed = job.gang && this.failures(job.id) > 0;
+    const gangFailed = job.gang && this.failedTaskCount(job.id) > 0;
     const failed = endedByCommand(result) && !succeeded(result);
     const failures = (previous?.failures ?? 0) + (failed ? 1 : 0);
     const stored: StoredResult = {
@@ -101,24 +102,24 @@
       final: succeeded(result) || gangFailed || (endedByCommand(result) && failures > job.retries),
       failures,
     };
-    const write = putIf(this.store, [[resultKey(job.id, index), { ...stored }]], preconditions);
+    const write = commitWithRetries(this.store, [[resultKey(job.id, index), { ...stored }]], preconditions);
     this.pendingWrites.set(key, write);
     try {
       await write;
     } finally {
       this.pendingWrites.delete(key);
     }
-    this.remember(job.id, index, stored);
+    this.updateCache(job.id, index, stored);
     return dispositionOf(stored);
   }
 
-  private remember(job: string, index: number, result: StoredResult): void {
+  private updateCache(job: string, index: number, result: StoredResult): void {
     const key = taskKey(job, index);
     const previous = this.results.get(key);
     const failedBefore = previous?.final && !succeeded(previous) ? 1 : 0;
     const failedNow = result.final && !succeeded(result) ? 1 : 0;
     if (failedBefore !== failedNow)
-      this.failedTasks.set(job, (this.failedTasks.get(job) ?? 0) + failedNow - failedBefore);
+      this.failedTaskCounts.set(job, (this.failedTaskCounts.get(job) ?? 0) + failedNow - failedBefore);
     this.results.set(key, result);
   }
 }
--- a/src/control/settings.ts
+++ b/src/control/settings.ts
@@ -1,33 +1,33 @@
-/** The settings of a control service: the operators' file, its defaults and checks, and the core's settings from them. */
+/** The settings of a control service: parses and validates the settings file, and derives the core's settings from it. */
 import { FormReader, readForms, type Form } from '../config/forms.js';
 import { SettingsError, type Settings, type TeamLimits } from '../config/settings.js';
 import type { SimulatedTask } from '../wire/agent-side.js';
 
-/** What tasks of a class do if their job has no command; `sleepS` null: as long as the job's estimate says. */
+/** What tasks of a class simulate if their job has no command. If `sleepS` is null, the job's estimate is used. */
 export type ClassSimulation = Omit<SimulatedTask, 'sleepS'> & { sleepS: number | null };
 
 /** The settings of a control service. Durations are in seconds. */
 export interface ControlSettings {
-  /** Its member name, by which agents and other control services know it. */
+  /** The member name by which agents and other control services identify this one. */
   name: string;
   listen: { host: string; port: number };
-  /** The directory of the embedded store; null: the store is remote, at `store`. */
+  /** The directory of the embedded store; null if the store is remote, at `store`. */
   directory: string | null;
-  /** The address of a remote store, HOST:PORT; null: the store is embedded, in `directory`. */
+  /** The address of the remote store, HOST:PORT; null if the store is embedded, in `directory`. */
   store: string | null;
   zones: string[];
   teams: TeamLimits[];
-  /** By class of job. */
+  /** What tasks without a command simulate, by job class. */
   classes: Map<string, ClassSimulation>;
   /** The interval between an agent's heartbeats. */
   reportS: number;
-  /** An agent's lease: without a response for so long it ends its tasks. */
+  /** The duration of an agent's lease: an agent that gets no response for this long kills its tasks. */
   leaseS: number;
-  /** How long tasks of a gang wait for the others. */
+  /** How long the tasks of a gang wait for each other. */
   gangWaitS: number;
-  /** A machine without a heartbeat for so long is listed as missing. */
+  /** A machine that has sent no heartbeat for this long is listed as missing. */
   missingS: number;
-  /** How long tasks on a drained machine may go on. */
+  /** How long tasks on a drained machine may keep running. */
   drainS: number;
   /** Whether jobs may use match expressions. */
   matching: boolean;
@@ -80,7 +80,7 @@
     else if (form.name === 'team') settings.teams.push(parseTeam(form, reader));
     else if (form.name === 'class') {
       const [name] = form.values;
-      if (typeof name !== 'string') reader.fail(form, 'must begin with its name');
+      if (typeof name !== 'string') reader.fail(form, 'must start with a name');
       settings.classes.set(name, parseSimulation(form, reader));
     } else reader.fail(form, 'unknown setting');
   return validate(settings, origin);
@@ -90,7 +90,7 @@
   if (settings.directory === null && settings.store === null)
     throw new SettingsError(`${origin}: directory: missing (or store, the address of a store)`);
   if (settings.directory !== null && settings.store !== null)
-    throw new SettingsError(`${origin}: store: not together with directory`);
+    throw new SettingsError(`${origin}: store: cannot be combined with directory`);
   if (settings.leaseS < 2 * settings.reportS)
     throw new SettingsError(`${origin}: lease-s: must be at least twice report-s`);
   if (settings.teams.length === 0)
@@ -98,12 +98,12 @@
   return settings;
 }
 
-/** The forms inside a form that begins with a name. */
+/** Returns the forms nested in a form, without its plain values such as its name. */
 const nestedForms = (form: Form): Form[] => form.values.filter((v): v is Form => typeof v !== 'string');
 
 function parseTeam(form: Form, reader: FormReader): TeamLimits {
   const [name] = form.values;
-  if (typeof name !== 'string') reader.fail(form, 'must begin with its name');
+  if (typeof name !== 'string') reader.fail(form, 'must start with a name');
   const limits: TeamLimits = { name, cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
   const fields: Record<string, 'cpus' | 'cpus_max' | 'gpus' | 'gpus_max'> = {
     cpus: 'cpus',
@@ -112,7 +112,7 @@
     'gpus-max': 'gpus_max',
   };
   for (const setting of nestedForms(form)) {
-    if (!Object.hasOwn(fields, setting.name)) reader.fail(setting, 'unknown setting of a team');
+    if (!Object.hasOwn(fields, setting.name)) reader.fail(setting, 'unknown team setting');
     limits[fields[setting.name]] = reader.number(setting);
   }
   return limits;
@@ -127,16 +127,16 @@
       simulation.fail = reader.number(setting);
       if (simulation.fail > 1) reader.fail(setting, 'must be a share, 0 to 1');
     } else if (setting.name === 'hang') simulation.hang = reader.text(setting) === 'true';
-    else reader.fail(setting, 'unknown setting of a class');
+    else reader.fail(setting, 'unknown class setting');
   return simulation;
 }
 
-/** A cancellation may take so many leases, and a constant time beyond. */
+/** The time limit of a cancellation in leases, to which a constant is added. */
 const cancelLeaseRatio = 1.5;
-/** The control service's own state lease; short, because its store is embedded or near. */
+/** The duration of the control service's own state lease; short, because its store is embedded or nearby. */
 const controllerLeaseS = 4;
 
-/** The platform settings for the core, and the share of the agents' lease that its own state lease lasts. */
+/** Builds the core's settings, and the ratio of the controller's state lease to the agents' lease. */
 export function platformSettings(control: ControlSettings): { settings: Settings; nodeLeaseRatio: number } {
   const settings: Settings = {
     member: control.name,
@@ -156,7 +156,7 @@
       gang_peer_s: control.reportS * 2,
       cancel_s: control.leaseS * cancelLeaseRatio + 20,
     },
-    // Nominal rates: the store is the control service's own, so the core need not hold back.
+    // Nominal rates: the control service has its own store, so the core does not have to limit its request rate.
     state: { rps: 5000, write_rps: 20_000, value_kb: 32, txn_ops: 128 },
     cloud: { rps: 20, list_lag_s: Math.max(1, control.reportS) },
     quota: { cores: 1, mem_mb: 1024, fd_limit: 8192 },
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -205,7 +205,7 @@
     await assert.rejects(mine.record(job, end(1, 1), [{ key: 'dp/shard/0', stamp: first }]));
     assert.equal(await others.record(job, end(1, 1), [{ key: 'dp/shard/0', stamp: second }]), 'done');
     await mine.load('req-1');
-    assert.deepEqual([mine.get('req-1', 1)?.exit, mine.failures('req-1')], [1, 1]);
+    assert.deepEqual([mine.get('req-1', 1)?.exit, mine.failedTaskCount('req-1')], [1, 1]);
   }));
 
 test('outage: agents that join through two control services at once get names of their own', () =>
