--- a/src/agent/agent-directory.ts
+++ b/src/agent/agent-directory.ts
@@ -109,11 +109,11 @@
   /** Removes the output of ended tasks, those that ended first before others, until at most `maxKept` are left. */
   pruneOutputs(maxKept: number): void {
     const ended = readdirSync(this.tasksPath).filter(
-      (n) => !existsSync(join(this.tasksPath, n, 'task.json')),
+      (name) => !existsSync(join(this.tasksPath, name, 'task.json')),
     );
     if (ended.length <= maxKept) return;
     // A task's directory is last modified when its record is removed.
-    const endedAt = new Map(ended.map((n) => [n, statSync(join(this.tasksPath, n)).mtimeMs]));
+    const endedAt = new Map(ended.map((name) => [name, statSync(join(this.tasksPath, name)).mtimeMs]));
     ended.sort((a, b) => endedAt.get(a)! - endedAt.get(b)!);
     for (const name of ended.slice(0, ended.length - maxKept))
       rmSync(join(this.tasksPath, name), { recursive: true, force: true });
--- a/src/agent/processes.ts
+++ b/src/agent/processes.ts
@@ -17,7 +17,7 @@
 
 const pids = (): number[] =>
   readdirSync('/proc')
-    .filter((n) => /^\d+$/.test(n))
+    .filter((name) => /^\d+$/.test(name))
     .map(Number);
 
 function readProcFile(path: string): string | null {
@@ -54,7 +54,7 @@
   for (const pid of pids()) {
     const environ = readProcFile(`/proc/${pid}/environ`);
     if (environ === null || environ === '') continue;
-    const entry = environ.split('\0').find((e) => e.startsWith(`${markVariable}=`));
+    const entry = environ.split('\0').find((variable) => variable.startsWith(`${markVariable}=`));
     const mark = entry?.slice(markVariable.length + 1);
     if (mark?.startsWith(prefix)) found.push({ pid, mark });
   }
--- a/src/agent/task-executor.ts
+++ b/src/agent/task-executor.ts
@@ -8,7 +8,7 @@
 import type { AgentSettings } from './settings.js';
 import { SimulatedTasks } from './simulated-tasks.js';
 
-/** How many ended tasks have their output kept; older output is removed. */
+/** The number of most recently ended tasks whose output is kept; older output is removed. */
 const maxKeptOutputs = 2000;
 /** Old output is removed only once per this many forgotten tasks, because that lists all task directories. */
 const pruneIntervalTasks = 100;
--- a/src/control/agent-pool.ts
+++ b/src/control/agent-pool.ts
@@ -65,7 +65,7 @@
   }
 
   private async readRecords(): Promise<void> {
-    const knownTypes = new Set([...this.members.values()].map((m) => m.type));
+    const knownTypes = new Set([...this.members.values()].map((member) => member.type));
     const records = await listAll(this.store, keyPrefix);
     const listedHosts = new Set<string>();
     for (const { data } of records) {
@@ -83,7 +83,7 @@
         this.members.delete(host);
         this.onMemberChanged(host, null);
       }
-    if ([...this.members.values()].some((m) => !knownTypes.has(m.type))) this.onNewMachineType();
+    if ([...this.members.values()].some((member) => !knownTypes.has(member.type))) this.onNewMachineType();
   }
 
   /** Returns the member on a host, reloading the records if it is unknown: it may have just joined elsewhere. */
@@ -107,14 +107,15 @@
     const exact = this.members.get(name);
     if (exact) return exact;
     let last: PoolMember | undefined;
-    for (const m of this.members.values())
-      if (m.name === name && !m.forgotten && (!last || m.joinedAt >= last.joinedAt)) last = m;
+    for (const member of this.members.values())
+      if (member.name === name && !member.forgotten && (!last || member.joinedAt >= last.joinedAt))
+        last = member;
     return last;
   }
 
   /** Processes a join request of a new or returning agent. */
   join(request: JoinRequest): Promise<JoinOutcome> {
-    // Requests are serialised: if 1,000 agents join at once, all but one would fail the precondition on the counter.
+    // Requests are serialized: if 1,000 agents join at once, all but one would fail the precondition on the counter.
     const admission = this.lastJoin.then(() => this.admit(request));
     this.lastJoin = admission.catch(() => undefined);
     return admission;
@@ -126,7 +127,7 @@
     await this.readRecords();
     if (!this.zones.includes(request.zone))
       return { refused: `zone ${request.zone}: not one of ${this.zones.join(', ')}` };
-    const sameType = [...this.members.values()].find((m) => m.type === request.type);
+    const sameType = [...this.members.values()].find((member) => member.type === request.type);
     if (sameType && !sameResources(sameType, request))
       return {
         refused: `type ${request.type}: ${sameType.name} of that type has other resources; give it a type of its own`,
@@ -210,18 +211,18 @@
   /** Returns the distinct machine types of the members. */
   listMachineTypes(): Promise<MachineType[]> {
     const types = new Map<string, MachineType>();
-    for (const m of this.members.values())
-      if (!types.has(m.type))
-        types.set(m.type, {
-          name: m.type,
-          cpus: m.cpus,
-          gpus: m.gpus,
-          memGb: m.memGb,
+    for (const member of this.members.values())
+      if (!types.has(member.type))
+        types.set(member.type, {
+          name: member.type,
+          cpus: member.cpus,
+          gpus: member.gpus,
+          memGb: member.memGb,
           cacheGb: 0,
           fetchGbPerS: 0,
           // Agents' machines cost nothing. A price proportional to CPUs makes the core indifferent to machine size.
-          price: m.cpus,
-          spotPrice: m.cpus,
+          price: member.cpus,
+          spotPrice: member.cpus,
           bootS: 1,
           zones: [...this.zones],
         });
@@ -236,16 +237,19 @@
   /** Removes drained or forgotten members. If any of the hosts is neither, removes none and returns false. */
   async deleteMachines(hosts: string[]): Promise<boolean> {
     const members = hosts.flatMap((host) => this.members.get(host) ?? []);
-    if (members.some((m) => m.drainedAt === null && !m.forgotten)) return false;
+    if (members.some((member) => member.drainedAt === null && !member.forgotten)) return false;
     if (members.length > 0)
       await commitWithRetries(
         this.store,
-        members.map((m) => [memberKey(m.host), undefined]),
+        members.map((member) => [memberKey(member.host), undefined]),
       );
-    for (const m of members) {
-      this.members.delete(m.host);
-      this.onMemberChanged(m.host, null);
-      this.log('info', 'agent removed', { host: m.host, why: m.forgotten ? 'forgotten' : 'drained' });
+    for (const member of members) {
+      this.members.delete(member.host);
+      this.onMemberChanged(member.host, null);
+      this.log('info', 'agent removed', {
+        host: member.host,
+        why: member.forgotten ? 'forgotten' : 'drained',
+      });
     }
     return true;
   }
@@ -253,15 +257,15 @@
   /** Lists all members as running machines. */
   listMachines(): Promise<ListedMachine[]> {
     const list: ListedMachine[] = [];
-    for (const m of this.members.values())
+    for (const member of this.members.values())
       list.push({
-        host: m.host,
-        endpoint: m.endpoint ?? '',
-        type: m.type,
-        zone: m.zone,
+        host: member.host,
+        endpoint: member.endpoint ?? '',
+        type: member.type,
+        zone: member.zone,
         spot: false,
         status: 'running',
-        ageS: (Date.now() - m.joinedAt) / 1000,
+        ageS: (Date.now() - member.joinedAt) / 1000,
       });
     return Promise.resolve(list);
   }
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -18,7 +18,7 @@
 import { ResultStore } from './result-store.js';
 import { platformSettings, type ControlSettings } from './settings.js';
 
-/** While the store does not answer at startup, every n-th attempt is logged. */
+/** While the store does not answer at startup, only one in this many attempts is logged. */
 const logEveryAttempts = 20;
 /** Delay between attempts to reach the store at startup, as a share of the heartbeat interval. */
 const startupRetryShare = 0.25;
--- a/src/control/gang-rendezvous.ts
+++ b/src/control/gang-rendezvous.ts
@@ -1,4 +1,4 @@
-/** Synchronises gang starts: no task of a gang runs before all tasks of the attempt are ready on their machines. */
+/** Synchronizes gang starts: no task of a gang runs before all tasks of the attempt are ready on their machines. */
 import type { Heartbeat, TaskStatus } from '../model/heartbeat.js';
 
 /**
--- a/src/control/machine-views.ts
+++ b/src/control/machine-views.ts
@@ -12,7 +12,7 @@
   readonly ownsShard: boolean;
 }
 
-/** Extra time, as a share of the lease, after which a worker has certainly noticed that its lease expired. */
+/** Added to a lease's expiry (a share of the lease plus a constant): after that the worker has certainly noticed it. */
 const leaseExpiryMarginRatio = 1.5;
 const leaseExpiryMarginMs = 1000;
 
