--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -3,10 +3,10 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { findFreePort } from '../src/net/port.js';
-import { sumOf, type CellFigures } from './figures.js';
+import { totalCounts, type CellFigures } from './figures.js';
 import { CellMeasurements, type CountsReading } from './measurements.js';
 import {
-  noWorkers,
+  zeroWorkerCounts,
   now,
   type FromPlatform,
   type FromUsers,
@@ -23,16 +23,22 @@
   type WorkerCounts,
 } from './messages.js';
 import {
-  controllersInCell,
-  cpusOfWorker,
+  controllersPerCell,
+  cpusPerWorker,
   ScaleError,
-  tasksOfWorker,
-  workerProcesses,
-  workersInProcess,
+  tasksPerWorker,
+  workerProcessCount,
+  workersPerProcess,
   type ScaleOptions,
 } from './options.js';
-import { ControllerProcess, deployedFlags, Generator, useOf, type ProcessUse } from './processes.js';
-import { EventOrder, RuleChecker } from './rules.js';
+import {
+  ControllerProcess,
+  deployedNodeFlags,
+  Generator,
+  readProcessUsage,
+  type ProcessUsage,
+} from './processes.js';
+import { EventReorderBuffer, RuleChecker } from './rules.js';
 import {
   cloudLimits,
   settingsText,
@@ -43,20 +49,20 @@
   type Member,
 } from './settings.js';
 
-const statusEveryMs = 500;
+const statusIntervalMs = 500;
 /** Events of a process that is busy come later than those of the others. */
-const eventDelayMs = 3000;
+const maxEventDelayMs = 3000;
 const startTimeoutMs = 20_000;
-const firstNetwork = 16;
+const firstLoopbackNetwork = 16;
 /** Controllers take some seconds to begin, machines to boot; so many machines are rented in a millisecond. */
-const bootMs = 10_000;
-const rentedPerMs = 0.4;
+const startupMs = 10_000;
+const machinesRentedPerMs = 0.4;
 const urgentRunMs = 10_000;
 const cancelShare = 0.01;
 const urgentShareOfStarts = 1 / 200;
 const minUrgentPerS = 0.5;
 
-const zeroCounts: PlatformCounts = {
+const zeroPlatformCounts: PlatformCounts = {
   requests: 0,
   transactions: 0,
   writes: 0,
@@ -67,9 +73,9 @@
   writesByKind: {},
 };
 
-type Ordered = TaskEvent | UserEvent;
+type OrderedEvent = TaskEvent | UserEvent;
 
-const isTaskEvent = (event: Ordered): event is TaskEvent => 'host' in event;
+const isTaskEvent = (event: OrderedEvent): event is TaskEvent => 'host' in event;
 
 /** One cell: starts its processes, passes their messages on, and checks the rules by what they tell. */
 export class Cell {
@@ -84,13 +90,13 @@
   private users: Generator<ToUsers> | null = null;
   private readonly workerProcessOfHost = new Map<string, number>();
   private nextWorkerProcess = 0;
-  private readonly removals = new Map<number, number>();
-  private readonly order = new EventOrder<Ordered>(eventDelayMs);
+  private readonly pendingRemovals = new Map<number, number>();
+  private readonly eventBuffer = new EventReorderBuffer<OrderedEvent>(maxEventDelayMs);
   private readonly measurements = new CellMeasurements();
-  private platformCounts = zeroCounts;
+  private platformCounts = zeroPlatformCounts;
   private readonly workerCounts: WorkerCounts[] = [];
   private userCounts: UserCounts = { requests: 0, unavailable: 0, openJobs: 0 };
-  private timer: NodeJS.Timeout | null = null;
+  private statusTimer: NodeJS.Timeout | null = null;
 
   constructor(
     private readonly number: number,
@@ -102,22 +108,22 @@
   }
 
   private get runMs(): number {
-    return (this.options.workers * tasksOfWorker * 1000) / this.options.startsPerS;
+    return (this.options.workers * tasksPerWorker * 1000) / this.options.startsPerS;
   }
 
   /** So long after its start the initial load is over and the usual one has taken its place. */
   get settlingMs(): number {
-    return this.runMs + bootMs + this.options.workers / rentedPerMs;
+    return this.runMs + startupMs + this.options.workers / machinesRentedPerMs;
   }
 
   /** Tasks that run now. */
   get running(): number {
-    return sumOf(this.workerCounts).running;
+    return totalCounts(this.workerCounts).running;
   }
 
   /** Workers that live now. */
   get workerCount(): number {
-    return sumOf(this.workerCounts).workers;
+    return totalCounts(this.workerCounts).workers;
   }
 
   /** Starts platform, controllers, workers and users, in this order. */
@@ -126,16 +132,16 @@
     const members = await this.startControllers(endpoints);
     const controllers = members.map((m): [string, string] => [m.name, m.publicAddress]);
     await this.startWorkers(controllers);
-    this.timer = setInterval(() => this.tick(), statusEveryMs);
+    this.statusTimer = setInterval(() => this.tick(), statusIntervalMs);
     await this.startUsers(controllers);
   }
 
   private async startPlatform(): Promise<{ state: string; cloud: string }> {
     const { options } = this;
-    return this.whenStarted('the stand-ins', (resolve) => {
+    return this.waitForStart('the stand-ins', (resolve) => {
       this.platform = Generator.start<ToPlatform, FromPlatform>('platform', (message) => {
         if (message.kind === 'ready') resolve({ state: message.state, cloud: message.cloud });
-        else this.fromPlatform(message);
+        else this.onPlatformMessage(message);
       });
       this.platform.send({
         kind: 'start',
@@ -146,7 +152,7 @@
         cloudRequestsPerS: cloudLimits.rps,
         listLagS: cloudLimits.list_lag_s,
         machines: options.workers,
-        cpusOfMachine: cpusOfWorker,
+        cpusOfMachine: cpusPerWorker,
         zones,
         seed: options.seed + this.number * 1000,
       });
@@ -157,7 +163,7 @@
     const { options, directory } = this;
     mkdirSync(directory, { recursive: true });
     const members: Member[] = [];
-    for (let i = 0; i < controllersInCell; i++)
+    for (let i = 0; i < controllersPerCell; i++)
       members.push({
         name: `picker-${i}`,
         publicAddress: `127.0.0.1:${await findFreePort()}`,
@@ -165,7 +171,7 @@
       });
     const root = fileURLToPath(new URL('../../../', import.meta.url));
     const program = fileURLToPath(new URL('../src/main.js', import.meta.url));
-    const flags = deployedFlags(join(root, 'deploy/service.toml')).map((flag) =>
+    const flags = deployedNodeFlags(join(root, 'deploy/service.toml')).map((flag) =>
       flag.startsWith('--max-old-space-size=') ? `--max-old-space-size=${options.memoryMb}` : flag,
     );
     for (const member of members) {
@@ -182,24 +188,24 @@
 
   private async startWorkers(controllers: [string, string][]): Promise<void> {
     const { options } = this;
-    for (let i = 0; i < workerProcesses(options); i++) {
-      this.workerCounts.push({ ...noWorkers });
-      await this.whenStarted<null>('the workers', (resolve) => {
+    for (let i = 0; i < workerProcessCount(options); i++) {
+      this.workerCounts.push({ ...zeroWorkerCounts });
+      await this.waitForStart<null>('the workers', (resolve) => {
         const generator = Generator.start<ToWorkers, FromWorkers>('workers', (message) => {
           if (message.kind === 'ready') resolve(null);
-          else this.fromWorkers(i, message);
+          else this.onWorkersMessage(i, message);
         });
         this.workers.push(generator);
         generator.send({
           kind: 'start',
           controllers,
           limits: workerLimits,
-          cpusOfMachine: cpusOfWorker,
+          cpusOfMachine: cpusPerWorker,
           runMs: this.runMs,
           urgentRunMs,
-          network: firstNetwork + this.number,
+          network: firstLoopbackNetwork + this.number,
           // Machines come and go: each process has room for more of them than there are at a time.
-          firstAddress: i * workersInProcess * 4,
+          firstAddress: i * workersPerProcess * 4,
           seed: options.seed + this.number * 1000 + i + 10,
         });
       });
@@ -208,11 +214,11 @@
 
   private async startUsers(controllers: [string, string][]): Promise<void> {
     const { options, runMs } = this;
-    await this.whenStarted<null>('the users', (resolve) => {
+    await this.waitForStart<null>('the users', (resolve) => {
       this.users = Generator.start<ToUsers, FromUsers>('users', (message) => {
         if (message.kind === 'ready') resolve(null);
-        else if (message.kind === 'events') this.order.add(message.events);
-        else this.usersStatus(message.counts, message.lag);
+        else if (message.kind === 'events') this.eventBuffer.add(message.events);
+        else this.onUsersStatus(message.counts, message.lag);
       });
       this.users.send({
         kind: 'start',
@@ -220,7 +226,7 @@
         teams: teamsOf(options).map((team) => team.name),
         startsPerS: options.startsPerS,
         tasksPerJob: options.tasksPerJob,
-        initialTasks: options.workers * tasksOfWorker,
+        initialTasks: options.workers * tasksPerWorker,
         urgentPerS: Math.max(minUrgentPerS, options.startsPerS * urgentShareOfStarts),
         cancelShare,
         estimateS: runMs / 1000,
@@ -230,11 +236,15 @@
     });
   }
 
-  private whenStarted<T>(who: string, begin: (resolve: (value: T) => void) => void): Promise<T> {
+  private waitForStart<T>(
+    processName: string,
+    startProcess: (resolve: (value: T) => void) => void,
+  ): Promise<T> {
     return new Promise((resolve, reject) => {
-      const late = (): void => reject(new ScaleError(`${who} did not start within ${startTimeoutMs} ms`));
-      const timer = setTimeout(late, startTimeoutMs);
-      begin((value) => {
+      const failWithTimeout = (): void =>
+        reject(new ScaleError(`${processName} did not start within ${startTimeoutMs} ms`));
+      const timer = setTimeout(failWithTimeout, startTimeoutMs);
+      startProcess((value) => {
         clearTimeout(timer);
         resolve(value);
       });
@@ -243,9 +253,9 @@
 
   // ---- messages ----
 
-  private fromPlatform(message: FromPlatform): void {
+  private onPlatformMessage(message: FromPlatform): void {
     if (message.kind === 'booted') for (const machine of message.machines) this.assignMachine(machine);
-    else if (message.kind === 'remove') this.remove(message.request, message.hosts);
+    else if (message.kind === 'remove') this.removeMachines(message.request, message.hosts);
     else if (message.kind === 'placed') this.measurements.recordPlacements(message.jobs);
     else if (message.kind === 'status') {
       this.platformCounts = message.counts;
@@ -255,52 +265,54 @@
     }
   }
 
-  private fromWorkers(process: number, message: FromWorkers): void {
-    if (message.kind === 'events') this.order.add(message.events);
+  private onWorkersMessage(process: number, message: FromWorkers): void {
+    if (message.kind === 'events') this.eventBuffer.add(message.events);
     else if (message.kind === 'listening') this.platform.send(message);
-    else if (message.kind === 'removed') this.machinesRemoved(message.request);
+    else if (message.kind === 'removed') this.onMachinesRemoved(message.request);
     else if (message.kind === 'status') {
       this.workerCounts[process] = message.counts;
       this.measurements.recordLag(message.lag);
     }
   }
 
-  private usersStatus(counts: UserCounts, lag: GeneratorLag): void {
+  private onUsersStatus(counts: UserCounts, lag: GeneratorLag): void {
     this.userCounts = counts;
     this.measurements.recordLag(lag);
   }
 
   /** Each process of workers gets the next machine in turn. */
   private assignMachine(machine: MachineSpec): void {
-    const home = this.nextWorkerProcess++ % this.workers.length;
-    this.workerProcessOfHost.set(machine.host, home);
+    const processIndex = this.nextWorkerProcess++ % this.workers.length;
+    this.workerProcessOfHost.set(machine.host, processIndex);
     this.machines.set(machine.host, machine.zone);
-    this.workers[home].send({ kind: 'add', machines: [machine] });
+    this.workers[processIndex].send({ kind: 'add', machines: [machine] });
   }
 
-  private remove(request: number, hosts: string[]): void {
-    const byHome = this.hostsByWorkerProcess(hosts);
-    this.removals.set(request, byHome.size);
-    if (byHome.size === 0) this.platform.send({ kind: 'removed', request });
-    for (const [home, mine] of byHome) this.workers[home].send({ kind: 'remove', request, hosts: mine });
+  private removeMachines(request: number, hosts: string[]): void {
+    const hostsByProcess = this.hostsByWorkerProcess(hosts);
+    this.pendingRemovals.set(request, hostsByProcess.size);
+    if (hostsByProcess.size === 0) this.platform.send({ kind: 'removed', request });
+    for (const [processIndex, processHosts] of hostsByProcess)
+      this.workers[processIndex].send({ kind: 'remove', request, hosts: processHosts });
     for (const host of hosts) this.machines.delete(host);
   }
 
-  private machinesRemoved(request: number): void {
-    const left = (this.removals.get(request) ?? 1) - 1;
-    this.removals.set(request, left);
+  private onMachinesRemoved(request: number): void {
+    const left = (this.pendingRemovals.get(request) ?? 1) - 1;
+    this.pendingRemovals.set(request, left);
     if (left > 0) return;
-    this.removals.delete(request);
+    this.pendingRemovals.delete(request);
     this.platform.send({ kind: 'removed', request });
   }
 
   private hostsByWorkerProcess(hosts: string[]): Map<number, string[]> {
-    const found = new Map<number, string[]>();
+    const hostsByProcess = new Map<number, string[]>();
     for (const host of hosts) {
-      const home = this.workerProcessOfHost.get(host);
-      if (home !== undefined) found.set(home, [...(found.get(home) ?? []), host]);
+      const processIndex = this.workerProcessOfHost.get(host);
+      if (processIndex !== undefined)
+        hostsByProcess.set(processIndex, [...(hostsByProcess.get(processIndex) ?? []), host]);
     }
-    return found;
+    return hostsByProcess;
   }
 
   // ---- events and rules ----
@@ -313,7 +325,7 @@
   }
 
   private processEvents(until: number): void {
-    for (const event of this.order.take(until))
+    for (const event of this.eventBuffer.take(until))
       if (isTaskEvent(event)) {
         this.checker.onTaskEvent(event);
         this.measurements.recordTaskEvent(event);
@@ -321,24 +333,29 @@
         this.checker.onUserEvent(event);
         this.measurements.recordUserEvent(event);
       }
-    this.checker.sweep(until - eventDelayMs);
+    this.checker.sweep(until - maxEventDelayMs);
   }
 
   // ---- measuring ----
 
-  private processUses(): [name: string, use: ProcessUse | null][] {
+  private processUsages(): [name: string, use: ProcessUsage | null][] {
     return [
-      ...this.controllers.map((c): [string, ProcessUse | null] => [c.name, c.use]),
-      ['platform', useOf(this.platform.pid)],
-      ...this.workers.map((w, i): [string, ProcessUse | null] => [`workers-${i}`, useOf(w.pid)]),
-      ['users', useOf(this.users?.pid ?? null)],
+      ...this.controllers.map((c): [string, ProcessUsage | null] => [c.name, c.usage]),
+      ['platform', readProcessUsage(this.platform.pid)],
+      ...this.workers.map((w, i): [string, ProcessUsage | null] => [`workers-${i}`, readProcessUsage(w.pid)]),
+      ['users', readProcessUsage(this.users?.pid ?? null)],
     ];
   }
 
   private readCounts(): CountsReading {
-    const uses = new Map<string, ProcessUse>();
-    for (const [name, use] of this.processUses()) if (use) uses.set(name, use);
-    return { at: now(), uses, workers: sumOf(this.workerCounts), platform: this.platformCounts };
+    const usages = new Map<string, ProcessUsage>();
+    for (const [name, use] of this.processUsages()) if (use) usages.set(name, use);
+    return {
+      at: now(),
+      usages: usages,
+      workers: totalCounts(this.workerCounts),
+      platform: this.platformCounts,
+    };
   }
 
   /** What happens from now on counts. */
@@ -354,7 +371,7 @@
   /** Nothing more is submitted; what users and workers have yet to say is heard. */
   async settle(): Promise<void> {
     this.users?.send({ kind: 'stop-submitting' });
-    await new Promise((resolve) => setTimeout(resolve, eventDelayMs + statusEveryMs * 2));
+    await new Promise((resolve) => setTimeout(resolve, maxEventDelayMs + statusIntervalMs * 2));
     this.processEvents(now());
   }
 
@@ -380,7 +397,7 @@
 
   /** The last fault is over. */
   endFault(): void {
-    this.measurements.endFault(sumOf(this.workerCounts));
+    this.measurements.endFault(totalCounts(this.workerCounts));
   }
 
   /** The state service answers 503 for so long. */
@@ -390,20 +407,20 @@
 
   /** Machines stop with all that is on them. */
   killMachines(hosts: string[]): void {
-    for (const [home, mine] of this.hostsByWorkerProcess(hosts))
-      this.workers[home].send({ kind: 'kill', hosts: mine });
+    for (const [processIndex, processHosts] of this.hostsByWorkerProcess(hosts))
+      this.workers[processIndex].send({ kind: 'kill', hosts: processHosts });
     this.platform.send({ kind: 'died', hosts });
   }
 
   /** The workers of these machines end and begin again without their tasks. */
   restartWorkers(hosts: string[]): void {
-    for (const [home, mine] of this.hostsByWorkerProcess(hosts))
-      this.workers[home].send({ kind: 'restart', hosts: mine });
+    for (const [processIndex, processHosts] of this.hostsByWorkerProcess(hosts))
+      this.workers[processIndex].send({ kind: 'restart', hosts: processHosts });
   }
 
   /** Ends every process of the cell. */
   stop(): void {
-    if (this.timer) clearInterval(this.timer);
+    if (this.statusTimer) clearInterval(this.statusTimer);
     for (const controller of this.controllers) controller.kill();
     for (const workers of this.workers) workers.kill();
     this.users?.kill();
--- a/scale/child.ts
+++ b/scale/child.ts
@@ -12,7 +12,7 @@
 }
 
 /** Sends a message to the process that started this one. */
-export function tellParent<Out extends object>(message: Out): void {
+export function sendToParent<Out extends object>(message: Out): void {
   if (process.connected) process.send!(message);
 }
 
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -10,7 +10,7 @@
 const gbPerCpu = 4;
 const bootMs = { least: 1500, most: 4000 };
 /** A machine that died is listed as running for so long. */
-const deadListedMs = 30_000;
+const deadMachineListedMs = 30_000;
 const burstS = 2;
 const maxBodyBytes = 64 * 1024;
 
@@ -28,7 +28,7 @@
   howMany: number;
 }
 
-interface Answer {
+interface CloudResponse {
   status: number;
   body: object;
 }
@@ -45,9 +45,9 @@
   readonly server: Server;
   private readonly machines = new Map<string, Machine>();
   private readonly rentals = new Map<string, string[]>();
-  private readonly removedAt = new Map<string, Machine & { removedAt: number }>();
+  private readonly removedMachines = new Map<string, Machine & { removedAt: number }>();
   private readonly requests: TokenBucket;
-  private count = 0;
+  private bootedCount = 0;
 
   constructor(
     private readonly limits: PlatformStart,
@@ -73,13 +73,13 @@
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://cloud');
     const body = req.method === 'POST' ? await readJson(req, maxBodyBytes) : null;
-    const answer = this.requests.take(1)
+    const respond = this.requests.take(1)
       ? await this.answer(`${req.method} ${url.pathname}`, url.searchParams, body)
       : { status: 429, body: { error: 'too many requests' } };
-    sendJson(res, answer.status, answer.body);
+    sendJson(res, respond.status, respond.body);
   }
 
-  private async answer(route: string, query: URLSearchParams, body: unknown): Promise<Answer> {
+  private async answer(route: string, query: URLSearchParams, body: unknown): Promise<CloudResponse> {
     if (route === 'GET /machine_types') return { status: 200, body: this.types() };
     if (route === 'POST /rentals') return this.rent(body as RentalRequest);
     if (route === 'GET /rentals') return { status: 200, body: this.list(query) };
@@ -94,7 +94,7 @@
     return { flavours: [{ name: machineType, ...size, ...rate, yards }] };
   }
 
-  private rent({ hire, yard, loaners, howMany }: RentalRequest): Answer {
+  private rent({ hire, yard, loaners, howMany }: RentalRequest): CloudResponse {
     const before = this.rentals.get(hire);
     if (before) return { status: 200, body: { hosts: before } };
     const { machines: capacity, zones } = this.limits;
@@ -108,7 +108,7 @@
   }
 
   private boot(zone: string): string {
-    const host = `n-${String(++this.count).padStart(6, '0')}`;
+    const host = `n-${String(++this.bootedCount).padStart(6, '0')}`;
     const machine = { host, zone, rentedAt: performance.now(), endpoint: '', up: false, diedAt: null };
     this.machines.set(host, machine);
     const afterMs = bootMs.least + this.random() * (bootMs.most - bootMs.least);
@@ -116,12 +116,12 @@
     return host;
   }
 
-  private async remove(hosts: string[]): Promise<Answer> {
+  private async remove(hosts: string[]): Promise<CloudResponse> {
     const known = hosts.filter((host) => this.machines.has(host));
     await this.listener.removeMachines(known);
     for (const host of known) {
       const machine = this.machines.get(host);
-      if (machine) this.removedAt.set(host, { ...machine, removedAt: performance.now() });
+      if (machine) this.removedMachines.set(host, { ...machine, removedAt: performance.now() });
       this.machines.delete(host);
     }
     return { status: 200, body: {} };
@@ -129,17 +129,18 @@
 
   private list(query: URLSearchParams): object {
     const at = performance.now() - this.limits.listLagS * 1000;
-    for (const [host, gone] of this.removedAt) if (gone.removedAt <= at) this.removedAt.delete(host);
+    for (const [host, gone] of this.removedMachines)
+      if (gone.removedAt <= at) this.removedMachines.delete(host);
     const from = query.get('from') ?? '';
     const limit = Math.min(500, Number(query.get('limit') ?? 500));
-    const all = [...this.machines.values(), ...this.removedAt.values()]
+    const all = [...this.machines.values(), ...this.removedMachines.values()]
       .filter((m) => m.rentedAt <= at && m.host > from)
       .sort((a, b) => (a.host < b.host ? -1 : 1));
-    return { hosts: all.slice(0, limit).map((m) => this.listed(m, at)), hasNext: all.length > limit };
+    return { hosts: all.slice(0, limit).map((m) => this.listEntry(m, at)), hasNext: all.length > limit };
   }
 
-  private listed(m: Machine, at: number): object {
-    const failed = m.diedAt !== null && at - m.diedAt > deadListedMs;
+  private listEntry(m: Machine, at: number): object {
+    const failed = m.diedAt !== null && at - m.diedAt > deadMachineListedMs;
     const status = failed ? 'failed' : m.up ? 'running' : 'starting';
     const ageS = (at - m.rentedAt) / 1000;
     const { host: nameId, endpoint, zone: yard } = m;
--- a/scale/figures.ts
+++ b/scale/figures.ts
@@ -1,9 +1,9 @@
 /** What a run measures: latencies as histograms, use of each process over the measured time, and the table of them. */
 import { build, type Histogram } from 'hdr-histogram-js';
-import { noWorkers, type PlatformCounts, type WorkerCounts } from './messages.js';
-import type { ProcessUse } from './processes.js';
+import { zeroWorkerCounts, type PlatformCounts, type WorkerCounts } from './messages.js';
+import type { ProcessUsage } from './processes.js';
 
-const highestMs = 3_600_000;
+const maxLatencyMs = 3_600_000;
 
 /** The distribution of a latency, ms. */
 export interface Quantiles {
@@ -14,16 +14,16 @@
 }
 
 /** A histogram of latencies with three significant digits. */
-export class Latency {
+export class LatencyHistogram {
   private readonly histogram: Histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: highestMs,
+    highestTrackableValue: maxLatencyMs,
     numberOfSignificantValueDigits: 3,
   });
 
   /** Adds one latency, ms. */
-  record(ms: number): void {
-    this.histogram.recordValue(Math.min(highestMs, Math.max(0, Math.round(ms))));
+  record(quantilesText: number): void {
+    this.histogram.recordValue(Math.min(maxLatencyMs, Math.max(0, Math.round(quantilesText))));
   }
 
   get quantiles(): Quantiles {
@@ -50,8 +50,8 @@
 /** The use of a process between two readings, and the most that it held. */
 export function processFigures(
   name: string,
-  before: ProcessUse,
-  after: ProcessUse,
+  before: ProcessUsage,
+  after: ProcessUsage,
   seconds: number,
 ): ProcessFigures {
   return {
@@ -103,8 +103,8 @@
 }
 
 /** What several processes of workers have counted together. */
-export function sumOf(all: WorkerCounts[]): WorkerCounts {
-  const sum = { ...noWorkers };
+export function totalCounts(all: WorkerCounts[]): WorkerCounts {
+  const sum = { ...zeroWorkerCounts };
   for (const counts of all)
     for (const key of Object.keys(sum) as (keyof WorkerCounts)[])
       sum[key] = key === 'slowestRenewalMs' ? Math.max(sum[key], counts[key]) : sum[key] + counts[key];
@@ -126,19 +126,19 @@
 }
 
 function faultLine(f: FaultFigures): string {
-  const took = (x: number | null): string => (x === null ? 'not seen' : `${Math.round(x)} ms`);
-  const renewed = `slowest lease renewed after ${took(f.slowestRenewalMs)}, ${f.workersNotRenewed} not renewed`;
-  return `  fault ${f.fault} at ${f.atS.toFixed(0)} s: next start after ${took(f.firstStartMs)}, ${renewed}`;
+  const durationText = (x: number | null): string => (x === null ? 'not seen' : `${Math.round(x)} ms`);
+  const renewed = `slowest lease renewed after ${durationText(f.slowestRenewalMs)}, ${f.workersNotRenewed} not renewed`;
+  return `  fault ${f.fault} at ${f.atS.toFixed(0)} s: next start after ${durationText(f.firstStartMs)}, ${renewed}`;
 }
 
-const kindsOf = ({ writesByKind }: PlatformCounts): string =>
+const writesByKindText = ({ writesByKind }: PlatformCounts): string =>
   Object.entries(writesByKind)
     .sort(([, a], [, b]) => b - a)
     .map(([kind, count]) => `${kind} ${count}`)
     .join(', ');
 
 /** The figures of a cell as lines for a person. */
-export function tableOf(f: CellFigures): string[] {
+export function figuresTable(f: CellFigures): string[] {
   const { state } = f;
   return [
     `cell ${f.cell}: ${f.workers} hollow workers, ${f.running} running tasks at the end`,
@@ -153,7 +153,7 @@
     `  reports           ${f.reportsPerS.toFixed(0)} a second, ${f.failedReports} without an answer that counts`,
     `  leases            ${f.expiredLeases} expired, ${f.tasksLostWithLeases} tasks lost with them`,
     `  state service     ${state.requestsPerS.toFixed(1)} requests/s, ${state.writesPerS.toFixed(1)} writes/s, ${state.writesPerStart.toFixed(3)} a start; refused ${state.refusedRequests} requests, ${state.refusedWrites} writes; ${state.keys} keys`,
-    `  writes by kind    ${kindsOf(state)}`,
+    `  writes by kind    ${writesByKindText(state)}`,
     `  ${'process'.padEnd(14)}${['cores', 'MB', 'KB/s in', 'KB/s out', 'files'].map((h) => h.padStart(9)).join('')}`,
     ...f.processes.map(processLine),
     `  generators' own lag: p99 ${f.generatorLagP99Ms.toFixed(0)} ms, max ${f.generatorLagMaxMs.toFixed(0)} ms`,
--- a/scale/main.ts
+++ b/scale/main.ts
@@ -1,17 +1,17 @@
 /** `npm run scale`: the controllers at the planned size, on this machine. */
 import { writeFileSync } from 'node:fs';
-import { tableOf } from './figures.js';
+import { figuresTable } from './figures.js';
 import { parseOptions, ScaleError } from './options.js';
-import { play } from './run.js';
+import { runScale } from './run.js';
 
-const say = (line: string): void => void process.stdout.write(`${line}\n`);
+const printLine = (line: string): void => void process.stdout.write(`${line}\n`);
 
 try {
   const options = parseOptions(process.argv.slice(2));
-  const result = await play(options, say);
-  for (const cell of result.cells) for (const line of tableOf(cell)) say(line);
+  const result = await runScale(options, printLine);
+  for (const cell of result.cells) for (const line of figuresTable(cell)) printLine(line);
   if (options.json !== null) writeFileSync(options.json, `${JSON.stringify(result, null, 1)}\n`);
-  say(result.ok ? 'no rule broken' : 'FAILED: a rule was broken, or a controller ended by itself');
+  printLine(result.ok ? 'no rule broken' : 'FAILED: a rule was broken, or a controller ended by itself');
   process.exit(result.ok ? 0 : 1);
 } catch (e) {
   if (!(e instanceof ScaleError)) throw e;
--- a/scale/measurements.ts
+++ b/scale/measurements.ts
@@ -1,5 +1,5 @@
 /** What is measured of a cell: latencies by the events of users and workers, counts between two moments, faults. */
-import { Latency, processFigures, type CellFigures, type FaultFigures } from './figures.js';
+import { LatencyHistogram, processFigures, type CellFigures, type FaultFigures } from './figures.js';
 import { isUrgentJob } from './jobs.js';
 import {
   now,
@@ -9,12 +9,12 @@
   type UserEvent,
   type WorkerCounts,
 } from './messages.js';
-import type { ProcessUse } from './processes.js';
+import type { ProcessUsage } from './processes.js';
 
 /** What was counted up to a moment. */
 export interface CountsReading {
   at: number;
-  uses: Map<string, ProcessUse>;
+  usages: Map<string, ProcessUsage>;
   workers: WorkerCounts;
   platform: PlatformCounts;
 }
@@ -34,22 +34,29 @@
   violations: string[];
 }
 
-interface OpenFault {
+interface MeasuredFault {
   figures: FaultFigures;
   at: number;
   workers: number;
 }
 
 /** How much each count has grown. */
-const difference = (after: Record<string, number>, before: Record<string, number>): Record<string, number> =>
+const countIncreases = (
+  after: Record<string, number>,
+  before: Record<string, number>,
+): Record<string, number> =>
   Object.fromEntries(Object.entries(after).map(([key, count]) => [key, count - (before[key] ?? 0)]));
 
 /** Latencies, counts and faults of one cell. Events count only between `begin` and `end`. */
 export class CellMeasurements {
-  private readonly submit = new Latency();
-  private readonly urgentStart = new Latency();
-  private readonly cancel = new Latency();
-  private readonly urgentSteps = { accepted: new Latency(), placed: new Latency(), started: new Latency() };
+  private readonly submit = new LatencyHistogram();
+  private readonly urgentStart = new LatencyHistogram();
+  private readonly cancel = new LatencyHistogram();
+  private readonly urgentSteps = {
+    accepted: new LatencyHistogram(),
+    placed: new LatencyHistogram(),
+    started: new LatencyHistogram(),
+  };
   /** When urgent jobs that have not begun were submitted, and their first placement was stored. */
   private readonly urgentSubmittedAt = new Map<string, number>();
   private readonly urgentPlacedAt = new Map<string, number>();
@@ -60,7 +67,7 @@
   private readonly lag: GeneratorLag = { p99Ms: 0, maxMs: 0 };
   private before: StartsReading | null = null;
   private after: StartsReading | null = null;
-  private readonly faults: OpenFault[] = [];
+  private readonly faults: MeasuredFault[] = [];
 
   /** Measuring begins. */
   begin(counts: CountsReading): void {
@@ -182,7 +189,7 @@
     const writes = after.platform.writes - before.platform.writes;
     return {
       ...after.platform,
-      writesByKind: difference(after.platform.writesByKind, before.platform.writesByKind),
+      writesByKind: countIncreases(after.platform.writesByKind, before.platform.writesByKind),
       refusedRequests: after.platform.refusedRequests - before.platform.refusedRequests,
       refusedWrites: after.platform.refusedWrites - before.platform.refusedWrites,
       requestsPerS: (after.platform.requests - before.platform.requests) / seconds,
@@ -197,8 +204,8 @@
     seconds: number,
     owner: string | null,
   ): CellFigures['processes'] {
-    return [...after.uses].flatMap(([name, use]) => {
-      const first = before.uses.get(name);
+    return [...after.usages].flatMap(([name, use]) => {
+      const first = before.usages.get(name);
       if (!first) return [];
       return [processFigures(name === owner ? `${name} owner` : name, first, use, seconds)];
     });
--- a/scale/messages.ts
+++ b/scale/messages.ts
@@ -130,7 +130,7 @@
 }
 
 /** Of a process that has done nothing yet. */
-export const noWorkers: WorkerCounts = {
+export const zeroWorkerCounts: WorkerCounts = {
   workers: 0,
   running: 0,
   reports: 0,
--- a/scale/options.ts
+++ b/scale/options.ts
@@ -28,19 +28,19 @@
 }
 
 /** Running tasks of a worker, as the operators plan them; the CPUs that are left are for what comes and goes. */
-export const tasksOfWorker = 27;
+export const tasksPerWorker = 27;
 /** CPUs of each hollow worker's machine. */
-export const cpusOfWorker = 30;
+export const cpusPerWorker = 30;
 /** How many hollow workers one process holds. */
-export const workersInProcess = 1500;
+export const workersPerProcess = 1500;
 /** Controllers of each cell. */
-export const controllersInCell = 3;
+export const controllersPerCell = 3;
 
 const maxProcesses = 200;
 const maxMemoryMb = 12 * 1024;
-const memoryShare = 0.5;
-const socketsOfWorker = 2;
-const spareFiles = 200;
+const usableMemoryShare = 0.5;
+const socketsPerWorker = 2;
+const reservedOpenFiles = 200;
 /** Resident memory, MB: of a process with nothing to do, and of a hollow worker or a controller for each worker. */
 const memoryMb = { process: 90, hollowWorker: 0.12, controllerPerWorker: 0.1 };
 
@@ -109,41 +109,42 @@
 }
 
 /** How many processes of hollow workers a run needs for each cell. */
-export const workerProcesses = (options: ScaleOptions): number =>
-  Math.ceil(options.workers / workersInProcess);
+export const workerProcessCount = (options: ScaleOptions): number =>
+  Math.ceil(options.workers / workersPerProcess);
 
 /** What a machine offers to a run. */
-export interface MachineRoom {
+export interface MachineCapacity {
   openFiles: number;
   memoryMb: number;
 }
 
 /** What this machine can hold. */
-export function machineCapacity(): MachineRoom {
+export function machineCapacity(): MachineCapacity {
   const line = /^Max open files\s+(\d+)/m.exec(readFileSync('/proc/self/limits', 'utf8'));
   const mb = 1024 * 1024;
-  const free = Math.min(freemem() / mb, (totalmem() / mb) * memoryShare, maxMemoryMb);
+  const free = Math.min(freemem() / mb, (totalmem() / mb) * usableMemoryShare, maxMemoryMb);
   return { openFiles: line ? Number(line[1]) : 1024, memoryMb: free };
 }
 
 /** Throws if a run does not fit into what there is. */
-export function checkRoom(options: ScaleOptions, room: MachineRoom): void {
+export function checkCapacity(options: ScaleOptions, capacity: MachineCapacity): void {
   const { workers, cells } = options;
-  const processes = 1 + cells * (2 + controllersInCell + workerProcesses(options));
+  const processes = 1 + cells * (2 + controllersPerCell + workerProcessCount(options));
   if (processes > maxProcesses)
     throw new ScaleError(
       `${processes} processes are needed, ${maxProcesses} are allowed: ask for fewer cells`,
     );
-  const files = Math.max(workers, Math.min(workers, workersInProcess) * socketsOfWorker) + spareFiles;
-  if (files > room.openFiles)
+  const files =
+    Math.max(workers, Math.min(workers, workersPerProcess) * socketsPerWorker) + reservedOpenFiles;
+  if (files > capacity.openFiles)
     throw new ScaleError(
-      `a process needs ${files} open files, ${room.openFiles} are allowed: ask for fewer workers`,
+      `a process needs ${files} open files, ${capacity.openFiles} are allowed: ask for fewer workers`,
     );
-  const controllersMb = controllersInCell * (memoryMb.process + workers * memoryMb.controllerPerWorker);
-  const generatorsMb = (2 + workerProcesses(options)) * memoryMb.process + workers * memoryMb.hollowWorker;
+  const controllersMb = controllersPerCell * (memoryMb.process + workers * memoryMb.controllerPerWorker);
+  const generatorsMb = (2 + workerProcessCount(options)) * memoryMb.process + workers * memoryMb.hollowWorker;
   const neededMb = Math.ceil(memoryMb.process + cells * (controllersMb + generatorsMb));
-  if (neededMb > room.memoryMb)
+  if (neededMb > capacity.memoryMb)
     throw new ScaleError(
-      `some ${neededMb} MB are needed, ${Math.floor(room.memoryMb)} MB may be used: ask for fewer workers or cells`,
+      `some ${neededMb} MB are needed, ${Math.floor(capacity.memoryMb)} MB may be used: ask for fewer workers or cells`,
     );
 }
--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -3,18 +3,18 @@
 import type { AddressInfo } from 'node:net';
 import { leaderKey, legacyLeaderKey, shardKey } from '../src/core/storage/index.js';
 import { seededRandom } from '../src/retry/index.js';
-import { lagMeter, listenToParent, tellParent } from './child.js';
+import { lagMeter, listenToParent, sendToParent } from './child.js';
 import { SimulatedCloud } from './cloud.js';
 import type { FromPlatform, PlatformStart, ToPlatform } from './messages.js';
 import { SimulatedStateService } from './state-service.js';
 
 const addressOf = (server: Server): string => `127.0.0.1:${(server.address() as AddressInfo).port}`;
 
-const tellPlaced = (job: string, at: number): void =>
-  tellParent<FromPlatform>({ kind: 'placed', jobs: [[job, at]] });
+const reportPlacement = (job: string, at: number): void =>
+  sendToParent<FromPlatform>({ kind: 'placed', jobs: [[job, at]] });
 
 class Platform {
-  private readonly removals = new Map<number, () => void>();
+  private readonly pendingRemovals = new Map<number, () => void>();
   private removalCount = 0;
   private readonly lag = lagMeter();
 
@@ -24,22 +24,22 @@
   ) {}
 
   static async start(options: PlatformStart): Promise<Platform> {
-    const platform = new Platform(await SimulatedStateService.start(options, tellPlaced), null);
+    const platform = new Platform(await SimulatedStateService.start(options, reportPlacement), null);
     const cloud = new SimulatedCloud(options, seededRandom(options.seed + 1), {
-      booted: (machine) => tellParent<FromPlatform>({ kind: 'booted', machines: [machine] }),
-      removeMachines: (hosts) => platform.remove(hosts),
+      booted: (machine) => sendToParent<FromPlatform>({ kind: 'booted', machines: [machine] }),
+      removeMachines: (hosts) => platform.requestRemoval(hosts),
     });
     platform.cloud = cloud;
     await new Promise<void>((resolve) => cloud.server.listen(0, '127.0.0.1', () => resolve()));
     const [state, address] = [addressOf(platform.state.server), addressOf(cloud.server)];
-    tellParent<FromPlatform>({ kind: 'ready', state, cloud: address });
+    sendToParent<FromPlatform>({ kind: 'ready', state, cloud: address });
     return platform;
   }
 
-  private remove(hosts: string[]): Promise<void> {
+  private requestRemoval(hosts: string[]): Promise<void> {
     const request = ++this.removalCount;
-    tellParent<FromPlatform>({ kind: 'remove', request, hosts });
-    return new Promise((resolve) => this.removals.set(request, resolve));
+    sendToParent<FromPlatform>({ kind: 'remove', request, hosts });
+    return new Promise((resolve) => this.pendingRemovals.set(request, resolve));
   }
 
   receive(message: Exclude<ToPlatform, PlatformStart>): void {
@@ -48,8 +48,8 @@
         for (const [host, endpoint] of message.endpoints) this.cloud!.workerListening(host, endpoint);
         break;
       case 'removed':
-        this.removals.get(message.request)?.();
-        this.removals.delete(message.request);
+        this.pendingRemovals.get(message.request)?.();
+        this.pendingRemovals.delete(message.request);
         break;
       case 'died':
         for (const host of message.hosts) this.cloud!.machineDied(host);
@@ -58,7 +58,7 @@
         this.state.beginOutage(message.durationMs);
         break;
       case 'report':
-        tellParent<FromPlatform>({
+        sendToParent<FromPlatform>({
           kind: 'status',
           counts: this.state.counts,
           owner: this.state.read(shardKey(0), 'owner'),
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -40,7 +40,7 @@
 }
 
 /** How the deploy file runs a controller: the arguments of Node.js before the program's own. */
-export function deployedFlags(deployFile: string): string[] {
+export function deployedNodeFlags(deployFile: string): string[] {
   const { run } = parse(readFileSync(deployFile, 'utf8')) as { run: string };
   const words = run.split(' ');
   return words.slice(1, words.indexOf('target/main.js'));
@@ -50,7 +50,7 @@
 export class ControllerProcess {
   private child: ChildProcess | null = null;
   /** What its earlier processes have used. */
-  private usedBefore: ProcessUse | null = null;
+  private earlierUsage: ProcessUsage | null = null;
   /** It ended although nobody asked it to. */
   unexpectedEnds = 0;
 
@@ -72,33 +72,33 @@
   }
 
   /** What all its processes have used together. */
-  get use(): ProcessUse | null {
-    return together(this.usedBefore, useOf(this.child?.pid ?? null));
+  get usage(): ProcessUsage | null {
+    return combinedUsage(this.earlierUsage, readProcessUsage(this.child?.pid ?? null));
   }
 
   kill(): void {
     const { child } = this;
-    this.usedBefore = this.use;
+    this.earlierUsage = this.usage;
     this.child = null;
     child?.kill('SIGKILL');
   }
 
   /** Asks it to leave in order; resolves when it is gone. */
-  async leave(patienceMs: number): Promise<void> {
+  async shutDown(timeoutMs: number): Promise<void> {
     const { child } = this;
-    this.usedBefore = this.use;
+    this.earlierUsage = this.usage;
     this.child = null;
     if (!child) return;
-    const gone = new Promise<void>((resolve) => child.once('exit', () => resolve()));
+    const exited = new Promise<void>((resolve) => child.once('exit', () => resolve()));
     child.kill('SIGTERM');
-    const timer = setTimeout(() => child.kill('SIGKILL'), patienceMs);
-    await gone;
+    const timer = setTimeout(() => child.kill('SIGKILL'), timeoutMs);
+    await exited;
     clearTimeout(timer);
   }
 }
 
 /** What a process has used of the machine since it began. */
-export interface ProcessUse {
+export interface ProcessUsage {
   cpuS: number;
   residentMb: number;
   bytesIn: number;
@@ -107,7 +107,7 @@
 }
 
 /** What one process after another has used; what the last holds. */
-function together(before: ProcessUse | null, last: ProcessUse | null): ProcessUse | null {
+function combinedUsage(before: ProcessUsage | null, last: ProcessUsage | null): ProcessUsage | null {
   if (!before || !last) return last ?? before;
   return {
     ...last,
@@ -118,19 +118,19 @@
 }
 
 /** What a process has used so far; null: it is gone. */
-export function useOf(pid: number | null): ProcessUse | null {
+export function readProcessUsage(pid: number | null): ProcessUsage | null {
   if (pid === null) return null;
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
     // Behind the name, which may hold spaces: user and system time are the fields 14 and 15 of the line.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const io = readFileSync(`/proc/${pid}/io`, 'utf8');
-    const counted = (name: string): number => Number(new RegExp(`^${name}: (\\d+)`, 'm').exec(io)![1]);
+    const ioCounter = (name: string): number => Number(new RegExp(`^${name}: (\\d+)`, 'm').exec(io)![1]);
     return {
       cpuS: (Number(fields[11]) + Number(fields[12])) / ticksPerS,
       residentMb: (Number(fields[21]) * pageBytes) / mb,
-      bytesIn: counted('rchar'),
-      bytesOut: counted('wchar'),
+      bytesIn: ioCounter('rchar'),
+      bytesOut: ioCounter('wchar'),
       openFiles: readdirSync(`/proc/${pid}/fd`).length,
     };
   } catch {
--- a/scale/rules.ts
+++ b/scale/rules.ts
@@ -19,7 +19,7 @@
   cpusOfTeam: ReadonlyMap<string, number>;
 }
 
-interface JobWatch {
+interface TrackedJob {
   team: string;
   tasks: number;
   cpus: number;
@@ -38,7 +38,7 @@
 /** Takes events in the order of their times. */
 export class RuleChecker {
   readonly violations: Violation[] = [];
-  private readonly jobs = new Map<string, JobWatch>();
+  private readonly jobs = new Map<string, TrackedJob>();
   private readonly cpusUsed = new Map<string, number>();
   /** Cancelled jobs of which something is still on a machine. */
   private readonly cancelled = new Set<string>();
@@ -48,9 +48,9 @@
   /** A task started or ended on a machine. */
   onTaskEvent(event: TaskEvent): void {
     const job = this.jobs.get(event.job);
-    const piece = `${event.job}/${event.index}`;
-    if (!job) return this.recordViolation('invented', event.at, `${piece} started, which nobody submitted`);
-    if (event.what === 'on') this.start(job, piece, event);
+    const taskId = `${event.job}/${event.index}`;
+    if (!job) return this.recordViolation('invented', event.at, `${taskId} started, which nobody submitted`);
+    if (event.what === 'on') this.startTask(job, taskId, event);
     else if (event.what === 'done') job.done.add(event.index);
     else if (job.placed.get(event.index) === event.host) {
       job.placed.delete(event.index);
@@ -58,16 +58,16 @@
     }
   }
 
-  private start(job: JobWatch, piece: string, { at, host, index }: TaskEvent): void {
+  private startTask(job: TrackedJob, taskId: string, { at, host, index }: TaskEvent): void {
     const other = job.placed.get(index);
-    if (other !== undefined) this.recordViolation('ran_twice', at, `${piece} on ${host} while on ${other}`);
+    if (other !== undefined) this.recordViolation('ran_twice', at, `${taskId} on ${host} while on ${other}`);
     else this.addUsage(job, job.cpus);
     job.placed.set(index, host);
     const used = this.cpusUsed.get(job.team) ?? 0;
     const cpuLimit = this.limits.cpusOfTeam.get(job.team);
     if (cpuLimit !== undefined && used > cpuLimit + roundingError)
       this.recordViolation('quota', at, `${job.team} uses ${used} of ${cpuLimit} CPUs`);
-    this.checkCancelled(piece, job, at);
+    this.checkCancelled(taskId, job, at);
   }
 
   /** A user submitted a job or was answered. */
@@ -88,7 +88,7 @@
     }
   }
 
-  private onStatus(id: string, job: JobWatch, status: string, at: number): void {
+  private onStatus(id: string, job: TrackedJob, status: string, at: number): void {
     if (status === 'unknown' && job.accepted)
       this.recordViolation('forgotten', at, `${id} was accepted, is unknown`);
     if (status.startsWith('refused')) this.recordViolation('refused', at, `${id} is valid, got ${status}`);
@@ -113,7 +113,7 @@
     }
   }
 
-  private checkCancelled(name: string, job: JobWatch, at: number): void {
+  private checkCancelled(name: string, job: TrackedJob, at: number): void {
     if (job.cancelledAt === null || at - job.cancelledAt <= this.limits.cancelS * 1000) return;
     const lateS = (at - job.cancelledAt) / 1000;
     this.recordViolation(
@@ -123,7 +123,7 @@
     );
   }
 
-  private addUsage(job: JobWatch, cpus: number): void {
+  private addUsage(job: TrackedJob, cpus: number): void {
     this.cpusUsed.set(job.team, (this.cpusUsed.get(job.team) ?? 0) + cpus);
   }
 
@@ -133,7 +133,7 @@
 }
 
 /** Puts events of several processes in the order of their times: each is held until no earlier one can come any more. */
-export class EventOrder<Event extends { at: number }> {
+export class EventReorderBuffer<Event extends { at: number }> {
   private buffered: Event[] = [];
 
   /** `delayMs`: no process sends an event later than this after its time. */
@@ -148,7 +148,7 @@
   take(now: number): Event[] {
     const until = now - this.delayMs;
     this.buffered.sort((a, b) => a.at - b.at);
-    const firstYounger = this.buffered.findIndex((event) => event.at > until);
-    return this.buffered.splice(0, firstYounger < 0 ? this.buffered.length : firstYounger);
+    const firstTooRecent = this.buffered.findIndex((event) => event.at > until);
+    return this.buffered.splice(0, firstTooRecent < 0 ? this.buffered.length : firstTooRecent);
   }
 }
--- a/scale/run.ts
+++ b/scale/run.ts
@@ -3,11 +3,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { Cell } from './cell.js';
-import { playFault } from './faults.js';
+import { injectFault } from './faults.js';
 import type { CellFigures } from './figures.js';
-import { checkRoom, machineCapacity, type ScaleOptions } from './options.js';
+import { checkCapacity, machineCapacity, type ScaleOptions } from './options.js';
 
-const progressEveryMs = 5000;
+const progressIntervalMs = 5000;
 
 /** The outcome of a whole run. */
 export interface RunResult {
@@ -19,31 +19,34 @@
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-async function playFaults(cell: Cell, options: ScaleOptions): Promise<void> {
-  for (const fault of options.faults) await playFault(cell, fault, options.seconds);
+async function injectFaults(cell: Cell, options: ScaleOptions): Promise<void> {
+  for (const fault of options.faults) await injectFault(cell, fault, options.seconds);
 }
 
 /** Plays a run; whatever becomes of it, its processes are ended. `say` gets a line now and then. */
-export async function play(options: ScaleOptions, say: (line: string) => void): Promise<RunResult> {
-  checkRoom(options, machineCapacity());
+export async function runScale(options: ScaleOptions, printLine: (line: string) => void): Promise<RunResult> {
+  checkCapacity(options, machineCapacity());
   const directory = mkdtempSync(join(tmpdir(), 'dapplepick-scale-'));
   const cells = Array.from(
     { length: options.cells },
     (_, i) => new Cell(i, options, join(directory, `cell-${i}`)),
   );
   const stopAll = (): void => cells.forEach((cell) => cell.stop());
-  const interrupted = (): never => {
+  const stopOnSignal = (): never => {
     stopAll();
     process.exit(1);
   };
-  process.once('SIGINT', interrupted).once('SIGTERM', interrupted);
-  const from = performance.now();
-  const progress = setInterval(() => say(progressLine(cells, performance.now() - from)), progressEveryMs);
+  process.once('SIGINT', stopOnSignal).once('SIGTERM', stopOnSignal);
+  const startedAt = performance.now();
+  const progress = setInterval(
+    () => printLine(progressLine(cells, performance.now() - startedAt)),
+    progressIntervalMs,
+  );
   try {
     await Promise.all(cells.map((cell) => cell.start()));
     await pause(cells[0].settlingMs);
     for (const cell of cells) cell.beginMeasuring();
-    await Promise.all([pause(options.seconds * 1000), ...cells.map((cell) => playFaults(cell, options))]);
+    await Promise.all([pause(options.seconds * 1000), ...cells.map((cell) => injectFaults(cell, options))]);
     for (const cell of cells) cell.endMeasuring();
     await Promise.all(cells.map((cell) => cell.settle()));
     const figures = cells.map((cell) => cell.figures());
@@ -51,9 +54,9 @@
     return { options, cells: figures, ok };
   } finally {
     clearInterval(progress);
-    process.off('SIGINT', interrupted).off('SIGTERM', interrupted);
+    process.off('SIGINT', stopOnSignal).off('SIGTERM', stopOnSignal);
     stopAll();
-    if (options.keepLogs) say(`logs: ${directory}`);
+    if (options.keepLogs) printLine(`logs: ${directory}`);
     else rmSync(directory, { recursive: true, force: true, maxRetries: 5 });
   }
 }
--- a/scale/settings.ts
+++ b/scale/settings.ts
@@ -1,6 +1,6 @@
 /** The settings file of a controller, as the platform writes it. */
 import { stringify } from 'smol-toml';
-import { cpusOfWorker, type ScaleOptions } from './options.js';
+import { cpusPerWorker, type ScaleOptions } from './options.js';
 import type { WorkerLimits } from './messages.js';
 
 /** The zones of a cell. */
@@ -16,15 +16,15 @@
   { kind: 'wait', class: 'urgent', within_s: 3.5, share: 0.99 },
   { kind: 'wait', class: 'batch', within_s: 15, share: 0.9 },
 ];
-const gang = { gang_wait_s: 30, gang_peer_s: 5 };
-const descriptors = 20_000;
+const gangTimeouts = { gang_wait_s: 30, gang_peer_s: 5 };
+const fileDescriptorLimit = 20_000;
 const timeBoundMs = 100;
 
 /** Teams of a region: the operators have 140 in 8. */
 const teamCount = 18;
 /** What a team may borrow, as a multiple of an equal part; the first has little more than its part, so that it meets its limit. */
-const usualLimit = 3;
-const tightLimit = 1.1;
+const usualLimitFactor = 3;
+const tightLimitFactor = 1.1;
 const guaranteeShare = 0.8;
 
 /** A team of the controllers' settings file. */
@@ -38,11 +38,11 @@
 
 /** The teams of a run; their limits leave room for its load. */
 export function teamsOf({ workers }: ScaleOptions): Team[] {
-  const part = (workers * cpusOfWorker) / teamCount;
+  const equalShare = (workers * cpusPerWorker) / teamCount;
   return Array.from({ length: teamCount }, (_, i) => ({
     name: `team-${i}`,
-    cpus: part * guaranteeShare,
-    cpus_max: part * (i === 0 ? tightLimit : usualLimit),
+    cpus: equalShare * guaranteeShare,
+    cpus_max: equalShare * (i === 0 ? tightLimitFactor : usualLimitFactor),
     gpus: 0,
     gpus_max: 0,
   }));
@@ -85,10 +85,10 @@
       time_bound_ms: timeBoundMs,
       teams: teamsOf(options),
       objectives,
-      workers: { report_s: reportS, lease_s: leaseS, cancel_s: cancelS, ...gang },
+      workers: { report_s: reportS, lease_s: leaseS, cancel_s: cancelS, ...gangTimeouts },
       state: { rps: options.requestsPerS, write_rps: options.writesPerS, ...stateSizes },
       cloud: cloudLimits,
-      quota: { cores: 1, mem_mb: options.memoryMb, fd_limit: descriptors },
+      quota: { cores: 1, mem_mb: options.memoryMb, fd_limit: fileDescriptorLimit },
     },
   });
 }
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -65,7 +65,7 @@
     private readonly limits: PlatformStart,
     private readonly random: Random,
     /** Told of an urgent job's first placement. */
-    private readonly placed: (job: string, at: number) => void,
+    private readonly onPlacement: (job: string, at: number) => void,
   ) {
     this.requests = new TokenBucket(limits.requestsPerS);
     this.writes = new TokenBucket(limits.writesPerS);
@@ -96,20 +96,20 @@
     }
     this.counts.writes += txn.writes.length;
     this.counts.bytesWritten += sizes.reduce((sum, size) => sum + size, 0);
-    for (const write of txn.writes) this.note(write);
+    for (const write of txn.writes) this.countWrite(write);
     return null;
   }
 
-  private note(write: Write): void {
+  private countWrite(write: Write): void {
     const { kind, placed } = purposeOf(write, this.stored);
     this.counts.writesByKind[kind] = (this.counts.writesByKind[kind] ?? 0) + 1;
-    for (const job of placed) if (isUrgentJob(job)) this.placed(job, now());
+    for (const job of placed) if (isUrgentJob(job)) this.onPlacement(job, now());
   }
 }
 
 /** A state service in memory that speaks the protocol, with its limits of requests and writes, and outages. */
 export class SimulatedStateService {
-  private frozenAt: number | null = null;
+  private clockStoppedAt: number | null = null;
 
   private constructor(
     private readonly engine: Engine,
@@ -123,9 +123,9 @@
   ): Promise<SimulatedStateService> {
     const gate = new LimitedGate(limits, seededRandom(limits.seed), placed);
     const holder: { service: SimulatedStateService | null } = { service: null };
-    const clock = (): number => holder.service?.frozenAt ?? performance.now();
-    const quiet = (): void => undefined;
-    const engine = await Engine.open(memoryDisk, quiet, quiet, clock);
+    const clock = (): number => holder.service?.clockStoppedAt ?? performance.now();
+    const ignore = (): void => undefined;
+    const engine = await Engine.open(memoryDisk, ignore, ignore, clock);
     const service = new SimulatedStateService(engine, gate, storeServer(engine, '', gate));
     holder.service = service;
     await new Promise<void>((resolve) => service.server.listen(0, '127.0.0.1', () => resolve()));
@@ -135,9 +135,9 @@
   /** Refuses everything for a while. No lease ends meanwhile, and each has its full time again afterwards. */
   beginOutage(durationMs: number): void {
     this.gate.outage = true;
-    this.frozenAt = performance.now();
+    this.clockStoppedAt = performance.now();
     setTimeout(() => {
-      this.frozenAt = null;
+      this.clockStoppedAt = null;
       this.engine.renewAll();
       this.gate.outage = false;
     }, durationMs);
--- a/scale/users.ts
+++ b/scale/users.ts
@@ -3,27 +3,27 @@
 import { requestJson, type JsonResponse } from '../src/net/client.js';
 import { seededRandom, type Random } from '../src/retry/index.js';
 import { jobPath, defaultSubmission, cancelSuffix } from '../src/wire/user.js';
-import { lagMeter, listenToParent, tellParent } from './child.js';
+import { lagMeter, listenToParent, sendToParent } from './child.js';
 import { jobId, type JobKind } from './jobs.js';
 import { now, type FromUsers, type ToUsers, type UserEvent, type UsersStart } from './messages.js';
 
-const submitPatienceMs = 5000;
-const pollPatienceMs = 2000;
-const pollEveryMs = 5000;
+const submitTimeoutMs = 5000;
+const pollTimeoutMs = 2000;
+const pollIntervalMs = 5000;
 const retryAfterMs = 1000;
 const giveUpAfterMs = 60_000;
-const sendEventsEveryMs = 100;
-const probeEveryMs = 1000;
-const beatMs = 10;
+const sendEventsIntervalMs = 100;
+const probeIntervalMs = 1000;
+const arrivalCheckIntervalMs = 10;
 /** The initial load comes in jobs of so many tasks at most. */
-const initialJobTasks = 2000;
-const urgentTasks = 1;
+const maxInitialJobTasks = 2000;
+const tasksPerUrgentJob = 1;
 const cancelAfterMs = { least: 5000, most: 20_000 };
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 /** What a load balancer does for users, as far as a run needs it: connections go to controllers that are healthy. */
-class Balancer {
+class LoadBalancer {
   private readonly healthy: boolean[];
   private readonly agent = new Agent({ keepAlive: true });
 
@@ -32,7 +32,7 @@
     private readonly random: Random,
   ) {
     this.healthy = addresses.map(() => true);
-    setInterval(() => void this.probe(), probeEveryMs);
+    setInterval(() => void this.probe(), probeIntervalMs);
   }
 
   async call(
@@ -42,15 +42,15 @@
     patienceMs: number,
   ): Promise<JsonResponse | null> {
     const candidates = this.addresses.filter((_, i) => this.healthy[i]);
-    const open = candidates.length > 0 ? candidates : this.addresses;
-    const address = open[Math.floor(this.random() * open.length)];
+    const targets = candidates.length > 0 ? candidates : this.addresses;
+    const address = targets[Math.floor(this.random() * targets.length)];
     return requestJson(this.agent, address, method, path, body, patienceMs);
   }
 
   private async probe(): Promise<void> {
     await Promise.all(
       this.addresses.map(async (address, i) => {
-        const reply = await requestJson(this.agent, address, 'GET', '/healthz', null, probeEveryMs);
+        const reply = await requestJson(this.agent, address, 'GET', '/healthz', null, probeIntervalMs);
         this.healthy[i] = reply?.status === 200;
       }),
     );
@@ -59,60 +59,61 @@
 
 class UsersProcess {
   private readonly random: Random;
-  private readonly balancer: Balancer;
+  private readonly balancer: LoadBalancer;
   private events: UserEvent[] = [];
   private readonly counts = { requests: 0, unavailable: 0, openJobs: 0 };
-  private readonly numbers: Record<JobKind, number> = { initial: 0, usual: 0, urgent: 0 };
+  private readonly lastNumbers: Record<JobKind, number> = { initial: 0, usual: 0, urgent: 0 };
   private submitting = true;
   private readonly lag = lagMeter();
 
   constructor(private readonly options: UsersStart) {
     this.random = seededRandom(options.seed);
-    this.balancer = new Balancer(
+    this.balancer = new LoadBalancer(
       options.controllers.map(([, address]) => address),
       this.random,
     );
-    setInterval(() => this.sendEvents(), sendEventsEveryMs);
-    tellParent<FromUsers>({ kind: 'ready' });
+    setInterval(() => this.sendEvents(), sendEventsIntervalMs);
+    sendToParent<FromUsers>({ kind: 'ready' });
     this.submitInitial();
-    this.arrive('usual', options.startsPerS / options.tasksPerJob, options.tasksPerJob);
-    if (options.urgentPerS > 0) this.arrive('urgent', options.urgentPerS, urgentTasks);
+    this.startArrivals('usual', options.startsPerS / options.tasksPerJob, options.tasksPerJob);
+    if (options.urgentPerS > 0) this.startArrivals('urgent', options.urgentPerS, tasksPerUrgentJob);
   }
 
   receive(message: Exclude<ToUsers, UsersStart>): void {
     if (message.kind === 'stop-submitting') this.submitting = false;
-    else tellParent<FromUsers>({ kind: 'status', counts: this.counts, lag: this.lag() });
+    else sendToParent<FromUsers>({ kind: 'status', counts: this.counts, lag: this.lag() });
   }
 
   private sendEvents(): void {
     if (this.events.length === 0) return;
     const { events } = this;
     this.events = [];
-    tellParent<FromUsers>({ kind: 'events', events });
+    sendToParent<FromUsers>({ kind: 'events', events });
   }
 
   /** What runs when the day begins, in jobs of the usual size, though not of more than some thousand tasks. */
   private submitInitial(): void {
     const { tasksPerJob, initialTasks } = this.options;
-    const size = Math.min(initialJobTasks, Math.max(tasksPerJob, Math.ceil(initialTasks / 200)));
-    for (let left = initialTasks; left > 0; left -= size) void this.follow('initial', Math.min(size, left));
+    const size = Math.min(maxInitialJobTasks, Math.max(tasksPerJob, Math.ceil(initialTasks / 200)));
+    for (let left = initialTasks; left > 0; left -= size)
+      void this.simulateJob('initial', Math.min(size, left));
   }
 
   /** Jobs arrive at random at a mean rate. */
-  private arrive(kind: JobKind, perS: number, tasks: number): void {
+  private startArrivals(kind: JobKind, perS: number, tasks: number): void {
     let nextAt = now();
-    const beat = (): void => {
+    const submitDueJobs = (): void => {
       if (!this.submitting) return;
       for (; nextAt <= now(); nextAt += (-Math.log(1 - this.random()) / perS) * 1000)
-        void this.follow(kind, tasks);
-      setTimeout(beat, beatMs);
+        void this.simulateJob(kind, tasks);
+      setTimeout(submitDueJobs, arrivalCheckIntervalMs);
     };
-    beat();
+    submitDueJobs();
   }
 
   /** One job from its submission until it is over. */
-  private async follow(kind: JobKind, tasks: number): Promise<void> {
-    const id = jobId(kind, ++this.numbers[kind]);
+  private async simulateJob(kind: JobKind, tasks: number): Promise<void> {
+    const id = jobId(kind, ++this.lastNumbers[kind]);
     const { teams, estimateS, urgentEstimateS, cancelShare } = this.options;
     const team = teams[Math.floor(this.random() * teams.length)];
     const urgent = kind === 'urgent';
@@ -126,43 +127,43 @@
       pieces: tasks,
       expectS: urgent ? urgentEstimateS : estimateS,
     };
-    this.note({ at: now(), what: 'submitted', job: id, team, tasks, cpus: body.cpus, urgent });
+    this.recordEvent({ at: now(), what: 'submitted', job: id, team, tasks, cpus: body.cpus, urgent });
     this.counts.openJobs++;
     if (await this.submit(id, body)) {
       const cancels = kind === 'usual' && this.random() < cancelShare;
-      if (cancels) setTimeout(() => void this.cancel(id), this.cancelTime());
+      if (cancels) setTimeout(() => void this.cancel(id), this.randomCancelDelayMs());
       await this.pollUntilOver(id);
     }
     this.counts.openJobs--;
   }
 
-  private cancelTime(): number {
+  private randomCancelDelayMs(): number {
     return cancelAfterMs.least + this.random() * (cancelAfterMs.most - cancelAfterMs.least);
   }
 
   private async submit(id: string, body: object): Promise<boolean> {
     const firstAt = now();
     while (now() - firstAt < giveUpAfterMs) {
-      const reply = await this.call('POST', jobPath, body, submitPatienceMs);
+      const reply = await this.call('POST', jobPath, body, submitTimeoutMs);
       if (reply?.status === 201 || reply?.status === 200) {
-        this.note({ at: now(), what: 'accepted', job: id, afterMs: now() - firstAt });
+        this.recordEvent({ at: now(), what: 'accepted', job: id, afterMs: now() - firstAt });
         return true;
       }
-      if (reply?.status === 400 || reply?.status === 422) this.told(id, `refused ${reply.status}`);
+      if (reply?.status === 400 || reply?.status === 422) this.recordStatus(id, `refused ${reply.status}`);
       await pause(retryAfterMs);
     }
-    this.note({ at: now(), what: 'given-up', job: id });
+    this.recordEvent({ at: now(), what: 'given-up', job: id });
     return false;
   }
 
   private async pollUntilOver(id: string): Promise<void> {
     for (;;) {
-      await pause(pollEveryMs);
-      const reply = await this.call('GET', `${jobPath}/${id}`, null, pollPatienceMs);
-      if (reply?.status === 404) this.told(id, 'unknown');
+      await pause(pollIntervalMs);
+      const reply = await this.call('GET', `${jobPath}/${id}`, null, pollTimeoutMs);
+      if (reply?.status === 404) this.recordStatus(id, 'unknown');
       if (reply?.status !== 200) continue;
       const { status } = reply.body as { status: string };
-      this.told(id, status);
+      this.recordStatus(id, status);
       if (status === 'done' || status === 'aborted') return;
     }
   }
@@ -170,11 +171,11 @@
   private async cancel(id: string): Promise<void> {
     const firstAt = now();
     for (;;) {
-      const reply = await this.call('POST', `${jobPath}/${id}/${cancelSuffix}`, {}, submitPatienceMs);
+      const reply = await this.call('POST', `${jobPath}/${id}/${cancelSuffix}`, {}, submitTimeoutMs);
       const status = reply?.status === 200 ? (reply.body as { status: string }).status : null;
       if (status === 'aborted')
-        this.note({ at: now(), what: 'cancelled', job: id, afterMs: now() - firstAt });
-      if (status !== null) return this.told(id, status);
+        this.recordEvent({ at: now(), what: 'cancelled', job: id, afterMs: now() - firstAt });
+      if (status !== null) return this.recordStatus(id, status);
       await pause(retryAfterMs);
     }
   }
@@ -191,11 +192,11 @@
     return reply;
   }
 
-  private told(job: string, status: string): void {
-    this.note({ at: now(), what: 'told', job, status });
+  private recordStatus(job: string, status: string): void {
+    this.recordEvent({ at: now(), what: 'told', job, status });
   }
 
-  private note(event: UserEvent): void {
+  private recordEvent(event: UserEvent): void {
     this.events.push(event);
   }
 }
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -15,11 +15,11 @@
 import { now, type MachineSpec, type TaskEvent, type WorkerCounts, type WorkersStart } from './messages.js';
 import { isInitialJob, isUrgentJob } from './jobs.js';
 
-const answerPatienceMs = 4000;
+const reportTimeoutMs = 4000;
 const minReportIntervalMs = 500;
-const nextNodePauseMs = 1000;
+const nextControllerPauseMs = 1000;
 const redirectPauseMs = 100;
-const reportSpread = 0.25;
+const reportIntervalSpread = 0.25;
 /** Run times vary by this share around the mean. */
 const runTimeSpread = 0.25;
 
@@ -30,34 +30,34 @@
   counts: WorkerCounts;
   emit(event: TaskEvent): void;
   /** A worker's lease was renewed, the first time since the last mark. */
-  renewed(): void;
+  leaseRenewed(): void;
 }
 
 interface RunningTask extends AgentTask {
   /** Counts what the worker has started, so that the timer of a task that is gone does nothing. */
-  start: number;
+  startNumber: number;
 }
 
 /** A worker that reports, keeps its lease and runs tasks as timers only. */
 export class HollowWorker {
   private readonly tasks = new Map<string, RunningTask>();
-  private running = 0;
+  private runningCount = 0;
   private session = 1;
   private sequence = 0;
   private token = 0;
-  private leaseFrom = now();
+  private leaseRenewedAt = now();
   private controller: number;
   private connection: Agent;
   private reporting = false;
-  private changed = false;
+  private hasUnreportedChange = false;
   private lastReportAt = -Infinity;
   private reportTimer: NodeJS.Timeout | null = null;
   private leaseTimer: NodeJS.Timeout | null = null;
-  private starts = 0;
-  private raisedAt = -Infinity;
-  private over = false;
+  private startCount = 0;
+  private tokenRaisedAt = -Infinity;
+  private ended = false;
   /** Its lease has not been renewed since the last mark. */
-  marked = false;
+  renewalPending = false;
 
   constructor(
     readonly machine: MachineSpec,
@@ -74,7 +74,7 @@
 
   /** Ends the worker with all that is on it. */
   end(): void {
-    this.over = true;
+    this.ended = true;
     this.loseTasks(now());
     if (this.reportTimer) clearTimeout(this.reportTimer);
     if (this.leaseTimer) clearTimeout(this.leaseTimer);
@@ -85,15 +85,15 @@
   /** Its process ends and starts again: the tasks are gone, a new session begins. */
   restart(): void {
     this.newSession(now());
-    this.noteChange();
+    this.scheduleChangeReport();
   }
 
   /** Carries out direct commands; the status to answer with. */
-  ordered(token: number | null, session: number | null, orders: TaskOrder[]): 200 | 400 | 409 {
+  executeCommands(token: number | null, session: number | null, orders: TaskOrder[]): 200 | 400 | 409 {
     if (token === null || session === null) return 400;
     if (token < this.token || session !== this.session) return 409;
     this.token = token;
-    for (const order of orders) this.carryOut(order);
+    for (const order of orders) this.execute(order);
     return 200;
   }
 
@@ -121,116 +121,116 @@
 
   private schedule(afterMs: number): void {
     if (this.reportTimer) clearTimeout(this.reportTimer);
-    if (this.over) return;
+    if (this.ended) return;
     this.reportTimer = setTimeout(() => void this.sendReport(), afterMs);
   }
 
   /** A change is reported at once, though not more often than the protocol allows. */
-  private noteChange(): void {
-    this.changed = true;
+  private scheduleChangeReport(): void {
+    this.hasUnreportedChange = true;
     if (!this.reporting) this.schedule(Math.max(0, this.lastReportAt + minReportIntervalMs - now()));
   }
 
   private async sendReport(): Promise<void> {
-    if (this.over || this.reporting) return;
+    if (this.ended || this.reporting) return;
     const { options, counts, random } = this.context;
     this.reporting = true;
-    this.changed = false;
+    this.hasUnreportedChange = false;
     const sentAt = now();
     this.lastReportAt = sentAt;
     const { session } = this;
     const body = this.report();
     counts.reports++;
     const [, address] = options.controllers[this.controller];
-    const reply = await requestJson(this.connection, address, 'POST', '/checkin', body, answerPatienceMs);
+    const reply = await requestJson(this.connection, address, 'POST', '/checkin', body, reportTimeoutMs);
     this.reporting = false;
-    if (this.over) return;
-    const accepted = reply?.status === 200 && this.accept(reply.body, session, sentAt);
+    if (this.ended) return;
+    const accepted = reply?.status === 200 && this.applyResponse(reply.body, session, sentAt);
     if (!accepted) counts.failedReports++;
     if (reply?.status === 200) {
-      const intervalMs = options.limits.reportS * 1000 * (1 + reportSpread * (2 * random() - 1));
-      const afterMs = this.changed ? minReportIntervalMs : intervalMs;
+      const intervalMs = options.limits.reportS * 1000 * (1 + reportIntervalSpread * (2 * random() - 1));
+      const afterMs = this.hasUnreportedChange ? minReportIntervalMs : intervalMs;
       this.schedule(Math.max(0, sentAt + afterMs - now()));
-    } else this.moveOn(reply?.status === 421 ? parseRedirect(reply.body) : null);
+    } else this.switchController(reply?.status === 421 ? parseRedirect(reply.body) : null);
   }
 
   /** Takes an answer in, unless it has to be dropped. */
-  private accept(body: unknown, session: number, sentAt: number): boolean {
+  private applyResponse(body: unknown, session: number, sentAt: number): boolean {
     const answer = parseHeartbeatResponse(body);
     if (!answer || answer.token === null || answer.token < this.token || session !== this.session)
       return false;
     this.raiseToken(answer.token);
-    this.leaseFrom = sentAt;
-    if (this.marked) {
-      this.marked = false;
-      this.context.renewed();
+    this.leaseRenewedAt = sentAt;
+    if (this.renewalPending) {
+      this.renewalPending = false;
+      this.context.leaseRenewed();
     }
-    for (const order of answer.orders) this.carryOut(order);
+    for (const order of answer.orders) this.execute(order);
     return true;
   }
 
   private raiseToken(token: number): void {
     if (token === this.token) return;
     this.token = token;
-    if (now() - this.raisedAt < (this.context.options.limits.leaseS * 1000) / 2) return;
-    this.raisedAt = now();
-    this.noteChange();
+    if (now() - this.tokenRaisedAt < (this.context.options.limits.leaseS * 1000) / 2) return;
+    this.tokenRaisedAt = now();
+    this.scheduleChangeReport();
   }
 
-  private moveOn(owner: string | null): void {
+  private switchController(owner: string | null): void {
     const { controllers } = this.context.options;
-    const named = controllers.findIndex(([member]) => member === owner);
-    const redirected = named >= 0 && named !== this.controller;
-    this.controller = redirected ? named : (this.controller + 1) % controllers.length;
+    const redirectIndex = controllers.findIndex(([member]) => member === owner);
+    const redirected = redirectIndex >= 0 && redirectIndex !== this.controller;
+    this.controller = redirected ? redirectIndex : (this.controller + 1) % controllers.length;
     this.connection.destroy();
     this.connection = this.connect();
-    this.schedule(redirected ? redirectPauseMs : nextNodePauseMs);
+    this.schedule(redirected ? redirectPauseMs : nextControllerPauseMs);
   }
 
   // ---- the lease ----
 
   private watchLease(): void {
     const leaseMs = this.context.options.limits.leaseS * 1000;
-    const endsAt = this.leaseFrom + leaseMs;
+    const endsAt = this.leaseRenewedAt + leaseMs;
     if (now() > endsAt) {
       this.context.counts.expiredLeases++;
-      this.context.counts.tasksLostWithLeases += this.running;
+      this.context.counts.tasksLostWithLeases += this.runningCount;
       this.newSession(endsAt);
-      this.noteChange();
+      this.scheduleChangeReport();
     }
-    const leftMs = this.leaseFrom + leaseMs - now();
+    const leftMs = this.leaseRenewedAt + leaseMs - now();
     this.leaseTimer = setTimeout(() => this.watchLease(), leftMs + 1);
   }
 
   private newSession(at: number): void {
     this.loseTasks(at);
     this.session++;
-    this.leaseFrom = now();
+    this.leaseRenewedAt = now();
   }
 
   private loseTasks(at: number): void {
-    for (const task of this.tasks.values()) if (task.phase === 'running') this.left(task, at);
+    for (const task of this.tasks.values()) if (task.phase === 'running') this.recordTaskLeft(task, at);
     this.tasks.clear();
   }
 
   // ---- tasks ----
 
-  private carryOut(order: TaskOrder): void {
-    const piece = taskKey(order.job, order.index);
-    const task = this.tasks.get(piece);
-    if (order.op === 'start') this.start(piece, order, task);
+  private execute(order: TaskOrder): void {
+    const key = taskKey(order.job, order.index);
+    const task = this.tasks.get(key);
+    if (order.op === 'start') this.startTask(key, order, task);
     else if (!task || task.attempt !== order.attempt) return;
     else if (order.op === 'forget') {
-      if (task.phase === 'exited') this.tasks.delete(piece);
+      if (task.phase === 'exited') this.tasks.delete(key);
     } else if (task.phase === 'running') {
-      this.left(task, now());
+      this.recordTaskLeft(task, now());
       Object.assign(task, { phase: 'exited', why: 'stopped' });
-      this.noteChange();
+      this.scheduleChangeReport();
     }
   }
 
-  private start(piece: string, order: TaskOrder, held: RunningTask | undefined): void {
-    if (held?.attempt === order.attempt) return;
+  private startTask(key: string, order: TaskOrder, existing: RunningTask | undefined): void {
+    if (existing?.attempt === order.attempt) return;
     this.context.counts.orders++;
     const task: RunningTask = {
       job: order.job,
@@ -240,36 +240,36 @@
       why: null,
       saved: false,
       result: null,
-      start: ++this.starts,
+      startNumber: ++this.startCount,
     };
-    this.noteChange();
-    if (held) {
+    this.scheduleChangeReport();
+    if (existing) {
       // Refused: the task is here with another attempt, which stays as it is.
       return;
     }
-    this.tasks.set(piece, task);
-    if (this.running >= this.context.options.cpusOfMachine) {
+    this.tasks.set(key, task);
+    if (this.runningCount >= this.context.options.cpusOfMachine) {
       Object.assign(task, { phase: 'exited', why: 'full' });
       return;
     }
-    this.running++;
+    this.runningCount++;
     this.context.counts.running++;
     this.emit('on', task, now());
-    setTimeout(() => this.complete(piece, task.start), this.runTimeOf(order.job));
+    setTimeout(() => this.complete(key, task.startNumber), this.runTimeOf(order.job));
   }
 
-  private complete(piece: string, start: number): void {
-    const task = this.tasks.get(piece);
-    if (this.over || task?.start !== start || task.phase !== 'running') return;
+  private complete(key: string, startNumber: number): void {
+    const task = this.tasks.get(key);
+    if (this.ended || task?.startNumber !== startNumber || task.phase !== 'running') return;
     const at = now();
     this.emit('done', task, at);
-    this.left(task, at);
+    this.recordTaskLeft(task, at);
     Object.assign(task, { phase: 'exited', why: 'done' });
-    this.noteChange();
+    this.scheduleChangeReport();
   }
 
-  private left(task: RunningTask, at: number): void {
-    this.running--;
+  private recordTaskLeft(task: RunningTask, at: number): void {
+    this.runningCount--;
     this.context.counts.running--;
     this.emit('off', task, at);
   }
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -4,9 +4,9 @@
 import { readJson, sendJson } from '../src/net/json.js';
 import { seededRandom } from '../src/retry/index.js';
 import { parseTaskOrders } from '../src/wire/agent-side.js';
-import { lagMeter, listenToParent, tellParent } from './child.js';
+import { lagMeter, listenToParent, sendToParent } from './child.js';
 import {
-  noWorkers,
+  zeroWorkerCounts,
   now,
   type FromWorkers,
   type MachineSpec,
@@ -17,25 +17,25 @@
 } from './messages.js';
 import { HollowWorker, type WorkerContext } from './worker.js';
 
-const sendEventsEveryMs = 100;
+const sendEventsIntervalMs = 100;
 const maxBodyBytes = 64 * 1024;
 const addressesInBlock = 250;
 
-interface Hosted {
+interface HostedWorker {
   worker: HollowWorker;
   listener: Server;
 }
 
 class WorkersProcess {
-  private readonly hosted = new Map<string, Hosted>();
+  private readonly hostedWorkers = new Map<string, HostedWorker>();
   private readonly byAddress = new Map<string, HollowWorker>();
   private readonly http = createHttpServer((req, res) => void this.serve(req, res));
   private events: TaskEvent[] = [];
-  private addresses = 0;
+  private assignedAddressCount = 0;
   private markedAt = 0;
   private readonly lag = lagMeter();
   private readonly context: WorkerContext;
-  private readonly counts: WorkerCounts = { ...noWorkers };
+  private readonly counts: WorkerCounts = { ...zeroWorkerCounts };
 
   constructor(private readonly options: WorkersStart) {
     this.context = {
@@ -43,13 +43,13 @@
       random: seededRandom(options.seed),
       counts: this.counts,
       emit: (event) => this.events.push(event),
-      renewed: () => {
+      leaseRenewed: () => {
         this.counts.renewedSinceMark++;
         this.counts.slowestRenewalMs = now() - this.markedAt;
       },
     };
-    setInterval(() => this.sendEvents(), sendEventsEveryMs);
-    tellParent<FromWorkers>({ kind: 'ready' });
+    setInterval(() => this.sendEvents(), sendEventsIntervalMs);
+    sendToParent<FromWorkers>({ kind: 'ready' });
   }
 
   receive(message: Exclude<ToWorkers, WorkersStart>): void {
@@ -59,19 +59,19 @@
         break;
       case 'remove':
         this.removeAll(message.hosts);
-        tellParent<FromWorkers>({ kind: 'removed', request: message.request });
+        sendToParent<FromWorkers>({ kind: 'removed', request: message.request });
         break;
       case 'kill':
         this.removeAll(message.hosts);
         break;
       case 'restart':
-        for (const host of message.hosts) this.hosted.get(host)?.worker.restart();
+        for (const host of message.hosts) this.hostedWorkers.get(host)?.worker.restart();
         break;
       case 'mark':
         this.mark();
         break;
       case 'report':
-        tellParent<FromWorkers>({ kind: 'status', counts: this.counts, lag: this.lag() });
+        sendToParent<FromWorkers>({ kind: 'status', counts: this.counts, lag: this.lag() });
         break;
     }
   }
@@ -80,7 +80,7 @@
     this.markedAt = now();
     this.counts.renewedSinceMark = 0;
     this.counts.slowestRenewalMs = 0;
-    for (const { worker } of this.hosted.values()) worker.marked = true;
+    for (const { worker } of this.hostedWorkers.values()) worker.renewalPending = true;
   }
 
   /** Events of a machine that is gone must be on their way before anybody is told that it is gone. */
@@ -90,24 +90,24 @@
   }
 
   private add(machine: MachineSpec): void {
-    const n = this.options.firstAddress + this.addresses++;
+    const n = this.options.firstAddress + this.assignedAddressCount++;
     const address = `127.${this.options.network}.${Math.floor(n / addressesInBlock)}.${1 + (n % addressesInBlock)}`;
     const listener = createServer((socket) => this.http.emit('connection', socket));
     listener.listen(0, address, () => {
       const endpoint = `${address}:${(listener.address() as AddressInfo).port}`;
       const worker = new HollowWorker(machine, address, endpoint, this.context);
-      this.hosted.set(machine.host, { worker, listener });
+      this.hostedWorkers.set(machine.host, { worker, listener });
       this.byAddress.set(address, worker);
-      tellParent<FromWorkers>({ kind: 'listening', endpoints: [[machine.host, endpoint]] });
+      sendToParent<FromWorkers>({ kind: 'listening', endpoints: [[machine.host, endpoint]] });
     });
   }
 
   private remove(host: string): void {
-    const hosted = this.hosted.get(host);
+    const hosted = this.hostedWorkers.get(host);
     if (!hosted) return;
     hosted.worker.end();
     hosted.listener.close();
-    this.hosted.delete(host);
+    this.hostedWorkers.delete(host);
     this.byAddress.delete(hosted.worker.address);
   }
 
@@ -115,7 +115,7 @@
     if (this.events.length === 0) return;
     const { events } = this;
     this.events = [];
-    tellParent<FromWorkers>({ kind: 'events', events });
+    sendToParent<FromWorkers>({ kind: 'events', events });
   }
 
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -123,7 +123,7 @@
     if (!worker) return void res.destroy();
     if (req.url === '/show') return sendJson(res, 200, worker.report());
     const body = parseTaskOrders(await readJson(req, maxBodyBytes));
-    const status = body ? worker.ordered(body.token, body.session, body.orders) : 400;
+    const status = body ? worker.executeCommands(body.token, body.session, body.orders) : 400;
     sendJson(res, status, worker.report());
   }
 }
--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -24,7 +24,8 @@
 }
 
 /** The last attempt that is placed of each task of a record, as text. */
-const placements = (tasks: TaskState | undefined): string[] => (tasks?.p ?? []).map((p) => JSON.stringify(p));
+const placementTexts = (tasks: TaskState | undefined): string[] =>
+  (tasks?.p ?? []).map((p) => JSON.stringify(p));
 
 /** Which placements each record of tasks held when it was last written. */
 export class StoredTasks {
@@ -33,9 +34,9 @@
   /** Whether a record holds placements that it did not hold before. */
   hasNewPlacements(key: string, tasks: TaskState | undefined): boolean {
     const before = this.placed.get(key);
-    const now = placements(tasks);
-    this.placed.set(key, new Set(now));
-    return now.some((p) => !before?.has(p));
+    const after = placementTexts(tasks);
+    this.placed.set(key, new Set(after));
+    return after.some((p) => !before?.has(p));
   }
 
   /** A record was deleted. */
@@ -52,7 +53,7 @@
     return { kind: 'drop', placed: [] };
   }
   if (ref?.kind === 'block' || ref?.kind === 'machine') return { kind: 'machine', placed: [] };
-  if (ref?.kind === 'log') return { kind: 'log', placed: placedByLog(write.data) };
+  if (ref?.kind === 'log') return { kind: 'log', placed: jobsPlacedByLog(write.data) };
   if (ref?.kind === 'chunk') {
     const isNew = stored.hasNewPlacements(write.key, write.data);
     return { kind: isNew ? 'placement' : 'end', placed: isNew ? [ref.id] : [] };
@@ -62,7 +63,7 @@
   return { kind, placed: kind === 'placement' ? [ref.id] : [] };
 }
 
-const placedByLog = (data: unknown): string[] =>
+const jobsPlacedByLog = (data: unknown): string[] =>
   decodeLogRecord(data).flatMap((entry) => (entry.placements.length > 0 ? [entry.job] : []));
 
 function kindOfJobWrite(key: string, data: StoredJob, stored: StoredTasks): WriteKind {
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -10,22 +10,22 @@
 import type { OperatorSettings } from '../src/config/operators.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 
-const ways: [string, Partial<OperatorSettings>][] = [
+const variants: [string, Partial<OperatorSettings>][] = [
   ['today', {}],
   ['by pulses (level 2)', { 'fair-admission': 1, 'level-most': 2 }],
   ['by the plan (level 3)', { 'fair-admission': 1 }],
 ];
 
 /** What each stream is owed, a second: those that want little all of it, the flood what is left. */
-const owed = (perS: number): number[] =>
+const fairShares = (perS: number): number[] =>
   maxMinShares(
     perS,
     flooding.map((s) => ({ demand: s.perS, weight: 1, minimum: 0 })),
   );
 
 /** Measures admission under a flood of submissions. */
-export function flood(say: (text: string) => void): void {
-  for (const [name, operators] of ways) {
+export function measureFlood(printLine: (text: string) => void): void {
+  for (const [name, operators] of variants) {
     const w = floodable(operators);
     const refused = w.state.rateLimitedCount;
     const commits = w.commits.length;
@@ -38,23 +38,23 @@
       .reduce((n, c) => n + c.txn.writes.length, 0);
     // Against what max-min owes each of what was accepted altogether.
     const shares = flooding.map(
-      (s, i) => during.filter((j) => j.stream === s).length / 60 / owed(during.length / 60)[i],
+      (s, i) => during.filter((j) => j.stream === s).length / 60 / fairShares(during.length / 60)[i],
     );
     w.advance(70);
-    say(`${name}: 40 jobs a second of one class for 60 s, 30 writes a second (simulated)`);
+    printLine(`${name}: 40 jobs a second of one class for 60 s, 30 writes a second (simulated)`);
     for (const { name: of } of flooding) {
       const f = users.of(of);
-      say(
+      printLine(
         `  ${of.padEnd(6)} ${f.jobs} jobs: ${(100 * f.quick).toFixed(0)}% accepted within 1 s, ${(100 * f.accepted).toFixed(0)}% at all (p95 ${f.p95} ms), ${(100 * f.run).toFixed(0)}% have run`,
       );
     }
     const all = w.commits.length - commits;
     const bad = w.state.rateLimitedCount - refused;
-    say(
+    printLine(
       `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written a second; ${bad} of ${all} commits refused (${((100 * bad) / all).toFixed(1)}%)`,
     );
-    say(`  Jain's index of what each got of what it is owed: ${jainIndex(shares).toFixed(3)}`);
-    say(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
+    printLine(`  Jain's index of what each got of what it is owed: ${jainIndex(shares).toFixed(3)}`);
+    printLine(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
   }
   for (const classes of [10, 1000, 10_000]) {
     const kinds = Array.from({ length: classes }, (_, i): WorkloadDemand => ({
@@ -79,7 +79,7 @@
     const from = performance.now();
     const times = classes > 1000 ? 3 : 100;
     for (let i = 0; i < times; i++) nextAllocation(null, 40, members, false, () => 1);
-    say(
+    printLine(
       `  a plan of ${classes} kinds at each of three controllers (16 are told at most): ${((performance.now() - from) / times).toFixed(2)} ms`,
     );
   }
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -9,13 +9,13 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-type Say = (text: string) => void;
+type PrintLine = (text: string) => void;
 const quantile = (list: number[], q: number): string =>
   (list.sort((a, b) => a - b)[Math.floor(list.length * q)] ?? NaN).toFixed(0);
 
-function world(most: number, machines = 40): World {
+function startWorld(maxLevel: number, machines = 40): World {
   // Machines stay, so that only the controllers are waited for.
-  const w = new World(3, { 'level-most': most, 'idle-boots': 1000 });
+  const w = new World(3, { 'level-most': maxLevel, 'idle-boots': 1000 });
   w.state.writesPerS = 40;
   w.capacity = machines;
   w.advance(6);
@@ -29,19 +29,19 @@
   w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.writes.length : n), 0);
 
 /** One-task jobs at a rate: how many are accepted within a second and done, and what each writes. */
-function rate(most: number, perS: number): string {
-  const w = world(most);
+function measureRate(most: number, perS: number): string {
+  const w = startWorld(most);
   for (const x of w.workers.values()) x.taskDurationS = 8;
   const before = writesOf(w);
-  const took: number[] = [];
+  const acceptedAfterMs: number[] = [];
   const open = new Map<number, { at: number; n: Node }>();
   let sent = 0;
   const end = w.now + 60_000;
   const from = w.now;
-  let late = 0;
+  let rejected = 0;
   const submitted = new Map<string, number>();
   const doneAt = new Map<string, number>();
-  const look = (): void => {
+  const recordFinished = (): void => {
     for (const id of submitted.keys()) {
       if (doneAt.has(id)) continue;
       if ((w.state.entries.get(`dp/j/${id}`)?.data as { s?: string } | undefined)?.s === 'done')
@@ -49,7 +49,7 @@
     }
   };
   while (w.now < end || open.size > 0) {
-    look();
+    recordFinished();
     if (w.now < end && sent < ((w.now - from) / 1000) * perS) {
       const n = w.nodes[sent % 3];
       const id = `req-${++sent}`;
@@ -62,27 +62,27 @@
       const a = o.n.responses.get(requestId);
       if (!a && w.now - o.at < 10_000) continue;
       open.delete(requestId);
-      if (a?.status === 201) took.push(w.now - o.at);
-      else late++;
+      if (a?.status === 201) acceptedAfterMs.push(w.now - o.at);
+      else rejected++;
     }
   }
   for (let i = 0; i < 600; i++) {
-    look();
+    recordFinished();
     w.advance(0.1);
   }
   const perJob = (writesOf(w) - before) / Math.max(1, doneAt.size);
   const lag = [...doneAt].map(([id, at]) => (at - submitted.get(id)!) / 1000);
-  const quick = took.filter((t) => t <= 1000).length;
+  const quick = acceptedAfterMs.filter((t) => t <= 1000).length;
   return (
-    `level ${levelOf(w).level}, ${perS} a second: ${((100 * quick) / sent).toFixed(0)}% accepted within 1 s, ${late} refused; ` +
+    `level ${levelOf(w).level}, ${perS} a second: ${((100 * quick) / sent).toFixed(0)}% accepted within 1 s, ${rejected} refused; ` +
     `done after p50 ${quantile(lag, 0.5)} s, p95 ${quantile(lag, 0.95)} s (tasks run 8 s), ${doneAt.size} of ${sent}; ` +
     `${perJob.toFixed(2)} writes a job, ${w.state.rateLimitedCount} commits refused`
   );
 }
 
 /** One controller is replaced while users come: the longest time without a placement, and requests that failed. */
-function replace(who: 'owner' | 'leader' | 'neither', orderly: boolean, machines: number): string {
-  const w = world(0, machines);
+function measureReplacement(who: 'owner' | 'leader' | 'neither', orderly: boolean, machines: number): string {
+  const w = startWorld(0, machines);
   const users = new Traffic(w, 100, () => ({ cpus: 0.5 }), 1e9);
   for (const x of w.workers.values()) x.taskDurationS = 10;
   w.advance(20);
@@ -109,7 +109,7 @@
 }
 
 /** Users' waits while 100,000 tasks in the old format are rewritten, against afterwards. */
-function migration(): string {
+function measureMigration(): string {
   const { keys, placed } = manyTasks();
   const w = found(keys);
   w.state.writesPerS = 40;
@@ -120,29 +120,30 @@
   const left = () => [...w.state.entries.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
   const waits: number[][] = [];
   const began = w.now;
-  let took = 0;
+  let migrationS = 0;
   for (const phase of ['while', 'after']) {
     const users = new Traffic(w, 200, () => ({ cpus: 0.01 }), 1e9, phase === 'while' ? 20_000 : 40_000);
     const from = w.now;
     w.advanceUntil(() => (phase === 'while' ? left() === 0 : w.now - from > 60_000), 600);
-    if (phase === 'while') took = (w.now - began) / 1000;
+    if (phase === 'while') migrationS = (w.now - began) / 1000;
     users.stop();
     w.advance(10);
     waits.push(users.acceptedAfter);
   }
   const p = (list: number[]) =>
     `p50 ${quantile(list, 0.5)}, p95 ${quantile(list, 0.95)}, most ${quantile(list, 1 - 1e-9)} ms`;
-  return `400 of 1,368 jobs rewritten in ${took.toFixed(0)} s, ${(800 / took).toFixed(1)} writes a second; submissions accepted while: ${p(waits[0])}; after: ${p(waits[1])}`;
+  return `400 of 1,368 jobs rewritten in ${migrationS.toFixed(0)} s, ${(800 / migrationS).toFixed(1)} writes a second; submissions accepted while: ${p(waits[0])}; after: ${p(waits[1])}`;
 }
 
-export function levels(say: Say): void {
-  say('One-task jobs for 60 s to three controllers, 40 writes a second (simulated):');
-  for (const perS of [8, 10, 11, 12, 13, 14, 16]) for (const most of [1, 0]) say(`  ${rate(most, perS)}`);
-  say('100,000 tasks in the old format (simulated):');
-  say(`  ${migration()}`);
+export function measureLevels(printLine: PrintLine): void {
+  printLine('One-task jobs for 60 s to three controllers, 40 writes a second (simulated):');
+  for (const perS of [8, 10, 11, 12, 13, 14, 16])
+    for (const most of [1, 0]) printLine(`  ${measureRate(most, perS)}`);
+  printLine('100,000 tasks in the old format (simulated):');
+  printLine(`  ${measureMigration()}`);
   for (const machines of [40, 900]) {
-    say(`A controller replaced, ${machines} machines, 10 jobs a second, back after 4 s (simulated):`);
+    printLine(`A controller replaced, ${machines} machines, 10 jobs a second, back after 4 s (simulated):`);
     for (const who of ['owner', 'neither'] as const)
-      for (const orderly of [true, false]) say(`  ${replace(who, orderly, machines)}`);
+      for (const orderly of [true, false]) printLine(`  ${measureReplacement(who, orderly, machines)}`);
   }
 }
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -11,7 +11,7 @@
     ),
 };
 
-export function loss(say: (text: string) => void): void {
+export function measureLoss(printLine: (text: string) => void): void {
   for (const [what, lose] of Object.entries(losses)) {
     const w = new World(3, { 'idle-boots': 1000 });
     w.types = [{ ...w.types[0], cpus: 16, memGb: 64 }];
@@ -59,26 +59,26 @@
     const at = w.now;
     const commits = w.commits.length;
     lose(w);
-    const when = (line: string): string => {
+    const waitForLogLine = (line: string): string => {
       w.advanceUntil(() => w.nodes.some((n) => n.logLines.some((l) => l[1] === line)), 150);
       return ((w.now - at) / 1000).toFixed(1);
     };
-    const noticed = when('state service has lost data');
-    const goes = when('work resumed');
+    const noticed = waitForLogLine('state service has lost data');
+    const resumed = waitForLogLine('work resumed');
     const least = running();
-    const whole = when('data-loss recovery complete');
+    const recovered = waitForLogLine('data-loss recovery complete');
     const writes = w.commits
       .slice(commits)
       .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.writes.length : 0), 0);
     const first = w.starts.length;
     w.advanceUntil(() => w.starts.length > first, 60);
-    say(
+    printLine(
       `${what}: 900 machines, ${keys} keys, ${jobs} jobs, ${before} tasks running, 35 writes a second (simulated)`,
     );
-    say(
-      `  noticed after ${noticed} s, work goes on after ${goes} s, rebuilt after ${whole} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
+    printLine(
+      `  noticed after ${noticed} s, work goes on after ${resumed} s, rebuilt after ${recovered} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
     );
-    say(
+    printLine(
       `  ${writes} writes; ${done()} jobs known; ${least} tasks ran when work went on, ${running()} now; ${w.violations.length} rules broken`,
     );
   }
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -4,11 +4,11 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-type Say = (text: string) => void;
+type PrintLine = (text: string) => void;
 
-const startsAtLeast = 1200;
-const jobsAtLeast = 4;
-const runS = 20;
+const minStarts = 1200;
+const minJobs = 4;
+const taskDurationS = 20;
 const machines = 80;
 const firstRequest = 500_000;
 const kinds = ['accept', 'tasks', 'final', 'drop', 'other'] as const;
@@ -27,15 +27,15 @@
   starts: number;
   writes: Record<WriteKind, number>;
   tookS: number;
-  broken: number;
+  violations: number;
 }
 
 function costOf(tasksPerJob: number, operators: Record<string, number>): Cost {
   const w = new World(3, operators, 1);
   w.capacity = machines;
-  w.taskDurationS = runS;
+  w.taskDurationS = taskDurationS;
   w.advance(10);
-  const jobs = Math.max(jobsAtLeast, Math.ceil(startsAtLeast / tasksPerJob));
+  const jobs = Math.max(minJobs, Math.ceil(minStarts / tasksPerJob));
   const from = w.commits.length;
   const beganAt = w.now;
   for (let i = 0; i < jobs; i++) {
@@ -48,11 +48,13 @@
   const writes: Record<WriteKind, number> = { accept: 0, tasks: 0, final: 0, drop: 0, other: 0 };
   for (const { txn, outcome } of w.commits.slice(from))
     if (outcome.type === 'ok') for (const write of txn.writes) writes[kindOf(write)]++;
-  return { starts: w.starts.length, writes, tookS, broken: w.violations.length };
+  return { starts: w.starts.length, writes: writes, tookS, violations: w.violations.length };
 }
 
-export async function writes(say: Say): Promise<void> {
-  say('tasks a job, task log: writes a start in all (accept, tasks, final, drop, other), starts a second');
+export async function measureWrites(printLine: PrintLine): Promise<void> {
+  printLine(
+    'tasks a job, task log: writes a start in all (accept, tasks, final, drop, other), starts a second',
+  );
   for (const tasks of [1, 4, 8, 16, 40, 200, 600])
     for (const log of [0, 1]) {
       const cost = costOf(tasks, { 'task-log': log });
@@ -60,7 +62,7 @@
       const all = kinds.reduce((sum, kind) => sum + cost.writes[kind], 0);
       const parts = kinds.map((kind) => a(cost.writes[kind])).join(', ');
       const rate = (cost.starts / cost.tookS).toFixed(1);
-      const wrong = cost.broken > 0 ? `  ${cost.broken} RULES BROKEN` : '';
-      say(`${tasks}, ${log ? 'on' : 'off'}: ${a(all)} (${parts}), ${rate}${wrong}`);
+      const wrong = cost.violations > 0 ? `  ${cost.violations} RULES BROKEN` : '';
+      printLine(`${tasks}, ${log ? 'on' : 'off'}: ${a(all)} (${parts}), ${rate}${wrong}`);
     }
 }
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -15,32 +15,32 @@
 import { defaultSubmission } from '../src/wire/user.js';
 import { Engine, LevelDisk } from '../src/store/index.js';
 
-const quiet = (): undefined => undefined;
+const ignore = (): undefined => undefined;
 const fatal = (e: Error): never => {
   throw e;
 };
 const pause = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
-const dir = mkdtempSync(join(tmpdir(), 'dapplepick-measure-'));
-const say = (text: string): void => void process.stdout.write(`${text}\n`);
+const directory = mkdtempSync(join(tmpdir(), 'dapplepick-measure-'));
+const printLine = (text: string): void => void process.stdout.write(`${text}\n`);
 const quantile = (list: number[], q: number): number =>
   list.sort((a, b) => a - b)[Math.min(list.length - 1, Math.floor(list.length * q))];
 
-async function store(): Promise<void> {
-  const file = openSync(join(dir, 'probe'), 'w');
-  const alone: number[] = [];
+async function measureStore(): Promise<void> {
+  const file = openSync(join(directory, 'probe'), 'w');
+  const syncMs: number[] = [];
   for (let i = 0; i < 300; i++) {
     const at = performance.now();
     writeSync(file, 'x'.repeat(200));
     fdatasyncSync(file);
-    alone.push(performance.now() - at);
+    syncMs.push(performance.now() - at);
   }
   closeSync(file);
-  say(
-    `the disk alone: ${(1000 / (alone.reduce((a, b) => a + b) / 300)).toFixed(0)} syncs a second, p50 ${quantile(alone, 0.5).toFixed(2)} ms`,
+  printLine(
+    `the disk alone: ${(1000 / (syncMs.reduce((a, b) => a + b) / 300)).toFixed(0)} syncs a second, p50 ${quantile(syncMs, 0.5).toFixed(2)} ms`,
   );
   for (const writers of [1, 16, 128]) {
-    const engine = await Engine.open(await LevelDisk.open(join(dir, `w${writers}`)), quiet, fatal);
-    const took: number[] = [];
+    const engine = await Engine.open(await LevelDisk.open(join(directory, `w${writers}`)), ignore, fatal);
+    const latenciesMs: number[] = [];
     const until = performance.now() + 3000;
     await Promise.all(
       Array.from({ length: writers }, async (_, w) => {
@@ -50,25 +50,25 @@
             conditions: [],
             writes: [{ key: `k/${w}/${i % 100}`, data: { i, text: 'x'.repeat(100) } }],
           });
-          took.push(performance.now() - at);
+          latenciesMs.push(performance.now() - at);
         }
       }),
     );
-    say(
-      `${writers} writers: ${(took.length / 3).toFixed(0)} commits a second, p50 ${quantile(took, 0.5).toFixed(2)} ms, p99 ${quantile(took, 0.99).toFixed(2)} ms`,
+    printLine(
+      `${writers} writers: ${(latenciesMs.length / 3).toFixed(0)} commits a second, p50 ${quantile(latenciesMs, 0.5).toFixed(2)} ms, p99 ${quantile(latenciesMs, 0.99).toFixed(2)} ms`,
     );
     await engine.close();
   }
 }
 
 const controlText = (port: number): string =>
-  `(control (listen "127.0.0.1:${port}") (directory "${join(dir, 'store')}") (report-s 2) (lease-s 120) (class one (sleep-s 1)))`;
+  `(control (listen "127.0.0.1:${port}") (directory "${join(directory, 'store')}") (report-s 2) (lease-s 120) (class one (sleep-s 1)))`;
 
-async function agents(n: number, port: number): Promise<Agent[]> {
+async function startAgents(n: number, port: number): Promise<Agent[]> {
   const all: Agent[] = [];
   for (let i = 0; i < n; i++) {
-    const text = `(agent (name w${i}) (control "127.0.0.1:${port}") (directory "${join(dir, `w${i}`)}") (type t) (cpus 4) (mem-gb 4))`;
-    const a = new Agent(parseAgentSettings(text), seededRandom(i), quiet);
+    const text = `(agent (name w${i}) (control "127.0.0.1:${port}") (directory "${join(directory, `w${i}`)}") (type t) (cpus 4) (mem-gb 4))`;
+    const a = new Agent(parseAgentSettings(text), seededRandom(i), ignore);
     await a.start();
     all.push(a);
   }
@@ -91,8 +91,8 @@
 };
 
 /** In a call of its own: what it held must be gone before memory is measured. */
-async function fill(jobs: number): Promise<void> {
-  const engine = await Engine.open(await LevelDisk.open(join(dir, 'store')), quiet, fatal);
+async function storeFinishedJobs(jobs: number): Promise<void> {
+  const engine = await Engine.open(await LevelDisk.open(join(directory, 'store')), ignore, fatal);
   for (let i = 0; i < jobs; i += 500)
     await engine.commit({
       conditions: [],
@@ -104,36 +104,38 @@
   await engine.close();
 }
 
-async function restart(): Promise<void> {
+async function measureRestart(): Promise<void> {
   const port = await findFreePort();
   const settings = parseControlSettings(controlText(port));
-  const empty = await openControl({ ...settings, directory: join(dir, 'empty') }, quiet, fatal);
+  const empty = await openControl({ ...settings, directory: join(directory, 'empty') }, ignore, fatal);
   await empty.control.start();
   await pause(2000);
   const before = heapMb();
   await empty.close();
   const jobs = 100_000;
-  await fill(jobs);
-  let open = await openControl(settings, quiet, fatal);
+  await storeFinishedJobs(jobs);
+  let open = await openControl(settings, ignore, fatal);
   await open.control.start();
   while (open.control.service.controller.replica.jobs.size < jobs) await pause(100);
   await pause(2000);
   const withJobs = heapMb();
-  say(`memory of the service: ${(((withJobs - before) / jobs) * 1024).toFixed(2)} KB for each finished job`);
-  const all = await agents(1000, port);
+  printLine(
+    `memory of the service: ${(((withJobs - before) / jobs) * 1024).toFixed(2)} KB for each finished job`,
+  );
+  const all = await startAgents(1000, port);
   const http = new JsonClient(`127.0.0.1:${port}`, 2);
   const machines = (): number =>
     [...open.control.service.controller.shardManager.machines.values()].filter(
       (machine) => machine.confirmedAt > 0,
     ).length;
   while (machines() < 1000) await pause(100);
-  say(
+  printLine(
     `memory of the service and 1,000 agents in one process: ${(((heapMb() - withJobs) * 1024) / 1000).toFixed(1)} KB for each agent`,
   );
   await open.close();
   await pause(1000);
   const at = performance.now();
-  open = await openControl(settings, quiet, fatal);
+  open = await openControl(settings, ignore, fatal);
   await open.control.start();
   await http.call('POST', '/work', job(1, 50), 5000);
   for (;;) {
@@ -141,30 +143,30 @@
     if (r && r.status < 300) break;
     await pause(20);
   }
-  say(`restart: accepts ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
+  printLine(`restart: accepts ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
   const { shardState } = open.control.service.controller.shardManager;
   while (shardState.placementCount === 0) await pause(10);
-  say(`restart: first placement ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
+  printLine(`restart: first placement ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
   while (machines() < 1000) await pause(20);
-  say(
+  printLine(
     `restart: 1,000 agents have reported ${((performance.now() - at) / 1000).toFixed(2)} s after its start`,
   );
   for (const a of all) a.stop();
   await open.close();
 }
 
-async function batch(killEveryS: number | null): Promise<void> {
+async function measureBatch(killEveryS: number | null): Promise<void> {
   const port = await findFreePort();
-  const path = join(dir, 'control.scm');
+  const path = join(directory, 'control.scm');
   writeFileSync(path, controlText(port));
   const main = fileURLToPath(new URL('../src/main.js', import.meta.url));
-  const log = openSync(join(dir, 'control.log'), 'a');
+  const log = openSync(join(directory, 'control.log'), 'a');
   const start = (): ChildProcess =>
     spawn(process.execPath, [main, 'control', path], { stdio: ['ignore', log, log] });
   let control = start();
-  const all = await agents(200, port);
+  const all = await startAgents(200, port);
   const http = new JsonClient(`127.0.0.1:${port}`, 2);
-  const seen = async (): Promise<{ done: number; status: string; failed: number } | null> => {
+  const firstJob = async (): Promise<{ done: number; status: string; failed: number } | null> => {
     const r = await http.call('GET', '/work?limit=1', null, 2000);
     return r?.status === 200
       ? (r.body as { jobs: { done: number; status: string; failed: number }[] }).jobs[0]
@@ -185,10 +187,10 @@
       control.kill('SIGKILL');
       control = start();
     }
-    const s = await seen();
+    const s = await firstJob();
     if (s?.status === 'done' || performance.now() - at > 150_000) {
       const tookS = (performance.now() - at) / 1000;
-      say(
+      printLine(
         `10,000 tasks of 1 s on 200 agents of 4 CPUs${killEveryS === null ? '' : `, service killed every ${killEveryS} s (${kills} times)`}: ${s?.status ?? '?'} after ${tookS.toFixed(1)} s, ${(10_000 / tookS).toFixed(0)} a second (800 would be all there is), ${s?.failed ?? '?'} failed`,
       );
       break;
@@ -199,22 +201,24 @@
 }
 
 /** Reading, expanding and matching, against evaluating every pair of job and machine. */
-async function match(): Promise<void> {
+async function measureMatching(): Promise<void> {
   const { Submission } = await import('../src/condor/index.js');
   const { ClassAdMatcher } = await import('../src/matching/index.js');
   const { evaluate, parseAd, parseExpr } = await import('../src/classad/index.js');
-  const took = (f: () => void): number => {
+  const timeMs = (f: () => void): number => {
     const at = performance.now();
     f();
     return performance.now() - at;
   };
   const text =
     'TARGET.Memory >= MY.RequestMemory && OpSys == "LINUX" && (Site == "a" || HasScanner) && Cpus > 1';
-  const parse = took(() => {
+  const parse = timeMs(() => {
     for (let i = 0; i < 10_000; i++) parseExpr(text);
   });
-  say(`parse: ${(10_000 / (parse / 1000)).toFixed(0)} expressions of ${text.length} characters a second`);
-  const outside = {
+  printLine(
+    `parse: ${(10_000 / (parse / 1000)).toFixed(0)} expressions of ${text.length} characters a second`,
+  );
+  const context = {
     cwd: '/',
     env: {},
     user: 'u',
@@ -225,10 +229,10 @@
   };
   let jobs = 0;
   const file = `executable = /bin/x\narguments = $(Process)\nrequirements = ${text}\nqueue 100000`;
-  const expand = took(() => {
-    for (const ad of new Submission(file, 'x.sub', outside).jobs()) if (ad.size > 0) jobs++;
+  const expand = timeMs(() => {
+    for (const ad of new Submission(file, 'x.sub', context).jobs()) if (ad.size > 0) jobs++;
   });
-  say(`expand: ${jobs} jobs of one queue in ${(expand / 1000).toFixed(2)} s`);
+  printLine(`expand: ${jobs} jobs of one queue in ${(expand / 1000).toFixed(2)} s`);
   const machines = Array.from({ length: 1000 }, (_, i) => ({
     Name: `m${i}`,
     OpSys: 'LINUX',
@@ -245,10 +249,10 @@
   const matcher = new ClassAdMatcher();
   machines.forEach((m) => matcher.setAttributes(m.Name, m));
   let found = 0;
-  const clustered = took(() => {
+  const clustered = timeMs(() => {
     for (const s of specs) {
-      const one = matcher.matchFor({ match: s } as never)!;
-      for (const m of machines) if (one.allows(m.Name)) found++;
+      const compiled = matcher.matchFor({ match: s } as never)!;
+      for (const m of machines) if (compiled.allows(m.Name)) found++;
     }
   });
   const share = 100;
@@ -260,7 +264,7 @@
     ),
   );
   let naiveFound = 0;
-  const naive = took(() => {
+  const naive = timeMs(() => {
     for (let i = 0; i < specs.length; i += share) {
       const my = parseAd(`RequestMemory = ${specs[i].attributes.RequestMemory}`);
       const e = parseExpr(text);
@@ -272,30 +276,30 @@
     const one = matcher.matchFor({ match: specs[i] } as never)!;
     for (const m of machines) if (one.allows(m.Name)) sampled++;
   }
-  say(
+  printLine(
     `match: 10,000 clusters on 1,000 machines in 10 kinds: ${(clustered / 1000).toFixed(2)} s, ${matcher.evaluations} evaluations, ${found} matches`,
   );
-  say(
+  printLine(
     `every pair: one cluster in ${share}, ${(naive / 1000).toFixed(2)} s, so ${((naive * share) / 1000).toFixed(0)} s for all; the same matches: ${sampled === naiveFound}`,
   );
 }
 
-const what: Record<string, () => Promise<void>> = {
-  store,
-  match,
-  flood: async () => (await import('./measure-flood.js')).flood(say),
-  loss: async () => (await import('./measure-loss.js')).loss(say),
-  writes: async () => (await import('./measure-writes.js')).writes(say),
-  levels: async () => (await import('./measure-levels.js')).levels(say),
-  restart,
-  batch: () => batch(null),
-  kills: () => batch(5),
+const measurements: Record<string, () => Promise<void>> = {
+  store: measureStore,
+  match: measureMatching,
+  flood: async () => (await import('./measure-flood.js')).measureFlood(printLine),
+  loss: async () => (await import('./measure-loss.js')).measureLoss(printLine),
+  writes: async () => (await import('./measure-writes.js')).measureWrites(printLine),
+  levels: async () => (await import('./measure-levels.js')).measureLevels(printLine),
+  restart: measureRestart,
+  batch: () => measureBatch(null),
+  kills: () => measureBatch(5),
 };
-const wanted = process.argv[2] ?? '';
-if (!Object.hasOwn(what, wanted)) {
-  say(`measure: expected one of ${Object.keys(what).join(', ')}`);
+const requested = process.argv[2] ?? '';
+if (!Object.hasOwn(measurements, requested)) {
+  printLine(`measure: expected one of ${Object.keys(measurements).join(', ')}`);
   process.exit(1);
 }
-await what[wanted]();
-rmSync(dir, { recursive: true, force: true, maxRetries: 5 });
+await measurements[requested]();
+rmSync(directory, { recursive: true, force: true, maxRetries: 5 });
 process.exit(0);
--- a/test/scale-run.test.ts
+++ b/test/scale-run.test.ts
@@ -1,9 +1,9 @@
 /** The scale run: its parts on their own, and a small run with real processes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkRoom, parseOptions, ScaleError } from '../scale/options.js';
-import { EventOrder, RuleChecker, type Rule } from '../scale/rules.js';
-import { play } from '../scale/run.js';
+import { checkCapacity, parseOptions, ScaleError } from '../scale/options.js';
+import { EventReorderBuffer, RuleChecker, type Rule } from '../scale/rules.js';
+import { runScale } from '../scale/run.js';
 import { teamsOf } from '../scale/settings.js';
 import type { TaskEvent, UserEvent } from '../scale/messages.js';
 import { purposeOf, StoredTasks } from '../scale/write-kinds.js';
@@ -33,7 +33,7 @@
   index,
 });
 
-const told = (at: number, status: string): UserEvent => ({ at, what: 'told', job: 'req-1', status });
+const statusEvent = (at: number, status: string): UserEvent => ({ at, what: 'told', job: 'req-1', status });
 
 function rulesBroken(rules: RuleChecker): Rule[] {
   return rules.violations.map((v) => v.rule);
@@ -49,13 +49,13 @@
     rules.onTaskEvent(task(10 + index, 'done', 'b', index));
     rules.onTaskEvent(task(10 + index, 'off', 'b', index));
   }
-  rules.onUserEvent(told(20, 'done'));
-  rules.onUserEvent(told(21, 'done'));
+  rules.onUserEvent(statusEvent(20, 'done'));
+  rules.onUserEvent(statusEvent(21, 'done'));
   rules.sweep(100_000);
   assert.deepEqual(rulesBroken(rules), []);
 });
 
-const breaches: [Rule, (rules: RuleChecker) => void][] = [
+const violationCases: [Rule, (rules: RuleChecker) => void][] = [
   [
     'ran_twice',
     (rules) => {
@@ -64,15 +64,15 @@
     },
   ],
   ['quota', (rules) => [0, 1, 2].forEach((index) => rules.onTaskEvent(task(2 + index, 'on', 'a', index)))],
-  ['not_done', (rules) => rules.onUserEvent(told(5, 'done'))],
-  ['forgotten', (rules) => rules.onUserEvent(told(5, 'unknown'))],
-  ['refused', (rules) => rules.onUserEvent(told(5, 'refused 422'))],
+  ['not_done', (rules) => rules.onUserEvent(statusEvent(5, 'done'))],
+  ['forgotten', (rules) => rules.onUserEvent(statusEvent(5, 'unknown'))],
+  ['refused', (rules) => rules.onUserEvent(statusEvent(5, 'refused 422'))],
   ['invented', (rules) => rules.onTaskEvent({ ...task(5, 'on', 'a', 0), job: 'req-2' })],
   [
     'went_back',
     (rules) => {
-      rules.onUserEvent(told(5, 'aborted'));
-      rules.onUserEvent(told(6, 'running'));
+      rules.onUserEvent(statusEvent(5, 'aborted'));
+      rules.onUserEvent(statusEvent(6, 'running'));
     },
   ],
   [
@@ -91,7 +91,7 @@
     },
   ],
 ];
-for (const [rule, breach] of breaches)
+for (const [rule, breach] of violationCases)
   test(`the scale run's checker finds ${rule}`, () => {
     const rules = checker();
     breach(rules);
@@ -109,28 +109,31 @@
 });
 
 test('events of several processes are taken in the order of their times', () => {
-  const order = new EventOrder(100);
-  order.add([{ at: 5 }, { at: 7 }]);
-  order.add([{ at: 6 }, { at: 300 }]);
+  const buffer = new EventReorderBuffer(100);
+  buffer.add([{ at: 5 }, { at: 7 }]);
+  buffer.add([{ at: 6 }, { at: 300 }]);
   assert.deepEqual(
-    order.take(200).map((e) => e.at),
+    buffer.take(200).map((e) => e.at),
     [5, 6, 7],
   );
   assert.deepEqual(
-    order.take(401).map((e) => e.at),
+    buffer.take(401).map((e) => e.at),
     [300],
   );
 });
 
 test('what the machine cannot hold is refused with what is short', () => {
   const options = parseOptions(['--workers', '10000', '--cells', '2']);
-  const room = { openFiles: 20_000, memoryMb: 12_000 };
-  assert.throws(() => checkRoom(options, { ...room, openFiles: 1000 }), /open files, 1000 are allowed/);
-  assert.throws(() => checkRoom(options, { ...room, memoryMb: 500 }), /500 MB may be used/);
-  const many = parseOptions(['--workers', '10', '--cells', '30']);
-  assert.throws(() => checkRoom({ ...many, cells: 60 }, room), /200 are allowed/);
-  assert.throws(() => checkRoom(options, { ...room, memoryMb: 0 }), ScaleError);
-  checkRoom(parseOptions(['--workers', '2500']), room);
+  const capacity = { openFiles: 20_000, memoryMb: 12_000 };
+  assert.throws(
+    () => checkCapacity(options, { ...capacity, openFiles: 1000 }),
+    /open files, 1000 are allowed/,
+  );
+  assert.throws(() => checkCapacity(options, { ...capacity, memoryMb: 500 }), /500 MB may be used/);
+  const manyCells = parseOptions(['--workers', '10', '--cells', '30']);
+  assert.throws(() => checkCapacity({ ...manyCells, cells: 60 }, capacity), /200 are allowed/);
+  assert.throws(() => checkCapacity(options, { ...capacity, memoryMb: 0 }), ScaleError);
+  checkCapacity(parseOptions(['--workers', '2500']), capacity);
 });
 
 test('writes are told apart by what is stored', () => {
@@ -153,9 +156,9 @@
 });
 
 test('a small run: real controllers, hollow workers and users, the owner killed, no rule broken', async () => {
-  const asked = ['--workers', '12', '--starts', '54', '--tasks-per-job', '20', '--seconds', '10'];
-  const options = parseOptions([...asked, '--write-rps', '60', '--faults', 'owner']);
-  const { cells, ok } = await play(options, () => undefined);
+  const args = ['--workers', '12', '--starts', '54', '--tasks-per-job', '20', '--seconds', '10'];
+  const options = parseOptions([...args, '--write-rps', '60', '--faults', 'owner']);
+  const { cells, ok } = await runScale(options, () => undefined);
   const [cell] = cells;
   assert.deepEqual(cell.violations, []);
   assert.ok(ok);
--- a/test/soak.ts
+++ b/test/soak.ts
@@ -3,11 +3,11 @@
 import { fileURLToPath } from 'node:url';
 
 const minutes = Number(process.argv[2] ?? 10);
-const first = Number(process.argv[3] ?? Date.now() % 100_000);
+const firstSeed = Number(process.argv[3] ?? Date.now() % 100_000);
 const tests = ['control', 'outage'].map((n) => fileURLToPath(new URL(`./${n}.test.js`, import.meta.url)));
 const until = Date.now() + minutes * 60_000;
-for (let seed = first; Date.now() < until; seed++) {
-  const r = spawnSync(
+for (let seed = firstSeed; Date.now() < until; seed++) {
+  const result = spawnSync(
     process.execPath,
     ['--test', '--test-name-pattern', 'killed at random|killed in turn', ...tests],
     {
@@ -15,9 +15,9 @@
       encoding: 'utf8',
     },
   );
-  process.stdout.write(`seed ${seed}: ${r.status === 0 ? 'as it should be' : 'BROKEN'}\n`);
-  if (r.status !== 0) {
-    process.stdout.write(r.stdout);
+  process.stdout.write(`seed ${seed}: ${result.status === 0 ? 'as it should be' : 'BROKEN'}\n`);
+  if (result.status !== 0) {
+    process.stdout.write(result.stdout);
     process.exit(1);
   }
 }
