--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -1,4 +1,4 @@
-/** A cell of a run: the platform's stand-ins, three controllers, hollow workers and users, and what is measured of them. */
+/** A cell of a scale run: a simulated platform, three controllers, hollow workers and simulated users, with rule checks and measurements. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -50,11 +50,11 @@
 } from './settings.js';
 
 const statusIntervalMs = 500;
-/** Events of a process that is busy come later than those of the others. */
+/** Upper bound of the time by which events of a busy process arrive late, compared with those of other processes. */
 const maxEventDelayMs = 3000;
 const startTimeoutMs = 20_000;
 const firstLoopbackNetwork = 16;
-/** Controllers take some seconds to begin, machines to boot; so many machines are rented in a millisecond. */
+/** Time that controllers and the first machines need to start. */
 const startupMs = 10_000;
 const machinesRentedPerMs = 0.4;
 const urgentRunMs = 10_000;
@@ -77,13 +77,15 @@
 
 const isTaskEvent = (event: OrderedEvent): event is TaskEvent => 'host' in event;
 
-/** One cell: starts its processes, passes their messages on, and checks the rules by what they tell. */
+/** One cell: starts its processes, relays messages between them, and checks the rules against their events. */
 export class Cell {
+  /** Name of the controller that owns the shard, as last reported by the platform process. */
   owner: string | null = null;
+  /** Name of the controller that is the leader, as last reported by the platform process. */
   leader: string | null = null;
   readonly controllers: ControllerProcess[] = [];
   readonly checker: RuleChecker;
-  /** Machines and their zones, by what the cloud has rented out. */
+  /** Zones of the machines that have booted and have not been returned to the cloud, by host. */
   readonly machines = new Map<string, string>();
   private platform!: Generator<ToPlatform>;
   private readonly workers: Generator<ToWorkers>[] = [];
@@ -111,22 +113,22 @@
     return (this.options.workers * tasksPerWorker * 1000) / this.options.startsPerS;
   }
 
-  /** So long after its start the initial load is over and the usual one has taken its place. */
+  /** Length of the warm-up: afterwards the tasks of the initial load have been replaced by those of the steady load. */
   get settlingMs(): number {
     return this.runMs + startupMs + this.options.workers / machinesRentedPerMs;
   }
 
-  /** Tasks that run now. */
+  /** Number of running tasks, as last reported. */
   get running(): number {
     return totalCounts(this.workerCounts).running;
   }
 
-  /** Workers that live now. */
+  /** Number of live workers, as last reported. */
   get workerCount(): number {
     return totalCounts(this.workerCounts).workers;
   }
 
-  /** Starts platform, controllers, workers and users, in this order. */
+  /** Starts the platform, the controllers, the workers and the users, in this order. */
   async start(): Promise<void> {
     const endpoints = await this.startPlatform();
     const members = await this.startControllers(endpoints);
@@ -138,7 +140,7 @@
 
   private async startPlatform(): Promise<{ state: string; cloud: string }> {
     const { options } = this;
-    return this.waitForStart('the stand-ins', (resolve) => {
+    return this.waitForStart('the platform process', (resolve) => {
       this.platform = Generator.start<ToPlatform, FromPlatform>('platform', (message) => {
         if (message.kind === 'ready') resolve({ state: message.state, cloud: message.cloud });
         else this.onPlatformMessage(message);
@@ -190,7 +192,7 @@
     const { options } = this;
     for (let i = 0; i < workerProcessCount(options); i++) {
       this.workerCounts.push({ ...zeroWorkerCounts });
-      await this.waitForStart<null>('the workers', (resolve) => {
+      await this.waitForStart<null>('a hollow-worker process', (resolve) => {
         const generator = Generator.start<ToWorkers, FromWorkers>('workers', (message) => {
           if (message.kind === 'ready') resolve(null);
           else this.onWorkersMessage(i, message);
@@ -204,7 +206,7 @@
           runMs: this.runMs,
           urgentRunMs,
           network: firstLoopbackNetwork + this.number,
-          // Machines come and go: each process has room for more of them than there are at a time.
+          // Replaced machines get new addresses, so each process has four times as many as machines at a time.
           firstAddress: i * workersPerProcess * 4,
           seed: options.seed + this.number * 1000 + i + 10,
         });
@@ -214,7 +216,7 @@
 
   private async startUsers(controllers: [string, string][]): Promise<void> {
     const { options, runMs } = this;
-    await this.waitForStart<null>('the users', (resolve) => {
+    await this.waitForStart<null>('the users process', (resolve) => {
       this.users = Generator.start<ToUsers, FromUsers>('users', (message) => {
         if (message.kind === 'ready') resolve(null);
         else if (message.kind === 'events') this.eventBuffer.add(message.events);
@@ -280,7 +282,7 @@
     this.measurements.recordLag(lag);
   }
 
-  /** Each process of workers gets the next machine in turn. */
+  /** Assigns a machine to the hollow-worker processes in round-robin order. */
   private assignMachine(machine: MachineSpec): void {
     const processIndex = this.nextWorkerProcess++ % this.workers.length;
     this.workerProcessOfHost.set(machine.host, processIndex);
@@ -358,24 +360,24 @@
     };
   }
 
-  /** What happens from now on counts. */
+  /** Starts the measured interval. */
   beginMeasuring(): void {
     this.measurements.begin(this.readCounts());
   }
 
-  /** What happens from now on counts no more. */
+  /** Ends the measured interval. */
   endMeasuring(): void {
     this.measurements.end(this.readCounts());
   }
 
-  /** Nothing more is submitted; what users and workers have yet to say is heard. */
+  /** Stops submissions, then waits for the outstanding events of users and workers and processes them. */
   async settle(): Promise<void> {
     this.users?.send({ kind: 'stop-submitting' });
     await new Promise((resolve) => setTimeout(resolve, maxEventDelayMs + statusIntervalMs * 2));
     this.processEvents(now());
   }
 
-  /** What was measured. */
+  /** The results of the measured interval. */
   figures(): CellFigures {
     return this.measurements.figures({
       number: this.number,
@@ -389,36 +391,36 @@
 
   // ---- faults ----
 
-  /** Notes a fault, from which the next start and the renewal of each worker's lease are timed. */
+  /** Records the time of a fault, from which the next task start and the renewal of each worker's lease are measured. */
   beginFault(fault: string): void {
     this.measurements.beginFault(fault, this.workerCount);
     for (const workers of this.workers) workers.send({ kind: 'mark' });
   }
 
-  /** The last fault is over. */
+  /** Ends the observation of the last fault. */
   endFault(): void {
     this.measurements.endFault(totalCounts(this.workerCounts));
   }
 
-  /** The state service answers 503 for so long. */
+  /** Makes the state service answer 503 for the given time. */
   refuseStateRequests(durationMs: number): void {
     this.platform.send({ kind: 'outage', durationMs });
   }
 
-  /** Machines stop with all that is on them. */
+  /** Stops machines abruptly, with their workers and tasks. */
   killMachines(hosts: string[]): void {
     for (const [processIndex, processHosts] of this.hostsByWorkerProcess(hosts))
       this.workers[processIndex].send({ kind: 'kill', hosts: processHosts });
     this.platform.send({ kind: 'died', hosts });
   }
 
-  /** The workers of these machines end and begin again without their tasks. */
+  /** Restarts the workers on these machines; their tasks are lost. */
   restartWorkers(hosts: string[]): void {
     for (const [processIndex, processHosts] of this.hostsByWorkerProcess(hosts))
       this.workers[processIndex].send({ kind: 'restart', hosts: processHosts });
   }
 
-  /** Ends every process of the cell. */
+  /** Kills all processes of the cell. */
   stop(): void {
     if (this.statusTimer) clearInterval(this.statusTimer);
     for (const controller of this.controllers) controller.kill();
--- a/scale/child.ts
+++ b/scale/child.ts
@@ -1,22 +1,22 @@
-/** The child's side of a process of the scale run: messages from its parent, its own event-loop delay. */
+/** Helpers for the child processes of a scale run: messages to and from the parent, and event-loop delay. */
 import { monitorEventLoopDelay } from 'node:perf_hooks';
 import type { GeneratorLag } from './messages.js';
 
 const nanosecondsPerMs = 1e6;
 const resolutionMs = 10;
 
-/** Passes each message of the parent to `receive`; ends the process when the parent is gone. */
+/** Passes each message from the parent to `receive`; exits when the parent has disconnected. */
 export function listenToParent<In>(receive: (message: In) => void): void {
   process.on('message', (message) => receive(message as In));
   process.on('disconnect', () => process.exit(0));
 }
 
-/** Sends a message to the process that started this one. */
+/** Sends a message to the parent process, unless it has disconnected. */
 export function sendToParent<Out extends object>(message: Out): void {
   if (process.connected) process.send!(message);
 }
 
-/** Measures how late this process's timers fire; each reading begins a new measurement. */
+/** Measures the event-loop delay of this process. Each call of the returned function reads and resets the measurement. */
 export function lagMeter(): () => GeneratorLag {
   const delay = monitorEventLoopDelay({ resolution: resolutionMs });
   delay.enable();
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -1,4 +1,4 @@
-/** The stand-in of the cloud: rents machines of one type, lists them late, gives them back when their workers are gone. */
+/** Simulated cloud: rents machines of one type, lists them with a delay, and removes them once their workers have stopped. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { readJson, sendJson } from '../src/net/json.js';
 import type { Random } from '../src/retry/index.js';
@@ -9,7 +9,7 @@
 export const machineType = 'node';
 const gbPerCpu = 4;
 const bootMs = { least: 1500, most: 4000 };
-/** A machine that died is listed as running for so long. */
+/** A machine that has died is still listed as running for this long. */
 const deadMachineListedMs = 30_000;
 const burstS = 2;
 const maxBodyBytes = 64 * 1024;
@@ -33,14 +33,15 @@
   body: object;
 }
 
-/** What the rest of the platform process hears of the machines. */
+/** Callbacks of the simulated cloud to the platform process. */
 export interface CloudListener {
+  /** A rented machine has booted. */
   booted(machine: MachineSpec): void;
-  /** Resolves when all that was on these machines is gone. */
+  /** Resolves when the workers on these machines have stopped. */
   removeMachines(hosts: string[]): Promise<void>;
 }
 
-/** A cloud in memory that speaks the protocol: rentals that boot after a while, a machine list that lags, a limit of requests. */
+/** An in-memory cloud with the HTTP protocol of the real one: boot delays, a delayed machine list and a request rate limit. */
 export class SimulatedCloud {
   readonly server: Server;
   private readonly machines = new Map<string, Machine>();
@@ -58,13 +59,13 @@
     this.server = createServer((req, res) => void this.serve(req, res));
   }
 
-  /** The worker on a machine listens: the machine is up. */
+  /** Marks a machine as up, since its worker listens. */
   workerListening(host: string, endpoint: string): void {
     const machine = this.machines.get(host);
     if (machine) Object.assign(machine, { endpoint, up: true });
   }
 
-  /** A machine stopped by itself; the list shows it as running for a while longer. */
+  /** Marks a machine as dead. It is still listed as running for a while. */
   machineDied(host: string): void {
     const machine = this.machines.get(host);
     if (machine) machine.diedAt = performance.now();
--- a/scale/faults.ts
+++ b/scale/faults.ts
@@ -1,4 +1,4 @@
-/** The troubles of a run, one after the other. */
+/** Fault injection for a scale run. */
 import type { Cell } from './cell.js';
 import type { FaultName } from './options.js';
 import type { ControllerProcess } from './processes.js';
@@ -7,10 +7,10 @@
 const restartAfterMs = 4000;
 const outageMs = 20_000;
 const shutdownTimeoutMs = 15_000;
-/** A controller that was replaced has so long before the next one is. */
+/** Pause between two controllers in a rolling restart. */
 const rollingRestartPauseMs = 8000;
 const killedMachineInterval = 10;
-/** A fault is over for the figures after so long, or after the time that a short run measures. */
+/** The effects of a fault are observed for this long, or for the measured time of the run if that is shorter. */
 const maxObservationMs = 30_000;
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
@@ -50,7 +50,7 @@
   },
 };
 
-/** Brings one fault about and watches what follows. */
+/** Injects one fault and observes the cell until the fault counts as over. */
 export async function injectFault(cell: Cell, fault: FaultName, measuredS: number): Promise<void> {
   const observationEnd = pause(Math.min(maxObservationMs, measuredS * 1000));
   cell.beginFault(fault);
--- a/scale/figures.ts
+++ b/scale/figures.ts
@@ -1,11 +1,11 @@
-/** What a run measures: latencies as histograms, use of each process over the measured time, and the table of them. */
+/** The results of a run: latency histograms, resource usage of each process, and their formatting as a table. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { zeroWorkerCounts, type PlatformCounts, type WorkerCounts } from './messages.js';
 import type { ProcessUsage } from './processes.js';
 
 const maxLatencyMs = 3_600_000;
 
-/** The distribution of a latency, ms. */
+/** Quantiles of a latency, ms. */
 export interface Quantiles {
   count: number;
   p50Ms: number;
@@ -37,7 +37,7 @@
   }
 }
 
-/** What a process used over the measured time. */
+/** Resource usage of a process in the measured interval. */
 export interface ProcessFigures {
   name: string;
   cores: number;
@@ -47,7 +47,7 @@
   openFiles: number;
 }
 
-/** The use of a process between two readings, and the most that it held. */
+/** Average rates of a process between two readings, and the larger of the two readings for memory and open files. */
 export function processFigures(
   name: string,
   before: ProcessUsage,
@@ -64,17 +64,17 @@
   };
 }
 
-/** How a cell came through a fault. */
+/** The effects of a fault on a cell. */
 export interface FaultFigures {
   fault: string;
   atS: number;
-  /** From the fault until a task was started again, and until the slowest worker had its lease renewed. */
+  /** Time from the fault until the next task start, and until the slowest worker had its lease renewed; null: not seen. */
   firstStartMs: number | null;
   slowestRenewalMs: number | null;
   workersNotRenewed: number;
 }
 
-/** All figures of a cell; goes out as JSON. */
+/** The results of a cell, also written as JSON. */
 export interface CellFigures {
   cell: number;
   startsAskedPerS: number;
@@ -86,7 +86,7 @@
   requestsUnavailable: number;
   submit: Quantiles;
   urgentStart: Quantiles;
-  /** The parts of it: submission to answer, to the first placement that is stored, to the start on the machine. */
+  /** Steps of an urgent start: submission until accepted, submission until placed (stored), and placement until started. */
   urgentSteps: { accepted: Quantiles; placed: Quantiles; started: Quantiles };
   cancel: Quantiles;
   reportsPerS: number;
@@ -102,7 +102,7 @@
   violations: string[];
 }
 
-/** What several processes of workers have counted together. */
+/** Adds up the counts of several hollow-worker processes. */
 export function totalCounts(all: WorkerCounts[]): WorkerCounts {
   const sum = { ...zeroWorkerCounts };
   for (const counts of all)
@@ -128,7 +128,7 @@
 function faultLine(f: FaultFigures): string {
   const durationText = (x: number | null): string => (x === null ? 'not seen' : `${Math.round(x)} ms`);
   const renewed = `slowest lease renewed after ${durationText(f.slowestRenewalMs)}, ${f.workersNotRenewed} not renewed`;
-  return `  fault ${f.fault} at ${f.atS.toFixed(0)} s: next start after ${durationText(f.firstStartMs)}, ${renewed}`;
+  return `  fault ${f.fault} at ${f.atS.toFixed(0)} s: next task start after ${durationText(f.firstStartMs)}, ${renewed}`;
 }
 
 const writesByKindText = ({ writesByKind }: PlatformCounts): string =>
@@ -137,28 +137,28 @@
     .map(([kind, count]) => `${kind} ${count}`)
     .join(', ');
 
-/** The figures of a cell as lines for a person. */
+/** The results of a cell as lines of a human-readable table. */
 export function figuresTable(f: CellFigures): string[] {
   const { state } = f;
   return [
-    `cell ${f.cell}: ${f.workers} hollow workers, ${f.running} running tasks at the end`,
-    `  starts            ${f.startsPerS.toFixed(1)} a second of ${f.startsAskedPerS} asked`,
+    `cell ${f.cell}: ${f.workers} hollow workers, ${f.running} running tasks at the end of the measurement`,
+    `  starts            ${f.startsPerS.toFixed(1)} per second, ${f.startsAskedPerS} requested`,
     `  submit            ${ms(f.submit)}`,
     `  urgent start      ${ms(f.urgentStart)}`,
-    `    to its answer   ${ms(f.urgentSteps.accepted)}`,
-    `    to the placement ${ms(f.urgentSteps.placed)}`,
-    `    to the start    ${ms(f.urgentSteps.started)}`,
+    `    until accepted  ${ms(f.urgentSteps.accepted)}`,
+    `    until placed    ${ms(f.urgentSteps.placed)}`,
+    `    placed to start ${ms(f.urgentSteps.started)}`,
     `  cancel            ${ms(f.cancel)}`,
-    `  users             ${f.acceptedJobs} jobs accepted, ${f.submissionsGivenUp} given up, ${f.requestsUnavailable} requests without an answer of use`,
-    `  reports           ${f.reportsPerS.toFixed(0)} a second, ${f.failedReports} without an answer that counts`,
-    `  leases            ${f.expiredLeases} expired, ${f.tasksLostWithLeases} tasks lost with them`,
-    `  state service     ${state.requestsPerS.toFixed(1)} requests/s, ${state.writesPerS.toFixed(1)} writes/s, ${state.writesPerStart.toFixed(3)} a start; refused ${state.refusedRequests} requests, ${state.refusedWrites} writes; ${state.keys} keys`,
+    `  users             ${f.acceptedJobs} jobs accepted, ${f.submissionsGivenUp} submissions abandoned, ${f.requestsUnavailable} requests failed (no answer, 429 or 5xx)`,
+    `  reports           ${f.reportsPerS.toFixed(0)} per second, ${f.failedReports} without a valid response`,
+    `  leases            ${f.expiredLeases} expired, ${f.tasksLostWithLeases} tasks lost as a result`,
+    `  state service     ${state.requestsPerS.toFixed(1)} requests/s, ${state.writesPerS.toFixed(1)} writes/s, ${state.writesPerStart.toFixed(3)} writes per start; rejected ${state.refusedRequests} requests, ${state.refusedWrites} writes; ${state.keys} keys`,
     `  writes by kind    ${writesByKindText(state)}`,
     `  ${'process'.padEnd(14)}${['cores', 'MB', 'KB/s in', 'KB/s out', 'files'].map((h) => h.padStart(9)).join('')}`,
     ...f.processes.map(processLine),
-    `  generators' own lag: p99 ${f.generatorLagP99Ms.toFixed(0)} ms, max ${f.generatorLagMaxMs.toFixed(0)} ms`,
-    ...(f.unexpectedEnds > 0 ? [`  controllers that ended by themselves: ${f.unexpectedEnds}`] : []),
+    `  event-loop delay of the load generators: p99 ${f.generatorLagP99Ms.toFixed(0)} ms, max ${f.generatorLagMaxMs.toFixed(0)} ms`,
+    ...(f.unexpectedEnds > 0 ? [`  unexpected controller exits: ${f.unexpectedEnds}`] : []),
     ...f.faults.map(faultLine),
-    ...f.violations.map((text) => `  RULE BROKEN ${text}`),
+    ...f.violations.map((text) => `  RULE VIOLATED ${text}`),
   ];
 }
--- a/scale/main.ts
+++ b/scale/main.ts
@@ -1,4 +1,4 @@
-/** `npm run scale`: the controllers at the planned size, on this machine. */
+/** Command line of the scale run (`npm run scale`): runs controllers at production size on this machine. */
 import { writeFileSync } from 'node:fs';
 import { figuresTable } from './figures.js';
 import { parseOptions, ScaleError } from './options.js';
@@ -11,7 +11,11 @@
   const result = await runScale(options, printLine);
   for (const cell of result.cells) for (const line of figuresTable(cell)) printLine(line);
   if (options.json !== null) writeFileSync(options.json, `${JSON.stringify(result, null, 1)}\n`);
-  printLine(result.ok ? 'no rule broken' : 'FAILED: a rule was broken, or a controller ended by itself');
+  printLine(
+    result.ok
+      ? 'passed: no rule violated'
+      : 'FAILED: a rule was violated, or a controller exited unexpectedly',
+  );
   process.exit(result.ok ? 0 : 1);
 } catch (e) {
   if (!(e instanceof ScaleError)) throw e;
--- a/scale/measurements.ts
+++ b/scale/measurements.ts
@@ -1,4 +1,4 @@
-/** What is measured of a cell: latencies by the events of users and workers, counts between two moments, faults. */
+/** Measurements of a cell: latencies from the events of users and workers, differences of counters, and effects of faults. */
 import { LatencyHistogram, processFigures, type CellFigures, type FaultFigures } from './figures.js';
 import { isUrgentJob } from './jobs.js';
 import {
@@ -11,7 +11,7 @@
 } from './messages.js';
 import type { ProcessUsage } from './processes.js';
 
-/** What was counted up to a moment. */
+/** The counters at one point in time. */
 export interface CountsReading {
   at: number;
   usages: Map<string, ProcessUsage>;
@@ -23,11 +23,11 @@
   starts: number;
 }
 
-/** What the cell knows of itself when the figures are made. */
+/** Data of the cell that goes into its results. */
 export interface CellDescription {
   number: number;
   startsAskedPerS: number;
-  /** The controller that owns the shard, by name. */
+  /** Name of the controller that owns the shard. */
   owner: string | null;
   requestsUnavailable: number;
   unexpectedEnds: number;
@@ -40,14 +40,14 @@
   workers: number;
 }
 
-/** How much each count has grown. */
+/** The increase of each counter. */
 const countIncreases = (
   after: Record<string, number>,
   before: Record<string, number>,
 ): Record<string, number> =>
   Object.fromEntries(Object.entries(after).map(([key, count]) => [key, count - (before[key] ?? 0)]));
 
-/** Latencies, counts and faults of one cell. Events count only between `begin` and `end`. */
+/** Latencies, counters and faults of one cell. Latencies are recorded only between `begin` and `end`. */
 export class CellMeasurements {
   private readonly submit = new LatencyHistogram();
   private readonly urgentStart = new LatencyHistogram();
@@ -57,7 +57,7 @@
     placed: new LatencyHistogram(),
     started: new LatencyHistogram(),
   };
-  /** When urgent jobs that have not begun were submitted, and their first placement was stored. */
+  /** For urgent jobs that have not started: when they were submitted, and when their first placement was stored. */
   private readonly urgentSubmittedAt = new Map<string, number>();
   private readonly urgentPlacedAt = new Map<string, number>();
   private measuring = false;
@@ -69,26 +69,26 @@
   private after: StartsReading | null = null;
   private readonly faults: MeasuredFault[] = [];
 
-  /** Measuring begins. */
+  /** Starts the measured interval. */
   begin(counts: CountsReading): void {
     this.before = { ...counts, starts: this.starts };
     this.measuring = true;
   }
 
-  /** Measuring ends. */
+  /** Ends the measured interval. */
   end(counts: CountsReading): void {
     this.after = { ...counts, starts: this.starts };
     this.measuring = false;
   }
 
-  /** Notes how far a load generator was behind: its limits must not be taken for the service's. */
+  /** Records the event-loop delay of a load generator, which shows whether the generator was the bottleneck. */
   recordLag(lag: GeneratorLag): void {
     if (!this.measuring) return;
     this.lag.p99Ms = Math.max(this.lag.p99Ms, lag.p99Ms);
     this.lag.maxMs = Math.max(this.lag.maxMs, lag.maxMs);
   }
 
-  /** A task started or ended on a machine. */
+  /** Processes a task event of a worker. */
   recordTaskEvent(event: TaskEvent): void {
     if (event.what !== 'on') return;
     this.starts++;
@@ -106,12 +106,12 @@
     this.urgentSteps.started.record(event.at - placedAt);
   }
 
-  /** Urgent jobs whose placement was stored, and when. The first time counts. */
+  /** Records when placements of urgent jobs were stored. Only the first placement of a job counts. */
   recordPlacements(jobs: [id: string, at: number][]): void {
     for (const [id, at] of jobs) if (!this.urgentPlacedAt.has(id)) this.urgentPlacedAt.set(id, at);
   }
 
-  /** A user submitted a job or got an answer. */
+  /** Processes an action of a user or an answer to it. */
   recordUserEvent(event: UserEvent): void {
     if (event.what === 'submitted' && event.urgent) this.urgentSubmittedAt.set(event.job, event.at);
     if (!this.measuring) return;
@@ -123,7 +123,7 @@
     else if (event.what === 'cancelled') this.cancel.record(event.afterMs);
   }
 
-  /** Notes a fault, from which the next start and the renewal of each worker's lease are timed. */
+  /** Records the time of a fault, from which the next task start and the renewal of each worker's lease are measured. */
   beginFault(fault: string, workers: number): void {
     const at = now();
     const atS = this.before ? (at - this.before.at) / 1000 : 0;
@@ -131,14 +131,14 @@
     this.faults.push({ figures, at, workers });
   }
 
-  /** The last fault is over. */
+  /** Ends the observation of the last fault. */
   endFault({ renewedSinceMark, slowestRenewalMs }: WorkerCounts): void {
     const fault = this.faults[this.faults.length - 1];
     fault.figures.slowestRenewalMs = renewedSinceMark > 0 ? slowestRenewalMs : null;
     fault.figures.workersNotRenewed = Math.max(0, fault.workers - renewedSinceMark);
   }
 
-  /** All figures of the time between `begin` and `end`. */
+  /** The results of the interval between `begin` and `end`. */
   figures(cell: CellDescription): CellFigures {
     const [before, after] = [this.before!, this.after!];
     const seconds = (after.at - before.at) / 1000;
--- a/scale/messages.ts
+++ b/scale/messages.ts
@@ -1,21 +1,22 @@
-/** The messages between the processes of a scale run. All times are milliseconds of the time of day, with fractions. */
+/** The messages between the processes of a scale run. All times are fractional milliseconds since the Unix epoch. */
 
+/** The current time, comparable between the processes of a run. */
 export const now = (): number => performance.timeOrigin + performance.now();
 
-/** The limits of the workers' protocol, as the settings of the deployment have them. */
+/** Timings of the worker protocol, as in the deployment's settings. */
 export interface WorkerLimits {
   reportS: number;
   leaseS: number;
   cancelS: number;
 }
 
-/** A machine that has been rented. */
+/** A rented machine. */
 export interface MachineSpec {
   host: string;
   zone: string;
 }
 
-/** What a generator process has to say of its own load: its limits must not be taken for the service's. */
+/** Event-loop delay of a load generator. It shows whether a slow result is due to the generator and not to the service. */
 export interface GeneratorLag {
   p99Ms: number;
   maxMs: number;
@@ -23,7 +24,7 @@
 
 // ---- the platform process: state service and cloud ----
 
-/** What the platform process is started with: limits of state service and cloud. */
+/** The first message to the platform process: limits of the state service and the cloud. */
 export interface PlatformStart {
   kind: 'start';
   requestsPerS: number;
@@ -38,17 +39,17 @@
   seed: number;
 }
 
-/** What the cell sends to the platform process. */
+/** Messages from the cell to the platform process. */
 export type ToPlatform =
   | PlatformStart
-  /** Workers on these machines listen at these addresses. */
+  /** The workers on these machines now listen at these addresses. */
   | { kind: 'listening'; endpoints: [host: string, endpoint: string][] }
   | { kind: 'removed'; request: number }
   | { kind: 'died'; hosts: string[] }
   | { kind: 'outage'; durationMs: number }
   | { kind: 'report' };
 
-/** Counted since the start. */
+/** Counters of the state service since its start. */
 export interface PlatformCounts {
   requests: number;
   transactions: number;
@@ -57,16 +58,16 @@
   refusedWrites: number;
   bytesWritten: number;
   keys: number;
-  /** Writes by the kind of what was written, as `accept`, `placement`, `end`, `log`, `final`, `cancel`, `machine`, `other`. */
+  /** Writes by purpose: `accept`, `placement`, `end`, `log`, `final`, `cancel`, `machine`, `drop`, `other`. */
   writesByKind: Record<string, number>;
 }
 
-/** What the platform process sends to the cell. */
+/** Messages from the platform process to the cell. */
 export type FromPlatform =
   | { kind: 'ready'; state: string; cloud: string }
   | { kind: 'booted'; machines: MachineSpec[] }
   | { kind: 'remove'; request: number; hosts: string[] }
-  /** Urgent jobs whose first placement the state service has just stored, and when. */
+  /** Urgent jobs for which the state service has just stored a placement, and when. */
   | { kind: 'placed'; jobs: [id: string, at: number][] }
   | {
       kind: 'status';
@@ -76,9 +77,9 @@
       lag: GeneratorLag;
     };
 
-// ---- processes of hollow workers ----
+// ---- hollow-worker processes ----
 
-/** What a process of hollow workers is started with. */
+/** The first message to a hollow-worker process. */
 export interface WorkersStart {
   kind: 'start';
   controllers: [member: string, address: string][];
@@ -86,26 +87,26 @@
   cpusOfMachine: number;
   runMs: number;
   urgentRunMs: number;
-  /** The workers' own addresses: 127.NETWORK.x.y. */
+  /** Second byte of the workers' loopback addresses: 127.NETWORK.x.y. */
   network: number;
   firstAddress: number;
   seed: number;
 }
 
-/** What the cell sends to a process of hollow workers. */
+/** Messages from the cell to a hollow-worker process. */
 export type ToWorkers =
   | WorkersStart
   | { kind: 'add'; machines: MachineSpec[] }
   | { kind: 'remove'; request: number; hosts: string[] }
-  /** Machines that stop with all that is on them. */
+  /** Stops machines abruptly, with their workers and tasks. */
   | { kind: 'kill'; hosts: string[] }
-  /** Worker processes that end and are started again. */
+  /** Restarts the workers on these machines. */
   | { kind: 'restart'; hosts: string[] }
-  /** From now on the time of each worker's next renewed lease is noted. */
+  /** From now on, the first lease renewal of each worker is counted and timed. */
   | { kind: 'mark' }
   | { kind: 'report' };
 
-/** A task came to be on a machine, left it, or completed there. */
+/** A task started on a machine (`on`), left it (`off`), or completed there (`done`). */
 export interface TaskEvent {
   at: number;
   what: 'on' | 'off' | 'done';
@@ -114,22 +115,22 @@
   index: number;
 }
 
-/** Counted since the start. */
+/** Counters of a hollow-worker process since its start; `workers` and `running` are current numbers. */
 export interface WorkerCounts {
   workers: number;
   running: number;
   reports: number;
-  /** Reports that brought no answer that counts. */
+  /** Reports without a valid response. */
   failedReports: number;
   orders: number;
   expiredLeases: number;
   tasksLostWithLeases: number;
-  /** Of the workers that were there at the last mark: so many had their lease renewed, and the longest took this long. */
+  /** How many of the workers present at the last mark have had their lease renewed since, and how long the slowest took. */
   renewedSinceMark: number;
   slowestRenewalMs: number;
 }
 
-/** Of a process that has done nothing yet. */
+/** The counters of a process that has just started. */
 export const zeroWorkerCounts: WorkerCounts = {
   workers: 0,
   running: 0,
@@ -142,7 +143,7 @@
   slowestRenewalMs: 0,
 };
 
-/** What a process of hollow workers sends to the cell. */
+/** Messages from a hollow-worker process to the cell. */
 export type FromWorkers =
   | { kind: 'ready' }
   | { kind: 'listening'; endpoints: [host: string, endpoint: string][] }
@@ -150,9 +151,9 @@
   | { kind: 'events'; events: TaskEvent[] }
   | { kind: 'status'; counts: WorkerCounts; lag: GeneratorLag };
 
-// ---- the process of hollow users ----
+// ---- the users process ----
 
-/** What the process of the users is started with. */
+/** The first message to the users process. */
 export interface UsersStart {
   kind: 'start';
   controllers: [member: string, address: string][];
@@ -167,10 +168,10 @@
   seed: number;
 }
 
-/** What the cell sends to the process of the users. */
+/** Messages from the cell to the users process. */
 export type ToUsers = UsersStart | { kind: 'stop-submitting' } | { kind: 'report' };
 
-/** What users did and were told. */
+/** An action of a simulated user, or a job status that it received (`told`). */
 export type UserEvent =
   | { at: number; what: 'submitted'; job: string; team: string; tasks: number; cpus: number; urgent: boolean }
   | { at: number; what: 'accepted'; job: string; afterMs: number }
@@ -178,14 +179,15 @@
   | { at: number; what: 'told'; job: string; status: string }
   | { at: number; what: 'cancelled'; job: string; afterMs: number };
 
-/** Counted since the start. */
+/** Counters of the users process since its start; `openJobs` is the current number. */
 export interface UserCounts {
   requests: number;
+  /** Requests without an answer, or with a status of 429 or above. */
   unavailable: number;
   openJobs: number;
 }
 
-/** What the process of the users sends to the cell. */
+/** Messages from the users process to the cell. */
 export type FromUsers =
   | { kind: 'ready' }
   | { kind: 'events'; events: UserEvent[] }
--- a/scale/options.ts
+++ b/scale/options.ts
@@ -1,14 +1,14 @@
-/** What a scale run is asked for, and whether this machine can hold it. */
+/** Command-line options of a scale run, and the check that this machine has the capacity for it. */
 import { readFileSync } from 'node:fs';
 import { freemem, totalmem } from 'node:os';
 import { Command, InvalidArgumentError, Option } from 'commander';
 
-/** The faults that a run can play. */
+/** The faults that a run can inject. */
 export const faultNames = ['owner', 'leader', 'roll', 'state', 'tenth', 'zone'] as const;
-/** One of the faults that a run can play. */
+/** A fault that a run can inject. */
 export type FaultName = (typeof faultNames)[number];
 
-/** What was asked for on the command line. */
+/** The options of a scale run, as given on the command line. */
 export interface ScaleOptions {
   workers: number;
   startsPerS: number;
@@ -19,21 +19,21 @@
   writesPerS: number;
   requestsPerS: number;
   memoryMb: number;
-  /** A file with operators' settings for the controllers. */
+  /** Path of a file with operator settings for the controllers; null: the defaults. */
   operators: string | null;
-  /** Where figures go as JSON; null: nowhere. */
+  /** Path to which the results are written as JSON; null: not written. */
   json: string | null;
   seed: number;
   keepLogs: boolean;
 }
 
-/** Running tasks of a worker, as the operators plan them; the CPUs that are left are for what comes and goes. */
+/** Planned number of running tasks per worker. The remaining CPUs are headroom for changing load. */
 export const tasksPerWorker = 27;
-/** CPUs of each hollow worker's machine. */
+/** CPUs of a hollow worker's machine. A hollow worker speaks the real protocol but runs no tasks. */
 export const cpusPerWorker = 30;
-/** How many hollow workers one process holds. */
+/** The most hollow workers that one process simulates. */
 export const workersPerProcess = 1500;
-/** Controllers of each cell. */
+/** Number of controllers in each cell. */
 export const controllersPerCell = 3;
 
 const maxProcesses = 200;
@@ -41,10 +41,10 @@
 const usableMemoryShare = 0.5;
 const socketsPerWorker = 2;
 const reservedOpenFiles = 200;
-/** Resident memory, MB: of a process with nothing to do, and of a hollow worker or a controller for each worker. */
+/** Resident memory, MB: of an idle process, of each hollow worker, and of a controller per worker that it manages. */
 const memoryMb = { process: 90, hollowWorker: 0.12, controllerPerWorker: 0.1 };
 
-/** A run that this machine cannot hold, or arguments that make no sense. */
+/** A run that this machine lacks the capacity for, or one whose processes failed to start. */
 export class ScaleError extends Error {}
 
 const wholeNumber =
@@ -59,12 +59,13 @@
 function faultList(text: string): FaultName[] {
   return text.split(',').map((name) => {
     const known = faultNames.find((fault) => fault === name);
-    if (!known) throw new InvalidArgumentError(`${name}: expected some of ${faultNames.join(',')}`);
+    if (!known)
+      throw new InvalidArgumentError(`${name}: unknown fault, expected one of ${faultNames.join(',')}`);
     return known;
   });
 }
 
-/** Reads the command line; wrong arguments end in an error of the parser's. */
+/** Parses the command line; invalid arguments are reported by the parser, which ends the process. */
 export function parseOptions(argv: string[]): ScaleOptions {
   const option = (
     flags: string,
@@ -73,22 +74,35 @@
     fallback: unknown,
   ): Option => new Option(flags, text).argParser(parse).default(fallback);
   const program = new Command('scale')
-    .description('Real controllers against stand-ins of a platform, hollow workers and users, on loopback.')
-    .addOption(option('--workers <n>', 'hollow workers of each cell', wholeNumber(1, 50_000), 200))
-    .addOption(option('--starts <n>', 'task starts a second of each cell', wholeNumber(1, 50_000), 90))
-    .addOption(option('--tasks-per-job <n>', 'tasks of a job', wholeNumber(1, 100_000), 600))
-    .addOption(option('--cells <n>', 'cells side by side', wholeNumber(1, 30), 1))
-    .addOption(option('--seconds <n>', 'how long is measured, after the start', wholeNumber(1, 3600), 60))
+    .description(
+      'Runs real controllers against a simulated platform, hollow workers and simulated users on loopback.',
+    )
+    .addOption(option('--workers <n>', 'hollow workers per cell', wholeNumber(1, 50_000), 200))
+    .addOption(option('--starts <n>', 'task starts per second in each cell', wholeNumber(1, 50_000), 90))
+    .addOption(option('--tasks-per-job <n>', 'tasks per job', wholeNumber(1, 100_000), 600))
+    .addOption(option('--cells <n>', 'cells that run in parallel', wholeNumber(1, 30), 1))
+    .addOption(
+      option('--seconds <n>', 'duration of the measurement, after the warm-up', wholeNumber(1, 3600), 60),
+    )
+    .addOption(
+      option(
+        '--faults <list>',
+        `faults to inject in the given order, from ${faultNames.join(',')}`,
+        faultList,
+        [],
+      ),
+    )
     .addOption(
-      option('--faults <list>', `some of ${faultNames.join(',')}, one after the other`, faultList, []),
+      option('--write-rps <n>', 'limit on writes per second of the state service', wholeNumber(1, 1e6), 50),
     )
-    .addOption(option('--write-rps <n>', 'writes a second of the state service', wholeNumber(1, 1e6), 50))
-    .addOption(option('--rps <n>', 'requests a second of the state service', wholeNumber(1, 1e6), 150))
-    .addOption(option('--memory <mb>', 'memory of a controller', wholeNumber(50, 8192), 900))
-    .addOption(option('--seed <n>', 'of what is drawn by chance', wholeNumber(0, 1e9), 1))
-    .option('--operators <file>', "operators' settings of the controllers")
-    .option('--json <file>', 'where the figures go')
-    .option('--keep-logs', "keep the controllers' logs and say where they are");
+    .addOption(
+      option('--rps <n>', 'limit on requests per second of the state service', wholeNumber(1, 1e6), 150),
+    )
+    .addOption(option('--memory <mb>', 'memory limit of a controller, MB', wholeNumber(50, 8192), 900))
+    .addOption(option('--seed <n>', 'seed of the random number generators', wholeNumber(0, 1e9), 1))
+    .option('--operators <file>', 'file with operator settings for the controllers')
+    .option('--json <file>', 'file to which the results are written')
+    .option('--keep-logs', "keep the controllers' logs and print their directory");
   program.parse(argv, { from: 'user' });
   const given = program.opts<Record<string, unknown>>();
   return {
@@ -108,17 +122,17 @@
   };
 }
 
-/** How many processes of hollow workers a run needs for each cell. */
+/** Number of hollow-worker processes per cell. */
 export const workerProcessCount = (options: ScaleOptions): number =>
   Math.ceil(options.workers / workersPerProcess);
 
-/** What a machine offers to a run. */
+/** The resources of a machine that a run may use. */
 export interface MachineCapacity {
   openFiles: number;
   memoryMb: number;
 }
 
-/** What this machine can hold. */
+/** Reads the capacity of this machine. */
 export function machineCapacity(): MachineCapacity {
   const line = /^Max open files\s+(\d+)/m.exec(readFileSync('/proc/self/limits', 'utf8'));
   const mb = 1024 * 1024;
@@ -126,25 +140,23 @@
   return { openFiles: line ? Number(line[1]) : 1024, memoryMb: free };
 }
 
-/** Throws if a run does not fit into what there is. */
+/** Throws a `ScaleError` if a run needs more processes, open files or memory than there are. */
 export function checkCapacity(options: ScaleOptions, capacity: MachineCapacity): void {
   const { workers, cells } = options;
   const processes = 1 + cells * (2 + controllersPerCell + workerProcessCount(options));
   if (processes > maxProcesses)
-    throw new ScaleError(
-      `${processes} processes are needed, ${maxProcesses} are allowed: ask for fewer cells`,
-    );
+    throw new ScaleError(`${processes} processes are needed, ${maxProcesses} are allowed: use fewer cells`);
   const files =
     Math.max(workers, Math.min(workers, workersPerProcess) * socketsPerWorker) + reservedOpenFiles;
   if (files > capacity.openFiles)
     throw new ScaleError(
-      `a process needs ${files} open files, ${capacity.openFiles} are allowed: ask for fewer workers`,
+      `a process needs ${files} open files, ${capacity.openFiles} are allowed: use fewer workers`,
     );
   const controllersMb = controllersPerCell * (memoryMb.process + workers * memoryMb.controllerPerWorker);
   const generatorsMb = (2 + workerProcessCount(options)) * memoryMb.process + workers * memoryMb.hollowWorker;
   const neededMb = Math.ceil(memoryMb.process + cells * (controllersMb + generatorsMb));
   if (neededMb > capacity.memoryMb)
     throw new ScaleError(
-      `some ${neededMb} MB are needed, ${Math.floor(capacity.memoryMb)} MB may be used: ask for fewer workers or cells`,
+      `about ${neededMb} MB are needed, ${Math.floor(capacity.memoryMb)} MB may be used: use fewer workers or cells`,
     );
 }
--- a/scale/platform.ts
+++ b/scale/platform.ts
@@ -1,4 +1,4 @@
-/** The process of the platform's stand-ins: a state service and a cloud on loopback. */
+/** The platform process of a scale run: a simulated state service and a simulated cloud on loopback. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { leaderKey, legacyLeaderKey, shardKey } from '../src/core/storage/index.js';
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -1,19 +1,19 @@
-/** The processes that a run starts: each is ended with it; what they use of the machine. */
+/** The processes that a run starts, and their resource usage as read from `/proc`. */
 import { fork, spawn, type ChildProcess } from 'node:child_process';
 import { openSync, readFileSync, readdirSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { parse } from 'smol-toml';
 
-/** What the kernel counts a second of processor time in. */
+/** The kernel's unit of CPU time in `/proc/PID/stat` (USER_HZ). */
 const ticksPerS = 100;
 const pageBytes = 4096;
 const mb = 1024 * 1024;
 
-/** A process that generates load, with typed messages both ways. */
+/** A child process that generates load, with typed messages in both directions. */
 export class Generator<In extends object> {
   private constructor(private readonly child: ChildProcess) {}
 
-  /** Starts a module of this folder as a process of its own. */
+  /** Forks a module of this directory as a child process. */
   static start<In extends object, Out>(module: string, receive: (message: Out) => void): Generator<In> {
     const path = fileURLToPath(new URL(`./${module}.js`, import.meta.url));
     const child = fork(path, [], {
@@ -33,25 +33,25 @@
     if (this.child.connected) this.child.send(message);
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   kill(): void {
     this.child.kill('SIGKILL');
   }
 }
 
-/** How the deploy file runs a controller: the arguments of Node.js before the program's own. */
+/** The Node.js flags with which the deploy file runs a controller. */
 export function deployedNodeFlags(deployFile: string): string[] {
   const { run } = parse(readFileSync(deployFile, 'utf8')) as { run: string };
   const words = run.split(' ');
   return words.slice(1, words.indexOf('target/main.js'));
 }
 
-/** A controller: the program as it is deployed, on the settings file of the run. */
+/** A controller process: the deployed program, with the settings file of the run. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
-  /** What its earlier processes have used. */
+  /** Usage of this controller's earlier processes. */
   private earlierUsage: ProcessUsage | null = null;
-  /** It ended although nobody asked it to. */
+  /** How often the process has exited without being killed or shut down by the run. */
   unexpectedEnds = 0;
 
   constructor(
@@ -60,7 +60,7 @@
     private readonly logFile: string,
   ) {}
 
-  /** Starts the controller's process, also again after it was killed. */
+  /** Starts the process; also used to restart it after it was killed or shut down. */
   start(): void {
     const log = openSync(this.logFile, 'a');
     const env = { ...process.env, LOG_LEVEL: 'info' };
@@ -71,11 +71,12 @@
     });
   }
 
-  /** What all its processes have used together. */
+  /** Combined usage of all processes of this controller; null: none could be read. */
   get usage(): ProcessUsage | null {
     return combinedUsage(this.earlierUsage, readProcessUsage(this.child?.pid ?? null));
   }
 
+  /** Kills the process. */
   kill(): void {
     const { child } = this;
     this.earlierUsage = this.usage;
@@ -83,7 +84,7 @@
     child?.kill('SIGKILL');
   }
 
-  /** Asks it to leave in order; resolves when it is gone. */
+  /** Requests a graceful shutdown (SIGTERM), and kills the process after the timeout. Resolves when it has exited. */
   async shutDown(timeoutMs: number): Promise<void> {
     const { child } = this;
     this.earlierUsage = this.usage;
@@ -97,7 +98,7 @@
   }
 }
 
-/** What a process has used of the machine since it began. */
+/** Resource usage of a process since its start. */
 export interface ProcessUsage {
   cpuS: number;
   residentMb: number;
@@ -106,7 +107,7 @@
   openFiles: number;
 }
 
-/** What one process after another has used; what the last holds. */
+/** Adds up the consumption of successive processes; memory and open files are those of the last. */
 function combinedUsage(before: ProcessUsage | null, last: ProcessUsage | null): ProcessUsage | null {
   if (!before || !last) return last ?? before;
   return {
@@ -117,12 +118,12 @@
   };
 }
 
-/** What a process has used so far; null: it is gone. */
+/** Reads the resource usage of a process; null: it does not exist. */
 export function readProcessUsage(pid: number | null): ProcessUsage | null {
   if (pid === null) return null;
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-    // Behind the name, which may hold spaces: user and system time are the fields 14 and 15 of the line.
+    // Split after the process name, which may contain spaces. User and system time are fields 14 and 15 of the line.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const io = readFileSync(`/proc/${pid}/io`, 'utf8');
     const ioCounter = (name: string): number => Number(new RegExp(`^${name}: (\\d+)`, 'm').exec(io)![1]);
--- a/scale/rules.ts
+++ b/scale/rules.ts
@@ -1,21 +1,26 @@
-/** The rules of the protocol, checked while a run goes on, by what workers did and what users were told. */
+/** Checks the rules of the protocol during a run, from the events of workers and users. */
 import type { TaskEvent, UserEvent } from './messages.js';
 
-/** The rules of the protocol that a run checks. */
+/**
+ * The rules of the protocol, each named after its violation: a task on two machines at a time; a team over its CPU limit; a task on
+ * a machine too long after its job's cancellation; an accepted job unknown later; a valid job refused; a job reported done before
+ * all its tasks are; a final status that changes; a task of a job that nobody submitted.
+ */
 export type Rule =
   'ran_twice' | 'quota' | 'ran_cancelled' | 'forgotten' | 'refused' | 'not_done' | 'went_back' | 'invented';
 
-/** A broken rule: which, when, and by what. */
+/** A rule violation: the rule, the time and a description. */
 export interface Violation {
   rule: Rule;
   at: number;
   text: string;
 }
 
-/** The limits that the rules refer to. */
+/** The limits that the rules are checked against. */
 export interface RuleLimits {
+  /** Time after a job's cancellation by which its tasks must have left their machines. */
   cancelS: number;
-  /** The most CPUs that a team's tasks may use at a time. */
+  /** Upper limit of the CPUs that each team's tasks may use at a time. */
   cpusOfTeam: ReadonlyMap<string, number>;
 }
 
@@ -24,32 +29,37 @@
   tasks: number;
   cpus: number;
   accepted: boolean;
-  /** The final state that its user was told. */
+  /** The final status that its user was given. */
   final: 'done' | 'aborted' | null;
   cancelledAt: number | null;
   done: Set<number>;
-  /** Its tasks that are on machines, and on which. */
+  /** Hosts of its tasks that are on machines, by task index. */
   placed: Map<number, string>;
 }
 
-/** Compared as sums of decimal numbers. */
+/** Tolerance in comparing sums of decimal fractions. */
 const roundingError = 1e-6;
 
-/** Takes events in the order of their times. */
+/** Checks the rules. Events must be passed in order of time. */
 export class RuleChecker {
   readonly violations: Violation[] = [];
   private readonly jobs = new Map<string, TrackedJob>();
   private readonly cpusUsed = new Map<string, number>();
-  /** Cancelled jobs of which something is still on a machine. */
+  /** Cancelled jobs that may still have tasks on machines. */
   private readonly cancelled = new Set<string>();
 
   constructor(private readonly limits: RuleLimits) {}
 
-  /** A task started or ended on a machine. */
+  /** Processes a task event of a worker. */
   onTaskEvent(event: TaskEvent): void {
     const job = this.jobs.get(event.job);
     const taskId = `${event.job}/${event.index}`;
-    if (!job) return this.recordViolation('invented', event.at, `${taskId} started, which nobody submitted`);
+    if (!job)
+      return this.recordViolation(
+        'invented',
+        event.at,
+        `${taskId} is on a machine, but its job was not submitted`,
+      );
     if (event.what === 'on') this.startTask(job, taskId, event);
     else if (event.what === 'done') job.done.add(event.index);
     else if (job.placed.get(event.index) === event.host) {
@@ -60,7 +70,8 @@
 
   private startTask(job: TrackedJob, taskId: string, { at, host, index }: TaskEvent): void {
     const other = job.placed.get(index);
-    if (other !== undefined) this.recordViolation('ran_twice', at, `${taskId} on ${host} while on ${other}`);
+    if (other !== undefined)
+      this.recordViolation('ran_twice', at, `${taskId} started on ${host} while running on ${other}`);
     else this.addUsage(job, job.cpus);
     job.placed.set(index, host);
     const used = this.cpusUsed.get(job.team) ?? 0;
@@ -70,7 +81,7 @@
     this.checkCancelled(taskId, job, at);
   }
 
-  /** A user submitted a job or was answered. */
+  /** Processes an action of a user or an answer to it. */
   onUserEvent(e: UserEvent): void {
     if (e.what === 'submitted') {
       const { team, tasks, cpus } = e;
@@ -90,20 +101,21 @@
 
   private onStatus(id: string, job: TrackedJob, status: string, at: number): void {
     if (status === 'unknown' && job.accepted)
-      this.recordViolation('forgotten', at, `${id} was accepted, is unknown`);
-    if (status.startsWith('refused')) this.recordViolation('refused', at, `${id} is valid, got ${status}`);
+      this.recordViolation('forgotten', at, `${id} was accepted and is now reported unknown`);
+    if (status.startsWith('refused'))
+      this.recordViolation('refused', at, `${id} is valid, but was ${status}`);
     if (status === 'done' && job.done.size < job.tasks)
       this.recordViolation(
         'not_done',
         at,
-        `${id} is called done with ${job.done.size} of ${job.tasks} tasks`,
+        `${id} is reported done with ${job.done.size} of ${job.tasks} tasks completed`,
       );
     if (job.final !== null && status !== job.final)
-      this.recordViolation('went_back', at, `${id} was ${job.final}, is called ${status}`);
+      this.recordViolation('went_back', at, `${id} was ${job.final} and is now reported ${status}`);
     if (status === 'done' || status === 'aborted') job.final ??= status;
   }
 
-  /** To be called now and then: tasks of cancelled jobs that are on machines for too long. */
+  /** Looks for tasks of cancelled jobs that have been on machines for too long. Must be called periodically. */
   sweep(at: number): void {
     for (const id of this.cancelled) {
       const job = this.jobs.get(id)!;
@@ -132,19 +144,19 @@
   }
 }
 
-/** Puts events of several processes in the order of their times: each is held until no earlier one can come any more. */
+/** Merges the events of several processes in order of time. Each event is held until no earlier one can arrive. */
 export class EventReorderBuffer<Event extends { at: number }> {
   private buffered: Event[] = [];
 
-  /** `delayMs`: no process sends an event later than this after its time. */
+  /** `delayMs`: the maximum delay with which an event arrives. */
   constructor(private readonly delayMs: number) {}
 
-  /** Takes in events of one process. */
+  /** Adds events of one process. */
   add(events: Event[]): void {
     for (const event of events) this.buffered.push(event);
   }
 
-  /** Events that are old enough, in order. */
+  /** Removes and returns the events that are old enough, in order of time. */
   take(now: number): Event[] {
     const until = now - this.delayMs;
     this.buffered.sort((a, b) => a.at - b.at);
--- a/scale/run.ts
+++ b/scale/run.ts
@@ -1,4 +1,4 @@
-/** A run from its start to its figures. */
+/** Executes a scale run: start, warm-up, measurement with faults, results. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -13,7 +13,7 @@
 export interface RunResult {
   options: ScaleOptions;
   cells: CellFigures[];
-  /** No rule was broken, and no controller ended by itself. */
+  /** No rule was violated, and no controller exited unexpectedly. */
   ok: boolean;
 }
 
@@ -23,7 +23,7 @@
   for (const fault of options.faults) await injectFault(cell, fault, options.seconds);
 }
 
-/** Plays a run; whatever becomes of it, its processes are ended. `say` gets a line now and then. */
+/** Executes a run and always stops its processes at the end. `printLine` receives a progress line every 5 s. */
 export async function runScale(options: ScaleOptions, printLine: (line: string) => void): Promise<RunResult> {
   checkCapacity(options, machineCapacity());
   const directory = mkdtempSync(join(tmpdir(), 'dapplepick-scale-'));
@@ -64,5 +64,5 @@
 function progressLine(cells: Cell[], ms: number): string {
   const each = cells.map((c) => `${c.workerCount} workers, ${c.running} running`).join('; ');
   const broken = cells.reduce((sum, c) => sum + c.checker.violations.length, 0);
-  return `${(ms / 1000).toFixed(0).padStart(4)} s  ${each}; ${broken} rules broken`;
+  return `${(ms / 1000).toFixed(0).padStart(4)} s  ${each}; ${broken} rule violations`;
 }
--- a/scale/settings.ts
+++ b/scale/settings.ts
@@ -1,17 +1,17 @@
-/** The settings file of a controller, as the platform writes it. */
+/** Generates a controller's settings file in the form in which the platform writes it. */
 import { stringify } from 'smol-toml';
 import { cpusPerWorker, type ScaleOptions } from './options.js';
 import type { WorkerLimits } from './messages.js';
 
-/** The zones of a cell. */
+/** The availability zones of a cell. */
 export const zones = ['north', 'east', 'south'];
-/** The limits of the workers' protocol in a run. */
+/** Timings of the worker protocol in a run. */
 export const workerLimits: WorkerLimits = { reportS: 2.5, leaseS: 18, cancelS: 38 };
-/** The limits of the cloud in a run. */
+/** Request rate limit and list delay of the simulated cloud. */
 export const cloudLimits = { rps: 8, list_lag_s: 5 };
-/** The sizes that the state service takes. */
+/** Size limits of the state service. */
 export const stateSizes = { value_kb: 32, txn_ops: 24 };
-/** Usual work is to start soon, so machines are rented for it instead of waiting until running tasks end. */
+/** The short wait objective for batch jobs makes the controllers rent machines for them instead of waiting for running tasks to end. */
 const objectives = [
   { kind: 'wait', class: 'urgent', within_s: 3.5, share: 0.99 },
   { kind: 'wait', class: 'batch', within_s: 15, share: 0.9 },
@@ -20,14 +20,14 @@
 const fileDescriptorLimit = 20_000;
 const timeBoundMs = 100;
 
-/** Teams of a region: the operators have 140 in 8. */
+/** Teams in a cell: the operators have 140 teams in 8 regions, which is about this many in each. */
 const teamCount = 18;
-/** What a team may borrow, as a multiple of an equal part; the first has little more than its part, so that it meets its limit. */
+/** A team's upper limit as a multiple of an equal share. The first team's limit is little above its share, so that it is reached. */
 const usualLimitFactor = 3;
 const tightLimitFactor = 1.1;
 const guaranteeShare = 0.8;
 
-/** A team of the controllers' settings file. */
+/** A team entry of the settings file. */
 export interface Team {
   name: string;
   cpus: number;
@@ -36,7 +36,7 @@
   gpus_max: number;
 }
 
-/** The teams of a run; their limits leave room for its load. */
+/** The teams of a run. Their limits leave room for the generated load. */
 export function teamsOf({ workers }: ScaleOptions): Team[] {
   const equalShare = (workers * cpusPerWorker) / teamCount;
   return Array.from({ length: teamCount }, (_, i) => ({
@@ -48,20 +48,23 @@
   }));
 }
 
-/** A controller and its addresses. */
+/** A controller's name and addresses. */
 export interface Member {
   name: string;
   publicAddress: string;
   peerAddress: string;
 }
 
-/** The addresses of state service and cloud. */
+/** The addresses of the state service and the cloud. */
 export interface Endpoints {
   state: string;
   cloud: string;
 }
 
-/** smol-toml writes whole numbers as integers; the platform writes amounts with a decimal point, which reads as the same. */
+/**
+ * The text of a controller's settings file. smol-toml writes whole numbers as integers, where the platform writes amounts with a
+ * decimal point; both are read as the same value.
+ */
 export function settingsText(
   member: Member,
   members: Member[],
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -1,4 +1,4 @@
-/** The stand-in of the state service: this project's store in memory, with the limits, delays and outages of the protocol. */
+/** Simulated state service: this project's store in memory, with rate and size limits, delays and outages. */
 import type { Server } from 'node:http';
 import { seededRandom, type Random } from '../src/retry/index.js';
 import { Engine, storeServer, type Disk, type Refusal, type RequestGate } from '../src/store/index.js';
@@ -12,14 +12,14 @@
 const slowDelayMs = 300;
 const slowShare = 0.001;
 
-/** Keeps nothing: a run begins with an empty store and ends with it. */
+/** Persists nothing, since each run starts with an empty store. */
 const memoryDisk: Disk = {
   load: () => Promise.resolve({ epoch: 0, nextHold: 1, entries: [], leases: [] }),
   write: () => Promise.resolve(),
   close: () => Promise.resolve(),
 };
 
-/** A rate limit that allows bursts of one second's worth. */
+/** A token-bucket rate limiter. By default it allows bursts of one second's tokens. */
 export class TokenBucket {
   private tokens: number;
   private filledAt: number;
@@ -33,7 +33,7 @@
     this.filledAt = now();
   }
 
-  /** Takes so much from the budget, if there is as much. */
+  /** Takes `count` tokens and returns true, or takes none and returns false if there are fewer. */
   take(count: number): boolean {
     const now = this.now();
     const filled = this.tokens + ((now - this.filledAt) / 1000) * this.perS;
@@ -45,7 +45,7 @@
   }
 }
 
-/** Limits requests, writes and sizes, delays each request, and refuses everything in an outage. */
+/** Enforces the limits on requests, writes and sizes, delays each request, and rejects all of them during an outage. */
 class LimitedGate implements RequestGate {
   readonly counts = {
     requests: 0,
@@ -64,7 +64,7 @@
   constructor(
     private readonly limits: PlatformStart,
     private readonly random: Random,
-    /** Told of an urgent job's first placement. */
+    /** Called for each write that places an urgent job. */
     private readonly onPlacement: (job: string, at: number) => void,
   ) {
     this.requests = new TokenBucket(limits.requestsPerS);
@@ -107,8 +107,9 @@
   }
 }
 
-/** A state service in memory that speaks the protocol, with its limits of requests and writes, and outages. */
+/** An in-memory state service with the HTTP protocol of the real one, its limits and outages. */
 export class SimulatedStateService {
+  /** While an outage lasts, the engine's clock stands at this time, so that no lease expires. */
   private clockStoppedAt: number | null = null;
 
   private constructor(
@@ -117,6 +118,7 @@
     readonly server: Server,
   ) {}
 
+  /** Starts the service on a free loopback port. */
   static async start(
     limits: PlatformStart,
     placed: (job: string, at: number) => void,
@@ -132,7 +134,7 @@
     return service;
   }
 
-  /** Refuses everything for a while. No lease ends meanwhile, and each has its full time again afterwards. */
+  /** Rejects all requests for the given time. No lease expires meanwhile, and each gets its full duration again afterwards. */
   beginOutage(durationMs: number): void {
     this.gate.outage = true;
     this.clockStoppedAt = performance.now();
@@ -143,7 +145,7 @@
     }, durationMs);
   }
 
-  /** A field of a stored value; null: there is none. */
+  /** Reads a string field of a stored value; null: there is none. */
   read(key: string, field: string): string | null {
     const data = this.engine.get(key).entry?.data as Record<string, unknown> | undefined;
     const value = data?.[field];
--- a/scale/users.ts
+++ b/scale/users.ts
@@ -1,4 +1,4 @@
-/** The process of the hollow users: they submit, poll, retry and cancel as the protocol says. */
+/** The users process: simulated users that submit, poll, retry and cancel jobs as the protocol prescribes. */
 import { Agent } from 'node:http';
 import { requestJson, type JsonResponse } from '../src/net/client.js';
 import { seededRandom, type Random } from '../src/retry/index.js';
@@ -15,14 +15,14 @@
 const sendEventsIntervalMs = 100;
 const probeIntervalMs = 1000;
 const arrivalCheckIntervalMs = 10;
-/** The initial load comes in jobs of so many tasks at most. */
+/** Upper limit on the tasks of a job of the initial load. */
 const maxInitialJobTasks = 2000;
 const tasksPerUrgentJob = 1;
 const cancelAfterMs = { least: 5000, most: 20_000 };
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** What a load balancer does for users, as far as a run needs it: connections go to controllers that are healthy. */
+/** A minimal load balancer: sends each request to a random healthy controller. */
 class LoadBalancer {
   private readonly healthy: boolean[];
   private readonly agent = new Agent({ keepAlive: true });
@@ -91,7 +91,7 @@
     sendToParent<FromUsers>({ kind: 'events', events });
   }
 
-  /** What runs when the day begins, in jobs of the usual size, though not of more than some thousand tasks. */
+  /** Submits the initial load in jobs of the usual size, or larger ones to need at most 200, though never above `maxInitialJobTasks`. */
   private submitInitial(): void {
     const { tasksPerJob, initialTasks } = this.options;
     const size = Math.min(maxInitialJobTasks, Math.max(tasksPerJob, Math.ceil(initialTasks / 200)));
@@ -99,7 +99,7 @@
       void this.simulateJob('initial', Math.min(size, left));
   }
 
-  /** Jobs arrive at random at a mean rate. */
+  /** Submits jobs at random times (a Poisson process) with the given mean rate. */
   private startArrivals(kind: JobKind, perS: number, tasks: number): void {
     let nextAt = now();
     const submitDueJobs = (): void => {
@@ -111,7 +111,7 @@
     submitDueJobs();
   }
 
-  /** One job from its submission until it is over. */
+  /** Simulates the user of one job from its submission until the job has ended. */
   private async simulateJob(kind: JobKind, tasks: number): Promise<void> {
     const id = jobId(kind, ++this.lastNumbers[kind]);
     const { teams, estimateS, urgentEstimateS, cancelShare } = this.options;
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -1,4 +1,4 @@
-/** A hollow worker: speaks the workers' protocol over real sockets as one machine would, and runs nothing. */
+/** A hollow worker: speaks the worker protocol over real sockets as the worker of one machine does, but runs no processes. */
 import { Agent } from 'node:http';
 import { taskKey } from '../src/model/job.js';
 import type { TaskOrder } from '../src/model/heartbeat.js';
@@ -20,25 +20,25 @@
 const nextControllerPauseMs = 1000;
 const redirectPauseMs = 100;
 const reportIntervalSpread = 0.25;
-/** Run times vary by this share around the mean. */
+/** Run times vary uniformly by this fraction around the mean. */
 const runTimeSpread = 0.25;
 
-/** What all hollow workers of a process share. */
+/** Data and callbacks that all hollow workers of a process share. */
 export interface WorkerContext {
   options: WorkersStart;
   random: Random;
   counts: WorkerCounts;
   emit(event: TaskEvent): void;
-  /** A worker's lease was renewed, the first time since the last mark. */
+  /** Called at a worker's first lease renewal since the last mark. */
   leaseRenewed(): void;
 }
 
 interface RunningTask extends AgentTask {
-  /** Counts what the worker has started, so that the timer of a task that is gone does nothing. */
+  /** Sequence number of the start on this worker; it lets the timer of a task that has left be ignored. */
   startNumber: number;
 }
 
-/** A worker that reports, keeps its lease and runs tasks as timers only. */
+/** A worker that reports, keeps its lease, and simulates running tasks by timers. */
 export class HollowWorker {
   private readonly tasks = new Map<string, RunningTask>();
   private runningCount = 0;
@@ -56,7 +56,7 @@
   private startCount = 0;
   private tokenRaisedAt = -Infinity;
   private ended = false;
-  /** Its lease has not been renewed since the last mark. */
+  /** The lease has not been renewed since the last mark. */
   renewalPending = false;
 
   constructor(
@@ -72,7 +72,7 @@
     this.schedule(0);
   }
 
-  /** Ends the worker with all that is on it. */
+  /** Stops the worker; all its tasks are lost. */
   end(): void {
     this.ended = true;
     this.loseTasks(now());
@@ -82,13 +82,13 @@
     this.context.counts.workers--;
   }
 
-  /** Its process ends and starts again: the tasks are gone, a new session begins. */
+  /** Simulates a restart of the worker process: its tasks are lost, and a new session begins. */
   restart(): void {
     this.newSession(now());
     this.scheduleChangeReport();
   }
 
-  /** Carries out direct commands; the status to answer with. */
+  /** Executes commands that a controller sent directly; returns the HTTP status of the answer. */
   executeCommands(token: number | null, session: number | null, orders: TaskOrder[]): 200 | 400 | 409 {
     if (token === null || session === null) return 400;
     if (token < this.token || session !== this.session) return 409;
@@ -97,7 +97,7 @@
     return 200;
   }
 
-  /** Its next heartbeat. */
+  /** The body of the next heartbeat. */
   report(): object {
     const { host, zone } = this.machine;
     const report: AgentReport = {
@@ -125,7 +125,7 @@
     this.reportTimer = setTimeout(() => void this.sendReport(), afterMs);
   }
 
-  /** A change is reported at once, though not more often than the protocol allows. */
+  /** Schedules a report of a change as soon as the minimum interval of the protocol allows. */
   private scheduleChangeReport(): void {
     this.hasUnreportedChange = true;
     if (!this.reporting) this.schedule(Math.max(0, this.lastReportAt + minReportIntervalMs - now()));
@@ -154,7 +154,7 @@
     } else this.switchController(reply?.status === 421 ? parseRedirect(reply.body) : null);
   }
 
-  /** Takes an answer in, unless it has to be dropped. */
+  /** Applies a heartbeat response; returns false if it is invalid or outdated. */
   private applyResponse(body: unknown, session: number, sentAt: number): boolean {
     const answer = parseHeartbeatResponse(body);
     if (!answer || answer.token === null || answer.token < this.token || session !== this.session)
@@ -244,7 +244,7 @@
     };
     this.scheduleChangeReport();
     if (existing) {
-      // Refused: the task is here with another attempt, which stays as it is.
+      // Refused: another attempt of the task is on this worker and stays unchanged.
       return;
     }
     this.tasks.set(key, task);
@@ -278,7 +278,7 @@
     this.context.emit({ at, what, host: this.machine.host, job, index });
   }
 
-  /** Work of the start has already run for a part of its time, so that ends are spread as in the middle of a day. */
+  /** Tasks of the initial load get a random part of the run time, as if already running, so that their ends are spread evenly. */
   private runTimeOf(job: string): number {
     const { random, options } = this.context;
     if (isInitialJob(job)) return Math.ceil(options.runMs * random());
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -1,4 +1,4 @@
-/** A process of hollow workers: thousands of them, each with its own address on loopback and its own connection. */
+/** A hollow-worker process: up to thousands of hollow workers, each with its own loopback address and connection. */
 import { createServer as createHttpServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { readJson, sendJson } from '../src/net/json.js';
@@ -83,7 +83,7 @@
     for (const { worker } of this.hostedWorkers.values()) worker.renewalPending = true;
   }
 
-  /** Events of a machine that is gone must be on their way before anybody is told that it is gone. */
+  /** Removes machines. Their last events are sent before the removal is confirmed to anyone. */
   private removeAll(hosts: string[]): void {
     for (const host of hosts) this.remove(host);
     this.sendEvents();
--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -1,15 +1,15 @@
-/** What a write to the state service is for, by its key and by what was stored there before. */
+/** Classifies the writes to the state service by key, new value and previously stored value. */
 import { parseKey, decodeLogRecord } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 
-/** What a write is for. */
+/** The purposes of writes. */
 export type WriteKind =
   'accept' | 'placement' | 'end' | 'log' | 'final' | 'cancel' | 'machine' | 'drop' | 'other';
 
-/** What a write is for, and the jobs that it concerns. */
+/** The purpose of a write, and the jobs whose tasks it places. */
 export interface WritePurpose {
   kind: WriteKind;
-  /** Jobs of which it places tasks. */
+  /** Ids of the jobs with new placements in the write. */
   placed: string[];
 }
 
@@ -23,15 +23,15 @@
   p?: unknown[];
 }
 
-/** The last attempt that is placed of each task of a record, as text. */
+/** The placements in a task record, each as text for comparison. */
 const placementTexts = (tasks: TaskState | undefined): string[] =>
   (tasks?.p ?? []).map((p) => JSON.stringify(p));
 
-/** Which placements each record of tasks held when it was last written. */
+/** The placements in each task record as of its last write. */
 export class StoredTasks {
   private readonly placed = new Map<string, ReadonlySet<string>>();
 
-  /** Whether a record holds placements that it did not hold before. */
+  /** Whether a record has placements that it did not have before; remembers the new ones. */
   hasNewPlacements(key: string, tasks: TaskState | undefined): boolean {
     const before = this.placed.get(key);
     const after = placementTexts(tasks);
@@ -39,13 +39,13 @@
     return after.some((p) => !before?.has(p));
   }
 
-  /** A record was deleted. */
+  /** Forgets a record that was deleted or whose job is done. */
   forget(key: string): void {
     this.placed.delete(key);
   }
 }
 
-/** Tells what a write is for, and remembers it. */
+/** Determines the purpose of a write, and updates the remembered placements. */
 export function purposeOf(write: Write, stored: StoredTasks): WritePurpose {
   const ref = parseKey(write.key);
   if (write.data === undefined) {
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -1,4 +1,4 @@
-/** Admission in a flood, on the scripted world: `npm run measure -- flood`. Figures are simulated. */
+/** Measures admission under a flood of submissions in the simulated cluster: `npm run measure -- flood`. */
 import {
   jainIndex,
   maxMinShares,
@@ -11,19 +11,19 @@
 import { Flood, flooding, floodable } from './support/flood.js';
 
 const variants: [string, Partial<OperatorSettings>][] = [
-  ['today', {}],
-  ['by pulses (level 2)', { 'fair-admission': 1, 'level-most': 2 }],
-  ['by the plan (level 3)', { 'fair-admission': 1 }],
+  ['default settings', {}],
+  ['fair admission by peer reports (level 2)', { 'fair-admission': 1, 'level-most': 2 }],
+  ['fair admission by the admission plan (level 3)', { 'fair-admission': 1 }],
 ];
 
-/** What each stream is owed, a second: those that want little all of it, the flood what is left. */
+/** Max-min fair share of each stream, jobs per second: streams with a small demand get all of it, the flood gets the rest. */
 const fairShares = (perS: number): number[] =>
   maxMinShares(
     perS,
     flooding.map((s) => ({ demand: s.perS, weight: 1, minimum: 0 })),
   );
 
-/** Measures admission under a flood of submissions. */
+/** Prints the admission of three streams under each variant, and the computing time of an allocation. */
 export function measureFlood(printLine: (text: string) => void): void {
   for (const [name, operators] of variants) {
     const w = floodable(operators);
@@ -36,24 +36,26 @@
       .slice(commits)
       .filter((c) => c.outcome.type === 'ok')
       .reduce((n, c) => n + c.txn.writes.length, 0);
-    // Against what max-min owes each of what was accepted altogether.
+    // Accepted jobs of each stream, relative to its max-min fair share of all accepted jobs.
     const shares = flooding.map(
       (s, i) => during.filter((j) => j.stream === s).length / 60 / fairShares(during.length / 60)[i],
     );
     w.advance(70);
-    printLine(`${name}: 40 jobs a second of one class for 60 s, 30 writes a second (simulated)`);
+    printLine(`${name}: 40 jobs per second of one class for 60 s, 30 writes per second (simulated)`);
     for (const { name: of } of flooding) {
       const f = users.of(of);
       printLine(
-        `  ${of.padEnd(6)} ${f.jobs} jobs: ${(100 * f.quick).toFixed(0)}% accepted within 1 s, ${(100 * f.accepted).toFixed(0)}% at all (p95 ${f.p95} ms), ${(100 * f.run).toFixed(0)}% have run`,
+        `  ${of.padEnd(6)} ${f.jobs} jobs: ${(100 * f.quick).toFixed(0)}% accepted within 1 s, ${(100 * f.accepted).toFixed(0)}% in total (p95 ${f.p95} ms), ${(100 * f.run).toFixed(0)}% completed`,
       );
     }
     const all = w.commits.length - commits;
     const bad = w.state.rateLimitedCount - refused;
     printLine(
-      `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written a second; ${bad} of ${all} commits refused (${((100 * bad) / all).toFixed(1)}%)`,
+      `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written per second; ${bad} of ${all} commits rejected (${((100 * bad) / all).toFixed(1)}%)`,
+    );
+    printLine(
+      `  Jain's index of the streams' accepted jobs relative to their fair shares: ${jainIndex(shares).toFixed(3)}`,
     );
-    printLine(`  Jain's index of what each got of what it is owed: ${jainIndex(shares).toFixed(3)}`);
     printLine(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
   }
   for (const classes of [10, 1000, 10_000]) {
@@ -80,7 +82,7 @@
     const times = classes > 1000 ? 3 : 100;
     for (let i = 0; i < times; i++) nextAllocation(null, 40, members, false, () => 1);
     printLine(
-      `  a plan of ${classes} kinds at each of three controllers (16 are told at most): ${((performance.now() - from) / times).toFixed(2)} ms`,
+      `  allocation for ${classes} workloads at each of three controllers (at most 16 are included): ${((performance.now() - from) / times).toFixed(2)} ms`,
     );
   }
 }
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -1,5 +1,6 @@
 /**
- * What levels and rolls cost and bring, on the scripted world: `npm run measure -- levels`. Figures are simulated.
+ * Measures feature levels, rolling restarts and the migration from the old record format in the simulated cluster:
+ * `npm run measure -- levels`. All figures are in simulated time.
  */
 import type { Transaction } from '../src/wire/store.js';
 import { leaderOf, levelOf, ownerOf, restart } from './support/rolls.js';
@@ -14,7 +15,7 @@
   (list.sort((a, b) => a - b)[Math.floor(list.length * q)] ?? NaN).toFixed(0);
 
 function startWorld(maxLevel: number, machines = 40): World {
-  // Machines stay, so that only the controllers are waited for.
+  // Idle machines are kept, so that the figures do not include machine boot times.
   const w = new World(3, { 'level-most': maxLevel, 'idle-boots': 1000 });
   w.state.writesPerS = 40;
   w.capacity = machines;
@@ -28,7 +29,7 @@
 const writesOf = (w: World, what: (txn: Transaction) => boolean = () => true): number =>
   w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.writes.length : n), 0);
 
-/** One-task jobs at a rate: how many are accepted within a second and done, and what each writes. */
+/** Submits one-task jobs at a constant rate: the share accepted within 1 s, the time until done, and the writes per job. */
 function measureRate(most: number, perS: number): string {
   const w = startWorld(most);
   for (const x of w.workers.values()) x.taskDurationS = 8;
@@ -74,13 +75,13 @@
   const lag = [...doneAt].map(([id, at]) => (at - submitted.get(id)!) / 1000);
   const quick = acceptedAfterMs.filter((t) => t <= 1000).length;
   return (
-    `level ${levelOf(w).level}, ${perS} a second: ${((100 * quick) / sent).toFixed(0)}% accepted within 1 s, ${rejected} refused; ` +
+    `level ${levelOf(w).level}, ${perS} jobs per second: ${((100 * quick) / sent).toFixed(0)}% accepted within 1 s, ${rejected} rejected or unanswered; ` +
     `done after p50 ${quantile(lag, 0.5)} s, p95 ${quantile(lag, 0.95)} s (tasks run 8 s), ${doneAt.size} of ${sent}; ` +
-    `${perJob.toFixed(2)} writes a job, ${w.state.rateLimitedCount} commits refused`
+    `${perJob.toFixed(2)} writes per job, ${w.state.rateLimitedCount} commits rejected by the rate limit`
   );
 }
 
-/** One controller is replaced while users come: the longest time without a placement, and requests that failed. */
+/** Replaces one controller under load: the longest time without a task start, and the number of failed requests. */
 function measureReplacement(who: 'owner' | 'leader' | 'neither', orderly: boolean, machines: number): string {
   const w = startWorld(0, machines);
   const users = new Traffic(w, 100, () => ({ cpus: 0.5 }), 1e9);
@@ -103,12 +104,12 @@
   const times = [at, ...w.starts.slice(starts).map((s) => s.at)];
   const gap = Math.max(...times.slice(1).map((t, i) => t - times[i]));
   return (
-    `${who}${owner === leader ? ' (one and the same)' : ''}, ${orderly ? `orderly (gone after ${left} ms)` : 'by kill'}: ` +
-    `at most ${gap} ms without a placement, ${users.failed - failed} requests failed, ${w.violations.length} rules broken`
+    `${who}${owner === leader ? ' (owner and leader are the same)' : ''}, ${orderly ? `graceful (stopped after ${left} ms)` : 'killed'}: ` +
+    `at most ${gap} ms without a task start, ${users.failed - failed} requests failed, ${w.violations.length} rule violations`
   );
 }
 
-/** Users' waits while 100,000 tasks in the old format are rewritten, against afterwards. */
+/** Latency of submissions while 100,000 tasks in the old record format are being rewritten, and afterwards. */
 function measureMigration(): string {
   const { keys, placed } = manyTasks();
   const w = found(keys);
@@ -131,18 +132,21 @@
     waits.push(users.acceptedAfter);
   }
   const p = (list: number[]) =>
-    `p50 ${quantile(list, 0.5)}, p95 ${quantile(list, 0.95)}, most ${quantile(list, 1 - 1e-9)} ms`;
-  return `400 of 1,368 jobs rewritten in ${migrationS.toFixed(0)} s, ${(800 / migrationS).toFixed(1)} writes a second; submissions accepted while: ${p(waits[0])}; after: ${p(waits[1])}`;
+    `p50 ${quantile(list, 0.5)}, p95 ${quantile(list, 0.95)}, max ${quantile(list, 1 - 1e-9)} ms`;
+  return `400 of 1,368 jobs rewritten in ${migrationS.toFixed(0)} s, ${(800 / migrationS).toFixed(1)} writes per second; submissions accepted during the migration: ${p(waits[0])}; afterwards: ${p(waits[1])}`;
 }
 
+/** Prints the measurements of submission rates, migration and controller replacement. */
 export function measureLevels(printLine: PrintLine): void {
-  printLine('One-task jobs for 60 s to three controllers, 40 writes a second (simulated):');
+  printLine('One-task jobs for 60 s to three controllers, 40 writes per second (simulated):');
   for (const perS of [8, 10, 11, 12, 13, 14, 16])
     for (const most of [1, 0]) printLine(`  ${measureRate(most, perS)}`);
   printLine('100,000 tasks in the old format (simulated):');
   printLine(`  ${measureMigration()}`);
   for (const machines of [40, 900]) {
-    printLine(`A controller replaced, ${machines} machines, 10 jobs a second, back after 4 s (simulated):`);
+    printLine(
+      `Replacement of a controller, ${machines} machines, 10 jobs per second, restarted after 4 s (simulated):`,
+    );
     for (const who of ['owner', 'neither'] as const)
       for (const orderly of [true, false]) printLine(`  ${measureReplacement(who, orderly, machines)}`);
   }
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -1,16 +1,20 @@
-/** A state service that has lost data, at fleet size, on the scripted world: `npm run measure -- loss`. Figures are simulated. */
+/**
+ * Measures the recovery after the state service has lost data, with 900 machines in the simulated cluster:
+ * `npm run measure -- loss`. All figures are in simulated time.
+ */
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
 const losses: Record<string, (w: World) => void> = {
   wiped: (w) => w.state.loseData([], 1),
-  'every second record gone': (w) =>
+  'every second record lost': (w) =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 2 === 0),
       w.state.epoch,
     ),
 };
 
+/** Prints the times, writes and surviving tasks of a recovery from each kind of data loss. */
 export function measureLoss(printLine: (text: string) => void): void {
   for (const [what, lose] of Object.entries(losses)) {
     const w = new World(3, { 'idle-boots': 1000 });
@@ -24,7 +28,7 @@
     w.heartbeatMs = 5000;
     w.advance(8);
     let requestId = 0;
-    // Some that are over, and some that run for long.
+    // 700 short jobs that are finished when the data is lost, then 120 long-running ones.
     for (let i = 0; i < 700; i++)
       w.nodes[i % 3].push({
         type: 'submit',
@@ -73,13 +77,13 @@
     const first = w.starts.length;
     w.advanceUntil(() => w.starts.length > first, 60);
     printLine(
-      `${what}: 900 machines, ${keys} keys, ${jobs} jobs, ${before} tasks running, 35 writes a second (simulated)`,
+      `${what}: 900 machines, ${keys} keys, ${jobs} jobs, ${before} tasks running, 35 writes per second (simulated)`,
     );
     printLine(
-      `  noticed after ${noticed} s, work goes on after ${resumed} s, rebuilt after ${recovered} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
+      `  detected after ${noticed} s, work resumed after ${resumed} s, recovery complete after ${recovered} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
     );
     printLine(
-      `  ${writes} writes; ${done()} jobs known; ${least} tasks ran when work went on, ${running()} now; ${w.violations.length} rules broken`,
+      `  ${writes} writes; ${done()} jobs known; ${least} tasks running when work resumed, ${running()} now; ${w.violations.length} rule violations`,
     );
   }
 }
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -1,4 +1,4 @@
-/** What a start costs in writes, by the tasks of a job, on the scripted world: `npm run measure -- writes`. Figures are scripted. */
+/** Measures the writes per task start, by the number of tasks per job, in the simulated cluster: `npm run measure -- writes`. */
 import { parseKey } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 import { spec } from './support/fixtures.js';
@@ -23,6 +23,7 @@
   return data['t'] === undefined ? 'accept' : 'tasks';
 }
 
+/** The counts of one measurement. */
 interface Cost {
   starts: number;
   writes: Record<WriteKind, number>;
@@ -48,12 +49,13 @@
   const writes: Record<WriteKind, number> = { accept: 0, tasks: 0, final: 0, drop: 0, other: 0 };
   for (const { txn, outcome } of w.commits.slice(from))
     if (outcome.type === 'ok') for (const write of txn.writes) writes[kindOf(write)]++;
-  return { starts: w.starts.length, writes: writes, tookS, violations: w.violations.length };
+  return { starts: w.starts.length, writes, tookS, violations: w.violations.length };
 }
 
+/** Prints the writes per start, in total and by kind, for several job sizes with the task log off and on. */
 export async function measureWrites(printLine: PrintLine): Promise<void> {
   printLine(
-    'tasks a job, task log: writes a start in all (accept, tasks, final, drop, other), starts a second',
+    'tasks per job, task log: writes per start in total (accept, tasks, final, drop, other), starts per second (simulated)',
   );
   for (const tasks of [1, 4, 8, 16, 40, 200, 600])
     for (const log of [0, 1]) {
@@ -62,7 +64,7 @@
       const all = kinds.reduce((sum, kind) => sum + cost.writes[kind], 0);
       const parts = kinds.map((kind) => a(cost.writes[kind])).join(', ');
       const rate = (cost.starts / cost.tookS).toFixed(1);
-      const wrong = cost.violations > 0 ? `  ${cost.violations} RULES BROKEN` : '';
+      const wrong = cost.violations > 0 ? `  ${cost.violations} RULE VIOLATIONS` : '';
       printLine(`${tasks}, ${log ? 'on' : 'off'}: ${a(all)} (${parts}), ${rate}${wrong}`);
     }
 }
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -1,6 +1,7 @@
 /**
- * What the control service, its store and its agents do on this machine; not a test. `npm run measure -- store`,
- * `restart`, `batch`, `kills`, `levels`. Everything is on loopback and in a fresh directory, and ends by itself.
+ * Benchmarks, not part of the test suite: `npm run measure -- NAME`. `store`, `restart`, `batch` and `kills` measure the control
+ * service, its store and its agents on this machine, on loopback and in a temporary directory; `match` measures matching; `flood`,
+ * `loss`, `writes` and `levels` run in the simulated cluster.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, fdatasyncSync, mkdtempSync, openSync, rmSync, writeFileSync, writeSync } from 'node:fs';
@@ -25,6 +26,7 @@
 const quantile = (list: number[], q: number): number =>
   list.sort((a, b) => a - b)[Math.min(list.length - 1, Math.floor(list.length * q))];
 
+/** Latency and throughput of disk syncs, and of commits to the store with several concurrent writers. */
 async function measureStore(): Promise<void> {
   const file = openSync(join(directory, 'probe'), 'w');
   const syncMs: number[] = [];
@@ -36,7 +38,7 @@
   }
   closeSync(file);
   printLine(
-    `the disk alone: ${(1000 / (syncMs.reduce((a, b) => a + b) / 300)).toFixed(0)} syncs a second, p50 ${quantile(syncMs, 0.5).toFixed(2)} ms`,
+    `disk without the store: ${(1000 / (syncMs.reduce((a, b) => a + b) / 300)).toFixed(0)} syncs per second, p50 ${quantile(syncMs, 0.5).toFixed(2)} ms`,
   );
   for (const writers of [1, 16, 128]) {
     const engine = await Engine.open(await LevelDisk.open(join(directory, `w${writers}`)), ignore, fatal);
@@ -55,7 +57,7 @@
       }),
     );
     printLine(
-      `${writers} writers: ${(latenciesMs.length / 3).toFixed(0)} commits a second, p50 ${quantile(latenciesMs, 0.5).toFixed(2)} ms, p99 ${quantile(latenciesMs, 0.99).toFixed(2)} ms`,
+      `${writers} writers: ${(latenciesMs.length / 3).toFixed(0)} commits per second, p50 ${quantile(latenciesMs, 0.5).toFixed(2)} ms, p99 ${quantile(latenciesMs, 0.99).toFixed(2)} ms`,
     );
     await engine.close();
   }
@@ -90,7 +92,7 @@
   return process.memoryUsage().heapUsed / 1024 / 1024;
 };
 
-/** In a call of its own: what it held must be gone before memory is measured. */
+/** Stores finished jobs. A separate function, so that its memory can be collected before memory is measured. */
 async function storeFinishedJobs(jobs: number): Promise<void> {
   const engine = await Engine.open(await LevelDisk.open(join(directory, 'store')), ignore, fatal);
   for (let i = 0; i < jobs; i += 500)
@@ -104,6 +106,7 @@
   await engine.close();
 }
 
+/** Memory of the control service per job and per agent, and the times until it serves again after a restart. */
 async function measureRestart(): Promise<void> {
   const port = await findFreePort();
   const settings = parseControlSettings(controlText(port));
@@ -119,9 +122,7 @@
   while (open.control.service.controller.replica.jobs.size < jobs) await pause(100);
   await pause(2000);
   const withJobs = heapMb();
-  printLine(
-    `memory of the service: ${(((withJobs - before) / jobs) * 1024).toFixed(2)} KB for each finished job`,
-  );
+  printLine(`memory of the service: ${(((withJobs - before) / jobs) * 1024).toFixed(2)} KB per finished job`);
   const all = await startAgents(1000, port);
   const http = new JsonClient(`127.0.0.1:${port}`, 2);
   const machines = (): number =>
@@ -130,7 +131,7 @@
     ).length;
   while (machines() < 1000) await pause(100);
   printLine(
-    `memory of the service and 1,000 agents in one process: ${(((heapMb() - withJobs) * 1024) / 1000).toFixed(1)} KB for each agent`,
+    `memory of the service and 1,000 agents in one process: ${(((heapMb() - withJobs) * 1024) / 1000).toFixed(1)} KB per agent`,
   );
   await open.close();
   await pause(1000);
@@ -143,18 +144,21 @@
     if (r && r.status < 300) break;
     await pause(20);
   }
-  printLine(`restart: accepts ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
+  printLine(
+    `restart: first submission accepted ${((performance.now() - at) / 1000).toFixed(2)} s after its start`,
+  );
   const { shardState } = open.control.service.controller.shardManager;
   while (shardState.placementCount === 0) await pause(10);
   printLine(`restart: first placement ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
   while (machines() < 1000) await pause(20);
   printLine(
-    `restart: 1,000 agents have reported ${((performance.now() - at) / 1000).toFixed(2)} s after its start`,
+    `restart: all 1,000 agents reported ${((performance.now() - at) / 1000).toFixed(2)} s after its start`,
   );
   for (const a of all) a.stop();
   await open.close();
 }
 
+/** Throughput of a batch of 10,000 short tasks, with the control service killed at a fixed interval if one is given. */
 async function measureBatch(killEveryS: number | null): Promise<void> {
   const port = await findFreePort();
   const path = join(directory, 'control.scm');
@@ -191,7 +195,7 @@
     if (s?.status === 'done' || performance.now() - at > 150_000) {
       const tookS = (performance.now() - at) / 1000;
       printLine(
-        `10,000 tasks of 1 s on 200 agents of 4 CPUs${killEveryS === null ? '' : `, service killed every ${killEveryS} s (${kills} times)`}: ${s?.status ?? '?'} after ${tookS.toFixed(1)} s, ${(10_000 / tookS).toFixed(0)} a second (800 would be all there is), ${s?.failed ?? '?'} failed`,
+        `10,000 tasks of 1 s on 200 agents of 4 CPUs${killEveryS === null ? '' : `, service killed every ${killEveryS} s (${kills} times)`}: ${s?.status ?? '?'} after ${tookS.toFixed(1)} s, ${(10_000 / tookS).toFixed(0)} tasks per second (800 is the capacity), ${s?.failed ?? '?'} failed`,
       );
       break;
     }
@@ -200,7 +204,7 @@
   control.kill('SIGKILL');
 }
 
-/** Reading, expanding and matching, against evaluating every pair of job and machine. */
+/** Parsing, expansion and matching of jobs, compared with the evaluation of every pair of job and machine. */
 async function measureMatching(): Promise<void> {
   const { Submission } = await import('../src/condor/index.js');
   const { ClassAdMatcher } = await import('../src/matching/index.js');
@@ -216,7 +220,7 @@
     for (let i = 0; i < 10_000; i++) parseExpr(text);
   });
   printLine(
-    `parse: ${(10_000 / (parse / 1000)).toFixed(0)} expressions of ${text.length} characters a second`,
+    `parse: ${(10_000 / (parse / 1000)).toFixed(0)} expressions of ${text.length} characters per second`,
   );
   const context = {
     cwd: '/',
@@ -232,7 +236,7 @@
   const expand = timeMs(() => {
     for (const ad of new Submission(file, 'x.sub', context).jobs()) if (ad.size > 0) jobs++;
   });
-  printLine(`expand: ${jobs} jobs of one queue in ${(expand / 1000).toFixed(2)} s`);
+  printLine(`expand: ${jobs} jobs of one queue statement in ${(expand / 1000).toFixed(2)} s`);
   const machines = Array.from({ length: 1000 }, (_, i) => ({
     Name: `m${i}`,
     OpSys: 'LINUX',
@@ -277,10 +281,10 @@
     for (const m of machines) if (one.allows(m.Name)) sampled++;
   }
   printLine(
-    `match: 10,000 clusters on 1,000 machines in 10 kinds: ${(clustered / 1000).toFixed(2)} s, ${matcher.evaluations} evaluations, ${found} matches`,
+    `match: 10,000 clusters against 1,000 machines of 10 kinds: ${(clustered / 1000).toFixed(2)} s, ${matcher.evaluations} evaluations, ${found} matches`,
   );
   printLine(
-    `every pair: one cluster in ${share}, ${(naive / 1000).toFixed(2)} s, so ${((naive * share) / 1000).toFixed(0)} s for all; the same matches: ${sampled === naiveFound}`,
+    `every pair evaluated: one cluster in ${share}, ${(naive / 1000).toFixed(2)} s, so ${((naive * share) / 1000).toFixed(0)} s estimated for all; same matches: ${sampled === naiveFound}`,
   );
 }
 
@@ -297,7 +301,7 @@
 };
 const requested = process.argv[2] ?? '';
 if (!Object.hasOwn(measurements, requested)) {
-  printLine(`measure: expected one of ${Object.keys(measurements).join(', ')}`);
+  printLine(`measure: unknown or missing name, expected one of ${Object.keys(measurements).join(', ')}`);
   process.exit(1);
 }
 await measurements[requested]();
--- a/test/scale-run.test.ts
+++ b/test/scale-run.test.ts
@@ -1,4 +1,4 @@
-/** The scale run: its parts on their own, and a small run with real processes. */
+/** Tests of the scale run: unit tests of its parts, and a small run with real processes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { checkCapacity, parseOptions, ScaleError } from '../scale/options.js';
@@ -39,7 +39,7 @@
   return rules.violations.map((v) => v.rule);
 }
 
-test('a day on which tasks move, complete and are told of in order breaks no rule', () => {
+test('the rule checker accepts tasks that move, complete and are then reported done', () => {
   const rules = checker();
   rules.onTaskEvent(task(2, 'on', 'a', 0));
   rules.onTaskEvent(task(3, 'off', 'a', 0));
@@ -92,13 +92,13 @@
   ],
 ];
 for (const [rule, breach] of violationCases)
-  test(`the scale run's checker finds ${rule}`, () => {
+  test(`the rule checker reports ${rule}`, () => {
     const rules = checker();
     breach(rules);
     assert.deepEqual(rulesBroken(rules), [rule]);
   });
 
-test('a cancelled job may be on its machines until its time is over', () => {
+test('tasks of a cancelled job may stay on machines until the cancellation time limit', () => {
   const rules = checker();
   rules.onTaskEvent(task(5, 'on', 'a', 0));
   rules.onUserEvent({ at: 10, what: 'cancelled', job: 'req-1', afterMs: 1 });
@@ -108,7 +108,7 @@
   assert.deepEqual(rulesBroken(rules), []);
 });
 
-test('events of several processes are taken in the order of their times', () => {
+test('events of several processes are merged in order of time', () => {
   const buffer = new EventReorderBuffer(100);
   buffer.add([{ at: 5 }, { at: 7 }]);
   buffer.add([{ at: 6 }, { at: 300 }]);
@@ -122,7 +122,7 @@
   );
 });
 
-test('what the machine cannot hold is refused with what is short', () => {
+test('a run beyond the capacity of the machine is refused, and the error names the missing resource', () => {
   const options = parseOptions(['--workers', '10000', '--cells', '2']);
   const capacity = { openFiles: 20_000, memoryMb: 12_000 };
   assert.throws(
@@ -136,7 +136,7 @@
   checkCapacity(parseOptions(['--workers', '2500']), capacity);
 });
 
-test('writes are told apart by what is stored', () => {
+test('writes are classified by key, value and previously stored value', () => {
   const stored = new StoredTasks();
   const kind = (key: string, data: Record<string, unknown> | undefined): string =>
     purposeOf({ key, data }, stored).kind;
@@ -155,14 +155,14 @@
   assert.deepEqual(purposeOf(record, stored), { kind: 'log', placed: ['req-3'] });
 });
 
-test('a small run: real controllers, hollow workers and users, the owner killed, no rule broken', async () => {
+test('small run with real controllers, hollow workers and simulated users: the shard owner is killed, no rule is violated', async () => {
   const args = ['--workers', '12', '--starts', '54', '--tasks-per-job', '20', '--seconds', '10'];
   const options = parseOptions([...args, '--write-rps', '60', '--faults', 'owner']);
   const { cells, ok } = await runScale(options, () => undefined);
   const [cell] = cells;
   assert.deepEqual(cell.violations, []);
   assert.ok(ok);
-  assert.ok(cell.startsPerS > 20, `${cell.startsPerS} starts a second`);
+  assert.ok(cell.startsPerS > 20, `${cell.startsPerS} starts per second, expected more than 20`);
   assert.ok(cell.urgentStart.count > 0);
   const [fault] = cell.faults;
   assert.ok(fault.firstStartMs !== null);
--- a/test/soak.ts
+++ b/test/soak.ts
@@ -1,4 +1,7 @@
-/** Long runs of what the tests do shortly: `npm run soak -- MINUTES SEED`. Not a test; ends by itself. */
+/**
+ * Soak test: `npm run soak -- MINUTES SEED` repeats the tests that kill processes, with a new seed each time, until the time is over
+ * or a run fails. Not part of the test suite.
+ */
 import { spawnSync } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
@@ -15,7 +18,7 @@
       encoding: 'utf8',
     },
   );
-  process.stdout.write(`seed ${seed}: ${result.status === 0 ? 'as it should be' : 'BROKEN'}\n`);
+  process.stdout.write(`seed ${seed}: ${result.status === 0 ? 'passed' : 'FAILED'}\n`);
   if (result.status !== 0) {
     process.stdout.write(result.stdout);
     process.exit(1);
