--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -34,7 +34,7 @@
 import {
   ControllerProcess,
   deployedNodeFlags,
-  Generator,
+  GeneratorProcess,
   readProcessUsage,
   type ProcessUsage,
 } from './processes.js';
@@ -50,7 +50,7 @@
 } from './settings.js';
 
 const statusIntervalMs = 500;
-/** Upper bound of the time by which events of a busy process arrive late, compared with those of other processes. */
+/** Maximum delay with which events arrive; those of a busy process arrive later than those of others. */
 const maxEventDelayMs = 3000;
 const startTimeoutMs = 20_000;
 const firstLoopbackNetwork = 16;
@@ -87,9 +87,9 @@
   readonly checker: RuleChecker;
   /** Zones of the machines that have booted and have not been returned to the cloud, by host. */
   readonly machines = new Map<string, string>();
-  private platform!: Generator<ToPlatform>;
-  private readonly workers: Generator<ToWorkers>[] = [];
-  private users: Generator<ToUsers> | null = null;
+  private platform!: GeneratorProcess<ToPlatform>;
+  private readonly workers: GeneratorProcess<ToWorkers>[] = [];
+  private users: GeneratorProcess<ToUsers> | null = null;
   private readonly workerProcessOfHost = new Map<string, number>();
   private nextWorkerProcess = 0;
   private readonly pendingRemovals = new Map<number, number>();
@@ -141,7 +141,7 @@
   private async startPlatform(): Promise<{ state: string; cloud: string }> {
     const { options } = this;
     return this.waitForStart('the platform process', (resolve) => {
-      this.platform = Generator.start<ToPlatform, FromPlatform>('platform', (message) => {
+      this.platform = GeneratorProcess.start<ToPlatform, FromPlatform>('platform', (message) => {
         if (message.kind === 'ready') resolve({ state: message.state, cloud: message.cloud });
         else this.onPlatformMessage(message);
       });
@@ -193,7 +193,7 @@
     for (let i = 0; i < workerProcessCount(options); i++) {
       this.workerCounts.push({ ...zeroWorkerCounts });
       await this.waitForStart<null>('a hollow-worker process', (resolve) => {
-        const generator = Generator.start<ToWorkers, FromWorkers>('workers', (message) => {
+        const generator = GeneratorProcess.start<ToWorkers, FromWorkers>('workers', (message) => {
           if (message.kind === 'ready') resolve(null);
           else this.onWorkersMessage(i, message);
         });
@@ -217,7 +217,7 @@
   private async startUsers(controllers: [string, string][]): Promise<void> {
     const { options, runMs } = this;
     await this.waitForStart<null>('the users process', (resolve) => {
-      this.users = Generator.start<ToUsers, FromUsers>('users', (message) => {
+      this.users = GeneratorProcess.start<ToUsers, FromUsers>('users', (message) => {
         if (message.kind === 'ready') resolve(null);
         else if (message.kind === 'events') this.eventBuffer.add(message.events);
         else this.onUsersStatus(message.counts, message.lag);
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -130,8 +130,8 @@
 
   private list(query: URLSearchParams): object {
     const at = performance.now() - this.limits.listLagS * 1000;
-    for (const [host, gone] of this.removedMachines)
-      if (gone.removedAt <= at) this.removedMachines.delete(host);
+    for (const [host, removed] of this.removedMachines)
+      if (removed.removedAt <= at) this.removedMachines.delete(host);
     const from = query.get('from') ?? '';
     const limit = Math.min(500, Number(query.get('limit') ?? 500));
     const all = [...this.machines.values(), ...this.removedMachines.values()]
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -10,18 +10,21 @@
 const mb = 1024 * 1024;
 
 /** A child process that generates load, with typed messages in both directions. */
-export class Generator<In extends object> {
+export class GeneratorProcess<In extends object> {
   private constructor(private readonly child: ChildProcess) {}
 
   /** Forks a module of this directory as a child process. */
-  static start<In extends object, Out>(module: string, receive: (message: Out) => void): Generator<In> {
+  static start<In extends object, Out>(
+    module: string,
+    receive: (message: Out) => void,
+  ): GeneratorProcess<In> {
     const path = fileURLToPath(new URL(`./${module}.js`, import.meta.url));
     const child = fork(path, [], {
       stdio: ['ignore', 'inherit', 'inherit', 'ipc'],
       serialization: 'advanced',
     });
     child.on('message', (message) => receive(message as Out));
-    return new Generator<In>(child);
+    return new GeneratorProcess<In>(child);
   }
 
   get pid(): number {
--- a/scale/run.ts
+++ b/scale/run.ts
@@ -23,7 +23,7 @@
   for (const fault of options.faults) await injectFault(cell, fault, options.seconds);
 }
 
-/** Executes a run and always stops its processes at the end. `printLine` receives a progress line every 5 s. */
+/** Executes a run and always stops its processes at the end. `printLine` periodically receives a progress line. */
 export async function runScale(options: ScaleOptions, printLine: (line: string) => void): Promise<RunResult> {
   checkCapacity(options, machineCapacity());
   const directory = mkdtempSync(join(tmpdir(), 'dapplepick-scale-'));
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -31,27 +31,27 @@
     const commits = w.commits.length;
     const users = new Flood(w, flooding);
     w.advance(60);
-    const during = users.jobs.filter((j) => j.acceptedAt > 0);
-    const written = w.commits
+    const accepted = users.jobs.filter((j) => j.acceptedAt > 0);
+    const writeCount = w.commits
       .slice(commits)
       .filter((c) => c.outcome.type === 'ok')
       .reduce((n, c) => n + c.txn.writes.length, 0);
     // Accepted jobs of each stream, relative to its max-min fair share of all accepted jobs.
     const shares = flooding.map(
-      (s, i) => during.filter((j) => j.stream === s).length / 60 / fairShares(during.length / 60)[i],
+      (s, i) => accepted.filter((j) => j.stream === s).length / 60 / fairShares(accepted.length / 60)[i],
     );
     w.advance(70);
     printLine(`${name}: 40 jobs per second of one class for 60 s, 30 writes per second (simulated)`);
-    for (const { name: of } of flooding) {
-      const f = users.of(of);
+    for (const { name: streamName } of flooding) {
+      const streamFigures = users.of(streamName);
       printLine(
-        `  ${of.padEnd(6)} ${f.jobs} jobs: ${(100 * f.quick).toFixed(0)}% accepted within 1 s, ${(100 * f.accepted).toFixed(0)}% in total (p95 ${f.p95} ms), ${(100 * f.run).toFixed(0)}% completed`,
+        `  ${streamName.padEnd(6)} ${streamFigures.jobs} jobs: ${(100 * streamFigures.quick).toFixed(0)}% accepted within 1 s, ${(100 * streamFigures.accepted).toFixed(0)}% in total (p95 ${streamFigures.p95} ms), ${(100 * streamFigures.run).toFixed(0)}% completed`,
       );
     }
-    const all = w.commits.length - commits;
-    const bad = w.state.rateLimitedCount - refused;
+    const commitCount = w.commits.length - commits;
+    const rejectedCommits = w.state.rateLimitedCount - refused;
     printLine(
-      `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written per second; ${bad} of ${all} commits rejected (${((100 * bad) / all).toFixed(1)}%)`,
+      `  ${(accepted.length / 60).toFixed(1)} accepted and ${(writeCount / 60).toFixed(1)} written per second; ${rejectedCommits} of ${commitCount} commits rejected (${((100 * rejectedCommits) / commitCount).toFixed(1)}%)`,
     );
     printLine(
       `  Jain's index of the streams' accepted jobs relative to their fair shares: ${jainIndex(shares).toFixed(3)}`,
@@ -59,7 +59,7 @@
     printLine(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
   }
   for (const classes of [10, 1000, 10_000]) {
-    const kinds = Array.from({ length: classes }, (_, i): WorkloadDemand => ({
+    const workloads = Array.from({ length: classes }, (_, i): WorkloadDemand => ({
       team: `t${i % 5}`,
       class: `c${i}`,
       weight: 1,
@@ -70,7 +70,7 @@
       newJobs: 20,
       backlogS: 1,
       allocationVersion: 1,
-      workloads: kinds,
+      workloads,
     };
     const members: MemberStatus[] = ['a', 'b', 'c'].map((name) => ({
       name,
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -30,12 +30,12 @@
   w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.writes.length : n), 0);
 
 /** Submits one-task jobs at a constant rate: the share accepted within 1 s, the time until done, and the writes per job. */
-function measureRate(most: number, perS: number): string {
-  const w = startWorld(most);
+function measureRate(maxLevel: number, perS: number): string {
+  const w = startWorld(maxLevel);
   for (const x of w.workers.values()) x.taskDurationS = 8;
   const before = writesOf(w);
   const acceptedAfterMs: number[] = [];
-  const open = new Map<number, { at: number; n: Node }>();
+  const pending = new Map<number, { at: number; n: Node }>();
   let sent = 0;
   const end = w.now + 60_000;
   const from = w.now;
@@ -49,20 +49,20 @@
         doneAt.set(id, w.now);
     }
   };
-  while (w.now < end || open.size > 0) {
+  while (w.now < end || pending.size > 0) {
     recordFinished();
     if (w.now < end && sent < ((w.now - from) / 1000) * perS) {
       const n = w.nodes[sent % 3];
       const id = `req-${++sent}`;
       n.push({ type: 'submit', requestId: sent, spec: spec(id, { tasks: 1, team: 'blue', cpus: 0.5 }) });
-      open.set(sent, { at: w.now, n });
+      pending.set(sent, { at: w.now, n });
       submitted.set(id, w.now);
     }
     w.advance(0.01);
-    for (const [requestId, o] of open) {
+    for (const [requestId, o] of pending) {
       const a = o.n.responses.get(requestId);
       if (!a && w.now - o.at < 10_000) continue;
-      open.delete(requestId);
+      pending.delete(requestId);
       if (a?.status === 201) acceptedAfterMs.push(w.now - o.at);
       else rejected++;
     }
@@ -72,17 +72,21 @@
     w.advance(0.1);
   }
   const perJob = (writesOf(w) - before) / Math.max(1, doneAt.size);
-  const lag = [...doneAt].map(([id, at]) => (at - submitted.get(id)!) / 1000);
-  const quick = acceptedAfterMs.filter((t) => t <= 1000).length;
+  const completionS = [...doneAt].map(([id, at]) => (at - submitted.get(id)!) / 1000);
+  const acceptedWithinOneSecond = acceptedAfterMs.filter((t) => t <= 1000).length;
   return (
-    `level ${levelOf(w).level}, ${perS} jobs per second: ${((100 * quick) / sent).toFixed(0)}% accepted within 1 s, ${rejected} rejected or unanswered; ` +
-    `done after p50 ${quantile(lag, 0.5)} s, p95 ${quantile(lag, 0.95)} s (tasks run 8 s), ${doneAt.size} of ${sent}; ` +
+    `level ${levelOf(w).level}, ${perS} jobs per second: ${((100 * acceptedWithinOneSecond) / sent).toFixed(0)}% accepted within 1 s, ${rejected} rejected or unanswered; ` +
+    `done after p50 ${quantile(completionS, 0.5)} s, p95 ${quantile(completionS, 0.95)} s (tasks run 8 s), ${doneAt.size} of ${sent}; ` +
     `${perJob.toFixed(2)} writes per job, ${w.state.rateLimitedCount} commits rejected by the rate limit`
   );
 }
 
 /** Replaces one controller under load: the longest time without a task start, and the number of failed requests. */
-function measureReplacement(who: 'owner' | 'leader' | 'neither', orderly: boolean, machines: number): string {
+function measureReplacement(
+  role: 'owner' | 'leader' | 'neither',
+  graceful: boolean,
+  machines: number,
+): string {
   const w = startWorld(0, machines);
   const users = new Traffic(w, 100, () => ({ cpus: 0.5 }), 1e9);
   for (const x of w.workers.values()) x.taskDurationS = 10;
@@ -90,21 +94,21 @@
   const owner = ownerOf(w)!;
   const leader = leaderOf(w)!;
   const n =
-    who === 'owner' ? owner : who === 'leader' ? leader : w.nodes.find((x) => x !== owner && x !== leader)!;
+    role === 'owner' ? owner : role === 'leader' ? leader : w.nodes.find((x) => x !== owner && x !== leader)!;
   const failed = users.failed;
   const starts = w.starts.length;
   const at = w.now;
-  if (orderly) {
+  if (graceful) {
     n.push({ type: 'shut-down' });
     w.advanceUntil(() => n.controller.shutdownPhase === 'stopped', 20);
   }
-  const left = w.now - at;
+  const shutdownMs = w.now - at;
   restart(w, n, () => undefined, 4);
   w.advance(25);
   const times = [at, ...w.starts.slice(starts).map((s) => s.at)];
   const gap = Math.max(...times.slice(1).map((t, i) => t - times[i]));
   return (
-    `${who}${owner === leader ? ' (owner and leader are the same)' : ''}, ${orderly ? `graceful (stopped after ${left} ms)` : 'killed'}: ` +
+    `${role}${owner === leader ? ' (owner and leader are the same)' : ''}, ${graceful ? `graceful (stopped after ${shutdownMs} ms)` : 'killed'}: ` +
     `at most ${gap} ms without a task start, ${users.failed - failed} requests failed, ${w.violations.length} rule violations`
   );
 }
@@ -118,36 +122,36 @@
   withWorkers(w, placed);
   for (const [id] of placed) w.serviceJobs.add(id);
   w.advanceUntil(() => levelOf(w).level >= 2, 30);
-  const left = () => [...w.state.entries.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
+  const recordsLeft = () => [...w.state.entries.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
   const waits: number[][] = [];
   const began = w.now;
   let migrationS = 0;
   for (const phase of ['while', 'after']) {
     const users = new Traffic(w, 200, () => ({ cpus: 0.01 }), 1e9, phase === 'while' ? 20_000 : 40_000);
     const from = w.now;
-    w.advanceUntil(() => (phase === 'while' ? left() === 0 : w.now - from > 60_000), 600);
+    w.advanceUntil(() => (phase === 'while' ? recordsLeft() === 0 : w.now - from > 60_000), 600);
     if (phase === 'while') migrationS = (w.now - began) / 1000;
     users.stop();
     w.advance(10);
     waits.push(users.acceptedAfter);
   }
-  const p = (list: number[]) =>
+  const quantilesText = (list: number[]) =>
     `p50 ${quantile(list, 0.5)}, p95 ${quantile(list, 0.95)}, max ${quantile(list, 1 - 1e-9)} ms`;
-  return `400 of 1,368 jobs rewritten in ${migrationS.toFixed(0)} s, ${(800 / migrationS).toFixed(1)} writes per second; submissions accepted during the migration: ${p(waits[0])}; afterwards: ${p(waits[1])}`;
+  return `400 of 1,368 jobs rewritten in ${migrationS.toFixed(0)} s, ${(800 / migrationS).toFixed(1)} writes per second; submissions accepted during the migration: ${quantilesText(waits[0])}; afterwards: ${quantilesText(waits[1])}`;
 }
 
 /** Prints the measurements of submission rates, migration and controller replacement. */
 export function measureLevels(printLine: PrintLine): void {
   printLine('One-task jobs for 60 s to three controllers, 40 writes per second (simulated):');
   for (const perS of [8, 10, 11, 12, 13, 14, 16])
-    for (const most of [1, 0]) printLine(`  ${measureRate(most, perS)}`);
+    for (const maxLevel of [1, 0]) printLine(`  ${measureRate(maxLevel, perS)}`);
   printLine('100,000 tasks in the old format (simulated):');
   printLine(`  ${measureMigration()}`);
   for (const machines of [40, 900]) {
     printLine(
       `Replacement of a controller, ${machines} machines, 10 jobs per second, restarted after 4 s (simulated):`,
     );
-    for (const who of ['owner', 'neither'] as const)
-      for (const orderly of [true, false]) printLine(`  ${measureReplacement(who, orderly, machines)}`);
+    for (const role of ['owner', 'neither'] as const)
+      for (const graceful of [true, false]) printLine(`  ${measureReplacement(role, graceful, machines)}`);
   }
 }
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -16,7 +16,7 @@
 
 /** Prints the times, writes and surviving tasks of a recovery from each kind of data loss. */
 export function measureLoss(printLine: (text: string) => void): void {
-  for (const [what, lose] of Object.entries(losses)) {
+  for (const [lossName, lose] of Object.entries(losses)) {
     const w = new World(3, { 'idle-boots': 1000 });
     w.types = [{ ...w.types[0], cpus: 16, memGb: 64 }];
     w.capacity = 900;
@@ -57,9 +57,9 @@
         (n, x) => n + [...x.tasks.values()].filter((t) => t.report.phase === 'running').length,
         0,
       );
-    const before = running();
-    const done = () => w.nodes[0].controller.replica.jobs.size;
-    const jobs = done();
+    const runningBefore = running();
+    const knownJobs = () => w.nodes[0].controller.replica.jobs.size;
+    const jobsBefore = knownJobs();
     const at = w.now;
     const commits = w.commits.length;
     lose(w);
@@ -67,23 +67,23 @@
       w.advanceUntil(() => w.nodes.some((n) => n.logLines.some((l) => l[1] === line)), 150);
       return ((w.now - at) / 1000).toFixed(1);
     };
-    const noticed = waitForLogLine('state service has lost data');
+    const detected = waitForLogLine('state service has lost data');
     const resumed = waitForLogLine('work resumed');
-    const least = running();
+    const runningAtResume = running();
     const recovered = waitForLogLine('data-loss recovery complete');
     const writes = w.commits
       .slice(commits)
       .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.writes.length : 0), 0);
-    const first = w.starts.length;
-    w.advanceUntil(() => w.starts.length > first, 60);
+    const startsBefore = w.starts.length;
+    w.advanceUntil(() => w.starts.length > startsBefore, 60);
     printLine(
-      `${what}: 900 machines, ${keys} keys, ${jobs} jobs, ${before} tasks running, 35 writes per second (simulated)`,
+      `${lossName}: 900 machines, ${keys} keys, ${jobsBefore} jobs, ${runningBefore} tasks running, 35 writes per second (simulated)`,
     );
     printLine(
-      `  detected after ${noticed} s, work resumed after ${resumed} s, recovery complete after ${recovered} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
+      `  detected after ${detected} s, work resumed after ${resumed} s, recovery complete after ${recovered} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
     );
     printLine(
-      `  ${writes} writes; ${done()} jobs known; ${least} tasks running when work resumed, ${running()} now; ${w.violations.length} rule violations`,
+      `  ${writes} writes; ${knownJobs()} jobs known; ${runningAtResume} tasks running when work resumed, ${running()} now; ${w.violations.length} rule violations`,
     );
   }
 }
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -60,11 +60,11 @@
   for (const tasks of [1, 4, 8, 16, 40, 200, 600])
     for (const log of [0, 1]) {
       const cost = costOf(tasks, { 'task-log': log });
-      const a = (n: number): string => (n / cost.starts).toFixed(4);
+      const perStart = (n: number): string => (n / cost.starts).toFixed(4);
       const all = kinds.reduce((sum, kind) => sum + cost.writes[kind], 0);
-      const parts = kinds.map((kind) => a(cost.writes[kind])).join(', ');
+      const parts = kinds.map((kind) => perStart(cost.writes[kind])).join(', ');
       const rate = (cost.starts / cost.tookS).toFixed(1);
-      const wrong = cost.violations > 0 ? `  ${cost.violations} RULE VIOLATIONS` : '';
-      printLine(`${tasks}, ${log ? 'on' : 'off'}: ${a(all)} (${parts}), ${rate}${wrong}`);
+      const violationText = cost.violations > 0 ? `  ${cost.violations} RULE VIOLATIONS` : '';
+      printLine(`${tasks}, ${log ? 'on' : 'off'}: ${perStart(all)} (${parts}), ${rate}${violationText}`);
     }
 }
