--- a/scale/measurements.ts
+++ b/scale/measurements.ts
@@ -1,5 +1,5 @@
-/** What is measured of a cell: latencies by the events of users and workers, counts between two moments, faults. */
-import { Latency, processFigures, type CellFigures, type FaultFigures } from './figures.js';
+/** Measurements of a cell: latencies from the events of users and workers, differences of counters, and effects of faults. */
+import { LatencyHistogram, processFigures, type CellFigures, type FaultFigures } from './figures.js';
 import { isUrgentJob } from './jobs.js';
 import {
   now,
@@ -9,12 +9,12 @@
   type UserEvent,
   type WorkerCounts,
 } from './messages.js';
-import type { ProcessUse } from './processes.js';
+import type { ProcessUsage } from './processes.js';
 
-/** What was counted up to a moment. */
+/** The counters at one point in time. */
 export interface CountsReading {
   at: number;
-  uses: Map<string, ProcessUse>;
+  usages: Map<string, ProcessUsage>;
   workers: WorkerCounts;
   platform: PlatformCounts;
 }
@@ -23,34 +23,41 @@
   starts: number;
 }
 
-/** What the cell knows of itself when the figures are made. */
+/** Data of the cell that goes into its results. */
 export interface CellDescription {
   number: number;
   startsAskedPerS: number;
-  /** The controller that owns the shard, by name. */
+  /** Name of the controller that owns the shard. */
   owner: string | null;
   requestsUnavailable: number;
   unexpectedEnds: number;
   violations: string[];
 }
 
-interface OpenFault {
+interface MeasuredFault {
   figures: FaultFigures;
   at: number;
   workers: number;
 }
 
-/** How much each count has grown. */
-const difference = (after: Record<string, number>, before: Record<string, number>): Record<string, number> =>
+/** The increase of each counter. */
+const countIncreases = (
+  after: Record<string, number>,
+  before: Record<string, number>,
+): Record<string, number> =>
   Object.fromEntries(Object.entries(after).map(([key, count]) => [key, count - (before[key] ?? 0)]));
 
-/** Latencies, counts and faults of one cell. Events count only between `begin` and `end`. */
+/** Latencies, counters and faults of one cell. Latencies are recorded only between `begin` and `end`. */
 export class CellMeasurements {
-  private readonly submit = new Latency();
-  private readonly urgentStart = new Latency();
-  private readonly cancel = new Latency();
-  private readonly urgentSteps = { accepted: new Latency(), placed: new Latency(), started: new Latency() };
-  /** When urgent jobs that have not begun were submitted, and their first placement was stored. */
+  private readonly submit = new LatencyHistogram();
+  private readonly urgentStart = new LatencyHistogram();
+  private readonly cancel = new LatencyHistogram();
+  private readonly urgentSteps = {
+    accepted: new LatencyHistogram(),
+    placed: new LatencyHistogram(),
+    started: new LatencyHistogram(),
+  };
+  /** For urgent jobs that have not started: when they were submitted, and when their first placement was stored. */
   private readonly urgentSubmittedAt = new Map<string, number>();
   private readonly urgentPlacedAt = new Map<string, number>();
   private measuring = false;
@@ -60,28 +67,28 @@
   private readonly lag: GeneratorLag = { p99Ms: 0, maxMs: 0 };
   private before: StartsReading | null = null;
   private after: StartsReading | null = null;
-  private readonly faults: OpenFault[] = [];
+  private readonly faults: MeasuredFault[] = [];
 
-  /** Measuring begins. */
+  /** Starts the measured interval. */
   begin(counts: CountsReading): void {
     this.before = { ...counts, starts: this.starts };
     this.measuring = true;
   }
 
-  /** Measuring ends. */
+  /** Ends the measured interval. */
   end(counts: CountsReading): void {
     this.after = { ...counts, starts: this.starts };
     this.measuring = false;
   }
 
-  /** Notes how far a load generator was behind: its limits must not be taken for the service's. */
+  /** Records the event-loop delay of a load generator, which shows whether the generator was the bottleneck. */
   recordLag(lag: GeneratorLag): void {
     if (!this.measuring) return;
     this.lag.p99Ms = Math.max(this.lag.p99Ms, lag.p99Ms);
     this.lag.maxMs = Math.max(this.lag.maxMs, lag.maxMs);
   }
 
-  /** A task started or ended on a machine. */
+  /** Processes a task event of a worker. */
   recordTaskEvent(event: TaskEvent): void {
     if (event.what !== 'on') return;
     this.starts++;
@@ -99,12 +106,12 @@
     this.urgentSteps.started.record(event.at - placedAt);
   }
 
-  /** Urgent jobs whose placement was stored, and when. The first time counts. */
+  /** Records when placements of urgent jobs were stored. Only the first placement of a job counts. */
   recordPlacements(jobs: [id: string, at: number][]): void {
     for (const [id, at] of jobs) if (!this.urgentPlacedAt.has(id)) this.urgentPlacedAt.set(id, at);
   }
 
-  /** A user submitted a job or got an answer. */
+  /** Processes an action of a user or an answer to it. */
   recordUserEvent(event: UserEvent): void {
     if (event.what === 'submitted' && event.urgent) this.urgentSubmittedAt.set(event.job, event.at);
     if (!this.measuring) return;
@@ -116,7 +123,7 @@
     else if (event.what === 'cancelled') this.cancel.record(event.afterMs);
   }
 
-  /** Notes a fault, from which the next start and the renewal of each worker's lease are timed. */
+  /** Records the time of a fault, from which the next task start and the renewal of each worker's lease are measured. */
   beginFault(fault: string, workers: number): void {
     const at = now();
     const atS = this.before ? (at - this.before.at) / 1000 : 0;
@@ -124,14 +131,14 @@
     this.faults.push({ figures, at, workers });
   }
 
-  /** The last fault is over. */
+  /** Ends the observation of the last fault. */
   endFault({ renewedSinceMark, slowestRenewalMs }: WorkerCounts): void {
     const fault = this.faults[this.faults.length - 1];
     fault.figures.slowestRenewalMs = renewedSinceMark > 0 ? slowestRenewalMs : null;
     fault.figures.workersNotRenewed = Math.max(0, fault.workers - renewedSinceMark);
   }
 
-  /** All figures of the time between `begin` and `end`. */
+  /** The results of the interval between `begin` and `end`. */
   figures(cell: CellDescription): CellFigures {
     const [before, after] = [this.before!, this.after!];
     const seconds = (after.at - before.at) / 1000;
@@ -182,7 +189,7 @@
     const writes = after.platform.writes - before.platform.writes;
     return {
       ...after.platform,
-      writesByKind: difference(after.platform.writesByKind, before.platform.writesByKind),
+      writesByKind: countIncreases(after.platform.writesByKind, before.platform.writesByKind),
       refusedRequests: after.platform.refusedRequests - before.platform.refusedRequests,
       refusedWrites: after.platform.refusedWrites - before.platform.refusedWrites,
       requestsPerS: (after.platform.requests - before.platform.requests) / seconds,
@@ -197,8 +204,8 @@
     seconds: number,
     owner: string | null,
   ): CellFigures['processes'] {
-    return [...after.uses].flatMap(([name, use]) => {
-      const first = before.uses.get(name);
+    return [...after.usages].flatMap(([name, use]) => {
+      const first = before.usages.get(name);
       if (!first) return [];
       return [processFigures(name === owner ? `${name} owner` : name, first, use, seconds)];
     });
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -1,27 +1,30 @@
-/** The processes that a run starts: each is ended with it; what they use of the machine. */
+/** The processes that a run starts, and their resource usage as read from `/proc`. */
 import { fork, spawn, type ChildProcess } from 'node:child_process';
 import { openSync, readFileSync, readdirSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { parse } from 'smol-toml';
 
-/** What the kernel counts a second of processor time in. */
+/** The kernel's unit of CPU time in `/proc/PID/stat` (USER_HZ). */
 const ticksPerS = 100;
 const pageBytes = 4096;
 const mb = 1024 * 1024;
 
-/** A process that generates load, with typed messages both ways. */
-export class Generator<In extends object> {
+/** A child process that generates load, with typed messages in both directions. */
+export class GeneratorProcess<In extends object> {
   private constructor(private readonly child: ChildProcess) {}
 
-  /** Starts a module of this folder as a process of its own. */
-  static start<In extends object, Out>(module: string, receive: (message: Out) => void): Generator<In> {
+  /** Forks a module of this directory as a child process. */
+  static start<In extends object, Out>(
+    module: string,
+    receive: (message: Out) => void,
+  ): GeneratorProcess<In> {
     const path = fileURLToPath(new URL(`./${module}.js`, import.meta.url));
     const child = fork(path, [], {
       stdio: ['ignore', 'inherit', 'inherit', 'ipc'],
       serialization: 'advanced',
     });
     child.on('message', (message) => receive(message as Out));
-    return new Generator<In>(child);
+    return new GeneratorProcess<In>(child);
   }
 
   get pid(): number {
@@ -33,25 +36,25 @@
     if (this.child.connected) this.child.send(message);
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   kill(): void {
     this.child.kill('SIGKILL');
   }
 }
 
-/** How the deploy file runs a controller: the arguments of Node.js before the program's own. */
-export function deployedFlags(deployFile: string): string[] {
+/** The Node.js flags with which the deploy file runs a controller. */
+export function deployedNodeFlags(deployFile: string): string[] {
   const { run } = parse(readFileSync(deployFile, 'utf8')) as { run: string };
   const words = run.split(' ');
   return words.slice(1, words.indexOf('target/main.js'));
 }
 
-/** A controller: the program as it is deployed, on the settings file of the run. */
+/** A controller process: the deployed program, with the settings file of the run. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
-  /** What its earlier processes have used. */
-  private usedBefore: ProcessUse | null = null;
-  /** It ended although nobody asked it to. */
+  /** Usage of this controller's earlier processes. */
+  private earlierUsage: ProcessUsage | null = null;
+  /** How often the process has exited without being killed or shut down by the run. */
   unexpectedEnds = 0;
 
   constructor(
@@ -60,7 +63,7 @@
     private readonly logFile: string,
   ) {}
 
-  /** Starts the controller's process, also again after it was killed. */
+  /** Starts the process; also used to restart it after it was killed or shut down. */
   start(): void {
     const log = openSync(this.logFile, 'a');
     const env = { ...process.env, LOG_LEVEL: 'info' };
@@ -71,34 +74,35 @@
     });
   }
 
-  /** What all its processes have used together. */
-  get use(): ProcessUse | null {
-    return together(this.usedBefore, useOf(this.child?.pid ?? null));
+  /** Combined usage of all processes of this controller; null: none could be read. */
+  get usage(): ProcessUsage | null {
+    return combinedUsage(this.earlierUsage, readProcessUsage(this.child?.pid ?? null));
   }
 
+  /** Kills the process. */
   kill(): void {
     const { child } = this;
-    this.usedBefore = this.use;
+    this.earlierUsage = this.usage;
     this.child = null;
     child?.kill('SIGKILL');
   }
 
-  /** Asks it to leave in order; resolves when it is gone. */
-  async leave(patienceMs: number): Promise<void> {
+  /** Requests a graceful shutdown (SIGTERM), and kills the process after the timeout. Resolves when it has exited. */
+  async shutDown(timeoutMs: number): Promise<void> {
     const { child } = this;
-    this.usedBefore = this.use;
+    this.earlierUsage = this.usage;
     this.child = null;
     if (!child) return;
-    const gone = new Promise<void>((resolve) => child.once('exit', () => resolve()));
+    const exited = new Promise<void>((resolve) => child.once('exit', () => resolve()));
     child.kill('SIGTERM');
-    const timer = setTimeout(() => child.kill('SIGKILL'), patienceMs);
-    await gone;
+    const timer = setTimeout(() => child.kill('SIGKILL'), timeoutMs);
+    await exited;
     clearTimeout(timer);
   }
 }
 
-/** What a process has used of the machine since it began. */
-export interface ProcessUse {
+/** Resource usage of a process since its start. */
+export interface ProcessUsage {
   cpuS: number;
   residentMb: number;
   bytesIn: number;
@@ -106,8 +110,8 @@
   openFiles: number;
 }
 
-/** What one process after another has used; what the last holds. */
-function together(before: ProcessUse | null, last: ProcessUse | null): ProcessUse | null {
+/** Adds up the consumption of successive processes; memory and open files are those of the last. */
+function combinedUsage(before: ProcessUsage | null, last: ProcessUsage | null): ProcessUsage | null {
   if (!before || !last) return last ?? before;
   return {
     ...last,
@@ -117,20 +121,20 @@
   };
 }
 
-/** What a process has used so far; null: it is gone. */
-export function useOf(pid: number | null): ProcessUse | null {
+/** Reads the resource usage of a process; null: it does not exist. */
+export function readProcessUsage(pid: number | null): ProcessUsage | null {
   if (pid === null) return null;
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-    // Behind the name, which may hold spaces: user and system time are the fields 14 and 15 of the line.
+    // Split after the process name, which may contain spaces. User and system time are fields 14 and 15 of the line.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const io = readFileSync(`/proc/${pid}/io`, 'utf8');
-    const counted = (name: string): number => Number(new RegExp(`^${name}: (\\d+)`, 'm').exec(io)![1]);
+    const ioCounter = (name: string): number => Number(new RegExp(`^${name}: (\\d+)`, 'm').exec(io)![1]);
     return {
       cpuS: (Number(fields[11]) + Number(fields[12])) / ticksPerS,
       residentMb: (Number(fields[21]) * pageBytes) / mb,
-      bytesIn: counted('rchar'),
-      bytesOut: counted('wchar'),
+      bytesIn: ioCounter('rchar'),
+      bytesOut: ioCounter('wchar'),
       openFiles: readdirSync(`/proc/${pid}/fd`).length,
     };
   } catch {
--- a/scale/settings.ts
+++ b/scale/settings.ts
@@ -1,33 +1,33 @@
-/** The settings file of a controller, as the platform writes it. */
+/** Generates a controller's settings file in the form in which the platform writes it. */
 import { stringify } from 'smol-toml';
-import { cpusOfWorker, type ScaleOptions } from './options.js';
+import { cpusPerWorker, type ScaleOptions } from './options.js';
 import type { WorkerLimits } from './messages.js';
 
-/** The zones of a cell. */
+/** The availability zones of a cell. */
 export const zones = ['north', 'east', 'south'];
-/** The limits of the workers' protocol in a run. */
+/** Timings of the worker protocol in a run. */
 export const workerLimits: WorkerLimits = { reportS: 2.5, leaseS: 18, cancelS: 38 };
-/** The limits of the cloud in a run. */
+/** Request rate limit and list delay of the simulated cloud. */
 export const cloudLimits = { rps: 8, list_lag_s: 5 };
-/** The sizes that the state service takes. */
+/** Size limits of the state service. */
 export const stateSizes = { value_kb: 32, txn_ops: 24 };
-/** Usual work is to start soon, so machines are rented for it instead of waiting until running tasks end. */
+/** The short wait objective for batch jobs makes the controllers rent machines for them instead of waiting for running tasks to end. */
 const objectives = [
   { kind: 'wait', class: 'urgent', within_s: 3.5, share: 0.99 },
   { kind: 'wait', class: 'batch', within_s: 15, share: 0.9 },
 ];
-const gang = { gang_wait_s: 30, gang_peer_s: 5 };
-const descriptors = 20_000;
+const gangTimeouts = { gang_wait_s: 30, gang_peer_s: 5 };
+const fileDescriptorLimit = 20_000;
 const timeBoundMs = 100;
 
-/** Teams of a region: the operators have 140 in 8. */
+/** Teams in a cell: the operators have 140 teams in 8 regions, which is about this many in each. */
 const teamCount = 18;
-/** What a team may borrow, as a multiple of an equal part; the first has little more than its part, so that it meets its limit. */
-const usualLimit = 3;
-const tightLimit = 1.1;
+/** A team's upper limit as a multiple of an equal share. The first team's limit is little above its share, so that it is reached. */
+const usualLimitFactor = 3;
+const tightLimitFactor = 1.1;
 const guaranteeShare = 0.8;
 
-/** A team of the controllers' settings file. */
+/** A team entry of the settings file. */
 export interface Team {
   name: string;
   cpus: number;
@@ -36,32 +36,35 @@
   gpus_max: number;
 }
 
-/** The teams of a run; their limits leave room for its load. */
+/** The teams of a run. Their limits leave room for the generated load. */
 export function teamsOf({ workers }: ScaleOptions): Team[] {
-  const part = (workers * cpusOfWorker) / teamCount;
+  const equalShare = (workers * cpusPerWorker) / teamCount;
   return Array.from({ length: teamCount }, (_, i) => ({
     name: `team-${i}`,
-    cpus: part * guaranteeShare,
-    cpus_max: part * (i === 0 ? tightLimit : usualLimit),
+    cpus: equalShare * guaranteeShare,
+    cpus_max: equalShare * (i === 0 ? tightLimitFactor : usualLimitFactor),
     gpus: 0,
     gpus_max: 0,
   }));
 }
 
-/** A controller and its addresses. */
+/** A controller's name and addresses. */
 export interface Member {
   name: string;
   publicAddress: string;
   peerAddress: string;
 }
 
-/** The addresses of state service and cloud. */
+/** The addresses of the state service and the cloud. */
 export interface Endpoints {
   state: string;
   cloud: string;
 }
 
-/** smol-toml writes whole numbers as integers; the platform writes amounts with a decimal point, which reads as the same. */
+/**
+ * The text of a controller's settings file. smol-toml writes whole numbers as integers, where the platform writes amounts with a
+ * decimal point; both are read as the same value.
+ */
 export function settingsText(
   member: Member,
   members: Member[],
@@ -85,10 +88,10 @@
       time_bound_ms: timeBoundMs,
       teams: teamsOf(options),
       objectives,
-      workers: { report_s: reportS, lease_s: leaseS, cancel_s: cancelS, ...gang },
+      workers: { report_s: reportS, lease_s: leaseS, cancel_s: cancelS, ...gangTimeouts },
       state: { rps: options.requestsPerS, write_rps: options.writesPerS, ...stateSizes },
       cloud: cloudLimits,
-      quota: { cores: 1, mem_mb: options.memoryMb, fd_limit: descriptors },
+      quota: { cores: 1, mem_mb: options.memoryMb, fd_limit: fileDescriptorLimit },
     },
   });
 }
--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -1,4 +1,4 @@
-/** The stand-in of the state service: this project's store in memory, with the limits, delays and outages of the protocol. */
+/** Simulated state service: this project's store in memory, with rate and size limits, delays and outages. */
 import type { Server } from 'node:http';
 import { seededRandom, type Random } from '../src/retry/index.js';
 import { Engine, storeServer, type Disk, type Refusal, type RequestGate } from '../src/store/index.js';
@@ -12,14 +12,14 @@
 const slowDelayMs = 300;
 const slowShare = 0.001;
 
-/** Keeps nothing: a run begins with an empty store and ends with it. */
+/** Persists nothing, since each run starts with an empty store. */
 const memoryDisk: Disk = {
   load: () => Promise.resolve({ epoch: 0, nextHold: 1, entries: [], leases: [] }),
   write: () => Promise.resolve(),
   close: () => Promise.resolve(),
 };
 
-/** A rate limit that allows bursts of one second's worth. */
+/** A token-bucket rate limiter. By default it allows bursts of one second's tokens. */
 export class TokenBucket {
   private tokens: number;
   private filledAt: number;
@@ -33,7 +33,7 @@
     this.filledAt = now();
   }
 
-  /** Takes so much from the budget, if there is as much. */
+  /** Takes `count` tokens and returns true, or takes none and returns false if there are fewer. */
   take(count: number): boolean {
     const now = this.now();
     const filled = this.tokens + ((now - this.filledAt) / 1000) * this.perS;
@@ -45,7 +45,7 @@
   }
 }
 
-/** Limits requests, writes and sizes, delays each request, and refuses everything in an outage. */
+/** Enforces the limits on requests, writes and sizes, delays each request, and rejects all of them during an outage. */
 class LimitedGate implements RequestGate {
   readonly counts = {
     requests: 0,
@@ -64,8 +64,8 @@
   constructor(
     private readonly limits: PlatformStart,
     private readonly random: Random,
-    /** Told of an urgent job's first placement. */
-    private readonly placed: (job: string, at: number) => void,
+    /** Called for each write that places an urgent job. */
+    private readonly onPlacement: (job: string, at: number) => void,
   ) {
     this.requests = new TokenBucket(limits.requestsPerS);
     this.writes = new TokenBucket(limits.writesPerS);
@@ -96,20 +96,21 @@
     }
     this.counts.writes += txn.writes.length;
     this.counts.bytesWritten += sizes.reduce((sum, size) => sum + size, 0);
-    for (const write of txn.writes) this.note(write);
+    for (const write of txn.writes) this.countWrite(write);
     return null;
   }
 
-  private note(write: Write): void {
+  private countWrite(write: Write): void {
     const { kind, placed } = purposeOf(write, this.stored);
     this.counts.writesByKind[kind] = (this.counts.writesByKind[kind] ?? 0) + 1;
-    for (const job of placed) if (isUrgentJob(job)) this.placed(job, now());
+    for (const job of placed) if (isUrgentJob(job)) this.onPlacement(job, now());
   }
 }
 
-/** A state service in memory that speaks the protocol, with its limits of requests and writes, and outages. */
+/** An in-memory state service with the HTTP protocol of the real one, its limits and outages. */
 export class SimulatedStateService {
-  private frozenAt: number | null = null;
+  /** While an outage lasts, the engine's clock stands at this time, so that no lease expires. */
+  private clockStoppedAt: number | null = null;
 
   private constructor(
     private readonly engine: Engine,
@@ -117,33 +118,34 @@
     readonly server: Server,
   ) {}
 
+  /** Starts the service on a free loopback port. */
   static async start(
     limits: PlatformStart,
     placed: (job: string, at: number) => void,
   ): Promise<SimulatedStateService> {
     const gate = new LimitedGate(limits, seededRandom(limits.seed), placed);
     const holder: { service: SimulatedStateService | null } = { service: null };
-    const clock = (): number => holder.service?.frozenAt ?? performance.now();
-    const quiet = (): void => undefined;
-    const engine = await Engine.open(memoryDisk, quiet, quiet, clock);
+    const clock = (): number => holder.service?.clockStoppedAt ?? performance.now();
+    const ignore = (): void => undefined;
+    const engine = await Engine.open(memoryDisk, ignore, ignore, clock);
     const service = new SimulatedStateService(engine, gate, storeServer(engine, '', gate));
     holder.service = service;
     await new Promise<void>((resolve) => service.server.listen(0, '127.0.0.1', () => resolve()));
     return service;
   }
 
-  /** Refuses everything for a while. No lease ends meanwhile, and each has its full time again afterwards. */
+  /** Rejects all requests for the given time. No lease expires meanwhile, and each gets its full duration again afterwards. */
   beginOutage(durationMs: number): void {
     this.gate.outage = true;
-    this.frozenAt = performance.now();
+    this.clockStoppedAt = performance.now();
     setTimeout(() => {
-      this.frozenAt = null;
+      this.clockStoppedAt = null;
       this.engine.renewAll();
       this.gate.outage = false;
     }, durationMs);
   }
 
-  /** A field of a stored value; null: there is none. */
+  /** Reads a string field of a stored value; null: there is none. */
   read(key: string, field: string): string | null {
     const data = this.engine.get(key).entry?.data as Record<string, unknown> | undefined;
     const value = data?.[field];
--- a/scale/write-kinds.ts
+++ b/scale/write-kinds.ts
@@ -1,15 +1,15 @@
-/** What a write to the state service is for, by its key and by what was stored there before. */
+/** Classifies the writes to the state service by key, new value and previously stored value. */
 import { parseKey, decodeLogRecord } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 
-/** What a write is for. */
+/** The purposes of writes. */
 export type WriteKind =
   'accept' | 'placement' | 'end' | 'log' | 'final' | 'cancel' | 'machine' | 'drop' | 'other';
 
-/** What a write is for, and the jobs that it concerns. */
+/** The purpose of a write, and the jobs whose tasks it places. */
 export interface WritePurpose {
   kind: WriteKind;
-  /** Jobs of which it places tasks. */
+  /** Ids of the jobs with new placements in the write. */
   placed: string[];
 }
 
@@ -23,28 +23,29 @@
   p?: unknown[];
 }
 
-/** The last attempt that is placed of each task of a record, as text. */
-const placements = (tasks: TaskState | undefined): string[] => (tasks?.p ?? []).map((p) => JSON.stringify(p));
+/** The placements in a task record, each as text for comparison. */
+const placementTexts = (tasks: TaskState | undefined): string[] =>
+  (tasks?.p ?? []).map((p) => JSON.stringify(p));
 
-/** Which placements each record of tasks held when it was last written. */
+/** The placements in each task record as of its last write. */
 export class StoredTasks {
   private readonly placed = new Map<string, ReadonlySet<string>>();
 
-  /** Whether a record holds placements that it did not hold before. */
+  /** Whether a record has placements that it did not have before; remembers the new ones. */
   hasNewPlacements(key: string, tasks: TaskState | undefined): boolean {
     const before = this.placed.get(key);
-    const now = placements(tasks);
-    this.placed.set(key, new Set(now));
-    return now.some((p) => !before?.has(p));
+    const after = placementTexts(tasks);
+    this.placed.set(key, new Set(after));
+    return after.some((p) => !before?.has(p));
   }
 
-  /** A record was deleted. */
+  /** Forgets a record that was deleted or whose job is done. */
   forget(key: string): void {
     this.placed.delete(key);
   }
 }
 
-/** Tells what a write is for, and remembers it. */
+/** Determines the purpose of a write, and updates the remembered placements. */
 export function purposeOf(write: Write, stored: StoredTasks): WritePurpose {
   const ref = parseKey(write.key);
   if (write.data === undefined) {
@@ -52,7 +53,7 @@
     return { kind: 'drop', placed: [] };
   }
   if (ref?.kind === 'block' || ref?.kind === 'machine') return { kind: 'machine', placed: [] };
-  if (ref?.kind === 'log') return { kind: 'log', placed: placedByLog(write.data) };
+  if (ref?.kind === 'log') return { kind: 'log', placed: jobsPlacedByLog(write.data) };
   if (ref?.kind === 'chunk') {
     const isNew = stored.hasNewPlacements(write.key, write.data);
     return { kind: isNew ? 'placement' : 'end', placed: isNew ? [ref.id] : [] };
@@ -62,7 +63,7 @@
   return { kind, placed: kind === 'placement' ? [ref.id] : [] };
 }
 
-const placedByLog = (data: unknown): string[] =>
+const jobsPlacedByLog = (data: unknown): string[] =>
   decodeLogRecord(data).flatMap((entry) => (entry.placements.length > 0 ? [entry.job] : []));
 
 function kindOfJobWrite(key: string, data: StoredJob, stored: StoredTasks): WriteKind {
--- a/test/measure-flood.ts
+++ b/test/measure-flood.ts
@@ -1,4 +1,4 @@
-/** Admission in a flood, on the scripted world: `npm run measure -- flood`. Figures are simulated. */
+/** Measures admission under a flood of submissions in the simulated cluster: `npm run measure -- flood`. */
 import {
   jainIndex,
   maxMinShares,
@@ -10,54 +10,56 @@
 import type { OperatorSettings } from '../src/config/operators.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 
-const ways: [string, Partial<OperatorSettings>][] = [
-  ['today', {}],
-  ['by pulses (level 2)', { 'fair-admission': 1, 'level-most': 2 }],
-  ['by the plan (level 3)', { 'fair-admission': 1 }],
+const variants: [string, Partial<OperatorSettings>][] = [
+  ['default settings', {}],
+  ['fair admission by peer reports (level 2)', { 'fair-admission': 1, 'level-most': 2 }],
+  ['fair admission by the admission plan (level 3)', { 'fair-admission': 1 }],
 ];
 
-/** What each stream is owed, a second: those that want little all of it, the flood what is left. */
-const owed = (perS: number): number[] =>
+/** Max-min fair share of each stream, jobs per second: streams with a small demand get all of it, the flood gets the rest. */
+const fairShares = (perS: number): number[] =>
   maxMinShares(
     perS,
     flooding.map((s) => ({ demand: s.perS, weight: 1, minimum: 0 })),
   );
 
-/** Measures admission under a flood of submissions. */
-export function flood(say: (text: string) => void): void {
-  for (const [name, operators] of ways) {
+/** Prints the admission of three streams under each variant, and the computing time of an allocation. */
+export function measureFlood(printLine: (text: string) => void): void {
+  for (const [name, operators] of variants) {
     const w = floodable(operators);
     const refused = w.state.rateLimitedCount;
     const commits = w.commits.length;
     const users = new Flood(w, flooding);
     w.advance(60);
-    const during = users.jobs.filter((j) => j.acceptedAt > 0);
-    const written = w.commits
+    const accepted = users.jobs.filter((j) => j.acceptedAt > 0);
+    const writeCount = w.commits
       .slice(commits)
       .filter((c) => c.outcome.type === 'ok')
       .reduce((n, c) => n + c.txn.writes.length, 0);
-    // Against what max-min owes each of what was accepted altogether.
+    // Accepted jobs of each stream, relative to its max-min fair share of all accepted jobs.
     const shares = flooding.map(
-      (s, i) => during.filter((j) => j.stream === s).length / 60 / owed(during.length / 60)[i],
+      (s, i) => accepted.filter((j) => j.stream === s).length / 60 / fairShares(accepted.length / 60)[i],
     );
     w.advance(70);
-    say(`${name}: 40 jobs a second of one class for 60 s, 30 writes a second (simulated)`);
-    for (const { name: of } of flooding) {
-      const f = users.of(of);
-      say(
-        `  ${of.padEnd(6)} ${f.jobs} jobs: ${(100 * f.quick).toFixed(0)}% accepted within 1 s, ${(100 * f.accepted).toFixed(0)}% at all (p95 ${f.p95} ms), ${(100 * f.run).toFixed(0)}% have run`,
+    printLine(`${name}: 40 jobs per second of one class for 60 s, 30 writes per second (simulated)`);
+    for (const { name: streamName } of flooding) {
+      const streamFigures = users.of(streamName);
+      printLine(
+        `  ${streamName.padEnd(6)} ${streamFigures.jobs} jobs: ${(100 * streamFigures.quick).toFixed(0)}% accepted within 1 s, ${(100 * streamFigures.accepted).toFixed(0)}% in total (p95 ${streamFigures.p95} ms), ${(100 * streamFigures.run).toFixed(0)}% completed`,
       );
     }
-    const all = w.commits.length - commits;
-    const bad = w.state.rateLimitedCount - refused;
-    say(
-      `  ${(during.length / 60).toFixed(1)} accepted and ${(written / 60).toFixed(1)} written a second; ${bad} of ${all} commits refused (${((100 * bad) / all).toFixed(1)}%)`,
+    const commitCount = w.commits.length - commits;
+    const rejectedCommits = w.state.rateLimitedCount - refused;
+    printLine(
+      `  ${(accepted.length / 60).toFixed(1)} accepted and ${(writeCount / 60).toFixed(1)} written per second; ${rejectedCommits} of ${commitCount} commits rejected (${((100 * rejectedCommits) / commitCount).toFixed(1)}%)`,
     );
-    say(`  Jain's index of what each got of what it is owed: ${jainIndex(shares).toFixed(3)}`);
-    say(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
+    printLine(
+      `  Jain's index of the streams' accepted jobs relative to their fair shares: ${jainIndex(shares).toFixed(3)}`,
+    );
+    printLine(`  answers: ${[...users.answers].map(([s, n]) => `${s}: ${n}`).join(', ')}`);
   }
   for (const classes of [10, 1000, 10_000]) {
-    const kinds = Array.from({ length: classes }, (_, i): WorkloadDemand => ({
+    const workloads = Array.from({ length: classes }, (_, i): WorkloadDemand => ({
       team: `t${i % 5}`,
       class: `c${i}`,
       weight: 1,
@@ -68,7 +70,7 @@
       newJobs: 20,
       backlogS: 1,
       allocationVersion: 1,
-      workloads: kinds,
+      workloads,
     };
     const members: MemberStatus[] = ['a', 'b', 'c'].map((name) => ({
       name,
@@ -79,8 +81,8 @@
     const from = performance.now();
     const times = classes > 1000 ? 3 : 100;
     for (let i = 0; i < times; i++) nextAllocation(null, 40, members, false, () => 1);
-    say(
-      `  a plan of ${classes} kinds at each of three controllers (16 are told at most): ${((performance.now() - from) / times).toFixed(2)} ms`,
+    printLine(
+      `  allocation for ${classes} workloads at each of three controllers (at most 16 are included): ${((performance.now() - from) / times).toFixed(2)} ms`,
     );
   }
 }
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -1,18 +1,22 @@
-/** A state service that has lost data, at fleet size, on the scripted world: `npm run measure -- loss`. Figures are simulated. */
+/**
+ * Measures the recovery after the state service has lost data, with 900 machines in the simulated cluster:
+ * `npm run measure -- loss`. All figures are in simulated time.
+ */
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
 const losses: Record<string, (w: World) => void> = {
   wiped: (w) => w.state.loseData([], 1),
-  'every second record gone': (w) =>
+  'every second record lost': (w) =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 2 === 0),
       w.state.epoch,
     ),
 };
 
-export function loss(say: (text: string) => void): void {
-  for (const [what, lose] of Object.entries(losses)) {
+/** Prints the times, writes and surviving tasks of a recovery from each kind of data loss. */
+export function measureLoss(printLine: (text: string) => void): void {
+  for (const [lossName, lose] of Object.entries(losses)) {
     const w = new World(3, { 'idle-boots': 1000 });
     w.types = [{ ...w.types[0], cpus: 16, memGb: 64 }];
     w.capacity = 900;
@@ -24,7 +28,7 @@
     w.heartbeatMs = 5000;
     w.advance(8);
     let requestId = 0;
-    // Some that are over, and some that run for long.
+    // 700 short jobs that are finished when the data is lost, then 120 long-running ones.
     for (let i = 0; i < 700; i++)
       w.nodes[i % 3].push({
         type: 'submit',
@@ -53,33 +57,33 @@
         (n, x) => n + [...x.tasks.values()].filter((t) => t.report.phase === 'running').length,
         0,
       );
-    const before = running();
-    const done = () => w.nodes[0].controller.replica.jobs.size;
-    const jobs = done();
+    const runningBefore = running();
+    const knownJobs = () => w.nodes[0].controller.replica.jobs.size;
+    const jobsBefore = knownJobs();
     const at = w.now;
     const commits = w.commits.length;
     lose(w);
-    const when = (line: string): string => {
+    const waitForLogLine = (line: string): string => {
       w.advanceUntil(() => w.nodes.some((n) => n.logLines.some((l) => l[1] === line)), 150);
       return ((w.now - at) / 1000).toFixed(1);
     };
-    const noticed = when('state service has lost data');
-    const goes = when('work resumed');
-    const least = running();
-    const whole = when('data-loss recovery complete');
+    const detected = waitForLogLine('state service has lost data');
+    const resumed = waitForLogLine('work resumed');
+    const runningAtResume = running();
+    const recovered = waitForLogLine('data-loss recovery complete');
     const writes = w.commits
       .slice(commits)
       .reduce((n, c) => n + (c.outcome.type === 'ok' ? c.txn.writes.length : 0), 0);
-    const first = w.starts.length;
-    w.advanceUntil(() => w.starts.length > first, 60);
-    say(
-      `${what}: 900 machines, ${keys} keys, ${jobs} jobs, ${before} tasks running, 35 writes a second (simulated)`,
+    const startsBefore = w.starts.length;
+    w.advanceUntil(() => w.starts.length > startsBefore, 60);
+    printLine(
+      `${lossName}: 900 machines, ${keys} keys, ${jobsBefore} jobs, ${runningBefore} tasks running, 35 writes per second (simulated)`,
     );
-    say(
-      `  noticed after ${noticed} s, work goes on after ${goes} s, rebuilt after ${whole} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
+    printLine(
+      `  detected after ${detected} s, work resumed after ${resumed} s, recovery complete after ${recovered} s, first start after ${((w.now - at) / 1000).toFixed(1)} s`,
     );
-    say(
-      `  ${writes} writes; ${done()} jobs known; ${least} tasks ran when work went on, ${running()} now; ${w.violations.length} rules broken`,
+    printLine(
+      `  ${writes} writes; ${knownJobs()} jobs known; ${runningAtResume} tasks running when work resumed, ${running()} now; ${w.violations.length} rule violations`,
     );
   }
 }
--- a/test/measure-writes.ts
+++ b/test/measure-writes.ts
@@ -1,14 +1,14 @@
-/** What a start costs in writes, by the tasks of a job, on the scripted world: `npm run measure -- writes`. Figures are scripted. */
+/** Measures the writes per task start, by the number of tasks per job, in the simulated cluster: `npm run measure -- writes`. */
 import { parseKey } from '../src/core/storage/index.js';
 import type { Write } from '../src/wire/store.js';
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
-type Say = (text: string) => void;
+type PrintLine = (text: string) => void;
 
-const startsAtLeast = 1200;
-const jobsAtLeast = 4;
-const runS = 20;
+const minStarts = 1200;
+const minJobs = 4;
+const taskDurationS = 20;
 const machines = 80;
 const firstRequest = 500_000;
 const kinds = ['accept', 'tasks', 'final', 'drop', 'other'] as const;
@@ -23,19 +23,20 @@
   return data['t'] === undefined ? 'accept' : 'tasks';
 }
 
+/** The counts of one measurement. */
 interface Cost {
   starts: number;
   writes: Record<WriteKind, number>;
   tookS: number;
-  broken: number;
+  violations: number;
 }
 
 function costOf(tasksPerJob: number, operators: Record<string, number>): Cost {
   const w = new World(3, operators, 1);
   w.capacity = machines;
-  w.taskDurationS = runS;
+  w.taskDurationS = taskDurationS;
   w.advance(10);
-  const jobs = Math.max(jobsAtLeast, Math.ceil(startsAtLeast / tasksPerJob));
+  const jobs = Math.max(minJobs, Math.ceil(minStarts / tasksPerJob));
   const from = w.commits.length;
   const beganAt = w.now;
   for (let i = 0; i < jobs; i++) {
@@ -48,19 +49,22 @@
   const writes: Record<WriteKind, number> = { accept: 0, tasks: 0, final: 0, drop: 0, other: 0 };
   for (const { txn, outcome } of w.commits.slice(from))
     if (outcome.type === 'ok') for (const write of txn.writes) writes[kindOf(write)]++;
-  return { starts: w.starts.length, writes, tookS, broken: w.violations.length };
+  return { starts: w.starts.length, writes, tookS, violations: w.violations.length };
 }
 
-export async function writes(say: Say): Promise<void> {
-  say('tasks a job, task log: writes a start in all (accept, tasks, final, drop, other), starts a second');
+/** Prints the writes per start, in total and by kind, for several job sizes with the task log off and on. */
+export async function measureWrites(printLine: PrintLine): Promise<void> {
+  printLine(
+    'tasks per job, task log: writes per start in total (accept, tasks, final, drop, other), starts per second (simulated)',
+  );
   for (const tasks of [1, 4, 8, 16, 40, 200, 600])
     for (const log of [0, 1]) {
       const cost = costOf(tasks, { 'task-log': log });
-      const a = (n: number): string => (n / cost.starts).toFixed(4);
+      const perStart = (n: number): string => (n / cost.starts).toFixed(4);
       const all = kinds.reduce((sum, kind) => sum + cost.writes[kind], 0);
-      const parts = kinds.map((kind) => a(cost.writes[kind])).join(', ');
+      const parts = kinds.map((kind) => perStart(cost.writes[kind])).join(', ');
       const rate = (cost.starts / cost.tookS).toFixed(1);
-      const wrong = cost.broken > 0 ? `  ${cost.broken} RULES BROKEN` : '';
-      say(`${tasks}, ${log ? 'on' : 'off'}: ${a(all)} (${parts}), ${rate}${wrong}`);
+      const violationText = cost.violations > 0 ? `  ${cost.violations} RULE VIOLATIONS` : '';
+      printLine(`${tasks}, ${log ? 'on' : 'off'}: ${perStart(all)} (${parts}), ${rate}${violationText}`);
     }
 }
