--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -1,4 +1,4 @@
-/** Evaluates expressions between two records. */
+/** Evaluates ClassAd expressions against a record and, optionally, the target record that it is matched with. */
 import type { Ad, Expr, Scope } from './expr.js';
 import { matchScopes, outermostScope } from './scopes.js';
 import { defaultContext, type Evaluator, type EvaluationContext } from './evaluation-context.js';
@@ -7,22 +7,22 @@
 import { parseExpr } from './parse.js';
 import { ErrorValue, RecordValue, toTruth, typeOf, type Value } from './values.js';
 
-/** Bounds on the cost of an evaluation. */
+/** Limits on the cost of one evaluation. */
 export interface EvaluationLimits {
-  /** How many expressions may be evaluated, nested ones included. */
+  /** Maximum number of expressions to evaluate, including nested ones. */
   readonly maxSteps: number;
-  /** How deep they may be nested. */
+  /** Maximum nesting depth of the expressions being evaluated. */
   readonly maxDepth: number;
 }
 
-/** The limits unless others are given. */
+/** The limits that apply if the caller passes none. */
 export const defaultLimits: EvaluationLimits = { maxSteps: 100_000, maxDepth: 500 };
 
-/** One evaluation, whose cost is limited. */
+/** A single evaluation. If it exceeds its cost limits, the result is an error value. */
 export class Evaluation implements Evaluator {
   private steps = 0;
   private depth = 0;
-  /** By record: the attributes that are being evaluated. */
+  /** The attributes being evaluated, in lower case, by record; used to detect circular references. */
   private readonly active = new Map<Ad, Set<string>>();
 
   constructor(
@@ -32,8 +32,10 @@
 
   /** Evaluates an expression in a scope. */
   run(expr: Expr, scope: Scope): Value {
-    if (++this.steps > this.limits.maxSteps) return new ErrorValue(`more than ${this.limits.maxSteps} steps`);
-    if (this.depth >= this.limits.maxDepth) return new ErrorValue(`more than ${this.limits.maxDepth} deep`);
+    if (++this.steps > this.limits.maxSteps)
+      return new ErrorValue(`evaluation takes more than ${this.limits.maxSteps} steps`);
+    if (this.depth >= this.limits.maxDepth)
+      return new ErrorValue(`evaluation is nested more than ${this.limits.maxDepth} levels deep`);
     this.depth++;
     try {
       return this.evaluateExpr(expr, scope);
@@ -42,13 +44,13 @@
     }
   }
 
-  /** Counts work of a function as steps; false: more than the limit. */
-  spend(steps: number): boolean {
+  /** Adds the cost of a function call to the step count. Returns false if the limit is exceeded. */
+  chargeSteps(steps: number): boolean {
     this.steps += steps;
     return this.steps <= this.limits.maxSteps;
   }
 
-  /** Parses a text as an expression and evaluates it in a scope. */
+  /** Parses `text` as an expression and evaluates it in a scope. A syntax error gives an error value. */
   evaluateText(text: string, scope: Scope): Value {
     try {
       return this.run(parseExpr(text), scope);
@@ -57,7 +59,7 @@
     }
   }
 
-  /** The value of an attribute of the scope's own record; undefined if it has none. */
+  /** Evaluates an attribute of the scope's own record; undefined if the record has no such attribute. */
   attribute(name: string, scope: Scope): Value {
     const expr = scope.ad.get(name);
     if (!expr) return undefined;
@@ -103,7 +105,7 @@
       }
       case 'call': {
         const spec = functions.get(expr.name.toLowerCase());
-        if (!spec) return new ErrorValue(`no function ${expr.name}`);
+        if (!spec) return new ErrorValue(`unknown function ${expr.name}`);
         if (expr.args.length < spec.minArgs || expr.args.length > spec.maxArgs)
           return new ErrorValue(`${expr.name} takes ${spec.minArgs} to ${spec.maxArgs} arguments`);
         return spec.call(expr.args, scope, this);
@@ -115,17 +117,18 @@
     }
   }
 
-  /** Looks a name up in the scope's record, in the enclosing records, and then in the other side's record. */
+  /** Resolves a name in the scope's record, then in the enclosing records, then in the target record. */
   private resolveReference(name: string, from: Scope): Value {
-    let root = from;
+    let outermost = from;
     for (let scope: Scope | null = from; scope; scope = scope.parent) {
       if (scope.ad.has(name)) return this.attribute(name, scope);
-      root = scope;
+      outermost = scope;
     }
     const key = name.toLowerCase();
-    if (key === 'my') return new RecordValue(root.ad, root);
-    if (key === 'target') return root.target ? new RecordValue(root.target.ad, root.target) : undefined;
-    return root.target ? this.attribute(name, root.target) : undefined;
+    if (key === 'my') return new RecordValue(outermost.ad, outermost);
+    if (key === 'target')
+      return outermost.target ? new RecordValue(outermost.target.ad, outermost.target) : undefined;
+    return outermost.target ? this.attribute(name, outermost.target) : undefined;
   }
 
   private selectAttribute(of: Value, name: string): Value {
@@ -141,19 +144,22 @@
     if (Array.isArray(of) && typeof index === 'bigint')
       return index >= 0n && index < BigInt(of.length) ? of[Number(index)] : undefined;
     if (of instanceof RecordValue && typeof index === 'string') return this.attribute(index, of.scope);
-    return new ErrorValue(`a ${typeOf(of)} has no element by a ${typeOf(index)}`);
+    return new ErrorValue(`cannot index a ${typeOf(of)} with a ${typeOf(index)}`);
   }
 
-  /** `&&` and `||`: an operand with the decisive value, false and true respectively, decides alone. */
-  private evaluateLogical(leftExpr: Expr, rightExpr: Expr, scope: Scope, decisive: boolean): Value {
+  /**
+   * Evaluates `&&` or `||`. An operand equal to `shortCircuitValue` (false for `&&`, true for `||`) determines the result; the
+   * right operand is evaluated only if the left one does not.
+   */
+  private evaluateLogical(leftExpr: Expr, rightExpr: Expr, scope: Scope, shortCircuitValue: boolean): Value {
     const left = toTruth(this.run(leftExpr, scope));
-    if (left === decisive || left instanceof ErrorValue) return left;
+    if (left === shortCircuitValue || left instanceof ErrorValue) return left;
     const right = toTruth(this.run(rightExpr, scope));
-    if (right === decisive || right instanceof ErrorValue) return right;
-    return left === undefined || right === undefined ? undefined : !decisive;
+    if (right === shortCircuitValue || right instanceof ErrorValue) return right;
+    return left === undefined || right === undefined ? undefined : !shortCircuitValue;
   }
 }
 
-/** The value of an expression of one record, seen with another one as its target. */
+/** Evaluates an expression in the scope of the record `my`, with `target` as the record that it is matched with. */
 export const evaluate = (expr: Expr, my: Ad, target: Ad | null = null, context = defaultContext): Value =>
   new Evaluation(context).run(expr, matchScopes(my, target));
--- a/src/classad/evaluation-context.ts
+++ b/src/classad/evaluation-context.ts
@@ -1,24 +1,24 @@
-/** What evaluations depend on beside records, and what they offer to functions. */
+/** The inputs of an evaluation besides the records, and the interface through which functions evaluate their arguments. */
 import type { Expr, Scope, Value } from './expr.js';
 
-/** Time and chance. Evaluations with the same context give the same results. */
+/** The time and the source of random numbers. Evaluations with the same context give the same results. */
 export interface EvaluationContext {
-  /** Time of day, s. */
+  /** Seconds since the Unix epoch. */
   readonly nowS: number;
-  /** A random number from 0 to 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   random(): number;
 }
 
-/** For expressions that depend on neither. */
+/** A fixed context, for expressions that depend neither on the time nor on random numbers. */
 export const defaultContext: EvaluationContext = { nowS: 0, random: () => 0 };
 
-/** An evaluation, as functions see it. */
+/** The part of an evaluation that is available to functions. */
 export interface Evaluator {
   readonly context: EvaluationContext;
   /** Evaluates an expression in a scope. */
   run(expr: Expr, scope: Scope): Value;
-  /** Parses a text as an expression and evaluates it in a scope. */
+  /** Parses `text` as an expression and evaluates it in a scope. A syntax error gives an error value. */
   evaluateText(text: string, scope: Scope): Value;
-  /** Counts work of a function as steps; false: more than the limit. */
-  spend(steps: number): boolean;
+  /** Adds the cost of a function call to the step count. Returns false if the limit is exceeded. */
+  chargeSteps(steps: number): boolean;
 }
--- a/src/classad/expr.ts
+++ b/src/classad/expr.ts
@@ -1,8 +1,8 @@
-/** Expressions of the match language, records of attributes, and the values that expressions evaluate to. */
+/** The syntax tree of ClassAd expressions, ClassAd records, and the values that expressions evaluate to. */
 
-/** Operators with one operand. */
+/** The unary operators. */
 export type UnaryOp = '-' | '+' | '!' | '~';
-/** Operators with two operands. */
+/** The binary operators. */
 export type BinaryOp =
   | '||'
   | '&&'
@@ -26,7 +26,7 @@
   | '/'
   | '%';
 
-/** An expression, as the grammar builds it. Immutable. */
+/** A node of the syntax tree, as the grammar builds it. Immutable. */
 export type Expr =
   | { readonly kind: 'literal'; readonly value: Value }
   | { readonly kind: 'reference'; readonly name: string; readonly absolute: boolean }
@@ -34,7 +34,7 @@
   | { readonly kind: 'subscript'; readonly of: Expr; readonly index: Expr }
   | { readonly kind: 'unary'; readonly op: UnaryOp; readonly operand: Expr }
   | { readonly kind: 'binary'; readonly op: BinaryOp; readonly left: Expr; readonly right: Expr }
-  /** `whenTrue` null: `condition ?: whenFalse`. */
+  /** `whenTrue` is null in the short form `condition ?: whenFalse`. */
   | {
       readonly kind: 'conditional';
       readonly condition: Expr;
@@ -51,7 +51,7 @@
   readonly expr: Expr;
 }
 
-/** A record of attributes. Names are case-insensitive, and shown as they were last set. */
+/** A ClassAd record: a set of named expressions. Names are case-insensitive and keep the spelling of the last assignment. */
 export class Ad {
   private readonly attributes = new Map<string, Attribute>();
 
@@ -59,27 +59,27 @@
     for (const { name, expr } of attributes) this.set(name, expr);
   }
 
-  /** Sets an attribute, replacing one of the same name. */
+  /** Sets an attribute, replacing any attribute of the same name. */
   set(name: string, expr: Expr): void {
     this.attributes.set(name.toLowerCase(), { name, expr });
   }
 
-  /** An attribute's expression. */
+  /** Returns the expression of an attribute; undefined if there is no such attribute. */
   get(name: string): Expr | undefined {
     return this.attributes.get(name.toLowerCase())?.expr;
   }
 
-  /** Whether there is such an attribute. */
+  /** Whether the record has an attribute of this name. */
   has(name: string): boolean {
     return this.attributes.has(name.toLowerCase());
   }
 
-  /** Removes an attribute. */
+  /** Removes an attribute, if present. */
   delete(name: string): void {
     this.attributes.delete(name.toLowerCase());
   }
 
-  /** How many attributes there are. */
+  /** The number of attributes. */
   get size(): number {
     return this.attributes.size;
   }
@@ -90,14 +90,14 @@
   }
 }
 
-/** A value as an expression. */
+/** Wraps a value in a literal expression. */
 export const literal = (value: Value): Expr => ({ kind: 'literal', value });
 
-/** The text of a string literal; null for any other expression. */
-export const textOf = (expr: Expr | undefined): string | null =>
+/** Returns the value of a string literal; null for any other expression. */
+export const stringLiteralValue = (expr: Expr | undefined): string | null =>
   expr?.kind === 'literal' && typeof expr.value === 'string' ? expr.value : null;
 
-/** A unary expression; a minus before a number literal becomes part of the number. */
+/** Builds a unary expression. A minus sign before a number literal becomes part of the literal. */
 export function unary(op: UnaryOp, operand: Expr): Expr {
   if (op === '-' && operand.kind === 'literal') {
     if (typeof operand.value === 'bigint') return literal(BigInt.asIntN(64, -operand.value));
@@ -106,7 +106,7 @@
   return { kind: 'unary', op, operand };
 }
 
-/** The direct subexpressions of an expression. */
+/** Returns the direct subexpressions of an expression. */
 export function children(expr: Expr): readonly Expr[] {
   switch (expr.kind) {
     case 'literal':
@@ -135,21 +135,21 @@
 
 // ---- values ----
 
-/** Where names are looked up: a record, the records that enclose it, and the target that it is matched with. */
+/** The scope in which names are resolved: a record, its enclosing records, and the target record that it is matched with. */
 export interface Scope {
   readonly ad: Ad;
   /** The scope of the enclosing record; null for the outermost one. */
   readonly parent: Scope | null;
-  /** The scope of the other record; only the outermost scope has one. */
+  /** The scope of the target record; set only on the outermost scope. */
   target: Scope | null;
 }
 
-/** The value `error`, with a reason for users. The language does not distinguish errors. */
+/** The value `error`, with a description of the cause. The language itself treats all errors as identical. */
 export class ErrorValue {
   constructor(readonly reason: string) {}
 }
 
-/** A record as a value, with the scope of its attributes. */
+/** A record as a value, with the scope in which its attributes are evaluated. */
 export class RecordValue {
   constructor(
     readonly ad: Ad,
@@ -157,5 +157,8 @@
   ) {}
 }
 
-/** What an expression can evaluate to: `undefined`, `error`, booleans, integers (64 bits), reals, strings, lists, records. */
+/**
+ * The result of an evaluation. Integers are 64-bit and represented as bigint, reals as number; `undefined` is the language's
+ * own undefined value.
+ */
 export type Value = undefined | ErrorValue | boolean | bigint | number | string | Value[] | RecordValue;
--- a/src/classad/functions/define.ts
+++ b/src/classad/functions/define.ts
@@ -1,26 +1,26 @@
-/** How functions of the language are defined. */
+/** Helpers to define the built-in functions of the ClassAd language. */
 import type { Evaluator } from '../evaluation-context.js';
 import type { Expr, Scope } from '../expr.js';
-import { exceptional } from '../operators.js';
+import { findErrorOrUndefined } from '../operators.js';
 import { ErrorValue, typeOf, type Value } from '../values.js';
 
-/** A function of the language. */
+/** A built-in function. */
 export interface FunctionSpec {
   readonly minArgs: number;
   readonly maxArgs: number;
-  /** Calls the function; its arguments are not evaluated yet. */
+  /** Calls the function with its unevaluated arguments. */
   call(args: readonly Expr[], scope: Scope, evaluator: Evaluator): Value;
-  /** Whether its result depends on time or chance. */
+  /** Whether the result depends on the time or on random numbers. */
   readonly nonDeterministic?: boolean;
-  /** Whether it uses its arguments as they are written, or evaluates them in another scope. */
+  /** Whether the function uses its arguments unevaluated, or evaluates them in another scope. */
   readonly unevaluatedArgs?: boolean;
 }
 
-/** A function with its name. */
+/** A function's name and definition. */
 export type NamedFunction = [string, FunctionSpec];
 
-/** A function that gets the values of its arguments, errors and undefined ones included. */
-export const lenientFunction = (
+/** Defines a function whose implementation receives all argument values, including errors and undefined. */
+export const nonStrictFunction = (
   name: string,
   minArgs: number,
   maxArgs: number,
@@ -38,24 +38,24 @@
   },
 ];
 
-/** A function whose result is an error or undefined if one of its arguments is. */
+/** Defines a function that returns error or undefined if one of its arguments is; the implementation receives neither. */
 export const strictFunction = (
   name: string,
   minArgs: number,
   maxArgs: number,
   implementation: (args: Exclude<Value, undefined | ErrorValue>[], evaluator: Evaluator) => Value,
 ): NamedFunction =>
-  lenientFunction(name, minArgs, maxArgs, (args, evaluator) => {
-    const exception = exceptional(...args);
-    if (exception) return exception === 'undefined' ? undefined : exception;
+  nonStrictFunction(name, minArgs, maxArgs, (args, evaluator) => {
+    const propagated = findErrorOrUndefined(...args);
+    if (propagated) return propagated === 'undefined' ? undefined : propagated;
     return implementation(args as Exclude<Value, undefined | ErrorValue>[], evaluator);
   });
 
-/** The error of a function that gets a value of the wrong type. */
+/** Creates the error value of a function that does not accept the type of an argument. */
 export const typeError = (name: string, value: Value): ErrorValue =>
   new ErrorValue(`${name} does not take a ${typeOf(value)}`);
 
-/** A function whose arguments all are strings; optional ones that are missing are undefined. */
+/** Defines a strict function whose arguments must be strings. Omitted optional arguments are undefined. */
 export const stringFunction = (
   name: string,
   minArgs: number,
@@ -63,6 +63,6 @@
   implementation: (args: string[], evaluator: Evaluator) => Value,
 ): NamedFunction =>
   strictFunction(name, minArgs, maxArgs, (args, evaluator) => {
-    const notText = args.find((arg) => typeof arg !== 'string');
-    return notText === undefined ? implementation(args as string[], evaluator) : typeError(name, notText);
+    const nonString = args.find((arg) => typeof arg !== 'string');
+    return nonString === undefined ? implementation(args as string[], evaluator) : typeError(name, nonString);
   });
--- a/src/classad/functions/index.ts
+++ b/src/classad/functions/index.ts
@@ -1,16 +1,20 @@
-/** All functions of the language. */
+/** The table of built-in functions. */
 import type { FunctionSpec } from './define.js';
-import { lists } from './lists.js';
-import { numbers } from './numbers.js';
-import { patterns } from './patterns.js';
-import { strings } from './strings.js';
-import { time } from './time.js';
-import { types } from './types.js';
+import { listFunctions } from './lists.js';
+import { numericFunctions } from './numbers.js';
+import { regexpFunctions } from './regular-expressions.js';
+import { stringFunctions } from './strings.js';
+import { timeFunctions } from './time.js';
+import { typeFunctions } from './types.js';
 
-/** All functions of the language, by their names in lower case. */
+/** All built-in functions, by name in lower case. */
 export const functions: ReadonlyMap<string, FunctionSpec> = new Map(
-  [...types, ...numbers, ...strings, ...lists, ...patterns, ...time].map(([name, spec]) => [
-    name.toLowerCase(),
-    spec,
-  ]),
+  [
+    ...typeFunctions,
+    ...numericFunctions,
+    ...stringFunctions,
+    ...listFunctions,
+    ...regexpFunctions,
+    ...timeFunctions,
+  ].map(([name, spec]) => [name.toLowerCase(), spec]),
 );
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -1,5 +1,5 @@
-/** Functions of numbers. */
-import { binaryOp, exceptional } from '../operators.js';
+/** Functions on numbers. */
+import { binaryOp, findErrorOrUndefined } from '../operators.js';
 import { ErrorValue, toInt64, toNumber, type Value } from '../values.js';
 import { strictFunction, typeError, type NamedFunction } from './define.js';
 import { toReal } from './types.js';
@@ -12,7 +12,7 @@
     return Number.isFinite(n) ? toInt64(round(n)) : new ErrorValue(`${name} of a number that is not finite`);
   });
 
-/** Rounds to the nearest integer, and halves to the even one, as the C library does by default. */
+/** Rounds to the nearest integer and ties to the even one, like the default rounding mode of the C library. */
 function roundHalfToEven(value: number): number {
   const down = Math.floor(value);
   const fraction = value - down;
@@ -20,32 +20,32 @@
   return down % 2 === 0 ? down : down + 1;
 }
 
-/** A function of a list of numbers; its result is undefined if one of them is. */
+/** Defines a function on a list of numbers. The result is error or undefined if an item of the list is. */
 const listFunction = (
   name: string,
-  empty: Value,
-  implementation: (all: (bigint | number)[]) => Value,
+  emptyResult: Value,
+  implementation: (values: (bigint | number)[]) => Value,
 ): NamedFunction =>
   strictFunction(name, 1, 1, ([list]) => {
     if (!Array.isArray(list)) return typeError(name, list);
-    const exception = exceptional(...list);
-    if (exception) return exception === 'undefined' ? undefined : exception;
+    const propagated = findErrorOrUndefined(...list);
+    if (propagated) return propagated === 'undefined' ? undefined : propagated;
     const numbers = list.map(toNumber);
     if (numbers.includes(null)) return new ErrorValue(`${name} takes a list of numbers`);
-    return numbers.length === 0 ? empty : implementation(numbers as (bigint | number)[]);
+    return numbers.length === 0 ? emptyResult : implementation(numbers as (bigint | number)[]);
   });
 
-/** The sum. */
+/** Returns the sum; 0 for an empty list. */
 export const sumOf = (values: readonly Value[]): Value =>
   values.reduce((a: Value, b) => binaryOp('+', a, b), 0n);
-/** The least. */
+/** Returns the smallest of one or more values. */
 export const minOf = (values: readonly Value[]): Value =>
   values.reduce((a, b) => (binaryOp('<', b, a) === true ? b : a));
-/** The greatest. */
+/** Returns the largest of one or more values. */
 export const maxOf = (values: readonly Value[]): Value =>
   values.reduce((a, b) => (binaryOp('>', b, a) === true ? b : a));
 
-/** The least multiple of `b` that is not below `a`. */
+/** Rounds `value` up to a multiple of `unit`. A unit of zero leaves it unchanged. */
 function quantize(value: bigint | number, unit: bigint | number): Value {
   if (Number(unit) === 0) return value;
   if (typeof value === 'bigint' && typeof unit === 'bigint') {
@@ -55,15 +55,15 @@
   return Math.ceil(Number(value) / Number(unit)) * Number(unit);
 }
 
-/** The functions of this module. */
-export const numbers: readonly NamedFunction[] = [
+/** The functions that this module defines. */
+export const numericFunctions: readonly NamedFunction[] = [
   roundingFunction('floor', Math.floor),
   roundingFunction('ceiling', Math.ceil),
   roundingFunction('round', roundHalfToEven),
   strictFunction('pow', 2, 2, ([a, b]) => {
     const [x, y] = [toNumber(a), toNumber(b)];
     if (x === null || y === null) return typeError('pow', x === null ? a : b);
-    // Larger powers would be numbers of up to millions of digits.
+    // With a larger exponent, the exact bigint result could have millions of digits.
     if (typeof x === 'bigint' && typeof y === 'bigint' && y >= 0n && y <= 64n) return toInt64(x ** y);
     return Number(x) ** Number(y);
   }),
@@ -77,7 +77,7 @@
         if (n >= x) return n;
       }
       const last = b.length > 0 ? toNumber(b[b.length - 1]) : null;
-      return last === null ? new ErrorValue('quantize by an empty list') : quantize(x, last);
+      return last === null ? new ErrorValue('quantize: the list of steps is empty') : quantize(x, last);
     }
     const y = toNumber(b);
     return y === null ? typeError('quantize', b) : quantize(x, y);
@@ -94,13 +94,13 @@
         if (typeof n === 'bigint')
           return n > 0n
             ? toInt64(evaluator.context.random() * Number(n))
-            : new ErrorValue('random of nothing');
+            : new ErrorValue('random takes an integer greater than 0');
         return typeof n === 'number' ? evaluator.context.random() * n : typeError('random', n);
       },
     },
   ],
   listFunction('sum', 0n, sumOf),
-  listFunction('avg', 0, (all) => Number(sumOf(all)) / all.length),
+  listFunction('avg', 0, (values) => Number(sumOf(values)) / values.length),
   listFunction('min', undefined, minOf),
   listFunction('max', undefined, maxOf),
 ];
--- a/src/classad/functions/strings.ts
+++ b/src/classad/functions/strings.ts
@@ -1,12 +1,18 @@
-/** Functions of strings. */
+/** Functions on strings. */
 import { ErrorValue, RecordValue, type Value } from '../values.js';
-import { strictFunction, stringFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
-import { exceptional } from '../operators.js';
+import {
+  strictFunction,
+  stringFunction,
+  nonStrictFunction,
+  typeError,
+  type NamedFunction,
+} from './define.js';
+import { findErrorOrUndefined } from '../operators.js';
 import { toText } from './types.js';
 
-const compareText = (a: string, b: string): bigint => (a < b ? -1n : a > b ? 1n : 0n);
+const compareStrings = (a: string, b: string): bigint => (a < b ? -1n : a > b ? 1n : 0n);
 
-/** The order of two versions: runs of digits are compared as numbers, everything else character by character. */
+/** Compares two version strings: runs of digits as numbers, everything else character by character. */
 export function versionOrder(a: string, b: string): number {
   const parts = (version: string): string[] => version.match(/\d+|\D/g) ?? [];
   const [x, y] = [parts(a), parts(b)];
@@ -24,7 +30,7 @@
 const versionFunction = (name: string, test: (order: number) => boolean): NamedFunction =>
   stringFunction(name, 2, 2, ([a, b]) => test(versionOrder(a, b)));
 
-/** The parts of a text between any of the delimiters, without empty ones. */
+/** Splits a text at each character of `delims` and drops empty parts. */
 export const splitBy = (text: string, delims: string): string[] => {
   const parts: string[] = [];
   let word = '';
@@ -38,31 +44,35 @@
   return parts;
 };
 
-const splitAtSignFunction = (name: string, alone: (s: string) => [string, string]): NamedFunction =>
+const splitAtSignFunction = (
+  name: string,
+  splitWithoutAtSign: (s: string) => [string, string],
+): NamedFunction =>
   stringFunction(name, 1, 1, ([s]) => {
     const at = s.indexOf('@');
-    return at < 0 ? alone(s) : [s.slice(0, at), s.slice(at + 1)];
+    return at < 0 ? splitWithoutAtSign(s) : [s.slice(0, at), s.slice(at + 1)];
   });
 
-/** The functions of this module. */
-export const strings: readonly NamedFunction[] = [
-  lenientFunction('strcat', 0, 1000, (args) => {
-    const exception = exceptional(...args);
-    if (exception) return exception === 'undefined' ? undefined : exception;
+/** The functions that this module defines. */
+export const stringFunctions: readonly NamedFunction[] = [
+  nonStrictFunction('strcat', 0, 1000, (args) => {
+    const propagated = findErrorOrUndefined(...args);
+    if (propagated) return propagated === 'undefined' ? undefined : propagated;
     return args.map(toText).join('');
   }),
-  lenientFunction('join', 1, 1000, ([separator, ...rest]) => {
+  nonStrictFunction('join', 1, 1000, ([separator, ...rest]) => {
     const items = rest.length === 1 && Array.isArray(rest[0]) ? rest[0] : rest;
-    // With a list as the only argument, its items are joined without a separator.
-    const [by, all] = Array.isArray(separator) && rest.length === 0 ? ['', separator] : [separator, items];
-    if (by === undefined || by instanceof ErrorValue) return by;
-    if (typeof by !== 'string') return typeError('join', by);
-    const fault = all.find((v) => v instanceof ErrorValue);
-    if (fault) return fault;
-    return all
+    // If a list is the only argument, its items are joined without a separator.
+    const [delimiter, values] =
+      Array.isArray(separator) && rest.length === 0 ? ['', separator] : [separator, items];
+    if (delimiter === undefined || delimiter instanceof ErrorValue) return delimiter;
+    if (typeof delimiter !== 'string') return typeError('join', delimiter);
+    const error = values.find((v) => v instanceof ErrorValue);
+    if (error) return error;
+    return values
       .filter((v) => v !== undefined)
       .map(toText)
-      .join(by);
+      .join(delimiter);
   }),
   strictFunction('substr', 2, 3, ([s, from, length]) => {
     if (typeof s !== 'string') return typeError('substr', s);
@@ -70,11 +80,13 @@
     if (length !== undefined && typeof length !== 'bigint') return typeError('substr', length);
     const n = s.length;
     const start = Math.min(n, Math.max(0, from < 0n ? n + Number(from) : Number(from)));
-    const l = length === undefined ? n - start : Number(length);
-    return s.slice(start, l < 0 ? Math.max(start, n + l) : start + l);
+    const sliceLength = length === undefined ? n - start : Number(length);
+    return s.slice(start, sliceLength < 0 ? Math.max(start, n + sliceLength) : start + sliceLength);
   }),
-  strictFunction('strcmp', 2, 2, ([a, b]) => compareText(toText(a), toText(b))),
-  strictFunction('stricmp', 2, 2, ([a, b]) => compareText(toText(a).toLowerCase(), toText(b).toLowerCase())),
+  strictFunction('strcmp', 2, 2, ([a, b]) => compareStrings(toText(a), toText(b))),
+  strictFunction('stricmp', 2, 2, ([a, b]) =>
+    compareStrings(toText(a).toLowerCase(), toText(b).toLowerCase()),
+  ),
   strictFunction('toUpper', 1, 1, ([s]) => toText(s).toUpperCase()),
   strictFunction('toLower', 1, 1, ([s]) => toText(s).toLowerCase()),
   strictFunction('size', 1, 1, ([v]): Value => {
--- a/src/classad/functions/time.ts
+++ b/src/classad/functions/time.ts
@@ -1,14 +1,15 @@
-/** Functions of time. */
+/** Functions on times and durations. */
 import strftime from 'strftime';
 import { ErrorValue, toInt64, toNumber } from '../values.js';
 import { strictFunction, typeError, type FunctionSpec, type NamedFunction } from './define.js';
 
+/** Formats a duration in seconds as `d+hh:mm:ss`, `h:mm:ss` or `m:ss`, whichever is the shortest that holds it. */
 const formatDuration = (total: bigint): string => {
   const [s, m, h, d] = [total % 60n, (total / 60n) % 60n, (total / 3600n) % 24n, total / 86_400n];
-  const two = (n: bigint): string => String(n).padStart(2, '0');
-  if (d > 0n) return `${d}+${two(h)}:${two(m)}:${two(s)}`;
-  if (h > 0n) return `${h}:${two(m)}:${two(s)}`;
-  return `${m}:${two(s)}`;
+  const twoDigits = (n: bigint): string => String(n).padStart(2, '0');
+  if (d > 0n) return `${d}+${twoDigits(h)}:${twoDigits(m)}:${twoDigits(s)}`;
+  if (h > 0n) return `${h}:${twoDigits(m)}:${twoDigits(s)}`;
+  return `${m}:${twoDigits(s)}`;
 };
 
 const now: FunctionSpec = {
@@ -18,8 +19,8 @@
   call: (_, __, evaluator) => toInt64(evaluator.context.nowS),
 };
 
-/** The functions of this module. */
-export const time: readonly NamedFunction[] = [
+/** The functions that this module defines. */
+export const timeFunctions: readonly NamedFunction[] = [
   ['time', now],
   [
     'formatTime',
@@ -36,7 +37,9 @@
         if (s === null) return typeError('formatTime', at);
         if (typeof format !== 'string') return typeError('formatTime', format);
         const date = new Date(Number(s) * 1000);
-        return Number.isNaN(date.getTime()) ? new ErrorValue('no such time') : strftime(format, date);
+        return Number.isNaN(date.getTime())
+          ? new ErrorValue('formatTime: the time is out of range')
+          : strftime(format, date);
       },
     },
   ],
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -1,12 +1,12 @@
-/** Functions of types, and functions that evaluate their arguments themselves. */
+/** Type tests and conversions, and functions that control the evaluation of their arguments. */
 import { printExpr, printValue } from '../print.js';
 import { ErrorValue, RecordValue, toTruth, typeOf, type TypeName, type Value } from '../values.js';
-import { strictFunction, lenientFunction, typeError, type NamedFunction } from './define.js';
+import { strictFunction, nonStrictFunction, typeError, type NamedFunction } from './define.js';
 
 const typeTestFunction = (name: string, type: TypeName): NamedFunction =>
-  lenientFunction(name, 1, 1, ([v]) => typeOf(v) === type);
+  nonStrictFunction(name, 1, 1, ([v]) => typeOf(v) === type);
 
-/** Numbers, as `int` and `real` parse them. */
+/** The decimal numbers that `int` and `real` accept in strings. */
 const numberPattern = /^\s*[-+]?(\d+\.?\d*|\.\d+)([eE][-+]?\d+)?\s*$/;
 
 /** Converts a value to a real. */
@@ -17,7 +17,7 @@
   if (typeof value !== 'string') return typeError('real', value);
   if (/^[-+]?inf(inity)?$/i.test(value)) return value.startsWith('-') ? -Infinity : Infinity;
   if (/^nan$/i.test(value)) return NaN;
-  return numberPattern.test(value) ? Number(value) : new ErrorValue(`${printValue(value)} is no number`);
+  return numberPattern.test(value) ? Number(value) : new ErrorValue(`${printValue(value)} is not a number`);
 }
 
 /** Converts a value to an integer. */
@@ -35,7 +35,7 @@
 /** Converts a value to a string. */
 export const toText = (value: Value): string => (typeof value === 'string' ? value : printValue(value));
 
-/** A function that evaluates an expression in the scope of each record of a list. */
+/** Defines a function that evaluates its first argument in the scope of each record in the list that is its second argument. */
 const eachRecordFunction = (name: string, implementation: (values: Value[]) => Value): NamedFunction => [
   name,
   {
@@ -48,15 +48,17 @@
       if (!Array.isArray(all)) return typeError(name, all);
       return implementation(
         all.map((r) =>
-          r instanceof RecordValue ? evaluator.run(e, r.scope) : new ErrorValue('not a record'),
+          r instanceof RecordValue
+            ? evaluator.run(e, r.scope)
+            : new ErrorValue('the list contains a value that is not a record'),
         ),
       );
     },
   },
 ];
 
-/** The functions of this module. */
-export const types: readonly NamedFunction[] = [
+/** The functions that this module defines. */
+export const typeFunctions: readonly NamedFunction[] = [
   typeTestFunction('isUndefined', 'undefined'),
   typeTestFunction('isError', 'error'),
   typeTestFunction('isString', 'string'),
@@ -74,7 +76,7 @@
       ? true
       : /^false$/i.test(v)
         ? false
-        : new ErrorValue(`${printValue(v)} is no boolean`);
+        : new ErrorValue(`${printValue(v)} is not a boolean`);
   }),
   [
     'ifThenElse',
@@ -105,7 +107,7 @@
       minArgs: 1,
       maxArgs: 1,
       unevaluatedArgs: true,
-      // The expression of an own attribute that is named, else the argument itself.
+      // If the argument names an attribute of the own record, the expression of that attribute is printed.
       call: ([expr], scope) => {
         const own = expr.kind === 'reference' ? scope.ad.get(expr.name) : undefined;
         return printExpr(own ?? expr);
--- a/src/classad/grammar.d.ts
+++ b/src/classad/grammar.d.ts
@@ -1,18 +1,24 @@
+/** Types of the parser that the build generates from grammar.peggy. */
 import type { Ad, Attribute, Expr, UnaryOp } from './expr.js';
 import type { ErrorValue, Value } from './values.js';
 
-/** Made of grammar.peggy by the build. */
+/** Options of the generated parser: the start rule, limits, and constructors of syntax tree nodes. */
 export interface GrammarOptions {
   startRule: 'Expression' | 'Record';
+  /** Maximum nesting depth of an expression. */
   maxDepth: number;
-  maxRow: number;
+  /** Maximum number of operators in a chain such as `a + b + c`, and of selections and subscripts after an operand. */
+  maxOperatorsInRow: number;
   literal(v: Value): Expr;
   unary(op: UnaryOp, a: Expr): Expr;
-  fault(why: string): ErrorValue;
-  record(all: Attribute[]): Ad;
+  errorValue(reason: string): ErrorValue;
+  record(attributes: Attribute[]): Ad;
 }
+/** Parses `text`, starting at `options.startRule`. Throws a `SyntaxError`. */
 export function parse(text: string, options: GrammarOptions): unknown;
+/** The error that the generated parser throws. */
 export class SyntaxError extends Error {
   location: { start: { offset: number; line: number; column: number } };
+  /** The unexpected input; null at the end of the text. */
   found: string | null;
 }
--- a/src/classad/grammar.peggy
+++ b/src/classad/grammar.peggy
@@ -1,46 +1,47 @@
-// The language of match expressions, by HTCondor's manual. Levels bind tighter from top to bottom.
+// Grammar of ClassAd expressions, after HTCondor's manual. Operator rules are ordered by increasing precedence.
 {{
-const bin = (first, rest) => rest.reduce((left, [op, right]) => ({ kind: 'binary', op, left, right }), first);
+// Builds a left-associative chain of binary expressions.
+const leftAssociative = (first, rest) => rest.reduce((left, [op, right]) => ({ kind: 'binary', op, left, right }), first);
 const escapes = { b: '\b', t: '\t', n: '\n', f: '\f', r: '\r' };
 const keywords = { true: true, false: false, undefined: undefined };
 }}
 {
-  // Guards against an expression that is nested so deeply that whoever reads it runs out of stack.
+  // The nesting depth is limited so that recursive processing of an expression cannot overflow the stack.
   let depth = 0;
-  const { maxDepth, maxRow, literal, unary, fault, record } = options;
-  const row = (first, rest) => {
-    if (rest.length > maxRow) error(`more than ${maxRow} operators in a row`);
-    return bin(first, rest);
+  const { maxDepth, maxOperatorsInRow, literal, unary, errorValue, record } = options;
+  const operatorChain = (first, rest) => {
+    if (rest.length > maxOperatorsInRow) error(`more than ${maxOperatorsInRow} operators in a row`);
+    return leftAssociative(first, rest);
   };
 }
 
 Expression = _ e:Expr _ { return e; }
 Record = _ r:Rec _ { return r.ad; }
 
-Expr = Down e:Cond? Up &{ return e !== null; } { return e; }
-Down = &{ if (++depth > maxDepth) error(`nested more than ${maxDepth} deep`); return true; }
-Up = &{ depth--; return true; }
+Expr = EnterNesting e:Cond? LeaveNesting &{ return e !== null; } { return e; }
+EnterNesting = &{ if (++depth > maxDepth) error(`nested more than ${maxDepth} deep`); return true; }
+LeaveNesting = &{ depth--; return true; }
 
 Cond = c:Or rest:(_ '?' _ @(':' _ b:Expr { return { whenTrue: null, whenFalse: b }; } / a:Expr _ ':' _ b:Expr { return { whenTrue: a, whenFalse: b }; }))?
   { return rest ? { kind: 'conditional', condition: c, ...rest } : c; }
-Or = a:And r:(_ @'||' _ @And)* { return row(a, r); }
-And = a:BitOr r:(_ @'&&' _ @BitOr)* { return row(a, r); }
-BitOr = a:BitXor r:(_ @$('|' !'|') _ @BitXor)* { return row(a, r); }
-BitXor = a:BitAnd r:(_ @'^' _ @BitAnd)* { return row(a, r); }
-BitAnd = a:Equal r:(_ @$('&' !'&') _ @Equal)* { return row(a, r); }
-Equal = a:Less r:(_ @EqualOp _ @Less)* { return row(a, r); }
+Or = a:And r:(_ @'||' _ @And)* { return operatorChain(a, r); }
+And = a:BitOr r:(_ @'&&' _ @BitOr)* { return operatorChain(a, r); }
+BitOr = a:BitXor r:(_ @$('|' !'|') _ @BitXor)* { return operatorChain(a, r); }
+BitXor = a:BitAnd r:(_ @'^' _ @BitAnd)* { return operatorChain(a, r); }
+BitAnd = a:Equal r:(_ @$('&' !'&') _ @Equal)* { return operatorChain(a, r); }
+Equal = a:Less r:(_ @EqualOp _ @Less)* { return operatorChain(a, r); }
 EqualOp = '=?=' / '=!=' / '==' / '!='
   / 'isnt'i !NameChar { return '=!='; }
   / 'is'i !NameChar { return '=?='; }
-Less = a:Shift r:(_ @('<=' / '>=' / $('<' !'<') / $('>' !'>')) _ @Shift)* { return row(a, r); }
-Shift = a:Sum r:(_ @('>>>' / '>>' / '<<') _ @Sum)* { return row(a, r); }
-Sum = a:Product r:(_ @[+-] _ @Product)* { return row(a, r); }
-Product = a:Unary r:(_ @[*/%] _ @Unary)* { return row(a, r); }
-Unary = Down e:(op:$('-' / '+' / '!' !'=' / '~') _ a:Unary { return unary(op, a); } / Postfix)? Up &{ return e !== null; }
+Less = a:Shift r:(_ @('<=' / '>=' / $('<' !'<') / $('>' !'>')) _ @Shift)* { return operatorChain(a, r); }
+Shift = a:Sum r:(_ @('>>>' / '>>' / '<<') _ @Sum)* { return operatorChain(a, r); }
+Sum = a:Product r:(_ @[+-] _ @Product)* { return operatorChain(a, r); }
+Product = a:Unary r:(_ @[*/%] _ @Unary)* { return operatorChain(a, r); }
+Unary = EnterNesting e:(op:$('-' / '+' / '!' !'=' / '~') _ a:Unary { return unary(op, a); } / Postfix)? LeaveNesting &{ return e !== null; }
   { return e; }
 Postfix = of:Primary rest:(_ @(Select / Subscript))*
   {
-    if (rest.length > maxRow) error(`more than ${maxRow} operators in a row`);
+    if (rest.length > maxOperatorsInRow) error(`more than ${maxOperatorsInRow} operators in a row`);
     return rest.reduce((e, r) => (r.name !== undefined ? { kind: 'selection', of: e, name: r.name } : { kind: 'subscript', of: e, index: r.index }), of);
   }
 Select = '.' _ name:Name { return { name }; }
@@ -53,7 +54,7 @@
   / List
   / Rec
   / w:$('true'i / 'false'i / 'undefined'i) !NameChar { return literal(keywords[w.toLowerCase()]); }
-  / 'error'i !NameChar { return literal(fault('error')); }
+  / 'error'i !NameChar { return literal(errorValue('error')); }
   / '.' _ name:Name { return { kind: 'reference', name, absolute: true }; }
   / name:Name _ '(' _ args:Args? _ ')' { return { kind: 'call', name, args: args ?? [] }; }
   / name:Name { return { kind: 'reference', name, absolute: false }; }
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -1,18 +1,18 @@
-/** The operators, except the logical ones, whose operands are evaluated on demand. */
+/** The operators of the language, except `!`, `&&` and `||`, which the evaluator implements itself. */
 import type { BinaryOp, UnaryOp } from './expr.js';
 import { printAd } from './print.js';
 import { ErrorValue, toInt64, toNumber, RecordValue, typeOf, type Value } from './values.js';
 
-/** The first error among the arguments, else 'undefined' if one is undefined; null: neither. */
-export function exceptional(...args: Value[]): ErrorValue | 'undefined' | null {
+/** Returns the first error among the arguments, else 'undefined' if one of them is undefined, else null. */
+export function findErrorOrUndefined(...args: Value[]): ErrorValue | 'undefined' | null {
   for (const a of args) if (a instanceof ErrorValue) return a;
   return args.some((a) => a === undefined) ? 'undefined' : null;
 }
 
 /** Applies a unary operator. */
 export function unaryOp(op: Exclude<UnaryOp, '!'>, a: Value): Value {
-  const exception = exceptional(a);
-  if (exception) return exception === 'undefined' ? undefined : exception;
+  const propagated = findErrorOrUndefined(a);
+  if (propagated) return propagated === 'undefined' ? undefined : propagated;
   if (op === '~') return typeof a === 'bigint' ? ~a : typeError(op, a);
   const n = toNumber(a);
   if (n === null) return typeError(op, a);
@@ -20,16 +20,16 @@
   return typeof n === 'bigint' ? toInt64(-n) : -n;
 }
 
-/** The error of an operator whose operands have the wrong types. */
+/** Creates the error value of an operator that does not accept the types of its operands. */
 const typeError = (op: string, ...args: Value[]): ErrorValue =>
   new ErrorValue(`${op} does not take ${args.map((a) => `a ${typeOf(a)}`).join(' and ')}`);
 
-/** Applies a binary operator. Except for `=?=` and `=!=`, errors and undefined operands are its result. */
+/** Applies a binary operator. Except for `=?=` and `=!=`, an error or undefined operand becomes the result. */
 export function binaryOp(op: Exclude<BinaryOp, '&&' | '||'>, a: Value, b: Value): Value {
   if (op === '=?=') return identical(a, b);
   if (op === '=!=') return !identical(a, b);
-  const exception = exceptional(a, b);
-  if (exception) return exception === 'undefined' ? undefined : exception;
+  const propagated = findErrorOrUndefined(a, b);
+  if (propagated) return propagated === 'undefined' ? undefined : propagated;
   switch (op) {
     case '==':
     case '!=':
@@ -37,7 +37,7 @@
     case '<=':
     case '>':
     case '>=': {
-      const order = compare(a, b);
+      const order = compareValues(a, b);
       return order === null ? typeError(op, a, b) : comparisonHolds(op, order);
     }
     case '&':
@@ -52,7 +52,7 @@
   }
 }
 
-/** Whether two values have the same type and the same value; strings are compared case-sensitively. */
+/** Whether two values have the same type and value. Strings are compared case-sensitively, and all errors are identical. */
 export function identical(a: Value, b: Value): boolean {
   if (typeOf(a) !== typeOf(b)) return false;
   if (a instanceof ErrorValue) return true;
@@ -64,10 +64,10 @@
 }
 
 /**
- * The order of two values: negative, zero, positive, or NaN if neither holds; null if they cannot be compared. Strings are
- * compared case-insensitively.
+ * Compares two values: the result is negative, zero or positive, NaN if the values are unordered (an operand is NaN), or null if
+ * the types cannot be compared. Strings are compared case-insensitively.
  */
-function compare(a: Value, b: Value): number | null {
+function compareValues(a: Value, b: Value): number | null {
   if (typeof a === 'string' && typeof b === 'string') {
     const [x, y] = [a.toLowerCase(), b.toLowerCase()];
     return x < y ? -1 : x > y ? 1 : 0;
@@ -77,7 +77,7 @@
   return x < y ? -1 : x > y ? 1 : x == y ? 0 : NaN;
 }
 
-/** Whether a comparison holds for values in that order. */
+/** Whether a comparison operator holds, given the result of `compareValues`. */
 function comparisonHolds(op: '==' | '!=' | '<' | '<=' | '>' | '>=', order: number): boolean {
   switch (op) {
     case '==':
@@ -95,7 +95,7 @@
   }
 }
 
-/** Bitwise operators and shifts. */
+/** Applies a bitwise operator or a shift. */
 function bitwise(op: '&' | '|' | '^' | '<<' | '>>' | '>>>', a: Value, b: Value): Value {
   if (typeof a === 'boolean' && typeof b === 'boolean' && (op === '&' || op === '|' || op === '^'))
     return op === '&' ? a && b : op === '|' ? a || b : a !== b;
@@ -103,13 +103,13 @@
   if (op === '&') return a & b;
   if (op === '|') return a | b;
   if (op === '^') return a ^ b;
-  // A larger shift would allocate a number with as many digits.
-  if (b < 0n || b > 63n) return new ErrorValue(`${op}: a shift by ${b}`);
+  // A bigint shifted by a larger amount would have as many bits as the shift count.
+  if (b < 0n || b > 63n) return new ErrorValue(`${op}: shift count ${b} is not in the range 0 to 63`);
   if (op === '<<') return toInt64(a << b);
   return op === '>>' ? a >> b : toInt64(BigInt.asUintN(64, a) >> b);
 }
 
-/** Arithmetic on integers of 64 bits, or on reals if one operand is real. */
+/** Applies an arithmetic operator: on 64-bit integers, or on reals if an operand is real. */
 function arithmetic(op: '+' | '-' | '*' | '/' | '%', a: Value, b: Value): Value {
   const [x, y] = [toNumber(a), toNumber(b)];
   if (x === null || y === null) return typeError(op, a, b);
--- a/src/classad/partial.ts
+++ b/src/classad/partial-evaluation.ts
@@ -1,15 +1,15 @@
-/** Partial evaluation: simplifies an expression as far as one of the two records decides it. */
+/** Partial evaluation: simplifies an expression as far as its own record alone determines it. */
 import { Evaluation } from './evaluate.js';
 import type { EvaluationContext } from './evaluation-context.js';
 import { literal, type Ad, type Expr } from './expr.js';
 import { functions } from './functions/index.js';
-import { matchSideOf } from './refs.js';
+import { matchSideOf } from './references.js';
 import { matchScopes } from './scopes.js';
 import { RecordValue, type Value } from './values.js';
 
 /**
- * Evaluates the parts of an expression that depend neither on the other record nor on time or chance. Against any other
- * record, the result evaluates to the same as the whole expression.
+ * Replaces the parts of an expression that depend neither on the target record nor on the time or random numbers by their values.
+ * For every target record, the result evaluates to the same value as the original expression.
  */
 export const partiallyEvaluate = (expr: Expr, my: Ad, context?: EvaluationContext): Expr =>
   new PartialEvaluator(my, context).reduce(expr);
@@ -17,7 +17,7 @@
 type ExprOf<Kind extends Expr['kind']> = Extract<Expr, { kind: Kind }>;
 
 class PartialEvaluator {
-  /** Own attributes that are being reduced. */
+  /** Attributes of the own record that are being reduced, in lower case; used to detect circular references. */
   private readonly active = new Set<string>();
   private readonly scope;
 
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Evaluates an expression to a literal, if its value can be written as one. */
+  /** Evaluates an expression and returns its value as a literal; returns the expression itself if a literal cannot hold it. */
   private fold(expr: Expr): Expr {
     const value = new Evaluation(this.context).run(expr, this.scope);
     return isPrintable(value) ? literal(value) : expr;
@@ -66,7 +66,7 @@
     return constant ? this.fold(expr) : expr;
   }
 
-  /** The value of an own attribute; null if it is not constant. */
+  /** Returns the value of an attribute of the own record as a literal; null if it is not constant. */
   private ownAttribute(name: string): Expr | null {
     const key = name.toLowerCase();
     const expr = this.my.get(name);
@@ -90,7 +90,7 @@
     const [left, right] = [this.reduce(expr.left), this.reduce(expr.right)];
     const reduced: Expr = { kind: 'binary', op, left, right };
     if (isConstant(left) && isConstant(right)) return this.fold(reduced);
-    // The left operand alone may decide a logical operator.
+    // The left operand alone may determine the result of a logical operator.
     if ((op === '&&' || op === '||') && isConstant(left)) {
       const decided = this.fold({ kind: 'binary', op, left, right: literal(undefined) });
       if (decided.kind === 'literal' && decided.value !== undefined) return decided;
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -1,8 +1,8 @@
-/** Prints expressions, records and values in the syntax of the language. */
+/** Prints expressions, records and values in ClassAd syntax. */
 import type { Ad, BinaryOp, Expr } from './expr.js';
 import { ErrorValue, RecordValue, type Value } from './values.js';
 
-/** The precedence of operators: an operand of lower precedence is put in parentheses. */
+/** Operator precedence. An operand of lower precedence is printed in parentheses. */
 const precedence: Record<BinaryOp, number> = {
   '||': 2,
   '&&': 3,
@@ -52,7 +52,7 @@
 }
 
 const reserved = /^(true|false|undefined|error|is|isnt)$/i;
-/** A name, quoted if necessary. */
+/** Prints a name, quoted if necessary. */
 export const printName = (name: string): string =>
   /^[A-Za-z_][A-Za-z0-9_]*$/.test(name) && !reserved.test(name) ? name : quote(name, "'");
 
@@ -64,7 +64,7 @@
   return /[.e]/.test(text) ? text.replace(/^(-?\d+)e/, '$1.0e') : `${text}.0`;
 }
 
-/** A value as an expression that evaluates to it. */
+/** Prints a value as an expression that evaluates to it. */
 export function printValue(value: Value): string {
   if (value === undefined) return 'undefined';
   if (value instanceof ErrorValue) return 'error';
@@ -74,16 +74,16 @@
   return typeof value === 'number' ? printReal(value) : String(value);
 }
 
-/** A record in brackets. */
+/** Prints a record in brackets. */
 export function printAd(ad: Ad): string {
-  const all = [...ad].map((a) => `${printName(a.name)} = ${printExpr(a.expr)}`);
-  return all.length === 0 ? '[ ]' : `[ ${all.join('; ')} ]`;
+  const attributes = [...ad].map((a) => `${printName(a.name)} = ${printExpr(a.expr)}`);
+  return attributes.length === 0 ? '[ ]' : `[ ${attributes.join('; ')} ]`;
 }
 
 const isNegative = (v: Value): boolean =>
   (typeof v === 'bigint' && v < 0n) || (typeof v === 'number' && (v < 0 || Object.is(v, -0)));
 
-/** An expression, in parentheses if its precedence is below `minPrecedence`. Parsing the text gives the expression again. */
+/** Prints an expression, in parentheses if its precedence is below `minPrecedence`. Parsing the text yields an equal expression. */
 export function printExpr(expr: Expr, minPrecedence = 0): string {
   const [text, level] = printWithPrecedence(expr);
   return level < minPrecedence ? `(${text})` : text;
@@ -125,7 +125,7 @@
   }
 }
 
-/** The operand of a selection or subscript: a number before a dot would be parsed as part of another number. */
+/** Prints the operand of a selection or subscript. A number gets parentheses: before a dot it would parse as part of a number. */
 function printOperand(operand: Expr): string {
   const text = printExpr(operand, postfixPrecedence);
   return operand.kind === 'literal' &&
--- a/src/classad/refs.ts
+++ b/src/classad/references.ts
@@ -1,8 +1,8 @@
-/** Analyses what expressions refer to. */
+/** Static analysis of the attributes and functions that expressions refer to. */
 import { children, type Ad, type Expr } from './expr.js';
 import { functions } from './functions/index.js';
 
-/** Which of the two records an expression names, as in `MY.x` and `TARGET.x`; null: neither. */
+/** Returns which of the two records an expression denotes, as in `MY.x` and `TARGET.x`; null if neither. */
 export function matchSideOf(expr: Expr): 'my' | 'target' | null {
   if (expr.kind !== 'reference' || expr.absolute) return null;
   const name = expr.name.toLowerCase();
@@ -10,8 +10,8 @@
 }
 
 /**
- * The names, in lower case, of the other record's attributes that an expression refers to, directly or through attributes of
- * its own record. `*` stands for any, where that is known only on evaluation (`eval`, a subscript of TARGET).
+ * Returns the names, in lower case, of the target's attributes that an expression refers to, directly or through attributes of
+ * its own record. `*` stands for all attributes: the names are known only at evaluation (`eval`, a subscript of TARGET).
  */
 export function referencedAttributes(expr: Expr, my: Ad): Set<string> {
   const found = new Set<string>();
@@ -38,14 +38,14 @@
       }
     }
     if (part.kind === 'call' && part.name.toLowerCase() === 'eval') found.add('*');
-    // Names of a nested record's own attributes are included, too: a superset is correct.
+    // Names that a nested record itself defines are included as well: a superset of the references is still correct.
     for (const child of children(part)) visit(child);
   };
   visit(expr);
   return found;
 }
 
-/** Whether an expression itself depends on time or chance; attributes that it refers to are not considered. */
+/** Whether an expression calls a non-deterministic function. Attributes that it refers to are not followed. */
 export function isNonDeterministic(expr: Expr): boolean {
   if (expr.kind === 'call' && functions.get(expr.name.toLowerCase())?.nonDeterministic) return true;
   return children(expr).some(isNonDeterministic);
--- a/src/classad/scopes.ts
+++ b/src/classad/scopes.ts
@@ -1,14 +1,14 @@
-/** Scopes, in which names are looked up. */
+/** Creates and navigates the scopes in which names are resolved. */
 import type { Ad, Scope } from './expr.js';
 
-/** The scope of a record and of its target, if there is one, each the other's target. */
+/** Creates the scope of a record. If a target is given, the two records are each other's target. */
 export function matchScopes(my: Ad, target: Ad | null = null): Scope {
   const myScope: Scope = { ad: my, parent: null, target: null };
   if (target) myScope.target = { ad: target, parent: null, target: myScope };
   return myScope;
 }
 
-/** The scope of the outermost enclosing record. */
+/** Returns the scope of the outermost enclosing record. */
 export function outermostScope(scope: Scope): Scope {
   let current = scope;
   while (current.parent) current = current.parent;
--- a/src/classad/values.ts
+++ b/src/classad/values.ts
@@ -1,12 +1,12 @@
-/** Types and conversions of values. */
+/** Types and conversions of ClassAd values. */
 import { ErrorValue, RecordValue, type Value } from './expr.js';
 
 export { ErrorValue, RecordValue, type Value };
 
-/** The names of the types, as functions and messages have them. */
+/** The names of the value types, as they appear in messages. */
 export type TypeName = 'undefined' | 'error' | 'boolean' | 'integer' | 'real' | 'string' | 'list' | 'classad';
 
-/** The type of a value. */
+/** Returns the type of a value. */
 export function typeOf(value: Value): TypeName {
   if (value === undefined) return 'undefined';
   if (value instanceof ErrorValue) return 'error';
@@ -24,20 +24,20 @@
   }
 }
 
-/** An integer, wrapped to 64 bits; a real is truncated. */
+/** Converts a number to a 64-bit integer: reals are truncated, and values out of range wrap around. */
 export const toInt64 = (value: number | bigint): bigint =>
   BigInt.asIntN(64, typeof value === 'bigint' ? value : BigInt(Math.trunc(value)));
 
-/** A value as a number, with booleans as 1 and 0; null for other types. */
+/** Converts a value to a number, booleans to 1 and 0; null for other types. */
 export function toNumber(value: Value): bigint | number | null {
   if (typeof value === 'bigint' || typeof value === 'number') return value;
   return typeof value === 'boolean' ? (value ? 1n : 0n) : null;
 }
 
-/** A value as a condition of `&&`, `!` and `?`: numbers other than zero are true. */
+/** Converts a value to a truth value, as an operand of `&&`, `||`, `!` or `?`. Numbers other than zero are true. */
 export function toTruth(value: Value): boolean | undefined | ErrorValue {
   if (typeof value === 'boolean' || value === undefined || value instanceof ErrorValue) return value;
   if (typeof value === 'bigint') return value !== 0n;
   if (typeof value === 'number') return value !== 0;
-  return new ErrorValue(`a ${typeOf(value)} is neither true nor false`);
+  return new ErrorValue(`a ${typeOf(value)} cannot be used as a boolean`);
 }
--- a/src/condor/command-handlers.ts
+++ b/src/condor/command-handlers.ts
@@ -17,7 +17,7 @@
 export type CommandHandler = (value: string, context: CommandContext, name: string) => void;
 
 /** A string as an expression. */
-export const textLiteral = (text: string): Expr => literal(text);
+export const stringLiteral = (text: string): Expr => literal(text);
 /** An integer as an expression. */
 export const integerLiteral = (value: number): Expr => literal(BigInt(value));
 
@@ -33,10 +33,10 @@
 }
 
 /** Sets an attribute to the text. */
-export const setText =
+export const setString =
   (attr: string): CommandHandler =>
   (value, context) =>
-    context.ad.set(attr, textLiteral(value));
+    context.ad.set(attr, stringLiteral(value));
 /** Sets an attribute to the expression. */
 export const setExpr =
   (attr: string): CommandHandler =>
@@ -63,23 +63,23 @@
     context.ad.set(attr, literal(parseBoolean(value, context, name)));
 
 /** Bytes of the units of amounts. */
-export const units: Record<string, number> = { b: 1, k: 2 ** 10, m: 2 ** 20, g: 2 ** 30, t: 2 ** 40 };
+export const bytesPerUnit: Record<string, number> = { b: 1, k: 2 ** 10, m: 2 ** 20, g: 2 ** 30, t: 2 ** 40 };
 
 /** Sets an attribute to an amount: a number with a unit, or an expression in the attribute's own unit. */
 export const setAmount =
   (attr: string, unit: number): CommandHandler =>
   (value, context, name) => {
     const amount = /^(\d+(?:\.\d+)?)\s*([bkmgt]?)(?:i?b)?$/i.exec(value);
-    const size = amount && (amount[2] === '' ? unit : units[amount[2].toLowerCase()]);
+    const size = amount && (amount[2] === '' ? unit : bytesPerUnit[amount[2].toLowerCase()]);
     if (amount && size !== null)
       return context.ad.set(attr, integerLiteral(Math.ceil((Number(amount[1]) * size) / unit)));
     if (/^\d/.test(value) && /[a-z]$/i.test(value) && !/[()+*/-]/.test(value))
       throw new SubmitError(context.position, `${name}: ${value}: no such unit (K, M, G or T)`);
-    context.ad.set(attr, parseCount(value, context, name));
+    context.ad.set(attr, parseNonNegative(value, context, name));
   };
 
 /** A number that is not negative, or an expression that depends on other attributes. */
-function parseCount(value: string, context: CommandContext, name: string): Expr {
+function parseNonNegative(value: string, context: CommandContext, name: string): Expr {
   const expression = parseExpression(value, context, name);
   const result = evaluate(expression, new Ad());
   if (typeof result === 'bigint' || typeof result === 'number') {
@@ -95,7 +95,7 @@
 export const setCount =
   (attr: string, min: number): CommandHandler =>
   (value, context, name) => {
-    const count = parseCount(value, context, name);
+    const count = parseNonNegative(value, context, name);
     if (count.kind === 'literal' && Number(count.value) < min)
       throw new SubmitError(context.position, `${name}: ${value}: must be at least ${min}`);
     context.ad.set(attr, count);
@@ -112,6 +112,6 @@
 
 /** Sets the environment of the command. */
 export function setEnvironment(context: CommandContext, value: string, isNew: boolean): void {
-  context.ad.set('Env', textLiteral(value));
-  if (isNew) context.ad.set('Environment', textLiteral(value));
+  context.ad.set('Env', stringLiteral(value));
+  if (isNew) context.ad.set('Environment', stringLiteral(value));
 }
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -1,6 +1,6 @@
 /** The submit commands that set attributes of a job. */
 import { resolve } from 'node:path';
-import { textOf } from '../classad/index.js';
+import { stringLiteralValue } from '../classad/index.js';
 import {
   integerLiteral,
   parseBoolean,
@@ -11,9 +11,9 @@
   setEnvironment,
   setExpr,
   setInteger,
-  setText,
-  textLiteral,
-  units,
+  setString,
+  stringLiteral,
+  bytesPerUnit,
   withPosition,
   type CommandContext,
   type CommandHandler,
@@ -57,15 +57,16 @@
       );
     context.ad.set('JobUniverse', integerLiteral(universe));
   },
-  initialdir: (value, context) => context.ad.set('Iwd', textLiteral(resolve(context.environment.cwd, value))),
+  initialdir: (value, context) =>
+    context.ad.set('Iwd', stringLiteral(resolve(context.environment.cwd, value))),
   executable: (value, context, name) => {
     if (value === '') throw new SubmitError(context.position, `${name}: must not be empty`);
-    context.ad.set('Cmd', textLiteral(resolve(context.environment.cwd, value)));
+    context.ad.set('Cmd', stringLiteral(resolve(context.environment.cwd, value)));
   },
   arguments: (value, context, name) => {
     const parsed = withPosition(context, name, () => parseArguments(value));
-    context.ad.set('Args', textLiteral(parsed.text));
-    if (parsed.isNew) context.ad.set('Arguments', textLiteral(parsed.text));
+    context.ad.set('Args', stringLiteral(parsed.text));
+    if (parsed.isNew) context.ad.set('Arguments', stringLiteral(parsed.text));
   },
   getenv: (value, context) => {
     const vars = selectVariables(value, context);
@@ -73,24 +74,24 @@
   },
   environment: (value, context, name) => {
     const parsed = withPosition(context, name, () => parseEnvironment(value));
-    const before = textOf(context.ad.get('Environment'));
+    const before = stringLiteralValue(context.ad.get('Environment'));
     if (before === null) return setEnvironment(context, parsed.text, parsed.isNew);
     // Variables that are set here override those from getenv.
     const names = new Set(parsed.vars.map(([variable]) => variable));
     const kept = parseNewSyntaxVariables(before).filter(([variable]) => !names.has(variable));
     setEnvironment(context, joinVariables([...kept, ...parsed.vars]), true);
   },
-  input: setText('In'),
-  output: setText('Out'),
-  error: setText('Err'),
+  input: setString('In'),
+  output: setString('Out'),
+  error: setString('Err'),
   log: (value, context) =>
     context.ad.set(
       'UserLog',
-      textLiteral(resolve(textOf(context.ad.get('Iwd')) ?? context.environment.cwd, value)),
+      stringLiteral(resolve(stringLiteralValue(context.ad.get('Iwd')) ?? context.environment.cwd, value)),
     ),
   request_cpus: setCount('RequestCpus', 1),
-  request_memory: setAmount('RequestMemory', units['m']),
-  request_disk: setAmount('RequestDisk', units['k']),
+  request_memory: setAmount('RequestMemory', bytesPerUnit['m']),
+  request_disk: setAmount('RequestDisk', bytesPerUnit['k']),
   request_gpus: setCount('RequestGPUs', 0),
   machine_count: (value, context, name) => {
     setCount('MinHosts', 1)(value, context, name);
@@ -122,17 +123,17 @@
   hold: (value, context, name) => {
     if (!parseBoolean(value, context, name)) return;
     context.ad.set('JobStatus', integerLiteral(5));
-    context.ad.set('HoldReason', textLiteral("submitted on hold at user's request"));
+    context.ad.set('HoldReason', stringLiteral("submitted on hold at user's request"));
     context.ad.set('HoldReasonCode', integerLiteral(15));
   },
   leave_in_queue: setExpr('LeaveJobInQueue'),
   deferral_time: setExpr('DeferralTime'),
   deferral_window: setExpr('DeferralWindow'),
   deferral_prep_time: setExpr('DeferralPrepTime'),
-  accounting_group: setText('AcctGroup'),
-  accounting_group_user: setText('AcctGroupUser'),
-  batch_name: setText('JobBatchName'),
-  description: setText('JobDescription'),
+  accounting_group: setString('AcctGroup'),
+  accounting_group_user: setString('AcctGroupUser'),
+  batch_name: setString('JobBatchName'),
+  description: setString('JobDescription'),
   allowed_execute_duration: setInteger('AllowedExecuteDuration'),
   allowed_job_duration: setInteger('AllowedJobDuration'),
   nice_user: setBoolean('NiceUser'),
--- a/src/condor/index.ts
+++ b/src/condor/index.ts
@@ -1,6 +1,6 @@
 /** HTCondor's submit files: their jobs as ClassAd records and as native submissions. */
 export { SubmitError } from './errors.js';
 export { Submission, adToJson } from './jobs.js';
-export { nativeSubmission, type JobGroup } from './native.js';
+export { nativeSubmission, type JobGroup } from './native-submission.js';
 export { submitHost } from './submit-host.js';
 export type { SubmitEnvironment } from './submit-environment.js';
--- a/src/condor/job-attributes.ts
+++ b/src/condor/job-attributes.ts
@@ -1,6 +1,6 @@
 /** The attributes of a job that no command sets: defaults, and what follows from other attributes. */
-import { literal, parseExpr, printExpr, textOf } from '../classad/index.js';
-import { integerLiteral, textLiteral, type CommandContext } from './command-handlers.js';
+import { literal, parseExpr, printExpr, stringLiteralValue } from '../classad/index.js';
+import { integerLiteral, stringLiteral, type CommandContext } from './command-handlers.js';
 
 /** Adds the attributes that follow from others, after all commands were applied. */
 export function addDerivedAttributes(context: CommandContext): void {
@@ -18,8 +18,8 @@
   const group = ad.get('AcctGroup');
   const user = ad.get('AcctGroupUser');
   if (group?.kind === 'literal') {
-    const name = textOf(user) ?? context.environment.user;
-    ad.set('AccountingGroup', textLiteral(`${String(group.value)}.${name}`));
+    const name = stringLiteralValue(user) ?? context.environment.user;
+    ad.set('AccountingGroup', stringLiteral(`${String(group.value)}.${name}`));
   }
 }
 
@@ -27,13 +27,13 @@
 export function addDefaultAttributes(context: CommandContext): void {
   const { ad } = context;
   ad.set('JobUniverse', integerLiteral(5));
-  ad.set('Owner', textLiteral(context.environment.user));
+  ad.set('Owner', stringLiteral(context.environment.user));
   ad.set('JobStatus', integerLiteral(1));
   ad.set('JobPrio', integerLiteral(0));
-  ad.set('Iwd', textLiteral(context.environment.cwd));
-  ad.set('In', textLiteral('/dev/null'));
-  ad.set('Out', textLiteral('/dev/null'));
-  ad.set('Err', textLiteral('/dev/null'));
+  ad.set('Iwd', stringLiteral(context.environment.cwd));
+  ad.set('In', stringLiteral('/dev/null'));
+  ad.set('Out', stringLiteral('/dev/null'));
+  ad.set('Err', stringLiteral('/dev/null'));
   ad.set('RequestCpus', integerLiteral(1));
   ad.set('RequestMemory', integerLiteral(128));
   ad.set('RequestDisk', integerLiteral(1024));
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -7,11 +7,11 @@
 import type { SubmitEnvironment } from './submit-environment.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
 import { addDefaultAttributes, addDerivedAttributes } from './job-attributes.js';
-import type { JobGroup } from './native.js';
-import { SubmitFile, type QueueBlock } from './submit-file.js';
+import type { JobGroup } from './native-submission.js';
+import { SubmitFile, type QueueStatement } from './submit-file.js';
 
 /** A command, or an attribute of the user's own, to be applied to each job of a queue statement. */
-interface AttributeStep {
+interface AttributeAssignment {
   /** The command's canonical name; `my` for a custom attribute. */
   readonly command: string;
   /** The name as the file has it. */
@@ -23,8 +23,8 @@
 
 /** What is applied to each job of a queue statement, in order. */
 interface JobPlan {
-  readonly commands: AttributeStep[];
-  readonly custom: AttributeStep[];
+  readonly commands: AttributeAssignment[];
+  readonly custom: AttributeAssignment[];
 }
 
 const commandOrder = Object.keys(commands);
@@ -34,7 +34,7 @@
 export class Submission {
   readonly file: SubmitFile;
   private readonly environment: SubmitEnvironment;
-  private readonly plans = new Map<QueueBlock, JobPlan>();
+  private readonly plansByStatement = new Map<QueueStatement, JobPlan>();
 
   constructor(text: string, name: string, outside: SubmitEnvironment) {
     this.environment = outside;
@@ -49,15 +49,15 @@
   /** All jobs, one record each. */
   *jobs(): Generator<Ad> {
     let proc = 0;
-    for (const block of this.file.blocks) {
-      const steps = this.planOf(block);
-      const constants = new Map<AttributeStep, Attribute[]>();
-      const rows = block.request.rows?.length ?? 1;
-      if (block.request.count === 0) this.file.warnings.add(block.position, 'queue: 0 jobs');
+    for (const statement of this.file.queueStatements) {
+      const steps = this.planFor(statement);
+      const constants = new Map<AttributeAssignment, Attribute[]>();
+      const rows = statement.request.rows?.length ?? 1;
+      if (statement.request.count === 0) this.file.warnings.add(statement.position, 'queue: 0 jobs');
       for (let row = 0; row < rows; row++)
-        for (let step = 0; step < block.request.count; step++) {
-          const perJob = perJobValues(block, row, String(proc), String(step));
-          yield this.buildJob(block, steps, constants, perJob, proc++);
+        for (let step = 0; step < statement.request.count; step++) {
+          const perJob = perJobValues(statement, row, String(proc), String(step));
+          yield this.buildJob(statement, steps, constants, perJob, proc++);
         }
     }
     this.warnUnused();
@@ -71,18 +71,18 @@
   *groups(): Generator<JobGroup> {
     const jobs = this.jobs();
     let first = 0;
-    for (const block of this.file.blocks) {
-      const rows = block.request.rows?.length ?? 1;
+    for (const statement of this.file.queueStatements) {
+      const rows = statement.request.rows?.length ?? 1;
       for (let row = 0; row < rows; row++) {
-        const { count } = block.request;
+        const { count } = statement.request;
         const ads: Ad[] = [];
         for (let i = 0; i < count; i++) ads.push(jobs.next().value as Ad);
-        const ad = count > 1 ? this.numberedJob(block, row) : null;
-        const uniform = ad !== null && ads.every((a, i) => matchesNumbered(ad, a, first + i));
-        if (uniform) yield { ad, first, count, numbered: true, position: block.position };
+        const ad = count > 1 ? this.buildTemplateJob(statement, row) : null;
+        const uniform = ad !== null && ads.every((a, i) => matchesTemplate(ad, a, first + i));
+        if (uniform) yield { ad, first, count, numbered: true, position: statement.position };
         else
           for (const [i, a] of ads.entries())
-            yield { ad: a, first: first + i, count: 1, numbered: false, position: block.position };
+            yield { ad: a, first: first + i, count: 1, numbered: false, position: statement.position };
         first += count;
       }
     }
@@ -90,10 +90,10 @@
     jobs.next();
   }
 
-  private numberedJob(block: QueueBlock, row: number): Ad | null {
-    const perJob = perJobValues(block, row, taskIndexPlaceholder, taskIndexPlaceholder);
+  private buildTemplateJob(statement: QueueStatement, row: number): Ad | null {
+    const perJob = perJobValues(statement, row, taskIndexPlaceholder, taskIndexPlaceholder);
     try {
-      return this.buildJob(block, this.planOf(block), new Map(), perJob, 0);
+      return this.buildJob(statement, this.planFor(statement), new Map(), perJob, 0);
     } catch (e) {
       // Some expression needs the number's value.
       if (e instanceof SubmitError) return null;
@@ -102,16 +102,16 @@
   }
 
   /** The plan of a queue statement, made once. */
-  private planOf(block: QueueBlock): JobPlan {
-    let known = this.plans.get(block);
-    if (!known) this.plans.set(block, (known = this.plan(block)));
+  private planFor(statement: QueueStatement): JobPlan {
+    let known = this.plansByStatement.get(statement);
+    if (!known) this.plansByStatement.set(statement, (known = this.buildPlan(statement)));
     return known;
   }
 
-  private plan(block: QueueBlock): JobPlan {
-    const steps: AttributeStep[] = [];
-    const custom: AttributeStep[] = [];
-    for (const { name, value, position } of block.macros.all) {
+  private buildPlan(statement: QueueStatement): JobPlan {
+    const steps: AttributeAssignment[] = [];
+    const custom: AttributeAssignment[] = [];
+    for (const { name, value, position } of statement.macros.all) {
       const key = name.toLowerCase();
       if (key.startsWith('my.')) {
         custom.push({ command: 'my', name: name.slice(3), value, position });
@@ -129,14 +129,14 @@
     }
     steps.sort((a, b) => commandOrder.indexOf(a.command) - commandOrder.indexOf(b.command));
     if (!steps.some((s) => s.command === 'executable'))
-      throw new SubmitError(block.position, 'queue: no executable is set');
+      throw new SubmitError(statement.position, 'queue: no executable is set');
     return { commands: steps, custom };
   }
 
   private buildJob(
-    block: QueueBlock,
+    statement: QueueStatement,
     { commands: steps, custom: own }: JobPlan,
-    constants: Map<AttributeStep, Attribute[]>,
+    constants: Map<AttributeAssignment, Attribute[]>,
     perJob: ReadonlyMap<string, string>,
     proc: number,
   ): Ad {
@@ -146,7 +146,7 @@
     ]);
     const context: CommandContext = {
       ad,
-      position: block.position,
+      position: statement.position,
       environment: this.environment,
       warnings: this.file.warnings,
     };
@@ -157,8 +157,8 @@
         for (const a of done) ad.set(a.name, a.expr);
         continue;
       }
-      const value = block.macros.expand(s.value, s.position, perJob).trim();
-      const { dependsOnJob: varied } = block.macros;
+      const value = statement.macros.expand(s.value, s.position, perJob).trim();
+      const { dependsOnJob: varied } = statement.macros;
       context.position = s.position;
       if (value === '' && s.command !== 'executable' && s.command !== 'my') continue;
       // Attributes that do not depend on the job are computed once.
@@ -171,14 +171,14 @@
           [...ad].filter((a) => before.get(a.name) !== a.expr),
         );
     }
-    context.position = block.position;
+    context.position = statement.position;
     addDerivedAttributes(context);
     return ad;
   }
 
   /** Warns about names that are set without effect: most likely they are misspelt. */
   private warnUnused(): void {
-    const used = new Set(this.file.blocks.flatMap((b) => [...b.macros.used]));
+    const used = new Set(this.file.queueStatements.flatMap((b) => [...b.macros.referencedNames]));
     for (const { name, position } of this.file.macros.all) {
       const key = name.toLowerCase();
       if (
@@ -191,17 +191,24 @@
       this.file.warnings.add(position, `${name}: not a submit command, and nothing refers to it`);
     }
     const last = Math.max(
-      ...this.file.blocks.filter((b) => b.position.file === this.file.file).map((b) => b.position.line),
+      ...this.file.queueStatements
+        .filter((b) => b.position.file === this.file.fileName)
+        .map((b) => b.position.line),
       0,
     );
     for (const { name, position } of this.file.macros.all)
-      if (position.file === this.file.file && position.line > last && last > 0)
+      if (position.file === this.file.fileName && position.line > last && last > 0)
         this.file.warnings.add(position, `${name}: after the last queue: not used`);
   }
 }
 
 /** The macros whose values differ from job to job. */
-function perJobValues(block: QueueBlock, row: number, proc: string, step: string): Map<string, string> {
+function perJobValues(
+  statement: QueueStatement,
+  row: number,
+  proc: string,
+  step: string,
+): Map<string, string> {
   const perJob = new Map([
     ['process', proc],
     ['procid', proc],
@@ -209,13 +216,13 @@
     ['row', String(row)],
     ['itemindex', String(row)],
   ]);
-  const { vars, rows } = block.request;
+  const { vars, rows } = statement.request;
   vars.forEach((v, i) => perJob.set(v.toLowerCase(), rows?.[row][i] ?? ''));
   return perJob;
 }
 
 /** Whether a job equals the numbered record with its number filled in. */
-function matchesNumbered(numbered: Ad, job: Ad, proc: number): boolean {
+function matchesTemplate(numbered: Ad, job: Ad, proc: number): boolean {
   if (numbered.size !== job.size) return false;
   for (const { name, expr } of numbered) {
     const own = job.get(name);
--- a/src/condor/lines.ts
+++ b/src/condor/line-reader.ts
@@ -14,7 +14,7 @@
 
   constructor(
     text: string,
-    readonly file: string,
+    readonly fileName: string,
   ) {
     this.lines = text.split(/\r?\n/);
   }
@@ -22,7 +22,7 @@
   /** The next statement, without comments and empty lines; null at the end of the file. */
   nextStatement(): Statement | null {
     while (this.nextIndex < this.lines.length) {
-      const position = { file: this.file, line: this.nextIndex + 1 };
+      const position = { file: this.fileName, line: this.nextIndex + 1 };
       let text = this.lines[this.nextIndex++];
       if (text.trim() === '' || text.trimStart().startsWith('#')) continue;
       while (/\\\s*$/.test(text)) {
--- a/src/condor/macro-functions.ts
+++ b/src/condor/macro-functions.ts
@@ -70,7 +70,7 @@
   }
 }
 
-const textOfValue = (value: Value): string => (typeof value === 'string' ? value : printValue(value));
+const valueToText = (value: Value): string => (typeof value === 'string' ? value : printValue(value));
 
 function chooseByIndex(call: FunctionCall): string {
   const { args } = call;
@@ -117,8 +117,8 @@
   ENV: environmentVariable,
   INT: (call) => call.format(Math.trunc(call.number(call.args[0])), integerFormat),
   REAL: (call) => call.format(call.number(call.args[0]), realFormat),
-  STRING: (call) => call.format(textOfValue(call.value(call.args[0])), stringFormat),
-  EVAL: (call) => textOfValue(call.value(call.args[0])),
+  STRING: (call) => call.format(valueToText(call.value(call.args[0])), stringFormat),
+  EVAL: (call) => valueToText(call.value(call.args[0])),
   CHOICE: chooseByIndex,
   SUBSTR: substring,
   BASENAME: (call) => basename(call.resolve(call.args[0])),
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -23,7 +23,7 @@
 export class Macros {
   private macros = new Map<string, Macro>();
   /** The names that were referred to, in lower case. */
-  readonly used = new Set<string>();
+  readonly referencedNames = new Set<string>();
   /** Whether the last expansion used a value that differs from job to job. */
   dependsOnJob = false;
 
@@ -37,7 +37,7 @@
   snapshot(): Macros {
     const copy = new Macros(this.environment, this.warnings, this.predefined);
     copy.macros = new Map(this.macros);
-    for (const name of this.used) copy.used.add(name);
+    for (const name of this.referencedNames) copy.referencedNames.add(name);
     return copy;
   }
 
@@ -90,7 +90,7 @@
         continue;
       }
       const from = dollar + open[0].length;
-      const to = closingBracket(text, from);
+      const to = closingParenthesis(text, from);
       if (to < 0) throw new SubmitError(position, `${text.slice(dollar, dollar + 20)}: bracket not closed`);
       const body = text.slice(from, to);
       const inner = body.includes('$') ? this.expandReferences(body, position, perJob, stack) : body;
@@ -129,7 +129,7 @@
     stack: readonly string[],
   ): string | null {
     const key = name.toLowerCase();
-    this.used.add(key);
+    this.referencedNames.add(key);
     if (key === 'dollar') return '$';
     if (stack.includes(key))
       throw new SubmitError(position, `${[...stack, key].join(' -> ')}: refers to itself`);
@@ -170,7 +170,7 @@
 }
 
 /** The index of the parenthesis that closes the one before `from`; -1 if there is none. */
-export function closingBracket(text: string, from: number): number {
+export function closingParenthesis(text: string, from: number): number {
   let depth = 1;
   for (let i = from; i < text.length; i++)
     if (text[i] === '(') depth++;
--- a/src/condor/native.ts
+++ b/src/condor/native-submission.ts
@@ -1,6 +1,6 @@
 /** Jobs of submit files as native submissions. */
 import { resolve } from 'node:path';
-import { printExpr, textOf, type Ad, type Expr } from '../classad/index.js';
+import { printExpr, stringLiteralValue, type Ad, type Expr } from '../classad/index.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
 import { defaultSubmission } from '../wire/user.js';
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
@@ -23,18 +23,18 @@
 const heldStatus = 5;
 const nullDevice = '/dev/null';
 /** Attributes that expressions of the job cannot refer to: they are the command itself, or long. */
-const unlistedAttributes =
+const unsentAttributes =
   /^(ClusterId|ProcId|Cmd|Args|Arguments|Env|Environment|Iwd|In|Out|Err|UserLog|Requirements|Rank|Periodic.*|OnExit.*)$/;
 /** Longer attributes are not sent. */
 const maxAttributeChars = 500;
 
 /** The number that an expression is; null if it is none. */
-const numberOf = (e: Expr | undefined): number | null =>
+const numericLiteralValue = (e: Expr | undefined): number | null =>
   e?.kind === 'literal' && (typeof e.value === 'bigint' || typeof e.value === 'number')
     ? Number(e.value)
     : null;
 /** Whether an attribute is missing or false. */
-const isFalse = (e: Expr | undefined): boolean =>
+const isMissingOrFalse = (e: Expr | undefined): boolean =>
   e === undefined || (e.kind === 'literal' && e.value === false);
 
 /** A group as a native submission. Throws for attributes that a control service does not support. */
@@ -46,25 +46,25 @@
   rejectUnsupported(ad, reject);
   if (ad.has('UserLog')) warnings.add(position, 'log: its events are not written yet');
   const amount = (attr: string, name: string): number =>
-    numberOf(ad.get(attr)) ?? reject(`${name} that depends on other attributes`);
-  const universe = numberOf(ad.get('JobUniverse'));
+    numericLiteralValue(ad.get(attr)) ?? reject(`${name} that depends on other attributes`);
+  const universe = numericLiteralValue(ad.get('JobUniverse'));
   if (universe === universes.local) warnings.add(position, 'universe: local: run on an agent like any other');
   const gang = universe === universes.parallel;
   if (gang && group.count > 1 && group.numbered)
     throw new SubmitError(position, 'universe: parallel: one job for each gang');
-  const priority = numberOf(ad.get('JobPrio')) ?? 0;
-  const wallS = numberOf(ad.get('AllowedExecuteDuration'));
+  const priority = numericLiteralValue(ad.get('JobPrio')) ?? 0;
+  const wallS = numericLiteralValue(ad.get('AllowedExecuteDuration'));
   return {
     ...defaultSubmission,
     jobclass: 'condor',
-    owner: textOf(ad.get('AcctGroup')) ?? team,
+    owner: stringLiteralValue(ad.get('AcctGroup')) ?? team,
     shape: gang ? 'ensemble' : 'sweep',
     urgency: priority > 0 ? 'urgent' : priority < 0 ? 'low' : 'normal',
-    pieces: gang ? (numberOf(ad.get('MinHosts')) ?? 1) : group.count,
+    pieces: gang ? (numericLiteralValue(ad.get('MinHosts')) ?? 1) : group.count,
     cpus: amount('RequestCpus', 'request_cpus'),
     cards: ad.has('RequestGPUs') ? amount('RequestGPUs', 'request_gpus') : 0,
     memGb: amount('RequestMemory', 'request_memory') / 1024,
-    retries: numberOf(ad.get('JobMaxRetries')) ?? 0,
+    retries: numericLiteralValue(ad.get('JobMaxRetries')) ?? 0,
     ...(wallS === null || wallS <= 0 ? {} : { wallS }),
     ...commandFields(ad),
     ...(group.numbered ? { numberFrom: group.first } : {}),
@@ -81,12 +81,12 @@
     ['OnExitHold', 'on_exit_hold'],
     ['LeaveJobInQueue', 'leave_in_queue'],
   ])
-    if (!isFalse(ad.get(attr))) reject(name);
+    if (!isMissingOrFalse(ad.get(attr))) reject(name);
   if (ad.has('DeferralTime')) reject('deferral_time');
   if (ad.has('RetryUntil')) reject('retry_until');
   if (ad.has('JobSuccessExitCode')) reject('success_exit_code');
   if (ad.has('OnExitRemove') && !ad.has('JobMaxRetries')) reject('on_exit_remove');
-  if (numberOf(ad.get('JobStatus')) === heldStatus) reject('hold');
+  if (numericLiteralValue(ad.get('JobStatus')) === heldStatus) reject('hold');
 }
 
 /** The expressions of the job, and if it has any, the attributes that they may refer to. */
@@ -100,8 +100,8 @@
   const attributes: Record<string, string> = {};
   for (const { name, expr } of ad) {
     const text = printExpr(expr);
-    const listed = !unlistedAttributes.test(name) && text.length <= maxAttributeChars;
-    if (listed && !text.includes(taskIndexPlaceholder)) attributes[name] = text;
+    const isSent = !unsentAttributes.test(name) && text.length <= maxAttributeChars;
+    if (isSent && !text.includes(taskIndexPlaceholder)) attributes[name] = text;
   }
   return {
     ...(matchesAll ? {} : { requirements: printExpr(requirements) }),
@@ -112,22 +112,22 @@
 
 /** The command with its files and environment. */
 function commandFields(ad: Ad): Record<string, unknown> {
-  const iwd = textOf(ad.get('Iwd')) ?? '/';
-  const newArguments = textOf(ad.get('Arguments'));
+  const iwd = stringLiteralValue(ad.get('Iwd')) ?? '/';
+  const newArguments = stringLiteralValue(ad.get('Arguments'));
   const argv =
     newArguments !== null
       ? splitWords(newArguments)
-      : (textOf(ad.get('Args')) ?? '').split(/\s+/).filter((word) => word !== '');
-  const newEnvironment = textOf(ad.get('Environment'));
+      : (stringLiteralValue(ad.get('Args')) ?? '').split(/\s+/).filter((word) => word !== '');
+  const newEnvironment = stringLiteralValue(ad.get('Environment'));
   const vars =
     newEnvironment !== null
       ? parseNewSyntaxVariables(newEnvironment)
-      : parseEnvironment(textOf(ad.get('Env')) ?? '').vars;
-  const input = textOf(ad.get('In')) ?? nullDevice;
-  const command = [textOf(ad.get('Cmd')) ?? '', ...argv];
+      : parseEnvironment(stringLiteralValue(ad.get('Env')) ?? '').vars;
+  const input = stringLiteralValue(ad.get('In')) ?? nullDevice;
+  const command = [stringLiteralValue(ad.get('Cmd')) ?? '', ...argv];
   const inputPath = input === nullDevice ? null : resolve(iwd, input);
   const file = (attr: string): string | null => {
-    const name = textOf(ad.get(attr));
+    const name = stringLiteralValue(ad.get(attr));
     return name === null || name === nullDevice ? null : resolve(iwd, name);
   };
   return {
--- a/src/condor/queue.ts
+++ b/src/condor/queue-statement.ts
@@ -32,8 +32,8 @@
   const malformed = parts.length > 3 || parts.some((p) => !/^(-?\d+)?$/.test(p));
   if (malformed) throw new SubmitError(position, `queue: [${slice}]: not a slice`);
   const n = rows.length;
-  const bound = (p: string | undefined, otherwise: number): number => {
-    if (p === undefined || p === '') return otherwise;
+  const resolveBound = (p: string | undefined, defaultIndex: number): number => {
+    if (p === undefined || p === '') return defaultIndex;
     const i = Number(p) < 0 ? n + Number(p) : Number(p);
     return Math.min(Math.max(i, 0), n);
   };
@@ -45,7 +45,7 @@
   const step = parts[2] === undefined || parts[2] === '' ? 1 : Number(parts[2]);
   if (step <= 0) throw new SubmitError(position, `queue: [${slice}]: the step must be above zero`);
   const selected: T[] = [];
-  for (let i = bound(parts[0], 0); i < bound(parts[1], n); i += step) selected.push(rows[i]);
+  for (let i = resolveBound(parts[0], 0); i < resolveBound(parts[1], n); i += step) selected.push(rows[i]);
   return selected;
 }
 
--- a/src/condor/submit-file.ts
+++ b/src/condor/submit-file.ts
@@ -2,13 +2,13 @@
 import { dirname, relative, resolve } from 'node:path';
 import { Ad, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
 import { SubmitError, Warnings, type SourcePosition } from './errors.js';
-import { LineReader } from './lines.js';
-import { closingBracket, Macros } from './macros.js';
+import { LineReader } from './line-reader.js';
+import { closingParenthesis, Macros } from './macros.js';
 import type { SubmitEnvironment } from './submit-environment.js';
-import { parseQueue, type QueueRequest } from './queue.js';
+import { parseQueue, type QueueRequest } from './queue-statement.js';
 
 /** A queue statement, and the macros as they were set when it was reached. */
-export interface QueueBlock {
+export interface QueueStatement {
   readonly macros: Macros;
   readonly request: QueueRequest;
   readonly position: SourcePosition;
@@ -25,31 +25,31 @@
   /** Whether the current branch is taken, and with it all enclosing ones. */
   active: boolean;
   /** Whether a branch was taken already. */
-  taken: boolean;
+  branchTaken: boolean;
   /** Whether all enclosing branches are taken. */
   readonly outer: boolean;
   /** Whether its `else` was reached. */
-  closed: boolean;
+  elseSeen: boolean;
   readonly position: SourcePosition;
 }
 
 /** A submit file, read statement by statement up to its queue statements. */
 export class SubmitFile {
-  readonly blocks: QueueBlock[] = [];
+  readonly queueStatements: QueueStatement[] = [];
   readonly warnings = new Warnings();
   readonly macros: Macros;
-  private readonly folder: string;
-  private includes = 0;
+  private readonly directory: string;
+  private includeCount = 0;
 
   constructor(
     text: string,
-    readonly file: string,
+    readonly fileName: string,
     private readonly environment: SubmitEnvironment,
   ) {
-    const path = resolve(environment.cwd, file);
-    this.folder = dirname(path);
+    const path = resolve(environment.cwd, fileName);
+    this.directory = dirname(path);
     const day = new Date(environment.nowS * 1000);
-    const two = (n: number): string => String(n).padStart(2, '0');
+    const twoDigits = (n: number): string => String(n).padStart(2, '0');
     this.macros = new Macros(
       environment,
       this.warnings,
@@ -66,15 +66,15 @@
         ['submit_file', path],
         ['submit_time', String(Math.floor(environment.nowS))],
         ['year', String(day.getFullYear())],
-        ['month', two(day.getMonth() + 1)],
-        ['day', two(day.getDate())],
+        ['month', twoDigits(day.getMonth() + 1)],
+        ['day', twoDigits(day.getDate())],
         ['opsys', 'LINUX'],
         ['arch', 'X86_64'],
       ]),
     );
-    this.read(new LineReader(text, file));
-    if (this.blocks.length === 0)
-      throw new SubmitError({ file, line: 1 }, 'no queue statement: nothing to do');
+    this.read(new LineReader(text, fileName));
+    if (this.queueStatements.length === 0)
+      throw new SubmitError({ file: fileName, line: 1 }, 'no queue statement: nothing to do');
   }
 
   private read(lines: LineReader): void {
@@ -89,36 +89,36 @@
         if (kind.toLowerCase() === 'if') {
           const outer = isActive();
           const active = outer && this.evaluateCondition(condition, position);
-          conditionals.push({ active, taken: active, outer, closed: false, position });
+          conditionals.push({ active, branchTaken: active, outer, elseSeen: false, position });
         } else if (!last) throw new SubmitError(position, `${kind}: without if`);
         else if (kind.toLowerCase() === 'endif') conditionals.pop();
         else {
-          if (last.closed) throw new SubmitError(position, `${kind}: after else`);
-          last.closed = kind.toLowerCase() === 'else';
+          if (last.elseSeen) throw new SubmitError(position, `${kind}: after else`);
+          last.elseSeen = kind.toLowerCase() === 'else';
           last.active =
-            last.outer && !last.taken && (last.closed || this.evaluateCondition(condition, position));
-          last.taken ||= last.active;
+            last.outer && !last.branchTaken && (last.elseSeen || this.evaluateCondition(condition, position));
+          last.branchTaken ||= last.active;
         }
         continue;
       }
-      this.statement(text, position, lines, isActive());
+      this.executeStatement(text, position, lines, isActive());
     }
     const unclosed = conditionals.at(-1);
     if (unclosed) throw new SubmitError(unclosed.position, 'if: without endif');
   }
 
   /** Executes a statement, or only consumes its lines if it stands in a branch that is not taken. */
-  private statement(text: string, position: SourcePosition, lines: LineReader, active: boolean): void {
+  private executeStatement(text: string, position: SourcePosition, lines: LineReader, active: boolean): void {
     const queue = /^queue\b(?!\s*=)\s*(.*)$/is.exec(text);
-    if (queue) return this.queue(queue[1], position, lines, active);
-    const multi = /^([+]?[A-Za-z_][\w.]*)\s*@=\s*(\w+)\s*$/.exec(text);
-    if (multi) {
+    if (queue) return this.addQueueStatement(queue[1], position, lines, active);
+    const multiLine = /^([+]?[A-Za-z_][\w.]*)\s*@=\s*(\w+)\s*$/.exec(text);
+    if (multiLine) {
       const value = lines.readUntil(
-        (l) => l.trim() === `@${multi[2]}`,
+        (l) => l.trim() === `@${multiLine[2]}`,
         position,
-        `${multi[1]}: @${multi[2]} is missing`,
+        `${multiLine[1]}: @${multiLine[2]} is missing`,
       );
-      if (active) this.assign(multi[1], value, position);
+      if (active) this.assign(multiLine[1], value, position);
       return;
     }
     if (!active) return;
@@ -139,52 +139,57 @@
     this.macros.assign(name.startsWith('+') ? `My.${name.slice(1)}` : name, value, position);
   }
 
-  private queue(rest: string, position: SourcePosition, lines: LineReader, active: boolean): void {
+  private addQueueStatement(
+    rest: string,
+    position: SourcePosition,
+    lines: LineReader,
+    active: boolean,
+  ): void {
     // The text in parentheses may extend over several lines; after `from` it is a table.
     const open = /^(.*?(?:^|\s)(?:in|from|matching)\b[^(]*)\((.*)$/is.exec(rest);
     let inline: string | null = null;
     let head = rest;
     if (open) {
       head = open[1];
-      inline = this.readBracket(open[2], /\bfrom\b[^(]*$/i.test(head), lines, position);
+      inline = this.readParentheses(open[2], /\bfrom\b[^(]*$/i.test(head), lines, position);
     }
     if (!active) return;
     const macros = this.macros.snapshot();
     const queued = parseQueue(this.macros.expand(head, position), inline, position, this.environment);
-    for (const u of this.macros.used) macros.used.add(u);
-    this.blocks.push({ macros, request: queued, position });
+    for (const u of this.macros.referencedNames) macros.referencedNames.add(u);
+    this.queueStatements.push({ macros, request: queued, position });
   }
 
   /** The text in the parentheses of a queue statement. Rows of a table may contain parentheses: a line with nothing else ends it. */
-  private readBracket(first: string, table: boolean, lines: LineReader, position: SourcePosition): string {
+  private readParentheses(head: string, table: boolean, lines: LineReader, position: SourcePosition): string {
     const unclosed = 'queue: bracket not closed';
-    const end = table ? (/^.*\)\s*$/.test(first) ? first.lastIndexOf(')') : -1) : closingBracket(first, 0);
-    if (end >= 0) return first.slice(0, end);
-    if (table) return `${first}\n${lines.readUntil((l) => l.trim() === ')', position, unclosed)}`;
-    let text = first;
+    const end = table ? (/^.*\)\s*$/.test(head) ? head.lastIndexOf(')') : -1) : closingParenthesis(head, 0);
+    if (end >= 0) return head.slice(0, end);
+    if (table) return `${head}\n${lines.readUntil((l) => l.trim() === ')', position, unclosed)}`;
+    let text = head;
     let last = '';
     const more = lines.readUntil(
       (l) => {
         last = l;
         text += `\n${l}`;
-        return closingBracket(text, 0) >= 0;
+        return closingParenthesis(text, 0) >= 0;
       },
       position,
       unclosed,
     );
-    const all = `${first}\n${more}\n${last}`;
-    return all.slice(0, closingBracket(all, 0));
+    const all = `${head}\n${more}\n${last}`;
+    return all.slice(0, closingParenthesis(all, 0));
   }
 
   private include(kind: string, target: string, position: SourcePosition): void {
     if (kind === 'command' || target.trim().endsWith('|'))
       throw new SubmitError(position, 'include: the output of a program is not supported');
     const name = this.macros.expand(target.trim(), position);
-    const path = resolve(this.folder, name);
-    const fromFolder = relative(this.folder, path);
-    if (fromFolder.startsWith('..') || fromFolder === '')
+    const path = resolve(this.directory, name);
+    const relativePath = relative(this.directory, path);
+    if (relativePath.startsWith('..') || relativePath === '')
       throw new SubmitError(position, `include: ${name}: not below the submit file's folder`);
-    if (++this.includes > maxIncludes)
+    if (++this.includeCount > maxIncludes)
       throw new SubmitError(position, `include: more than ${maxIncludes} files (does one include itself?)`);
     const text = this.environment.read(path);
     if (text === null) {
@@ -200,7 +205,7 @@
     if (not) return !this.evaluateCondition(not[1], position);
     const defined = /^defined\s+(\S+)$/i.exec(text);
     if (defined) {
-      this.macros.used.add(defined[1].toLowerCase());
+      this.macros.referencedNames.add(defined[1].toLowerCase());
       return this.macros.get(defined[1].replace(/^\+/, 'My.')) !== undefined;
     }
     if (/^defined\s*$/i.test(text)) return false;
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -30,7 +30,7 @@
   readonly signatures: Map<string, { version: number; signature: string }>;
 }
 
-interface MatchVerdict {
+interface MatchResult {
   readonly matches: boolean;
   readonly rank: number;
 }
@@ -42,7 +42,7 @@
   readonly rank: Expr | null;
   readonly projection: AttributeProjection;
   /** By machine signature. */
-  readonly verdicts: Map<string, MatchVerdict>;
+  readonly results: Map<string, MatchResult>;
 }
 
 /** When there are more, the caches are emptied: that costs time only. */
@@ -51,7 +51,7 @@
  * More than a fleet has machines: where each has a signature of its own, a smaller cache would be emptied in every scheduling
  * cycle.
  */
-const maxVerdicts = 16_384;
+const maxCachedResults = 16_384;
 
 /** A rank as a number: 0 for values that are none. */
 function rankValue(value: Value): number {
@@ -104,8 +104,8 @@
     const autocluster = this.autocluster(spec.match);
     return {
       hasRank: autocluster.rank !== null,
-      allows: (host) => this.verdict(autocluster, host)?.matches ?? false,
-      rank: (host) => this.verdict(autocluster, host)?.rank ?? 0,
+      allows: (host) => this.resultFor(autocluster, host)?.matches ?? false,
+      rank: (host) => this.resultFor(autocluster, host)?.rank ?? 0,
     };
   }
 
@@ -174,7 +174,7 @@
     ];
     // A constant rank prefers no machine.
     const variableRank = rank !== null && rank.kind !== 'literal' ? rank : null;
-    return { my, requirements, rank: variableRank, projection: this.projection(names), verdicts: new Map() };
+    return { my, requirements, rank: variableRank, projection: this.projection(names), results: new Map() };
   }
 
   private projection(names: string[]): AttributeProjection {
@@ -186,24 +186,24 @@
   }
 
   /** null: the machine is not known. */
-  private verdict(autocluster: Autocluster, host: string): MatchVerdict | null {
+  private resultFor(autocluster: Autocluster, host: string): MatchResult | null {
     const machine = this.machines.get(host);
     return machine ? this.evaluateMachine(autocluster, machine, host) : null;
   }
 
-  private evaluateMachine(autocluster: Autocluster, machine: MachineEntry, host: string): MatchVerdict {
+  private evaluateMachine(autocluster: Autocluster, machine: MachineEntry, host: string): MatchResult {
     const signature = this.signatureOf(autocluster.projection, machine, host);
-    let verdict = autocluster.verdicts.get(signature);
-    if (!verdict) {
-      if (autocluster.verdicts.size >= maxVerdicts) autocluster.verdicts.clear();
+    let result = autocluster.results.get(signature);
+    if (!result) {
+      if (autocluster.results.size >= maxCachedResults) autocluster.results.clear();
       this.evaluations++;
-      verdict = {
+      result = {
         matches: truth(evaluate(autocluster.requirements, autocluster.my, machine.ad)) === true,
         rank: autocluster.rank ? rankValue(evaluate(autocluster.rank, autocluster.my, machine.ad)) : 0,
       };
-      autocluster.verdicts.set(signature, verdict);
+      autocluster.results.set(signature, result);
     }
-    return verdict;
+    return result;
   }
 
   /** A machine's values of the attributes that matter. Only when one of them changes are expressions evaluated again. */
