--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -61,26 +61,27 @@
   roundingFunction('ceiling', Math.ceil),
   roundingFunction('round', roundHalfToEven),
   strictFunction('pow', 2, 2, ([a, b]) => {
-    const [x, y] = [toNumber(a), toNumber(b)];
-    if (x === null || y === null) return typeError('pow', x === null ? a : b);
+    const [base, exponent] = [toNumber(a), toNumber(b)];
+    if (base === null || exponent === null) return typeError('pow', base === null ? a : b);
     // With a larger exponent, the exact bigint result could have millions of digits.
-    if (typeof x === 'bigint' && typeof y === 'bigint' && y >= 0n && y <= 64n) return toInt64(x ** y);
-    return Number(x) ** Number(y);
+    if (typeof base === 'bigint' && typeof exponent === 'bigint' && exponent >= 0n && exponent <= 64n)
+      return toInt64(base ** exponent);
+    return Number(base) ** Number(exponent);
   }),
   strictFunction('quantize', 2, 2, ([a, b]) => {
-    const x = toNumber(a);
-    if (x === null) return typeError('quantize', a);
+    const value = toNumber(a);
+    if (value === null) return typeError('quantize', a);
     if (Array.isArray(b)) {
       for (const step of b) {
-        const n = toNumber(step);
-        if (n === null) return typeError('quantize', step);
-        if (n >= x) return n;
+        const unit = toNumber(step);
+        if (unit === null) return typeError('quantize', step);
+        if (unit >= value) return unit;
       }
       const last = b.length > 0 ? toNumber(b[b.length - 1]) : null;
-      return last === null ? new ErrorValue('quantize: the list of steps is empty') : quantize(x, last);
+      return last === null ? new ErrorValue('quantize: the list of steps is empty') : quantize(value, last);
     }
-    const y = toNumber(b);
-    return y === null ? typeError('quantize', b) : quantize(x, y);
+    const unit = toNumber(b);
+    return unit === null ? typeError('quantize', b) : quantize(value, unit);
   }),
   [
     'random',
@@ -89,13 +90,13 @@
       maxArgs: 1,
       nonDeterministic: true,
       call: (args, scope, evaluator) => {
-        const n = args.length === 0 ? 1 : evaluator.run(args[0], scope);
-        if (n === undefined || n instanceof ErrorValue) return n;
-        if (typeof n === 'bigint')
-          return n > 0n
-            ? toInt64(evaluator.context.random() * Number(n))
+        const limit = args.length === 0 ? 1 : evaluator.run(args[0], scope);
+        if (limit === undefined || limit instanceof ErrorValue) return limit;
+        if (typeof limit === 'bigint')
+          return limit > 0n
+            ? toInt64(evaluator.context.random() * Number(limit))
             : new ErrorValue('random takes an integer greater than 0');
-        return typeof n === 'number' ? evaluator.context.random() * n : typeError('random', n);
+        return typeof limit === 'number' ? evaluator.context.random() * limit : typeError('random', limit);
       },
     },
   ],
--- a/src/classad/functions/time.ts
+++ b/src/classad/functions/time.ts
@@ -33,10 +33,10 @@
         const format = args.length > 1 ? evaluator.run(args[1], scope) : '%c';
         if (at === undefined || at instanceof ErrorValue) return at;
         if (format === undefined || format instanceof ErrorValue) return format;
-        const s = toNumber(at);
-        if (s === null) return typeError('formatTime', at);
+        const seconds = toNumber(at);
+        if (seconds === null) return typeError('formatTime', at);
         if (typeof format !== 'string') return typeError('formatTime', format);
-        const date = new Date(Number(s) * 1000);
+        const date = new Date(Number(seconds) * 1000);
         return Number.isNaN(date.getTime())
           ? new ErrorValue('formatTime: the time is out of range')
           : strftime(format, date);
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -42,14 +42,14 @@
     minArgs: 2,
     maxArgs: 2,
     unevaluatedArgs: true,
-    call: ([e, list], scope, evaluator) => {
-      const all = evaluator.run(list, scope);
-      if (all === undefined || all instanceof ErrorValue) return all;
-      if (!Array.isArray(all)) return typeError(name, all);
+    call: ([expr, list], scope, evaluator) => {
+      const records = evaluator.run(list, scope);
+      if (records === undefined || records instanceof ErrorValue) return records;
+      if (!Array.isArray(records)) return typeError(name, records);
       return implementation(
-        all.map((r) =>
-          r instanceof RecordValue
-            ? evaluator.run(e, r.scope)
+        records.map((record) =>
+          record instanceof RecordValue
+            ? evaluator.run(expr, record.scope)
             : new ErrorValue('the list contains a value that is not a record'),
         ),
       );
@@ -83,9 +83,9 @@
     {
       minArgs: 3,
       maxArgs: 3,
-      call: ([c, a, b], scope, evaluator) => {
-        const t = toTruth(evaluator.run(c, scope));
-        return typeof t === 'boolean' ? evaluator.run(t ? a : b, scope) : t;
+      call: ([condition, whenTrue, whenFalse], scope, evaluator) => {
+        const truth = toTruth(evaluator.run(condition, scope));
+        return typeof truth === 'boolean' ? evaluator.run(truth ? whenTrue : whenFalse, scope) : truth;
       },
     },
   ],
@@ -95,8 +95,8 @@
       minArgs: 1,
       maxArgs: 1,
       unevaluatedArgs: true,
-      call: ([a], scope, evaluator) => {
-        const text = evaluator.run(a, scope);
+      call: ([expr], scope, evaluator) => {
+        const text = evaluator.run(expr, scope);
         return typeof text === 'string' ? evaluator.evaluateText(text, scope) : text;
       },
     },
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -106,10 +106,12 @@
       return [`${printExpr(expr.left, level)} ${expr.op} ${printExpr(expr.right, level + 1)}`, level];
     }
     case 'conditional': {
-      const c = printExpr(expr.condition, conditionalPrecedence + 1);
-      const b = printExpr(expr.whenFalse);
+      const condition = printExpr(expr.condition, conditionalPrecedence + 1);
+      const whenFalse = printExpr(expr.whenFalse);
       return [
-        expr.whenTrue ? `${c} ? ${printExpr(expr.whenTrue)} : ${b}` : `${c} ?: ${b}`,
+        expr.whenTrue
+          ? `${condition} ? ${printExpr(expr.whenTrue)} : ${whenFalse}`
+          : `${condition} ?: ${whenFalse}`,
         conditionalPrecedence,
       ];
     }
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -11,7 +11,7 @@
   parseExpr,
   partiallyEvaluate,
   printExpr,
-  truth,
+  toTruth,
   isNonDeterministic,
   type Expr,
   type Value,
@@ -132,7 +132,7 @@
       if (this.evaluateMachine(autocluster, machine, host).matches) matching++;
       for (const conjunct of conjuncts) {
         const value = evaluate(conjunct.expr, autocluster.my, machine.ad);
-        if (truth(value) === true) continue;
+        if (toTruth(value) === true) continue;
         conjunct.excludes++;
         if (value === undefined) conjunct.unknown++;
       }
@@ -203,7 +203,7 @@
       if (autocluster.results.size >= maxCachedResults) autocluster.results.clear();
       this.evaluations++;
       result = {
-        matches: truth(evaluate(autocluster.requirements, autocluster.my, machine.ad)) === true,
+        matches: toTruth(evaluate(autocluster.requirements, autocluster.my, machine.ad)) === true,
         rank: autocluster.rank ? rankValue(evaluate(autocluster.rank, autocluster.my, machine.ad)) : 0,
       };
       autocluster.results.set(signature, result);
