--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -1,6 +1,6 @@
-/** The submit commands that set attributes of a job. */
+/** The submit commands that set job attributes. */
 import { resolve } from 'node:path';
-import { textOf } from '../classad/index.js';
+import { stringLiteralValue } from '../classad/index.js';
 import {
   integerLiteral,
   parseBoolean,
@@ -11,22 +11,22 @@
   setEnvironment,
   setExpr,
   setInteger,
-  setText,
-  textLiteral,
-  units,
-  withPosition,
+  setString,
+  stringLiteral,
+  bytesPerUnit,
+  withErrorPosition,
   type CommandContext,
   type CommandHandler,
 } from './command-handlers.js';
 import { SubmitError } from './errors.js';
 import { joinVariables, parseNewSyntaxVariables, parseArguments, parseEnvironment } from './quoting.js';
 
-/** Values of the attribute JobUniverse. */
+/** Values of the JobUniverse attribute, by the value of the `universe` command. */
 const universes: Record<string, number> = { vanilla: 5, '5': 5, local: 12, '12': 12, parallel: 11, '11': 11 };
-/** Values of the attribute JobNotification. */
+/** Values of the JobNotification attribute, by the value of the `notification` command. */
 const notifications: Record<string, number> = { never: 0, always: 1, complete: 2, error: 3 };
 
-/** The variables of the submit environment that `getenv` selects: all, none, or those that match its patterns. */
+/** Returns the environment variables that `getenv` selects: all, none, or those that match its patterns. */
 function selectVariables(value: string, context: CommandContext): [string, string][] {
   const all = Object.entries(context.environment.env).filter(
     (entry): entry is [string, string] => entry[1] !== undefined,
@@ -46,7 +46,10 @@
   );
 }
 
-/** The commands, in the order in which they are applied, whatever their order in the file: some use attributes that others set. */
+/**
+ * The command handlers, in the order in which they are applied. It is independent of the order in the file, because some
+ * handlers use attributes that others set.
+ */
 export const commands: Record<string, CommandHandler> = {
   universe: (value, context, name) => {
     const universe = universes[value.toLowerCase()];
@@ -57,40 +60,41 @@
       );
     context.ad.set('JobUniverse', integerLiteral(universe));
   },
-  initialdir: (value, context) => context.ad.set('Iwd', textLiteral(resolve(context.environment.cwd, value))),
+  initialdir: (value, context) =>
+    context.ad.set('Iwd', stringLiteral(resolve(context.environment.cwd, value))),
   executable: (value, context, name) => {
     if (value === '') throw new SubmitError(context.position, `${name}: must not be empty`);
-    context.ad.set('Cmd', textLiteral(resolve(context.environment.cwd, value)));
+    context.ad.set('Cmd', stringLiteral(resolve(context.environment.cwd, value)));
   },
   arguments: (value, context, name) => {
-    const parsed = withPosition(context, name, () => parseArguments(value));
-    context.ad.set('Args', textLiteral(parsed.text));
-    if (parsed.isNew) context.ad.set('Arguments', textLiteral(parsed.text));
+    const parsed = withErrorPosition(context, name, () => parseArguments(value));
+    context.ad.set('Args', stringLiteral(parsed.text));
+    if (parsed.isNew) context.ad.set('Arguments', stringLiteral(parsed.text));
   },
   getenv: (value, context) => {
     const vars = selectVariables(value, context);
     if (vars.length > 0) setEnvironment(context, joinVariables(vars), true);
   },
   environment: (value, context, name) => {
-    const parsed = withPosition(context, name, () => parseEnvironment(value));
-    const before = textOf(context.ad.get('Environment'));
+    const parsed = withErrorPosition(context, name, () => parseEnvironment(value));
+    const before = stringLiteralValue(context.ad.get('Environment'));
     if (before === null) return setEnvironment(context, parsed.text, parsed.isNew);
-    // Variables that are set here override those from getenv.
+    // Variables of this command override those selected by getenv.
     const names = new Set(parsed.vars.map(([variable]) => variable));
     const kept = parseNewSyntaxVariables(before).filter(([variable]) => !names.has(variable));
     setEnvironment(context, joinVariables([...kept, ...parsed.vars]), true);
   },
-  input: setText('In'),
-  output: setText('Out'),
-  error: setText('Err'),
+  input: setString('In'),
+  output: setString('Out'),
+  error: setString('Err'),
   log: (value, context) =>
     context.ad.set(
       'UserLog',
-      textLiteral(resolve(textOf(context.ad.get('Iwd')) ?? context.environment.cwd, value)),
+      stringLiteral(resolve(stringLiteralValue(context.ad.get('Iwd')) ?? context.environment.cwd, value)),
     ),
   request_cpus: setCount('RequestCpus', 1),
-  request_memory: setAmount('RequestMemory', units['m']),
-  request_disk: setAmount('RequestDisk', units['k']),
+  request_memory: setAmount('RequestMemory', bytesPerUnit['m']),
+  request_disk: setAmount('RequestDisk', bytesPerUnit['k']),
   request_gpus: setCount('RequestGPUs', 0),
   machine_count: (value, context, name) => {
     setCount('MinHosts', 1)(value, context, name);
@@ -122,17 +126,17 @@
   hold: (value, context, name) => {
     if (!parseBoolean(value, context, name)) return;
     context.ad.set('JobStatus', integerLiteral(5));
-    context.ad.set('HoldReason', textLiteral("submitted on hold at user's request"));
+    context.ad.set('HoldReason', stringLiteral("submitted on hold at user's request"));
     context.ad.set('HoldReasonCode', integerLiteral(15));
   },
   leave_in_queue: setExpr('LeaveJobInQueue'),
   deferral_time: setExpr('DeferralTime'),
   deferral_window: setExpr('DeferralWindow'),
   deferral_prep_time: setExpr('DeferralPrepTime'),
-  accounting_group: setText('AcctGroup'),
-  accounting_group_user: setText('AcctGroupUser'),
-  batch_name: setText('JobBatchName'),
-  description: setText('JobDescription'),
+  accounting_group: setString('AcctGroup'),
+  accounting_group_user: setString('AcctGroupUser'),
+  batch_name: setString('JobBatchName'),
+  description: setString('JobDescription'),
   allowed_execute_duration: setInteger('AllowedExecuteDuration'),
   allowed_job_duration: setInteger('AllowedJobDuration'),
   nice_user: setBoolean('NiceUser'),
