--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -97,26 +97,27 @@
   /** Lets the watch and the core go on, and carries out what the core wants done. */
   step(): void {
     if (!this.alive) return;
-    const s = this.world.state;
+    const state = this.world.state;
     if (this.paused) {
       this.watchResumesAt = this.world.now + 300;
       return;
     }
     // Reading takes its time and begins anew when it is interrupted; what is watched goes on.
-    const off = this.cutFromState || s.unavailable || (this.rateLimited && this.watchedRevision < 0);
-    if (off && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
-    const read =
+    const stateUnreachable =
+      this.cutFromState || state.unavailable || (this.rateLimited && this.watchedRevision < 0);
+    if (stateUnreachable && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
+    const snapshotRead =
       this.watchedRevision >= 0 || this.world.now >= this.snapshotStartedAt + this.world.snapshotMs;
-    if (!off && read && this.world.now >= this.watchResumesAt) {
+    if (!stateUnreachable && snapshotRead && this.world.now >= this.watchResumesAt) {
       if (this.watchedRevision < 0)
-        this.push({ type: 'snapshot-loaded', items: s.items(), revision: s.epoch });
-      else if (this.watchedRevision < s.epoch)
+        this.push({ type: 'snapshot-loaded', items: state.items(), revision: state.epoch });
+      else if (this.watchedRevision < state.epoch)
         this.push({
           type: 'changes',
-          changes: s.log.filter((c) => c.stamp > this.watchedRevision),
-          revision: s.epoch,
+          changes: state.log.filter((c) => c.stamp > this.watchedRevision),
+          revision: state.epoch,
         });
-      this.watchedRevision = s.epoch;
+      this.watchedRevision = state.epoch;
     }
     const commands = this.queue;
     this.queue = [];
@@ -144,7 +145,7 @@
 
   private carryOut(e: Effect, reply: Reply): void {
     const w = this.world;
-    const off = this.cutFromState || w.state.unavailable || this.rateLimited;
+    const stateUnreachable = this.cutFromState || w.state.unavailable || this.rateLimited;
     switch (e.type) {
       case 'respond':
         this.responses.set(e.requestId, {
@@ -160,21 +161,21 @@
         reply({
           type: 'revision-read',
           sentAt: w.now * this.clockRate,
-          revision: off ? null : w.state.epoch,
+          revision: stateUnreachable ? null : w.state.epoch,
         });
         break;
       case 'grant-lease':
-        reply({ type: 'lease-granted', leaseId: off ? null : w.state.grantLease(e.ttlMs) });
+        reply({ type: 'lease-granted', leaseId: stateUnreachable ? null : w.state.grantLease(e.ttlMs) });
         break;
       case 'renew-lease':
         reply({
           type: 'lease-renewal-result',
           leaseId: e.leaseId,
-          outcome: off ? 'failed' : w.state.renewLease(e.leaseId),
+          outcome: stateUnreachable ? 'failed' : w.state.renewLease(e.leaseId),
         });
         break;
       case 'revoke-lease':
-        if (!off) w.state.revokeLease(e.leaseId);
+        if (!stateUnreachable) w.state.revokeLease(e.leaseId);
         break;
       case 'list-machine-types':
         reply({ type: 'machine-types', types: w.cloudDown ? null : w.types });
@@ -211,7 +212,7 @@
         const confirmation = {
           type: 'freshness-confirmed',
           from: this.member,
-          instanceId: this.run,
+          instanceId: this.instanceId,
           query,
           known,
         } as const;
@@ -225,7 +226,7 @@
           type: 'audit-result',
           from: e.from,
           ...this.auditPage(e.from, e.keys),
-          revision: off ? null : w.state.epoch,
+          revision: stateUnreachable ? null : w.state.epoch,
         });
         break;
       case 'restart':
@@ -246,20 +247,20 @@
       w.heldCommits.push(txn);
       return respond({ type: 'unknown' });
     }
-    const carryOut = (): CommitOutcome => {
+    const execute = (): CommitOutcome => {
       const outcome = w.state.commit(txn);
       w.commits.push({ member: this.member, txn, outcome, at: w.now });
       return outcome;
     };
     if (w.random() < w.state.delayedCommitShare && !w.state.unavailable) {
-      w.schedule(2000 + 10_000 * w.random(), carryOut);
+      w.schedule(2000 + 10_000 * w.random(), execute);
       w.schedule(w.lostResponseMs, () => respond({ type: 'unknown' }));
       return;
     }
     w.scheduleOrRun(w.commitDelayMs(), () => {
-      const outcome = carryOut();
-      const lost = w.state.dropsResponses || w.state.dropsResponseTo(txn);
-      if (lost) w.scheduleOrRun(w.lostResponseNoticedMs(), () => respond({ type: 'unknown' }));
+      const outcome = execute();
+      const responseLost = w.state.dropsResponses || w.state.dropsResponseTo(txn);
+      if (responseLost) w.scheduleOrRun(w.lostResponseNoticedMs(), () => respond({ type: 'unknown' }));
       else respond(outcome);
     });
   }
@@ -309,12 +310,12 @@
   ): void {
     const w = this.world;
     const owner = w.nodes.find((n) => n.member === to);
-    const id = ++w.nextRequestId;
+    const forwardedRequestId = ++w.nextRequestId;
     if (!owner?.alive || this.isolatedFromPeers || owner.isolatedFromPeers)
       return reply({ type: 'forwarded-response', requestId, status: 503, body: {} });
-    owner.push({ type: 'heartbeat', requestId: id, report, from: this.member });
+    owner.push({ type: 'heartbeat', requestId: forwardedRequestId, report, from: this.member });
     w.schedule(30, () => {
-      const response = owner.responses.get(id);
+      const response = owner.responses.get(forwardedRequestId);
       if (response)
         this.push({ type: 'forwarded-response', requestId, status: response.status, body: response.body });
     });
@@ -328,21 +329,22 @@
     return { items: items.slice(0, keys), more: items.length > keys };
   }
 
-  private get run(): string {
+  private get instanceId(): string {
     return `${this.member}r${this.processStarts}`;
   }
 
-  private broadcast(tell: (to: Node) => void): void {
+  private broadcast(deliver: (to: Node) => void): void {
     if (!this.world.peersConnected || this.isolatedFromPeers) return;
     for (const n of this.world.nodes)
       if (n !== this && !n.isolatedFromPeers)
-        this.world.schedule(5 + this.peerDelayMs, () => n.alive && tell(n));
+        this.world.schedule(5 + this.peerDelayMs, () => n.alive && deliver(n));
   }
 
-  private checkLeadership(what: string): void {
-    const { entries: keys } = this.world.state;
-    const lead = (keys.get('dp/chief') ?? keys.get('dp/lead'))?.data as { member: string } | undefined;
-    if (lead?.member !== this.member) this.world.violations.push(`stale ${what} by ${this.member}`);
+  private checkLeadership(operation: string): void {
+    const { entries: stateEntries } = this.world.state;
+    const leader = (stateEntries.get('dp/chief') ?? stateEntries.get('dp/lead'))?.data as
+      { member: string } | undefined;
+    if (leader?.member !== this.member) this.world.violations.push(`stale ${operation} by ${this.member}`);
   }
 
   private nextRequestId = 1000;
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -18,7 +18,7 @@
   delayedCommitShare = 0;
   readonly entries = new Map<string, Change & { hold?: number }>();
   readonly log: Change[] = [];
-  private leases = new Map<number, number>();
+  private leaseExpiresAt = new Map<number, number>();
   private nextLeaseId = 1;
 
   constructor(private readonly world: World) {}
@@ -32,7 +32,7 @@
     if (this.unavailable) return { type: 'rejected' };
     if (this.rateLimited || !this.takeWriteBudget(txn.writes.length)) return { type: 'rate-limited' };
     this.expireLeases();
-    if (txn.writes.some((w) => w.hold !== undefined && !this.leases.has(w.hold)))
+    if (txn.writes.some((w) => w.hold !== undefined && !this.leaseExpiresAt.has(w.hold)))
       return { type: 'lease-expired' };
     const failed = txn.conditions
       .filter((c) => (this.entries.get(c.key)?.stamp ?? 0) !== c.stamp)
@@ -54,47 +54,50 @@
 
   /** Puts and deletes that it takes in a second; bursts of a second's worth are allowed. */
   writesPerS = Infinity;
-  private budget = 0;
-  private budgetAt = 0;
+  private writeBudget = 0;
+  private writeBudgetUpdatedAt = 0;
   rateLimitedCount = 0;
   private takeWriteBudget(writes: number): boolean {
     if (!Number.isFinite(this.writesPerS)) return true;
     const { now } = this.world;
-    this.budget = Math.min(this.writesPerS, this.budget + ((now - this.budgetAt) / 1000) * this.writesPerS);
-    this.budgetAt = now;
-    if (this.budget < writes) {
+    this.writeBudget = Math.min(
+      this.writesPerS,
+      this.writeBudget + ((now - this.writeBudgetUpdatedAt) / 1000) * this.writesPerS,
+    );
+    this.writeBudgetUpdatedAt = now;
+    if (this.writeBudget < writes) {
       this.rateLimitedCount++;
       return false;
     }
-    this.budget -= writes;
+    this.writeBudget -= writes;
     return true;
   }
 
   /** Grants a lease; null while it is unavailable. */
   grantLease(ttlMs: number): number | null {
     if (this.unavailable) return null;
-    const hold = this.nextLeaseId++;
-    this.leases.set(hold, this.world.now + ttlMs);
-    this.leaseTtlMs.set(hold, ttlMs);
-    return hold;
+    const leaseId = this.nextLeaseId++;
+    this.leaseExpiresAt.set(leaseId, this.world.now + ttlMs);
+    this.leaseTtlMs.set(leaseId, ttlMs);
+    return leaseId;
   }
   private leaseTtlMs = new Map<number, number>();
 
   /** Renews a lease for its full time. */
-  renewLease(hold: number): 'ok' | 'gone' | 'failed' {
+  renewLease(leaseId: number): 'ok' | 'gone' | 'failed' {
     if (this.unavailable) return 'failed';
     this.expireLeases();
-    if (!this.leases.has(hold)) return 'gone';
-    this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
+    if (!this.leaseExpiresAt.has(leaseId)) return 'gone';
+    this.leaseExpiresAt.set(leaseId, this.world.now + this.leaseTtlMs.get(leaseId)!);
     return 'ok';
   }
 
   /** Ends a lease and removes the keys attached to it. */
-  revokeLease(hold: number): void {
-    this.leases.delete(hold);
-    const gone = [...this.entries.values()].filter((k) => k.hold === hold);
-    if (gone.length > 0) this.epoch++;
-    for (const k of gone) {
+  revokeLease(leaseId: number): void {
+    this.leaseExpiresAt.delete(leaseId);
+    const attachedEntries = [...this.entries.values()].filter((k) => k.hold === leaseId);
+    if (attachedEntries.length > 0) this.epoch++;
+    for (const k of attachedEntries) {
       this.entries.delete(k.key);
       this.log.push({ key: k.key, data: undefined, stamp: this.epoch });
     }
@@ -103,9 +106,10 @@
   /** Ends the leases that are over. In an outage every lease keeps its full time. */
   expireLeases(): void {
     if (this.unavailable)
-      for (const hold of this.leases.keys())
-        this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
-    for (const [hold, until] of [...this.leases]) if (until < this.world.now) this.revokeLease(hold);
+      for (const leaseId of this.leaseExpiresAt.keys())
+        this.leaseExpiresAt.set(leaseId, this.world.now + this.leaseTtlMs.get(leaseId)!);
+    for (const [leaseId, expiresAt] of [...this.leaseExpiresAt])
+      if (expiresAt < this.world.now) this.revokeLease(leaseId);
   }
 
   /** A copy of what there is, to come back to. */
@@ -114,12 +118,12 @@
   }
 
   /** It has lost data: what is left, at which revision. Nothing tells of it; leases are gone, too. */
-  loseData(left: [string, Change & { hold?: number }][], epoch: number): void {
+  loseData(remaining: [string, Change & { hold?: number }][], epoch: number): void {
     this.entries.clear();
-    for (const [key, k] of left) this.entries.set(key, k);
+    for (const [key, entry] of remaining) this.entries.set(key, entry);
     this.epoch = epoch;
     this.log.length = 0;
-    this.leases.clear();
+    this.leaseExpiresAt.clear();
   }
 
   /** All records of the controllers. */
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -3,7 +3,7 @@
 import type { Node } from './controller-node.js';
 import type { World } from './world.js';
 
-interface Running {
+interface WorkerTask {
   report: TaskStatus;
   since: number;
   /** How long it saves, if it does. */
@@ -11,7 +11,7 @@
 }
 
 /** A task ends for this reason. */
-function exit(report: TaskStatus, reason: ExitReason, saved = report.saved): void {
+function markExited(report: TaskStatus, reason: ExitReason, saved = report.saved): void {
   report.phase = 'exited';
   report.exitReason = reason;
   report.saved = saved;
@@ -22,7 +22,7 @@
   session = 1;
   seq = 0;
   token = 0;
-  tasks = new Map<string, Running>();
+  tasks = new Map<string, WorkerTask>();
   spotNoticeS: number | null = null;
   silent = false;
   /** The machine hangs: nothing goes on, and what is due is done when it does again. */
@@ -72,19 +72,19 @@
   }
 
   /** A task gets its image; one of a gang then waits for the others of its attempt. */
-  private advanceImageFetch(t: Running): void {
+  private advanceImageFetch(t: WorkerTask): void {
     const { report } = t;
     const w = this.world;
     const gang = w.gangs.get(report.job);
     if (report.phase === 'fetching' && w.now - t.since > w.fetchS * 1000)
       report.phase = gang === undefined ? 'running' : 'waiting';
     if (report.phase !== 'waiting') return;
-    let there = 0;
-    for (const x of w.workers.values())
-      for (const o of x.tasks.values())
-        if (o.report.job === report.job && o.report.attempt === report.attempt)
-          if (o.report.phase === 'waiting' || o.report.phase === 'running') there++;
-    if (there < gang!) return;
+    let readyTasks = 0;
+    for (const worker of w.workers.values())
+      for (const task of worker.tasks.values())
+        if (task.report.job === report.job && task.report.attempt === report.attempt)
+          if (task.report.phase === 'waiting' || task.report.phase === 'running') readyTasks++;
+    if (readyTasks < gang!) return;
     report.phase = 'running';
     t.since = w.now;
   }
@@ -106,15 +106,16 @@
   advanceTasks(): void {
     const w = this.world;
     if (w.now - this.leaseStartedAt > w.leaseMs) {
-      const { nextHeartbeatAt: at } = this;
+      const { nextHeartbeatAt: scheduledAt } = this;
       this.expireLease();
-      this.nextHeartbeatAt = at;
+      this.nextHeartbeatAt = scheduledAt;
     }
-    for (const d of this.delayedCommands.splice(0)) this.receiveDirectCommands(d.orders, d.token, d.session);
+    for (const delayed of this.delayedCommands.splice(0))
+      this.receiveDirectCommands(delayed.orders, delayed.token, delayed.session);
     for (const t of this.tasks.values()) this.advanceImageFetch(t);
     for (const t of this.tasks.values())
       if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
-        exit(t.report, 'stopped', true);
+        markExited(t.report, 'stopped', true);
     for (const t of this.tasks.values())
       if (
         t.report.phase === 'running' &&
@@ -147,9 +148,9 @@
     node.push({ type: 'heartbeat', requestId, report });
     if (w.random() < w.heldHeartbeatShare) w.heldHeartbeats.push(report);
     if (w.random() < w.duplicatedHeartbeatShare) {
-      const to = w.nodes[Math.floor(w.random() * w.nodes.length)];
+      const recipient = w.nodes[Math.floor(w.random() * w.nodes.length)];
       w.schedule(2000 + 1.5 * w.leaseMs * w.random(), () =>
-        to.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report }),
+        recipient.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report }),
       );
     }
     if (this.losesResponses) {
@@ -158,9 +159,9 @@
       return;
     }
     this.inFlight = true;
-    const heldMs = w.responseDelayMs();
-    if (heldMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + heldMs + 200);
-    w.schedule(100 + heldMs, () => this.receiveResponse(node, requestId, sentAt, session));
+    const delayMs = w.responseDelayMs();
+    if (delayMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + delayMs + 200);
+    w.schedule(100 + delayMs, () => this.receiveResponse(node, requestId, sentAt, session));
   }
 
   private receiveResponse(node: Node, requestId: number, sentAt: number, session: number): void {
@@ -169,22 +170,22 @@
     if (this.hung && w.now - sentAt < 4000)
       return w.schedule(50, () => this.receiveResponse(node, requestId, sentAt, session));
     // One report at a time; an answer is waited for as long as its controller lives.
-    const waits =
+    const stillWaiting =
       !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
-    if (!node.responses.has(requestId) && waits && w.now - sentAt < 4000)
+    if (!node.responses.has(requestId) && stillWaiting && w.now - sentAt < 4000)
       return w.schedule(10, () => this.receiveResponse(node, requestId, sentAt, session));
-    const a = node.responses.get(requestId);
+    const response = node.responses.get(requestId);
     node.responses.delete(requestId);
     this.inFlight = false;
     if (this.silent || this.hung || this.losesResponses || session !== this.session) return;
     this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
-    if (a?.status !== 200) {
-      const boss = w.nodes.findIndex((n) => n.member === a?.body['boss']);
-      this.targetIndex = boss >= 0 && w.nodes[boss] !== node ? boss : this.targetIndex + 1;
-      this.nextHeartbeatAt = w.now + (boss >= 0 ? 50 : 1000);
+    if (response?.status !== 200) {
+      const ownerIndex = w.nodes.findIndex((n) => n.member === response?.body['boss']);
+      this.targetIndex = ownerIndex >= 0 && w.nodes[ownerIndex] !== node ? ownerIndex : this.targetIndex + 1;
+      this.nextHeartbeatAt = w.now + (ownerIndex >= 0 ? 50 : 1000);
       return;
     }
-    const body = a.body as {
+    const body = response.body as {
       baton: number;
       orders: { verb: string; piece: string; try: number; windDownS?: number }[];
     };
@@ -211,15 +212,18 @@
   }
 
   /** An answer has kept its tasks alive. Of a cancelled job it may only for so long that the lease still ends in time. */
-  private checkKeptTasks(node: Node, sentAt: number, killed: ReadonlySet<string>): void {
+  private checkKeptTasks(node: Node, sentAt: number, stoppedTasks: ReadonlySet<string>): void {
     const w = this.world;
     w.leaseRenewals.answers.set(node.member, (w.leaseRenewals.answers.get(node.member) ?? 0) + 1);
-    for (const [piece, t] of this.tasks) {
-      const since = w.cancelledAt.get(t.report.job);
-      if (since === undefined || t.report.phase === 'exited' || killed.has(piece)) continue;
-      w.leaseRenewals.mostMs = Math.max(w.leaseRenewals.mostMs, sentAt - since);
-      if (sentAt - since > w.maxKeepMs)
-        w.violations.push(`kept ${piece} ${sentAt - since} ms by ${node.member}`);
+    for (const [taskKey, t] of this.tasks) {
+      const cancelledAt = w.cancelledAt.get(t.report.job);
+      if (cancelledAt === undefined || t.report.phase === 'exited' || stoppedTasks.has(taskKey)) continue;
+      w.leaseRenewals.maxAfterCancellationMs = Math.max(
+        w.leaseRenewals.maxAfterCancellationMs,
+        sentAt - cancelledAt,
+      );
+      if (sentAt - cancelledAt > w.maxKeepMs)
+        w.violations.push(`kept ${taskKey} ${sentAt - cancelledAt} ms by ${node.member}`);
     }
   }
 
@@ -234,8 +238,8 @@
     if (token < this.token || this.hung) return;
     this.token = token;
     for (const o of orders) {
-      const piece = `${o.job}/${o.index}`;
-      const t = this.tasks.get(piece);
+      const taskKey = `${o.job}/${o.index}`;
+      const t = this.tasks.get(taskKey);
       if (o.op === 'start') {
         this.world.recordStart(this, o.job, o.index, t !== undefined);
         if (t) continue;
@@ -247,10 +251,10 @@
           exitReason: null,
           saved: false,
         };
-        if (this.failsTasks || this.world.failingJobs.has(o.job)) exit(report, 'error');
-        this.tasks.set(piece, { report, since: this.world.now });
+        if (this.failsTasks || this.world.failingJobs.has(o.job)) markExited(report, 'error');
+        this.tasks.set(taskKey, { report, since: this.world.now });
       } else if (t?.report.attempt === o.attempt) {
-        if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(piece);
+        if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(taskKey);
         if (o.op === 'stop' && t.report.phase !== 'exited') this.stopTask(t, o.graceS);
       }
       this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.world.now + 500);
@@ -258,18 +262,18 @@
   }
 
   /** One that saves goes on doing so unless it is told to end at once. */
-  private stopTask(t: Running, graceS: number): void {
+  private stopTask(t: WorkerTask, graceS: number): void {
     const saveS = this.world.specs.get(t.report.job)?.saveS ?? 0;
     const saves = t.report.phase === 'running' && saveS > 0 && graceS >= saveS;
     if (saves) Object.assign(t, { since: this.world.now, saveS });
     if (saves) t.report.phase = 'saving';
-    else if (t.report.phase !== 'saving' || graceS === 0) exit(t.report, 'stopped', graceS > 0);
+    else if (t.report.phase !== 'saving' || graceS === 0) markExited(t.report, 'stopped', graceS > 0);
   }
 
   /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
-  hasTask(piece: string): boolean {
+  hasTask(taskKey: string): boolean {
     if (this.hung && this.world.now - this.leaseStartedAt > this.world.leaseMs) return false;
-    const t = this.tasks.get(piece);
+    const t = this.tasks.get(taskKey);
     return t !== undefined && t.report.phase !== 'exited';
   }
 }
--- a/test/support/sizes.ts
+++ b/test/support/sizes.ts
@@ -1,20 +1,27 @@
-/** The sizes of all lists, sets and maps that an object holds, by their path in it; what is in them is not looked into. */
+/** Measures the collections in an object graph, so that tests can check that none of them grows without bound. */
+
+/**
+ * The sizes of all arrays, sets and maps that an object holds, keyed by their property path. The elements of sets and maps are
+ * not visited, and those of an array only if its first element is an array.
+ */
 export function sizes(root: object): Map<string, number> {
-  const found = new Map<string, number>();
-  const seen = new Set<object>();
-  const visit = (o: object, path: string): void => {
-    if (seen.has(o) || path.split('.').length > 8) return;
-    seen.add(o);
-    if (o instanceof Map || o instanceof Set) return void found.set(path, o.size);
-    if (Array.isArray(o)) {
-      found.set(path, o.length);
-      if (o.length > 0 && Array.isArray(o[0])) o.forEach((x: unknown[], i) => visit(x, `${path}.${i}`));
+  const sizesByPath = new Map<string, number>();
+  const visited = new Set<object>();
+  const visit = (container: object, path: string): void => {
+    if (visited.has(container) || path.split('.').length > 8) return;
+    visited.add(container);
+    if (container instanceof Map || container instanceof Set)
+      return void sizesByPath.set(path, container.size);
+    if (Array.isArray(container)) {
+      sizesByPath.set(path, container.length);
+      if (container.length > 0 && Array.isArray(container[0]))
+        container.forEach((x: unknown[], i) => visit(x, `${path}.${i}`));
       return;
     }
-    for (const [key, value] of Object.entries(o))
+    for (const [key, value] of Object.entries(container))
       if (typeof value === 'object' && value !== null)
         visit(value as object, path === '' ? key : `${path}.${key}`);
   };
   visit(root, '');
-  return found;
+  return sizesByPath;
 }
--- a/test/support/waiting.ts
+++ b/test/support/waiting.ts
@@ -9,57 +9,60 @@
 
 /** Holds it against the controllers if work waits while a machine that fits has room and its team is under its limit. */
 export class Waiting {
-  private readonly since = new Map<string, number>();
+  private readonly waitingSince = new Map<string, number>();
   /** The longest wait so far, ms. */
   mostMs = 0;
-  private on = true;
+  private active = true;
 
   constructor(
     private readonly w: World,
     private readonly users: Traffic,
   ) {
-    const beat = (): void => {
-      if (!this.on) return;
-      this.look();
-      w.schedule(1000, beat);
+    const tick = (): void => {
+      if (!this.active) return;
+      this.check();
+      w.schedule(1000, tick);
     };
-    beat();
+    tick();
   }
 
   stop(): void {
-    this.on = false;
+    this.active = false;
   }
 
-  private look(): void {
+  private check(): void {
     const { w } = this;
     for (const id of this.users.going) {
       const spec = w.specs.get(id)!;
-      if (!this.couldStart(spec)) this.since.delete(id);
-      else if (!this.since.has(id)) this.since.set(id, w.now);
-      const ms = w.now - (this.since.get(id) ?? w.now);
+      if (!this.couldStart(spec)) this.waitingSince.delete(id);
+      else if (!this.waitingSince.has(id)) this.waitingSince.set(id, w.now);
+      const ms = w.now - (this.waitingSince.get(id) ?? w.now);
       if (ms > mostWaitMs && this.mostMs <= mostWaitMs) w.violations.push(`waits ${id}: ${ms} ms with room`);
       this.mostMs = Math.max(this.mostMs, ms);
     }
-    for (const id of this.since.keys()) if (this.users.told.get(id) !== 'accepted') this.since.delete(id);
+    for (const id of this.waitingSince.keys())
+      if (this.users.told.get(id) !== 'accepted') this.waitingSince.delete(id);
   }
 
   /** Whether a task of it waits that could start now: for a gang, whether all of it could. */
   private couldStart(spec: JobSpec): boolean {
     const { w } = this;
-    const held = w.running(spec.id).length;
-    const done = new Set(w.finished.filter((p) => p.startsWith(`${spec.id}/`))).size;
-    const missing = spec.tasks - held - done;
-    if (missing <= 0) return false;
+    const runningTasks = w.running(spec.id).length;
+    const finishedTasks = new Set(w.finished.filter((p) => p.startsWith(`${spec.id}/`))).size;
+    const missingTasks = spec.tasks - runningTasks - finishedTasks;
+    if (missingTasks <= 0) return false;
     // A gang that is being taken down, or mended, is on its way.
-    if (spec.shape === 'gang' && held > 0) return false;
-    const need = spec.shape === 'gang' ? missing : 1;
-    const cap = w.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
-    if (cap > 0 && this.used(spec.team) + need * spec.cpus > cap) return false;
-    const rooms = [...w.workers.values()].filter((m) => this.fits(spec, m));
-    const places = (list: Worker[]): number =>
-      list.reduce((n, m) => n + Math.floor(this.room(m) / spec.cpus + 1e-9), 0);
-    if (!spec.oneZone) return places(rooms) >= need;
-    return w.types[0].zones.some((z) => places(rooms.filter((m) => m.zone === z)) >= need);
+    if (spec.shape === 'gang' && runningTasks > 0) return false;
+    const requiredTasks = spec.shape === 'gang' ? missingTasks : 1;
+    const cpuLimit = w.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
+    if (cpuLimit > 0 && this.usedCpus(spec.team) + requiredTasks * spec.cpus > cpuLimit) return false;
+    const fittingWorkers = [...w.workers.values()].filter((m) => this.fits(spec, m));
+    const freeSlots = (list: Worker[]): number =>
+      list.reduce((n, m) => n + Math.floor(this.freeCpus(m) / spec.cpus + 1e-9), 0);
+    if (!spec.oneZone) return freeSlots(fittingWorkers) >= requiredTasks;
+    return w.types[0].zones.some(
+      (z) => freeSlots(fittingWorkers.filter((m) => m.zone === z)) >= requiredTasks,
+    );
   }
 
   private fits(spec: JobSpec, m: Worker): boolean {
@@ -68,23 +71,26 @@
     if (spec.types && !spec.types.includes(m.type)) return false;
     if (m.spot && (!spec.spot || spec.shape !== 'array')) return false;
     if (!spec.apart) return true;
-    const there = this.w.running(spec.id).filter((r) => this.w.workers.get(r.host)!.zone === m.zone).length;
-    return there < Math.ceil(spec.tasks / 2);
+    const tasksInZone = this.w
+      .running(spec.id)
+      .filter((r) => this.w.workers.get(r.host)!.zone === m.zone).length;
+    return tasksInZone < Math.ceil(spec.tasks / 2);
   }
 
-  private used(team: string): number {
+  private usedCpus(team: string): number {
     let cpus = 0;
     for (const m of this.w.workers.values())
-      for (const [piece, t] of m.tasks) {
+      for (const [taskKey, t] of m.tasks) {
         const spec = this.w.specs.get(t.report.job);
-        if (spec?.team === team && m.hasTask(piece)) cpus += spec.cpus;
+        if (spec?.team === team && m.hasTask(taskKey)) cpus += spec.cpus;
       }
     return cpus;
   }
 
-  private room(m: Worker): number {
+  private freeCpus(m: Worker): number {
     let cpus = this.w.types.find((t) => t.name === m.type)!.cpus;
-    for (const [piece, t] of m.tasks) if (m.hasTask(piece)) cpus -= this.w.specs.get(t.report.job)?.cpus ?? 0;
+    for (const [taskKey, t] of m.tasks)
+      if (m.hasTask(taskKey)) cpus -= this.w.specs.get(t.report.job)?.cpus ?? 0;
     return cpus;
   }
 }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -45,7 +45,7 @@
    * Answers that have renewed a lease, by controller, and the longest time after its cancellation for which a task was kept
    * by one. It may be `cancel_s` - `lease_s`, less what clocks differ by.
    */
-  readonly leaseRenewals = { answers: new Map<string, number>(), mostMs: 0 };
+  readonly leaseRenewals = { answers: new Map<string, number>(), maxAfterCancellationMs: 0 };
   maxKeepMs = 20_000 * (1 - 0.001);
   types: MachineType[] = [box];
   capacity = 10;
@@ -84,7 +84,7 @@
   deliveredHeldHeartbeats = 0;
   private readonly ownershipStamps = new Map<string, number>();
   /** Starts after a confirmed cancellation: of which tasks, and how long after. */
-  readonly startsAfterCancellation: { piece: string; afterMs: number }[] = [];
+  readonly startsAfterCancellation: { taskKey: string; afterMs: number }[] = [];
   /** How long direct commands, and answers to reports, are held up, ms. */
   directCommandDelayMs: () => number = () => 0;
   responseDelayMs: () => number = () => 0;
@@ -97,15 +97,15 @@
   readonly random: () => number;
 
   constructor(
-    nodes = 1,
+    nodeCount = 1,
     operators: Partial<OperatorSettings> = {},
     seed = 1,
     settingsOf: (text: string) => string = (text) => text,
   ) {
     this.seed = seed;
     this.random = seededRandom(seed * 7919 + 13);
-    for (let i = 0; i < nodes; i++) {
-      const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodes)));
+    for (let i = 0; i < nodeCount; i++) {
+      const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodeCount)));
       this.nodes.push(new Node(this, `n${i}`, settings, { ...operatorDefaults, ...operators }));
     }
   }
@@ -124,8 +124,8 @@
   private readonly rentalResponses = new Map<string, string[]>();
   /** A request name that was carried out once gets the same answer for ever. */
   rent(request: RentRequest): RentalOutcome {
-    const before = this.rentalResponses.get(request.name);
-    if (before) return { type: 'rented', hosts: before };
+    const earlierHosts = this.rentalResponses.get(request.name);
+    if (earlierHosts) return { type: 'rented', hosts: earlierHosts };
     if (this.capacity <= 0) return { type: 'no-capacity' };
     const hosts: string[] = [];
     for (let i = 0; i < request.count && this.capacity > 0; i++) {
@@ -138,57 +138,59 @@
 
   /** The cloud deletes machines with all that is on them. */
   remove(hosts: string[]): void {
-    for (const h of hosts) {
-      this.deleted.push(h);
-      if (this.workers.delete(h)) this.capacity++;
+    for (const host of hosts) {
+      this.deleted.push(host);
+      if (this.workers.delete(host)) this.capacity++;
     }
   }
 
   /** A machine comes up, with a worker on it. */
   addWorker(type: string, zone: string, spot: boolean): Worker {
     const host = `n-${String(++this.machineCount).padStart(6, '0')}`;
-    const w = new Worker(this, host, type, zone, spot);
-    this.workers.set(host, w);
-    return w;
+    const worker = new Worker(this, host, type, zone, spot);
+    this.workers.set(host, worker);
+    return worker;
   }
 
   /** A worker was told to start a task: the rules about starts are checked. */
-  recordStart(w: Worker, job: string, index: number, held: boolean): void {
-    const piece = `${job}/${index}`;
-    this.starts.push({ piece, host: w.host, at: this.now });
-    if (held) return;
+  recordStart(worker: Worker, job: string, index: number, alreadyPresent: boolean): void {
+    const taskKey = `${job}/${index}`;
+    this.starts.push({ piece: taskKey, host: worker.host, at: this.now });
+    if (alreadyPresent) return;
     for (const other of this.workers.values())
-      if (other !== w && other.hasTask(piece))
-        this.violations.push(`ran_twice ${piece} on ${w.host} and ${other.host}`);
-    const since = this.cancelledAt.get(job);
-    if (since !== undefined && this.now > since + 36_000) this.violations.push(`ran_cancelled ${piece}`);
-    if (since !== undefined && this.now > since)
-      this.startsAfterCancellation.push({ piece, afterMs: this.now - since });
-    this.checkPlacement(w, job, piece);
+      if (other !== worker && other.hasTask(taskKey))
+        this.violations.push(`ran_twice ${taskKey} on ${worker.host} and ${other.host}`);
+    const jobCancelledAt = this.cancelledAt.get(job);
+    if (jobCancelledAt !== undefined && this.now > jobCancelledAt + 36_000)
+      this.violations.push(`ran_cancelled ${taskKey}`);
+    if (jobCancelledAt !== undefined && this.now > jobCancelledAt)
+      this.startsAfterCancellation.push({ taskKey, afterMs: this.now - jobCancelledAt });
+    this.checkPlacement(worker, job, taskKey);
   }
 
   /** Type, zone, kind of machine and the team's limit, with all that is on machines now. */
-  private checkPlacement(w: Worker, job: string, piece: string): void {
+  private checkPlacement(worker: Worker, job: string, taskKey: string): void {
     const spec = this.specs.get(job);
     if (!spec) return;
-    const zones = new Map<string, number>([[w.zone, 1]]);
+    const zones = new Map<string, number>([[worker.zone, 1]]);
     let cpus = spec.cpus;
-    for (const x of this.workers.values())
-      for (const [held, t] of x.tasks) {
-        if (!x.hasTask(held) || held === piece) continue;
-        const s = this.specs.get(t.report.job);
-        if (s?.team === spec.team) cpus += s.cpus;
-        if (t.report.job === job) zones.set(x.zone, (zones.get(x.zone) ?? 0) + 1);
+    for (const other of this.workers.values())
+      for (const [otherTaskKey, otherTask] of other.tasks) {
+        if (!other.hasTask(otherTaskKey) || otherTaskKey === taskKey) continue;
+        const otherSpec = this.specs.get(otherTask.report.job);
+        if (otherSpec?.team === spec.team) cpus += otherSpec.cpus;
+        if (otherTask.report.job === job) zones.set(other.zone, (zones.get(other.zone) ?? 0) + 1);
       }
-    const wrong =
-      (spec.types && !spec.types.includes(w.type)) ||
-      (spec.zone !== null && spec.zone !== w.zone) ||
-      (w.spot && (!spec.spot || spec.shape !== 'array')) ||
+    const misplaced =
+      (spec.types && !spec.types.includes(worker.type)) ||
+      (spec.zone !== null && spec.zone !== worker.zone) ||
+      (worker.spot && (!spec.spot || spec.shape !== 'array')) ||
       (spec.oneZone && zones.size > 1) ||
       (spec.apart && Math.max(...zones.values()) > Math.ceil(spec.tasks / 2));
-    if (wrong) this.violations.push(`wrong_place ${piece} on ${w.host}`);
-    const cap = this.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
-    if (cap > 0 && cpus > cap + 1e-9) this.violations.push(`quota ${spec.team}: ${cpus} with ${piece}`);
+    if (misplaced) this.violations.push(`wrong_place ${taskKey} on ${worker.host}`);
+    const cpuLimit = this.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
+    if (cpuLimit > 0 && cpus > cpuLimit + 1e-9)
+      this.violations.push(`quota ${spec.team}: ${cpus} with ${taskKey}`);
   }
 
   /** Somebody else leads or owns: what was kept for that moment comes now, or a little later. */
@@ -211,8 +213,8 @@
   }
 
   /** A machine dies: the cloud has room for another. */
-  loseMachine(m: Worker): void {
-    if (this.workers.delete(m.host)) this.capacity++;
+  loseMachine(worker: Worker): void {
+    if (this.workers.delete(worker.host)) this.capacity++;
   }
 
   /** Plays so many seconds, in steps of 10 ms. */
@@ -220,9 +222,9 @@
     const until = this.now + seconds * 1000;
     while (this.now < until) {
       this.now += 10;
-      const due = this.timers.filter((l) => l.at <= this.now);
-      this.timers = this.timers.filter((l) => l.at > this.now);
-      for (const l of due) l.fn();
+      const dueTimers = this.timers.filter((timer) => timer.at <= this.now);
+      this.timers = this.timers.filter((timer) => timer.at > this.now);
+      for (const timer of dueTimers) timer.fn();
       this.state.expireLeases();
       if (this.heldHeartbeatShare > 0 || this.heldHeartbeats.length > 0) this.deliverHeldHeartbeats();
       for (const w of this.workers.values()) w.step();
@@ -230,25 +232,25 @@
       for (const [job, at] of this.cancelledAt)
         if (this.now > at + 36_000)
           for (const w of this.workers.values())
-            for (const piece of w.tasks.keys())
-              if (piece.startsWith(`${job}/`) && w.hasTask(piece))
-                this.violations.push(`ran_cancelled ${piece} stays`);
+            for (const taskKey of w.tasks.keys())
+              if (taskKey.startsWith(`${job}/`) && w.hasTask(taskKey))
+                this.violations.push(`ran_cancelled ${taskKey} stays`);
     }
   }
 
   /** Plays until something holds; false if it does not within so many seconds. */
-  advanceUntil(what: () => boolean, withinS: number): boolean {
+  advanceUntil(condition: () => boolean, withinS: number): boolean {
     const until = this.now + withinS * 1000;
-    while (!what() && this.now < until) this.advance(0.1);
-    return what();
+    while (!condition() && this.now < until) this.advance(0.1);
+    return condition();
   }
 
   /** Where tasks of a job are. */
   running(job: string): { host: string; piece: string }[] {
     const list: { host: string; piece: string }[] = [];
     for (const w of this.workers.values())
-      for (const piece of w.tasks.keys())
-        if (piece.startsWith(`${job}/`) && w.hasTask(piece)) list.push({ host: w.host, piece });
+      for (const taskKey of w.tasks.keys())
+        if (taskKey.startsWith(`${job}/`) && w.hasTask(taskKey)) list.push({ host: w.host, piece: taskKey });
     return list;
   }
 }
