--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -1,4 +1,4 @@
-/** Two failures at once: each meeting that the protocol's users have named, on seeded worlds with all rules checked. */
+/** Combinations of two concurrent failures on seeded simulated clusters. Every combination is checked against all invariants. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { operatorDefaults } from '../src/config/operators.js';
@@ -20,25 +20,34 @@
 import type { Node } from './support/controller-node.js';
 import type { World } from './support/world.js';
 
-type PeerFault = 'work' | 'refuse' | 'hang' | 'apart-leader' | 'apart-other';
+/** A fault of the connections between controllers; in `refused` the controllers notice it, in `hang` they do not. */
+type PeerFault = 'connected' | 'refused' | 'hang' | 'leader-isolated' | 'other-isolated';
 
+/** Injects a fault of the connections between controllers. */
 function injectPeerFault(w: World, fault: PeerFault, leader: Node, other: Node): void {
-  if (fault === 'refuse')
+  if (fault === 'refused')
     for (const a of w.nodes)
       for (const b of w.nodes) if (a !== b) a.push({ type: 'peer-lost', member: b.member });
-  if (fault === 'refuse' || fault === 'hang') w.peersConnected = false;
-  if (fault === 'apart-leader') leader.isolatedFromPeers = true;
-  if (fault === 'apart-other') other.isolatedFromPeers = true;
+  if (fault === 'refused' || fault === 'hang') w.peersConnected = false;
+  if (fault === 'leader-isolated') leader.isolatedFromPeers = true;
+  if (fault === 'other-isolated') other.isolatedFromPeers = true;
 }
 
 const workerFaults = ['none', 'hang', 'losesResponses'] as const;
-const peerFaults: readonly PeerFault[] = ['work', 'work', 'refuse', 'hang', 'apart-leader', 'apart-other'];
-const confirmingNodeFaults = ['goes on', 'killed', 'frozen', 'restarted'] as const;
-const leaderFaults = ['goes on', 'frozen', 'restarted'] as const;
+const peerFaults: readonly PeerFault[] = [
+  'connected',
+  'connected',
+  'refused',
+  'hang',
+  'leader-isolated',
+  'other-isolated',
+];
+const confirmingNodeFaults = ['running', 'killed', 'paused', 'restarted'] as const;
+const leaderFaults = ['running', 'paused', 'restarted'] as const;
 
 /**
- * The first meeting: the state service refuses the leader alone, another confirms cancellations, then nobody is served for
- * longer than `cancel_s`, while workers go on reporting to the old leader.
+ * Only the leader loses the state service while another controller confirms cancellations. Then the state service is unavailable for
+ * all controllers for longer than `cancel_s`, and workers continue to send heartbeats to the old leader.
  */
 function runRefusedLeaderScenario(seed: number): void {
   const w = longWorld(seed);
@@ -65,14 +74,14 @@
     m.losesResponses = choices.workers === 'losesResponses';
   }
   if (choices.confirmer === 'killed' || choices.confirmer === 'restarted') confirmingNode.alive = false;
-  if (choices.confirmer === 'frozen') confirmingNode.paused = true;
+  if (choices.confirmer === 'paused') confirmingNode.paused = true;
   w.advance(choices.outageS / 2);
   if (choices.confirmer === 'restarted') confirmingNode.boot();
   w.advance(choices.outageS / 2);
   injectPeerFault(w, choices.peers, leader, others[0]);
   w.state.unavailable = true;
   if (w.random() < 0.5) leader.cutFromState = false;
-  if (choices.leader === 'frozen') leader.paused = true;
+  if (choices.leader === 'paused') leader.paused = true;
   if (choices.leader === 'restarted') leader.alive = false;
   w.advance(3 + 15 * w.random());
   if (choices.leader === 'restarted') leader.boot();
@@ -92,21 +101,22 @@
   }
 }
 
-test('first meeting: refused alone, cancelled through another, then an outage longer than cancel_s', () => {
+test('only the leader loses the state service, another controller cancels jobs, then an outage exceeds cancel_s', () => {
   for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) runRefusedLeaderScenario(seed);
 });
 
+/** The participants of a case in `renewalCases`, and a function that cancels the jobs through controllers other than the owner. */
 type RenewalContext = { owner: Node; others: Node[]; cancelJobs: () => void };
 /**
- * Each way in which a controller may answer a worker 200. `by` cancels the jobs through another controller; what is returned
- * tells whether it has answered in that way.
+ * All situations in which a controller may answer a heartbeat with 200 and thereby renew the worker's lease. Each case creates its
+ * situation and calls `cancelJobs`. It returns a function that tells whether the situation occurred.
  */
 const renewalCases: Record<string, (w: World, way: RenewalContext) => () => boolean> = {
-  'from a fresh view'(_, { owner, cancelJobs }) {
+  'the replica is up to date'(_, { owner, cancelJobs }) {
     cancelJobs();
     return () => !owner.controller.freshness.isStale;
   },
-  'from a view that the others vouch for'(w, { owner, cancelJobs }) {
+  'peers confirm that the replica is up to date'(w, { owner, cancelJobs }) {
     owner.cutFromState = true;
     w.advance(2 * w.random());
     cancelJobs();
@@ -117,25 +127,25 @@
     w.schedule(50_000, () => (w.state.unavailable = owner.cutFromState = false));
     return () => confirmed;
   },
-  'from a view that nobody vouches for'(w, { owner, cancelJobs }) {
+  'nobody can confirm that the replica is up to date'(w, { owner, cancelJobs }) {
     owner.cutFromState = owner.isolatedFromPeers = true;
     cancelJobs();
     w.schedule(60_000, () => (owner.cutFromState = owner.isolatedFromPeers = false));
     return () => (w.leaseRenewals.answers.get(owner.member) ?? 0) > 0;
   },
-  'just taken up'(w, { owner, others, cancelJobs }) {
+  'another controller has just taken over the shard'(w, { owner, others, cancelJobs }) {
     cancelJobs();
     kill(w, owner);
     w.schedule(500 + 9000 * w.random(), () => owner.boot());
     return () => others.some((n) => (w.leaseRenewals.answers.get(n.member) ?? 0) > 0);
   },
-  'just woken'(w, { owner, cancelJobs }) {
+  'the owner has just resumed after a pause'(w, { owner, cancelJobs }) {
     owner.paused = true;
     cancelJobs();
     w.schedule(2000 + 10_000 * w.random(), () => (owner.paused = false));
     return () => owner.logLines.some(([, what]) => what === 'process stalled');
   },
-  'in a hand-over, and back'(w, { owner, others, cancelJobs }) {
+  'the shard is handed over and back'(w, { owner, others, cancelJobs }) {
     const [target] = others;
     const instanceIdOf = (n: Node): string => target.controller.replica.presences.get(n.member)!.instanceId;
     owner.controller.membership.handOver(0, target.member, instanceIdOf(target));
@@ -147,7 +157,7 @@
     );
     return () => (w.leaseRenewals.answers.get(target.member) ?? 0) > 0;
   },
-  'relayed for the owner'(w, { owner, cancelJobs }) {
+  'heartbeats are forwarded to the owner'(w, { owner, cancelJobs }) {
     for (const m of w.workers.values()) m.unreachableNodes.add(owner.member);
     w.advance(10);
     cancelJobs();
@@ -155,7 +165,7 @@
     answers.clear();
     return () => !answers.has(owner.member) && answers.size > 0;
   },
-  'while lost data is brought back'(w, { cancelJobs }) {
+  'records are being restored after data loss'(w, { cancelJobs }) {
     cancelJobs();
     w.advance(0.2 * w.random());
     const all = w.state.items();
@@ -169,7 +179,7 @@
 };
 
 for (const [name, startCase] of Object.entries(renewalCases))
-  test(`the bound on answers that keep tasks alive: ${name}`, () => {
+  test(`leases of workers with cancelled tasks are not renewed too late: ${name}`, () => {
     for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) {
       const w = longWorld(seed);
       const jobs = startLongJobs(w);
@@ -181,16 +191,16 @@
       w.leaseRenewals.answers.clear();
       const caseOccurred = startCase(w, { owner, others, cancelJobs });
       w.advance(80);
-      assert.ok(caseOccurred(), `seed ${seed}: answered in this way`);
+      assert.ok(caseOccurred(), `seed ${seed}: the situation did not occur`);
       assert.ok(
         w.leaseRenewals.maxAfterCancellationMs <= w.maxKeepMs,
-        `seed ${seed}: ${w.leaseRenewals.maxAfterCancellationMs} ms`,
+        `seed ${seed}: renewed ${w.leaseRenewals.maxAfterCancellationMs} ms after the cancellation`,
       );
       assertRecovered(w, jobs);
     }
   });
 
-/** Troubles that come and go while users bring work; then nothing may have been broken, and nobody forgotten. */
+/** Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated and all jobs must end. */
 function testConcurrentFailures(
   name: string,
   beforeS: number,
@@ -214,7 +224,7 @@
 }
 
 testConcurrentFailures(
-  'a leader ends while machines with long tasks are out of reach or deaf',
+  'a leader crashes while workers with long tasks hang, are silent or lose responses',
   40,
   (w, at) => {
     const affected = some(w, 0.6);
@@ -230,7 +240,7 @@
 );
 
 testConcurrentFailures(
-  'old reports after newer ones, through changes of the owner and of sessions',
+  'old heartbeats arrive after newer ones, across changes of the owner and of agent epochs',
   30,
   (w, at) => {
     w.duplicatedHeartbeatShare = 0.4;
@@ -251,7 +261,7 @@
 );
 
 testConcurrentFailures(
-  'small jobs whose ends lie far apart across changes of the leader and of the level',
+  'small jobs whose tasks end at very different times, across changes of the leader and of the feature level',
   15,
   (w, at) => {
     for (let s = 2; s < 100; s += 8 + 10 * w.random())
@@ -271,7 +281,7 @@
 );
 
 testConcurrentFailures(
-  'a slow state service refuses the leader, then everybody for longer than cancel_s',
+  'a slow state service is unreachable for the leader, then unavailable for all for longer than cancel_s',
   30,
   (w, at) => {
     w.responseMs = 50 + 700 * w.random();
@@ -291,7 +301,7 @@
 );
 
 testConcurrentFailures(
-  'commands and answers are held up for seconds, machines go on then; rentals and returns come late',
+  'commands and responses are delayed by seconds, workers hang and resume, rentals and deletions are executed late',
   20,
   (w, at) => {
     w.directCommandDelayMs = () => (w.random() < 0.5 ? 9000 * w.random() : 0);
@@ -318,7 +328,7 @@
 );
 
 testConcurrentFailures(
-  'controllers hand over and back, all end, one returns within a second',
+  'shards are handed over and back, all controllers crash, one restarts within a second',
   25,
   (w, at) => {
     w.duplicatedHeartbeatShare = 0.2;
@@ -357,30 +367,26 @@
   },
 );
 
-testConcurrentFailures(
-  'transactions without an answer are carried out late, after newer ones',
-  20,
-  (w, at) => {
-    w.state.delayedCommitShare = 0.35;
-    for (let s = 3; s < 80; s += 8 + 10 * w.random())
-      at(s, () => {
-        const n = pick(w, [ownerOf(w), leaderOf(w)]);
-        if (!n) return;
-        if (w.random() < 0.5) {
-          kill(w, n);
-          w.schedule(300 + 3000 * w.random(), () => n.alive || n.boot());
-        } else {
-          n.paused = true;
-          w.schedule(6000 * w.random(), () => (n.paused = false));
-        }
-      });
-    at(84, () => (w.state.delayedCommitShare = 0));
-    return 100;
-  },
-);
+testConcurrentFailures('transactions without a response are executed late, after newer ones', 20, (w, at) => {
+  w.state.delayedCommitShare = 0.35;
+  for (let s = 3; s < 80; s += 8 + 10 * w.random())
+    at(s, () => {
+      const n = pick(w, [ownerOf(w), leaderOf(w)]);
+      if (!n) return;
+      if (w.random() < 0.5) {
+        kill(w, n);
+        w.schedule(300 + 3000 * w.random(), () => n.alive || n.boot());
+      } else {
+        n.paused = true;
+        w.schedule(6000 * w.random(), () => (n.paused = false));
+      }
+    });
+  at(84, () => (w.state.delayedCommitShare = 0));
+  return 100;
+});
 
 testConcurrentFailures(
-  'a leader is cut from state and peers; workers and users reach it, jobs are cancelled through the new one',
+  'a leader is isolated from state service and peers but reachable for workers and users; jobs are cancelled through its successor',
   40,
   (w, at) => {
     const leader = pick(w, [leaderOf(w), ownerOf(w)])!;
@@ -397,8 +403,8 @@
   },
 );
 
-// Each reason for a 503 to a poll has an end, also when one controller never returns.
-test('nobody is forgotten: all end and one never returns, also when the state service has lost data', () => {
+// Every condition that makes a poll fail with 503 must end eventually, even if one controller never returns.
+test('every job is known after all controllers crash and one never returns, also after data loss in the state service', () => {
   for (const dataLost of [false, true])
     for (const missingIndex of [0, 1, 2]) {
       const w = longWorld(missingIndex + 1);
@@ -416,14 +422,14 @@
         remainingNodes.every((n) => allIds.every((id) => n.status(id)?.status === 200));
       assert.ok(
         w.advanceUntil(allKnown, dataLost ? 10 : 5),
-        `known, without ${missingNode.member}, lost ${dataLost}`,
+        `all jobs known, without ${missingNode.member}, data lost: ${dataLost}`,
       );
       const startedAt = w.now;
       const unknownJobAnswered = (): boolean =>
         remainingNodes.every((n) => n.status('req-9999')?.status === 404);
       assert.ok(
         w.advanceUntil(unknownJobAnswered, 75),
-        `404, without ${missingNode.member}, lost ${dataLost}`,
+        `404 for an unknown job, without ${missingNode.member}, data lost: ${dataLost}`,
       );
       assert.ok(w.now - startedAt < (dataLost ? 60_000 : 5000), `404 after ${w.now - startedAt} ms`);
       assert.deepEqual(w.violations, []);
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -1,4 +1,4 @@
-/** Helpers for tests in which two failures meet: seeded choices, cut-off groups of machines, long-running worlds. */
+/** Helpers for tests with concurrent failures: seeded random choices, clusters with long tasks, mixed traffic and final checks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Traffic } from './traffic.js';
@@ -8,22 +8,28 @@
 import { type Worker } from './scripted-worker.js';
 import { World } from './world.js';
 
-/** How many seeds of each meeting are played; more by hand. */
+/** The number of seeds that each test runs. MEETING_SEEDS overrides it for longer manual runs. */
 export const seedCount = Number(process.env['MEETING_SEEDS'] ?? 4);
+/** The first seed. MEETING_FIRST overrides it, for example to repeat a failed seed. */
 export const firstSeed = Number(process.env['MEETING_FIRST'] ?? 1);
+/** The `cancel_s` of the platform settings in fixtures.ts. */
 export const cancelS = 36;
-/** The meetings are played without and with the task log (meetingslogged.test.ts). */
+/** MEETING_TASK_LOG enables the task log. The tests run without and with it (see concurrent-failures-task-log.test.ts). */
 const operators = process.env['MEETING_TASK_LOG'] ? { 'task-log': 1 } : {};
 
+/** Options of `longWorld`. */
 interface Setting {
+  /** How long tasks run, s. */
   runS?: number;
+  /** How many machines can be rented. */
   capacity?: number;
+  /** Changes the platform settings, given as TOML. */
   settingsOf?: (text: string) => string;
-  /** Done before the controllers start. */
+  /** Called before the simulation starts. */
   prepare?: (w: World) => void;
 }
 
-/** Three controllers that serve, on a world whose tasks run for long. */
+/** A simulated cluster with long tasks and three controllers that are ready to serve. */
 export function longWorld(seed: number, setting: Setting = {}): World {
   const w = new World(3, operators, seed, setting.settingsOf);
   w.capacity = setting.capacity ?? 80;
@@ -35,14 +41,18 @@
     n.controller.sureOfAbsence;
   assert.ok(
     w.advanceUntil(() => w.nodes.every(isReady), 60),
-    'up',
+    'all controllers are ready',
   );
   return w;
 }
 
+/** A random element of a list. */
 export const pick = <T>(w: World, list: readonly T[]): T => list[Math.floor(w.random() * list.length)];
 
-/** Of each kind two jobs, one of which is to be cancelled; the first array has a machine for itself, others share. */
+/**
+ * Starts two jobs of each kind, one of which is to be cancelled. Each task of the first kind fills a machine; tasks of the others
+ * share machines.
+ */
 export function startLongJobs(w: World): { cancel: string[]; keep: string[] } {
   const jobTemplates = [
     { tasks: 4, cpus: 8 },
@@ -59,7 +69,7 @@
     }),
   );
   const allRunning = (): boolean => jobs.every((job) => w.running(job.id).length === job.tasks);
-  assert.ok(w.advanceUntil(allRunning, 120), 'all run');
+  assert.ok(w.advanceUntil(allRunning, 120), 'all tasks run');
   w.advance(3);
   return {
     cancel: jobs.filter((j) => j.id.startsWith('req-1')).map((j) => j.id),
@@ -67,7 +77,7 @@
   };
 }
 
-/** Cancels a job as its user does: through whichever controller answers, until one has confirmed it. */
+/** Cancels a job as a user does: tries the controllers in turn until one confirms it. Returns that controller. */
 export function cancelJob(w: World, id: string, nodes: readonly Node[], withinS = 60): Node {
   const until = w.now + withinS * 1000;
   while (w.now < until)
@@ -79,35 +89,35 @@
       }
       w.advance(0.2);
     }
-  return assert.fail(`${id} not cancelled`);
+  return assert.fail(`${id}: no controller confirmed the cancellation`);
 }
 
-/** Troubles are over: every job is known, those that were cancelled stay so, the others run (on). */
+/** Checks the state after all failures have ended: every job is known, cancelled jobs stay cancelled and the others run. */
 export function assertRecovered(w: World, jobs: { cancel: string[]; keep: string[] }, withinS = 75): void {
   const isKnown = (id: string): boolean =>
     w.nodes.filter((n) => n.alive).every((n) => n.status(id)?.status === 200);
   for (const id of [...jobs.cancel, ...jobs.keep])
     assert.ok(
       w.advanceUntil(() => isKnown(id), withinS),
-      `${id} is forgotten`,
+      `${id}: not every controller knows the job`,
     );
   for (const id of jobs.cancel)
     assert.equal(w.nodes.find((n) => n.alive)!.status(id)?.body['status'], 'aborted');
   const allTasksRun = (id: string): boolean => w.running(id).length === w.specs.get(id)!.tasks;
   assert.ok(
     w.advanceUntil(() => jobs.keep.every(allTasksRun), 150),
-    `not run at ${w.now}: ${jobs.keep
+    `tasks do not run at ${w.now} ms: ${jobs.keep
       .filter((id) => !allTasksRun(id))
       .map(
         (id) =>
-          `${id} ${w.running(id).length} ${w.workers.size} machines, ${w.capacity} left, ${w.finished.length} finished`,
+          `${id} ${w.running(id).length} ${w.workers.size} machines, ${w.capacity} more available, ${w.finished.length} tasks finished`,
       )
       .join(' ')}`,
   );
   assert.deepEqual(w.violations.slice(0, 3), []);
 }
 
-/** Ends a controller's process; its peers notice the broken connections, mostly. */
+/** Ends a controller's process. Each peer notices the broken connection with a probability of 80 %. */
 export function kill(w: World, n: Node): void {
   n.alive = false;
   for (const peer of w.nodes)
@@ -115,13 +125,14 @@
       w.schedule(20, () => peer.push({ type: 'peer-lost', member: n.member }));
 }
 
+/** The durations of the tasks of `mixedTraffic`, s. */
 const taskDurationsS = [3, 8, 20, 45, 80];
 
-/** Users of a busy fleet: jobs of all shapes, of which many have two or three tasks that end far apart. */
+/** Traffic of jobs of all shapes. Many have two or three tasks whose durations differ widely. */
 export function mixedTraffic(w: World, everyMs = 2000): Traffic {
   w.taskDurationOf = (taskKey) => {
     const [job, index] = taskKey.split('/');
-    // A gang's tasks complete together.
+    // All tasks of a gang have the same duration.
     const jobNumber = Number(job.slice(4));
     return taskDurationsS[(jobNumber + (w.gangs.has(job) ? 0 : Number(index))) % taskDurationsS.length];
   };
@@ -135,7 +146,10 @@
   });
 }
 
-/** The troubles are over: every job gets an answer within 75 s, waits for no room that is there, and comes to its end. */
+/**
+ * Checks the state after all failures have ended: every job's status is answered within 75 s, no job waits too long while there
+ * is room for it, and all jobs end.
+ */
 export function assertAllJobsEnd(w: World, users: Traffic, withinS = 300): void {
   users.stop();
   const startedAt = w.now;
@@ -144,7 +158,7 @@
     [...users.told.keys()].filter((id) => (users.lastAnsweredAt.get(id) ?? -Infinity) < startedAt);
   assert.ok(
     w.advanceUntil(() => unanswered().length === 0, 75),
-    `forgotten: ${unanswered().slice(0, 5).join(' ')}`,
+    `no answer about: ${unanswered().slice(0, 5).join(' ')}`,
   );
   const allEnded = w.advanceUntil(() => users.over, withinS);
   waiting.stop();
@@ -154,41 +168,47 @@
   );
   const describeJob = (id: string): string => {
     const { shape, team, tasks, cpus, urgency } = w.specs.get(id)!;
-    return `${id} ${urgency} ${shape} of ${tasks} x ${cpus}, ${team}, ${w.running(id).length} there`;
+    return `${id} ${urgency} ${shape} of ${tasks} x ${cpus}, ${team}, ${w.running(id).length} running`;
   };
   assert.ok(
     allEnded,
-    `not over: ${unfinished.map(describeJob).join('; ')}; ${w.workers.size} machines, ${w.capacity} left`,
+    `not ended: ${unfinished.map(describeJob).join('; ')}; ${w.workers.size} machines, ${w.capacity} more available`,
   );
 }
 
+/** A random subset of the workers, of which each is chosen with the given probability. */
 export const some = (w: World, share: number): Worker[] =>
   [...w.workers.values()].filter(() => w.random() < share);
 
-/** What a meeting brings about: how long its troubles last, and whether they met. */
+/** What the failure injection of a test returns: how long its failures last, and how to tell whether they coincided. */
 export interface Course {
+  /** How long the failures last, s. */
   lastsS: number;
-  /** How often the meeting really came about. */
+  /** How often the failures under test really coincided. */
   came: () => number;
-  /** Looked at when all is over. */
+  /** Additional checks at the end. */
   over?: () => void;
 }
 
+/** Options of a test with concurrent failures. */
 export interface Scene {
+  /** How long traffic runs before the failures begin, s. */
   beforeS?: number;
+  /** Creates the simulated cluster; `longWorld` by default. */
   world?: (seed: number) => World;
+  /** Creates the traffic; `mixedTraffic` by default. */
   users?: (w: World) => Traffic;
-  /** Seeds that once showed a fault: always played beside the others. */
+  /** Seeds that have revealed a fault before. They always run in addition to the others. */
   shown?: readonly number[];
-  /** Within which time all work is over. */
+  /** The time within which all jobs must end after the failures, s. */
   withinS?: number;
-  /** How many of the seeds are played, of those that are asked for. */
+  /** The share of the configured number of seeds that runs. */
   share?: number;
 }
 
 /**
- * Troubles that come and go while users bring work; then nothing may have been broken, nobody forgotten, and nothing may wait.
- * A seed in which the troubles did not meet counts for nothing: another is played for it.
+ * Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated, every job
+ * must be known and all jobs must end. Seeds in which the failures did not coincide do not count; further seeds run instead.
  */
 export function meeting(
   name: string,
@@ -216,25 +236,28 @@
         assertAllJobsEnd(w, users, withinS);
         scenario.over?.();
         if (process.env['MEETING_TELL'])
-          console.log(`${name}: seed ${seed} came ${scenario.came()}`, w.startsAfterCancellation.length);
+          console.log(
+            `${name}: seed ${seed}: coincidences ${scenario.came()}`,
+            w.startsAfterCancellation.length,
+          );
         return scenario.came() > 0;
       } catch (e) {
         throw new Error(`seed ${seed}: ${(e as Error).message}`, { cause: e });
       }
     };
-    for (const seed of shown) assert.ok(runSeed(seed), `seed ${seed} shows nothing any more`);
+    for (const seed of shown) assert.ok(runSeed(seed), `seed ${seed}: the failures no longer coincide`);
     let countedSeeds = 0;
     for (let seed = firstSeed; countedSeeds < requiredSeeds; seed++) {
       assert.ok(
         seed < firstSeed + 3 * requiredSeeds,
-        `met in ${countedSeeds} of ${seed - firstSeed} seeds only`,
+        `the failures coincided in only ${countedSeeds} of ${seed - firstSeed} seeds`,
       );
       if (runSeed(seed)) countedSeeds++;
     }
   });
 }
 
-/** Ends a controller's process, and starts it again within this time, s. */
+/** Ends a controller's process and starts it again after a random time between the two bounds, s. */
 export function bounce(w: World, n: Node | undefined, minDownS: number, maxDownS: number): void {
   if (!n?.alive) return;
   kill(w, n);
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -1,4 +1,4 @@
-/** One controller of the scripted world: steps its core, carries its effects out, and fails in the ways that tests ask for. */
+/** One controller of the simulated cluster: runs its core, executes the effects it returns, and injects the failures that tests configure. */
 import type { OperatorSettings } from '../../src/config/operators.js';
 import type { Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/core/controller.js';
@@ -10,7 +10,7 @@
 import type { Change, Transaction } from '../../src/wire/store.js';
 import type { World } from './world.js';
 
-/** A build of the controllers: this one, or an earlier one that plays beside it. */
+/** A build of the controller: the current one, or an earlier one that runs alongside it in upgrade tests. */
 export interface Program {
   name: string;
   Controller: typeof Controller;
@@ -19,40 +19,41 @@
 /** The build under test. */
 export const thisProgram: Program = { name: 'new', Controller };
 
-/** Brings a command to the core after the time that a response takes, unless the process has restarted meanwhile. */
+/** Queues a response for the core after the response time, unless the controller has restarted in the meantime. */
 type Reply = (command: Command) => void;
 
-/** A controller process: its core, the queue before it, and what reaches it. */
+/** A controller process: its core, its input queue and its network conditions. */
 export class Node {
   controller!: Controller;
   private queue: Command[] = [];
   alive = true;
-  /** Cut off from the state service: it gets no answers and sees no changes. */
+  /** Disconnected from the state service: no requests succeed and no changes are seen. */
   cutFromState = false;
-  /** It gets 429 from the state service. */
+  /** The state service answers its requests with 429. */
   rateLimited = false;
-  /** It and the other controllers do not reach each other. */
+  /** It and the other controllers cannot reach each other. */
   isolatedFromPeers = false;
-  /** Its commits are on their way for long, and it gets no answer to them. */
+  /** Its commits are kept in `heldCommits` and get no response. */
   holdsCommits = false;
-  /** What it tells the others comes so much later. */
+  /** Additional delay of its messages to other controllers, ms. */
   peerDelayMs = 0;
-  /** It stands still while its clock runs on: what arrives waits. */
+  /** The process is paused while its clock runs on; incoming messages are queued. */
   paused = false;
-  /** How fast its steady clock runs. */
+  /** The rate of its monotonic clock relative to simulated time. */
   clockRate = 1;
-  /** Changes of the state reach it again only some time after it woke: first comes what had waited. */
+  /** When the watch delivers changes again after a pause. Messages that were queued during the pause are processed first. */
   private watchResumesAt = 0;
   private watchedRevision = -1;
   private snapshotStartedAt = 0;
+  /** Responses to requests, by request id. */
   responses = new Map<number, { status: number; body: Record<string, unknown>; retryAfterS?: number }>();
   private processStarts = 0;
-  /** The program that it runs from its next start on. */
+  /** The build that it runs from its next start on. */
   program: Program = thisProgram;
   operators: OperatorSettings;
-  /** What it has logged: level, message, fields. */
+  /** Its log entries: level, message, fields. */
   readonly logLines: [string, string, Record<string, unknown>?][] = [];
-  /** What its process died of, if it did. */
+  /** The exception that ended its process, if any. */
   crashError: Error | null = null;
   constructor(
     readonly world: World,
@@ -64,7 +65,7 @@
     this.boot();
   }
 
-  /** Starts the process anew, without any memory. */
+  /** Starts the process with empty memory. */
   boot(): void {
     this.alive = true;
     this.queue = [];
@@ -72,7 +73,7 @@
     this.start(null);
   }
 
-  /** How often it began anew with what it knew. */
+  /** How often the core restarted with recovery records, without a process restart. */
   recoveryRestarts = 0;
 
   private start(recoveryRecords: RecoveryRecords | null): void {
@@ -89,12 +90,12 @@
     });
   }
 
-  /** Queues a command for the next step. */
+  /** Queues a command for the next step, if the process is alive. */
   push(c: Command): void {
     if (this.alive) this.queue.push(c);
   }
 
-  /** Lets the watch and the core go on, and carries out what the core wants done. */
+  /** Delivers state changes to the core, runs one step of it and executes the effects that it returns. */
   step(): void {
     if (!this.alive) return;
     const state = this.world.state;
@@ -102,7 +103,7 @@
       this.watchResumesAt = this.world.now + 300;
       return;
     }
-    // Reading takes its time and begins anew when it is interrupted; what is watched goes on.
+    // Loading the snapshot takes time and starts over when it is interrupted. A running watch continues after an interruption.
     const stateUnreachable =
       this.cutFromState || state.unavailable || (this.rateLimited && this.watchedRevision < 0);
     if (stateUnreachable && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
@@ -129,7 +130,7 @@
         wall: 1e12 + this.world.now,
       });
     } catch (e) {
-      // As a process: it ends.
+      // An uncaught exception ends the process.
       if (!this.world.crashesAllowed) throw e;
       this.alive = false;
       this.crashError = e as Error;
@@ -231,7 +232,7 @@
         break;
       case 'restart':
         this.recoveryRestarts++;
-        // What was asked for before counts no more; requests wait on.
+        // Responses to earlier requests of the core are dropped; requests of users and workers stay queued.
         this.queue = this.queue.filter((c) => ['submit', 'query', 'cancel', 'heartbeat'].includes(c.type));
         this.start(e.recoveryRecords);
         break;
@@ -348,7 +349,7 @@
   }
 
   private nextRequestId = 1000;
-  /** Sends a request and plays until it is answered. */
+  /** Sends a request and advances the simulation until it is answered. Returns undefined after `withinMs` without a response. */
   request(c: (requestId: number) => Command, withinMs = 6000) {
     const requestId = ++this.nextRequestId;
     this.push(c(requestId));
@@ -356,12 +357,15 @@
     while (!this.responses.has(requestId) && this.world.now < until) this.world.advance(0.01);
     return this.responses.get(requestId);
   }
+  /** Submits a job and returns the response. */
   submit = (job: JobSpec) => {
     if (job.shape === 'service') this.world.serviceJobs.add(job.id);
     if (job.shape === 'gang') this.world.gangs.set(job.id, job.tasks);
     this.world.specs.set(job.id, job);
     return this.request((requestId) => ({ type: 'submit', requestId, spec: job }));
   };
+  /** Queries a job and returns the response. */
   status = (id: string) => this.request((requestId) => ({ type: 'query', requestId, id }));
+  /** Cancels a job and returns the response. */
   cancel = (id: string) => this.request((requestId) => ({ type: 'cancel', requestId, id }));
 }
--- a/test/support/fixtures.ts
+++ b/test/support/fixtures.ts
@@ -1,8 +1,8 @@
-/** What most tests start from: a platform settings file, a machine type and a job, each with small round numbers. */
+/** Default fixtures of most tests: a platform settings file, a machine type and a job specification, with small round numbers. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { MachineType } from '../../src/model/machine.js';
 
-/** The platform settings of one of `nodes` controllers, as TOML. */
+/** The platform settings of the given member of a cluster with `nodes` controllers, as TOML. */
 export const settingsText = (member: string, nodes: number): string => `
 member = "${member}"
 location = "north"
@@ -43,7 +43,7 @@
 list_lag_s = 5.0
 `;
 
-/** The machine type that most tests use. */
+/** The default machine type. */
 export const box: MachineType = {
   name: 'box',
   cpus: 8,
@@ -57,8 +57,8 @@
   zones: ['north', 'south'],
 };
 
-/** A small job; `over` changes what a test is about. */
-export const spec = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
+/** A small job specification; `overrides` replaces single fields. */
+export const spec = (id: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
   id,
   class: 'c',
   team: 'red',
@@ -79,5 +79,5 @@
   checkpointS: 0,
   saveS: 0,
   deadlineS: null,
-  ...over,
+  ...overrides,
 });
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -1,32 +1,35 @@
-/** The state service as the protocol describes it, in memory and on the fake clock, with faults that tests switch on. */
+/** An in-memory state service on the simulated clock that follows the protocol, with faults that tests can switch on. */
 import type { CommitOutcome } from '../../src/core/effects.js';
 import { keyPrefix } from '../../src/core/storage/index.js';
 import type { Change, Transaction } from '../../src/wire/store.js';
 import type { World } from './world.js';
 
-/** Keys, revisions, leases and the write budget, as one consistent store. */
+/** A consistent key-value store with revisions, leases and a write rate limit. */
 export class StateService {
+  /** The current revision. */
   epoch = 1;
   unavailable = false;
-  /** More is asked of it than it takes: commits get 429. */
+  /** Overloaded: commits are answered with 429. */
   rateLimited = false;
-  /** Executed, but the answer to a commit gets lost. */
+  /** Commits are executed, but their responses are lost. */
   dropsResponses = false;
-  /** The same, for some. */
+  /** Selects single transactions whose responses are lost. */
   dropsResponseTo: (txn: Transaction) => boolean = () => false;
-  /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
+  /** The share of transactions that get no response and are executed 2 to 12 s later, after newer ones. */
   delayedCommitShare = 0;
+  /** The stored records by key; `hold` is the lease that a record is attached to. */
   readonly entries = new Map<string, Change & { hold?: number }>();
+  /** All changes in the order of their revisions. */
   readonly log: Change[] = [];
   private leaseExpiresAt = new Map<number, number>();
   private nextLeaseId = 1;
 
   constructor(private readonly world: World) {}
 
-  /** Called with each transaction just before it is carried out. */
+  /** Called with each transaction just before it is executed. */
   beforeCommit: (txn: Transaction) => void = () => undefined;
 
-  /** Carries a transaction out, or says why not. */
+  /** Executes a transaction, or returns why it was not executed. */
   commit(txn: Transaction): CommitOutcome {
     this.beforeCommit(txn);
     if (this.unavailable) return { type: 'rejected' };
@@ -52,10 +55,11 @@
     return { type: 'ok', revision: this.epoch };
   }
 
-  /** Puts and deletes that it takes in a second; bursts of a second's worth are allowed. */
+  /** The rate limit for puts and deletes. Bursts of up to one second's worth are allowed. */
   writesPerS = Infinity;
   private writeBudget = 0;
   private writeBudgetUpdatedAt = 0;
+  /** How many transactions exceeded the write rate limit. */
   rateLimitedCount = 0;
   private takeWriteBudget(writes: number): boolean {
     if (!Number.isFinite(this.writesPerS)) return true;
@@ -73,7 +77,7 @@
     return true;
   }
 
-  /** Grants a lease; null while it is unavailable. */
+  /** Grants a lease and returns its id; null while the service is unavailable. */
   grantLease(ttlMs: number): number | null {
     if (this.unavailable) return null;
     const leaseId = this.nextLeaseId++;
@@ -83,7 +87,7 @@
   }
   private leaseTtlMs = new Map<number, number>();
 
-  /** Renews a lease for its full time. */
+  /** Renews a lease for its full duration. */
   renewLease(leaseId: number): 'ok' | 'gone' | 'failed' {
     if (this.unavailable) return 'failed';
     this.expireLeases();
@@ -92,7 +96,7 @@
     return 'ok';
   }
 
-  /** Ends a lease and removes the keys attached to it. */
+  /** Revokes a lease and deletes the keys attached to it. */
   revokeLease(leaseId: number): void {
     this.leaseExpiresAt.delete(leaseId);
     const attachedEntries = [...this.entries.values()].filter((k) => k.hold === leaseId);
@@ -103,7 +107,7 @@
     }
   }
 
-  /** Ends the leases that are over. In an outage every lease keeps its full time. */
+  /** Revokes expired leases. During an outage every lease is extended to its full duration. */
   expireLeases(): void {
     if (this.unavailable)
       for (const leaseId of this.leaseExpiresAt.keys())
@@ -112,12 +116,15 @@
       if (expiresAt < this.world.now) this.revokeLease(leaseId);
   }
 
-  /** A copy of what there is, to come back to. */
+  /** A copy of the current contents, to restore later. */
   snapshot(): { epoch: number; keys: [string, Change & { hold?: number }][] } {
     return { epoch: this.epoch, keys: [...this.entries] };
   }
 
-  /** It has lost data: what is left, at which revision. Nothing tells of it; leases are gone, too. */
+  /**
+   * Simulates data loss: only the given records remain, at the given revision. The change log and all leases are lost, too, and
+   * clients are not notified.
+   */
   loseData(remaining: [string, Change & { hold?: number }][], epoch: number): void {
     this.entries.clear();
     for (const [key, entry] of remaining) this.entries.set(key, entry);
@@ -126,7 +133,7 @@
     this.leaseExpiresAt.clear();
   }
 
-  /** All records of the controllers. */
+  /** All records under the key prefix of the controllers. */
   items(): Change[] {
     return [...this.entries.values()]
       .filter((k) => k.key.startsWith(keyPrefix))
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -1,38 +1,44 @@
-/** A worker of the scripted world: epochs, leases, fencing tokens and task commands as the protocol has them. */
+/** A worker of the simulated cluster that follows the protocol on agent epochs, leases, fencing tokens and task commands. */
 import type { ExitReason, Heartbeat, TaskOrder, TaskStatus } from '../../src/model/heartbeat.js';
 import type { Node } from './controller-node.js';
 import type { World } from './world.js';
 
 interface WorkerTask {
   report: TaskStatus;
+  /** When the current phase of the task began, ms. */
   since: number;
-  /** How long it saves, if it does. */
+  /** How long the task saves its state when it is stopped, s. */
   saveS?: number;
 }
 
-/** A task ends for this reason. */
+/** Marks a task as exited. */
 function markExited(report: TaskStatus, reason: ExitReason, saved = report.saved): void {
   report.phase = 'exited';
   report.exitReason = reason;
   report.saved = saved;
 }
 
-/** A worker: sessions, leases, tokens and orders as the protocol has them. */
+/** A worker: sends heartbeats, executes task commands and drops all tasks when its lease expires. */
 export class Worker {
+  /** The agent epoch. It is incremented each time the lease expires. */
   session = 1;
   seq = 0;
+  /** The highest fencing token seen. */
   token = 0;
   tasks = new Map<string, WorkerTask>();
+  /** The time until a spot machine is reclaimed, if notice of it was given, s. */
   spotNoticeS: number | null = null;
+  /** Sends no heartbeats and ignores responses to earlier ones. */
   silent = false;
-  /** The machine hangs: nothing goes on, and what is due is done when it does again. */
+  /** The machine hangs: nothing is executed. Overdue work is done when it resumes. */
   hung = false;
-  /** Its reports arrive; answers and direct commands to it are lost. */
+  /** Its heartbeats arrive, but responses and direct commands to it are lost. */
   losesResponses = false;
-  /** Direct commands that have come while it hung. */
+  /** Direct commands received while the machine hung. */
   private readonly delayedCommands: { orders: TaskOrder[]; token: number; session: number }[] = [];
-  /** Controllers that it cannot reach. */
+  /** Members whose controllers it cannot reach. */
   readonly unreachableNodes = new Set<string>();
+  /** Every task fails as soon as it starts. */
   failsTasks = false;
   taskDurationS: number;
   private leaseStartedAt: number;
@@ -40,7 +46,7 @@
   private inFlight = false;
   private targetIndex = 0;
   readonly createdAt: number;
-  /** When it last got an answer it could use, and the longest time without, ms. */
+  /** When it last received a response that renewed its lease, and the longest interval without one, ms. */
   leaseRenewedAt: number;
   longestGapMs = 0;
   constructor(
@@ -55,6 +61,7 @@
     this.taskDurationS = world.taskDurationS;
   }
 
+  /** Builds the next heartbeat. */
   report(): Heartbeat {
     this.seq++;
     return {
@@ -71,7 +78,7 @@
     };
   }
 
-  /** A task gets its image; one of a gang then waits for the others of its attempt. */
+  /** Ends the image fetch of a task when it is due. A gang task then waits until all tasks of its attempt are ready. */
   private advanceImageFetch(t: WorkerTask): void {
     const { report } = t;
     const w = this.world;
@@ -89,7 +96,7 @@
     t.since = w.now;
   }
 
-  /** Its lease has ended: all that it had is gone. */
+  /** Expires the lease: all tasks are dropped and a new agent epoch begins. */
   expireLease(): void {
     this.tasks.clear();
     this.session++;
@@ -97,12 +104,12 @@
     this.nextHeartbeatAt = this.world.now;
   }
 
-  /** Whom it reports to. */
+  /** The controller that it sends heartbeats to. */
   get currentNode(): Node {
     return this.world.nodes[this.targetIndex % this.world.nodes.length];
   }
 
-  /** Things that go on without any controller. */
+  /** Advances everything that needs no controller: lease expiry, delayed commands, image fetches, saving and task completion. */
   advanceTasks(): void {
     const w = this.world;
     if (w.now - this.leaseStartedAt > w.leaseMs) {
@@ -128,6 +135,7 @@
       }
   }
 
+  /** Advances the tasks and sends a heartbeat if one is due. */
   step(): void {
     const w = this.world;
     if (this.hung) return;
@@ -166,10 +174,10 @@
 
   private receiveResponse(node: Node, requestId: number, sentAt: number, session: number): void {
     const w = this.world;
-    // A machine that goes on takes what came meanwhile, unless that is too old.
+    // A machine that resumes processes responses received while it hung, unless they are too old.
     if (this.hung && w.now - sentAt < 4000)
       return w.schedule(50, () => this.receiveResponse(node, requestId, sentAt, session));
-    // One report at a time; an answer is waited for as long as its controller lives.
+    // Only one heartbeat is in flight. The worker waits for its response up to 4 s, while the controller is alive.
     const stillWaiting =
       !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
     if (!node.responses.has(requestId) && stillWaiting && w.now - sentAt < 4000)
@@ -211,7 +219,10 @@
     );
   }
 
-  /** An answer has kept its tasks alive. Of a cancelled job it may only for so long that the lease still ends in time. */
+  /**
+   * Checks a response that renewed the lease. It may keep a task of a cancelled job alive only while the renewed lease still ends
+   * within the time limit for cancellations.
+   */
   private checkKeptTasks(node: Node, sentAt: number, stoppedTasks: ReadonlySet<string>): void {
     const w = this.world;
     w.leaseRenewals.answers.set(node.member, (w.leaseRenewals.answers.get(node.member) ?? 0) + 1);
@@ -227,13 +238,14 @@
     }
   }
 
-  /** Commands sent straight to it: carried out late, too, as long as token and session are right. */
+  /** Receives commands that a controller sent directly. Late commands are executed, too, if session and token are still valid. */
   receiveDirectCommands(orders: TaskOrder[], token: number, session: number): void {
     if (this.losesResponses) return;
     if (this.hung) this.delayedCommands.push({ orders, token, session });
     else if (session === this.session) this.execute(orders, token);
   }
 
+  /** Executes task commands unless their fencing token is outdated. */
   execute(orders: TaskOrder[], token: number): void {
     if (token < this.token || this.hung) return;
     this.token = token;
@@ -261,7 +273,7 @@
     }
   }
 
-  /** One that saves goes on doing so unless it is told to end at once. */
+  /** Stops a task. A task that is saving its state continues to do so unless the grace period is 0. */
   private stopTask(t: WorkerTask, graceS: number): void {
     const saveS = this.world.specs.get(t.report.job)?.saveS ?? 0;
     const saves = t.report.phase === 'running' && saveS > 0 && graceS >= saveS;
@@ -270,7 +282,7 @@
     else if (t.report.phase !== 'saving' || graceS === 0) markExited(t.report, 'stopped', graceS > 0);
   }
 
-  /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
+  /** Whether it has a task that has not exited. A hung machine can resume its tasks until its lease expires, and has none after that. */
   hasTask(taskKey: string): boolean {
     if (this.hung && this.world.now - this.leaseStartedAt > this.world.leaseMs) return false;
     const t = this.tasks.get(taskKey);
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -1,9 +1,10 @@
-/** Users of the scripted world: they submit, poll and cancel through every controller and check what they are answered. */
+/** Simulated users that submit, poll and cancel jobs through all controllers and check the responses. */
 import type { JobSpec } from '../../src/model/job.js';
 import { type Node } from './controller-node.js';
 import { spec } from './fixtures.js';
 import { type World } from './world.js';
 
+/** A request without a response so far. */
 interface PendingRequest {
   id: string;
   node: Node;
@@ -12,35 +13,45 @@
   kind: 'submit' | 'query' | 'cancel';
 }
 
+/** What users distinguish of a job's status. */
 type ReportedStatus = 'accepted' | 'done' | 'aborted';
+/** A known status is replaced only by one of a higher rank. */
 const statusRank: Record<ReportedStatus, number> = { accepted: 0, done: 1, aborted: 1 };
 
 /**
- * Users of a world: jobs come one after the other, each is asked for again and again, some are withdrawn, through whichever
- * controller is healthy. What they are told is held against the rules.
+ * Users of a simulated cluster: they submit jobs at a fixed interval, poll each job repeatedly and cancel some, through any healthy
+ * controller. Responses that violate an invariant are recorded as violations.
  */
 export class Traffic {
+  /** All jobs, by id. */
   readonly jobs = new Map<string, JobSpec>();
+  /** The latest status that users were told, by job. Jobs that are not accepted yet are missing. */
   readonly told = new Map<string, ReportedStatus>();
+  /** When users were first told that a job has ended, ms. */
   private readonly endReportedAt = new Map<string, number>();
-  /** When a job's user last had an answer of use. */
+  /** When a job's user last got a status, ms. */
   readonly lastAnsweredAt = new Map<string, number>();
-  /** Answers that were no use: 429, 503, none. */
+  /** The number of requests without a usable response: 429, 503 or none. */
   failed = 0;
+  /** The number of responses with a status. */
   answered = 0;
-  /** How long jobs took to be accepted, from their first try, ms. */
+  /** The time from the first submission of each job to its acceptance, ms. */
   readonly acceptedAfter: number[] = [];
   private readonly firstSubmittedAt = new Map<string, number>();
+  /** Jobs that users have cancelled or are about to cancel. */
   private readonly cancelRequested = new Set<string>();
   private pendingRequests: PendingRequest[] = [];
   private resubmissions: { at: number; id: string }[] = [];
   private nextJobNumber: number;
-  /** Of what is told anew this share is looked at closely. */
+  /** The share of new statuses that are checked on all controllers. */
   private closeCheckShare = 0;
-  /** This share of the jobs is cancelled right after it was accepted, or at its end. */
+  /**
+   * The share of checked acceptances that are followed by an immediate cancellation, and the share of jobs that are queried,
+   * resubmitted and mostly cancelled around their end.
+   */
   private cancelOnAcceptShare = 0;
   private checkAtEndShare = 0;
-  /** How often all controllers were asked closely, by what had been told; and cancellations that met the end. */
+  /** The number of checks on all controllers, by the reported status, and of checks around the end of a job. */
   readonly looks = { accepted: 0, done: 0, aborted: 0, atEnd: 0 };
   private readonly endedTaskCounts = new Map<string, number>();
   private seenFinishedTasks = 0;
@@ -52,9 +63,11 @@
 
   constructor(
     private readonly w: World,
-    /** A new job this often. */
+    /** The interval between new jobs. */
     private readonly intervalMs: number,
+    /** Fields of the job with the given number that differ from the default. */
     private readonly jobOverridesOf: (jobNumber: number) => Partial<JobSpec> = () => ({}),
+    /** Jobs whose number is divisible by this are cancelled. */
     private readonly cancelEvery = 7,
     firstJobNumber = 100,
   ) {
@@ -63,8 +76,9 @@
   }
 
   /**
-   * From now on users look closely: after an answer that says something new, all controllers are asked within milliseconds,
-   * also by repeating the submission.
+   * Starts additional checks: for the given share of responses with a new status, users query all controllers within
+   * milliseconds and repeat the submission on some. `cancelOnAccept` and `checkAtEnd` are the shares of jobs that users also cancel right after
+   * acceptance, and check around their end.
    */
   closely(share: number, cancelOnAccept = 0, checkAtEnd = 0): void {
     const firstCall = this.closeCheckShare === 0;
@@ -82,6 +96,7 @@
     tick();
   }
 
+  /** Queries a job on all controllers, with a probability of `closeCheckShare`, after its status has changed. */
   private checkOnAllNodes(id: string, status: ReportedStatus): void {
     const { w } = this;
     if (w.random() >= this.closeCheckShare) return;
@@ -97,18 +112,18 @@
       w.schedule(30 * w.random(), () => this.cancel(id, w.nodes[Math.floor(w.random() * w.nodes.length)]));
   }
 
-  /** Its user calls a job off, through this controller first. */
+  /** Cancels a job, first through the given controller. */
   cancel(id: string, node?: Node): void {
     this.cancelRequested.add(id);
     this.sendRequest('cancel', id, node);
   }
 
-  /** Jobs that were accepted and are not known to be over. */
+  /** Jobs that were accepted and are not known to have ended. */
   get going(): string[] {
     return [...this.told].flatMap(([id, told]) => (told === 'accepted' ? [id] : []));
   }
 
-  /** Cancellations, questions and repeated submissions that meet the end of a job's last task. */
+  /** Sends cancellations, queries and repeated submissions around the time at which the last task of a job ends. */
   private checkJobEnds(): void {
     const { w } = this;
     for (; this.seenFinishedTasks < w.finished.length; this.seenFinishedTasks++) {
@@ -129,11 +144,12 @@
     }
   }
 
-  /** No new jobs. */
+  /** Stops submitting new jobs. */
   stop(): void {
     this.submitting = false;
   }
 
+  /** Whether users were told of every job that it has ended. */
   get over(): boolean {
     return [...this.jobs.keys()].every(
       (id) => this.told.get(id) === 'done' || this.told.get(id) === 'aborted',
@@ -240,7 +256,7 @@
 
   private processStatus(request: PendingRequest, status: string): void {
     if (!this.jobs.has(request.id)) {
-      this.w.violations.push(`invented ${request.id}: ${status} by ${request.node.member}`);
+      this.w.violations.push(`unknown_job ${request.id}: ${status} by ${request.node.member}`);
       return;
     }
     this.answered++;
@@ -250,7 +266,7 @@
     const previous = this.told.get(request.id);
     if (previous === undefined) this.acceptedAfter.push(this.w.now - this.firstSubmittedAt.get(request.id)!);
     if (previous === 'done' || previous === 'aborted') {
-      // Asked for before it was told, an answer may be older.
+      // A request that was sent before the end was reported may still be answered with the older status.
       if (
         current !== previous &&
         (current !== 'accepted' || request.sentAt >= this.endReportedAt.get(request.id)!)
@@ -261,7 +277,7 @@
       return;
     }
     if (current === 'aborted' && !this.cancelRequested.has(request.id))
-      this.w.violations.push(`went_back ${request.id}: nobody cancelled it`);
+      this.w.violations.push(`went_back ${request.id}: aborted without a cancellation`);
     if (current === 'done') {
       const tasks = this.jobs.get(request.id)!.tasks;
       const endedTasks = new Set(this.w.finished.filter((p) => p.startsWith(`${request.id}/`))).size;
--- a/test/support/waiting.ts
+++ b/test/support/waiting.ts
@@ -1,14 +1,15 @@
-/** Measures how long jobs wait although a machine that fits has room and their team is under its limit. */
+/** Measures how long jobs wait although a suitable machine has room and their team is below its limit. */
 import type { JobSpec } from '../../src/model/job.js';
 import type { Traffic } from './traffic.js';
 import type { Worker } from './scripted-worker.js';
 import type { World } from './world.js';
 
-/** Once troubles are over no job waits longer for a machine that fits and has room. */
+/** The longest time that a job may wait after all failures have ended while a suitable machine has room for it. */
 export const mostWaitMs = 90_000;
 
-/** Holds it against the controllers if work waits while a machine that fits has room and its team is under its limit. */
+/** Records a violation if a job waits too long while a suitable machine has room and its team is below its limit. */
 export class Waiting {
+  /** Since when each job could have been started but was not, ms. */
   private readonly waitingSince = new Map<string, number>();
   /** The longest wait so far, ms. */
   mostMs = 0;
@@ -26,6 +27,7 @@
     tick();
   }
 
+  /** Ends the measurement. */
   stop(): void {
     this.active = false;
   }
@@ -37,21 +39,22 @@
       if (!this.couldStart(spec)) this.waitingSince.delete(id);
       else if (!this.waitingSince.has(id)) this.waitingSince.set(id, w.now);
       const ms = w.now - (this.waitingSince.get(id) ?? w.now);
-      if (ms > mostWaitMs && this.mostMs <= mostWaitMs) w.violations.push(`waits ${id}: ${ms} ms with room`);
+      if (ms > mostWaitMs && this.mostMs <= mostWaitMs)
+        w.violations.push(`waits ${id}: ${ms} ms although there is room`);
       this.mostMs = Math.max(this.mostMs, ms);
     }
     for (const id of this.waitingSince.keys())
       if (this.users.told.get(id) !== 'accepted') this.waitingSince.delete(id);
   }
 
-  /** Whether a task of it waits that could start now: for a gang, whether all of it could. */
+  /** Whether the job has a waiting task that could start now, or, for a gang, whether all of its tasks could start. */
   private couldStart(spec: JobSpec): boolean {
     const { w } = this;
     const runningTasks = w.running(spec.id).length;
     const finishedTasks = new Set(w.finished.filter((p) => p.startsWith(`${spec.id}/`))).size;
     const missingTasks = spec.tasks - runningTasks - finishedTasks;
     if (missingTasks <= 0) return false;
-    // A gang that is being taken down, or mended, is on its way.
+    // A gang with some tasks running is being torn down or repaired.
     if (spec.shape === 'gang' && runningTasks > 0) return false;
     const requiredTasks = spec.shape === 'gang' ? missingTasks : 1;
     const cpuLimit = w.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -1,7 +1,7 @@
 /**
- * A small scripted world on a fake clock: state service, cloud and workers as the protocol describes them, written for these tests.
- * Everything happens at set moments, so a test can put a failure just where it hurts. The world sees everything and notes each broken
- * rule in `violations`.
+ * A simulated cluster on a fake clock: controllers run against an in-memory state service, cloud provider and workers that follow
+ * the protocol. Every event happens at a defined time, so tests can inject failures at exact moments. The simulation observes all
+ * components and records each violated invariant in `violations`.
  */
 import { operatorDefaults, type OperatorSettings } from '../../src/config/operators.js';
 import { parseSettings } from '../../src/config/settings.js';
@@ -17,75 +17,86 @@
 import { StateService } from './scripted-state-service.js';
 import { Worker } from './scripted-worker.js';
 
-/** State service, cloud, workers and controllers on one clock, and the checks of all rules. */
+/** State service, cloud provider, workers and controllers on one simulated clock, with invariant checks. */
 export class World {
+  /** The simulated time, ms. */
   now = 0;
   readonly state = new StateService(this);
   readonly nodes: Node[] = [];
   readonly workers = new Map<string, Worker>();
   readonly commits: { member: string; txn: Transaction; outcome: CommitOutcome; at: number }[] = [];
   readonly rentals: RentRequest[] = [];
+  /** Hosts of deleted machines. */
   readonly deleted: string[] = [];
+  /** Tasks that have completed, as `job/index`; a task that ran more than once may be listed more than once. */
   readonly finished: string[] = [];
-  /** Jobs that were submitted here, where the referee is to hold their starts against them. */
+  /** Specifications of submitted jobs. Task starts of these jobs are checked against them. */
   readonly specs = new Map<string, JobSpec>();
-  /** Gangs, and how many tasks each has. */
+  /** The number of tasks of each gang, by job. */
   readonly gangs = new Map<string, number>();
-  /** How long a task waits for its image. */
+  /** How long a task takes to fetch its image, s. */
   fetchS = 0;
-  /** Services: their tasks never complete. */
+  /** Jobs of shape `service`, whose tasks never complete. */
   readonly serviceJobs = new Set<string>();
-  /** Jobs submitted with a mistake: their tasks fail on every machine. */
+  /** Jobs whose tasks fail on every machine. */
   readonly failingJobs = new Set<string>();
+  /** Start commands that workers have received. Tasks are named `job/index`. */
   readonly starts: { piece: string; host: string; at: number }[] = [];
-  /** Broken rules, as a referee who sees everything finds them. */
+  /** Violated invariants, as text that begins with the name of the invariant. */
   readonly violations: string[] = [];
+  /** When users were told that a job is cancelled, by job, ms. */
   readonly cancelledAt = new Map<string, number>();
   /**
-   * Answers that have renewed a lease, by controller, and the longest time after its cancellation for which a task was kept
-   * by one. It may be `cancel_s` - `lease_s`, less what clocks differ by.
+   * The number of heartbeat responses that renewed a worker's lease, by controller, and the longest time after the cancellation of
+   * a job at which such a response still kept one of its tasks alive.
    */
   readonly leaseRenewals = { answers: new Map<string, number>(), maxAfterCancellationMs: 0 };
+  /** The limit for `maxAfterCancellationMs`: `cancel_s` - `lease_s`, less the allowed clock drift. */
   maxKeepMs = 20_000 * (1 - 0.001);
+  /** The machine types on offer. */
   types: MachineType[] = [box];
+  /** How many more machines the cloud provider can rent out. */
   capacity = 10;
   cloudDown = false;
-  /** Commits that are still on their way. */
+  /** Transactions of controllers with `holdsCommits`, which the state service has not received yet. */
   readonly heldCommits: Transaction[] = [];
-  /** Controllers reach each other. */
+  /** Whether controllers can reach each other. */
   peersConnected = true;
-  /** An error in a controller ends its process, not the test. */
+  /** Whether an exception in a controller ends only its process and not the test. */
   crashesAllowed = false;
-  /** What the controllers' random numbers come from. */
+  /** The seed of all random number generators. */
   readonly seed: number;
   nextRequestId = 1_000_000;
-  /** How long an answer of the state service or the cloud takes, and the first reading of the state. */
+  /** How long responses of the state service and the cloud provider take, and how long the initial snapshot takes, ms. */
   responseMs = 5;
   snapshotMs = 0;
-  /** After so long a controller gives up waiting for the answer to a commit. */
+  /** After this time a controller stops waiting for the response to a delayed commit, ms. */
   lostResponseMs = 1000;
-  /** Of this share of the workers' reports a copy arrives again, up to one and a half leases later, at whichever controller. */
+  /** The share of heartbeats of which a duplicate reaches a random controller, 2 s to 2 s plus 1.5 leases later. */
   duplicatedHeartbeatShare = 0;
-  /** How long tasks run on machines that come from now on; for some tasks, wherever they run. */
+  /** How long tasks run on machines that are added from now on, s. `taskDurationOf` overrides it for single tasks. */
   taskDurationS = 20;
   taskDurationOf: (piece: string) => number | undefined = () => undefined;
-  /** This share of rentals and returns gets no answer and is carried out 2 to 12 s later. */
+  /** The share of rent and delete requests that get no response and are executed 2 to 12 s later. */
   delayedCloudCallShare = 0;
-  /** How long transactions are on their way, and answers to rentals; after how long a lost answer is noticed, ms. */
+  /**
+   * How long transactions take to reach the state service, how long responses to rent requests are delayed, and after which time a
+   * controller detects that a response was lost, ms.
+   */
   commitDelayMs: () => number = () => 0;
   cloudDelayMs: () => number = () => 0;
   lostResponseNoticedMs: () => number = () => 0;
-  /** Reports of machines that the controller they came to had no record of. */
+  /** The number of heartbeats that reached a controller which had no record of the machine. */
   heartbeatsBeforeRecord = 0;
-  /** Of this share of the reports a copy is kept until somebody else leads or owns, and then reaches every controller. */
+  /** The share of heartbeats of which a copy is held until the leader or a shard owner changes, and then reaches every controller. */
   heldHeartbeatShare = 0;
   readonly heldHeartbeats: Heartbeat[] = [];
-  /** How many such copies came just as somebody else had begun. */
+  /** The number of held copies that were delivered after such a change. */
   deliveredHeldHeartbeats = 0;
   private readonly ownershipStamps = new Map<string, number>();
-  /** Starts after a confirmed cancellation: of which tasks, and how long after. */
+  /** Tasks that were started after the cancellation of their job was confirmed, and how long after it. */
   readonly startsAfterCancellation: { taskKey: string; afterMs: number }[] = [];
-  /** How long direct commands, and answers to reports, are held up, ms. */
+  /** The additional delays of direct commands and of heartbeat responses, ms. */
   directCommandDelayMs: () => number = () => 0;
   responseDelayMs: () => number = () => 0;
   leaseMs = 16_000;
@@ -93,7 +104,7 @@
   private timers: { at: number; fn: () => void }[] = [];
   private machineCount = 0;
 
-  /** The world's own chance, apart from the controllers'. */
+  /** Random numbers for the simulation, independent of those of the controllers. */
   readonly random: () => number;
 
   constructor(
@@ -110,19 +121,19 @@
     }
   }
 
-  /** Calls a function after so many ms of the world's clock. */
+  /** Calls a function after a delay of simulated time. */
   schedule(ms: number, fn: () => void): void {
     this.timers.push({ at: this.now + ms, fn });
   }
 
-  /** The same; at once for 0 ms. */
+  /** Like `schedule`, but calls the function immediately if the delay is 0. */
   scheduleOrRun(ms: number, fn: () => void): void {
     if (ms > 0) this.schedule(ms, fn);
     else fn();
   }
 
   private readonly rentalResponses = new Map<string, string[]>();
-  /** A request name that was carried out once gets the same answer for ever. */
+  /** Rents machines. Idempotent: a request name that was executed before gets the same response again. */
   rent(request: RentRequest): RentalOutcome {
     const earlierHosts = this.rentalResponses.get(request.name);
     if (earlierHosts) return { type: 'rented', hosts: earlierHosts };
@@ -136,7 +147,7 @@
     return { type: 'rented', hosts };
   }
 
-  /** The cloud deletes machines with all that is on them. */
+  /** Deletes machines together with their workers and tasks. */
   remove(hosts: string[]): void {
     for (const host of hosts) {
       this.deleted.push(host);
@@ -144,7 +155,7 @@
     }
   }
 
-  /** A machine comes up, with a worker on it. */
+  /** Starts a machine with a worker on it. */
   addWorker(type: string, zone: string, spot: boolean): Worker {
     const host = `n-${String(++this.machineCount).padStart(6, '0')}`;
     const worker = new Worker(this, host, type, zone, spot);
@@ -152,7 +163,10 @@
     return worker;
   }
 
-  /** A worker was told to start a task: the rules about starts are checked. */
+  /**
+   * Records that a worker received the command to start a task, and checks the invariants on starts: no task runs twice, and none
+   * starts later than `cancel_s` after the cancellation of its job.
+   */
   recordStart(worker: Worker, job: string, index: number, alreadyPresent: boolean): void {
     const taskKey = `${job}/${index}`;
     this.starts.push({ piece: taskKey, host: worker.host, at: this.now });
@@ -168,7 +182,7 @@
     this.checkPlacement(worker, job, taskKey);
   }
 
-  /** Type, zone, kind of machine and the team's limit, with all that is on machines now. */
+  /** Checks a placement against the job's machine types, zone, spot and spreading constraints and against the team's CPU limit. */
   private checkPlacement(worker: Worker, job: string, taskKey: string): void {
     const spec = this.specs.get(job);
     if (!spec) return;
@@ -193,7 +207,7 @@
       this.violations.push(`quota ${spec.team}: ${cpus} with ${taskKey}`);
   }
 
-  /** Somebody else leads or owns: what was kept for that moment comes now, or a little later. */
+  /** Delivers the held heartbeats, half of them within 100 ms and the others within 4 s, if the leader or the owner of a shard has changed. */
   private deliverHeldHeartbeats(): void {
     let changed = false;
     for (const [key, { stamp }] of this.state.entries)
@@ -212,12 +226,12 @@
     }
   }
 
-  /** A machine dies: the cloud has room for another. */
+  /** Makes a machine fail. The cloud provider can then rent out another one. */
   loseMachine(worker: Worker): void {
     if (this.workers.delete(worker.host)) this.capacity++;
   }
 
-  /** Plays so many seconds, in steps of 10 ms. */
+  /** Advances the simulation by a number of seconds, in steps of 10 ms. */
   advance(seconds: number): void {
     const until = this.now + seconds * 1000;
     while (this.now < until) {
@@ -238,14 +252,14 @@
     }
   }
 
-  /** Plays until something holds; false if it does not within so many seconds. */
+  /** Advances the simulation until a condition holds. Returns false if it does not hold within `withinS` seconds. */
   advanceUntil(condition: () => boolean, withinS: number): boolean {
     const until = this.now + withinS * 1000;
     while (!condition() && this.now < until) this.advance(0.1);
     return condition();
   }
 
-  /** Where tasks of a job are. */
+  /** The tasks of a job that workers have and that have not ended, with their hosts. */
   running(job: string): { host: string; piece: string }[] {
     const list: { host: string; piece: string }[] = [];
     for (const w of this.workers.values())
