--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -46,8 +46,8 @@
 const leaderFaults = ['running', 'paused', 'restarted'] as const;
 
 /**
- * Only the leader loses the state service while another controller confirms cancellations. Then the state service is unavailable for
- * all controllers for longer than `cancel_s`, and workers continue to send heartbeats to the old leader.
+ * Only the leader loses the state service while another controller confirms cancellations. Then the state service is unavailable
+ * for all controllers for longer than `cancel_s`, and workers continue to send heartbeats to the old leader.
  */
 function runRefusedLeaderScenario(seed: number): void {
   const w = longWorld(seed);
@@ -105,11 +105,13 @@
   for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) runRefusedLeaderScenario(seed);
 });
 
-/** The participants of a case in `renewalCases`, and a function that cancels the jobs through controllers other than the owner. */
+/**
+ * The participants of a case in `renewalCases`, and a function that cancels the jobs through controllers other than the owner.
+ */
 type RenewalContext = { owner: Node; others: Node[]; cancelJobs: () => void };
 /**
- * All situations in which a controller may answer a heartbeat with 200 and thereby renew the worker's lease. Each case creates its
- * situation and calls `cancelJobs`. It returns a function that tells whether the situation occurred.
+ * All situations in which a controller may answer a heartbeat with 200 and thereby renew the worker's lease. Each case creates
+ * its situation and calls `cancelJobs`. It returns a function that tells whether the situation occurred.
  */
 const renewalCases: Record<string, (w: World, way: RenewalContext) => () => boolean> = {
   'the replica is up to date'(_, { owner, cancelJobs }) {
@@ -200,7 +202,10 @@
     }
   });
 
-/** Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated and all jobs must end. */
+/**
+ * Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated and all
+ * jobs must end.
+ */
 function testConcurrentFailures(
   name: string,
   beforeS: number,
@@ -404,7 +409,7 @@
 );
 
 // Every condition that makes a poll fail with 503 must end eventually, even if one controller never returns.
-test('every job is known after all controllers crash and one never returns, also after data loss in the state service', () => {
+test('every job is known although one controller never returns after a crash of all or after data loss in the state service', () => {
   for (const dataLost of [false, true])
     for (const missingIndex of [0, 1, 2]) {
       const w = longWorld(missingIndex + 1);
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -1,4 +1,6 @@
-/** Helpers for tests with concurrent failures: seeded random choices, clusters with long tasks, mixed traffic and final checks. */
+/**
+ * Helpers for tests with concurrent failures: seeded random choices, clusters with long tasks, mixed traffic and final checks.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Traffic } from './traffic.js';
@@ -207,8 +209,8 @@
 }
 
 /**
- * Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated, every job
- * must be known and all jobs must end. Seeds in which the failures did not coincide do not count; further seeds run instead.
+ * Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated, every
+ * job must be known and all jobs must end. Seeds in which the failures did not coincide do not count; further seeds run instead.
  */
 export function meeting(
   name: string,
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -1,4 +1,7 @@
-/** One controller of the simulated cluster: runs its core, executes the effects it returns, and injects the failures that tests configure. */
+/**
+ * One controller of the simulated cluster: runs its core, executes the effects it returns, and injects the failures that tests
+ * configure.
+ */
 import type { OperatorSettings } from '../../src/config/operators.js';
 import type { Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/core/controller.js';
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -19,7 +19,7 @@
   delayedCommitShare = 0;
   /** The stored records by key; `hold` is the lease that a record is attached to. */
   readonly entries = new Map<string, Change & { hold?: number }>();
-  /** All changes in the order of their revisions. */
+  /** All changes since the last data loss, in the order of their revisions. */
   readonly log: Change[] = [];
   private leaseExpiresAt = new Map<number, number>();
   private nextLeaseId = 1;
@@ -125,10 +125,10 @@
    * Simulates data loss: only the given records remain, at the given revision. The change log and all leases are lost, too, and
    * clients are not notified.
    */
-  loseData(remaining: [string, Change & { hold?: number }][], epoch: number): void {
+  loseData(remaining: [string, Change & { hold?: number }][], revision: number): void {
     this.entries.clear();
     for (const [key, entry] of remaining) this.entries.set(key, entry);
-    this.epoch = epoch;
+    this.epoch = revision;
     this.log.length = 0;
     this.leaseExpiresAt.clear();
   }
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -5,7 +5,7 @@
 
 interface WorkerTask {
   report: TaskStatus;
-  /** When the current phase of the task began, ms. */
+  /** When the task was started, or when it began to save its state or, in a gang, to run, ms. */
   since: number;
   /** How long the task saves its state when it is stopped, s. */
   saveS?: number;
@@ -282,7 +282,10 @@
     else if (t.report.phase !== 'saving' || graceS === 0) markExited(t.report, 'stopped', graceS > 0);
   }
 
-  /** Whether it has a task that has not exited. A hung machine can resume its tasks until its lease expires, and has none after that. */
+  /**
+   * Whether it has a task that has not exited. A hung machine can resume its tasks until its lease expires, and has none after
+   * that.
+   */
   hasTask(taskKey: string): boolean {
     if (this.hung && this.world.now - this.leaseStartedAt > this.world.leaseMs) return false;
     const t = this.tasks.get(taskKey);
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -19,8 +19,8 @@
 const statusRank: Record<ReportedStatus, number> = { accepted: 0, done: 1, aborted: 1 };
 
 /**
- * Users of a simulated cluster: they submit jobs at a fixed interval, poll each job repeatedly and cancel some, through any healthy
- * controller. Responses that violate an invariant are recorded as violations.
+ * Users of a simulated cluster: they submit jobs at a fixed interval, poll each job repeatedly and cancel some, through any
+ * healthy controller. Responses that violate an invariant are recorded as violations.
  */
 export class Traffic {
   /** All jobs, by id. */
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Starts additional checks: for the given share of responses with a new status, users query all controllers within
-   * milliseconds and repeat the submission on some. `cancelOnAccept` and `checkAtEnd` are the shares of jobs that users also cancel right after
-   * acceptance, and check around their end.
+   * Starts additional checks: for the given share of responses with a new status, users query all controllers within milliseconds
+   * and repeat the submission on some. `cancelOnAccept` and `checkAtEnd` are the shares of jobs that users also cancel right
+   * after acceptance, and check around their end.
    */
   closely(share: number, cancelOnAccept = 0, checkAtEnd = 0): void {
     const firstCall = this.closeCheckShare === 0;
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -47,8 +47,8 @@
   /** When users were told that a job is cancelled, by job, ms. */
   readonly cancelledAt = new Map<string, number>();
   /**
-   * The number of heartbeat responses that renewed a worker's lease, by controller, and the longest time after the cancellation of
-   * a job at which such a response still kept one of its tasks alive.
+   * The number of heartbeat responses that renewed a worker's lease, by controller, and the longest time after the cancellation
+   * of a job at which such a response still kept one of its tasks alive.
    */
   readonly leaseRenewals = { answers: new Map<string, number>(), maxAfterCancellationMs: 0 };
   /** The limit for `maxAfterCancellationMs`: `cancel_s` - `lease_s`, less the allowed clock drift. */
@@ -80,15 +80,17 @@
   /** The share of rent and delete requests that get no response and are executed 2 to 12 s later. */
   delayedCloudCallShare = 0;
   /**
-   * How long transactions take to reach the state service, how long responses to rent requests are delayed, and after which time a
-   * controller detects that a response was lost, ms.
+   * How long transactions take to reach the state service, how long responses to rent requests are delayed, and after which time
+   * a controller detects that a response was lost, ms.
    */
   commitDelayMs: () => number = () => 0;
   cloudDelayMs: () => number = () => 0;
   lostResponseNoticedMs: () => number = () => 0;
   /** The number of heartbeats that reached a controller which had no record of the machine. */
   heartbeatsBeforeRecord = 0;
-  /** The share of heartbeats of which a copy is held until the leader or a shard owner changes, and then reaches every controller. */
+  /**
+   * The share of heartbeats of which a copy is held until the leader or a shard owner changes, and then reaches every controller.
+   */
   heldHeartbeatShare = 0;
   readonly heldHeartbeats: Heartbeat[] = [];
   /** The number of held copies that were delivered after such a change. */
@@ -182,7 +184,9 @@
     this.checkPlacement(worker, job, taskKey);
   }
 
-  /** Checks a placement against the job's machine types, zone, spot and spreading constraints and against the team's CPU limit. */
+  /**
+   * Checks a placement against the job's machine types, zone, spot and spreading constraints and against the team's CPU limit.
+   */
   private checkPlacement(worker: Worker, job: string, taskKey: string): void {
     const spec = this.specs.get(job);
     if (!spec) return;
@@ -207,7 +211,10 @@
       this.violations.push(`quota ${spec.team}: ${cpus} with ${taskKey}`);
   }
 
-  /** Delivers the held heartbeats, half of them within 100 ms and the others within 4 s, if the leader or the owner of a shard has changed. */
+  /**
+   * Delivers the held heartbeats, half of them within 100 ms and the others within 4 s, if the leader or the owner of a shard has
+   * changed.
+   */
   private deliverHeldHeartbeats(): void {
     let changed = false;
     for (const [key, { stamp }] of this.state.entries)
