--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -76,7 +76,7 @@
   duplicatedHeartbeatShare = 0;
   /** How long tasks run on machines that are added from now on, s. `taskDurationOf` overrides it for single tasks. */
   taskDurationS = 20;
-  taskDurationOf: (piece: string) => number | undefined = () => undefined;
+  taskDurationOf: (taskKey: string) => number | undefined = () => undefined;
   /** The share of rent and delete requests that get no response and are executed 2 to 12 s later. */
   delayedCloudCallShare = 0;
   /**
