--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -1,4 +1,7 @@
-/** One controller of the scripted world: steps its core, carries its effects out, and fails in the ways that tests ask for. */
+/**
+ * One controller of the simulated cluster: runs its core, executes the effects it returns, and injects the failures that tests
+ * configure.
+ */
 import type { OperatorSettings } from '../../src/config/operators.js';
 import type { Settings } from '../../src/config/settings.js';
 import { Controller } from '../../src/core/controller.js';
@@ -10,7 +13,7 @@
 import type { Change, Transaction } from '../../src/wire/store.js';
 import type { World } from './world.js';
 
-/** A build of the controllers: this one, or an earlier one that plays beside it. */
+/** A build of the controller: the current one, or an earlier one that runs alongside it in upgrade tests. */
 export interface Program {
   name: string;
   Controller: typeof Controller;
@@ -19,40 +22,41 @@
 /** The build under test. */
 export const thisProgram: Program = { name: 'new', Controller };
 
-/** Brings a command to the core after the time that a response takes, unless the process has restarted meanwhile. */
+/** Queues a response for the core after the response time, unless the controller has restarted in the meantime. */
 type Reply = (command: Command) => void;
 
-/** A controller process: its core, the queue before it, and what reaches it. */
+/** A controller process: its core, its input queue and its network conditions. */
 export class Node {
   controller!: Controller;
   private queue: Command[] = [];
   alive = true;
-  /** Cut off from the state service: it gets no answers and sees no changes. */
+  /** Disconnected from the state service: no requests succeed and no changes are seen. */
   cutFromState = false;
-  /** It gets 429 from the state service. */
+  /** The state service answers its requests with 429. */
   rateLimited = false;
-  /** It and the other controllers do not reach each other. */
+  /** It and the other controllers cannot reach each other. */
   isolatedFromPeers = false;
-  /** Its commits are on their way for long, and it gets no answer to them. */
+  /** Its commits are kept in `heldCommits` and get no response. */
   holdsCommits = false;
-  /** What it tells the others comes so much later. */
+  /** Additional delay of its messages to other controllers, ms. */
   peerDelayMs = 0;
-  /** It stands still while its clock runs on: what arrives waits. */
+  /** The process is paused while its clock runs on; incoming messages are queued. */
   paused = false;
-  /** How fast its steady clock runs. */
+  /** The rate of its monotonic clock relative to simulated time. */
   clockRate = 1;
-  /** Changes of the state reach it again only some time after it woke: first comes what had waited. */
+  /** When the watch delivers changes again after a pause. Messages that were queued during the pause are processed first. */
   private watchResumesAt = 0;
   private watchedRevision = -1;
   private snapshotStartedAt = 0;
+  /** Responses to requests, by request id. */
   responses = new Map<number, { status: number; body: Record<string, unknown>; retryAfterS?: number }>();
   private processStarts = 0;
-  /** The program that it runs from its next start on. */
+  /** The build that it runs from its next start on. */
   program: Program = thisProgram;
   operators: OperatorSettings;
-  /** What it has logged: level, message, fields. */
+  /** Its log entries: level, message, fields. */
   readonly logLines: [string, string, Record<string, unknown>?][] = [];
-  /** What its process died of, if it did. */
+  /** The exception that ended its process, if any. */
   crashError: Error | null = null;
   constructor(
     readonly world: World,
@@ -64,7 +68,7 @@
     this.boot();
   }
 
-  /** Starts the process anew, without any memory. */
+  /** Starts the process with empty memory. */
   boot(): void {
     this.alive = true;
     this.queue = [];
@@ -72,7 +76,7 @@
     this.start(null);
   }
 
-  /** How often it began anew with what it knew. */
+  /** How often the core restarted with recovery records, without a process restart. */
   recoveryRestarts = 0;
 
   private start(recoveryRecords: RecoveryRecords | null): void {
@@ -89,34 +93,35 @@
     });
   }
 
-  /** Queues a command for the next step. */
+  /** Queues a command for the next step, if the process is alive. */
   push(c: Command): void {
     if (this.alive) this.queue.push(c);
   }
 
-  /** Lets the watch and the core go on, and carries out what the core wants done. */
+  /** Delivers state changes to the core, runs one step of it and executes the effects that it returns. */
   step(): void {
     if (!this.alive) return;
-    const s = this.world.state;
+    const state = this.world.state;
     if (this.paused) {
       this.watchResumesAt = this.world.now + 300;
       return;
     }
-    // Reading takes its time and begins anew when it is interrupted; what is watched goes on.
-    const off = this.cutFromState || s.unavailable || (this.rateLimited && this.watchedRevision < 0);
-    if (off && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
-    const read =
+    // Loading the snapshot takes time and starts over when it is interrupted. A running watch continues after an interruption.
+    const stateUnreachable =
+      this.cutFromState || state.unavailable || (this.rateLimited && this.watchedRevision < 0);
+    if (stateUnreachable && this.watchedRevision < 0) this.snapshotStartedAt = this.world.now;
+    const snapshotRead =
       this.watchedRevision >= 0 || this.world.now >= this.snapshotStartedAt + this.world.snapshotMs;
-    if (!off && read && this.world.now >= this.watchResumesAt) {
+    if (!stateUnreachable && snapshotRead && this.world.now >= this.watchResumesAt) {
       if (this.watchedRevision < 0)
-        this.push({ type: 'snapshot-loaded', items: s.items(), revision: s.epoch });
-      else if (this.watchedRevision < s.epoch)
+        this.push({ type: 'snapshot-loaded', items: state.items(), revision: state.epoch });
+      else if (this.watchedRevision < state.epoch)
         this.push({
           type: 'changes',
-          changes: s.log.filter((c) => c.stamp > this.watchedRevision),
-          revision: s.epoch,
+          changes: state.log.filter((c) => c.stamp > this.watchedRevision),
+          revision: state.epoch,
         });
-      this.watchedRevision = s.epoch;
+      this.watchedRevision = state.epoch;
     }
     const commands = this.queue;
     this.queue = [];
@@ -128,7 +133,7 @@
         wall: 1e12 + this.world.now,
       });
     } catch (e) {
-      // As a process: it ends.
+      // An uncaught exception ends the process.
       if (!this.world.crashesAllowed) throw e;
       this.alive = false;
       this.crashError = e as Error;
@@ -144,7 +149,7 @@
 
   private carryOut(e: Effect, reply: Reply): void {
     const w = this.world;
-    const off = this.cutFromState || w.state.unavailable || this.rateLimited;
+    const stateUnreachable = this.cutFromState || w.state.unavailable || this.rateLimited;
     switch (e.type) {
       case 'respond':
         this.responses.set(e.requestId, {
@@ -160,21 +165,21 @@
         reply({
           type: 'revision-read',
           sentAt: w.now * this.clockRate,
-          revision: off ? null : w.state.epoch,
+          revision: stateUnreachable ? null : w.state.epoch,
         });
         break;
       case 'grant-lease':
-        reply({ type: 'lease-granted', leaseId: off ? null : w.state.grantLease(e.ttlMs) });
+        reply({ type: 'lease-granted', leaseId: stateUnreachable ? null : w.state.grantLease(e.ttlMs) });
         break;
       case 'renew-lease':
         reply({
           type: 'lease-renewal-result',
           leaseId: e.leaseId,
-          outcome: off ? 'failed' : w.state.renewLease(e.leaseId),
+          outcome: stateUnreachable ? 'failed' : w.state.renewLease(e.leaseId),
         });
         break;
       case 'revoke-lease':
-        if (!off) w.state.revokeLease(e.leaseId);
+        if (!stateUnreachable) w.state.revokeLease(e.leaseId);
         break;
       case 'list-machine-types':
         reply({ type: 'machine-types', types: w.cloudDown ? null : w.types });
@@ -211,7 +216,7 @@
         const confirmation = {
           type: 'freshness-confirmed',
           from: this.member,
-          instanceId: this.run,
+          instanceId: this.instanceId,
           query,
           known,
         } as const;
@@ -225,12 +230,12 @@
           type: 'audit-result',
           from: e.from,
           ...this.auditPage(e.from, e.keys),
-          revision: off ? null : w.state.epoch,
+          revision: stateUnreachable ? null : w.state.epoch,
         });
         break;
       case 'restart':
         this.recoveryRestarts++;
-        // What was asked for before counts no more; requests wait on.
+        // Responses to earlier requests of the core are dropped; requests of users and workers stay queued.
         this.queue = this.queue.filter((c) => ['submit', 'query', 'cancel', 'heartbeat'].includes(c.type));
         this.start(e.recoveryRecords);
         break;
@@ -246,20 +251,20 @@
       w.heldCommits.push(txn);
       return respond({ type: 'unknown' });
     }
-    const carryOut = (): CommitOutcome => {
+    const execute = (): CommitOutcome => {
       const outcome = w.state.commit(txn);
       w.commits.push({ member: this.member, txn, outcome, at: w.now });
       return outcome;
     };
     if (w.random() < w.state.delayedCommitShare && !w.state.unavailable) {
-      w.schedule(2000 + 10_000 * w.random(), carryOut);
+      w.schedule(2000 + 10_000 * w.random(), execute);
       w.schedule(w.lostResponseMs, () => respond({ type: 'unknown' }));
       return;
     }
     w.scheduleOrRun(w.commitDelayMs(), () => {
-      const outcome = carryOut();
-      const lost = w.state.dropsResponses || w.state.dropsResponseTo(txn);
-      if (lost) w.scheduleOrRun(w.lostResponseNoticedMs(), () => respond({ type: 'unknown' }));
+      const outcome = execute();
+      const responseLost = w.state.dropsResponses || w.state.dropsResponseTo(txn);
+      if (responseLost) w.scheduleOrRun(w.lostResponseNoticedMs(), () => respond({ type: 'unknown' }));
       else respond(outcome);
     });
   }
@@ -309,12 +314,12 @@
   ): void {
     const w = this.world;
     const owner = w.nodes.find((n) => n.member === to);
-    const id = ++w.nextRequestId;
+    const forwardedRequestId = ++w.nextRequestId;
     if (!owner?.alive || this.isolatedFromPeers || owner.isolatedFromPeers)
       return reply({ type: 'forwarded-response', requestId, status: 503, body: {} });
-    owner.push({ type: 'heartbeat', requestId: id, report, from: this.member });
+    owner.push({ type: 'heartbeat', requestId: forwardedRequestId, report, from: this.member });
     w.schedule(30, () => {
-      const response = owner.responses.get(id);
+      const response = owner.responses.get(forwardedRequestId);
       if (response)
         this.push({ type: 'forwarded-response', requestId, status: response.status, body: response.body });
     });
@@ -328,25 +333,26 @@
     return { items: items.slice(0, keys), more: items.length > keys };
   }
 
-  private get run(): string {
+  private get instanceId(): string {
     return `${this.member}r${this.processStarts}`;
   }
 
-  private broadcast(tell: (to: Node) => void): void {
+  private broadcast(deliver: (to: Node) => void): void {
     if (!this.world.peersConnected || this.isolatedFromPeers) return;
     for (const n of this.world.nodes)
       if (n !== this && !n.isolatedFromPeers)
-        this.world.schedule(5 + this.peerDelayMs, () => n.alive && tell(n));
+        this.world.schedule(5 + this.peerDelayMs, () => n.alive && deliver(n));
   }
 
-  private checkLeadership(what: string): void {
-    const { entries: keys } = this.world.state;
-    const lead = (keys.get('dp/chief') ?? keys.get('dp/lead'))?.data as { member: string } | undefined;
-    if (lead?.member !== this.member) this.world.violations.push(`stale ${what} by ${this.member}`);
+  private checkLeadership(operation: string): void {
+    const { entries: stateEntries } = this.world.state;
+    const leader = (stateEntries.get('dp/chief') ?? stateEntries.get('dp/lead'))?.data as
+      { member: string } | undefined;
+    if (leader?.member !== this.member) this.world.violations.push(`stale ${operation} by ${this.member}`);
   }
 
   private nextRequestId = 1000;
-  /** Sends a request and plays until it is answered. */
+  /** Sends a request and advances the simulation until it is answered. Returns undefined after `withinMs` without a response. */
   request(c: (requestId: number) => Command, withinMs = 6000) {
     const requestId = ++this.nextRequestId;
     this.push(c(requestId));
@@ -354,12 +360,15 @@
     while (!this.responses.has(requestId) && this.world.now < until) this.world.advance(0.01);
     return this.responses.get(requestId);
   }
+  /** Submits a job and returns the response. */
   submit = (job: JobSpec) => {
     if (job.shape === 'service') this.world.serviceJobs.add(job.id);
     if (job.shape === 'gang') this.world.gangs.set(job.id, job.tasks);
     this.world.specs.set(job.id, job);
     return this.request((requestId) => ({ type: 'submit', requestId, spec: job }));
   };
+  /** Queries a job and returns the response. */
   status = (id: string) => this.request((requestId) => ({ type: 'query', requestId, id }));
+  /** Cancels a job and returns the response. */
   cancel = (id: string) => this.request((requestId) => ({ type: 'cancel', requestId, id }));
 }
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -1,38 +1,41 @@
-/** The state service as the protocol describes it, in memory and on the fake clock, with faults that tests switch on. */
+/** An in-memory state service on the simulated clock that follows the protocol, with faults that tests can switch on. */
 import type { CommitOutcome } from '../../src/core/effects.js';
 import { keyPrefix } from '../../src/core/storage/index.js';
 import type { Change, Transaction } from '../../src/wire/store.js';
 import type { World } from './world.js';
 
-/** Keys, revisions, leases and the write budget, as one consistent store. */
+/** A consistent key-value store with revisions, leases and a write rate limit. */
 export class StateService {
+  /** The current revision. */
   epoch = 1;
   unavailable = false;
-  /** More is asked of it than it takes: commits get 429. */
+  /** Overloaded: commits are answered with 429. */
   rateLimited = false;
-  /** Executed, but the answer to a commit gets lost. */
+  /** Commits are executed, but their responses are lost. */
   dropsResponses = false;
-  /** The same, for some. */
+  /** Selects single transactions whose responses are lost. */
   dropsResponseTo: (txn: Transaction) => boolean = () => false;
-  /** This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
+  /** The share of transactions that get no response and are executed 2 to 12 s later, after newer ones. */
   delayedCommitShare = 0;
+  /** The stored records by key; `hold` is the lease that a record is attached to. */
   readonly entries = new Map<string, Change & { hold?: number }>();
+  /** All changes since the last data loss, in the order of their revisions. */
   readonly log: Change[] = [];
-  private leases = new Map<number, number>();
+  private leaseExpiresAt = new Map<number, number>();
   private nextLeaseId = 1;
 
   constructor(private readonly world: World) {}
 
-  /** Called with each transaction just before it is carried out. */
+  /** Called with each transaction just before it is executed. */
   beforeCommit: (txn: Transaction) => void = () => undefined;
 
-  /** Carries a transaction out, or says why not. */
+  /** Executes a transaction, or returns why it was not executed. */
   commit(txn: Transaction): CommitOutcome {
     this.beforeCommit(txn);
     if (this.unavailable) return { type: 'rejected' };
     if (this.rateLimited || !this.takeWriteBudget(txn.writes.length)) return { type: 'rate-limited' };
     this.expireLeases();
-    if (txn.writes.some((w) => w.hold !== undefined && !this.leases.has(w.hold)))
+    if (txn.writes.some((w) => w.hold !== undefined && !this.leaseExpiresAt.has(w.hold)))
       return { type: 'lease-expired' };
     const failed = txn.conditions
       .filter((c) => (this.entries.get(c.key)?.stamp ?? 0) !== c.stamp)
@@ -52,77 +55,85 @@
     return { type: 'ok', revision: this.epoch };
   }
 
-  /** Puts and deletes that it takes in a second; bursts of a second's worth are allowed. */
+  /** The rate limit for puts and deletes. Bursts of up to one second's worth are allowed. */
   writesPerS = Infinity;
-  private budget = 0;
-  private budgetAt = 0;
+  private writeBudget = 0;
+  private writeBudgetUpdatedAt = 0;
+  /** How many transactions exceeded the write rate limit. */
   rateLimitedCount = 0;
   private takeWriteBudget(writes: number): boolean {
     if (!Number.isFinite(this.writesPerS)) return true;
     const { now } = this.world;
-    this.budget = Math.min(this.writesPerS, this.budget + ((now - this.budgetAt) / 1000) * this.writesPerS);
-    this.budgetAt = now;
-    if (this.budget < writes) {
+    this.writeBudget = Math.min(
+      this.writesPerS,
+      this.writeBudget + ((now - this.writeBudgetUpdatedAt) / 1000) * this.writesPerS,
+    );
+    this.writeBudgetUpdatedAt = now;
+    if (this.writeBudget < writes) {
       this.rateLimitedCount++;
       return false;
     }
-    this.budget -= writes;
+    this.writeBudget -= writes;
     return true;
   }
 
-  /** Grants a lease; null while it is unavailable. */
+  /** Grants a lease and returns its id; null while the service is unavailable. */
   grantLease(ttlMs: number): number | null {
     if (this.unavailable) return null;
-    const hold = this.nextLeaseId++;
-    this.leases.set(hold, this.world.now + ttlMs);
-    this.leaseTtlMs.set(hold, ttlMs);
-    return hold;
+    const leaseId = this.nextLeaseId++;
+    this.leaseExpiresAt.set(leaseId, this.world.now + ttlMs);
+    this.leaseTtlMs.set(leaseId, ttlMs);
+    return leaseId;
   }
   private leaseTtlMs = new Map<number, number>();
 
-  /** Renews a lease for its full time. */
-  renewLease(hold: number): 'ok' | 'gone' | 'failed' {
+  /** Renews a lease for its full duration. */
+  renewLease(leaseId: number): 'ok' | 'gone' | 'failed' {
     if (this.unavailable) return 'failed';
     this.expireLeases();
-    if (!this.leases.has(hold)) return 'gone';
-    this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
+    if (!this.leaseExpiresAt.has(leaseId)) return 'gone';
+    this.leaseExpiresAt.set(leaseId, this.world.now + this.leaseTtlMs.get(leaseId)!);
     return 'ok';
   }
 
-  /** Ends a lease and removes the keys attached to it. */
-  revokeLease(hold: number): void {
-    this.leases.delete(hold);
-    const gone = [...this.entries.values()].filter((k) => k.hold === hold);
-    if (gone.length > 0) this.epoch++;
-    for (const k of gone) {
+  /** Revokes a lease and deletes the keys attached to it. */
+  revokeLease(leaseId: number): void {
+    this.leaseExpiresAt.delete(leaseId);
+    const attachedEntries = [...this.entries.values()].filter((k) => k.hold === leaseId);
+    if (attachedEntries.length > 0) this.epoch++;
+    for (const k of attachedEntries) {
       this.entries.delete(k.key);
       this.log.push({ key: k.key, data: undefined, stamp: this.epoch });
     }
   }
 
-  /** Ends the leases that are over. In an outage every lease keeps its full time. */
+  /** Revokes expired leases. During an outage every lease is extended to its full duration. */
   expireLeases(): void {
     if (this.unavailable)
-      for (const hold of this.leases.keys())
-        this.leases.set(hold, this.world.now + this.leaseTtlMs.get(hold)!);
-    for (const [hold, until] of [...this.leases]) if (until < this.world.now) this.revokeLease(hold);
+      for (const leaseId of this.leaseExpiresAt.keys())
+        this.leaseExpiresAt.set(leaseId, this.world.now + this.leaseTtlMs.get(leaseId)!);
+    for (const [leaseId, expiresAt] of [...this.leaseExpiresAt])
+      if (expiresAt < this.world.now) this.revokeLease(leaseId);
   }
 
-  /** A copy of what there is, to come back to. */
+  /** A copy of the current contents, to restore later. */
   snapshot(): { epoch: number; keys: [string, Change & { hold?: number }][] } {
     return { epoch: this.epoch, keys: [...this.entries] };
   }
 
-  /** It has lost data: what is left, at which revision. Nothing tells of it; leases are gone, too. */
-  loseData(left: [string, Change & { hold?: number }][], epoch: number): void {
+  /**
+   * Simulates data loss: only the given records remain, at the given revision. The change log and all leases are lost, too, and
+   * clients are not notified.
+   */
+  loseData(remaining: [string, Change & { hold?: number }][], revision: number): void {
     this.entries.clear();
-    for (const [key, k] of left) this.entries.set(key, k);
-    this.epoch = epoch;
+    for (const [key, entry] of remaining) this.entries.set(key, entry);
+    this.epoch = revision;
     this.log.length = 0;
-    this.leases.clear();
+    this.leaseExpiresAt.clear();
   }
 
-  /** All records of the controllers. */
+  /** All records under the key prefix of the controllers. */
   items(): Change[] {
     return [...this.entries.values()]
       .filter((k) => k.key.startsWith(keyPrefix))
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -1,38 +1,44 @@
-/** A worker of the scripted world: epochs, leases, fencing tokens and task commands as the protocol has them. */
+/** A worker of the simulated cluster that follows the protocol on agent epochs, leases, fencing tokens and task commands. */
 import type { ExitReason, Heartbeat, TaskOrder, TaskStatus } from '../../src/model/heartbeat.js';
 import type { Node } from './controller-node.js';
 import type { World } from './world.js';
 
-interface Running {
+interface WorkerTask {
   report: TaskStatus;
+  /** When the task was started, or when it began to save its state or, in a gang, to run, ms. */
   since: number;
-  /** How long it saves, if it does. */
+  /** How long the task saves its state when it is stopped, s. */
   saveS?: number;
 }
 
-/** A task ends for this reason. */
-function exit(report: TaskStatus, reason: ExitReason, saved = report.saved): void {
+/** Marks a task as exited. */
+function markExited(report: TaskStatus, reason: ExitReason, saved = report.saved): void {
   report.phase = 'exited';
   report.exitReason = reason;
   report.saved = saved;
 }
 
-/** A worker: sessions, leases, tokens and orders as the protocol has them. */
+/** A worker: sends heartbeats, executes task commands and drops all tasks when its lease expires. */
 export class Worker {
+  /** The agent epoch. It is incremented each time the lease expires. */
   session = 1;
   seq = 0;
+  /** The highest fencing token seen. */
   token = 0;
-  tasks = new Map<string, Running>();
+  tasks = new Map<string, WorkerTask>();
+  /** The time until a spot machine is reclaimed, if notice of it was given, s. */
   spotNoticeS: number | null = null;
+  /** Sends no heartbeats and ignores responses to earlier ones. */
   silent = false;
-  /** The machine hangs: nothing goes on, and what is due is done when it does again. */
+  /** The machine hangs: nothing is executed. Overdue work is done when it resumes. */
   hung = false;
-  /** Its reports arrive; answers and direct commands to it are lost. */
+  /** Its heartbeats arrive, but responses and direct commands to it are lost. */
   losesResponses = false;
-  /** Direct commands that have come while it hung. */
+  /** Direct commands received while the machine hung. */
   private readonly delayedCommands: { orders: TaskOrder[]; token: number; session: number }[] = [];
-  /** Controllers that it cannot reach. */
+  /** Members whose controllers it cannot reach. */
   readonly unreachableNodes = new Set<string>();
+  /** Every task fails as soon as it starts. */
   failsTasks = false;
   taskDurationS: number;
   private leaseStartedAt: number;
@@ -40,7 +46,7 @@
   private inFlight = false;
   private targetIndex = 0;
   readonly createdAt: number;
-  /** When it last got an answer it could use, and the longest time without, ms. */
+  /** When it last received a response that renewed its lease, and the longest interval without one, ms. */
   leaseRenewedAt: number;
   longestGapMs = 0;
   constructor(
@@ -55,6 +61,7 @@
     this.taskDurationS = world.taskDurationS;
   }
 
+  /** Builds the next heartbeat. */
   report(): Heartbeat {
     this.seq++;
     return {
@@ -71,25 +78,25 @@
     };
   }
 
-  /** A task gets its image; one of a gang then waits for the others of its attempt. */
-  private advanceImageFetch(t: Running): void {
+  /** Ends the image fetch of a task when it is due. A gang task then waits until all tasks of its attempt are ready. */
+  private advanceImageFetch(t: WorkerTask): void {
     const { report } = t;
     const w = this.world;
     const gang = w.gangs.get(report.job);
     if (report.phase === 'fetching' && w.now - t.since > w.fetchS * 1000)
       report.phase = gang === undefined ? 'running' : 'waiting';
     if (report.phase !== 'waiting') return;
-    let there = 0;
-    for (const x of w.workers.values())
-      for (const o of x.tasks.values())
-        if (o.report.job === report.job && o.report.attempt === report.attempt)
-          if (o.report.phase === 'waiting' || o.report.phase === 'running') there++;
-    if (there < gang!) return;
+    let readyTasks = 0;
+    for (const worker of w.workers.values())
+      for (const task of worker.tasks.values())
+        if (task.report.job === report.job && task.report.attempt === report.attempt)
+          if (task.report.phase === 'waiting' || task.report.phase === 'running') readyTasks++;
+    if (readyTasks < gang!) return;
     report.phase = 'running';
     t.since = w.now;
   }
 
-  /** Its lease has ended: all that it had is gone. */
+  /** Expires the lease: all tasks are dropped and a new agent epoch begins. */
   expireLease(): void {
     this.tasks.clear();
     this.session++;
@@ -97,24 +104,25 @@
     this.nextHeartbeatAt = this.world.now;
   }
 
-  /** Whom it reports to. */
+  /** The controller that it sends heartbeats to. */
   get currentNode(): Node {
     return this.world.nodes[this.targetIndex % this.world.nodes.length];
   }
 
-  /** Things that go on without any controller. */
+  /** Advances everything that needs no controller: lease expiry, delayed commands, image fetches, saving and task completion. */
   advanceTasks(): void {
     const w = this.world;
     if (w.now - this.leaseStartedAt > w.leaseMs) {
-      const { nextHeartbeatAt: at } = this;
+      const { nextHeartbeatAt: scheduledAt } = this;
       this.expireLease();
-      this.nextHeartbeatAt = at;
+      this.nextHeartbeatAt = scheduledAt;
     }
-    for (const d of this.delayedCommands.splice(0)) this.receiveDirectCommands(d.orders, d.token, d.session);
+    for (const delayed of this.delayedCommands.splice(0))
+      this.receiveDirectCommands(delayed.orders, delayed.token, delayed.session);
     for (const t of this.tasks.values()) this.advanceImageFetch(t);
     for (const t of this.tasks.values())
       if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
-        exit(t.report, 'stopped', true);
+        markExited(t.report, 'stopped', true);
     for (const t of this.tasks.values())
       if (
         t.report.phase === 'running' &&
@@ -127,6 +135,7 @@
       }
   }
 
+  /** Advances the tasks and sends a heartbeat if one is due. */
   step(): void {
     const w = this.world;
     if (this.hung) return;
@@ -147,9 +156,9 @@
     node.push({ type: 'heartbeat', requestId, report });
     if (w.random() < w.heldHeartbeatShare) w.heldHeartbeats.push(report);
     if (w.random() < w.duplicatedHeartbeatShare) {
-      const to = w.nodes[Math.floor(w.random() * w.nodes.length)];
+      const recipient = w.nodes[Math.floor(w.random() * w.nodes.length)];
       w.schedule(2000 + 1.5 * w.leaseMs * w.random(), () =>
-        to.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report }),
+        recipient.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report }),
       );
     }
     if (this.losesResponses) {
@@ -158,33 +167,33 @@
       return;
     }
     this.inFlight = true;
-    const heldMs = w.responseDelayMs();
-    if (heldMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + heldMs + 200);
-    w.schedule(100 + heldMs, () => this.receiveResponse(node, requestId, sentAt, session));
+    const delayMs = w.responseDelayMs();
+    if (delayMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + delayMs + 200);
+    w.schedule(100 + delayMs, () => this.receiveResponse(node, requestId, sentAt, session));
   }
 
   private receiveResponse(node: Node, requestId: number, sentAt: number, session: number): void {
     const w = this.world;
-    // A machine that goes on takes what came meanwhile, unless that is too old.
+    // A machine that resumes processes responses received while it hung, unless they are too old.
     if (this.hung && w.now - sentAt < 4000)
       return w.schedule(50, () => this.receiveResponse(node, requestId, sentAt, session));
-    // One report at a time; an answer is waited for as long as its controller lives.
-    const waits =
+    // Only one heartbeat is in flight. The worker waits for its response up to 4 s, while the controller is alive.
+    const stillWaiting =
       !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
-    if (!node.responses.has(requestId) && waits && w.now - sentAt < 4000)
+    if (!node.responses.has(requestId) && stillWaiting && w.now - sentAt < 4000)
       return w.schedule(10, () => this.receiveResponse(node, requestId, sentAt, session));
-    const a = node.responses.get(requestId);
+    const response = node.responses.get(requestId);
     node.responses.delete(requestId);
     this.inFlight = false;
     if (this.silent || this.hung || this.losesResponses || session !== this.session) return;
     this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
-    if (a?.status !== 200) {
-      const boss = w.nodes.findIndex((n) => n.member === a?.body['boss']);
-      this.targetIndex = boss >= 0 && w.nodes[boss] !== node ? boss : this.targetIndex + 1;
-      this.nextHeartbeatAt = w.now + (boss >= 0 ? 50 : 1000);
+    if (response?.status !== 200) {
+      const ownerIndex = w.nodes.findIndex((n) => n.member === response?.body['boss']);
+      this.targetIndex = ownerIndex >= 0 && w.nodes[ownerIndex] !== node ? ownerIndex : this.targetIndex + 1;
+      this.nextHeartbeatAt = w.now + (ownerIndex >= 0 ? 50 : 1000);
       return;
     }
-    const body = a.body as {
+    const body = response.body as {
       baton: number;
       orders: { verb: string; piece: string; try: number; windDownS?: number }[];
     };
@@ -210,32 +219,39 @@
     );
   }
 
-  /** An answer has kept its tasks alive. Of a cancelled job it may only for so long that the lease still ends in time. */
-  private checkKeptTasks(node: Node, sentAt: number, killed: ReadonlySet<string>): void {
+  /**
+   * Checks a response that renewed the lease. It may keep a task of a cancelled job alive only while the renewed lease still ends
+   * within the time limit for cancellations.
+   */
+  private checkKeptTasks(node: Node, sentAt: number, stoppedTasks: ReadonlySet<string>): void {
     const w = this.world;
     w.leaseRenewals.answers.set(node.member, (w.leaseRenewals.answers.get(node.member) ?? 0) + 1);
-    for (const [piece, t] of this.tasks) {
-      const since = w.cancelledAt.get(t.report.job);
-      if (since === undefined || t.report.phase === 'exited' || killed.has(piece)) continue;
-      w.leaseRenewals.mostMs = Math.max(w.leaseRenewals.mostMs, sentAt - since);
-      if (sentAt - since > w.maxKeepMs)
-        w.violations.push(`kept ${piece} ${sentAt - since} ms by ${node.member}`);
+    for (const [taskKey, t] of this.tasks) {
+      const cancelledAt = w.cancelledAt.get(t.report.job);
+      if (cancelledAt === undefined || t.report.phase === 'exited' || stoppedTasks.has(taskKey)) continue;
+      w.leaseRenewals.maxAfterCancellationMs = Math.max(
+        w.leaseRenewals.maxAfterCancellationMs,
+        sentAt - cancelledAt,
+      );
+      if (sentAt - cancelledAt > w.maxKeepMs)
+        w.violations.push(`kept ${taskKey} ${sentAt - cancelledAt} ms by ${node.member}`);
     }
   }
 
-  /** Commands sent straight to it: carried out late, too, as long as token and session are right. */
+  /** Receives commands that a controller sent directly. Late commands are executed, too, if session and token are still valid. */
   receiveDirectCommands(orders: TaskOrder[], token: number, session: number): void {
     if (this.losesResponses) return;
     if (this.hung) this.delayedCommands.push({ orders, token, session });
     else if (session === this.session) this.execute(orders, token);
   }
 
+  /** Executes task commands unless their fencing token is outdated. */
   execute(orders: TaskOrder[], token: number): void {
     if (token < this.token || this.hung) return;
     this.token = token;
     for (const o of orders) {
-      const piece = `${o.job}/${o.index}`;
-      const t = this.tasks.get(piece);
+      const taskKey = `${o.job}/${o.index}`;
+      const t = this.tasks.get(taskKey);
       if (o.op === 'start') {
         this.world.recordStart(this, o.job, o.index, t !== undefined);
         if (t) continue;
@@ -247,29 +263,32 @@
           exitReason: null,
           saved: false,
         };
-        if (this.failsTasks || this.world.failingJobs.has(o.job)) exit(report, 'error');
-        this.tasks.set(piece, { report, since: this.world.now });
+        if (this.failsTasks || this.world.failingJobs.has(o.job)) markExited(report, 'error');
+        this.tasks.set(taskKey, { report, since: this.world.now });
       } else if (t?.report.attempt === o.attempt) {
-        if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(piece);
+        if (o.op === 'forget' && t.report.phase === 'exited') this.tasks.delete(taskKey);
         if (o.op === 'stop' && t.report.phase !== 'exited') this.stopTask(t, o.graceS);
       }
       this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, this.world.now + 500);
     }
   }
 
-  /** One that saves goes on doing so unless it is told to end at once. */
-  private stopTask(t: Running, graceS: number): void {
+  /** Stops a task. A task that is saving its state continues to do so unless the grace period is 0. */
+  private stopTask(t: WorkerTask, graceS: number): void {
     const saveS = this.world.specs.get(t.report.job)?.saveS ?? 0;
     const saves = t.report.phase === 'running' && saveS > 0 && graceS >= saveS;
     if (saves) Object.assign(t, { since: this.world.now, saveS });
     if (saves) t.report.phase = 'saving';
-    else if (t.report.phase !== 'saving' || graceS === 0) exit(t.report, 'stopped', graceS > 0);
+    else if (t.report.phase !== 'saving' || graceS === 0) markExited(t.report, 'stopped', graceS > 0);
   }
 
-  /** A machine that hangs may go on within its lease; after that nothing of what it had is there. */
-  hasTask(piece: string): boolean {
+  /**
+   * Whether it has a task that has not exited. A hung machine can resume its tasks until its lease expires, and has none after
+   * that.
+   */
+  hasTask(taskKey: string): boolean {
     if (this.hung && this.world.now - this.leaseStartedAt > this.world.leaseMs) return false;
-    const t = this.tasks.get(piece);
+    const t = this.tasks.get(taskKey);
     return t !== undefined && t.report.phase !== 'exited';
   }
 }
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -1,260 +1,292 @@
-/** Users of the scripted world: they submit, poll and cancel through every controller and check what they are answered. */
+/** Simulated users that submit, poll and cancel jobs through all controllers and check the responses. */
 import type { JobSpec } from '../../src/model/job.js';
 import { type Node } from './controller-node.js';
 import { spec } from './fixtures.js';
 import { type World } from './world.js';
 
-interface Asked {
+/** A request without a response so far. */
+interface PendingRequest {
   id: string;
   node: Node;
   requestId: number;
-  at: number;
-  what: 'submit' | 'query' | 'cancel';
+  sentAt: number;
+  kind: 'submit' | 'query' | 'cancel';
 }
 
-type Told = 'accepted' | 'done' | 'aborted';
-const rank: Record<Told, number> = { accepted: 0, done: 1, aborted: 1 };
+/** What users distinguish of a job's status. */
+type ReportedStatus = 'accepted' | 'done' | 'aborted';
+/** A known status is replaced only by one of a higher rank. */
+const statusRank: Record<ReportedStatus, number> = { accepted: 0, done: 1, aborted: 1 };
 
 /**
- * Users of a world: jobs come one after the other, each is asked for again and again, some are withdrawn, through whichever
- * controller is healthy. What they are told is held against the rules.
+ * Users of a simulated cluster: they submit jobs at a fixed interval, poll each job repeatedly and cancel some, through any
+ * healthy controller. Responses that violate an invariant are recorded as violations.
  */
 export class Traffic {
+  /** All jobs, by id. */
   readonly jobs = new Map<string, JobSpec>();
-  readonly told = new Map<string, Told>();
-  private readonly overAt = new Map<string, number>();
-  /** When a job's user last had an answer of use. */
-  readonly heardAt = new Map<string, number>();
-  /** Answers that were no use: 429, 503, none. */
+  /** The latest status that users were told, by job. Jobs that are not accepted yet are missing. */
+  readonly told = new Map<string, ReportedStatus>();
+  /** When users were first told that a job has ended, ms. */
+  private readonly endReportedAt = new Map<string, number>();
+  /** When a job's user last got a status, ms. */
+  readonly lastAnsweredAt = new Map<string, number>();
+  /** The number of requests without a usable response: 429, 503 or none. */
   failed = 0;
+  /** The number of responses with a status. */
   answered = 0;
-  /** How long jobs took to be accepted, from their first try, ms. */
+  /** The time from the first submission of each job to its acceptance, ms. */
   readonly acceptedAfter: number[] = [];
-  private readonly triedAt = new Map<string, number>();
-  private readonly wantsEnd = new Set<string>();
-  private open: Asked[] = [];
-  private again: { at: number; id: string }[] = [];
-  private next: number;
-  /** Of what is told anew this share is looked at closely. */
-  private closeShare = 0;
-  /** This share of the jobs is cancelled right after it was accepted, or at its end. */
-  private atOnceShare = 0;
-  private atEndShare = 0;
-  /** How often all controllers were asked closely, by what had been told; and cancellations that met the end. */
+  private readonly firstSubmittedAt = new Map<string, number>();
+  /** Jobs that users have cancelled or are about to cancel. */
+  private readonly cancelRequested = new Set<string>();
+  private pendingRequests: PendingRequest[] = [];
+  private resubmissions: { at: number; id: string }[] = [];
+  private nextJobNumber: number;
+  /** The share of new statuses that are checked on all controllers. */
+  private closeCheckShare = 0;
+  /**
+   * The share of checked acceptances that are followed by an immediate cancellation, and the share of jobs that are queried,
+   * resubmitted and mostly cancelled around their end.
+   */
+  private cancelOnAcceptShare = 0;
+  private checkAtEndShare = 0;
+  /** The number of checks on all controllers, by the reported status, and of checks around the end of a job. */
   readonly looks = { accepted: 0, done: 0, aborted: 0, atEnd: 0 };
-  private readonly endOf = new Map<string, number>();
-  private seenEnds = 0;
-  private turn = 0;
+  private readonly endedTaskCounts = new Map<string, number>();
+  private seenFinishedTasks = 0;
+  private nextNodeIndex = 0;
   private requestId = 5_000_000;
-  private on = true;
-  private polledAt = 0;
-  private polls = 0;
+  private submitting = true;
+  private lastPollAt = 0;
+  private pollCount = 0;
 
   constructor(
     private readonly w: World,
-    /** A new job this often. */
-    private readonly everyMs: number,
-    private readonly shapeOf: (n: number) => Partial<JobSpec> = () => ({}),
-    private readonly withdrawEvery = 7,
-    first = 100,
+    /** The interval between new jobs. */
+    private readonly intervalMs: number,
+    /** Fields of the job with the given number that differ from the default. */
+    private readonly jobOverridesOf: (jobNumber: number) => Partial<JobSpec> = () => ({}),
+    /** Jobs whose number is divisible by this are cancelled. */
+    private readonly cancelEvery = 7,
+    firstJobNumber = 100,
   ) {
-    this.next = first;
-    this.beat();
+    this.nextJobNumber = firstJobNumber;
+    this.scheduleTick();
   }
 
   /**
-   * From now on users look closely: after an answer that says something new, all controllers are asked within milliseconds,
-   * also by repeating the submission.
+   * Starts additional checks: for the given share of responses with a new status, users query all controllers within milliseconds
+   * and repeat the submission on some. `cancelOnAccept` and `checkAtEnd` are the shares of jobs that users also cancel right
+   * after acceptance, and check around their end.
    */
-  closely(share: number, atOnce = 0, atEnd = 0): void {
-    const first = this.closeShare === 0;
-    [this.closeShare, this.atOnceShare, this.atEndShare] = [share, atOnce, atEnd];
-    if (!first) return;
-    const beat = (): void => {
-      this.look();
-      this.watchEnds();
-      this.w.schedule(10, beat);
+  closely(share: number, cancelOnAccept = 0, checkAtEnd = 0): void {
+    const firstCall = this.closeCheckShare === 0;
+    [this.closeCheckShare, this.cancelOnAcceptShare, this.checkAtEndShare] = [
+      share,
+      cancelOnAccept,
+      checkAtEnd,
+    ];
+    if (!firstCall) return;
+    const tick = (): void => {
+      this.processResponses();
+      this.checkJobEnds();
+      this.w.schedule(10, tick);
     };
-    beat();
+    tick();
   }
 
-  private lookClosely(id: string, told: Told): void {
+  /** Queries a job on all controllers, with a probability of `closeCheckShare`, after its status has changed. */
+  private checkOnAllNodes(id: string, status: ReportedStatus): void {
     const { w } = this;
-    if (w.random() >= this.closeShare) return;
-    this.looks[told]++;
+    if (w.random() >= this.closeCheckShare) return;
+    this.looks[status]++;
     for (const n of w.nodes) {
-      this.ask('query', id, n);
-      w.schedule(40 * w.random(), () => this.ask('query', id, n));
-      if (w.random() < 0.5) w.schedule(20 * w.random(), () => this.ask('submit', id, n));
-      if (w.random() < 0.1) w.schedule(20 * w.random(), () => this.ask('query', `req-9${id.slice(4)}9`, n));
+      this.sendRequest('query', id, n);
+      w.schedule(40 * w.random(), () => this.sendRequest('query', id, n));
+      if (w.random() < 0.5) w.schedule(20 * w.random(), () => this.sendRequest('submit', id, n));
+      if (w.random() < 0.1)
+        w.schedule(20 * w.random(), () => this.sendRequest('query', `req-9${id.slice(4)}9`, n));
     }
-    if (told === 'accepted' && w.random() < this.atOnceShare)
+    if (status === 'accepted' && w.random() < this.cancelOnAcceptShare)
       w.schedule(30 * w.random(), () => this.cancel(id, w.nodes[Math.floor(w.random() * w.nodes.length)]));
   }
 
-  /** Its user calls a job off, through this controller first. */
-  cancel(id: string, through?: Node): void {
-    this.wantsEnd.add(id);
-    this.ask('cancel', id, through);
+  /** Cancels a job, first through the given controller. */
+  cancel(id: string, node?: Node): void {
+    this.cancelRequested.add(id);
+    this.sendRequest('cancel', id, node);
   }
 
-  /** Jobs that were accepted and are not known to be over. */
+  /** Jobs that were accepted and are not known to have ended. */
   get going(): string[] {
     return [...this.told].flatMap(([id, told]) => (told === 'accepted' ? [id] : []));
   }
 
-  /** Cancellations, questions and repeated submissions that meet the end of a job's last task. */
-  private watchEnds(): void {
+  /** Sends cancellations, queries and repeated submissions around the time at which the last task of a job ends. */
+  private checkJobEnds(): void {
     const { w } = this;
-    for (; this.seenEnds < w.finished.length; this.seenEnds++) {
-      const [id] = w.finished[this.seenEnds].split('/');
+    for (; this.seenFinishedTasks < w.finished.length; this.seenFinishedTasks++) {
+      const [id] = w.finished[this.seenFinishedTasks].split('/');
       const job = this.jobs.get(id);
-      const ended = (this.endOf.get(id) ?? 0) + 1;
-      this.endOf.set(id, ended);
-      if (!job || ended !== job.tasks || w.random() >= this.atEndShare) continue;
+      const endedTasks = (this.endedTaskCounts.get(id) ?? 0) + 1;
+      this.endedTaskCounts.set(id, endedTasks);
+      if (!job || endedTasks !== job.tasks || w.random() >= this.checkAtEndShare) continue;
       w.schedule(w.random() < 0.3 ? 0 : 3000 * w.random(), () => {
         if (this.told.get(id) !== 'accepted') return;
         this.looks.atEnd++;
         const [a, b, c] = [...w.nodes].sort(() => w.random() - 0.5);
         if (w.random() < 0.7) this.cancel(id, a);
-        this.ask('submit', id, b);
-        for (let i = 0; i < 6; i++) w.schedule(120 * i, () => this.ask('query', id, i % 2 === 0 ? c : b));
+        this.sendRequest('submit', id, b);
+        for (let i = 0; i < 6; i++)
+          w.schedule(120 * i, () => this.sendRequest('query', id, i % 2 === 0 ? c : b));
       });
     }
   }
 
-  /** No new jobs. */
+  /** Stops submitting new jobs. */
   stop(): void {
-    this.on = false;
+    this.submitting = false;
   }
 
+  /** Whether users were told of every job that it has ended. */
   get over(): boolean {
     return [...this.jobs.keys()].every(
       (id) => this.told.get(id) === 'done' || this.told.get(id) === 'aborted',
     );
   }
 
-  private node(): Node | null {
+  private nextHealthyNode(): Node | null {
     const { nodes } = this.w;
     for (let i = 0; i < nodes.length; i++) {
-      const n = nodes[this.turn++ % nodes.length];
+      const n = nodes[this.nextNodeIndex++ % nodes.length];
       if (n.alive && !n.paused && n.controller.healthy) return n;
     }
     return null;
   }
 
-  private beat(): void {
+  private scheduleTick(): void {
     const { w } = this;
-    w.schedule(this.everyMs, () => {
-      if (this.on) this.submitNew();
-      this.look();
-      const due = this.again.filter((a) => a.at <= w.now);
-      this.again = this.again.filter((a) => a.at > w.now);
-      for (const { id } of due) this.submit(id);
-      if (w.now - this.polledAt > 1000) this.poll();
-      this.beat();
+    w.schedule(this.intervalMs, () => {
+      if (this.submitting) this.submitNew();
+      this.processResponses();
+      const dueResubmissions = this.resubmissions.filter((a) => a.at <= w.now);
+      this.resubmissions = this.resubmissions.filter((a) => a.at > w.now);
+      for (const { id } of dueResubmissions) this.submit(id);
+      if (w.now - this.lastPollAt > 1000) this.poll();
+      this.scheduleTick();
     });
   }
 
   private submitNew(): void {
-    const n = this.next++;
-    const id = `req-${n}`;
-    this.triedAt.set(id, this.w.now);
-    this.jobs.set(id, spec(id, { tasks: 1, team: 'blue', ...this.shapeOf(n) }));
+    const jobNumber = this.nextJobNumber++;
+    const id = `req-${jobNumber}`;
+    this.firstSubmittedAt.set(id, this.w.now);
+    this.jobs.set(id, spec(id, { tasks: 1, team: 'blue', ...this.jobOverridesOf(jobNumber) }));
     this.submit(id);
   }
 
-  private ask(what: Asked['what'], id: string, through?: Node): void {
-    const node = through ?? this.node();
+  private sendRequest(kind: PendingRequest['kind'], id: string, target?: Node): void {
+    const node = target ?? this.nextHealthyNode();
     if (node && (!node.alive || node.paused)) return;
     if (!node) {
-      if (what === 'submit') this.again.push({ at: this.w.now + 1000, id });
+      if (kind === 'submit') this.resubmissions.push({ at: this.w.now + 1000, id });
       return;
     }
     const requestId = ++this.requestId;
     const job = this.jobs.get(id);
     if (!job) {
       node.push({ type: 'query', requestId, id });
-      this.open.push({ id, node, requestId, at: this.w.now, what: 'query' });
+      this.pendingRequests.push({ id, node, requestId, sentAt: this.w.now, kind: 'query' });
       return;
     }
     if (job.shape === 'gang') this.w.gangs.set(id, job.tasks);
     if (job.shape === 'service') this.w.serviceJobs.add(id);
     this.w.specs.set(id, job);
-    node.push(what === 'submit' ? { type: 'submit', requestId, spec: job } : { type: what, requestId, id });
-    this.open.push({ id, node, requestId, at: this.w.now, what });
+    node.push(kind === 'submit' ? { type: 'submit', requestId, spec: job } : { type: kind, requestId, id });
+    this.pendingRequests.push({ id, node, requestId, sentAt: this.w.now, kind });
   }
 
   private submit(id: string): void {
-    this.ask('submit', id);
+    this.sendRequest('submit', id);
   }
 
   private poll(): void {
-    this.polledAt = this.w.now;
-    this.polls++;
+    this.lastPollAt = this.w.now;
+    this.pollCount++;
     for (const [id, told] of this.told) {
       if (told !== 'accepted') {
-        if (this.polls % 10 === Number(id.slice(-1))) this.ask('query', id);
+        if (this.pollCount % 10 === Number(id.slice(-1))) this.sendRequest('query', id);
         continue;
       }
-      const n = Number(id.slice(4));
-      if (n % this.withdrawEvery === 0) this.wantsEnd.add(id);
-      this.ask(this.wantsEnd.has(id) ? 'cancel' : 'query', id);
+      const jobNumber = Number(id.slice(4));
+      if (jobNumber % this.cancelEvery === 0) this.cancelRequested.add(id);
+      this.sendRequest(this.cancelRequested.has(id) ? 'cancel' : 'query', id);
     }
   }
 
-  private look(): void {
+  private processResponses(): void {
     const { w } = this;
-    const left: Asked[] = [];
-    for (const a of this.open) {
-      const answer = a.node.responses.get(a.requestId);
-      if (answer) a.node.responses.delete(a.requestId);
-      else if (w.now - a.at < 5000 && a.node.alive) {
-        left.push(a);
+    const stillPending: PendingRequest[] = [];
+    for (const request of this.pendingRequests) {
+      const response = request.node.responses.get(request.requestId);
+      if (response) request.node.responses.delete(request.requestId);
+      else if (w.now - request.sentAt < 5000 && request.node.alive) {
+        stillPending.push(request);
         continue;
       }
-      const status = answer?.status ?? 0;
-      if (status === 200 || status === 201) this.hear(a, String(answer!.body['status']));
-      else if (!this.jobs.has(a.id)) continue;
+      const status = response?.status ?? 0;
+      if (status === 200 || status === 201) this.processStatus(request, String(response!.body['status']));
+      else if (!this.jobs.has(request.id)) continue;
       else if (status === 404 || status === 422 || status === 400) {
-        if (this.told.has(a.id))
-          w.violations.push(`forgotten ${a.id}: ${status} to ${a.what} by ${a.node.member}`);
-        else if (a.what === 'submit') w.violations.push(`refused ${a.id}: ${status} by ${a.node.member}`);
+        if (this.told.has(request.id))
+          w.violations.push(
+            `forgotten ${request.id}: ${status} to ${request.kind} by ${request.node.member}`,
+          );
+        else if (request.kind === 'submit')
+          w.violations.push(`refused ${request.id}: ${status} by ${request.node.member}`);
       } else {
         this.failed++;
-        if (a.what === 'submit' && !this.told.has(a.id)) this.again.push({ at: w.now + 1000, id: a.id });
+        if (request.kind === 'submit' && !this.told.has(request.id))
+          this.resubmissions.push({ at: w.now + 1000, id: request.id });
       }
     }
-    this.open = left;
+    this.pendingRequests = stillPending;
   }
 
-  private hear(a: Asked, status: string): void {
-    if (!this.jobs.has(a.id)) {
-      this.w.violations.push(`invented ${a.id}: ${status} by ${a.node.member}`);
+  private processStatus(request: PendingRequest, status: string): void {
+    if (!this.jobs.has(request.id)) {
+      this.w.violations.push(`unknown_job ${request.id}: ${status} by ${request.node.member}`);
       return;
     }
     this.answered++;
-    this.heardAt.set(a.id, this.w.now);
-    const now: Told = status === 'done' ? 'done' : status === 'aborted' ? 'aborted' : 'accepted';
-    const before = this.told.get(a.id);
-    if (before === undefined) this.acceptedAfter.push(this.w.now - this.triedAt.get(a.id)!);
-    if (before === 'done' || before === 'aborted') {
-      // Asked for before it was told, an answer may be older.
-      if (now !== before && (now !== 'accepted' || a.at >= this.overAt.get(a.id)!))
-        this.w.violations.push(`went_back ${a.id}: ${before}, then ${now} by ${a.node.member}`);
+    this.lastAnsweredAt.set(request.id, this.w.now);
+    const current: ReportedStatus =
+      status === 'done' ? 'done' : status === 'aborted' ? 'aborted' : 'accepted';
+    const previous = this.told.get(request.id);
+    if (previous === undefined) this.acceptedAfter.push(this.w.now - this.firstSubmittedAt.get(request.id)!);
+    if (previous === 'done' || previous === 'aborted') {
+      // A request that was sent before the end was reported may still be answered with the older status.
+      if (
+        current !== previous &&
+        (current !== 'accepted' || request.sentAt >= this.endReportedAt.get(request.id)!)
+      )
+        this.w.violations.push(
+          `went_back ${request.id}: ${previous}, then ${current} by ${request.node.member}`,
+        );
       return;
     }
-    if (now === 'aborted' && !this.wantsEnd.has(a.id))
-      this.w.violations.push(`went_back ${a.id}: nobody cancelled it`);
-    if (now === 'done') {
-      const tasks = this.jobs.get(a.id)!.tasks;
-      const ended = new Set(this.w.finished.filter((p) => p.startsWith(`${a.id}/`))).size;
-      if (ended < tasks) this.w.violations.push(`not_done ${a.id}: ${ended} of ${tasks}`);
+    if (current === 'aborted' && !this.cancelRequested.has(request.id))
+      this.w.violations.push(`went_back ${request.id}: aborted without a cancellation`);
+    if (current === 'done') {
+      const tasks = this.jobs.get(request.id)!.tasks;
+      const endedTasks = new Set(this.w.finished.filter((p) => p.startsWith(`${request.id}/`))).size;
+      if (endedTasks < tasks) this.w.violations.push(`not_done ${request.id}: ${endedTasks} of ${tasks}`);
     }
-    if (now !== 'accepted') this.overAt.set(a.id, this.w.now);
-    if (now === 'aborted') this.w.cancelledAt.set(a.id, this.w.now);
-    if (before !== undefined && rank[now] <= rank[before]) return;
-    this.told.set(a.id, now);
-    this.lookClosely(a.id, now);
+    if (current !== 'accepted') this.endReportedAt.set(request.id, this.w.now);
+    if (current === 'aborted') this.w.cancelledAt.set(request.id, this.w.now);
+    if (previous !== undefined && statusRank[current] <= statusRank[previous]) return;
+    this.told.set(request.id, current);
+    this.checkOnAllNodes(request.id, current);
   }
 }
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -1,7 +1,7 @@
 /**
- * A small scripted world on a fake clock: state service, cloud and workers as the protocol describes them, written for these tests.
- * Everything happens at set moments, so a test can put a failure just where it hurts. The world sees everything and notes each broken
- * rule in `violations`.
+ * A simulated cluster on a fake clock: controllers run against an in-memory state service, cloud provider and workers that follow
+ * the protocol. Every event happens at a defined time, so tests can inject failures at exact moments. The simulation observes all
+ * components and records each violated invariant in `violations`.
  */
 import { operatorDefaults, type OperatorSettings } from '../../src/config/operators.js';
 import { parseSettings } from '../../src/config/settings.js';
@@ -17,75 +17,88 @@
 import { StateService } from './scripted-state-service.js';
 import { Worker } from './scripted-worker.js';
 
-/** State service, cloud, workers and controllers on one clock, and the checks of all rules. */
+/** State service, cloud provider, workers and controllers on one simulated clock, with invariant checks. */
 export class World {
+  /** The simulated time, ms. */
   now = 0;
   readonly state = new StateService(this);
   readonly nodes: Node[] = [];
   readonly workers = new Map<string, Worker>();
   readonly commits: { member: string; txn: Transaction; outcome: CommitOutcome; at: number }[] = [];
   readonly rentals: RentRequest[] = [];
+  /** Hosts of deleted machines. */
   readonly deleted: string[] = [];
+  /** Tasks that have completed, as `job/index`; a task that ran more than once may be listed more than once. */
   readonly finished: string[] = [];
-  /** Jobs that were submitted here, where the referee is to hold their starts against them. */
+  /** Specifications of submitted jobs. Task starts of these jobs are checked against them. */
   readonly specs = new Map<string, JobSpec>();
-  /** Gangs, and how many tasks each has. */
+  /** The number of tasks of each gang, by job. */
   readonly gangs = new Map<string, number>();
-  /** How long a task waits for its image. */
+  /** How long a task takes to fetch its image, s. */
   fetchS = 0;
-  /** Services: their tasks never complete. */
+  /** Jobs of shape `service`, whose tasks never complete. */
   readonly serviceJobs = new Set<string>();
-  /** Jobs submitted with a mistake: their tasks fail on every machine. */
+  /** Jobs whose tasks fail on every machine. */
   readonly failingJobs = new Set<string>();
+  /** Start commands that workers have received. Tasks are named `job/index`. */
   readonly starts: { piece: string; host: string; at: number }[] = [];
-  /** Broken rules, as a referee who sees everything finds them. */
+  /** Violated invariants, as text that begins with the name of the invariant. */
   readonly violations: string[] = [];
+  /** When users were told that a job is cancelled, by job, ms. */
   readonly cancelledAt = new Map<string, number>();
   /**
-   * Answers that have renewed a lease, by controller, and the longest time after its cancellation for which a task was kept
-   * by one. It may be `cancel_s` - `lease_s`, less what clocks differ by.
+   * The number of heartbeat responses that renewed a worker's lease, by controller, and the longest time after the cancellation
+   * of a job at which such a response still kept one of its tasks alive.
    */
-  readonly leaseRenewals = { answers: new Map<string, number>(), mostMs: 0 };
+  readonly leaseRenewals = { answers: new Map<string, number>(), maxAfterCancellationMs: 0 };
+  /** The limit for `maxAfterCancellationMs`: `cancel_s` - `lease_s`, less the allowed clock drift. */
   maxKeepMs = 20_000 * (1 - 0.001);
+  /** The machine types on offer. */
   types: MachineType[] = [box];
+  /** How many more machines the cloud provider can rent out. */
   capacity = 10;
   cloudDown = false;
-  /** Commits that are still on their way. */
+  /** Transactions of controllers with `holdsCommits`, which the state service has not received yet. */
   readonly heldCommits: Transaction[] = [];
-  /** Controllers reach each other. */
+  /** Whether controllers can reach each other. */
   peersConnected = true;
-  /** An error in a controller ends its process, not the test. */
+  /** Whether an exception in a controller ends only its process and not the test. */
   crashesAllowed = false;
-  /** What the controllers' random numbers come from. */
+  /** The seed of all random number generators. */
   readonly seed: number;
   nextRequestId = 1_000_000;
-  /** How long an answer of the state service or the cloud takes, and the first reading of the state. */
+  /** How long responses of the state service and the cloud provider take, and how long the initial snapshot takes, ms. */
   responseMs = 5;
   snapshotMs = 0;
-  /** After so long a controller gives up waiting for the answer to a commit. */
+  /** After this time a controller stops waiting for the response to a delayed commit, ms. */
   lostResponseMs = 1000;
-  /** Of this share of the workers' reports a copy arrives again, up to one and a half leases later, at whichever controller. */
+  /** The share of heartbeats of which a duplicate reaches a random controller, 2 s to 2 s plus 1.5 leases later. */
   duplicatedHeartbeatShare = 0;
-  /** How long tasks run on machines that come from now on; for some tasks, wherever they run. */
+  /** How long tasks run on machines that are added from now on, s. `taskDurationOf` overrides it for single tasks. */
   taskDurationS = 20;
-  taskDurationOf: (piece: string) => number | undefined = () => undefined;
-  /** This share of rentals and returns gets no answer and is carried out 2 to 12 s later. */
+  taskDurationOf: (taskKey: string) => number | undefined = () => undefined;
+  /** The share of rent and delete requests that get no response and are executed 2 to 12 s later. */
   delayedCloudCallShare = 0;
-  /** How long transactions are on their way, and answers to rentals; after how long a lost answer is noticed, ms. */
+  /**
+   * How long transactions take to reach the state service, how long responses to rent requests are delayed, and after which time
+   * a controller detects that a response was lost, ms.
+   */
   commitDelayMs: () => number = () => 0;
   cloudDelayMs: () => number = () => 0;
   lostResponseNoticedMs: () => number = () => 0;
-  /** Reports of machines that the controller they came to had no record of. */
+  /** The number of heartbeats that reached a controller which had no record of the machine. */
   heartbeatsBeforeRecord = 0;
-  /** Of this share of the reports a copy is kept until somebody else leads or owns, and then reaches every controller. */
+  /**
+   * The share of heartbeats of which a copy is held until the leader or a shard owner changes, and then reaches every controller.
+   */
   heldHeartbeatShare = 0;
   readonly heldHeartbeats: Heartbeat[] = [];
-  /** How many such copies came just as somebody else had begun. */
+  /** The number of held copies that were delivered after such a change. */
   deliveredHeldHeartbeats = 0;
   private readonly ownershipStamps = new Map<string, number>();
-  /** Starts after a confirmed cancellation: of which tasks, and how long after. */
-  readonly startsAfterCancellation: { piece: string; afterMs: number }[] = [];
-  /** How long direct commands, and answers to reports, are held up, ms. */
+  /** Tasks that were started after the cancellation of their job was confirmed, and how long after it. */
+  readonly startsAfterCancellation: { taskKey: string; afterMs: number }[] = [];
+  /** The additional delays of direct commands and of heartbeat responses, ms. */
   directCommandDelayMs: () => number = () => 0;
   responseDelayMs: () => number = () => 0;
   leaseMs = 16_000;
@@ -93,39 +106,39 @@
   private timers: { at: number; fn: () => void }[] = [];
   private machineCount = 0;
 
-  /** The world's own chance, apart from the controllers'. */
+  /** Random numbers for the simulation, independent of those of the controllers. */
   readonly random: () => number;
 
   constructor(
-    nodes = 1,
+    nodeCount = 1,
     operators: Partial<OperatorSettings> = {},
     seed = 1,
     settingsOf: (text: string) => string = (text) => text,
   ) {
     this.seed = seed;
     this.random = seededRandom(seed * 7919 + 13);
-    for (let i = 0; i < nodes; i++) {
-      const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodes)));
+    for (let i = 0; i < nodeCount; i++) {
+      const settings = parseSettings(settingsOf(settingsText(`n${i}`, nodeCount)));
       this.nodes.push(new Node(this, `n${i}`, settings, { ...operatorDefaults, ...operators }));
     }
   }
 
-  /** Calls a function after so many ms of the world's clock. */
+  /** Calls a function after a delay of simulated time. */
   schedule(ms: number, fn: () => void): void {
     this.timers.push({ at: this.now + ms, fn });
   }
 
-  /** The same; at once for 0 ms. */
+  /** Like `schedule`, but calls the function immediately if the delay is 0. */
   scheduleOrRun(ms: number, fn: () => void): void {
     if (ms > 0) this.schedule(ms, fn);
     else fn();
   }
 
   private readonly rentalResponses = new Map<string, string[]>();
-  /** A request name that was carried out once gets the same answer for ever. */
+  /** Rents machines. Idempotent: a request name that was executed before gets the same response again. */
   rent(request: RentRequest): RentalOutcome {
-    const before = this.rentalResponses.get(request.name);
-    if (before) return { type: 'rented', hosts: before };
+    const earlierHosts = this.rentalResponses.get(request.name);
+    if (earlierHosts) return { type: 'rented', hosts: earlierHosts };
     if (this.capacity <= 0) return { type: 'no-capacity' };
     const hosts: string[] = [];
     for (let i = 0; i < request.count && this.capacity > 0; i++) {
@@ -136,62 +149,72 @@
     return { type: 'rented', hosts };
   }
 
-  /** The cloud deletes machines with all that is on them. */
+  /** Deletes machines together with their workers and tasks. */
   remove(hosts: string[]): void {
-    for (const h of hosts) {
-      this.deleted.push(h);
-      if (this.workers.delete(h)) this.capacity++;
+    for (const host of hosts) {
+      this.deleted.push(host);
+      if (this.workers.delete(host)) this.capacity++;
     }
   }
 
-  /** A machine comes up, with a worker on it. */
+  /** Starts a machine with a worker on it. */
   addWorker(type: string, zone: string, spot: boolean): Worker {
     const host = `n-${String(++this.machineCount).padStart(6, '0')}`;
-    const w = new Worker(this, host, type, zone, spot);
-    this.workers.set(host, w);
-    return w;
+    const worker = new Worker(this, host, type, zone, spot);
+    this.workers.set(host, worker);
+    return worker;
   }
 
-  /** A worker was told to start a task: the rules about starts are checked. */
-  recordStart(w: Worker, job: string, index: number, held: boolean): void {
-    const piece = `${job}/${index}`;
-    this.starts.push({ piece, host: w.host, at: this.now });
-    if (held) return;
+  /**
+   * Records that a worker received the command to start a task, and checks the invariants on starts: no task runs twice, and none
+   * starts later than `cancel_s` after the cancellation of its job.
+   */
+  recordStart(worker: Worker, job: string, index: number, alreadyPresent: boolean): void {
+    const taskKey = `${job}/${index}`;
+    this.starts.push({ piece: taskKey, host: worker.host, at: this.now });
+    if (alreadyPresent) return;
     for (const other of this.workers.values())
-      if (other !== w && other.hasTask(piece))
-        this.violations.push(`ran_twice ${piece} on ${w.host} and ${other.host}`);
-    const since = this.cancelledAt.get(job);
-    if (since !== undefined && this.now > since + 36_000) this.violations.push(`ran_cancelled ${piece}`);
-    if (since !== undefined && this.now > since)
-      this.startsAfterCancellation.push({ piece, afterMs: this.now - since });
-    this.checkPlacement(w, job, piece);
+      if (other !== worker && other.hasTask(taskKey))
+        this.violations.push(`ran_twice ${taskKey} on ${worker.host} and ${other.host}`);
+    const jobCancelledAt = this.cancelledAt.get(job);
+    if (jobCancelledAt !== undefined && this.now > jobCancelledAt + 36_000)
+      this.violations.push(`ran_cancelled ${taskKey}`);
+    if (jobCancelledAt !== undefined && this.now > jobCancelledAt)
+      this.startsAfterCancellation.push({ taskKey, afterMs: this.now - jobCancelledAt });
+    this.checkPlacement(worker, job, taskKey);
   }
 
-  /** Type, zone, kind of machine and the team's limit, with all that is on machines now. */
-  private checkPlacement(w: Worker, job: string, piece: string): void {
+  /**
+   * Checks a placement against the job's machine types, zone, spot and spreading constraints and against the team's CPU limit.
+   */
+  private checkPlacement(worker: Worker, job: string, taskKey: string): void {
     const spec = this.specs.get(job);
     if (!spec) return;
-    const zones = new Map<string, number>([[w.zone, 1]]);
+    const zones = new Map<string, number>([[worker.zone, 1]]);
     let cpus = spec.cpus;
-    for (const x of this.workers.values())
-      for (const [held, t] of x.tasks) {
-        if (!x.hasTask(held) || held === piece) continue;
-        const s = this.specs.get(t.report.job);
-        if (s?.team === spec.team) cpus += s.cpus;
-        if (t.report.job === job) zones.set(x.zone, (zones.get(x.zone) ?? 0) + 1);
+    for (const other of this.workers.values())
+      for (const [otherTaskKey, otherTask] of other.tasks) {
+        if (!other.hasTask(otherTaskKey) || otherTaskKey === taskKey) continue;
+        const otherSpec = this.specs.get(otherTask.report.job);
+        if (otherSpec?.team === spec.team) cpus += otherSpec.cpus;
+        if (otherTask.report.job === job) zones.set(other.zone, (zones.get(other.zone) ?? 0) + 1);
       }
-    const wrong =
-      (spec.types && !spec.types.includes(w.type)) ||
-      (spec.zone !== null && spec.zone !== w.zone) ||
-      (w.spot && (!spec.spot || spec.shape !== 'array')) ||
+    const misplaced =
+      (spec.types && !spec.types.includes(worker.type)) ||
+      (spec.zone !== null && spec.zone !== worker.zone) ||
+      (worker.spot && (!spec.spot || spec.shape !== 'array')) ||
       (spec.oneZone && zones.size > 1) ||
       (spec.apart && Math.max(...zones.values()) > Math.ceil(spec.tasks / 2));
-    if (wrong) this.violations.push(`wrong_place ${piece} on ${w.host}`);
-    const cap = this.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
-    if (cap > 0 && cpus > cap + 1e-9) this.violations.push(`quota ${spec.team}: ${cpus} with ${piece}`);
+    if (misplaced) this.violations.push(`wrong_place ${taskKey} on ${worker.host}`);
+    const cpuLimit = this.nodes[0].settings.teams.find((t) => t.name === spec.team)?.cpus_max ?? 0;
+    if (cpuLimit > 0 && cpus > cpuLimit + 1e-9)
+      this.violations.push(`quota ${spec.team}: ${cpus} with ${taskKey}`);
   }
 
-  /** Somebody else leads or owns: what was kept for that moment comes now, or a little later. */
+  /**
+   * Delivers the held heartbeats, half of them within 100 ms and the others within 4 s, if the leader or the owner of a shard has
+   * changed.
+   */
   private deliverHeldHeartbeats(): void {
     let changed = false;
     for (const [key, { stamp }] of this.state.entries)
@@ -210,19 +233,19 @@
     }
   }
 
-  /** A machine dies: the cloud has room for another. */
-  loseMachine(m: Worker): void {
-    if (this.workers.delete(m.host)) this.capacity++;
+  /** Makes a machine fail. The cloud provider can then rent out another one. */
+  loseMachine(worker: Worker): void {
+    if (this.workers.delete(worker.host)) this.capacity++;
   }
 
-  /** Plays so many seconds, in steps of 10 ms. */
+  /** Advances the simulation by a number of seconds, in steps of 10 ms. */
   advance(seconds: number): void {
     const until = this.now + seconds * 1000;
     while (this.now < until) {
       this.now += 10;
-      const due = this.timers.filter((l) => l.at <= this.now);
-      this.timers = this.timers.filter((l) => l.at > this.now);
-      for (const l of due) l.fn();
+      const dueTimers = this.timers.filter((timer) => timer.at <= this.now);
+      this.timers = this.timers.filter((timer) => timer.at > this.now);
+      for (const timer of dueTimers) timer.fn();
       this.state.expireLeases();
       if (this.heldHeartbeatShare > 0 || this.heldHeartbeats.length > 0) this.deliverHeldHeartbeats();
       for (const w of this.workers.values()) w.step();
@@ -230,25 +253,25 @@
       for (const [job, at] of this.cancelledAt)
         if (this.now > at + 36_000)
           for (const w of this.workers.values())
-            for (const piece of w.tasks.keys())
-              if (piece.startsWith(`${job}/`) && w.hasTask(piece))
-                this.violations.push(`ran_cancelled ${piece} stays`);
+            for (const taskKey of w.tasks.keys())
+              if (taskKey.startsWith(`${job}/`) && w.hasTask(taskKey))
+                this.violations.push(`ran_cancelled ${taskKey} stays`);
     }
   }
 
-  /** Plays until something holds; false if it does not within so many seconds. */
-  advanceUntil(what: () => boolean, withinS: number): boolean {
+  /** Advances the simulation until a condition holds. Returns false if it does not hold within `withinS` seconds. */
+  advanceUntil(condition: () => boolean, withinS: number): boolean {
     const until = this.now + withinS * 1000;
-    while (!what() && this.now < until) this.advance(0.1);
-    return what();
+    while (!condition() && this.now < until) this.advance(0.1);
+    return condition();
   }
 
-  /** Where tasks of a job are. */
+  /** The tasks of a job that workers have and that have not ended, with their hosts. */
   running(job: string): { host: string; piece: string }[] {
     const list: { host: string; piece: string }[] = [];
     for (const w of this.workers.values())
-      for (const piece of w.tasks.keys())
-        if (piece.startsWith(`${job}/`) && w.hasTask(piece)) list.push({ host: w.host, piece });
+      for (const taskKey of w.tasks.keys())
+        if (taskKey.startsWith(`${job}/`) && w.hasTask(taskKey)) list.push({ host: w.host, piece: taskKey });
     return list;
   }
 }
