--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -174,7 +174,7 @@
   }
 
   /** Records that no (more) capacity was found for a job. Within a cycle, free capacity only shrinks. */
-  noteUnplaceable(spec: JobSpec, maxPerZone = 0, total = 0): void {
+  recordUnplaceable(spec: JobSpec, maxPerZone = 0, total = 0): void {
     this.unplaceable.push({ spec, maxPerZone, total });
   }
 
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -120,7 +120,7 @@
     for (const command of commands) handleCommand(command, this.commandContext, effects);
     if (dataLossRecovery.detect(effects)) {
       this.superseded = true;
-      userRequests.rejectAll(effects);
+      userRequests.respondRetryLaterToAll(effects);
       return effects;
     }
     // Read once per step: a recovery from data loss that completes within this step takes effect in the next one.
@@ -178,7 +178,7 @@
     heartbeatRouter.tick(effects);
     loadSharing.tick();
     admission.applyWriteBudget(effects);
-    userRequests.flush(effects, freshness.confirmedByPeersAt);
+    userRequests.tick(effects, freshness.confirmedByPeersAt);
     batcher.tick(this.clock.now, effects);
     if (freshness.needsPeerConfirmation) freshnessExchange.queryPeers(effects);
     this.sendPeerStatus(effects, null);
@@ -190,7 +190,7 @@
     const { levels, shardManager } = this.components;
     const { level, writeLevel: write } = levels.state;
     this.shardsChanged = true;
-    shardManager.levelChanged();
+    shardManager.onLevelChanged();
     const key = `${levels.unreadable} ${level} ${write}`;
     if (key === this.loggedLevel) return;
     this.loggedLevel = key;
--- a/src/core/controller/admission-controller.ts
+++ b/src/core/controller/admission-controller.ts
@@ -64,7 +64,7 @@
       acceptedWork: Math.round(batcher.taskWriteDemand(clock.now)),
       newJobs: Math.round(userRequests.writeDemand()),
       backlogS: batcher.backlogS,
-      workloads: this.usesFairShares ? userRequests.groupDemand() : [],
+      workloads: this.usesFairShares ? userRequests.workloadDemand() : [],
       allocationVersion: writeBudget.followedVersion,
     };
   }
@@ -91,8 +91,8 @@
     const share = writeBudget.localShare(this.demand);
     batcher.setAllocation(share.total);
     // The state service may accept fewer writes than configured.
-    const { health } = batcher;
-    userRequests.admit(share, this.overloadMonitor.snapshot.admissionFactor * health, effects);
+    const { allocationFactor } = batcher;
+    userRequests.admit(share, this.overloadMonitor.snapshot.admissionFactor * allocationFactor, effects);
   }
 
   /** Counts the requests to the state service among a step's effects. */
--- a/src/core/controller/command-handlers.ts
+++ b/src/core/controller/command-handlers.ts
@@ -50,7 +50,7 @@
     log('info', 'peer lost', { member: c.member });
     effects.push({ type: 'revoke-lease', leaseId: presence.leaseId });
   },
-  'rejected-jobs': (c, { components }) => components.userRequests.rejectedElsewhere(c.list),
+  'rejected-jobs': (c, { components }) => components.userRequests.recordPeerRejections(c.list),
   'freshness-query': (c, { components }, effects) =>
     components.freshnessExchange.onQuery(c.from, c.query, effects),
   'freshness-confirmed': (c, { components: { freshness, freshnessExchange } }) =>
@@ -89,7 +89,7 @@
     const { dataLossRecovery, freshness, userRequests } = components;
     dataLossRecovery.monitor.revisionRead(c.sentAt, c.revision);
     freshness.onRevisionRead(c.sentAt, c.revision);
-    userRequests.revisionRead(c.sentAt, c.revision, effects, freshness.isConfirmedByPeers);
+    userRequests.onRevisionRead(c.sentAt, c.revision, effects, freshness.isConfirmedByPeers);
   },
   'audit-result': (c, { components }) =>
     components.dataLossRecovery.monitor.auditPageRead(c.from, c.items, c.more, c.revision),
--- a/src/core/controller/components.ts
+++ b/src/core/controller/components.ts
@@ -96,7 +96,7 @@
   const replica = new Replica(
     {
       jobChanged: (id, job) => {
-        if (job?.state === 'open') userRequests.jobAccepted(id);
+        if (job?.state === 'open') userRequests.onJobAccepted(id);
         shardManager.shardState.jobChanged(id, job);
       },
       machineChanged: (host, machine) => shardManager.shardState.machineChanged(host, machine),
@@ -167,7 +167,7 @@
     maxForwarded: limits.maxForwardedHeartbeats,
     onTokenReported: (token) => dataLossRecovery.monitor.tokenReported(token),
     mayAnswerWorkers,
-    areWritesScarce: () => batcher.health < 1 || userRequests.backlogged,
+    areWritesScarce: () => batcher.allocationFactor < 1 || userRequests.isBacklogged,
     isLeader: () => membership.isLeader,
   });
   const admission = new AdmissionController({
@@ -214,5 +214,5 @@
   peers.ownJobCount = () => dataLossRecovery.jobCount;
   batcher.onConditionsFailed = (failed, revision) =>
     dataLossRecovery.monitor.conditionsFailed(failed, revision);
-  if (admission.usesFairShares) shardManager.extraSummary = () => ({ admission: admission.summary() });
+  if (admission.usesFairShares) shardManager.extraSummaryFields = () => ({ admission: admission.summary() });
 }
--- a/src/core/controller/health.ts
+++ b/src/core/controller/health.ts
@@ -11,12 +11,12 @@
 export function isHealthy(components: ControllerComponents, hasPeers: boolean, now: number): boolean {
   const { dataLossRecovery, freshness, levels, membership, peers, replica, shutdown } = components;
   if (levels.mustStandBy || shutdown.requested || !dataLossRecovery.mayAct) return false;
-  const { newestKnown } = peers;
+  const { newestReported } = peers;
   // The state has not been read yet. If a peer has read it, users are routed there in the meantime.
-  if (replica.watchRevision < 0) return freshness.isStateServiceUnreachable && newestKnown.revision < 0;
+  if (replica.watchRevision < 0) return freshness.isStateServiceUnreachable && newestReported.revision < 0;
   if (!freshness.isStale) return true;
-  const isolated = hasPeers && now - newestKnown.at > membership.leaseTtlMs;
+  const isolated = hasPeers && now - newestReported.at > membership.leaseTtlMs;
   const peersAreAhead =
-    newestKnown.revision > replica.watchRevision && newestKnown.at > freshness.confirmedByServiceAt;
+    newestReported.revision > replica.watchRevision && newestReported.at > freshness.confirmedByServiceAt;
   return !isolated && !peersAreAhead;
 }
--- a/src/core/heartbeat-router.ts
+++ b/src/core/heartbeat-router.ts
@@ -80,8 +80,8 @@
     return this.options.mayAnswerWorkers() && !this.options.replica.levels.mustStandBy;
   }
 
-  private isThisProcess({ member, run }: MachineOwner): boolean {
-    return member === this.options.settings.member && run === this.options.instanceId;
+  private isThisProcess({ member, instanceId }: MachineOwner): boolean {
+    return member === this.options.settings.member && instanceId === this.options.instanceId;
   }
 
   private routeUnknownMachine(requestId: number, heartbeat: Heartbeat, out: Effect[]): void {
@@ -130,7 +130,11 @@
   ): void {
     const { settings, replica, peers, clock, maxForwarded } = this.options;
     const { host } = heartbeat;
-    if (owner === null || owner.member === settings.member || !replica.isAlive(owner.member, owner.run))
+    if (
+      owner === null ||
+      owner.member === settings.member ||
+      !replica.isAlive(owner.member, owner.instanceId)
+    )
       return respond(out, requestId, 421, encodeRedirect(null));
     // A worker that comes back after a redirect cannot reach the owner: its heartbeat is forwarded, so that a network partition between
     // two zones does not cost the worker its lease. Heartbeats are also forwarded to an owner that is offloading.
--- a/src/core/machine-health.ts
+++ b/src/core/machine-health.ts
@@ -36,8 +36,8 @@
     const { clock, settings } = this.shardState;
     const { lease_s, report_s } = settings.workers;
     // Tasks that start together may all fail at about the same time: together they count as one failed attempt.
-    if (job.placements.size <= 1) job.failedProbes++;
-    const delayS = Math.min(maxRetryDelayLeases * lease_s, report_s * 2 ** job.failedProbes);
+    if (job.placements.size <= 1) job.failedRetries++;
+    const delayS = Math.min(maxRetryDelayLeases * lease_s, report_s * 2 ** job.failedRetries);
     job.retryNotBefore = clock.now + delayS * 1000;
   }
 
--- a/src/core/peers.ts
+++ b/src/core/peers.ts
@@ -41,7 +41,7 @@
   private readonly presentAt = new Map<string, number>();
   private broadcastAt = -Infinity;
   /** The newest revision that any peer has reported, and when a status of any peer was last received, ms. */
-  newestKnown = { revision: -1, at: -Infinity };
+  newestReported = { revision: -1, at: -Infinity };
   /** Returns the number of jobs that this process knows. */
   ownJobCount: () => number;
 
@@ -56,7 +56,7 @@
     // A peer that has just started waits for the status of every controller, so broadcast in the next step.
     if (this.statuses.get(from)?.status.instanceId !== status.instanceId) this.broadcastAt = -Infinity;
     this.statuses.set(from, { status, receivedAt: now });
-    this.newestKnown = { revision: Math.max(this.newestKnown.revision, status.revision), at: now };
+    this.newestReported = { revision: Math.max(this.newestReported.revision, status.revision), at: now };
   }
 
   /** The peers that are present and have recently sent a status, with the share of time that they are busy. */
--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -81,7 +81,7 @@
 /** The controller that responds to the heartbeats of a machine, and the fencing token that its responses carry. */
 export interface ResponsibleController {
   readonly member: string;
-  readonly run: string;
+  readonly instanceId: string;
   readonly token: number;
 }
 
@@ -133,7 +133,7 @@
   readonly openJobs = new Set<string>();
   /** The revision at which each key that has a value was last written. */
   private readonly modRevisions = new Map<string, number>();
-  /** The mark of the transaction that wrote the value of a key, by key. */
+  /** The ID of the transaction that wrote the value of a key, by key. */
   private readonly writers = new Map<string, string>();
   /** Revisions of this controller's own deletions that the watch has not reached yet, by key. */
   private readonly recentDeletions = new Map<string, number>();
@@ -368,8 +368,8 @@
     return this.modRevisions.get(key) ?? 0;
   }
 
-  /** The mark of the transaction that wrote the value of a key; undefined: it has none. */
-  writerOf(key: string): string | undefined {
+  /** The ID of the transaction that wrote the value of a key; undefined: it has none. */
+  transactionIdOf(key: string): string | undefined {
     return this.writers.get(key);
   }
 
@@ -454,10 +454,11 @@
     const grant = machine.shard >= 0 ? this.shards.get(machine.shard) : undefined;
     const tokenFor = (modRevision: number): number =>
       this.tokenBase + Math.max(machine.modRevision, modRevision);
-    if (grant) return { member: grant.owner, run: grant.instanceId, token: tokenFor(grant.modRevision) };
+    if (grant)
+      return { member: grant.owner, instanceId: grant.instanceId, token: tokenFor(grant.modRevision) };
     const { leader } = this;
     if (machine.shard < 0 && leader)
-      return { member: leader.member, run: leader.instanceId, token: tokenFor(leader.modRevision) };
+      return { member: leader.member, instanceId: leader.instanceId, token: tokenFor(leader.modRevision) };
     return null;
   }
 
--- a/src/core/scheduling/arrays.ts
+++ b/src/core/scheduling/arrays.ts
@@ -22,7 +22,7 @@
   // A job that is restricted to some machines, or has machines reserved, tells nothing about the capacity for other jobs.
   const usedAllMachines =
     job.failedHosts.size === 0 && job.match === null && !cycle.reservedMachines.has(job.id);
-  if (placed < limit && usedAllMachines) cycle.capacityIndex.noteUnplaceable(spec);
+  if (placed < limit && usedAllMachines) cycle.capacityIndex.recordUnplaceable(spec);
 }
 
 /** Places waiting tasks of a job, but only on machines that already have its image. */
--- a/src/core/scheduling/gangs.ts
+++ b/src/core/scheduling/gangs.ts
@@ -57,7 +57,7 @@
   if (placeOnAgedCapacity(job, cycle)) return 'placed';
   // A gang that is restricted to some machines, or has machines reserved, tells nothing about the capacity for other jobs.
   if (job.failedHosts.size === 0 && job.match === null && !cycle.reservedMachines.has(job.id))
-    capacityIndex.noteUnplaceable(spec, maxPerZone, total);
+    capacityIndex.recordUnplaceable(spec, maxPerZone, total);
   return 'insufficient-capacity';
 }
 
--- a/src/core/scheduling/starvation.ts
+++ b/src/core/scheduling/starvation.ts
@@ -10,7 +10,7 @@
 export const isStarving = (shardState: ShardState, job: ScheduledJob): boolean =>
   job.placements.size === 0 &&
   !isSuspect(job) &&
-  shardState.clock.wall - job.fullyWaitingSince > maxReservationAgeMs(shardState.settings);
+  shardState.clock.wall - job.unplacedSince > maxReservationAgeMs(shardState.settings);
 
 /**
  * The machines with aged capacity that a starving job may use. Without this, jobs could wait forever for free capacity that
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -51,7 +51,7 @@
   /** Machines that had placements when their shard was acquired, and that have neither been confirmed nor gone since. */
   private readonly awaitingConfirmation = new Set<ScheduledMachine>();
   /** Provides additional fields for the logged summary. */
-  extraSummary: () => object = () => ({});
+  extraSummaryFields: () => object = () => ({});
 
   constructor({ instanceId, ...options }: ShardManagerOptions) {
     this.settings = options.settings;
@@ -71,7 +71,7 @@
   }
 
   /** Handles a change of the feature level in force: records may have to be rewritten in another format. */
-  levelChanged(): void {
+  onLevelChanged(): void {
     this.recordMigrator.restart();
   }
 
@@ -158,6 +158,6 @@
     const { now } = this.clock;
     if (now - this.lastSummaryAt < this.settings.workers.lease_s * 500) return;
     this.lastSummaryAt = now;
-    summarize(this.shardState, this.machinesExamined, this.extraSummary());
+    summarize(this.shardState, this.machinesExamined, this.extraSummaryFields());
   }
 }
--- a/src/core/shard-state/jobs.ts
+++ b/src/core/shard-state/jobs.ts
@@ -38,11 +38,11 @@
     tearingDown: false,
     repairAttempt: null,
     failedHosts: new Set(stored?.get(0)?.failedHosts),
-    failedProbes: 0,
+    failedRetries: 0,
     anyHostAllowed: false,
     completedCount: 0,
     retryNotBefore: 0,
-    fullyWaitingSince: record.acceptedAt,
+    unplacedSince: record.acceptedAt,
     match: null,
   };
   for (let firstTask = 0, index = 0; firstTask < record.taskCount; firstTask += tasksPerChunk, index++) {
@@ -56,7 +56,7 @@
       lastAttempt: Math.max(chunk?.lastAttempt ?? 0, attemptBase),
       completed: chunk?.done.copy() ?? new BitSet(),
       version,
-      placedVersion: version,
+      lastPlacementVersion: version,
       durableVersion: version,
       queuedWrite: null,
       writeBlockedUntilRevision: 0,
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -344,7 +344,7 @@
   placeTasks(job: ScheduledJob, assignments: readonly TaskAssignment[], attempt?: number): void {
     this.placementCount += assignments.length;
     const chunks = new Set(assignments.map(({ index }) => chunkOf(job, index)));
-    for (const chunk of chunks) chunk.placedVersion = ++chunk.version;
+    for (const chunk of chunks) chunk.lastPlacementVersion = ++chunk.version;
     for (const { index, host } of assignments) {
       if (job.placements.has(index)) {
         this.log('error', 'duplicate placement', { piece: taskKey(job.id, index) });
@@ -368,7 +368,7 @@
     const { job, chunk, index } = placement;
     if (job.placements.get(index) !== placement) return;
     this.ledger.remove(placement);
-    if (job.placements.size === 0) job.fullyWaitingSince = this.clock.wall;
+    if (job.placements.size === 0) job.unplacedSince = this.clock.wall;
     chunk.version++;
     this.taskWriter.noteTermination(job, chunk);
     const { attempt, host } = placement;
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -77,11 +77,11 @@
   /** The version of its state in memory. It increases with each change. */
   version: number;
   /** The version that added the newest placement. */
-  placedVersion: number;
+  lastPlacementVersion: number;
   /** The newest version known to be durable. */
   durableVersion: number;
   /** Its write that is queued or in progress; null: none. */
-  queuedWrite: { readonly rank: WritePriority } | null;
+  queuedWrite: { readonly priority: WritePriority } | null;
   /** It must not be written until the replica has reached this revision. */
   writeBlockedUntilRevision: number;
 }
@@ -122,13 +122,13 @@
   /** The hosts on which its tasks failed. */
   readonly failedHosts: Set<string>;
   /** Failed tries since it became suspect; tries that fail at about the same time count as one. Delays the next try. */
-  failedProbes: number;
+  failedRetries: number;
   /** Whether it may run on hosts on which it failed, because no other machine had room for it. */
   anyHostAllowed: boolean;
   /** None of its tasks is placed before this time, ms. */
   retryNotBefore: number;
   /** Time of day since when none of its tasks has been placed, ms. Meaningless while some are placed. */
-  fullyWaitingSince: number;
+  unplacedSince: number;
   /** Its machine requirements and preferences other than type and zone; null: none. */
   match: MachineMatch | null;
 }
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -167,8 +167,10 @@
   u: usage,
 });
 /** The stored form of a cancelled job with this specification. */
-export const cancelledJobDataOf = (acceptedAt: number, { tasks, team, cpus, gpus, memGb }: JobSpec): Data =>
-  cancelledJobData(acceptedAt, tasks, { team, cpus, gpus, memGb });
+export const cancelledJobDataFromSpec = (
+  acceptedAt: number,
+  { tasks, team, cpus, gpus, memGb }: JobSpec,
+): Data => cancelledJobData(acceptedAt, tasks, { team, cpus, gpus, memGb });
 
 /**
  * The stored form of an open job with the state of its tasks (format 2). The field of the job specification has another name
@@ -184,7 +186,7 @@
 });
 /** The stored form of a cancelled job with the state of its tasks (format 2). */
 export const inlineCancelledJobData = (acceptedAt: number, spec: JobSpec, tasks: Data): Data => ({
-  ...cancelledJobDataOf(acceptedAt, spec),
+  ...cancelledJobDataFromSpec(acceptedAt, spec),
   v: 2,
   t: tasks,
 });
--- a/src/core/storage/task-log/truncator.ts
+++ b/src/core/storage/task-log/truncator.ts
@@ -6,7 +6,7 @@
 import type { TransactionBatcher } from '../transaction-batcher.js';
 import { shardKey } from '../keys.js';
 import type { EntryRef, LogRecord } from './reader.js';
-import { TruncationPlanner, type Checkpoints } from './truncation.js';
+import { TruncationPlanner, type Checkpoints } from './truncation-planner.js';
 
 /** How often truncation is planned, ms. */
 const truncateIntervalMs = 1000;
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -54,7 +54,7 @@
 interface ChangedChunk {
   job: ScheduledJob;
   chunk: TaskChunk;
-  queuedWrite: { rank: WritePriority };
+  queuedWrite: { priority: WritePriority };
   since: number;
 }
 
@@ -91,7 +91,12 @@
   }
 
   /** Marks a chunk as changed, to be written with the next record that is due. */
-  markChanged(job: ScheduledJob, chunk: TaskChunk, queuedWrite: { rank: WritePriority }, now: number): void {
+  markChanged(
+    job: ScheduledJob,
+    chunk: TaskChunk,
+    queuedWrite: { priority: WritePriority },
+    now: number,
+  ): void {
     const before = this.changedChunks.get(chunk);
     this.changedChunks.set(chunk, { job, chunk, queuedWrite, since: before?.since ?? now });
   }
@@ -128,7 +133,7 @@
    * How long a change is collected: terminations always, because nobody waits for them; others only while the budget is short.
    */
   private delayOf({ job, queuedWrite }: ChangedChunk): number {
-    if (queuedWrite.rank === WritePriority.cleanup) return this.terminationDelayMs;
+    if (queuedWrite.priority === WritePriority.cleanup) return this.terminationDelayMs;
     if (!this.batcher.isBudgetLow) return 0;
     return isUrgent(job) ? urgentDelayMs : placementDelayMs;
   }
@@ -269,4 +274,4 @@
 const isUrgent = (job: ScheduledJob): boolean => urgencyRank[job.spec.urgency] > urgencyRank.normal;
 
 const urgencyOf = ({ job, queuedWrite }: ChangedChunk): number =>
-  queuedWrite.rank === WritePriority.cleanup ? -1 : urgencyRank[job.spec.urgency];
+  queuedWrite.priority === WritePriority.cleanup ? -1 : urgencyRank[job.spec.urgency];
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -8,7 +8,7 @@
 import { chunkKey, jobKey, shardKey } from './keys.js';
 import {
   chunkData,
-  cancelledJobDataOf,
+  cancelledJobDataFromSpec,
   openJobData,
   inlineCancelledJobData,
   inlineJobData,
@@ -97,9 +97,9 @@
 
   /** Queues a chunk's changes for writing; in the task log, they share a record with those of other jobs. */
   enqueue(job: ScheduledJob, chunk: TaskChunk, priority = placementPriority(job)): void {
-    if (chunk.queuedWrite !== null && chunk.queuedWrite.rank <= priority) return;
+    if (chunk.queuedWrite !== null && chunk.queuedWrite.priority <= priority) return;
     // Replaces a queued write of lower priority, which is then skipped when it is built.
-    const queuedWrite = { rank: priority };
+    const queuedWrite = { priority };
     chunk.queuedWrite = queuedWrite;
     this.pendingTerminations.delete(chunk);
     if (this.usesTaskLog(job))
@@ -142,7 +142,7 @@
 
   private onDurable(job: ScheduledJob, chunk: TaskChunk, version: number): void {
     chunk.durableVersion = version;
-    if (chunk.placedVersion > version) this.enqueue(job, chunk);
+    if (chunk.lastPlacementVersion > version) this.enqueue(job, chunk);
     else if (chunk.version > version) this.noteTermination(job, chunk);
   }
 
@@ -152,10 +152,10 @@
   }
 
   /** Queues a write of a chunk's whole state: if the task log is not used, or as a checkpoint of the log. */
-  private writeChunk(job: ScheduledJob, chunk: TaskChunk, queuedWrite: { rank: WritePriority }): void {
+  private writeChunk(job: ScheduledJob, chunk: TaskChunk, queuedWrite: { priority: WritePriority }): void {
     let builtVersion = 0;
     this.batcher.enqueue({
-      priority: queuedWrite.rank,
+      priority: queuedWrite.priority,
       build: () => {
         if (chunk.queuedWrite !== queuedWrite) return null;
         const grant = this.replica.shards.get(job.shard);
@@ -210,7 +210,7 @@
       writes.push({ key: jobCondition.key, data });
       if (!isInline && chunk.modRevision > 0) writes.push({ key, data: undefined });
     } else {
-      const data = job.cancelled ? cancelledJobDataOf(at, spec) : openJobData(spec, at);
+      const data = job.cancelled ? cancelledJobDataFromSpec(at, spec) : openJobData(spec, at);
       writes.push({ key: jobCondition.key, data }, { key, data: tasks });
     }
     return { conditions: [...conditions, { key, stamp: isInline ? 0 : chunk.modRevision }], writes };
@@ -266,7 +266,7 @@
   /** Queues a write of a chunk's state to its own record, unless one is queued already. Returns whether it did. */
   private checkpoint(job: ScheduledJob, chunk: TaskChunk): boolean {
     if (chunk.queuedWrite !== null) return false;
-    const queuedWrite = { rank: WritePriority.cleanup };
+    const queuedWrite = { priority: WritePriority.cleanup };
     chunk.queuedWrite = queuedWrite;
     this.pendingTerminations.delete(chunk);
     this.writeChunk(job, chunk, queuedWrite);
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -77,7 +77,7 @@
    * The factor by which the allocation is reduced, at most 1: decreases when the state service limits the rate, rises with
    * commits.
    */
-  health = 1;
+  allocationFactor = 1;
   /** Writes per second found by probing, used if there is no allocation. */
   private probedWritesPerS: number;
   /** By priority: operations carried over from transactions in which that priority got less than its share. */
@@ -232,7 +232,9 @@
 
   /** The current write rate limit of this controller, writes per second. */
   get writesPerS(): number {
-    return this.allocatedWritesPerS === null ? this.probedWritesPerS : this.allocatedWritesPerS * this.health;
+    return this.allocatedWritesPerS === null
+      ? this.probedWritesPerS
+      : this.allocatedWritesPerS * this.allocationFactor;
   }
 
   private send(now: number, effects: Effect[]): void {
@@ -271,7 +273,7 @@
   private onCommitted({ transaction, built }: InFlight, revision: number): void {
     this.inFlight = null;
     this.sendsOneByOne = false;
-    this.health = Math.min(1, this.health + additiveIncrease);
+    this.allocationFactor = Math.min(1, this.allocationFactor + additiveIncrease);
     if (this.tokens < 1 && this.pendingCount > 0)
       this.probedWritesPerS = Math.min(
         this.limits.writesPerS * maxBudgetShare,
@@ -309,7 +311,7 @@
 
   /** Multiplicatively decreases the write rate; the writes are sent again after a delay. */
   private onRateLimited(inFlight: InFlight, now: number): void {
-    this.health = Math.max(minAllocationFactor, this.health * multiplicativeDecrease);
+    this.allocationFactor = Math.max(minAllocationFactor, this.allocationFactor * multiplicativeDecrease);
     this.probedWritesPerS = Math.max(
       (this.limits.writesPerS / this.limits.controllers) * multiplicativeDecrease,
       this.probedWritesPerS * multiplicativeDecrease,
@@ -361,12 +363,12 @@
     this.inFlight = null;
     this.unresolvedConflict = null;
     const wasApplied = transaction.writes.some(
-      (w) => w.data !== undefined && this.replica.writerOf(w.key) === transactionId,
+      (w) => w.data !== undefined && this.replica.transactionIdOf(w.key) === transactionId,
     );
     const failedKeys = new Set(failed);
     for (const { pending, transaction: own } of built) {
       const put = own.writes.find((w) => w.data !== undefined);
-      if (put && this.replica.writerOf(put.key) === transactionId)
+      if (put && this.replica.transactionIdOf(put.key) === transactionId)
         pending.onCommitted(this.replica.modRevisionOf(put.key));
       else if (wasApplied && !put) pending.onCommitted(revision);
       else {
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -20,7 +20,7 @@
   chunkData,
   chunkKey,
   type TransactionBatcher,
-  cancelledJobDataOf,
+  cancelledJobDataFromSpec,
   openJobData,
   jobKey,
   type JobRecord,
@@ -194,19 +194,19 @@
   }
 
   /** Whether a submission recently had to wait until it could be written. */
-  get backlogged(): boolean {
+  get isBacklogged(): boolean {
     return this.clock.now - this.lastBacklogAt < backlogReportMs;
   }
 
   /** The demand by team and class while there is a backlog of submissions, otherwise empty. */
-  groupDemand(): WorkloadDemand[] {
+  workloadDemand(): WorkloadDemand[] {
     const { now } = this.clock;
     if (this.admission.size > 0) this.lastBacklogAt = now;
-    return this.backlogged ? this.demandEstimates.largest(now) : [];
+    return this.isBacklogged ? this.demandEstimates.largest(now) : [];
   }
 
   /** Records jobs that other controllers have rejected, so that a retry keeps its place in the queue at this controller, too. */
-  rejectedElsewhere(list: readonly Rejection[]): void {
+  recordPeerRejections(list: readonly Rejection[]): void {
     this.admission.recordPeerRejections(
       list.filter((rejection) => !this.replica.jobs.has(rejection.id)),
       this.clock.now,
@@ -214,7 +214,7 @@
   }
 
   /** Handles the acceptance of a job by any controller: its retry ticket is dropped. */
-  jobAccepted(id: string): void {
+  onJobAccepted(id: string): void {
     this.admission.tickets.remove(id);
   }
 
@@ -382,7 +382,7 @@
     const conditions = [{ key, stamp: modRevision }];
     const tasks = tasksInline ? this.replica.chunks.get(id)?.get(0) : undefined;
     if (!tasks || tasks.placements.length === 0)
-      return { conditions, writes: [{ key, data: cancelledJobDataOf(acceptedAt, spec!) }] };
+      return { conditions, writes: [{ key, data: cancelledJobDataFromSpec(acceptedAt, spec!) }] };
     if (this.replica.levels.isEnabled('small-jobs'))
       return {
         conditions,
@@ -392,14 +392,14 @@
     return {
       conditions: [...conditions, { key: tasksKey, stamp: 0 }],
       writes: [
-        { key, data: cancelledJobDataOf(acceptedAt, spec!) },
+        { key, data: cancelledJobDataFromSpec(acceptedAt, spec!) },
         { key: tasksKey, data: chunkData(tasks) },
       ],
     };
   }
 
   /** Asks the users of all waiting requests to retry, because the core is restarted. */
-  rejectAll(effects: Effect[]): void {
+  respondRetryLaterToAll(effects: Effect[]): void {
     for (const read of this.pendingReads) this.respondRetryLater(read.requestId, effects);
     for (const list of [this.submissionWrites, this.cancellationWrites, this.pendingSubmissions])
       for (const { requestIds } of list.values())
@@ -453,7 +453,12 @@
    * retry, except for status queries about known jobs while the peers confirm the replica's freshness: these wait for the next
    * confirmation.
    */
-  revisionRead(sentAt: number, revision: number | null, effects: Effect[], confirmedByPeers: boolean): void {
+  onRevisionRead(
+    sentAt: number,
+    revision: number | null,
+    effects: Effect[],
+    confirmedByPeers: boolean,
+  ): void {
     this.revisionRequested = false;
     for (const read of this.pendingReads)
       if (read.revision === null && read.since <= sentAt) read.revision = revision ?? -1;
@@ -472,7 +477,7 @@
    * Responds to the pending reads that are ready, requests a revision read if one is due, and times out writes. `confirmedAt` is the
    * time up to which peers have confirmed the replica: it contains every final job state that any user had been shown by then.
    */
-  flush(effects: Effect[], confirmedAt: number): void {
+  tick(effects: Effect[], confirmedAt: number): void {
     for (const request of this.takeReadyReads(effects, confirmedAt)) this.respondToRead(request, effects);
     this.requestRevisionRead(effects);
     this.expireWrites(effects);
--- a/src/data-loss/merge.ts
+++ b/src/data-loss/merge.ts
@@ -120,7 +120,7 @@
 export const sameRecord = (a: unknown, b: unknown): boolean =>
   JSON.stringify(normalizedForComparison(a)) === JSON.stringify(normalizedForComparison(b));
 
-/** The value with its fields sorted, and without `w`, the mark of the write that stored it. */
+/** The value with its fields sorted, and without `w`, the ID of the transaction that stored it. */
 function normalizedForComparison(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(normalizedForComparison);
   if (typeof value !== 'object' || value === null) return value;
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -11,7 +11,7 @@
 } from '../src/data-loss/index.js';
 import {
   chunkData,
-  cancelledJobDataOf,
+  cancelledJobDataFromSpec,
   openJobData,
   doneJobData,
   inlineJobData,
@@ -93,7 +93,7 @@
   };
   const open = openJobData(job, 5);
   const done = doneJobData(5, 3);
-  const cancelled = cancelledJobDataOf(5, job);
+  const cancelled = cancelledJobDataFromSpec(5, job);
   assert.deepEqual(
     [mergeRecords('job', undefined, open), mergeRecords('job', open, done), mergeRecords('job', done, open)],
     [open, done, done],
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -121,7 +121,7 @@
  */
 const maxSizes = new Map([
   ['freshnessExchange.recentChanges.changes', 512],
-  ['dataLossRecovery.monitor.detector.sightings', 256],
+  ['dataLossRecovery.monitor.detector.observedRevisions', 256],
 ]);
 const recordPaths = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -2,7 +2,12 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { chunkData, cancelledJobDataOf, openJobData, inlineJobData } from '../src/core/storage/index.js';
+import {
+  chunkData,
+  cancelledJobDataFromSpec,
+  openJobData,
+  inlineJobData,
+} from '../src/core/storage/index.js';
 import {
   emptyChunkState,
   found,
@@ -259,7 +264,10 @@
   assert.ok((dataOf(w, 'dp/j/req-1')?.['t'] as { p: unknown[] }).p.length === 2);
   assert.ok(w.advanceUntil(() => w.running('req-2').length === 1, 120));
   assert.ok(w.advanceUntil(() => dataOf(w, 'dp/j/req-1')?.['t'] === undefined, 30));
-  assert.deepEqual(dataOf(w, 'dp/j/req-1')?.['u'], cancelledJobDataOf(0, spec('req-1', { cpus: 8 }))['u']);
+  assert.deepEqual(
+    dataOf(w, 'dp/j/req-1')?.['u'],
+    cancelledJobDataFromSpec(0, spec('req-1', { cpus: 8 }))['u'],
+  );
 });
 
 test('inlineJobData stores the job specification under a name that a program that knows only format 1 does not read', () => {
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -11,7 +11,7 @@
   deltaBetween,
   emptyChunk,
   type PendingWrite,
-  cancelledJobDataOf,
+  cancelledJobDataFromSpec,
   openJobData,
   encodeLogRecord,
   type LogEntry,
@@ -357,7 +357,7 @@
       attemptBase: 0,
     });
     const [chunk] = job.chunks;
-    chunk.queuedWrite = { rank: WritePriority.task };
+    chunk.queuedWrite = { priority: WritePriority.task };
     chunk.version = 1;
     job.placements.set(0, { index: 0, attempt: 1, host: 'n-1', chunk } as Placement);
     writer.markChanged(job, chunk, chunk.queuedWrite, 0);
@@ -413,7 +413,7 @@
     const { spec: s, at } = data as { spec: JobSpec; at: number };
     const cancellation = {
       conditions: [],
-      writes: [{ key: `dp/j/${job}`, data: cancelledJobDataOf(at, s) }],
+      writes: [{ key: `dp/j/${job}`, data: cancelledJobDataFromSpec(at, s) }],
     };
     w.commits.push({ member: 'user', txn: cancellation, outcome: w.state.commit(cancellation), at: w.now });
   };
