--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -105,9 +105,9 @@
       endpoint: this.endpoint,
       type: machineType,
       zone,
-      session: this.session,
+      agentEpoch: this.session,
       seq: ++this.sequence,
-      token: this.token,
+      fencingToken: this.token,
       tasks: [...this.tasks.values()],
     };
     return encodeAgentReport(report);
--- a/src/admission/admission.ts
+++ b/src/admission/admission.ts
@@ -19,7 +19,7 @@
   /** The longest Retry-After time that users honor, ms. */
   readonly maxRetryAfterMs: number;
   /** The most rejected jobs that are remembered. */
-  readonly maxTickets: number;
+  readonly maxTrackedRejections: number;
 }
 
 /** Random variation of the delay, as a share of it, so that users who are rejected together do not retry together. */
@@ -42,11 +42,11 @@
 export class AdmissionQueue<T extends QueueEntry> {
   private readonly queue: FairQueue<T>;
   /** The jobs that were rejected and may be submitted again. */
-  readonly tickets: RejectionTracker;
+  readonly rejectionTracker: RejectionTracker;
   /** Jobs per second that this controller may admit. */
-  rate = 1;
+  jobsPerS = 1;
   /** Jobs per second that all controllers together may admit. */
-  totalRate = 1;
+  totalJobsPerS = 1;
 
   constructor(
     private readonly limits: AdmissionLimits,
@@ -55,7 +55,7 @@
     private readonly random: () => number,
   ) {
     this.queue = new FairQueue(teamWeight, classWeight);
-    this.tickets = new RejectionTracker(limits.maxTickets, limits.retryWindowMs);
+    this.rejectionTracker = new RejectionTracker(limits.maxTrackedRejections, limits.retryWindowMs);
   }
 
   /** The number of waiting entries. */
@@ -65,8 +65,11 @@
 
   /** Offers an entry. Returns the entry that is rejected in exchange: the offered one, a newer one of its class, or none. */
   offer(entry: T, now: number): RejectedEntry<T> | null {
-    entry.firstAttemptAt = Math.min(entry.firstAttemptAt, this.tickets.firstAttemptAt(entry.id) ?? Infinity);
-    const capacity = this.rate * (this.limits.maxQueueWaitMs / 1000);
+    entry.firstAttemptAt = Math.min(
+      entry.firstAttemptAt,
+      this.rejectionTracker.firstAttemptAt(entry.id) ?? Infinity,
+    );
+    const capacity = this.jobsPerS * (this.limits.maxQueueWaitMs / 1000);
     const isFull = this.queue.size >= this.limits.maxQueued;
     // As long as all waiting entries can be admitted in time, shares do not matter.
     const isCrowded = isFull || this.queue.size >= capacity;
@@ -97,9 +100,9 @@
   private reject(entry: T, now: number): RejectedEntry<T> {
     const { retryWindowMs, maxRetryAfterMs } = this.limits;
     const ageMs = Math.max(0, now - entry.firstAttemptAt);
-    this.tickets.record({ ...entry, ageMs }, now);
-    const classRate = Math.max(minClassRate, this.totalRate * this.queue.shareOf(entry));
-    const outstanding = this.tickets.outstandingCount(entry.team, entry.class);
+    this.rejectionTracker.record({ ...entry, ageMs }, now);
+    const classRate = Math.max(minClassRate, this.totalJobsPerS * this.queue.shareOf(entry));
+    const outstanding = this.rejectionTracker.outstandingCount(entry.team, entry.class);
     const expectedTurnMs = (1000 * outstanding * Math.max(0, 1 - ageMs / retryWindowMs)) / classRate;
     const jitteredMs = expectedTurnMs * (1 + retryJitter * (2 * this.random() - 1));
     const remainingMs = retryWindowMs - ageMs - finalRetryMarginMs;
@@ -113,6 +116,6 @@
 
   /** Records jobs that another controller has rejected. */
   recordPeerRejections(rejections: readonly Rejection[], now: number): void {
-    for (const rejection of rejections) this.tickets.record(rejection, now);
+    for (const rejection of rejections) this.rejectionTracker.record(rejection, now);
   }
 }
--- a/src/agent/agent-lease.ts
+++ b/src/agent/agent-lease.ts
@@ -3,7 +3,7 @@
 import { existsSync, readFileSync, renameSync, writeFileSync } from 'node:fs';
 import { uptime } from 'node:os';
 import { join } from 'node:path';
-import { processesWithMark, markVariable, sendSignal } from './processes.js';
+import { findProcessesByMark, markVariable, sendSignal } from './processes.js';
 
 /**
  * Checks once per second whether the agent's lease has expired, even after the agent process has exited. If it has, the
@@ -92,7 +92,7 @@
   /** Kills the watchdog, also one of an earlier agent process. It is not needed while no command is running. */
   stopWatchdog(): void {
     this.watchdogRunning = false;
-    for (const { pid, mark } of processesWithMark(this.watchdogMark))
+    for (const { pid, mark } of findProcessesByMark(this.watchdogMark))
       if (mark === this.watchdogMark) sendSignal(pid, 'SIGKILL');
   }
 }
--- a/src/agent/command-runner.ts
+++ b/src/agent/command-runner.ts
@@ -6,7 +6,7 @@
 import { commandForTask } from '../model/task-command.js';
 import type { AgentJob, AgentTask, ResultReason, TaskResult } from '../wire/agent-side.js';
 import type { AgentDirectory, TaskRecord } from './agent-directory.js';
-import { processesByGroup, processesWithMark, sendSignal } from './processes.js';
+import { listProcessesByGroup, findProcessesByMark, sendSignal } from './processes.js';
 import { spawnCommand } from './spawn-command.js';
 import { claimTask, readExitCode, readGroupLeader, truncateOutput } from './task-files.js';
 
@@ -132,7 +132,7 @@
   /** Kills leftover processes of this agent that belong to no running task, such as those of an earlier epoch. */
   sweepOrphans(): void {
     const runningMarks = new Set([...this.running.keys()].map((task) => this.mark(task)));
-    for (const { pid, mark } of processesWithMark(`${this.settings.agentId}/`))
+    for (const { pid, mark } of findProcessesByMark(`${this.settings.agentId}/`))
       if (!runningMarks.has(mark)) {
         this.log('warn', 'orphan process killed', { pid, mark });
         sendSignal(pid, 'SIGKILL');
@@ -170,7 +170,7 @@
 
   private enforceLimits(): void {
     if (this.running.size === 0) return;
-    const groups = processesByGroup();
+    const groups = listProcessesByGroup();
     const now = performance.now();
     for (const running of [...this.running.values()]) {
       if (running.exited) continue;
@@ -195,7 +195,7 @@
 
   /** Whether the group leader still is the task's process, and not another process with a reused PID. */
   private isAlive(running: RunningTask): boolean {
-    return processesWithMark(this.mark(running.record.task)).some(({ pid }) => pid === running.pid);
+    return findProcessesByMark(this.mark(running.record.task)).some(({ pid }) => pid === running.pid);
   }
 
   private fail(running: RunningTask, reason: ResultReason): void {
@@ -227,7 +227,7 @@
     const exitedMarks = new Set(
       [...this.pendingCleanups.keys()].map((running) => this.mark(running.record.task)),
     );
-    for (const { pid, mark } of processesWithMark(`${this.settings.agentId}/`))
+    for (const { pid, mark } of findProcessesByMark(`${this.settings.agentId}/`))
       if (exitedMarks.has(mark)) sendSignal(pid, 'SIGKILL');
     const ends = [...this.pendingCleanups];
     this.pendingCleanups.clear();
--- a/src/agent/processes.ts
+++ b/src/agent/processes.ts
@@ -30,7 +30,7 @@
 }
 
 /** Returns all processes by process group, except zombies. */
-export function processesByGroup(): Map<number, GroupMember[]> {
+export function listProcessesByGroup(): Map<number, GroupMember[]> {
   const byGroup = new Map<number, GroupMember[]>();
   for (const pid of pids()) {
     const stat = readProcFile(`/proc/${pid}/stat`);
@@ -49,7 +49,7 @@
 }
 
 /** Returns the processes whose mark starts with a prefix. */
-export function processesWithMark(prefix: string): { pid: number; mark: string }[] {
+export function findProcessesByMark(prefix: string): { pid: number; mark: string }[] {
   const found: { pid: number; mark: string }[] = [];
   for (const pid of pids()) {
     const environ = readProcFile(`/proc/${pid}/environ`);
--- a/src/agent/settings.ts
+++ b/src/agent/settings.ts
@@ -23,7 +23,7 @@
 }
 
 /** Returns the default settings, with the machine's actual CPUs and memory. */
-export function agentDefaults(): AgentSettings {
+export function defaultAgentSettings(): AgentSettings {
   return {
     name: '',
     controls: [],
@@ -56,7 +56,7 @@
  *       (zone here) (cpus 4) (mem-gb 8) (attribute has-scanner true))
  */
 export function parseAgentSettings(text: string, origin = 'agent'): AgentSettings {
-  const settings = agentDefaults();
+  const settings = defaultAgentSettings();
   const reader: FormReader = new FormReader(origin);
   for (const form of readForms(text, origin, 'agent'))
     switch (form.name) {
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -81,9 +81,9 @@
 
   /** Builds the next heartbeat, with a new sequence number. */
   buildHeartbeat(): AgentReport {
-    const { agentEpoch: session, fencingToken: token } = this.state;
+    const { agentEpoch, fencingToken } = this.state;
     const tasks = [...this.tasksByKey.values()];
-    return { ...this.identity, session, seq: ++this.state.seq, token, tasks };
+    return { ...this.identity, agentEpoch, seq: ++this.state.seq, fencingToken, tasks };
   }
 
   /** Processes the response to a heartbeat that was sent at `sentAt` in `agentEpoch`. */
--- a/src/cli/level-store.ts
+++ b/src/cli/level-store.ts
@@ -16,7 +16,7 @@
   type LevelState,
   type RequestedLevel,
 } from '../feature-levels/index.js';
-import { Store } from '../state/store.js';
+import { HttpStateService } from '../state/store.js';
 import type { Change } from '../wire/store.js';
 import type { Fail } from './exit.js';
 
@@ -26,13 +26,13 @@
 
 /** Reads the records about the feature level, and writes the operators' request. Failures end the program. */
 export class LevelStore {
-  private readonly store: Store;
+  private readonly store: HttpStateService;
 
   constructor(
     addr: string,
     private readonly fail: Fail,
   ) {
-    this.store = new Store(addr, requestTimeoutMs);
+    this.store = new HttpStateService(addr, requestTimeoutMs);
   }
 
   private async listKeys(prefix: string): Promise<Change[]> {
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -1,7 +1,7 @@
 /** Opens a control service together with its embedded or remote store, and with matching support if it is enabled. */
 import type { Log } from '../core/effects.js';
 import { retryPolicies } from '../retry/index.js';
-import { Store } from '../state/store.js';
+import { HttpStateService } from '../state/store.js';
 import { EmbeddedStore, Engine, LevelDisk, snapshotInto, type StoreError } from '../store/index.js';
 import { ControlService, type MatchingSupport } from './control.js';
 import { platformSettings, type ControlSettings } from './settings.js';
@@ -39,7 +39,7 @@
   const stateLeaseMs = settings.leaseS * 1000 * nodeLeaseRatio;
   const store = engine
     ? new EmbeddedStore(engine)
-    : new Store(
+    : new HttpStateService(
         coreSettings.endpoints.state,
         retryPolicies({ ...coreSettings, stateLeaseMs }).state.timeoutMs,
       );
--- a/src/core/controller/command-handlers.ts
+++ b/src/core/controller/command-handlers.ts
@@ -38,7 +38,7 @@
     const { dataLossRecovery, freshnessExchange, peers, replica } = components;
     freshnessExchange.recordPeerProcess(c.from, c.status.instanceId);
     peers.onStatus(c.from, c.status);
-    dataLossRecovery.monitor.peerHeard(c.status);
+    dataLossRecovery.monitor.peerReported(c.status);
     if (c.status.revision > replica.watchRevision)
       effects.push({ type: 'catch-up', revision: c.status.revision });
   },
--- a/src/core/data-loss/data-loss-monitor.ts
+++ b/src/core/data-loss/data-loss-monitor.ts
@@ -105,7 +105,7 @@
   }
 
   /** Handles a status report of another controller. */
-  peerHeard(status: Pick<PeerStatus, 'incarnation' | 'revision' | 'jobCount'>): void {
+  peerReported(status: Pick<PeerStatus, 'incarnation' | 'revision' | 'jobCount'>): void {
     const { incarnation, revision, jobCount } = status;
     this.detector.peerReported(incarnation, revision, jobCount, this.options.clock.now);
   }
--- a/src/core/feature-level-manager.ts
+++ b/src/core/feature-level-manager.ts
@@ -1,6 +1,12 @@
 /** The leader's management of feature levels: records the capabilities of members, and raises or lowers the level in force. */
 import type { Settings } from '../config/settings.js';
-import { decide, features, newestLevel, type Capabilities, type Decision } from '../feature-levels/index.js';
+import {
+  decideLevelChange,
+  features,
+  newestLevel,
+  type Capabilities,
+  type LevelDecision,
+} from '../feature-levels/index.js';
 import type { Write } from '../wire/store.js';
 import type { Clock, Log } from './effects.js';
 import type { Membership } from './membership/index.js';
@@ -30,7 +36,7 @@
 const keysMovedAtLevel = features['barred-lead'].level;
 
 /** A decision as text, for comparison. */
-const decisionText = (decision: Decision): string =>
+const decisionText = (decision: LevelDecision): string =>
   JSON.stringify(decision, (_, value: unknown) =>
     value instanceof Map ? [...(value as Map<string, unknown>)] : value,
   );
@@ -68,7 +74,7 @@
     this.carryOut(this.decide());
   }
 
-  private carryOut(decision: Decision): void {
+  private carryOut(decision: LevelDecision): void {
     const { replica } = this.options;
     switch (decision.type) {
       case 'stay':
@@ -93,12 +99,12 @@
     }
   }
 
-  private decide(): Decision {
+  private decide(): LevelDecision {
     const { replica } = this.options;
-    return decide({
+    return decideLevelChange({
       state: replica.levels.state,
       newestLevel: Math.min(newestLevel, replica.levels.ownCapabilities.maxLevel),
-      configured: this.requiredMembers(),
+      configuredMembers: this.requiredMembers(),
       recordedCapabilities: replica.members.capabilities,
       observedCapabilities: replica.observedCapabilities,
       requested: replica.requestedLevel,
@@ -192,7 +198,7 @@
     return machineTypes.length > 0 ? machineTypesData(machineTypes) : undefined;
   }
 
-  private commit(message: string, decision: Decision, build: () => Write[]): void {
+  private commit(message: string, decision: LevelDecision, build: () => Write[]): void {
     const { replica, membership, batcher } = this.options;
     const text = decisionText(decision);
     this.writeInFlight = true;
--- a/src/core/load-sharing.ts
+++ b/src/core/load-sharing.ts
@@ -7,7 +7,7 @@
   handoverTarget,
   leastBusyHelper,
   needsOffload,
-  offloadAbove,
+  offloadStartUtilization,
   shouldRedirect,
   type ControllerLoad,
   type ShardTraffic,
@@ -60,7 +60,7 @@
 
   /** Whether this controller is so busy that responses should not be held. */
   get isBusy(): boolean {
-    return this.load.utilization >= offloadAbove;
+    return this.load.utilization >= offloadStartUtilization;
   }
 
   /** Whether peers are asked to accept agents' connections and forward their heartbeats. */
--- a/src/core/record-migrator.ts
+++ b/src/core/record-migrator.ts
@@ -1,21 +1,17 @@
 /** Rewrites job records after a change of the feature level in force, if no other write has done so. */
-import { RecordMigration } from '../feature-levels/index.js';
+import { MigrationPacer } from '../feature-levels/index.js';
 import type { ShardState } from './shard-state/shard-state.js';
 
 /** Rewrites the records of this process's jobs in the formats of the feature level in force, oldest first. */
 export class RecordMigrator {
-  private readonly migration: RecordMigration;
+  private readonly migration: MigrationPacer;
   /** Whether there may be jobs stored in the formats of another level. */
   private isPending = true;
 
   constructor(private readonly shardState: ShardState) {
     const { operators, settings } = shardState;
     const reportIntervalMs = settings.workers.lease_s * 500;
-    this.migration = new RecordMigration(
-      settings.state.write_rps,
-      operators['sweep-share'],
-      reportIntervalMs,
-    );
+    this.migration = new MigrationPacer(settings.state.write_rps, operators['sweep-share'], reportIntervalMs);
   }
 
   /** Makes all jobs be checked again: to be called when the level in force or the set of jobs has changed. */
--- a/src/core/scheduling/starvation.ts
+++ b/src/core/scheduling/starvation.ts
@@ -22,17 +22,17 @@
   const { spec } = job;
   const { shardState, capacityIndex } = cycle;
   if (cycle.agedCapacity.length === 0 || !isStarving(shardState, job)) return;
-  const { starvationRelief, clock, settings } = shardState;
-  const mayOpenAnother = clock.now - starvationRelief.at > settings.workers.lease_s * 1000;
+  const { lastAgedPlacement, clock, settings } = shardState;
+  const mayOpenAnother = clock.now - lastAgedPlacement.at > settings.workers.lease_s * 1000;
   for (const machine of cycle.agedCapacity) {
     capacityIndex.examined++;
-    const isOpen = spec.shape === 'gang' || machine.host === starvationRelief.host || mayOpenAnother;
+    const isOpen = spec.shape === 'gang' || machine.host === lastAgedPlacement.host || mayOpenAnother;
     if (isOpen && allowsMachine(spec, machine) && meetsConstraints(job, machine)) yield machine;
   }
 }
 
 /** Records that a single task of a starving job was placed on a machine, so that further ones are placed there, too. */
 export function recordAgedPlacement({ shardState }: ShardCycle, { host }: ScheduledMachine): void {
-  if (shardState.starvationRelief.host !== host)
-    shardState.starvationRelief = { host, at: shardState.clock.now };
+  if (shardState.lastAgedPlacement.host !== host)
+    shardState.lastAgedPlacement = { host, at: shardState.clock.now };
 }
--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -98,7 +98,7 @@
   readonly finishedJobsByTeam = new Map<string, number>();
   private readonly tasksPerChunk: number;
   /** The machine whose unused capacity goes to single tasks of starving jobs, and since when (ms). */
-  starvationRelief = { host: '', at: -Infinity };
+  lastAgedPlacement = { host: '', at: -Infinity };
   /** The recent usage of teams and job classes, compared with their minimum shares. */
   readonly minimumShares: MinimumShares;
 
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -134,7 +134,7 @@
         maxQueueWaitMs: maxAdmissionDelayMs,
         retryWindowMs: clientRetryPeriodMs,
         maxRetryAfterMs,
-        maxTickets: maxPending,
+        maxTrackedRejections: maxPending,
       },
       (team) => (this.workloadRates.size > 0 ? this.workloadRate(workloadKey(team, '')) : weightOf(team)),
       (submission) =>
@@ -213,9 +213,9 @@
     );
   }
 
-  /** Handles the acceptance of a job by any controller: its retry ticket is dropped. */
+  /** Handles the acceptance of a job by any controller: the entry for its rejection is dropped. */
   onJobAccepted(id: string): void {
-    this.admission.tickets.remove(id);
+    this.admission.rejectionTracker.remove(id);
   }
 
   private reject({ entry, retryAfterS }: RejectedEntry<PendingSubmission>, effects: Effect[]): void {
@@ -246,13 +246,16 @@
   /** Admits as many jobs as may be written now. `factor` is the share of them that other scarce resources allow. */
   admit(share: LocalWriteShare, factor: number, effects: Effect[]): void {
     const { now } = this.clock;
-    this.admission.rate = share.newJobs * factor;
-    this.admission.totalRate = share.totalNewJobs * factor;
+    this.admission.jobsPerS = share.newJobs * factor;
+    this.admission.totalJobsPerS = share.totalNewJobs * factor;
     if (share.workloadRates !== this.workloadRates) {
       this.workloadRates = share.workloadRates;
       this.defaultWorkloadRate = Math.max(0.01, ...share.workloadRates.values());
     }
-    let capacity = Math.min(this.burstLimiter.refill(this.admission.rate, now), this.batcher.userCapacity);
+    let capacity = Math.min(
+      this.burstLimiter.refill(this.admission.jobsPerS, now),
+      this.batcher.userCapacity,
+    );
     for (; capacity > 0; capacity--) {
       const submission = this.admission.dequeue();
       if (!submission) break;
@@ -289,7 +292,7 @@
         writes: [{ key: jobKey(spec.id), data: openJobData(spec, this.clock.wall) }],
       }),
       onCommitted: () => {
-        this.admission.tickets.remove(spec.id);
+        this.admission.rejectionTracker.remove(spec.id);
         respondToAll((requestId) =>
           this.stepEffects.push({
             type: 'respond',
--- a/src/feature-levels/index.ts
+++ b/src/feature-levels/index.ts
@@ -10,11 +10,11 @@
 } from './feature-levels.js';
 export type { Capabilities, Feature, LevelState } from './feature-levels.js';
 export {
-  decide,
+  decideLevelChange,
   noRequestedLevel,
-  type Decision,
+  type LevelDecision,
   type LevelDecisionInput,
   type RequestedLevel,
 } from './level-decision.js';
-export { RecordMigration, type MigrationProgress } from './record-migration.js';
+export { MigrationPacer, type MigrationProgress } from './migration-pacer.js';
 export { GracefulShutdown, type ShutdownDuties, type ShutdownPhase } from './graceful-shutdown.js';
--- a/src/feature-levels/level-decision.ts
+++ b/src/feature-levels/level-decision.ts
@@ -26,7 +26,7 @@
   /** The newest level that this program knows. */
   readonly newestLevel: number;
   /** The members that raising the level waits for: those in the leader's settings, the leader included. */
-  readonly configured: readonly string[];
+  readonly configuredMembers: readonly string[];
   /** The capabilities that each member was last seen with, according to the stored record. */
   readonly recordedCapabilities: ReadonlyMap<string, Capabilities>;
   /** The capabilities that the leader itself has seen, which are newer than the recorded ones. */
@@ -39,7 +39,7 @@
 }
 
 /** What the leader must do about the level. */
-export type Decision =
+export type LevelDecision =
   /** Keep the level. `why` is empty if there is no newer level. */
   | { readonly type: 'stay'; readonly why: string }
   /** Record the members' capabilities, which have changed. */
@@ -59,7 +59,7 @@
   new Map([...input.recordedCapabilities, ...input.observedCapabilities]);
 
 /** Decides the next step of the level. The step is carried out on condition that the input has not changed. */
-export function decide(input: LevelDecisionInput): Decision {
+export function decideLevelChange(input: LevelDecisionInput): LevelDecision {
   const { state, requested } = input;
   const capabilities = latestCapabilitiesByMember(input);
   if (state.writeLevel < state.level) return decideWhileLowering(input, capabilities);
@@ -75,8 +75,8 @@
   input: LevelDecisionInput,
   latest: CapabilitiesByMember,
 ): string[] {
-  const { configured, requested } = input;
-  return configured
+  const { configuredMembers, requested } = input;
+  return configuredMembers
     .filter((member) => !requested.departedMembers.includes(member))
     .filter((member) => (latest.get(member) ?? legacyCapabilities).maxLevel < level);
 }
@@ -86,7 +86,7 @@
   latest: CapabilitiesByMember,
 ): boolean => [...latest].some(([member, c]) => !sameCapabilities(recordedCapabilities.get(member), c));
 
-function decideWhileLowering(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
+function decideWhileLowering(input: LevelDecisionInput, latest: CapabilitiesByMember): LevelDecision {
   const { state, requested, unmigratedRecords } = input;
   const isStillRequested = requested.lower && state.level > (requested.maxLevel ?? Infinity);
   // Operators have withdrawn the request, and no member has joined that needs the lower level.
@@ -99,7 +99,7 @@
   };
 }
 
-function decideAboveLimit(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
+function decideAboveLimit(input: LevelDecisionInput, latest: CapabilitiesByMember): LevelDecision {
   const { state, requested, blockingKeys } = input;
   if (requested.lower) {
     if (blockingKeys.length > 0) return { type: 'refuse', text: refusalText(input) };
@@ -109,7 +109,7 @@
   return { type: 'stay', why: `held at ${requested.maxLevel}, but ${state.level} is in force` };
 }
 
-function decideRise(input: LevelDecisionInput, latest: CapabilitiesByMember): Decision {
+function decideRise(input: LevelDecisionInput, latest: CapabilitiesByMember): LevelDecision {
   const { state, requested, newestLevel } = input;
   const limit = requested.maxLevel ?? Infinity;
   const to = state.level + 1;
--- a/src/policy/load-sharing.ts
+++ b/src/policy/load-sharing.ts
@@ -20,7 +20,7 @@
 }
 
 /** Above this utilization, a controller offloads: it asks its peers to keep the agents that connect to them. */
-export const offloadAbove = 0.7;
+export const offloadStartUtilization = 0.7;
 /**
  * Offloading ends only when the utilization that the controller would have without it is no higher than this. Below this
  * utilization, no agents are redirected because of it either.
@@ -51,7 +51,7 @@
   load: ControllerLoad,
   preferredConnections: number,
 ): boolean {
-  if (load.utilization > offloadAbove || load.connections > preferredConnections) return true;
+  if (load.utilization > offloadStartUtilization || load.connections > preferredConnections) return true;
   return (
     offloading &&
     (utilizationWithoutForwarding(load) > offloadEndUtilization ||
--- a/src/service.ts
+++ b/src/service.ts
@@ -18,7 +18,7 @@
 import { RetryBackoff, retryPolicies, seededRandom, type Random, type RetryPolicies } from './retry/index.js';
 import { Follower } from './state/follower.js';
 import type { StateService } from './state/service.js';
-import { Store } from './state/store.js';
+import { HttpStateService } from './state/store.js';
 import { PublicServer, type ServerHooks } from './users/server.js';
 import { decodeChanges } from './wire/store.js';
 
@@ -82,7 +82,8 @@
     this.retry = retryPolicies({ ...settings, stateLeaseMs });
     this.limits = limitsOf(settings);
     this.controller = this.createController(null);
-    this.store = dependencies.state ?? new Store(settings.endpoints.state, this.retry.state.timeoutMs);
+    this.store =
+      dependencies.state ?? new HttpStateService(settings.endpoints.state, this.retry.state.timeoutMs);
     this.cloud =
       dependencies.cloud ?? new HttpCloudProvider(settings.endpoints.cloud, this.retry.cloud.timeoutMs);
     this.workerClient = new WorkerClient(this.retry.workers.timeoutMs, this.limits.sockets.outgoingOrders);
@@ -91,14 +92,18 @@
     const share = settings.state.rps / (1 + settings.peers.length);
     this.follower = new Follower(
       this.store,
-      { everyMs: 1000 / (share * watchRequestShare), pageMs: 1000 / share, burst: share / 2 },
+      {
+        pollIntervalMs: 1000 / (share * watchRequestShare),
+        pageIntervalMs: 1000 / share,
+        pageBurst: share / 2,
+      },
       new RetryBackoff(this.retry.state, this.random),
       () => performance.now(),
       {
-        reading: (keys) => this.enqueue({ type: 'snapshot-progress', keys }),
-        loaded: (items, revision) => this.enqueue({ type: 'snapshot-loaded', items, revision }),
-        changed: (changes, revision) => this.enqueue({ type: 'changes', changes, revision }),
-        read: (sentAt, revision) => this.enqueue({ type: 'revision-read', sentAt, revision }),
+        snapshotProgress: (keys) => this.enqueue({ type: 'snapshot-progress', keys }),
+        snapshotLoaded: (items, revision) => this.enqueue({ type: 'snapshot-loaded', items, revision }),
+        changesRead: (changes, revision) => this.enqueue({ type: 'changes', changes, revision }),
+        revisionRead: (sentAt, revision) => this.enqueue({ type: 'revision-read', sentAt, revision }),
       },
     );
     this.publicServer = new PublicServer(
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -9,26 +9,26 @@
 /** What the follower reports. */
 export interface FollowerEvents {
   /** A page of the snapshot was read, though not the last; `keys`: how many keys have been read so far. */
-  reading(keys: number): void;
+  snapshotProgress(keys: number): void;
   /** The snapshot is complete. Changes after `revision` follow. */
-  loaded(items: Change[], revision: number): void;
+  snapshotLoaded(items: Change[], revision: number): void;
   /** Changes up to `revision`, in order. */
-  changed(changes: Change[], revision: number): void;
+  changesRead(changes: Change[], revision: number): void;
   /**
    * A request for changes, sent at `sentAt`, was answered: a view that has reached `revision` contains everything that was
    * committed before `sentAt`. `revision` null: the request failed, or was not sent because of the backoff.
    */
-  read(sentAt: number, revision: number | null): void;
+  revisionRead(sentAt: number, revision: number | null): void;
 }
 
 /** Limits on the rate of the follower's requests. */
 export interface FollowerLimits {
   /** The least time between two polls, ms. The request budget is shared by all controllers. */
-  everyMs: number;
-  /** The time between two pages of the snapshot, ms, after the first `burst` pages. */
-  pageMs: number;
+  pollIntervalMs: number;
+  /** The time between two pages of the snapshot, ms, after the first `pageBurst` pages. */
+  pageIntervalMs: number;
   /** How many pages of the snapshot may be read without a delay. */
-  burst: number;
+  pageBurst: number;
 }
 
 /**
@@ -70,7 +70,7 @@
   requestPoll(): void {
     // No request is sent during the backoff: otherwise each user's query would cause one in an outage. Callers are told at once.
     if (this.backoff.failureCount > 0 && this.now() < this.backoff.notBefore)
-      return this.events.read(this.now(), null);
+      return this.events.revisionRead(this.now(), null);
     this.pollRequested = true;
     this.interruptPause?.();
     if (this.followedRevision >= 0) this.schedulePoll();
@@ -97,11 +97,11 @@
       if (this.followedRevision < 0) await this.loadSnapshot();
       // While polls are under way they return the changes; a concurrent watch would return the same changes twice.
       if (this.polling || this.pollTimer !== null) {
-        await this.pause(this.limits.everyMs);
+        await this.pause(this.limits.pollIntervalMs);
         continue;
       }
       await this.readChanges(watchDurationMs);
-      await this.pause(Math.max(this.limits.everyMs * 2, this.backoff.notBefore - this.now()));
+      await this.pause(Math.max(this.limits.pollIntervalMs * 2, this.backoff.notBefore - this.now()));
     }
   }
 
@@ -110,15 +110,15 @@
     const { restarts } = this;
     const items: Change[] = [];
     let revision = -1;
-    let burstPagesLeft = this.limits.burst;
+    let burstPagesLeft = this.limits.pageBurst;
     for (let from = ''; !this.stopped;) {
       const page = await this.source.page(from);
       if (restarts !== this.restarts) return;
       if (page === null || page === 'busy') {
         this.backoff.onFailure(this.now());
-        if (page === null) this.events.read(this.now(), null);
+        if (page === null) this.events.revisionRead(this.now(), null);
         this.pollRequested = false;
-        await this.pause(Math.max(this.limits.everyMs, this.backoff.notBefore - this.now()));
+        await this.pause(Math.max(this.limits.pollIntervalMs, this.backoff.notBefore - this.now()));
         continue;
       }
       this.backoff.onSuccess();
@@ -126,18 +126,18 @@
       if (revision < 0) revision = page.revision;
       for (const i of page.items) items.push(i);
       if (!page.more || page.items.length === 0) break;
-      this.events.reading(items.length);
+      this.events.snapshotProgress(items.length);
       from = page.items[page.items.length - 1].key;
-      if (--burstPagesLeft <= 0) await this.sleep(this.limits.pageMs);
+      if (--burstPagesLeft <= 0) await this.sleep(this.limits.pageIntervalMs);
     }
     if (this.stopped || restarts !== this.restarts) return;
     this.followedRevision = revision;
-    this.events.loaded(items, revision);
+    this.events.snapshotLoaded(items, revision);
   }
 
   private schedulePoll(): void {
     if (this.stopped || this.polling || this.pollTimer !== null) return;
-    const dueAt = Math.max(this.lastPollAt + this.limits.everyMs, this.backoff.notBefore);
+    const dueAt = Math.max(this.lastPollAt + this.limits.pollIntervalMs, this.backoff.notBefore);
     this.pollTimer = setTimeout(
       () => {
         this.pollTimer = null;
@@ -166,13 +166,13 @@
     else if (result === 'busy') this.pollRequested = true;
     else if (result === null) {
       this.backoff.onFailure(this.now());
-      if (blockMs === 0) this.events.read(sentAt, null);
+      if (blockMs === 0) this.events.revisionRead(sentAt, null);
     } else {
       this.backoff.onSuccess();
       if (this.followedRevision >= 0)
         this.followedRevision = Math.max(this.followedRevision, result.revision);
-      this.events.changed(result.changes, result.revision);
-      this.events.read(sentAt, result.revision);
+      this.events.changesRead(result.changes, result.revision);
+      this.events.revisionRead(sentAt, result.revision);
     }
   }
 
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -20,7 +20,7 @@
 const keysPerPage = 1000;
 
 /** A remote state service, over HTTP. */
-export class Store implements StateService {
+export class HttpStateService implements StateService {
   private readonly requestClient: JsonClient;
   private readonly watchClient: JsonClient;
 
--- a/src/wire/agent-side.ts
+++ b/src/wire/agent-side.ts
@@ -48,9 +48,9 @@
   endpoint: string;
   type: string;
   zone: string;
-  session: number;
+  agentEpoch: number;
   seq: number;
-  token: number;
+  fencingToken: number;
   tasks: AgentTask[];
 }
 
@@ -61,9 +61,9 @@
   flavour: r.type,
   yard: r.zone,
   loaners: false,
-  tenure: r.session,
+  tenure: r.agentEpoch,
   tick: r.seq,
-  baton: r.token,
+  baton: r.fencingToken,
   recallS: null,
   pieces: r.tasks.map((t) => ({
     piece: taskKey(t.job, t.index),
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -132,7 +132,7 @@
     maxQueueWaitMs: 1000,
     retryWindowMs: 60_000,
     maxRetryAfterMs: 30_000,
-    maxTickets: 5000,
+    maxTrackedRejections: 5000,
   };
   let calls = 0;
   const admission = new AdmissionQueue<Item>(
@@ -141,8 +141,8 @@
     () => 1,
     () => (calls++ % 10) / 10,
   );
-  admission.rate = 10;
-  admission.totalRate = 30;
+  admission.jobsPerS = 10;
+  admission.totalJobsPerS = 30;
   const rejected = Array.from({ length: 400 }, (_, i) => admission.offer(item('t', 'c', i, 0), 0)).filter(
     (x) => x !== null,
   );
@@ -306,7 +306,7 @@
     maxQueueWaitMs: 1000,
     retryWindowMs: 60_000,
     maxRetryAfterMs: 30_000,
-    maxTickets: 5000,
+    maxTrackedRejections: 5000,
   };
   const costsMs: number[] = [];
   for (const classCount of [10, 1000, 10_000]) {
@@ -316,7 +316,7 @@
       () => 1,
       () => 0.5,
     );
-    admission.rate = 10;
+    admission.jobsPerS = 10;
     for (let i = 0; i < classCount; i++) admission.offer(item('t', `c${i}`, i), i);
     const startedAt = performance.now();
     for (let i = 0; i < 200; i++) {
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -10,7 +10,7 @@
 import { AgentDirectory } from '../src/agent/agent-directory.js';
 import { CommandRunner } from '../src/agent/command-runner.js';
 import { Worker, type WorkerEffect } from '../src/agent/worker.js';
-import { agentDefaults, parseAgentSettings } from '../src/agent/settings.js';
+import { defaultAgentSettings, parseAgentSettings } from '../src/agent/settings.js';
 import { parseControlSettings } from '../src/control/settings.js';
 import type { AgentJob, AgentTask, TaskResult } from '../src/wire/agent-side.js';
 import type { TaskOrder } from '../src/model/heartbeat.js';
@@ -330,7 +330,13 @@
   const { port } = controlServer.address() as AddressInfo;
   const logMessages: string[] = [];
   const agent = new Agent(
-    { ...agentDefaults(), name: 'a', controls: [`127.0.0.1:${port}`], controlNames: ['c'], directory: dir },
+    {
+      ...defaultAgentSettings(),
+      name: 'a',
+      controls: [`127.0.0.1:${port}`],
+      controlNames: ['c'],
+      directory: dir,
+    },
     () => 0.5,
     (_, message) => void logMessages.push(message),
   );
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -4,13 +4,13 @@
 import { common, inspect, type Format, type Formats, formats } from '../src/formats/index.js';
 import {
   capabilitiesOf,
-  decide,
+  decideLevelChange,
   initialLevelState,
   GracefulShutdown,
   FeatureLevels,
   newestLevel,
   noRequestedLevel,
-  RecordMigration,
+  MigrationPacer,
   legacyCapabilities,
   type Capabilities,
   type ShutdownDuties,
@@ -31,7 +31,7 @@
 const decisionInput = (overrides: Partial<LevelDecisionInput>): LevelDecisionInput => ({
   state: initialLevelState,
   newestLevel: 2,
-  configured: ['a', 'b', 'c'],
+  configuredMembers: ['a', 'b', 'c'],
   recordedCapabilities: new Map(),
   observedCapabilities: new Map(),
   requested: noRequestedLevel,
@@ -88,16 +88,18 @@
 });
 
 test('the level is raised only when every configured member was last seen with it, present or not', () => {
-  assert.equal(decide(decisionInput({ observedCapabilities: allMembersUpTo(2) })).type, 'raise');
+  assert.equal(decideLevelChange(decisionInput({ observedCapabilities: allMembersUpTo(2) })).type, 'raise');
   // A member that is down or cut off counts as it was last seen.
   const twoMembers = new Map([...allMembersUpTo(2)].slice(0, 2));
   assert.equal(
-    decide(decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: twoMembers })).type,
+    decideLevelChange(
+      decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: twoMembers }),
+    ).type,
     'raise',
   );
   // A member that was never seen, or last seen without the level, blocks the rise.
   assert.deepEqual(
-    decide(decisionInput({ recordedCapabilities: twoMembers, observedCapabilities: twoMembers })),
+    decideLevelChange(decisionInput({ recordedCapabilities: twoMembers, observedCapabilities: twoMembers })),
     {
       type: 'stay',
       why: 'waits for c (never seen)',
@@ -105,7 +107,9 @@
   );
   const withLegacyMember = new Map([...twoMembers, ['c', legacyCapabilities]]);
   assert.deepEqual(
-    decide(decisionInput({ recordedCapabilities: withLegacyMember, observedCapabilities: withLegacyMember })),
+    decideLevelChange(
+      decisionInput({ recordedCapabilities: withLegacyMember, observedCapabilities: withLegacyMember }),
+    ),
     {
       type: 'stay',
       why: 'waits for c (before levels)',
@@ -113,8 +117,9 @@
   );
   // A member that returns with an older program counts with that.
   assert.equal(
-    decide(decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: withLegacyMember }))
-      .type,
+    decideLevelChange(
+      decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: withLegacyMember }),
+    ).type,
     'record-capabilities',
   );
   // Two older versions at the same time; the level is raised one step at a time.
@@ -124,7 +129,7 @@
     ['c', capabilitiesUpTo(1)],
   ]);
   assert.equal(
-    decide(
+    decideLevelChange(
       decisionInput({
         newestLevel: 3,
         recordedCapabilities: mixedVersions,
@@ -133,11 +138,13 @@
     ).type,
     'stay',
   );
-  const decision = decide(decisionInput({ newestLevel: 3, observedCapabilities: allMembersUpTo(3) }));
+  const decision = decideLevelChange(
+    decisionInput({ newestLevel: 3, observedCapabilities: allMembersUpTo(3) }),
+  );
   assert.ok(decision.type === 'raise' && decision.to === 2);
   const state: LevelState = { level: 2, writeLevel: 2, modRevision: 9 };
   assert.equal(
-    decide(
+    decideLevelChange(
       decisionInput({
         state,
         newestLevel: 3,
@@ -156,7 +163,7 @@
     ...overrides,
   });
   assert.deepEqual(
-    decide(
+    decideLevelChange(
       decisionInput({
         recordedCapabilities: allMembersUpTo(2),
         observedCapabilities: allMembersUpTo(2),
@@ -170,7 +177,7 @@
   );
   const twoMembers = new Map([...allMembersUpTo(2)].slice(0, 2));
   assert.equal(
-    decide(
+    decideLevelChange(
       decisionInput({
         recordedCapabilities: twoMembers,
         observedCapabilities: twoMembers,
@@ -184,16 +191,19 @@
   const lowerToOne = requestedLevel({ maxLevel: 1, lower: true });
   // A limit below the level in force, without a request to lower it: the level stays.
   assert.equal(
-    decide(
+    decideLevelChange(
       decisionInput({ state, recordedCapabilities: recorded, requested: requestedLevel({ maxLevel: 1 }) }),
     ).type,
     'stay',
   );
-  assert.deepEqual(decide(decisionInput({ state, recordedCapabilities: recorded, requested: lowerToOne })), {
-    type: 'begin-lowering',
-    to: 1,
-  });
-  const refused = decide(
+  assert.deepEqual(
+    decideLevelChange(decisionInput({ state, recordedCapabilities: recorded, requested: lowerToOne })),
+    {
+      type: 'begin-lowering',
+      to: 1,
+    },
+  );
+  const refused = decideLevelChange(
     decisionInput({
       state,
       recordedCapabilities: recorded,
@@ -204,7 +214,7 @@
   assert.ok(refused.type === 'refuse' && /dp\/j\/req-1; start the newest program/.test(refused.text));
   const lowering: LevelState = { level: 2, writeLevel: 1, modRevision: 10 };
   assert.equal(
-    decide(
+    decideLevelChange(
       decisionInput({
         state: lowering,
         recordedCapabilities: recorded,
@@ -215,7 +225,9 @@
     'stay',
   );
   assert.deepEqual(
-    decide(decisionInput({ state: lowering, recordedCapabilities: recorded, requested: lowerToOne })),
+    decideLevelChange(
+      decisionInput({ state: lowering, recordedCapabilities: recorded, requested: lowerToOne }),
+    ),
     {
       type: 'lower',
       to: 1,
@@ -223,7 +235,9 @@
   );
   // The request is withdrawn during the lowering.
   assert.deepEqual(
-    decide(decisionInput({ state: lowering, recordedCapabilities: recorded, unmigratedRecords: 3 })),
+    decideLevelChange(
+      decisionInput({ state: lowering, recordedCapabilities: recorded, unmigratedRecords: 3 }),
+    ),
     {
       type: 'raise',
       to: 2,
@@ -262,7 +276,7 @@
 });
 
 test('record migration keeps to its share of the writes and reports its progress', () => {
-  const migration = new RecordMigration(40, 0.1, 1000);
+  const migration = new MigrationPacer(40, 0.1, 1000);
   let writes = 0;
   for (let now = 0; now <= 60_000; now += 500) {
     const available = migration.availableWrites(now);
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -115,14 +115,14 @@
     const source = { page, changes: () => new Promise<null>(() => undefined) };
     const follower = new Follower(
       source,
-      { everyMs: 1, pageMs: 1, burst: 2 },
+      { pollIntervalMs: 1, pageIntervalMs: 1, pageBurst: 2 },
       backoff,
       () => performance.now(),
       {
-        reading: () => undefined,
-        loaded: (items, epoch) => resolve({ keys: items.map((i) => i.key), epoch }),
-        changed: () => undefined,
-        read: (_, epoch) => void (epoch === null && failedReads++),
+        snapshotProgress: () => undefined,
+        snapshotLoaded: (items, epoch) => resolve({ keys: items.map((i) => i.key), epoch }),
+        changesRead: () => undefined,
+        revisionRead: (_, epoch) => void (epoch === null && failedReads++),
       },
     );
     void follower.run();
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -16,7 +16,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import type { StateService } from '../src/state/service.js';
-import { Store } from '../src/state/store.js';
+import { HttpStateService } from '../src/state/store.js';
 import {
   EmbeddedStore,
   Engine,
@@ -69,7 +69,7 @@
         const engine = await openEngine(dir);
         const server = storeServer(engine, dir);
         await new Promise<void>((r) => server.listen(0, '127.0.0.1', () => r()));
-        await use(new Store(`127.0.0.1:${(server.address() as AddressInfo).port}`, 2000), engine);
+        await use(new HttpStateService(`127.0.0.1:${(server.address() as AddressInfo).port}`, 2000), engine);
         server.closeAllConnections();
         server.close();
         await engine.close();
--- a/test/support/site.ts
+++ b/test/support/site.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { processesWithMark, sendSignal } from '../../src/agent/processes.js';
+import { findProcessesByMark, sendSignal } from '../../src/agent/processes.js';
 import { Agent, parseAgentSettings } from '../../src/agent/index.js';
 import { openControl, parseControlSettings, type OpenControl } from '../../src/control/index.js';
 import { JsonClient } from '../../src/net/client.js';
@@ -228,11 +228,11 @@
   commandsOf(name: string): { pid: number; mark: string }[] {
     const identityFile = join(this.dir, name, 'agent.json');
     if (!existsSync(identityFile)) return [];
-    return processesWithMark(`${(JSON.parse(readFileSync(identityFile, 'utf8')) as { id: string }).id}/`);
+    return findProcessesByMark(`${(JSON.parse(readFileSync(identityFile, 'utf8')) as { id: string }).id}/`);
   }
   /** The running watchdog processes of an agent. */
   watchdogsOf(name: string): { pid: number; mark: string }[] {
-    return processesWithMark(`watchdog:${join(this.dir, name)}`);
+    return findProcessesByMark(`watchdog:${join(this.dir, name)}`);
   }
   /** Submits a job. No answer, 429 and 5xx answers are retried. */
   async submit(job: object): Promise<void> {
