--- a/scale/state-service.ts
+++ b/scale/state-service.ts
@@ -140,7 +140,7 @@
     this.clockStoppedAt = performance.now();
     setTimeout(() => {
       this.clockStoppedAt = null;
-      this.engine.renewAll();
+      this.engine.renewAllLeases();
       this.gate.outage = false;
     }, durationMs);
   }
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -10,7 +10,7 @@
   parseRedirect,
   type AgentReport,
   type AgentTask,
-} from '../src/wire/agent-side.js';
+} from '../src/wire/agent.js';
 import { machineType } from './cloud.js';
 import { now, type MachineSpec, type TaskEvent, type WorkerCounts, type WorkersStart } from './messages.js';
 import { isInitialJob, isUrgentJob } from './jobs.js';
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -3,7 +3,7 @@
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { readJson, sendJson } from '../src/net/json.js';
 import { seededRandom } from '../src/retry/index.js';
-import { parseTaskOrders } from '../src/wire/agent-side.js';
+import { parseTaskOrders } from '../src/wire/agent.js';
 import { lagMeter, listenToParent, sendToParent } from './child.js';
 import {
   zeroWorkerCounts,
--- a/src/agent/agent-directory.ts
+++ b/src/agent/agent-directory.ts
@@ -13,7 +13,7 @@
   writeSync,
 } from 'node:fs';
 import { join } from 'node:path';
-import type { AgentJob, AgentTask } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask } from '../wire/agent.js';
 
 /** The agent's own persistent state. It is stored, so its field names are part of the storage format. */
 export interface AgentRecord {
--- a/src/agent/agent-server.ts
+++ b/src/agent/agent-server.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net';
 import { join } from 'node:path';
 import { readJson, sendJson as reply } from '../net/json.js';
-import { encodeAgentReport, parseTaskOrders } from '../wire/agent-side.js';
+import { encodeAgentReport, parseTaskOrders } from '../wire/agent.js';
 import type { AgentDirectory } from './agent-directory.js';
 import type { Worker, WorkerEffect } from './worker.js';
 
--- a/src/agent/agent.ts
+++ b/src/agent/agent.ts
@@ -11,7 +11,7 @@
   type AgentTask,
   type JoinResponse,
   type TaskResult,
-} from '../wire/agent-side.js';
+} from '../wire/agent.js';
 import { AgentDirectory, type AgentRecord, type TaskRecord } from './agent-directory.js';
 import { AgentLease } from './agent-lease.js';
 import { AgentServer } from './agent-server.js';
--- a/src/agent/command-runner.ts
+++ b/src/agent/command-runner.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../core/effects.js';
 import { taskKey } from '../model/job.js';
 import { commandForTask } from '../model/task-command.js';
-import type { AgentJob, AgentTask, ResultReason, TaskResult } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask, ResultReason, TaskResult } from '../wire/agent.js';
 import type { AgentDirectory, TaskRecord } from './agent-directory.js';
 import { listProcessesByGroup, findProcessesByMark, sendSignal } from './processes.js';
 import { spawnCommand } from './spawn-command.js';
--- a/src/agent/job-descriptions.ts
+++ b/src/agent/job-descriptions.ts
@@ -1,5 +1,5 @@
 /** Fetches and caches job descriptions, which the agent needs before it runs a job's tasks. */
-import { parseAgentJob, type AgentJob } from '../wire/agent-side.js';
+import { parseAgentJob, type AgentJob } from '../wire/agent.js';
 import type { ControlClient } from './control-client.js';
 
 /** The maximum number of cached descriptions; further ones are not cached. */
--- a/src/agent/settings.ts
+++ b/src/agent/settings.ts
@@ -2,7 +2,7 @@
 import { cpus, totalmem } from 'node:os';
 import { FormReader, readForms } from '../config/forms.js';
 import { SettingsError } from '../config/settings.js';
-import type { JoinRequest } from '../wire/agent-side.js';
+import type { JoinRequest } from '../wire/agent.js';
 
 /** The settings of an agent: the description of its machine that it sends when it joins, and its own configuration. */
 export interface AgentSettings extends Omit<JoinRequest, 'id'> {
--- a/src/agent/simulated-tasks.ts
+++ b/src/agent/simulated-tasks.ts
@@ -1,6 +1,6 @@
 /** Simulates the tasks of jobs that have no command. */
 import { uptime } from 'node:os';
-import type { AgentJob, AgentTask, ResultReason } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask, ResultReason } from '../wire/agent.js';
 import type { TaskEvents } from './command-runner.js';
 import type { Random } from '../retry/index.js';
 
--- a/src/agent/spawn-command.ts
+++ b/src/agent/spawn-command.ts
@@ -3,7 +3,7 @@
 import { closeSync, mkdirSync, openSync, writeSync } from 'node:fs';
 import { isAbsolute, join } from 'node:path';
 import type { commandForTask } from '../model/task-command.js';
-import type { AgentTask } from '../wire/agent-side.js';
+import type { AgentTask } from '../wire/agent.js';
 import { markVariable } from './processes.js';
 import { shim } from './shim.js';
 
--- a/src/agent/task-executor.ts
+++ b/src/agent/task-executor.ts
@@ -1,7 +1,7 @@
 /** Executes an agent's tasks: as processes, or simulated if their job has no command. */
 import type { Log } from '../core/effects.js';
 import type { Random } from '../retry/index.js';
-import type { AgentJob, AgentTask } from '../wire/agent-side.js';
+import type { AgentJob, AgentTask } from '../wire/agent.js';
 import type { AgentDirectory, TaskRecord } from './agent-directory.js';
 import type { AgentLease } from './agent-lease.js';
 import { CommandRunner, type TaskEvents } from './command-runner.js';
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,7 +1,7 @@
 /** The worker's side of the protocol as a pure state machine: epochs, the lease, fencing tokens and held tasks. */
 import type { TaskOrder } from '../model/heartbeat.js';
 import { taskKey } from '../model/job.js';
-import type { AgentReport, HeartbeatResponse, AgentTask, TaskResult } from '../wire/agent-side.js';
+import type { AgentReport, HeartbeatResponse, AgentTask, TaskResult } from '../wire/agent.js';
 
 /** An action that the worker state machine requests from its agent. */
 export type WorkerEffect =
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -1,5 +1,5 @@
 /** Evaluates ClassAd expressions against a record and, optionally, the target record that it is matched with. */
-import type { Ad, Expr, Scope } from './expr.js';
+import type { ClassAd, Expr, Scope } from './expr.js';
 import { matchScopes, outermostScope } from './scopes.js';
 import { defaultContext, type Evaluator, type EvaluationContext } from './evaluation-context.js';
 import { functions } from './functions/index.js';
@@ -23,7 +23,7 @@
   private steps = 0;
   private depth = 0;
   /** The attributes being evaluated, in lower case, by record; used to detect circular references. */
-  private readonly active = new Map<Ad, Set<string>>();
+  private readonly active = new Map<ClassAd, Set<string>>();
 
   constructor(
     readonly context: EvaluationContext = defaultContext,
@@ -161,5 +161,9 @@
 }
 
 /** Evaluates an expression in the scope of the record `my`, with `target` as the record that it is matched with. */
-export const evaluate = (expr: Expr, my: Ad, target: Ad | null = null, context = defaultContext): Value =>
-  new Evaluation(context).run(expr, matchScopes(my, target));
+export const evaluate = (
+  expr: Expr,
+  my: ClassAd,
+  target: ClassAd | null = null,
+  context = defaultContext,
+): Value => new Evaluation(context).run(expr, matchScopes(my, target));
--- a/src/classad/expr.ts
+++ b/src/classad/expr.ts
@@ -43,7 +43,7 @@
     }
   | { readonly kind: 'call'; readonly name: string; readonly args: readonly Expr[] }
   | { readonly kind: 'list'; readonly items: readonly Expr[] }
-  | { readonly kind: 'record'; readonly ad: Ad };
+  | { readonly kind: 'record'; readonly ad: ClassAd };
 
 /** An attribute of a record. */
 export interface Attribute {
@@ -52,7 +52,7 @@
 }
 
 /** A ClassAd record: a set of named expressions. Names are case-insensitive and keep the spelling of the last assignment. */
-export class Ad {
+export class ClassAd {
   private readonly attributes = new Map<string, Attribute>();
 
   constructor(attributes: Iterable<Attribute> = []) {
@@ -137,7 +137,7 @@
 
 /** The scope in which names are resolved: a record, its enclosing records, and the target record that it is matched with. */
 export interface Scope {
-  readonly ad: Ad;
+  readonly ad: ClassAd;
   /** The scope of the enclosing record; null for the outermost one. */
   readonly parent: Scope | null;
   /** The scope of the target record; set only on the outermost scope. */
@@ -152,7 +152,7 @@
 /** A record as a value, with the scope in which its attributes are evaluated. */
 export class RecordValue {
   constructor(
-    readonly ad: Ad,
+    readonly ad: ClassAd,
     readonly scope: Scope,
   ) {}
 }
--- a/src/classad/grammar.d.ts
+++ b/src/classad/grammar.d.ts
@@ -1,5 +1,5 @@
 /** Types of the parser that the build generates from grammar.peggy. */
-import type { Ad, Attribute, Expr, UnaryOp } from './expr.js';
+import type { ClassAd, Attribute, Expr, UnaryOp } from './expr.js';
 import type { ErrorValue, Value } from './values.js';
 
 /** Options of the generated parser: the start rule, limits, and constructors of syntax tree nodes. */
@@ -12,7 +12,7 @@
   literal(v: Value): Expr;
   unary(op: UnaryOp, a: Expr): Expr;
   errorValue(reason: string): ErrorValue;
-  record(attributes: Attribute[]): Ad;
+  record(attributes: Attribute[]): ClassAd;
 }
 /** Parses `text`, starting at `options.startRule`. Throws a `SyntaxError`. */
 export function parse(text: string, options: GrammarOptions): unknown;
--- a/src/classad/index.ts
+++ b/src/classad/index.ts
@@ -1,5 +1,5 @@
 /** HTCondor's ClassAd language: parsing, evaluation and printing of expressions and records. */
-export { Ad, children, literal, stringLiteralValue, type Attribute, type Expr } from './expr.js';
+export { ClassAd, children, literal, stringLiteralValue, type Attribute, type Expr } from './expr.js';
 export { ErrorValue, RecordValue, typeOf, toTruth, type Value } from './values.js';
 export { ClassAdError, parseAd, parseExpr } from './parse.js';
 export { printAd, printExpr, printName, printValue } from './print.js';
--- a/src/classad/parse.ts
+++ b/src/classad/parse.ts
@@ -1,5 +1,5 @@
 /** Parses ClassAd expressions and records. */
-import { Ad, literal, unary, type Attribute, type Expr } from './expr.js';
+import { ClassAd, literal, unary, type Attribute, type Expr } from './expr.js';
 import { parse, SyntaxError as GrammarError, type GrammarOptions } from './grammar.js';
 import { ErrorValue } from './values.js';
 
@@ -29,7 +29,7 @@
       literal,
       unary,
       errorValue: (reason) => new ErrorValue(reason),
-      record: (attributes) => new Ad(attributes),
+      record: (attributes) => new ClassAd(attributes),
     });
   } catch (error) {
     if (!(error instanceof GrammarError)) throw error;
@@ -49,8 +49,8 @@
 const attributeLine = /^\s*([A-Za-z_][A-Za-z0-9_]*|'[^']+')\s*=(?![=?!])/;
 
 /** Parses a record, either in brackets or as one `NAME = expression` per line, where lines that start with # are comments. */
-export function parseAd(text: string): Ad {
-  if (/^\s*\[/.test(text)) return parseWith(text, 'Record') as Ad;
+export function parseAd(text: string): ClassAd {
+  if (/^\s*\[/.test(text)) return parseWith(text, 'Record') as ClassAd;
   const attributes: Attribute[] = [];
   text.split('\n').forEach((line, i) => {
     if (line.trim() === '' || line.trimStart().startsWith('#')) return;
@@ -63,5 +63,5 @@
       throw new ClassAdError(error.reason, i + 1, error.column + match[0].length);
     }
   });
-  return new Ad(attributes);
+  return new ClassAd(attributes);
 }
--- a/src/classad/partial-evaluation.ts
+++ b/src/classad/partial-evaluation.ts
@@ -1,7 +1,7 @@
 /** Partial evaluation: simplifies an expression as far as its own record alone determines it. */
 import { Evaluation } from './evaluate.js';
 import type { EvaluationContext } from './evaluation-context.js';
-import { literal, type Ad, type Expr } from './expr.js';
+import { literal, type ClassAd, type Expr } from './expr.js';
 import { functions } from './functions/index.js';
 import { matchSideOf } from './references.js';
 import { matchScopes } from './scopes.js';
@@ -11,7 +11,7 @@
  * Replaces the parts of an expression that depend neither on the target record nor on the time or random numbers by their values.
  * For every target record, the result evaluates to the same value as the original expression.
  */
-export const partiallyEvaluate = (expr: Expr, my: Ad, context?: EvaluationContext): Expr =>
+export const partiallyEvaluate = (expr: Expr, my: ClassAd, context?: EvaluationContext): Expr =>
   new PartialEvaluator(my, context).reduce(expr);
 
 type ExprOf<Kind extends Expr['kind']> = Extract<Expr, { kind: Kind }>;
@@ -22,7 +22,7 @@
   private readonly scope;
 
   constructor(
-    private readonly my: Ad,
+    private readonly my: ClassAd,
     private readonly context: EvaluationContext | undefined,
   ) {
     this.scope = matchScopes(my);
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -1,5 +1,5 @@
 /** Prints expressions, records and values in ClassAd syntax. */
-import type { Ad, BinaryOp, Expr } from './expr.js';
+import type { ClassAd, BinaryOp, Expr } from './expr.js';
 import { ErrorValue, RecordValue, type Value } from './values.js';
 
 /** Operator precedence. An operand of lower precedence is printed in parentheses. */
@@ -75,7 +75,7 @@
 }
 
 /** Prints a record in brackets. */
-export function printAd(ad: Ad): string {
+export function printAd(ad: ClassAd): string {
   const attributes = [...ad].map((a) => `${printName(a.name)} = ${printExpr(a.expr)}`);
   return attributes.length === 0 ? '[ ]' : `[ ${attributes.join('; ')} ]`;
 }
--- a/src/classad/references.ts
+++ b/src/classad/references.ts
@@ -1,5 +1,5 @@
 /** Static analysis of the attributes and functions that expressions refer to. */
-import { children, type Ad, type Expr } from './expr.js';
+import { children, type ClassAd, type Expr } from './expr.js';
 import { functions } from './functions/index.js';
 
 /** Returns which of the two records an expression denotes, as in `MY.x` and `TARGET.x`; null if neither. */
@@ -13,7 +13,7 @@
  * Returns the names, in lower case, of the target's attributes that an expression refers to, directly or through attributes of
  * its own record. `*` stands for all attributes: the names are known only at evaluation (`eval`, a subscript of TARGET).
  */
-export function referencedAttributes(expr: Expr, my: Ad): Set<string> {
+export function referencedAttributes(expr: Expr, my: ClassAd): Set<string> {
   const found = new Set<string>();
   const seen = new Set<string>();
   const visitOwnAttribute = (name: string): void => {
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -7,13 +7,19 @@
   parseAd,
   parseExpr,
   printValue,
-  type Ad,
+  type ClassAd,
   type EvaluationContext,
 } from '../classad/index.js';
-import { describeAnalysis, type Analysis } from '../matching/index.js';
+import { describeAnalysis, type MatchAnalysis } from '../matching/index.js';
 import { JsonClient } from '../net/client.js';
 import { jobPath } from '../wire/user.js';
-import { submitHost, adToJson, nativeSubmission, Submission, SubmitError } from '../condor/index.js';
+import {
+  localSubmitEnvironment,
+  adToJson,
+  nativeSubmission,
+  Submission,
+  SubmitError,
+} from '../condor/index.js';
 import { ApiClient } from './api-client.js';
 import { exitCodes, type Fail } from './exit.js';
 import { newJobId } from './job-id.js';
@@ -31,7 +37,7 @@
   }
 }
 
-function readAd(path: string, fail: Fail): Ad {
+function readAd(path: string, fail: Fail): ClassAd {
   try {
     return parseAd(readInput(path, fail));
   } catch (error) {
@@ -48,7 +54,7 @@
 }
 
 /** All jobs as one JSON array, in chunks because there may be a hundred thousand jobs. */
-function* jsonChunks(ads: Iterable<Ad>): Generator<string> {
+function* jsonChunks(ads: Iterable<ClassAd>): Generator<string> {
   let first = true;
   for (const ad of ads) {
     yield `${first ? '[\n' : ',\n'}${JSON.stringify(adToJson(ad))}`;
@@ -60,7 +66,7 @@
 async function dryRun(file: string, json: boolean, fail: Fail): Promise<void> {
   const text = readInput(file, fail);
   try {
-    const submission = new Submission(text, file, submitHost());
+    const submission = new Submission(text, file, localSubmitEnvironment());
     // All jobs are created before any is printed: a file with a mistake further on prints none.
     const ads = [...submission.jobs()];
     for (const warning of submission.warnings) process.stderr.write(`${warning}\n`);
@@ -80,7 +86,7 @@
   }
 }
 
-function jobLine(ad: Ad): string {
+function jobLine(ad: ClassAd): string {
   const job = adToJson(ad) as Record<string, string | number>;
   return `${job['ClusterId']}.${job['ProcId']}  ${job['Cmd']} ${job['Args'] ?? ''}`.trimEnd();
 }
@@ -90,7 +96,7 @@
   const text = readInput(file, fail);
   const submissions: { first: number; count: number; job: Record<string, unknown> }[] = [];
   try {
-    const submission = new Submission(text, file, submitHost());
+    const submission = new Submission(text, file, localSubmitEnvironment());
     for (const group of submission.groups())
       submissions.push({
         first: group.first,
@@ -131,7 +137,7 @@
     'GET',
     `${jobPath}/${id}/analyze`,
     null,
-  )) as Analysis;
+  )) as MatchAnalysis;
   if (json) printLine(JSON.stringify(analysis));
   else for (const line of describeAnalysis(analysis)) printLine(line);
   process.exit(0);
--- a/src/cli/demo.ts
+++ b/src/cli/demo.ts
@@ -71,8 +71,8 @@
 `;
 
 async function submitFileJob(): Promise<DemoJob> {
-  const { submitHost, nativeSubmission, Submission } = await import('../condor/index.js');
-  const submission = new Submission(submitFile, 'demo.sub', submitHost());
+  const { localSubmitEnvironment, nativeSubmission, Submission } = await import('../condor/index.js');
+  const submission = new Submission(submitFile, 'demo.sub', localSubmitEnvironment());
   const [group] = [...submission.groups()];
   return {
     title: 'a submit file',
--- a/src/cli/level-store.ts
+++ b/src/cli/level-store.ts
@@ -16,7 +16,7 @@
   type LevelState,
   type RequestedLevel,
 } from '../feature-levels/index.js';
-import { HttpStateService } from '../state/store.js';
+import { HttpStateService } from '../state/http-state-service.js';
 import type { Change } from '../wire/store.js';
 import type { Fail } from './exit.js';
 
--- a/src/condor/command-handlers.ts
+++ b/src/condor/command-handlers.ts
@@ -1,12 +1,12 @@
 /** Building blocks of submit command handlers: they parse values and set job attributes. */
-import { Ad, ClassAdError, evaluate, literal, parseExpr, type Expr } from '../classad/index.js';
+import { ClassAd, ClassAdError, evaluate, literal, parseExpr, type Expr } from '../classad/index.js';
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
 import type { SubmitEnvironment } from './submit-environment.js';
 
 /** The state that a command handler reads and modifies. */
 export interface CommandContext {
   /** The job's ClassAd record, to which the handler adds attributes. */
-  readonly ad: Ad;
+  readonly ad: ClassAd;
   /** The position of the command in the submit file. */
   position: SourcePosition;
   readonly environment: SubmitEnvironment;
@@ -84,7 +84,7 @@
 /** Parses a non-negative number, or an expression that depends on other attributes. */
 function parseNonNegative(value: string, context: CommandContext, name: string): Expr {
   const expression = parseExpression(value, context, name);
-  const result = evaluate(expression, new Ad());
+  const result = evaluate(expression, new ClassAd());
   if (typeof result === 'bigint' || typeof result === 'number') {
     if (result < 0) throw new SubmitError(context.position, `${name}: ${value}: must not be below zero`);
     return literal(result);
--- a/src/condor/index.ts
+++ b/src/condor/index.ts
@@ -2,5 +2,5 @@
 export { SubmitError } from './errors.js';
 export { Submission, adToJson } from './jobs.js';
 export { nativeSubmission, type JobGroup } from './native-submission.js';
-export { submitHost } from './submit-host.js';
+export { localSubmitEnvironment } from './submit-host.js';
 export type { SubmitEnvironment } from './submit-environment.js';
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -1,5 +1,5 @@
 /** Generates the jobs of a submit file as ClassAd records. */
-import { Ad, literal, printExpr, type Attribute, type Expr } from '../classad/index.js';
+import { ClassAd, literal, printExpr, type Attribute, type Expr } from '../classad/index.js';
 import { parseExpression, type CommandContext } from './command-handlers.js';
 import { aliases, ignoredCommands, unsupportedCommands } from './command-tables.js';
 import { commands } from './commands.js';
@@ -47,7 +47,7 @@
   }
 
   /** Generates all jobs, each as a ClassAd record. */
-  *jobs(): Generator<Ad> {
+  *jobs(): Generator<ClassAd> {
     let proc = 0;
     for (const statement of this.file.queueStatements) {
       const plan = this.planFor(statement);
@@ -75,8 +75,8 @@
       const rows = statement.request.rows?.length ?? 1;
       for (let row = 0; row < rows; row++) {
         const { count } = statement.request;
-        const ads: Ad[] = [];
-        for (let i = 0; i < count; i++) ads.push(jobs.next().value as Ad);
+        const ads: ClassAd[] = [];
+        for (let i = 0; i < count; i++) ads.push(jobs.next().value as ClassAd);
         const ad = count > 1 ? this.buildTemplateJob(statement, row) : null;
         const uniform = ad !== null && ads.every((a, i) => matchesTemplate(ad, a, first + i));
         if (uniform) yield { ad, first, count, isTemplate: true, position: statement.position };
@@ -91,7 +91,7 @@
   }
 
   /** Builds the record of a row with a placeholder as the process number; null if this is not possible. */
-  private buildTemplateJob(statement: QueueStatement, row: number): Ad | null {
+  private buildTemplateJob(statement: QueueStatement, row: number): ClassAd | null {
     const perJob = perJobValues(statement, row, taskIndexPlaceholder, taskIndexPlaceholder);
     try {
       return this.buildJob(statement, this.planFor(statement), new Map(), perJob, 0);
@@ -140,8 +140,8 @@
     constants: Map<AttributeAssignment, Attribute[]>,
     perJob: ReadonlyMap<string, string>,
     proc: number,
-  ): Ad {
-    const ad = new Ad([
+  ): ClassAd {
+    const ad = new ClassAd([
       { name: 'ClusterId', expr: literal(1n) },
       { name: 'ProcId', expr: literal(BigInt(proc)) },
     ]);
@@ -224,7 +224,7 @@
 }
 
 /** Whether a job equals the template record with the placeholder replaced by its process number. */
-function matchesTemplate(template: Ad, job: Ad, proc: number): boolean {
+function matchesTemplate(template: ClassAd, job: ClassAd, proc: number): boolean {
   if (template.size !== job.size) return false;
   for (const { name, expr } of template) {
     const own = job.get(name);
@@ -236,7 +236,7 @@
 }
 
 /** Converts a record to JSON: literals to values, other expressions to strings in the notation of HTCondor's tools. */
-export function adToJson(ad: Ad): Record<string, unknown> {
+export function adToJson(ad: ClassAd): Record<string, unknown> {
   const out: Record<string, unknown> = {};
   for (const { name, expr } of ad) out[name] = valueToJson(expr);
   return out;
--- a/src/condor/macro-functions.ts
+++ b/src/condor/macro-functions.ts
@@ -1,7 +1,7 @@
 /** The macro functions of submit files: `$INT(...)`, `$SUBSTR(...)`, `$Fn(...)` and others. */
 import { basename, dirname, extname, resolve } from 'node:path';
 import { sprintf } from 'sprintf-js';
-import { Ad, ClassAdError, evaluate, parseExpr, printValue, type Value } from '../classad/index.js';
+import { ClassAd, ClassAdError, evaluate, parseExpr, printValue, type Value } from '../classad/index.js';
 import { SubmitError, type SourcePosition } from './errors.js';
 import type { SubmitEnvironment } from './submit-environment.js';
 
@@ -48,7 +48,7 @@
   /** Evaluates an argument as an expression. */
   value(argument: string): Value {
     try {
-      return evaluate(parseExpr(this.resolve(argument)), new Ad());
+      return evaluate(parseExpr(this.resolve(argument)), new ClassAd());
     } catch (error) {
       if (error instanceof ClassAdError) return this.fail(error.message);
       throw error;
--- a/src/condor/native-submission.ts
+++ b/src/condor/native-submission.ts
@@ -1,6 +1,6 @@
 /** Converts the jobs of submit files to the control service's native submissions. */
 import { resolve } from 'node:path';
-import { printExpr, stringLiteralValue, type Ad, type Expr } from '../classad/index.js';
+import { printExpr, stringLiteralValue, type ClassAd, type Expr } from '../classad/index.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
 import { defaultSubmission } from '../wire/user.js';
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
@@ -8,7 +8,7 @@
 
 /** Jobs of one queue statement that are submitted together, as one native job. */
 export interface JobGroup {
-  readonly ad: Ad;
+  readonly ad: ClassAd;
   /** The process number of the first job. */
   readonly first: number;
   readonly count: number;
@@ -74,7 +74,7 @@
 }
 
 /** Rejects attributes that a control service does not support and whose omission would change what the job does. */
-function rejectUnsupportedAttributes(ad: Ad, reject: (what: string) => never): void {
+function rejectUnsupportedAttributes(ad: ClassAd, reject: (what: string) => never): void {
   for (const [attr, name] of [
     ['PeriodicHold', 'periodic_hold'],
     ['PeriodicRelease', 'periodic_release'],
@@ -91,7 +91,7 @@
 }
 
 /** Returns the job's requirements and rank, together with the attributes that they may refer to; nothing if it has neither. */
-function matchFields(ad: Ad): Record<string, unknown> {
+function matchFields(ad: ClassAd): Record<string, unknown> {
   const requirements = ad.get('Requirements');
   const rank = ad.get('Rank');
   const matchesAll =
@@ -112,7 +112,7 @@
 }
 
 /** Returns the fields of the command: arguments, environment, working directory and files. */
-function commandFields(ad: Ad): Record<string, unknown> {
+function commandFields(ad: ClassAd): Record<string, unknown> {
   const iwd = stringLiteralValue(ad.get('Iwd')) ?? '/';
   const newArguments = stringLiteralValue(ad.get('Arguments'));
   const argv =
--- a/src/condor/queue-statement.ts
+++ b/src/condor/queue-statement.ts
@@ -1,6 +1,6 @@
 /** Parses queue statements. */
 import { resolve } from 'node:path';
-import { Ad, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
+import { ClassAd, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
 import { SubmitError, type SourcePosition } from './errors.js';
 import type { SubmitEnvironment } from './submit-environment.js';
 
@@ -19,7 +19,7 @@
 /** Evaluates an expression to an integer. Throws `message` if the result is not an integer. */
 function parseInteger(text: string, position: SourcePosition, message: string): number {
   try {
-    const value = evaluate(parseExpr(text), new Ad());
+    const value = evaluate(parseExpr(text), new ClassAd());
     if (typeof value === 'bigint') return Number(value);
   } catch (error) {
     if (!(error instanceof ClassAdError)) throw error;
--- a/src/condor/submit-file.ts
+++ b/src/condor/submit-file.ts
@@ -1,6 +1,6 @@
 /** Reads a submit file: evaluates its assignments, conditionals and includes, and collects its queue statements. */
 import { dirname, relative, resolve } from 'node:path';
-import { Ad, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
+import { ClassAd, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
 import { SubmitError, Warnings, type SourcePosition } from './errors.js';
 import { LineReader } from './line-reader.js';
 import { closingParenthesis, Macros } from './macros.js';
@@ -218,7 +218,7 @@
     const versionTest = /^version\s*(<=|>=|==|!=|<|>)\s*(\d+(?:\.\d+){0,2})$/i.exec(text);
     if (versionTest) return versionHolds(versionTest[1], versionTest[2].split('.').map(Number));
     try {
-      const value = evaluate(parseExpr(text), new Ad());
+      const value = evaluate(parseExpr(text), new ClassAd());
       if (typeof value === 'boolean') return value;
       if (typeof value === 'bigint' || typeof value === 'number') return Number(value) !== 0;
     } catch (error) {
--- a/src/condor/submit-host.ts
+++ b/src/condor/submit-host.ts
@@ -5,7 +5,7 @@
 import type { SubmitEnvironment } from './submit-environment.js';
 
 /** Returns the submit environment of the local machine and the current process. */
-export function submitHost(): SubmitEnvironment {
+export function localSubmitEnvironment(): SubmitEnvironment {
   const cwd = process.cwd();
   return {
     cwd,
--- a/src/control/agent-job.ts
+++ b/src/control/agent-job.ts
@@ -1,6 +1,6 @@
 /** Builds the job description that an agent fetches before it runs the job's tasks. */
 import type { JobSpec } from '../model/job.js';
-import type { AgentJob } from '../wire/agent-side.js';
+import type { AgentJob } from '../wire/agent.js';
 import type { ClassSimulation } from './settings.js';
 
 /** Sleep time of a simulated task if neither its class nor the job's estimate sets one, s. */
--- a/src/control/agent-pool.ts
+++ b/src/control/agent-pool.ts
@@ -2,7 +2,7 @@
 import type { CloudProvider } from '../cloud/cloud-provider.js';
 import type { Log } from '../core/effects.js';
 import type { MachineType } from '../model/machine.js';
-import type { JoinRequest } from '../wire/agent-side.js';
+import type { JoinRequest } from '../wire/agent.js';
 import type { ListedMachine, RentalOutcome } from '../wire/cloud.js';
 import { listAll, commitWithRetries, type ControlStore } from './control-store.js';
 
--- a/src/control/api.ts
+++ b/src/control/api.ts
@@ -1,7 +1,7 @@
 /** The HTTP API that a control service adds to the core's protocol: joining agents, machines, jobs, results and output. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readJson, sendJson as reply } from '../net/json.js';
-import { parseJoinRequest, type AgentJob } from '../wire/agent-side.js';
+import { parseJoinRequest, type AgentJob } from '../wire/agent.js';
 import { jobWithTasks, listJobs, locateTask } from './job-views.js';
 import { listMachines, type MachineViewSources } from './machine-views.js';
 import { proxyOutput } from './output-proxy.js';
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -5,10 +5,10 @@
 import type { JobSpec, MatchSpec } from '../model/job.js';
 import type { MachineAttributes, Matcher } from '../policy/matching.js';
 import { Service } from '../service.js';
-import type { StateService } from '../state/service.js';
+import type { StateService } from '../state/state-service.js';
 import type { ServerHooks } from '../users/server.js';
 import { version } from '../version.js';
-import type { AgentJob } from '../wire/agent-side.js';
+import type { AgentJob } from '../wire/agent.js';
 import type { Condition } from '../wire/store.js';
 import { describeForAgent } from './agent-job.js';
 import { AgentPool, type PoolRecord } from './agent-pool.js';
@@ -108,8 +108,8 @@
           ? this.matching.validate(spec.match)
           : 'requirements, rank: matching is not switched on';
       },
-      handle: (req, res, path) => this.api.serve(req, res, path),
-      heartbeat: (raw, heartbeat, forward, reject) =>
+      handleRequest: (req, res, path) => this.api.serve(req, res, path),
+      interceptHeartbeat: (raw, heartbeat, forward, reject) =>
         void interceptor.intercept(raw, heartbeat, { forward, reject }),
       transformResponse: (host, status, body) => interceptor.extendResponse(host, status, body),
     };
--- a/src/control/heartbeat-interceptor.ts
+++ b/src/control/heartbeat-interceptor.ts
@@ -2,7 +2,7 @@
 import type { Command } from '../core/effects.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import type { JobSpec } from '../model/job.js';
-import { parseResults, type TaskResult } from '../wire/agent-side.js';
+import { parseResults, type TaskResult } from '../wire/agent.js';
 import type { Condition } from '../wire/store.js';
 import type { AgentPool } from './agent-pool.js';
 import { StoreUnavailableError } from './control-store.js';
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -1,7 +1,7 @@
 /** Opens a control service together with its embedded or remote store, and with matching support if it is enabled. */
 import type { Log } from '../core/effects.js';
 import { retryPolicies } from '../retry/index.js';
-import { HttpStateService } from '../state/store.js';
+import { HttpStateService } from '../state/http-state-service.js';
 import { EmbeddedStore, Engine, LevelDisk, snapshotInto, type StoreError } from '../store/index.js';
 import { ControlService, type MatchingSupport } from './control.js';
 import { platformSettings, type ControlSettings } from './settings.js';
--- a/src/control/result-store.ts
+++ b/src/control/result-store.ts
@@ -1,6 +1,6 @@
 /** Stores task results: how the last attempt of each task ended, and whether another attempt follows. */
 import { taskKey } from '../model/job.js';
-import type { TaskResult } from '../wire/agent-side.js';
+import type { TaskResult } from '../wire/agent.js';
 import type { Condition } from '../wire/store.js';
 import { listAll, commitWithRetries, type ControlStore } from './control-store.js';
 
--- a/src/control/settings.ts
+++ b/src/control/settings.ts
@@ -1,7 +1,7 @@
 /** The settings of a control service: parses and validates the settings file, and derives the core's settings from it. */
 import { FormReader, readForms, type Form } from '../config/forms.js';
 import { SettingsError, type Settings, type TeamLimits } from '../config/settings.js';
-import type { SimulatedTask } from '../wire/agent-side.js';
+import type { SimulatedTask } from '../wire/agent.js';
 
 /** What tasks of a class simulate if their job has no command. If `sleepS` is null, the job's estimate is used. */
 export type ClassSimulation = Omit<SimulatedTask, 'sleepS'> & { sleepS: number | null };
--- a/src/core/replica/record-readability.ts
+++ b/src/core/replica/record-readability.ts
@@ -1,5 +1,5 @@
 /** Tracks which stored records this program can read, and which of their fields it does not know. */
-import { inspect, type Data } from '../../formats/index.js';
+import { inspectRecord, type Data } from '../../formats/index.js';
 import { jobKey, machineKey, parseKey, recordKindOf, type ParsedKey } from '../storage/index.js';
 
 /**
@@ -38,7 +38,7 @@
 
   /** Whether a received record can be read. Its unknown fields are kept. */
   check(ref: ParsedKey, key: string, data: unknown): boolean {
-    const verdict = inspect(recordKindOf(ref), data);
+    const verdict = inspectRecord(recordKindOf(ref), data);
     if (verdict.ok) {
       if (verdict.extras) this.unknownFields.set(key, verdict.extras);
       else this.unknownFields.delete(key);
--- a/src/effect-handlers.ts
+++ b/src/effect-handlers.ts
@@ -5,7 +5,7 @@
 import type { RecoveryRecords } from './core/recovery-records.js';
 import type { PeerMesh } from './peers/mesh.js';
 import type { Follower } from './state/follower.js';
-import type { StateService } from './state/service.js';
+import type { StateService } from './state/state-service.js';
 import { encodeChanges } from './wire/store.js';
 import type { WorkerClient } from './workers/worker-client.js';
 
--- a/src/formats/high-volume-records.ts
+++ b/src/formats/high-volume-records.ts
@@ -61,16 +61,19 @@
 
 /** A job. */
 export const jobFormats: Format[] = [
-  { fields: fieldSet('s', 'at', 'n', 'spec', 'u'), wrong: (d) => jobError(d, d['spec']) },
+  { fields: fieldSet('s', 'at', 'n', 'spec', 'u'), findError: (d) => jobError(d, d['spec']) },
   /** Contains the state of the job's tasks, `t`. */
   {
     fields: fieldSet('s', 'at', 'n', 'job', 'u', 't'),
-    wrong: (d) => jobError(d, d['job']) ?? (isObject(d['t']) ? taskStateError(d['t']) : 't: not an object'),
+    findError: (d) =>
+      jobError(d, d['job']) ?? (isObject(d['t']) ? taskStateError(d['t']) : 't: not an object'),
   },
 ];
 
 /** The state of some of a job's tasks. */
-export const chunkFormats: Format[] = [{ fields: fieldSet('n', 'd', 'p', 'f', 'r'), wrong: taskStateError }];
+export const chunkFormats: Format[] = [
+  { fields: fieldSet('n', 'd', 'p', 'f', 'r'), findError: taskStateError },
+];
 
 /** An entry of the task log. Its elements are in the order of `StoredEntry` in the core's task log. */
 const isTaskLogEntry = (e: unknown): boolean =>
@@ -86,7 +89,7 @@
 export const taskLogFormats: Format[] = [
   {
     fields: fieldSet('e'),
-    wrong: (d) =>
+    findError: (d) =>
       Array.isArray(d['e']) && d['e'].every(isTaskLogEntry) ? null : 'e: not a list of task log entries',
   },
 ];
@@ -103,7 +106,7 @@
 export const machineFormats: Format[] = [
   {
     fields: fieldSet('f', 'y', 'l', 's', 'st', 'at'),
-    wrong: (d) =>
+    findError: (d) =>
       machineFieldsError(d) ??
       (['use', 'free', 'dead'].includes(d['st'] as string) ? null : 'st: unknown state'),
   },
@@ -113,7 +116,7 @@
 export const blockFormats: Format[] = [
   {
     fields: fieldSet('f', 'y', 'l', 's', 'at', 'h'),
-    wrong: (d) =>
+    findError: (d) =>
       machineFieldsError(d) ??
       (Array.isArray(d['h']) && d['h'].every((h) => typeof h === 'string') ? null : 'h: not a list of names'),
   },
--- a/src/formats/low-volume-records.ts
+++ b/src/formats/low-volume-records.ts
@@ -7,7 +7,7 @@
   const schema = v.looseObject(entries);
   return {
     fields: fieldSet(...Object.keys(entries)),
-    wrong(data: Data): string | null {
+    findError(data: Data): string | null {
       const r = v.safeParse(schema, data);
       if (r.success) return null;
       return `${v.getDotPath(r.issues[0]) ?? '(record)'}: ${r.issues[0].message}`;
--- a/src/formats/messages.ts
+++ b/src/formats/messages.ts
@@ -8,13 +8,16 @@
 export const messageFormats = { least: 1, most: 1 };
 
 /** The range of message formats that a program reads. */
-export interface Speaks {
+export interface MessageFormatRange {
   least: number;
   most: number;
 }
 
 /** The newest format that both controllers read; null: they have none in common. */
-export function common(theirs: Speaks, ours: Speaks = messageFormats): number | null {
+export function commonMessageFormat(
+  theirs: MessageFormatRange,
+  ours: MessageFormatRange = messageFormats,
+): number | null {
   const format = Math.min(theirs.most, ours.most);
   return format >= theirs.least && format >= ours.least ? format : null;
 }
--- a/src/formats/record-types.ts
+++ b/src/formats/record-types.ts
@@ -21,10 +21,10 @@
 /** A stored record, as decoded from JSON. */
 export type Data = Record<string, unknown>;
 
-/** One format of a kind of record. `fields`: the fields that it defines; `wrong`: what is wrong with a record; null: nothing. */
+/** One format of a kind of record. `fields`: the fields that it defines; `findError`: returns what is wrong with a record; null: nothing. */
 export interface Format {
   fields: ReadonlySet<string>;
-  wrong(data: Data): string | null;
+  findError(data: Data): string | null;
 }
 
 /** Fields that any record may have. `v`: the number of its format (absent: 1); `w`: the ID of the write that stored it. */
--- a/src/formats/registry.ts
+++ b/src/formats/registry.ts
@@ -55,7 +55,7 @@
 export const formatNumberOf = (data: Data): number => (data['v'] === undefined ? 1 : (data['v'] as number));
 
 /** Checks a record before it is acted on. Fields in `extras` must be preserved when the record is rewritten. */
-export function inspect(kind: Kind, data: unknown, known: Formats = formats): InspectionResult {
+export function inspectRecord(kind: Kind, data: unknown, known: Formats = formats): InspectionResult {
   if (typeof data !== 'object' || data === null || Array.isArray(data))
     return { ok: false, why: 'damaged', text: 'not an object' };
   const record = data as Data;
@@ -71,7 +71,7 @@
     };
   const format = knownFormats[number - 1];
   if (format === null) return { ok: false, why: 'too old', text: `format ${number} is no longer supported` };
-  const problem = format.wrong(record);
+  const problem = format.findError(record);
   if (problem !== null) return { ok: false, why: 'damaged', text: problem };
   let extras: Data | null = null;
   for (const name in record) if (!format.fields.has(name)) (extras ??= {})[name] = record[name];
--- a/src/matching/analysis.ts
+++ b/src/matching/analysis.ts
@@ -18,7 +18,7 @@
 }
 
 /** Which machines match a job's requirements. Field names are part of the API. */
-export interface Analysis {
+export interface MatchAnalysis {
   /** The number of all machines. */
   machines: number;
   /** The number of machines that match. */
@@ -29,7 +29,7 @@
 }
 
 /** Formats an analysis for users, one line per finding. */
-export function describeAnalysis(analysis: Analysis): string[] {
+export function describeAnalysis(analysis: MatchAnalysis): string[] {
   const machineCount = `${analysis.machines} machine${analysis.machines === 1 ? '' : 's'}`;
   const lines = [`${analysis.matching} of ${machineCount} match`];
   for (const name of analysis.nowhere)
--- a/src/matching/machine-ad.ts
+++ b/src/matching/machine-ad.ts
@@ -1,14 +1,14 @@
 /** Converts machines to ClassAd records. */
-import { Ad, literal, type Value } from '../classad/index.js';
+import { ClassAd, literal, type Value } from '../classad/index.js';
 import type { MachineAttributes } from '../policy/matching.js';
-import type { JoinRequest } from '../wire/agent-side.js';
+import type { JoinRequest } from '../wire/agent.js';
 
 const toValue = (v: string | number | boolean): Value =>
   typeof v === 'number' && Number.isInteger(v) ? BigInt(v) : v;
 
 /** Creates the ClassAd record of a machine, which jobs' expressions are matched against. */
-export const machineAd = (attributes: MachineAttributes): Ad =>
-  new Ad(Object.entries(attributes).map(([name, v]) => ({ name, expr: literal(toValue(v)) })));
+export const machineAd = (attributes: MachineAttributes): ClassAd =>
+  new ClassAd(Object.entries(attributes).map(([name, v]) => ({ name, expr: literal(toValue(v)) })));
 
 /** Returns the attributes of an agent's machine: those that the agent sets, overridden by those that the control service knows. */
 export const machineAttributes = (
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -3,7 +3,7 @@
  * machine signature (machines with the same values of the relevant attributes).
  */
 import {
-  Ad,
+  ClassAd,
   referencedAttributes,
   ClassAdError,
   evaluate,
@@ -18,12 +18,12 @@
 } from '../classad/index.js';
 import type { JobSpec, MatchSpec } from '../model/job.js';
 import type { MachineAttributes, MachineMatch, Matcher } from '../policy/matching.js';
-import { splitConjuncts, type Analysis } from './analysis.js';
+import { splitConjuncts, type MatchAnalysis } from './analysis.js';
 import { machineAd } from './machine-ad.js';
 
 /** A machine that can be matched. */
 interface MachineEntry {
-  readonly ad: Ad;
+  readonly ad: ClassAd;
   /** Increases whenever the attributes change. */
   readonly version: number;
 }
@@ -42,7 +42,7 @@
 
 /** The expressions that a set of jobs has in common. They are evaluated once for all machines with the same signature. */
 interface Autocluster {
-  readonly my: Ad;
+  readonly my: ClassAd;
   readonly requirements: Expr;
   readonly rank: Expr | null;
   readonly projection: AttributeProjection;
@@ -115,7 +115,7 @@
   }
 
   /** Counts the machines that match a job's requirements, and the machines that each operand of the requirements excludes. */
-  analyze(spec: MatchSpec): Analysis {
+  analyze(spec: MatchSpec): MatchAnalysis {
     const autocluster = this.autocluster(spec);
     const conjuncts = splitConjuncts(
       spec.requirements === null ? literal(true) : parseExpr(spec.requirements),
@@ -162,7 +162,7 @@
   }
 
   private parseSpec(spec: MatchSpec): Autocluster {
-    const my = new Ad(
+    const my = new ClassAd(
       Object.entries(spec.attributes).map(([name, text]) => ({
         name,
         expr: parseOrDefault(text, literal(undefined)),
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -6,7 +6,7 @@
  * source of truth, so a lost frame costs time and nothing else.
  */
 import type { MemberDemand, Rejection } from '../admission/index.js';
-import type { Speaks } from '../formats/index.js';
+import type { MessageFormatRange } from '../formats/index.js';
 import type { PeerStatus } from '../core/effects.js';
 import type { ExitReason, Heartbeat, TaskPhase } from '../model/heartbeat.js';
 import type { FreshnessQuery } from '../freshness/index.js';
@@ -23,7 +23,12 @@
 /** A message between controllers. */
 export type Frame =
   /** The first frame of a connection: the identity of the sender and the message formats that it can read. */
-  | { readonly type: 'hello'; readonly member: string; readonly instanceId: string; readonly speaks: Speaks }
+  | {
+      readonly type: 'hello';
+      readonly member: string;
+      readonly instanceId: string;
+      readonly speaks: MessageFormatRange;
+    }
   | { readonly type: 'forwarded-heartbeat'; readonly id: number; readonly heartbeat: Heartbeat }
   /** The HTTP response to a forwarded heartbeat, to be passed on to the worker unchanged. */
   | {
--- a/src/peers/mesh.ts
+++ b/src/peers/mesh.ts
@@ -2,7 +2,7 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { splitAddress, type Settings } from '../config/settings.js';
 import type { Log } from '../core/effects.js';
-import { common, messageFormats } from '../formats/index.js';
+import { commonMessageFormat, messageFormats } from '../formats/index.js';
 import { backoffDelayMs, type Random, type RetryPolicy } from '../retry/index.js';
 import { FrameReader } from './frame-reader.js';
 import { encodeFrame, type Frame, type HelloFrame } from './frames.js';
@@ -150,7 +150,7 @@
   private acceptsHello({ member, speaks }: HelloFrame): boolean {
     const { settings, log } = this.options;
     if (!settings.peers.some((p) => p.member === member)) return false;
-    if (common(speaks) !== null) return true;
+    if (commonMessageFormat(speaks) !== null) return true;
     log('warn', 'no common peer message format', { from: member, speaks });
     return false;
   }
--- a/src/service.ts
+++ b/src/service.ts
@@ -17,8 +17,8 @@
 import type { Matcher } from './policy/matching.js';
 import { RetryBackoff, retryPolicies, seededRandom, type Random, type RetryPolicies } from './retry/index.js';
 import { Follower } from './state/follower.js';
-import type { StateService } from './state/service.js';
-import { HttpStateService } from './state/store.js';
+import type { StateService } from './state/state-service.js';
+import { HttpStateService } from './state/http-state-service.js';
 import { PublicServer, type ServerHooks } from './users/server.js';
 import { decodeChanges } from './wire/store.js';
 
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -1,7 +1,7 @@
 /** Follows the state service: reads a snapshot first, then the changes since, by polling or by a watch. */
 import type { RetryBackoff } from '../retry/index.js';
 import type { Change } from '../wire/store.js';
-import type { FollowerSource } from './service.js';
+import type { FollowerSource } from './state-service.js';
 
 /** How long a watch waits for changes before it returns without any. */
 const watchDurationMs = 2000;
--- a/src/state/store.ts
+++ b/src/state/http-state-service.ts
@@ -2,7 +2,7 @@
 import type { CommitOutcome } from '../core/effects.js';
 import { keyPrefix } from '../core/storage/index.js';
 import { JsonClient } from '../net/client.js';
-import type { Changes, Page, StateService } from './service.js';
+import type { Changes, Page, StateService } from './state-service.js';
 import {
   encodeLeaseRequest,
   parseRevision,
--- a/src/store/embedded.ts
+++ b/src/store/embedded.ts
@@ -1,7 +1,7 @@
 /** The state service embedded in the process that uses it. */
 import type { CommitOutcome } from '../core/effects.js';
 import { keyPrefix } from '../core/storage/index.js';
-import type { Changes, Page, StateService } from '../state/service.js';
+import type { Changes, Page, StateService } from '../state/state-service.js';
 import type { Change, Transaction } from '../wire/store.js';
 import type { Engine } from './engine.js';
 
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -113,7 +113,7 @@
   }
 
   /** Renews all leases, for example after an outage. */
-  renewAll(): void {
+  renewAllLeases(): void {
     this.keyspace.renewAllLeases(this.now());
   }
 
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -15,11 +15,11 @@
 /** Extension points for a program that embeds the core, such as the control service. */
 export interface ServerHooks {
   /** Handles a request; returns false if it is not one of the extension. */
-  handle(req: IncomingMessage, res: ServerResponse, path: string): boolean;
+  handleRequest(req: IncomingMessage, res: ServerResponse, path: string): boolean;
   /** Validates a job beyond the checks of the protocol; returns the reason to reject it, or null. */
   rejectionReason(spec: JobSpec): string | null;
   /** Intercepts a worker's heartbeat before the core. `pass` forwards it to the core, `refuse` responds instead. */
-  heartbeat(
+  interceptHeartbeat(
     raw: unknown,
     heartbeat: Heartbeat,
     pass: (heartbeat: Heartbeat) => void,
@@ -86,7 +86,7 @@
     const method = req.method ?? '';
     const segments = path.split('/');
     this.trackConnection(req, res, path);
-    if (this.hooks?.handle(req, res, path)) return;
+    if (this.hooks?.handleRequest(req, res, path)) return;
     if (path === '/healthz') {
       if (!requireMethod(method, 'GET', res)) return;
       return reply(res, this.healthy() ? 200 : 503, {});
@@ -129,7 +129,7 @@
       this.enqueue({ type: 'heartbeat', requestId, report: passed });
     };
     if (!this.hooks) return pass(heartbeat);
-    this.hooks.heartbeat(raw, heartbeat, pass, (status, body) => reply(res, status, body));
+    this.hooks.interceptHeartbeat(raw, heartbeat, pass, (status, body) => reply(res, status, body));
   }
 
   private trackConnection(req: IncomingMessage, res: ServerResponse, path: string): void {
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -12,7 +12,7 @@
 import { Worker, type WorkerEffect } from '../src/agent/worker.js';
 import { defaultAgentSettings, parseAgentSettings } from '../src/agent/settings.js';
 import { parseControlSettings } from '../src/control/settings.js';
-import type { AgentJob, AgentTask, TaskResult } from '../src/wire/agent-side.js';
+import type { AgentJob, AgentTask, TaskResult } from '../src/wire/agent.js';
 import type { TaskOrder } from '../src/model/heartbeat.js';
 
 const identity = { host: 'd.1', endpoint: '127.0.0.1:1', type: 't', zone: 'here' };
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -20,7 +20,7 @@
 } from '../src/admission/index.js';
 import { newestLevel } from '../src/feature-levels/index.js';
 import { allocationData, readAllocation } from '../src/core/storage/index.js';
-import { formats, inspect } from '../src/formats/index.js';
+import { formats, inspectRecord } from '../src/formats/index.js';
 import { Flood, flooding, floodable } from './support/flood.js';
 import { leaderOf, levelOf, ownerOf, wish } from './support/rolls.js';
 import type { JobSpec } from '../src/model/job.js';
@@ -180,9 +180,9 @@
   const allocation = nextAllocation(null, 40, members, false, equalWeights);
   const data = allocationData(allocation, 8);
   assert.ok(JSON.stringify(data).length <= 4096);
-  assert.deepEqual(inspect('plan', data), { ok: true, format: 1, extras: null });
+  assert.deepEqual(inspectRecord('plan', data), { ok: true, format: 1, extras: null });
   assert.equal(readAllocation(data).members.get('b')!.total, allocation.members.get('b')!.total);
-  assert.match(JSON.stringify(inspect('plan', { n: 1, p: { a: [1, 2] } })), /damaged.*p\.a/);
+  assert.match(JSON.stringify(inspectRecord('plan', { n: 1, p: { a: [1, 2] } })), /damaged.*p\.a/);
   assert.equal(formats.plan.length, 1);
 });
 
--- a/test/classad.test.ts
+++ b/test/classad.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  Ad,
+  ClassAd,
   referencedAttributes,
   ClassAdError,
   evaluate,
@@ -337,10 +337,10 @@
     ),
     fc
       .array(fc.record({ name: names, expr: tie('expr') }, { noNullPrototype: true }), { maxLength: 3 })
-      .map((all): Expr => ({ kind: 'record', ad: new Ad(all) })),
+      .map((all): Expr => ({ kind: 'record', ad: new ClassAd(all) })),
   ),
 }));
-const ads = fc.array(fc.record({ name: names, expr }), { maxLength: 4 }).map((all) => new Ad(all));
+const ads = fc.array(fc.record({ name: names, expr }), { maxLength: 4 }).map((all) => new ClassAd(all));
 
 test('classad: a printed expression parses to an equal expression, which prints to the same text', () => {
   fc.assert(
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -1,7 +1,13 @@
 /** Feature levels: the level in force, record migration, graceful shutdown. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { common, inspect, type Format, type Formats, formats } from '../src/formats/index.js';
+import {
+  commonMessageFormat,
+  inspectRecord,
+  type Format,
+  type Formats,
+  formats,
+} from '../src/formats/index.js';
 import {
   capabilitiesOf,
   decideLevelChange,
@@ -44,16 +50,16 @@
 
 test('formats: known fields are read, unknown fields are kept, newer, damaged or too old records are rejected', () => {
   const job = openJobData(spec('req-1'), 5);
-  assert.deepEqual(inspect('job', job), { ok: true, format: 1, extras: null });
-  assert.deepEqual(inspect('job', { ...job, w: 'x', more: [1] }), {
+  assert.deepEqual(inspectRecord('job', job), { ok: true, format: 1, extras: null });
+  assert.deepEqual(inspectRecord('job', { ...job, w: 'x', more: [1] }), {
     ok: true,
     format: 1,
     extras: { more: [1] },
   });
   const inlineJob = inlineJobData(spec('req-1'), 5, { n: 1, d: '', p: [[0, 1, 'n-1']] });
-  assert.deepEqual(inspect('job', inlineJob), { ok: true, format: 2, extras: null });
-  const inspectionResult = (kind: Parameters<typeof inspect>[0], data: unknown): string => {
-    const result = inspect(kind, data);
+  assert.deepEqual(inspectRecord('job', inlineJob), { ok: true, format: 2, extras: null });
+  const inspectionResult = (kind: Parameters<typeof inspectRecord>[0], data: unknown): string => {
+    const result = inspectRecord(kind, data);
     return result.ok ? 'ok' : `${result.why}: ${result.text}`;
   };
   assert.equal(inspectionResult('job', { ...job, v: 3 }), 'newer: format 3, this program reads up to 2');
@@ -70,21 +76,24 @@
   assert.match(inspectionResult('teams', { shards: 'x' }), /^damaged: shards/);
   assert.match(inspectionResult('node', { run: 'r', hold: 1, can: { most: 2 } }), /^damaged: can/);
   // A program reads its own format and the two before it, and reports older ones as too old.
-  const format = (...names: string[]): Format => ({ fields: new Set(['v', ...names]), wrong: () => null });
+  const format = (...names: string[]): Format => ({
+    fields: new Set(['v', ...names]),
+    findError: () => null,
+  });
   const fourTeamFormats: Formats = { ...formats, teams: [null, format('b'), format('b', 'c'), format('d')] };
   assert.deepEqual(
     [1, 2, 3, 4, 5]
-      .map((v) => inspect('teams', { v }, fourTeamFormats))
+      .map((v) => inspectRecord('teams', { v }, fourTeamFormats))
       .map((v) => (v.ok ? v.format : v.why)),
     ['too old', 2, 3, 4, 'newer'],
   );
 });
 
 test('messages: the newest format that both sides read is used, or none', () => {
-  assert.equal(common({ least: 1, most: 1 }), 1);
-  assert.equal(common({ least: 1, most: 9 }), 1);
-  assert.equal(common({ least: 2, most: 9 }), null);
-  assert.equal(common({ least: 2, most: 4 }, { least: 3, most: 5 }), 4);
+  assert.equal(commonMessageFormat({ least: 1, most: 1 }), 1);
+  assert.equal(commonMessageFormat({ least: 1, most: 9 }), 1);
+  assert.equal(commonMessageFormat({ least: 2, most: 9 }), null);
+  assert.equal(commonMessageFormat({ least: 2, most: 4 }, { least: 3, most: 5 }), 4);
 });
 
 test('the level is raised only when every configured member was last seen with it, present or not', () => {
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -4,7 +4,7 @@
   cancelS,
   kill,
   longWorld,
-  meeting,
+  testConcurrentFailures,
   mixedTraffic,
   pick,
   some,
@@ -23,7 +23,7 @@
     9,
   );
 
-meeting(
+testConcurrentFailures(
   'new machines come up and get work while writes are slow, and the leader crashes',
   { beforeS: 2, users: burstTraffic, world: (seed) => longWorld(seed, { runS: 25, capacity: 60 }) },
   (w, at) => {
@@ -37,12 +37,12 @@
     at(58, () => {
       w.commitDelayMs = w.cloudDelayMs = () => 0;
     });
-    return { lastsS: 70, came: () => w.heartbeatsBeforeRecord - heartbeatsBefore };
+    return { lastsS: 70, coincidences: () => w.heartbeatsBeforeRecord - heartbeatsBefore };
   },
 );
 
 for (const stateIsSlow of [false, true])
-  meeting(
+  testConcurrentFailures(
     `delayed heartbeats reach every controller just as a new leader starts${stateIsSlow ? ', before it has read the state' : ''}`,
     { beforeS: 25 },
     (w, at) => {
@@ -70,11 +70,11 @@
         w.heldHeartbeatShare = w.duplicatedHeartbeatShare = w.snapshotMs = 0;
         w.commitDelayMs = () => 0;
       });
-      return { lastsS: 105, came: () => w.deliveredHeldHeartbeats };
+      return { lastsS: 105, coincidences: () => w.deliveredHeldHeartbeats };
     },
   );
 
-meeting(
+testConcurrentFailures(
   'a zone with its workers and one controller is partitioned off for longer than a lease',
   { beforeS: 35 },
   (w, at, users) => {
@@ -102,35 +102,39 @@
       });
     if (w.random() < 0.4) at(durationS * w.random(), () => bounce(w, pick(w, others), 0.5, 6));
     at(1 + durationS, () => setPartition(false));
-    return { lastsS: durationS + 20, came: () => cancelledInZone };
+    return { lastsS: durationS + 20, coincidences: () => cancelledInZone };
   },
 );
 
-meeting('all controllers are down or paused for longer than a lease', { beforeS: 30 }, (w, at, users) => {
-  let allDown = 0;
-  const failure = pick(w, ['killed', 'frozen', 'mixed'] as const);
-  const durationS = 18 + 25 * w.random();
-  at(1, () => users.going.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
-  at(1 + 0.5 * w.random(), () => {
-    for (const n of w.nodes)
-      if (failure === 'killed' || (failure === 'mixed' && w.random() < 0.5)) kill(w, n);
-      else n.paused = true;
-  });
-  at(durationS - 1, () => (allDown = w.nodes.every((n) => !n.alive || n.paused) ? 1 : 0));
-  w.nodes.forEach((n) =>
-    at(durationS + 6 * w.random(), () => {
-      n.paused = false;
-      if (!n.alive) n.boot();
-    }),
-  );
-  if (w.random() < 0.4) {
-    at(durationS - 2, () => (w.state.unavailable = true));
-    at(durationS + 15 * w.random(), () => (w.state.unavailable = false));
-  }
-  return { lastsS: durationS + 25, came: () => allDown };
-});
+testConcurrentFailures(
+  'all controllers are down or paused for longer than a lease',
+  { beforeS: 30 },
+  (w, at, users) => {
+    let allDown = 0;
+    const failure = pick(w, ['killed', 'frozen', 'mixed'] as const);
+    const durationS = 18 + 25 * w.random();
+    at(1, () => users.going.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
+    at(1 + 0.5 * w.random(), () => {
+      for (const n of w.nodes)
+        if (failure === 'killed' || (failure === 'mixed' && w.random() < 0.5)) kill(w, n);
+        else n.paused = true;
+    });
+    at(durationS - 1, () => (allDown = w.nodes.every((n) => !n.alive || n.paused) ? 1 : 0));
+    w.nodes.forEach((n) =>
+      at(durationS + 6 * w.random(), () => {
+        n.paused = false;
+        if (!n.alive) n.boot();
+      }),
+    );
+    if (w.random() < 0.4) {
+      at(durationS - 2, () => (w.state.unavailable = true));
+      at(durationS + 15 * w.random(), () => (w.state.unavailable = false));
+    }
+    return { lastsS: durationS + 25, coincidences: () => allDown };
+  },
+);
 
-meeting(
+testConcurrentFailures(
   'the leader changes ten times in two minutes, also during an outage of the state service',
   { beforeS: 25 },
   (w, at, users) => {
@@ -147,11 +151,11 @@
         const instanceId = leaderOf(w)?.controller.membership.instanceId;
         if (instanceId !== undefined && leaders.at(-1) !== instanceId) leaders.push(instanceId);
       });
-    return { lastsS: 130, came: () => Math.max(0, leaders.length - 5) };
+    return { lastsS: 130, coincidences: () => Math.max(0, leaders.length - 5) };
   },
 );
 
-meeting(
+testConcurrentFailures(
   'jobs bound to a zone, arrays included, lose machines while other workers reach no controller',
   {
     beforeS: 25,
@@ -181,11 +185,11 @@
       if (w.random() < 0.3)
         at(s + 2 * w.random(), () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.3, 4));
     }
-    return { lastsS: 80 + cancelS, came: () => lostZonedTasks };
+    return { lastsS: 80 + cancelS, coincidences: () => lostZonedTasks };
   },
 );
 
-meeting(
+testConcurrentFailures(
   'urgent and other work exceeds the capacity while connections are slow',
   {
     beforeS: 10,
@@ -223,6 +227,6 @@
     at(70, () => {
       w.responseDelayMs = w.directCommandDelayMs = () => 0;
     });
-    return { lastsS: 75, came: () => overloadedSamples };
+    return { lastsS: 75, coincidences: () => overloadedSamples };
   },
 );
--- a/test/matching.test.ts
+++ b/test/matching.test.ts
@@ -3,7 +3,12 @@
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { submitHost, nativeSubmission, Submission, type SubmitEnvironment } from '../src/condor/index.js';
+import {
+  localSubmitEnvironment,
+  nativeSubmission,
+  Submission,
+  type SubmitEnvironment,
+} from '../src/condor/index.js';
 import { ClassAdMatcher, describeAnalysis, matchSpecError } from '../src/matching/index.js';
 import type { JobSpec, MatchSpec } from '../src/model/job.js';
 import type { MachineAttributes } from '../src/policy/matching.js';
@@ -205,7 +210,7 @@
       'output = named.$(Item)',
       'queue in (p q)',
     ].join('\n');
-    const submitEnvironment: SubmitEnvironment = { ...submitHost(), cwd: s.dir };
+    const submitEnvironment: SubmitEnvironment = { ...localSubmitEnvironment(), cwd: s.dir };
     const submission = new Submission(text, 'x.sub', submitEnvironment);
     const groups = [...submission.groups()];
     assert.deepEqual(
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -1,7 +1,7 @@
 /** No controller gives users an older job status than another controller has already given, even if responses are slow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bounce, longWorld, meeting, pick } from './support/concurrent-failures.js';
+import { bounce, longWorld, testConcurrentFailures, pick } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { sizes } from './support/sizes.js';
 import { Traffic } from './support/traffic.js';
@@ -14,41 +14,45 @@
   for (const n of w.nodes) n.peerDelayMs = w.random() < 0.4 ? 400 * w.random() : 0;
 }
 
-meeting('all controllers agree right after a job is accepted, ends or is cancelled', {}, (w, at, users) => {
-  users.closely(0.7, 0.2, 0.3);
-  delayResponses(w);
-  for (let s = 5; s < 60; s += 6 + 8 * w.random())
-    at(s, () => {
-      const choice = w.random();
-      const node = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
-      if (choice < 0.25) bounce(w, node, 0.3, 5);
-      else if (choice < 0.5 && node) {
-        node.cutFromState = true;
-        w.schedule(12_000 * w.random(), () => (node.cutFromState = false));
-      } else if (choice < 0.65 && node) {
-        node.paused = true;
-        w.schedule(4000 * w.random(), () => (node.paused = false));
-      } else if (choice < 0.8) {
-        w.state.unavailable = true;
-        w.schedule(8000 * w.random(), () => (w.state.unavailable = false));
-      }
-      for (const other of w.nodes) other.isolatedFromPeers = w.random() < 0.15;
-    });
-  at(75, () => w.nodes.forEach((n) => (n.isolatedFromPeers = n.cutFromState = n.paused = false)));
-  return {
-    lastsS: 80,
-    came: () => Math.min(users.looks.accepted, users.looks.done, users.looks.aborted),
-  };
-});
+testConcurrentFailures(
+  'all controllers agree right after a job is accepted, ends or is cancelled',
+  {},
+  (w, at, users) => {
+    users.closely(0.7, 0.2, 0.3);
+    delayResponses(w);
+    for (let s = 5; s < 60; s += 6 + 8 * w.random())
+      at(s, () => {
+        const choice = w.random();
+        const node = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
+        if (choice < 0.25) bounce(w, node, 0.3, 5);
+        else if (choice < 0.5 && node) {
+          node.cutFromState = true;
+          w.schedule(12_000 * w.random(), () => (node.cutFromState = false));
+        } else if (choice < 0.65 && node) {
+          node.paused = true;
+          w.schedule(4000 * w.random(), () => (node.paused = false));
+        } else if (choice < 0.8) {
+          w.state.unavailable = true;
+          w.schedule(8000 * w.random(), () => (w.state.unavailable = false));
+        }
+        for (const other of w.nodes) other.isolatedFromPeers = w.random() < 0.15;
+      });
+    at(75, () => w.nodes.forEach((n) => (n.isolatedFromPeers = n.cutFromState = n.paused = false)));
+    return {
+      lastsS: 80,
+      coincidences: () => Math.min(users.looks.accepted, users.looks.done, users.looks.aborted),
+    };
+  },
+);
 
-meeting(
+testConcurrentFailures(
   'a cancellation, a query or a repeated submission coincides with the end of a job, with no other failure',
   {},
   (w, _, users) => {
     users.closely(0.6, 0, 0.9);
     w.responseMs = 5 + Math.floor(80 * w.random());
     w.commitDelayMs = () => 500 * w.random();
-    return { lastsS: 60, came: () => users.looks.atEnd };
+    return { lastsS: 60, coincidences: () => users.looks.atEnd };
   },
 );
 
@@ -74,7 +78,7 @@
   });
 }
 
-meeting(
+testConcurrentFailures(
   'a transaction is executed but its response is lost, and others read its result',
   { world: lossyWorld },
   (w, at, users) => {
@@ -92,7 +96,7 @@
     at(68, () => (w.state.dropsResponseTo = () => false));
     return {
       lastsS: 70,
-      came: () => [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0) - lostBefore,
+      coincidences: () => [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0) - lostBefore,
     };
   },
 );
@@ -125,7 +129,7 @@
 ]);
 const recordPaths = /^(replica|shardManager\.shardState\.replica)\.(jobs|modRevisions|writers)$/;
 
-meeting(
+testConcurrentFailures(
   'memory stays bounded with four one-task jobs a second, a quarter cancelled, some at their end, and leader changes',
   {
     beforeS: 5,
@@ -142,8 +146,8 @@
     for (let s = 1; s < 120; s++) at(s, () => void leaders.add(leaderOf(w)?.member ?? '-'));
     return {
       lastsS: 120,
-      came: () => leaders.size - 1,
-      over: () => {
+      coincidences: () => leaders.size - 1,
+      assertAtEnd: () => {
         w.advance(60);
         const jobs = users.jobs.size;
         assert.ok(jobs > 400, `only ${jobs} jobs were submitted`);
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -10,7 +10,7 @@
 import { MemoryUsage } from '../src/memory-usage.js';
 import { RetryBackoff, backoffDelayMs, retryPolicies, seededRandom } from '../src/retry/index.js';
 import { Follower } from '../src/state/follower.js';
-import type { Page } from '../src/state/service.js';
+import type { Page } from '../src/state/state-service.js';
 import { Connections } from '../src/users/connections.js';
 import { settingsText, spec } from './support/fixtures.js';
 
--- a/test/store.test.ts
+++ b/test/store.test.ts
@@ -15,8 +15,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import type { StateService } from '../src/state/service.js';
-import { HttpStateService } from '../src/state/store.js';
+import type { StateService } from '../src/state/state-service.js';
+import { HttpStateService } from '../src/state/http-state-service.js';
 import {
   EmbeddedStore,
   Engine,
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -187,9 +187,9 @@
   /** How long the failures last, s. */
   lastsS: number;
   /** How often the failures under test really coincided. */
-  came: () => number;
+  coincidences: () => number;
   /** Additional checks at the end. */
-  over?: () => void;
+  assertAtEnd?: () => void;
 }
 
 /** Options of a test with concurrent failures. */
@@ -212,7 +212,7 @@
  * Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated, every
  * job must be known and all jobs must end. Seeds in which the failures did not coincide do not count; further seeds run instead.
  */
-export function meeting(
+export function testConcurrentFailures(
   name: string,
   scene: Scene,
   injectFaults: (w: World, at: (s: number, f: () => void) => void, users: Traffic) => Course,
@@ -236,13 +236,13 @@
         w.advance(scenario.lastsS);
         for (const n of w.nodes) if (!n.alive) n.boot();
         assertAllJobsEnd(w, users, withinS);
-        scenario.over?.();
+        scenario.assertAtEnd?.();
         if (process.env['MEETING_TELL'])
           console.log(
-            `${name}: seed ${seed}: coincidences ${scenario.came()}`,
+            `${name}: seed ${seed}: coincidences ${scenario.coincidences()}`,
             w.startsAfterCancellation.length,
           );
-        return scenario.came() > 0;
+        return scenario.coincidences() > 0;
       } catch (e) {
         throw new Error(`seed ${seed}: ${(e as Error).message}`, { cause: e });
       }
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -2,7 +2,7 @@
  * Team quotas must not be exceeded when jobs are cancelled whose tasks run on unreachable workers, while the leader or the owner
  * of the shard changes.
  */
-import { bounce, longWorld, meeting, pick, some } from './support/concurrent-failures.js';
+import { bounce, longWorld, testConcurrentFailures, pick, some } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import type { Node } from './support/controller-node.js';
@@ -79,7 +79,7 @@
 }
 
 for (const role of ['leader', 'owner'] as const)
-  meeting(
+  testConcurrentFailures(
     `teams stay within their limits when jobs on unreachable workers are cancelled and the ${role} changes`,
     { world: limitedTeamsWorld, users: overloadTraffic, beforeS: 30, withinS: 700 },
     (w, at, users) => {
@@ -112,11 +112,11 @@
         w.heldHeartbeatShare = 0;
         w.commitDelayMs = () => 0;
       });
-      return { lastsS: 150, came: () => cancelledAtLimit };
+      return { lastsS: 150, coincidences: () => cancelledAtLimit };
     },
   );
 
-meeting(
+testConcurrentFailures(
   'jobs are cancelled before, during and after a shard handover, through the old owner, the new one or a third controller',
   { users: (w) => overloadTraffic(w), world: limitedTeamsWorld, beforeS: 25, withinS: 700 },
   (w, at, users) => {
@@ -152,6 +152,6 @@
       for (let i = 0; i < 5; i++) at(s - 0.4 + 1.2 * w.random(), cancelSome);
     }
     at(80, () => (w.commitDelayMs = () => 0));
-    return { lastsS: 84, came: () => cancelledDuringHandover };
+    return { lastsS: 84, coincidences: () => cancelledDuringHandover };
   },
 );
