--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -7,14 +7,14 @@
   cancelS,
   assertAllJobsEnd,
   firstSeed,
-  kill,
+  crash,
   startLongJobs,
   longWorld,
   mixedTraffic,
   pick,
   seedCount,
   assertRecovered,
-  some,
+  randomWorkers,
 } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import type { Node } from './support/controller-node.js';
@@ -137,7 +137,7 @@
   },
   'another controller has just taken over the shard'(w, { owner, others, cancelJobs }) {
     cancelJobs();
-    kill(w, owner);
+    crash(w, owner);
     w.schedule(500 + 9000 * w.random(), () => owner.boot());
     return () => others.some((n) => (w.leaseRenewals.answers.get(n.member) ?? 0) > 0);
   },
@@ -174,7 +174,7 @@
     const remaining = w.random() < 0.5 ? [] : all.filter(() => w.random() < 0.5);
     w.state.loseData(
       remaining.map((c) => [c.key, c]),
-      w.state.epoch,
+      w.state.revision,
     );
     return () => w.nodes.some((n) => n.recoveryRestarts > 0);
   },
@@ -232,12 +232,12 @@
   'a leader crashes while workers with long tasks hang, are silent or lose responses',
   40,
   (w, at) => {
-    const affected = some(w, 0.6);
+    const affected = randomWorkers(w, 0.6);
     const fault = pick(w, ['losesResponses', 'silent', 'hung'] as const);
     const durationS = 4 + 36 * w.random();
     at(3 * w.random(), () => affected.forEach((m) => (m[fault] = true)));
     const leader = pick(w, [leaderOf(w), ownerOf(w)])!;
-    at(3 + 4 * w.random(), () => kill(w, leader));
+    at(3 + 4 * w.random(), () => crash(w, leader));
     at(8 + 20 * w.random(), () => leader.boot());
     at(3 + durationS, () => affected.forEach((m) => (m[fault] = false)));
     return durationS + 30;
@@ -253,10 +253,10 @@
       at(s, () => {
         const n = pick(w, [ownerOf(w), leaderOf(w), pick(w, w.nodes)]);
         if (!n?.alive) return;
-        kill(w, n);
+        crash(w, n);
         w.schedule(300 + 8000 * w.random(), () => n.alive || n.boot());
       });
-      const affected = some(w, 0.2);
+      const affected = randomWorkers(w, 0.2);
       at(s + 1, () => affected.forEach((m) => (m.silent = true)));
       at(s + 1 + 24 * w.random(), () => affected.forEach((m) => (m.silent = false)));
     }
@@ -274,12 +274,12 @@
         const n = pick(w, [ownerOf(w), leaderOf(w)]);
         if (!n) return;
         if (w.random() < 0.3) n.operators = { ...n.operators, 'level-most': 2 + Math.floor(3 * w.random()) };
-        kill(w, n);
+        crash(w, n);
         w.schedule(200 + 4000 * w.random(), () => n.alive || n.boot());
       });
     at(108, () => {
       for (const n of w.nodes) n.operators = { ...n.operators, 'level-most': operatorDefaults['level-most'] };
-      for (const n of w.nodes) if (n.alive) kill(w, n);
+      for (const n of w.nodes) if (n.alive) crash(w, n);
     });
     return 112;
   },
@@ -313,14 +313,14 @@
     w.responseDelayMs = () => (w.random() < 0.3 ? 3800 * w.random() : 0);
     w.delayedCloudCallShare = 0.4;
     for (let s = 2; s < 80; s += 5) {
-      const affected = some(w, 0.3);
+      const affected = randomWorkers(w, 0.3);
       at(s, () => affected.forEach((m) => (m.hung = true)));
       at(s + 14 * w.random(), () => affected.forEach((m) => (m.hung = false)));
       if (w.random() < 0.25)
         at(s + 2, () => {
           const n = pick(w, w.nodes);
           if (!n.alive) return;
-          kill(w, n);
+          crash(w, n);
           w.schedule(4000 * w.random(), () => n.alive || n.boot());
         });
     }
@@ -359,7 +359,7 @@
         if (choice < 0.5) return;
         for (const n of w.nodes) {
           if (!n.alive || (choice < 0.7 && n !== owner)) continue;
-          kill(w, n);
+          crash(w, n);
           w.schedule(100 + (w.random() < 0.6 ? 800 : 6000) * w.random(), () => n.alive || n.boot());
         }
       });
@@ -379,7 +379,7 @@
       const n = pick(w, [ownerOf(w), leaderOf(w)]);
       if (!n) return;
       if (w.random() < 0.5) {
-        kill(w, n);
+        crash(w, n);
         w.schedule(300 + 3000 * w.random(), () => n.alive || n.boot());
       } else {
         n.paused = true;
@@ -417,9 +417,9 @@
       const missingNode = w.nodes[missingIndex];
       const remainingNodes = w.nodes.filter((n) => n !== missingNode);
       if (dataLost) {
-        kill(w, missingNode);
-        w.state.loseData([], w.state.epoch);
-      } else for (const n of w.nodes) kill(w, n);
+        crash(w, missingNode);
+        w.state.loseData([], w.state.revision);
+      } else for (const n of w.nodes) crash(w, n);
       w.advance(1);
       for (const n of remainingNodes) if (!n.alive) n.boot();
       const allIds = [...jobs.cancel, ...jobs.keep];
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -149,21 +149,21 @@
 /** The ways in which the state service loses data; `snapshot` is an older copy of the state. */
 const dataLosses: Record<string, (w: World, snapshot: StateSnapshot) => void> = {
   wiped: (w) => w.state.loseData([], 1),
-  'wiped, at a higher revision': (w) => w.state.loseData([], w.state.epoch + 1000),
+  'wiped, at a higher revision': (w) => w.state.loseData([], w.state.revision + 1000),
   'restored from an older snapshot': (w, snapshot) => w.state.loseData(snapshot.keys, snapshot.epoch),
   'restored from an older snapshot, at a higher revision': (w, snapshot) =>
-    w.state.loseData(snapshot.keys, w.state.epoch + 500),
+    w.state.loseData(snapshot.keys, w.state.revision + 500),
   'every second record lost': (w) =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 2 === 0),
-      w.state.epoch,
+      w.state.revision,
     ),
 };
 for (const kind of ['node', 'shard', 'teams', 'kinds', 'b', 'm', 'j', 't', 'level', 'inc'])
   dataLosses[`all records of kind ${kind} lost`] = (w) =>
     w.state.loseData(
       [...w.state.entries].filter(([key]) => key.split('/')[1] !== kind),
-      w.state.epoch,
+      w.state.revision,
     );
 
 /** The controllers that are restarted while the state service is unavailable. */
@@ -206,13 +206,16 @@
   for (const n of restarted) n.boot();
   w.advance(60);
   assert.deepEqual(unexpectedViolations(), []);
-  users.stop();
-  const allFinished = w.advanceUntil(() => users.over, 300);
+  users.stopSubmitting();
+  const allFinished = w.advanceUntil(() => users.allEnded, 300);
   assert.deepEqual(unexpectedViolations(), []);
   const unfinished = [...users.jobs.keys()].filter(
-    (id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''),
+    (id) => !['done', 'aborted'].includes(users.reportedStatus.get(id) ?? ''),
+  );
+  assert.ok(
+    allFinished,
+    `not finished: ${unfinished.map((id) => `${id} ${users.reportedStatus.get(id)}`).join(', ')}`,
   );
-  assert.ok(allFinished, `not finished: ${unfinished.map((id) => `${id} ${users.told.get(id)}`).join(', ')}`);
 }
 
 // Guards against treating a machine without a record as returned when its record was lost and the loss is not yet detected.
@@ -235,7 +238,7 @@
   w.schedule(9000, () =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 3 > 0),
-      w.state.epoch,
+      w.state.revision,
     ),
   );
   w.schedule(12_000, () => {
@@ -274,15 +277,15 @@
 
 test('recovery: all data is lost, and workers have seen earlier tokens: they accept a controller again', () => {
   const { w, users } = worldUnderLoad(7);
-  users.stop();
+  users.stopSubmitting();
   // A high revision, and therefore high tokens.
-  w.state.epoch += 5000;
+  w.state.revision += 5000;
   const owner = ownerOf(w)!;
   owner.alive = false;
   w.advance(5);
   owner.boot();
   w.advance(15);
-  const maxTokenBefore = Math.max(...[...w.workers.values()].map((x) => x.token));
+  const maxTokenBefore = Math.max(...[...w.workers.values()].map((x) => x.fencingToken));
   runDataLossScenario(
     w,
     new Traffic(w, 1e9),
@@ -295,7 +298,7 @@
   const node = w.nodes[0];
   assert.equal(node.submit(spec('req-7', { team: 'blue' }))?.status, 201);
   assert.ok(w.advanceUntil(() => node.controller.replica.jobs.get('req-7')?.state === 'done', 120));
-  assert.ok([...w.workers.values()].some((x) => x.token > maxTokenBefore + 2 ** 30));
+  assert.ok([...w.workers.values()].some((x) => x.fencingToken > maxTokenBefore + 2 ** 30));
 });
 
 test('no false detection: outages, network partitions, expired leases, lost responses and restarts', () => {
@@ -313,8 +316,8 @@
   });
   w.advance(110);
   w.state.dropsResponseTo = () => false;
-  users.stop();
-  assert.ok(w.advanceUntil(() => users.over, 200));
+  users.stopSubmitting();
+  assert.ok(w.advanceUntil(() => users.allEnded, 200));
   assert.deepEqual(w.violations, []);
   assert.deepEqual(
     w.nodes.map((n) => n.recoveryRestarts),
@@ -327,7 +330,7 @@
   w.advance(6);
   w.nodes[0].submit(spec('req-1', { team: 'blue' }));
   assert.ok(w.advanceUntil(() => w.running('req-1').length > 0, 60));
-  for (const x of w.workers.values()) x.token = 2 ** 53 - 1;
+  for (const x of w.workers.values()) x.fencingToken = 2 ** 53 - 1;
   w.advance(30);
   assert.deepEqual(
     w.nodes.map((n) => n.recoveryRestarts),
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -1,13 +1,13 @@
 /** Changes of the leader and of shard owners while jobs are submitted, are cancelled and end. */
 import {
-  bounce,
+  crashAndRestart,
   cancelS,
-  kill,
+  crash,
   longWorld,
   testConcurrentFailures,
   mixedTraffic,
   pick,
-  some,
+  randomWorkers,
 } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
@@ -25,13 +25,13 @@
 
 testConcurrentFailures(
   'new machines come up and get work while writes are slow, and the leader crashes',
-  { beforeS: 2, users: burstTraffic, world: (seed) => longWorld(seed, { runS: 25, capacity: 60 }) },
+  { beforeS: 2, users: burstTraffic, world: (seed) => longWorld(seed, { taskDurationS: 25, capacity: 60 }) },
   (w, at) => {
     w.commitDelayMs = () => 300 + 2500 * w.random();
     w.cloudDelayMs = () => 3000 * w.random();
     const heartbeatsBefore = w.heartbeatsBeforeRecord;
     for (let s = 1 + 3 * w.random(); s < 50; s += 5 + 9 * w.random())
-      at(s, () => bounce(w, pick(w, [leaderOf(w), leaderOf(w), ownerOf(w)]), 0.2, 5));
+      at(s, () => crashAndRestart(w, pick(w, [leaderOf(w), leaderOf(w), ownerOf(w)]), 0.2, 5));
     at(20 * w.random(), () => (w.delayedCloudCallShare = 0.3));
     at(45, () => (w.delayedCloudCallShare = 0));
     at(58, () => {
@@ -57,12 +57,12 @@
           const node = pick(w, [ownerOf(w), leaderOf(w)]);
           const target = pick(w, w.nodes);
           const targetInstanceId = node?.controller.replica.presences.get(target.member)?.instanceId;
-          if (w.random() < 0.7) bounce(w, node, 0.2, 6);
+          if (w.random() < 0.7) crashAndRestart(w, node, 0.2, 6);
           else if (node && targetInstanceId && target !== node)
             node.controller.membership.handOver(0, target.member, targetInstanceId);
         });
         // The sessions of some workers end, too. What was reported in those sessions must be ignored.
-        const silenced = some(w, 0.15);
+        const silenced = randomWorkers(w, 0.15);
         at(s - 2, () => silenced.forEach((m) => (m.silent = true)));
         at(s + 22 * w.random(), () => silenced.forEach((m) => (m.silent = false)));
       }
@@ -93,14 +93,14 @@
     at(1, () => setPartition(true));
     for (let s = 2; s < durationS; s += 3 + 5 * w.random())
       at(s, () => {
-        for (const id of users.going.slice(0, 2)) {
+        for (const id of users.unfinishedJobs.slice(0, 2)) {
           cancelledInZone += w.running(id).filter((r) => w.workers.get(r.host)!.zone === zone).length;
           users.cancel(id, pick(w, others));
         }
         // Applies the partition to machines that were rented since, too.
         if (w.now > 0) setPartition(true);
       });
-    if (w.random() < 0.4) at(durationS * w.random(), () => bounce(w, pick(w, others), 0.5, 6));
+    if (w.random() < 0.4) at(durationS * w.random(), () => crashAndRestart(w, pick(w, others), 0.5, 6));
     at(1 + durationS, () => setPartition(false));
     return { lastsS: durationS + 20, coincidences: () => cancelledInZone };
   },
@@ -113,10 +113,10 @@
     let allDown = 0;
     const failure = pick(w, ['killed', 'frozen', 'mixed'] as const);
     const durationS = 18 + 25 * w.random();
-    at(1, () => users.going.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
+    at(1, () => users.unfinishedJobs.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
     at(1 + 0.5 * w.random(), () => {
       for (const n of w.nodes)
-        if (failure === 'killed' || (failure === 'mixed' && w.random() < 0.5)) kill(w, n);
+        if (failure === 'killed' || (failure === 'mixed' && w.random() < 0.5)) crash(w, n);
         else n.paused = true;
     });
     at(durationS - 1, () => (allDown = w.nodes.every((n) => !n.alive || n.paused) ? 1 : 0));
@@ -140,8 +140,9 @@
   (w, at, users) => {
     const leaders: string[] = [];
     for (let i = 0; i < 10; i++) {
-      at(2 + 11.5 * i + 3 * w.random(), () => bounce(w, leaderOf(w) ?? ownerOf(w), 0.3, 6));
-      if (w.random() < 0.4) at(4 + 11.5 * i, () => users.cancel(pick(w, users.going), pick(w, w.nodes)));
+      at(2 + 11.5 * i + 3 * w.random(), () => crashAndRestart(w, leaderOf(w) ?? ownerOf(w), 0.3, 6));
+      if (w.random() < 0.4)
+        at(4 + 11.5 * i, () => users.cancel(pick(w, users.unfinishedJobs), pick(w, w.nodes)));
     }
     const outageAtS = 20 + 60 * w.random();
     at(outageAtS, () => (w.state.unavailable = true));
@@ -172,18 +173,18 @@
     let lostZonedTasks = 0;
     for (let s = 1; s < 60; s += 6 + 6 * w.random()) {
       at(s, () => {
-        for (const m of some(w, 0.2)) {
+        for (const m of randomWorkers(w, 0.2)) {
           lostZonedTasks += [...m.tasks.values()].filter(
             (t) => w.specs.get(t.report.job)?.zone != null,
           ).length;
           w.loseMachine(m);
         }
-        const silenced = some(w, 0.2);
+        const silenced = randomWorkers(w, 0.2);
         silenced.forEach((m) => (m.silent = true));
         w.schedule(4000 + 24_000 * w.random(), () => silenced.forEach((m) => (m.silent = false)));
       });
       if (w.random() < 0.3)
-        at(s + 2 * w.random(), () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.3, 4));
+        at(s + 2 * w.random(), () => crashAndRestart(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.3, 4));
     }
     return { lastsS: 80 + cancelS, coincidences: () => lostZonedTasks };
   },
@@ -195,7 +196,7 @@
     beforeS: 10,
     // 142: an owner gave up a task, placed others within the quota that this freed for their team, and crashed before that was
     // written.
-    shown: [142],
+    regressionSeeds: [142],
     world: (seed) => longWorld(seed, { capacity: 6 }),
     users: (w) => {
       w.taskDurationOf = () => 12;
@@ -222,8 +223,9 @@
     w.directCommandDelayMs = () => 300 + 2500 * w.random();
     w.responseMs = 60;
     for (const n of w.nodes) n.peerDelayMs = 200 + 300 * w.random();
-    for (let s = 5; s < 70; s += 5) at(s, () => (overloadedSamples += users.going.length > 15 ? 1 : 0));
-    at(30 + 10 * w.random(), () => bounce(w, pick(w, [leaderOf(w), ownerOf(w)]), 0.3, 4));
+    for (let s = 5; s < 70; s += 5)
+      at(s, () => (overloadedSamples += users.unfinishedJobs.length > 15 ? 1 : 0));
+    at(30 + 10 * w.random(), () => crashAndRestart(w, pick(w, [leaderOf(w), ownerOf(w)]), 0.3, 4));
     at(70, () => {
       w.responseDelayMs = w.directCommandDelayMs = () => 0;
     });
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -1,7 +1,7 @@
 /** What a heartbeat proves, and what only the expiry of a lease proves. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { kill, longWorld } from './support/concurrent-failures.js';
+import { crash, longWorld } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { spec } from './support/fixtures.js';
 
@@ -18,7 +18,7 @@
   oldReport.tasks = oldReport.tasks.map((t) => ({ ...t, phase: 'exited', exitReason: 'alone' }));
   for (const x of w.workers.values()) x.silent = true;
   const previousOwner = ownerOf(w)!;
-  kill(w, previousOwner);
+  crash(w, previousOwner);
   assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined, 20));
   const owner = ownerOf(w)!;
   owner.push({ type: 'heartbeat', requestId: ++w.nextRequestId, report: oldReport });
@@ -55,7 +55,7 @@
   assert.ok(w.advanceUntil(() => w.running('req-2').length === 3, 30));
   w.advance(5);
   const lostWorker = w.workers.get(w.running('req-2')[0].host)!;
-  for (const n of w.nodes) kill(w, n);
+  for (const n of w.nodes) crash(w, n);
   w.advance(0.1);
   lostWorker.silent = w.cloudDown = true;
   // The keys that were attached to state leases are lost as well.
@@ -64,7 +64,7 @@
     .filter((c) => c.key !== `dp/m/${lostWorker.host}` && !/^dp\/(node|chief)/.test(c.key));
   w.state.loseData(
     remaining.map((c) => [c.key, c]),
-    w.state.epoch,
+    w.state.revision,
   );
   for (const n of w.nodes) n.boot();
   w.advance(13);
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -4,7 +4,7 @@
  */
 import type { Transaction } from '../src/wire/store.js';
 import { leaderOf, levelOf, ownerOf, restart } from './support/rolls.js';
-import { found, manyTasks, withWorkers } from './support/stored-state.js';
+import { worldWithRecords, recordsOf100000Tasks, addWorkersFor } from './support/stored-state.js';
 import { Traffic } from './support/traffic.js';
 import { type Node } from './support/controller-node.js';
 import { spec } from './support/fixtures.js';
@@ -115,11 +115,11 @@
 
 /** Latency of submissions while 100,000 tasks in the old record format are being rewritten, and afterwards. */
 function measureMigration(): string {
-  const { keys, placed } = manyTasks();
-  const w = found(keys);
+  const { keys, placed } = recordsOf100000Tasks();
+  const w = worldWithRecords(keys);
   w.state.writesPerS = 40;
   w.capacity = 2;
-  withWorkers(w, placed);
+  addWorkersFor(w, placed);
   for (const [id] of placed) w.serviceJobs.add(id);
   w.advanceUntil(() => levelOf(w).level >= 2, 30);
   const recordsLeft = () => [...w.state.entries.keys()].filter((k) => k.startsWith('dp/t/req-1')).length;
@@ -131,9 +131,9 @@
     const from = w.now;
     w.advanceUntil(() => (phase === 'while' ? recordsLeft() === 0 : w.now - from > 60_000), 600);
     if (phase === 'while') migrationS = (w.now - began) / 1000;
-    users.stop();
+    users.stopSubmitting();
     w.advance(10);
-    waits.push(users.acceptedAfter);
+    waits.push(users.acceptanceDelaysMs);
   }
   const quantilesText = (list: number[]) =>
     `p50 ${quantile(list, 0.5)}, p95 ${quantile(list, 0.95)}, max ${quantile(list, 1 - 1e-9)} ms`;
--- a/test/measure-loss.ts
+++ b/test/measure-loss.ts
@@ -10,7 +10,7 @@
   'every second record lost': (w) =>
     w.state.loseData(
       [...w.state.entries].filter((_, i) => i % 2 === 0),
-      w.state.epoch,
+      w.state.revision,
     ),
 };
 
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -1,7 +1,7 @@
 /** No controller gives users an older job status than another controller has already given, even if responses are slow. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bounce, longWorld, testConcurrentFailures, pick } from './support/concurrent-failures.js';
+import { crashAndRestart, longWorld, testConcurrentFailures, pick } from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { sizes } from './support/sizes.js';
 import { Traffic } from './support/traffic.js';
@@ -18,13 +18,13 @@
   'all controllers agree right after a job is accepted, ends or is cancelled',
   {},
   (w, at, users) => {
-    users.closely(0.7, 0.2, 0.3);
+    users.checkClosely(0.7, 0.2, 0.3);
     delayResponses(w);
     for (let s = 5; s < 60; s += 6 + 8 * w.random())
       at(s, () => {
         const choice = w.random();
         const node = pick(w, [leaderOf(w), ownerOf(w), pick(w, w.nodes)]);
-        if (choice < 0.25) bounce(w, node, 0.3, 5);
+        if (choice < 0.25) crashAndRestart(w, node, 0.3, 5);
         else if (choice < 0.5 && node) {
           node.cutFromState = true;
           w.schedule(12_000 * w.random(), () => (node.cutFromState = false));
@@ -40,7 +40,8 @@
     at(75, () => w.nodes.forEach((n) => (n.isolatedFromPeers = n.cutFromState = n.paused = false)));
     return {
       lastsS: 80,
-      coincidences: () => Math.min(users.looks.accepted, users.looks.done, users.looks.aborted),
+      coincidences: () =>
+        Math.min(users.closeChecks.accepted, users.closeChecks.done, users.closeChecks.aborted),
     };
   },
 );
@@ -49,10 +50,10 @@
   'a cancellation, a query or a repeated submission coincides with the end of a job, with no other failure',
   {},
   (w, _, users) => {
-    users.closely(0.6, 0, 0.9);
+    users.checkClosely(0.6, 0, 0.9);
     w.responseMs = 5 + Math.floor(80 * w.random());
     w.commitDelayMs = () => 500 * w.random();
-    return { lastsS: 60, coincidences: () => users.looks.atEnd };
+    return { lastsS: 60, coincidences: () => users.closeChecks.atEnd };
   },
 );
 
@@ -82,14 +83,14 @@
   'a transaction is executed but its response is lost, and others read its result',
   { world: lossyWorld },
   (w, at, users) => {
-    users.closely(0.4, 0.2, 0.3);
+    users.checkClosely(0.4, 0.2, 0.3);
     const lostBefore = [...lostResponsesByKind.values()].reduce((a, b) => a + b, 0);
     for (let s = 3; s < 60; s += 9 + 9 * w.random())
       at(s, () => {
         const owner = ownerOf(w);
         const target = pick(w, w.nodes);
         const targetInstanceId = owner?.controller.replica.presences.get(target.member)?.instanceId;
-        if (w.random() < 0.5) bounce(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
+        if (w.random() < 0.5) crashAndRestart(w, pick(w, [owner, leaderOf(w)]), 0.3, 3);
         else if (owner && targetInstanceId && target !== owner)
           owner.controller.membership.handOver(0, target.member, targetInstanceId);
       });
@@ -134,15 +135,15 @@
   {
     beforeS: 5,
     share: 0.5,
-    world: (seed) => longWorld(seed, { runS: 12 }),
+    world: (seed) => longWorld(seed, { taskDurationS: 12 }),
     users: (w) => new Traffic(w, 250, () => ({}), 5),
   },
   (w, at, users) => {
-    users.closely(0.1, 0.05, 0.08);
+    users.checkClosely(0.1, 0.05, 0.08);
     w.state.writesPerS = 80;
     const leaders = new Set<string>();
     for (let s = 20; s < 110; s += 25 + 20 * w.random())
-      at(s, () => bounce(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.5, 4));
+      at(s, () => crashAndRestart(w, pick(w, [ownerOf(w), leaderOf(w)]), 0.5, 4));
     for (let s = 1; s < 120; s++) at(s, () => void leaders.add(leaderOf(w)?.member ?? '-'));
     return {
       lastsS: 120,
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -19,7 +19,7 @@
 };
 const ownerOf = (w: World): Node =>
   w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.size > 0)!;
-const sessions = (w: World): number[] => [...w.workers.values()].map((x) => x.session);
+const sessions = (w: World): number[] => [...w.workers.values()].map((x) => x.agentEpoch);
 
 test('in an outage longer than the maximum replica age, peers confirm the replica and no worker loses its lease', () => {
   const w = startCluster(3, 6);
@@ -162,7 +162,9 @@
     // The new leader has a record of every machine, or adopts it after the next heartbeats of its worker.
     const other = w.nodes.find((n) => n !== leader)!;
     const known = (): boolean =>
-      [...w.workers.keys()].every((h) => other.controller.replica.machines.has(h) || w.deleted.includes(h));
+      [...w.workers.keys()].every(
+        (h) => other.controller.replica.machines.has(h) || w.deletedHosts.includes(h),
+      );
     assert.ok(w.advanceUntil(known, 20), `seed ${seed}`);
     assert.deepEqual(w.violations, []);
   }
@@ -182,7 +184,7 @@
     w.advance(hungS);
     for (const x of hung) x.hung = false;
     w.advance(3);
-    const kept = hung.filter((x) => w.workers.get(x.host) === x && x.session === 1).length;
+    const kept = hung.filter((x) => w.workers.get(x.host) === x && x.agentEpoch === 1).length;
     assert.equal(kept, hungS < 16 ? 300 : 0);
     assert.ok(w.advanceUntil(() => all() === 300, 60));
     assert.deepEqual(w.violations, []);
@@ -378,5 +380,5 @@
   w.advance(3);
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 4, cpus: 8 }));
   assert.ok(w.advanceUntil(() => w.running('req-2').length === 4, 8));
-  assert.deepEqual([w.deleted, w.violations], [[], []]);
+  assert.deepEqual([w.deletedHosts, w.violations], [[], []]);
 });
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -4,12 +4,12 @@
 import type { JobSpec } from '../src/model/job.js';
 import { longWorld } from './support/concurrent-failures.js';
 import { Traffic } from './support/traffic.js';
-import { mostWaitMs, Waiting } from './support/waiting.js';
+import { maxWaitMs, WaitMonitor } from './support/waiting.js';
 import { box } from './support/fixtures.js';
 import { type World } from './support/world.js';
 
 /**
- * Submits one job a second to a world with a fixed number of machines, and asserts that no job waits longer than `mostWaitMs`
+ * Submits one job a second to a world with a fixed number of machines, and asserts that no job waits longer than `maxWaitMs`
  * for capacity that it could use.
  */
 function assertWaitsAreBounded(
@@ -20,17 +20,17 @@
   const w = longWorld(1, { capacity, prepare });
   const users = new Traffic(w, 1000, (n) => ({ tasks: 1, ...jobs[n - 100] }), 1e9);
   w.advance(jobs.length + 0.5);
-  users.stop();
-  const waiting = new Waiting(w, users);
-  w.advance((3 * mostWaitMs) / 1000);
+  users.stopSubmitting();
+  const waiting = new WaitMonitor(w, users);
+  w.advance((3 * maxWaitMs) / 1000);
   waiting.stop();
   assert.deepEqual(w.violations, []);
   if (process.env['MEETING_TELL'])
     console.log(
-      waiting.mostMs,
+      waiting.longestMs,
       [...w.workers.values()].map((m) => `${m.host} ${[...m.tasks.keys()].join(' ')}`),
     );
-  assert.ok(waiting.mostMs < mostWaitMs, `a job waited ${waiting.mostMs} ms`);
+  assert.ok(waiting.longestMs < maxWaitMs, `a job waited ${waiting.longestMs} ms`);
 }
 
 // Each test reserves capacity for work that may never start. The reservation must not keep other work waiting for long.
--- a/test/roll.ts
+++ b/test/roll.ts
@@ -90,10 +90,10 @@
   w.advanceUntil(() => w.running('req-5').length === 2, 60);
   n.cancel('req-5');
   const keys = [...w.state.entries.values()].map(({ key, data, stamp }) => ({ key, data, stamp }));
-  const text = JSON.stringify({ program: revision, epoch: w.state.epoch, keys }, null, 1);
+  const text = JSON.stringify({ program: revision, epoch: w.state.revision, keys }, null, 1);
   mkdirSync('test/fixtures', { recursive: true });
   writeFileSync('test/fixtures/before-levels.json', `${text}\n`);
-  process.stdout.write(`${keys.length} keys at revision ${w.state.epoch}\n`);
+  process.stdout.write(`${keys.length} keys at revision ${w.state.revision}\n`);
 }
 
 async function main(args: string[]): Promise<number> {
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -186,15 +186,15 @@
   waitUntilReady(w);
   w.nodes[0].submit(spec('req-1', { tasks: 1, shape: 'service' }));
   const host = () => w.running('req-1')[0]?.host;
-  w.advanceUntil(() => [...w.workers.values()].some((x) => x.token > 0), 30);
-  const worker = [...w.workers.values()].find((x) => x.token > 0)!;
+  w.advanceUntil(() => [...w.workers.values()].some((x) => x.fencingToken > 0), 30);
+  const worker = [...w.workers.values()].find((x) => x.fencingToken > 0)!;
   const oldReport = worker.report();
   assert.ok(w.advanceUntil(() => host() !== undefined, 60));
   w.advance(5);
   w.nodes[0].push({
     type: 'heartbeat',
     requestId: 5,
-    report: { ...oldReport, host: host(), fencingToken: w.workers.get(host())!.token },
+    report: { ...oldReport, host: host(), fencingToken: w.workers.get(host())!.fencingToken },
   });
   w.advance(30);
   assert.equal(w.running('req-1').length, 1);
@@ -242,7 +242,7 @@
   const w = new World(1);
   waitUntilReady(w);
   const unrequested = w.addWorker('box', 'north', false);
-  assert.ok(w.advanceUntil(() => w.deleted.includes(unrequested.host), 60));
+  assert.ok(w.advanceUntil(() => w.deletedHosts.includes(unrequested.host), 60));
 });
 
 test('names of rental requests are never reused, even by later leaders', () => {
@@ -279,7 +279,7 @@
   const faultyWorker = [...w.workers.values()][0];
   faultyWorker.failsTasks = true;
   assert.ok(w.advanceUntil(() => w.nodes[0].status('req-1')?.body['status'] === 'done', 200));
-  assert.ok(w.deleted.includes(faultyWorker.host));
+  assert.ok(w.deletedHosts.includes(faultyWorker.host));
 });
 
 test('faulty jobs: healthy machines are kept, none is rented for the jobs, and retries continue with backoff', () => {
@@ -358,7 +358,7 @@
   w.advance(60);
   w.nodes.find((n) => n.controller.shardManager.jobs.has('req-1'))!.alive = false;
   w.advance(30);
-  assert.deepEqual(w.deleted, []);
+  assert.deepEqual(w.deletedHosts, []);
   assert.equal(w.running('req-1').length, 2);
 });
 
@@ -390,7 +390,7 @@
   const worker = w.workers.get(w.running('req-1')[0].host)!;
   worker.unreachableNodes.add(owner.member);
   w.advance(60);
-  assert.equal(worker.session, 1);
+  assert.equal(worker.agentEpoch, 1);
   assert.equal(w.running('req-1').length, 1);
 });
 
@@ -550,6 +550,6 @@
   assert.ok(w.advanceUntil(() => w.starts.some((s) => s.piece.startsWith('req-2/')), 120));
   w.advance(5);
   assert.equal(new Set(w.starts.filter((s) => s.piece.startsWith('req-2/')).map((s) => s.host)).size, 4);
-  assert.equal(w.rentals.length > 0 && w.deleted.length, 0);
+  assert.equal(w.rentals.length > 0 && w.deletedHosts.length, 0);
   assert.deepEqual(w.violations, []);
 });
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -209,5 +209,5 @@
   w.nodes[0].submit(spec('req-1', { team: 'blue', tasks: 2, gpus: 1 }));
   assert.ok(w.advanceUntil(() => w.finished.length === 2, 90));
   w.nodes[0].submit(spec('req-2', { team: 'blue', shape: 'gang', tasks: 1, cpus: 8 }));
-  assert.ok(w.advanceUntil(() => w.deleted.length === 1, 60));
+  assert.ok(w.advanceUntil(() => w.deletedHosts.length === 1, 60));
 });
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -10,10 +10,10 @@
 } from '../src/core/storage/index.js';
 import {
   emptyChunkState,
-  found,
-  manyTasks,
+  worldWithRecords,
+  recordsOf100000Tasks,
   put,
-  withWorkers,
+  addWorkersFor,
   type KeyValue,
   type PlacementTuple,
 } from './support/stored-state.js';
@@ -32,14 +32,14 @@
   w.state.entries.get(key)?.data as Record<string, unknown> | undefined;
 
 test('state of a build without feature levels: every job continues and finishes once, cancelled jobs are removed', () => {
-  const w = found(beforeLevels.keys);
+  const w = worldWithRecords(beforeLevels.keys);
   w.capacity = 6;
   const placed = beforeLevels.keys.flatMap(({ key, data }) => {
     const [, kind, job] = key.split('/');
     const p = data['p'] as [number, number, string][];
     return kind === 't' ? p.map((x): PlacementTuple => [job, ...x]) : [];
   });
-  withWorkers(w, placed);
+  addWorkersFor(w, placed);
   w.serviceJobs.add('req-4');
   const cancelled = () => w.running('req-5').length;
   assert.equal(cancelled(), 2);
@@ -165,13 +165,17 @@
   put(w, 'dp/level', laterLevel);
   w.advance(2);
   const writes = w.commits.length;
-  const { epoch } = w.state;
+  const { revision } = w.state;
   assert.equal(n.status('req-1')?.body['status'], 'done');
   assert.equal(n.status('req-3')?.status, 503);
   assert.equal(n.submit(spec('req-3'))?.status, 503);
   assert.equal(n.cancel('req-2')?.status, 503);
   w.advance(20);
-  assert.equal(w.state.epoch, epoch, `${w.commits.slice(writes).map((c) => JSON.stringify(c.txn.writes))}`);
+  assert.equal(
+    w.state.revision,
+    revision,
+    `${w.commits.slice(writes).map((c) => JSON.stringify(c.txn.writes))}`,
+  );
   for (const x of w.nodes) {
     assert.ok(x.alive && !x.controller.healthy);
     assert.equal(x.logLines.filter(([, what]) => what.startsWith('standing by')).length, 1);
@@ -186,10 +190,10 @@
 });
 
 test('100,000 tasks in the old format are rewritten within the write share, across a change of owner, while users are served', () => {
-  const { keys, placed } = manyTasks();
-  const w = found(keys);
+  const { keys, placed } = recordsOf100000Tasks();
+  const w = worldWithRecords(keys);
   w.capacity = 2;
-  withWorkers(w, placed);
+  addWorkersFor(w, placed);
   for (let i = 0; i < 400; i++) w.serviceJobs.add(`req-${1000 + i}`);
   assert.ok(w.advanceUntil(() => levelOf(w).level === newestLevel, 30));
   const from = w.now;
@@ -219,8 +223,8 @@
     placed.every(([job, index, , h]) => w.workers.get(h)!.hasTask(`${job}/${index}`)),
     true,
   );
-  users.stop();
-  assert.ok(w.advanceUntil(() => users.over, 60));
+  users.stopSubmitting();
+  assert.ok(w.advanceUntil(() => users.allEnded, 60));
   assert.ok(users.failed < users.jobs.size / 10, `${users.failed} of ${users.answered}`);
   assert.deepEqual(w.violations, []);
 });
@@ -298,8 +302,8 @@
     n.alive = false;
     w.advance(10);
     assert.equal(users.failed - failed, 0);
-    users.stop();
-    assert.ok(w.advanceUntil(() => users.over, 120));
+    users.stopSubmitting();
+    assert.ok(w.advanceUntil(() => users.allEnded, 120));
     assert.deepEqual(w.violations, []);
   }
 });
--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Traffic } from './traffic.js';
-import { Waiting } from './waiting.js';
+import { WaitMonitor } from './waiting.js';
 import { type Node } from './controller-node.js';
 import { spec } from './fixtures.js';
 import { type Worker } from './scripted-worker.js';
@@ -20,22 +20,22 @@
 const operators = process.env['MEETING_TASK_LOG'] ? { 'task-log': 1 } : {};
 
 /** Options of `longWorld`. */
-interface Setting {
+interface LongWorldOptions {
   /** How long tasks run, s. */
-  runS?: number;
+  taskDurationS?: number;
   /** How many machines can be rented. */
   capacity?: number;
   /** Changes the platform settings, given as TOML. */
-  settingsOf?: (text: string) => string;
+  modifySettings?: (text: string) => string;
   /** Called before the simulation starts. */
   prepare?: (w: World) => void;
 }
 
 /** A simulated cluster with long tasks and three controllers that are ready to serve. */
-export function longWorld(seed: number, setting: Setting = {}): World {
-  const w = new World(3, operators, seed, setting.settingsOf);
+export function longWorld(seed: number, setting: LongWorldOptions = {}): World {
+  const w = new World(3, operators, seed, setting.modifySettings);
   w.capacity = setting.capacity ?? 80;
-  w.taskDurationS = setting.runS ?? 600;
+  w.taskDurationS = setting.taskDurationS ?? 600;
   setting.prepare?.(w);
   const isReady = (n: Node): boolean =>
     n.controller.replica.machineTypes.length > 0 &&
@@ -120,7 +120,7 @@
 }
 
 /** Ends a controller's process. Each peer notices the broken connection with a probability of 80 %. */
-export function kill(w: World, n: Node): void {
+export function crash(w: World, n: Node): void {
   n.alive = false;
   for (const peer of w.nodes)
     if (peer !== n && w.random() < 0.8)
@@ -153,20 +153,20 @@
  * is room for it, and all jobs end.
  */
 export function assertAllJobsEnd(w: World, users: Traffic, withinS = 300): void {
-  users.stop();
+  users.stopSubmitting();
   const startedAt = w.now;
-  const waiting = new Waiting(w, users);
+  const waiting = new WaitMonitor(w, users);
   const unanswered = (): string[] =>
-    [...users.told.keys()].filter((id) => (users.lastAnsweredAt.get(id) ?? -Infinity) < startedAt);
+    [...users.reportedStatus.keys()].filter((id) => (users.lastAnsweredAt.get(id) ?? -Infinity) < startedAt);
   assert.ok(
     w.advanceUntil(() => unanswered().length === 0, 75),
     `no answer about: ${unanswered().slice(0, 5).join(' ')}`,
   );
-  const allEnded = w.advanceUntil(() => users.over, withinS);
+  const allEnded = w.advanceUntil(() => users.allEnded, withinS);
   waiting.stop();
   assert.deepEqual(w.violations.slice(0, 3), []);
   const unfinished = [...users.jobs.keys()].filter(
-    (id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''),
+    (id) => !['done', 'aborted'].includes(users.reportedStatus.get(id) ?? ''),
   );
   const describeJob = (id: string): string => {
     const { shape, team, tasks, cpus, urgency } = w.specs.get(id)!;
@@ -179,11 +179,11 @@
 }
 
 /** A random subset of the workers, of which each is chosen with the given probability. */
-export const some = (w: World, share: number): Worker[] =>
+export const randomWorkers = (w: World, share: number): Worker[] =>
   [...w.workers.values()].filter(() => w.random() < share);
 
 /** What the failure injection of a test returns: how long its failures last, and how to tell whether they coincided. */
-export interface Course {
+export interface FailureScenario {
   /** How long the failures last, s. */
   lastsS: number;
   /** How often the failures under test really coincided. */
@@ -193,7 +193,7 @@
 }
 
 /** Options of a test with concurrent failures. */
-export interface Scene {
+export interface ScenarioOptions {
   /** How long traffic runs before the failures begin, s. */
   beforeS?: number;
   /** Creates the simulated cluster; `longWorld` by default. */
@@ -201,7 +201,7 @@
   /** Creates the traffic; `mixedTraffic` by default. */
   users?: (w: World) => Traffic;
   /** Seeds that have revealed a fault before. They always run in addition to the others. */
-  shown?: readonly number[];
+  regressionSeeds?: readonly number[];
   /** The time within which all jobs must end after the failures, s. */
   withinS?: number;
   /** The share of the configured number of seeds that runs. */
@@ -214,8 +214,8 @@
  */
 export function testConcurrentFailures(
   name: string,
-  scene: Scene,
-  injectFaults: (w: World, at: (s: number, f: () => void) => void, users: Traffic) => Course,
+  scene: ScenarioOptions,
+  injectFaults: (w: World, at: (s: number, f: () => void) => void, users: Traffic) => FailureScenario,
 ): void {
   const {
     beforeS = 20,
@@ -223,7 +223,7 @@
     users: createTraffic = mixedTraffic,
     share = 1,
     withinS,
-    shown = [],
+    regressionSeeds = [],
   } = scene;
   test(name, () => {
     const requiredSeeds = Math.max(1, Math.round(seedCount * share));
@@ -247,7 +247,8 @@
         throw new Error(`seed ${seed}: ${(e as Error).message}`, { cause: e });
       }
     };
-    for (const seed of shown) assert.ok(runSeed(seed), `seed ${seed}: the failures no longer coincide`);
+    for (const seed of regressionSeeds)
+      assert.ok(runSeed(seed), `seed ${seed}: the failures no longer coincide`);
     let countedSeeds = 0;
     for (let seed = firstSeed; countedSeeds < requiredSeeds; seed++) {
       assert.ok(
@@ -260,8 +261,8 @@
 }
 
 /** Ends a controller's process and starts it again after a random time between the two bounds, s. */
-export function bounce(w: World, n: Node | undefined, minDownS: number, maxDownS: number): void {
+export function crashAndRestart(w: World, n: Node | undefined, minDownS: number, maxDownS: number): void {
   if (!n?.alive) return;
-  kill(w, n);
+  crash(w, n);
   w.schedule(1000 * (minDownS + (maxDownS - minDownS) * w.random()), () => n.alive || n.boot());
 }
--- a/test/support/controller-node.ts
+++ b/test/support/controller-node.ts
@@ -114,14 +114,14 @@
       this.watchedRevision >= 0 || this.world.now >= this.snapshotStartedAt + this.world.snapshotMs;
     if (!stateUnreachable && snapshotRead && this.world.now >= this.watchResumesAt) {
       if (this.watchedRevision < 0)
-        this.push({ type: 'snapshot-loaded', items: state.items(), revision: state.epoch });
-      else if (this.watchedRevision < state.epoch)
+        this.push({ type: 'snapshot-loaded', items: state.items(), revision: state.revision });
+      else if (this.watchedRevision < state.revision)
         this.push({
           type: 'changes',
           changes: state.log.filter((c) => c.stamp > this.watchedRevision),
-          revision: state.epoch,
+          revision: state.revision,
         });
-      this.watchedRevision = state.epoch;
+      this.watchedRevision = state.revision;
     }
     const commands = this.queue;
     this.queue = [];
@@ -165,7 +165,7 @@
         reply({
           type: 'revision-read',
           sentAt: w.now * this.clockRate,
-          revision: stateUnreachable ? null : w.state.epoch,
+          revision: stateUnreachable ? null : w.state.revision,
         });
         break;
       case 'grant-lease':
@@ -230,7 +230,7 @@
           type: 'audit-result',
           from: e.from,
           ...this.auditPage(e.from, e.keys),
-          revision: stateUnreachable ? null : w.state.epoch,
+          revision: stateUnreachable ? null : w.state.revision,
         });
         break;
       case 'restart':
--- a/test/support/rolls.ts
+++ b/test/support/rolls.ts
@@ -93,11 +93,11 @@
 
 /** Advances until every job is known to be done or aborted, and checks that no rule was violated. */
 export function finishAndCheck(w: World, users: Traffic, withinS = 240): void {
-  users.stop();
-  const allFinished = w.advanceUntil(() => users.over, withinS);
+  users.stopSubmitting();
+  const allFinished = w.advanceUntil(() => users.allEnded, withinS);
   assert.deepEqual(w.violations, []);
   const unfinished = [...users.jobs.keys()].filter(
-    (id) => !['done', 'aborted'].includes(users.told.get(id) ?? ''),
+    (id) => !['done', 'aborted'].includes(users.reportedStatus.get(id) ?? ''),
   );
   assert.ok(allFinished, `jobs that are neither done nor aborted: ${unfinished.join(' ')}`);
 }
--- a/test/support/scripted-state-service.ts
+++ b/test/support/scripted-state-service.ts
@@ -7,7 +7,7 @@
 /** A consistent key-value store with revisions, leases and a write rate limit. */
 export class StateService {
   /** The current revision. */
-  epoch = 1;
+  revision = 1;
   unavailable = false;
   /** Overloaded: commits are answered with 429. */
   rateLimited = false;
@@ -40,19 +40,19 @@
     const failed = txn.conditions
       .filter((c) => (this.entries.get(c.key)?.stamp ?? 0) !== c.stamp)
       .map((c) => c.key);
-    if (failed.length > 0) return { type: 'conflict', failed, revision: this.epoch };
-    if (txn.writes.length > 0) this.epoch++;
+    if (failed.length > 0) return { type: 'conflict', failed, revision: this.revision };
+    if (txn.writes.length > 0) this.revision++;
     for (const w of txn.writes) {
       const change = {
         key: w.key,
         data: w.data && (JSON.parse(JSON.stringify(w.data)) as unknown),
-        stamp: this.epoch,
+        stamp: this.revision,
       };
       if (w.data === undefined) this.entries.delete(w.key);
       else this.entries.set(w.key, { ...change, hold: w.hold });
       this.log.push(change);
     }
-    return { type: 'ok', revision: this.epoch };
+    return { type: 'ok', revision: this.revision };
   }
 
   /** The rate limit for puts and deletes. Bursts of up to one second's worth are allowed. */
@@ -100,10 +100,10 @@
   revokeLease(leaseId: number): void {
     this.leaseExpiresAt.delete(leaseId);
     const attachedEntries = [...this.entries.values()].filter((k) => k.hold === leaseId);
-    if (attachedEntries.length > 0) this.epoch++;
+    if (attachedEntries.length > 0) this.revision++;
     for (const k of attachedEntries) {
       this.entries.delete(k.key);
-      this.log.push({ key: k.key, data: undefined, stamp: this.epoch });
+      this.log.push({ key: k.key, data: undefined, stamp: this.revision });
     }
   }
 
@@ -118,7 +118,7 @@
 
   /** A copy of the current contents, to restore later. */
   snapshot(): { epoch: number; keys: [string, Change & { hold?: number }][] } {
-    return { epoch: this.epoch, keys: [...this.entries] };
+    return { epoch: this.revision, keys: [...this.entries] };
   }
 
   /**
@@ -128,7 +128,7 @@
   loseData(remaining: [string, Change & { hold?: number }][], revision: number): void {
     this.entries.clear();
     for (const [key, entry] of remaining) this.entries.set(key, entry);
-    this.epoch = revision;
+    this.revision = revision;
     this.log.length = 0;
     this.leaseExpiresAt.clear();
   }
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -21,10 +21,10 @@
 /** A worker: sends heartbeats, executes task commands and drops all tasks when its lease expires. */
 export class Worker {
   /** The agent epoch. It is incremented each time the lease expires. */
-  session = 1;
-  seq = 0;
+  agentEpoch = 1;
+  sequence = 0;
   /** The highest fencing token seen. */
-  token = 0;
+  fencingToken = 0;
   tasks = new Map<string, WorkerTask>();
   /** The time until a spot machine is reclaimed, if notice of it was given, s. */
   spotNoticeS: number | null = null;
@@ -63,16 +63,16 @@
 
   /** Builds the next heartbeat. */
   report(): Heartbeat {
-    this.seq++;
+    this.sequence++;
     return {
       host: this.host,
       endpoint: '127.0.0.1:5',
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      agentEpoch: this.session,
-      sequence: this.seq,
-      fencingToken: this.token,
+      agentEpoch: this.agentEpoch,
+      sequence: this.sequence,
+      fencingToken: this.fencingToken,
       noticeS: this.spotNoticeS,
       tasks: [...this.tasks.values()].map((t) => ({ ...t.report })),
     };
@@ -99,7 +99,7 @@
   /** Expires the lease: all tasks are dropped and a new agent epoch begins. */
   expireLease(): void {
     this.tasks.clear();
-    this.session++;
+    this.agentEpoch++;
     this.leaseStartedAt = this.world.now;
     this.nextHeartbeatAt = this.world.now;
   }
@@ -149,7 +149,7 @@
       return;
     }
     const sentAt = w.now;
-    const session = this.session;
+    const session = this.agentEpoch;
     const requestId = ++w.nextRequestId;
     const report = this.report();
     if (!node.controller.replica.machines.has(this.host)) w.heartbeatsBeforeRecord++;
@@ -185,7 +185,7 @@
     const response = node.responses.get(requestId);
     node.responses.delete(requestId);
     this.inFlight = false;
-    if (this.silent || this.hung || this.losesResponses || session !== this.session) return;
+    if (this.silent || this.hung || this.losesResponses || session !== this.agentEpoch) return;
     this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
     if (response?.status !== 200) {
       const ownerIndex = w.nodes.findIndex((n) => n.member === response?.body['boss']);
@@ -197,9 +197,9 @@
       baton: number;
       orders: { verb: string; piece: string; try: number; windDownS?: number }[];
     };
-    if (body.baton < this.token) return;
-    if (body.baton > this.token) this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, w.now + 500);
-    this.token = body.baton;
+    if (body.baton < this.fencingToken) return;
+    if (body.baton > this.fencingToken) this.nextHeartbeatAt = Math.min(this.nextHeartbeatAt, w.now + 500);
+    this.fencingToken = body.baton;
     this.leaseStartedAt = sentAt;
     this.leaseRenewedAt = w.now;
     this.checkKeptTasks(
@@ -242,13 +242,13 @@
   receiveDirectCommands(orders: TaskOrder[], token: number, session: number): void {
     if (this.losesResponses) return;
     if (this.hung) this.delayedCommands.push({ orders, token, session });
-    else if (session === this.session) this.execute(orders, token);
+    else if (session === this.agentEpoch) this.execute(orders, token);
   }
 
   /** Executes task commands unless their fencing token is outdated. */
   execute(orders: TaskOrder[], token: number): void {
-    if (token < this.token || this.hung) return;
-    this.token = token;
+    if (token < this.fencingToken || this.hung) return;
+    this.fencingToken = token;
     for (const o of orders) {
       const taskKey = `${o.job}/${o.index}`;
       const t = this.tasks.get(taskKey);
--- a/test/support/stored-state.ts
+++ b/test/support/stored-state.ts
@@ -16,7 +16,7 @@
   void w.state.commit({ conditions: [], writes: [{ key, data }] });
 
 /** A simulated cluster whose controllers find these records when they start. */
-export function found(keys: KeyValue[], nodes = 3): World {
+export function worldWithRecords(keys: KeyValue[], nodes = 3): World {
   const w = new World(nodes);
   for (const { key, data } of keys) if (!/^dp\/(node|lead)/.test(key)) put(w, key, data);
   for (const n of w.nodes) n.boot();
@@ -24,7 +24,7 @@
 }
 
 /** Adds workers that run the given placements. */
-export function withWorkers(w: World, placed: PlacementTuple[]): void {
+export function addWorkersFor(w: World, placed: PlacementTuple[]): void {
   const hosts = [...new Set(placed.map((p) => p[3]))].sort();
   for (let n = 1; n <= Number(hosts.at(-1)?.slice(2)); n++)
     w.addWorker('box', n % 2 ? 'north' : 'south', false);
@@ -39,7 +39,7 @@
 export const emptyChunkState = { lastAttempt: 0, done: new BitSet(), placements: [], failedHosts: [] };
 
 /** Records in the old format with 100,000 tasks: 400 small running services, and large arrays that wait for machines. */
-export function manyTasks(): { keys: KeyValue[]; placed: PlacementTuple[] } {
+export function recordsOf100000Tasks(): { keys: KeyValue[]; placed: PlacementTuple[] } {
   const keys: KeyValue[] = [];
   const placed: PlacementTuple[] = [];
   const host = (n: number): string => `n-${String(n).padStart(6, '0')}`;
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -26,7 +26,7 @@
   /** All jobs, by id. */
   readonly jobs = new Map<string, JobSpec>();
   /** The latest status that users were told, by job. Jobs that are not accepted yet are missing. */
-  readonly told = new Map<string, ReportedStatus>();
+  readonly reportedStatus = new Map<string, ReportedStatus>();
   /** When users were first told that a job has ended, ms. */
   private readonly endReportedAt = new Map<string, number>();
   /** When a job's user last got a status, ms. */
@@ -36,7 +36,7 @@
   /** The number of responses with a status. */
   answered = 0;
   /** The time from the first submission of each job to its acceptance, ms. */
-  readonly acceptedAfter: number[] = [];
+  readonly acceptanceDelaysMs: number[] = [];
   private readonly firstSubmittedAt = new Map<string, number>();
   /** Jobs that users have cancelled or are about to cancel. */
   private readonly cancelRequested = new Set<string>();
@@ -52,7 +52,7 @@
   private cancelOnAcceptShare = 0;
   private checkAtEndShare = 0;
   /** The number of checks on all controllers, by the reported status, and of checks around the end of a job. */
-  readonly looks = { accepted: 0, done: 0, aborted: 0, atEnd: 0 };
+  readonly closeChecks = { accepted: 0, done: 0, aborted: 0, atEnd: 0 };
   private readonly endedTaskCounts = new Map<string, number>();
   private seenFinishedTasks = 0;
   private nextNodeIndex = 0;
@@ -80,7 +80,7 @@
    * and repeat the submission on some. `cancelOnAccept` and `checkAtEnd` are the shares of jobs that users also cancel right
    * after acceptance, and check around their end.
    */
-  closely(share: number, cancelOnAccept = 0, checkAtEnd = 0): void {
+  checkClosely(share: number, cancelOnAccept = 0, checkAtEnd = 0): void {
     const firstCall = this.closeCheckShare === 0;
     [this.closeCheckShare, this.cancelOnAcceptShare, this.checkAtEndShare] = [
       share,
@@ -100,7 +100,7 @@
   private checkOnAllNodes(id: string, status: ReportedStatus): void {
     const { w } = this;
     if (w.random() >= this.closeCheckShare) return;
-    this.looks[status]++;
+    this.closeChecks[status]++;
     for (const n of w.nodes) {
       this.sendRequest('query', id, n);
       w.schedule(40 * w.random(), () => this.sendRequest('query', id, n));
@@ -119,8 +119,8 @@
   }
 
   /** Jobs that were accepted and are not known to have ended. */
-  get going(): string[] {
-    return [...this.told].flatMap(([id, told]) => (told === 'accepted' ? [id] : []));
+  get unfinishedJobs(): string[] {
+    return [...this.reportedStatus].flatMap(([id, told]) => (told === 'accepted' ? [id] : []));
   }
 
   /** Sends cancellations, queries and repeated submissions around the time at which the last task of a job ends. */
@@ -133,8 +133,8 @@
       this.endedTaskCounts.set(id, endedTasks);
       if (!job || endedTasks !== job.tasks || w.random() >= this.checkAtEndShare) continue;
       w.schedule(w.random() < 0.3 ? 0 : 3000 * w.random(), () => {
-        if (this.told.get(id) !== 'accepted') return;
-        this.looks.atEnd++;
+        if (this.reportedStatus.get(id) !== 'accepted') return;
+        this.closeChecks.atEnd++;
         const [a, b, c] = [...w.nodes].sort(() => w.random() - 0.5);
         if (w.random() < 0.7) this.cancel(id, a);
         this.sendRequest('submit', id, b);
@@ -145,14 +145,14 @@
   }
 
   /** Stops submitting new jobs. */
-  stop(): void {
+  stopSubmitting(): void {
     this.submitting = false;
   }
 
   /** Whether users were told of every job that it has ended. */
-  get over(): boolean {
+  get allEnded(): boolean {
     return [...this.jobs.keys()].every(
-      (id) => this.told.get(id) === 'done' || this.told.get(id) === 'aborted',
+      (id) => this.reportedStatus.get(id) === 'done' || this.reportedStatus.get(id) === 'aborted',
     );
   }
 
@@ -214,7 +214,7 @@
   private poll(): void {
     this.lastPollAt = this.w.now;
     this.pollCount++;
-    for (const [id, told] of this.told) {
+    for (const [id, told] of this.reportedStatus) {
       if (told !== 'accepted') {
         if (this.pollCount % 10 === Number(id.slice(-1))) this.sendRequest('query', id);
         continue;
@@ -239,7 +239,7 @@
       if (status === 200 || status === 201) this.processStatus(request, String(response!.body['status']));
       else if (!this.jobs.has(request.id)) continue;
       else if (status === 404 || status === 422 || status === 400) {
-        if (this.told.has(request.id))
+        if (this.reportedStatus.has(request.id))
           w.violations.push(
             `forgotten ${request.id}: ${status} to ${request.kind} by ${request.node.member}`,
           );
@@ -247,7 +247,7 @@
           w.violations.push(`refused ${request.id}: ${status} by ${request.node.member}`);
       } else {
         this.failed++;
-        if (request.kind === 'submit' && !this.told.has(request.id))
+        if (request.kind === 'submit' && !this.reportedStatus.has(request.id))
           this.resubmissions.push({ at: w.now + 1000, id: request.id });
       }
     }
@@ -263,8 +263,9 @@
     this.lastAnsweredAt.set(request.id, this.w.now);
     const current: ReportedStatus =
       status === 'done' ? 'done' : status === 'aborted' ? 'aborted' : 'accepted';
-    const previous = this.told.get(request.id);
-    if (previous === undefined) this.acceptedAfter.push(this.w.now - this.firstSubmittedAt.get(request.id)!);
+    const previous = this.reportedStatus.get(request.id);
+    if (previous === undefined)
+      this.acceptanceDelaysMs.push(this.w.now - this.firstSubmittedAt.get(request.id)!);
     if (previous === 'done' || previous === 'aborted') {
       // A request that was sent before the end was reported may still be answered with the older status.
       if (
@@ -286,7 +287,7 @@
     if (current !== 'accepted') this.endReportedAt.set(request.id, this.w.now);
     if (current === 'aborted') this.w.cancelledAt.set(request.id, this.w.now);
     if (previous !== undefined && statusRank[current] <= statusRank[previous]) return;
-    this.told.set(request.id, current);
+    this.reportedStatus.set(request.id, current);
     this.checkOnAllNodes(request.id, current);
   }
 }
--- a/test/support/waiting.ts
+++ b/test/support/waiting.ts
@@ -5,14 +5,14 @@
 import type { World } from './world.js';
 
 /** The longest time that a job may wait after all failures have ended while a suitable machine has room for it. */
-export const mostWaitMs = 90_000;
+export const maxWaitMs = 90_000;
 
 /** Records a violation if a job waits too long while a suitable machine has room and its team is below its limit. */
-export class Waiting {
+export class WaitMonitor {
   /** Since when each job could have been started but was not, ms. */
   private readonly waitingSince = new Map<string, number>();
   /** The longest wait so far, ms. */
-  mostMs = 0;
+  longestMs = 0;
   private active = true;
 
   constructor(
@@ -34,17 +34,17 @@
 
   private check(): void {
     const { w } = this;
-    for (const id of this.users.going) {
+    for (const id of this.users.unfinishedJobs) {
       const spec = w.specs.get(id)!;
       if (!this.couldStart(spec)) this.waitingSince.delete(id);
       else if (!this.waitingSince.has(id)) this.waitingSince.set(id, w.now);
       const ms = w.now - (this.waitingSince.get(id) ?? w.now);
-      if (ms > mostWaitMs && this.mostMs <= mostWaitMs)
+      if (ms > maxWaitMs && this.longestMs <= maxWaitMs)
         w.violations.push(`waits ${id}: ${ms} ms although there is room`);
-      this.mostMs = Math.max(this.mostMs, ms);
+      this.longestMs = Math.max(this.longestMs, ms);
     }
     for (const id of this.waitingSince.keys())
-      if (this.users.told.get(id) !== 'accepted') this.waitingSince.delete(id);
+      if (this.users.reportedStatus.get(id) !== 'accepted') this.waitingSince.delete(id);
   }
 
   /** Whether the job has a waiting task that could start now, or, for a gang, whether all of its tasks could start. */
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -27,7 +27,7 @@
   readonly commits: { member: string; txn: Transaction; outcome: CommitOutcome; at: number }[] = [];
   readonly rentals: RentRequest[] = [];
   /** Hosts of deleted machines. */
-  readonly deleted: string[] = [];
+  readonly deletedHosts: string[] = [];
   /** Tasks that have completed, as `job/index`; a task that ran more than once may be listed more than once. */
   readonly finished: string[] = [];
   /** Specifications of submitted jobs. Task starts of these jobs are checked against them. */
@@ -152,7 +152,7 @@
   /** Deletes machines together with their workers and tasks. */
   remove(hosts: string[]): void {
     for (const host of hosts) {
-      this.deleted.push(host);
+      this.deletedHosts.push(host);
       if (this.workers.delete(host)) this.capacity++;
     }
   }
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -485,9 +485,9 @@
     w.state.dropsResponseTo = () => false;
     w.state.delayedCommitShare = 0;
     w.advance(20);
-    users.stop();
+    users.stopSubmitting();
     assert.ok(
-      w.advanceUntil(() => users.over, 240),
+      w.advanceUntil(() => users.allEnded, 240),
       `seed ${seed}: jobs did not finish`,
     );
     assert.deepEqual([...w.violations, ...historyViolations(w)], [], `seed ${seed}`);
@@ -533,7 +533,7 @@
     w.advance(1);
     maxRecords = Math.max(maxRecords, logKeys(w).length);
   }
-  users.stop();
+  users.stopSubmitting();
   const remainingRecords = logKeys(w).length;
   assert.ok(
     maxRecords < 120 && remainingRecords < 120,
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -2,7 +2,13 @@
  * Team quotas must not be exceeded when jobs are cancelled whose tasks run on unreachable workers, while the leader or the owner
  * of the shard changes.
  */
-import { bounce, longWorld, testConcurrentFailures, pick, some } from './support/concurrent-failures.js';
+import {
+  crashAndRestart,
+  longWorld,
+  testConcurrentFailures,
+  pick,
+  randomWorkers,
+} from './support/concurrent-failures.js';
 import { leaderOf, ownerOf } from './support/rolls.js';
 import { Traffic } from './support/traffic.js';
 import type { Node } from './support/controller-node.js';
@@ -13,7 +19,7 @@
 const limitedTeamsWorld = (seed: number): World =>
   longWorld(seed, {
     capacity: 12,
-    settingsOf: (text) => text.replace('name = "blue"', 'name = "blue"\ncpus_max = 16.0'),
+    modifySettings: (text) => text.replace('name = "blue"', 'name = "blue"\ncpus_max = 16.0'),
   });
 
 /** The durations of tasks, s. A job's number selects one. */
@@ -63,9 +69,9 @@
  * the number of cancelled jobs.
  */
 function cancelOnUnreachableWorkers(w: World, users: Traffic, maxJobs: number): number {
-  const ids = users.going.filter((id) => w.running(id).length > 0).filter(() => w.random() < 0.4);
+  const ids = users.unfinishedJobs.filter((id) => w.running(id).length > 0).filter(() => w.random() < 0.4);
   const chosen = ids.slice(0, maxJobs);
-  const affected = new Set(some(w, 0.15));
+  const affected = new Set(randomWorkers(w, 0.15));
   for (const id of chosen)
     for (const { host } of w.running(id)) if (w.random() < 0.8) affected.add(w.workers.get(host)!);
   const fault = pick(w, ['hung', 'silent', 'losesResponses', 'cut'] as const);
@@ -97,7 +103,7 @@
         at(s + 4 * w.random(), () => {
           const node = role === 'leader' ? leaderOf(w) : ownerOf(w);
           const choice = w.random();
-          if (choice < 0.5) bounce(w, node, 0.2, 6);
+          if (choice < 0.5) crashAndRestart(w, node, 0.2, 6);
           else if (node && choice < 0.75) {
             node.cutFromState = true;
             node.isolatedFromPeers = w.random() < 0.5;
@@ -127,8 +133,8 @@
     const grantRevision = (): number => w.state.entries.get('dp/shard/0')?.stamp ?? 0;
     const cancelSome = (): void => {
       // Either jobs with running tasks, or the newest jobs, whose tasks are just being placed.
-      const running = users.going.filter((id) => w.running(id).length > 0);
-      const ids = w.random() < 0.5 ? running : users.going.slice(-5);
+      const running = users.unfinishedJobs.filter((id) => w.running(id).length > 0);
+      const ids = w.random() < 0.5 ? running : users.unfinishedJobs.slice(-5);
       if (ids.length === 0) return;
       const revision = grantRevision();
       const id = pick(w, ids);
@@ -137,7 +143,7 @@
         1200,
         () =>
           (cancelledDuringHandover +=
-            grantRevision() !== revision && users.told.get(id) === 'aborted' ? 1 : 0),
+            grantRevision() !== revision && users.reportedStatus.get(id) === 'aborted' ? 1 : 0),
       );
     };
     for (let s = 2; s < 75; s += 4 + 5 * w.random()) {
@@ -147,7 +153,8 @@
         const targetInstanceId = owner?.controller.replica.presences.get(target.member)?.instanceId;
         if (owner && targetInstanceId && target !== owner)
           owner.controller.membership.handOver(0, target.member, targetInstanceId);
-        if (w.random() < 0.2) w.schedule(400 * w.random(), () => bounce(w, pick(w, [owner, target]), 0.3, 4));
+        if (w.random() < 0.2)
+          w.schedule(400 * w.random(), () => crashAndRestart(w, pick(w, [owner, target]), 0.3, 4));
       });
       for (let i = 0; i < 5; i++) at(s - 0.4 + 1.2 * w.random(), cancelSome);
     }
