--- a/src/admission/member-allocation.ts
+++ b/src/admission/member-allocation.ts
@@ -27,7 +27,7 @@
 const minAcceptedWorkShare = 0.45;
 /**
  * The share up to which accepted work has priority from a backlog of `fullBacklogS` on. A job of one task takes one write to be
- * accepted and two afterwards, so during a sustained flood the balance is at two thirds.
+ * accepted and two afterwards, so under a sustained flood of submissions two thirds of the writes are for accepted work.
  */
 const maxAcceptedWorkShare = 0.7;
 const fullBacklogS = 8;
@@ -61,7 +61,7 @@
       return { demand: Math.max(minimum, demand), weight: 1, minimum };
     }),
   );
-  // What new jobs leave goes to accepted work beyond its priority share; the rest is divided equally as spare capacity.
+  // What new jobs do not need goes to accepted work beyond its priority share; the rest is divided equally as spare capacity.
   const remaining = Math.max(0, forNewJobs - sum(newJobs));
   const extraAcceptedWork = maxMinShares(
     remaining,
--- a/src/admission/minimum-shares.ts
+++ b/src/admission/minimum-shares.ts
@@ -6,7 +6,7 @@
   readonly team: string;
   /** The workload's share of the fleet's resources, by its dominant resource: CPUs or GPUs. */
   share: number;
-  /** Whether some of the workload waits for resources. */
+  /** Whether any part of the workload waits for resources. */
   waiting: boolean;
 }
 
@@ -19,7 +19,7 @@
 /** The usage of a workload over time. */
 interface UsageHistory {
   averageShare: number;
-  /** The time since which some of the workload has waited without interruption, ms. */
+  /** The time since which part of the workload has waited without interruption, ms. */
   waitingSince: number;
 }
 
--- a/src/cloud/cloud-provider.ts
+++ b/src/cloud/cloud-provider.ts
@@ -33,7 +33,7 @@
 
   constructor(
     address: string,
-    /** A request without a response within this time counts as unanswered, ms. */
+    /** The time that requests wait for a response, ms. */
     private readonly timeoutMs: number,
   ) {
     this.client = new JsonClient(address, maxSockets);
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -20,7 +20,7 @@
   headroom: 0,
   /** Length of a placement round, s. */
   'round-s': 1,
-  /** Length of the step that hazard is expressed per, s (in the paper, the 5-minute round). */
+  /** Length of the hazard step, the time that hazard is expressed per, s (in the paper, the 5-minute round). */
   'hazard-step-s': 10,
   /** Hazard assumed before any machine was observed, per machine-hour. */
   'hazard-prior': 0.5,
@@ -30,7 +30,7 @@
   'move-window-s': 10,
   /** How long a task must have run on its machine before it may be migrated, s. */
   'residency-s': 60,
-  /** How old the replica may be, at most, for workers to be answered from it without a confirmation, s. */
+  /** Maximum age of the replica at which workers are answered from it without a confirmation, s. */
   'grant-s': 30,
   /** Duration of a controller's lease in the state service, as a share of the workers' lease. */
   'node-lease-ratio': 0.2,
@@ -40,11 +40,11 @@
   'idle-boots': 0.6,
   /** Number of shards; 0: one per controller. */
   shards: 1,
-  /** The highest feature level that this controller supports (see upgrades); 0: all that the program knows. */
+  /** The highest feature level that this controller supports (see `feature-levels/`); 0: all that the program knows. */
   'level-most': 0,
-  /** 1: jobs are admitted fairly by team and class, and writes are divided among all controllers (see admission). */
+  /** 1: jobs are admitted fairly by team and class, and writes are divided among all controllers (see `admission/`). */
   'fair-admission': 0,
-  /** Minimum share of each waiting team and class over a window, as a share of an equal part (see admission); 0: none. */
+  /** Minimum share of each waiting team and class over a window, as a part of an equal share (see `admission/`); 0: none. */
   'floor-share': 0,
   /** Length of the window of `floor-share`, in worker leases. */
   'floor-leases': 2,
--- a/src/data-loss/incarnation.ts
+++ b/src/data-loss/incarnation.ts
@@ -7,7 +7,7 @@
 export interface Incarnation {
   /** Numbered from 1. */
   readonly number: number;
-  /** The member that opened the incarnation, or took its opening over. */
+  /** The member that opened the incarnation, or took over its opening. */
   readonly openedBy: string;
   /** The process of that member. */
   readonly instanceId: string;
--- a/src/data-loss/merge.ts
+++ b/src/data-loss/merge.ts
@@ -43,7 +43,7 @@
   }
 }
 
-/** Merges two versions of a block. A machine that had left the block returns to it; it is found absent later and abandoned then. */
+/** Merges two versions of a block. A machine that had left the block returns to it, and is abandoned later, when it is found absent. */
 function mergeBlocks(stored: Data, known: Data): Data {
   const storedHosts = stored['h'] as string[];
   const hosts = new Set([...storedHosts, ...(known['h'] as string[])]);
--- a/src/effect-handlers.ts
+++ b/src/effect-handlers.ts
@@ -1,4 +1,4 @@
-/** Executes the core's effects by the adapters of a process. */
+/** Executes the core's effects with the adapters of a process. */
 import { performance } from 'node:perf_hooks';
 import type { CloudProvider } from './cloud/cloud-provider.js';
 import type { Command, Effect } from './core/effects.js';
--- a/src/feature-levels/migration-pacer.ts
+++ b/src/feature-levels/migration-pacer.ts
@@ -9,7 +9,7 @@
 }
 
 /**
- * Limits the rewriting of records that no other write reaches to a share of the state service's writes. It holds no durable
+ * Limits the rewriting of records that no regular update rewrites to a share of the state service's writes. It holds no durable
  * state: the records themselves show which of them are still to be rewritten, so another owner continues where this one stopped.
  */
 export class MigrationPacer {
--- a/src/policy/deadlines.ts
+++ b/src/policy/deadlines.ts
@@ -51,8 +51,8 @@
   objectives.some((o) => o.kind === 'guarantee' && o.within_s !== undefined);
 
 /**
- * How many of its limits a job can no longer keep. Jobs that can still be in time are placed before jobs that are late already:
- * otherwise, under overload, every job would wait behind those that are bound to miss their limits.
+ * How many of its limits a job can no longer meet. Jobs that can still be in time are placed before jobs that are late already:
+ * otherwise, under overload, every job would wait behind those that are certain to miss their limits.
  */
 export function missedLimitCount(limits: TimeLimits, ageS: number, runS: number): number {
   let missed = 0;
@@ -61,7 +61,7 @@
   return missed;
 }
 
-/** The time left to start the last task before the next limit that can still be kept is missed; Infinity if there is none. */
+/** The time left to start the last task before the next limit that can still be met is missed; Infinity if there is none. */
 export function slackS(limits: TimeLimits, ageS: number, runS: number): number {
   let minSlackS = Infinity;
   for (const limit of limits.completionS)
--- a/src/policy/helios.ts
+++ b/src/policy/helios.ts
@@ -1,6 +1,6 @@
 /**
- * The placement policy: the evolved champion of HELIOS (see the paper's appendix "Champion policy"), as pure functions that
- * order jobs, score machines and propose migrations. The guardrails, which are separate, decide what of this is allowed.
+ * The placement policy: the best policy that HELIOS evolved (see the paper's appendix "Champion policy"), as pure functions that
+ * order jobs, score machines and propose migrations. The guardrails, in modules of their own, decide which proposals are allowed.
  */
 
 /** The weights of the score, set by the operators. */
--- a/src/policy/load-sharing.ts
+++ b/src/policy/load-sharing.ts
@@ -22,8 +22,8 @@
 /** Above this utilization, a controller offloads: it asks its peers to keep the agents that connect to them. */
 export const offloadStartUtilization = 0.7;
 /**
- * Offloading ends only when the utilization that the controller would have without it is no higher than this. Below this
- * utilization, no agents are redirected because of it either.
+ * Offloading ends only when the utilization that the controller would have without it is no higher than this. Up to this
+ * value, utilization is no reason to redirect agents either.
  */
 const offloadEndUtilization = 0.4;
 /** A controller whose utilization is not below this takes over no load from its peers. */
--- a/src/policy/order.ts
+++ b/src/policy/order.ts
@@ -29,7 +29,7 @@
   readonly urgency: number;
   /** Whether it has no time limits. */
   readonly unlimited: boolean;
-  /** Whether it has time limits, but can no longer keep any of them. */
+  /** Whether it has time limits, but can no longer meet any of them. */
   readonly allMissed: boolean;
   /** Whether its next time limit is close. */
   readonly critical: boolean;
@@ -54,17 +54,17 @@
     b.sizeClass - a.sizeClass ||
     (byResponseRatio ? b.responseRatio - a.responseRatio : 0) ||
     a.missedLimits - b.missedLimits ||
-    // NaN (Infinity - Infinity) if neither job has a limit that it can still keep; then the next criterion decides.
+    // NaN (Infinity - Infinity) if neither job has a limit that it can still meet; then the next criterion decides.
     a.slackS - b.slackS ||
     a.job.acceptedAt - b.job.acceptedAt
   );
 }
 
 /**
- * Sorts jobs into placement order: first jobs within their team's guarantee, then by urgency, then jobs that can still keep
+ * Sorts jobs into placement order: first jobs within their team's guarantee, then by urgency, then jobs that can still meet
  * one of their time limits, then jobs whose slack is less than `criticalS`, then HELIOS's placement priority, then jobs that
- * have missed fewer limits, then by slack, smallest first. Among jobs that can no longer keep any limit, and among those of
- * little slack, jobs of like size are sorted by waiting time relative to the CPU time needed: under overload, a few large
+ * have missed fewer limits, then by slack, smallest first. Among jobs that can no longer meet any limit, and among those with
+ * little slack, jobs of similar size are sorted by waiting time relative to the CPU time needed: under overload, a few large
  * jobs then do not block many small ones, and are not postponed forever themselves. Jobs without any time limit come last
  * among those of their urgency.
  */
--- a/src/retry/policies.ts
+++ b/src/retry/policies.ts
@@ -24,7 +24,7 @@
 const multiplier = 2;
 const jitter = 0.3;
 
-/** Derives one policy for each kind of outgoing call. All times are ratios to settings. */
+/** Derives one policy for each kind of outgoing call. All times are proportional to settings. */
 export function retryPolicies({ workers, cloud, stateLeaseMs }: RetrySettings): RetryPolicies {
   const heartbeatMs = workers.report_s * 1000;
   const listLagMs = Math.max(cloud.list_lag_s, workers.report_s) * 1000;
--- a/src/state/follower.ts
+++ b/src/state/follower.ts
@@ -66,7 +66,7 @@
     this.requestPoll();
   }
 
-  /** Polls once more, so that a caller gets a view that is as new as this call. */
+  /** Polls once more, so that a caller gets a view that is at least as new as this call. */
   requestPoll(): void {
     // No request is sent during the backoff: otherwise each user's query would cause one in an outage. Callers are told at once.
     if (this.backoff.failureCount > 0 && this.now() < this.backoff.notBefore)
--- a/src/store/engine.ts
+++ b/src/store/engine.ts
@@ -5,7 +5,7 @@
 import type { StoreError } from './errors.js';
 import { Keyspace, scan, type Delta, type Entry, type View } from './keyspace.js';
 
-/** What became of a transaction. */
+/** The result of a transaction. */
 export type Outcome =
   | { type: 'ok'; revision: number }
   | { type: 'conflict'; failed: string[]; revision: number }
--- a/src/store/keyspace.ts
+++ b/src/store/keyspace.ts
@@ -34,7 +34,7 @@
   leases: Iterable<[number, number]>;
 }
 
-/** What became of a transaction. `delta`: what has to be made durable; null: nothing. */
+/** The result of a transaction. `delta`: what has to be made durable; null: nothing. */
 export type KeyspaceCommitResult =
   | { type: 'ok'; revision: number; delta: Delta | null }
   | { type: 'conflict'; failed: string[]; revision: number }
@@ -47,7 +47,7 @@
 }
 
 /**
- * When twice as many changes are remembered, the oldest are dropped until about so many are left. A reader that needs older ones has
+ * When twice as many changes are remembered, the oldest are dropped until about this many are left. A reader that needs older ones has
  * to read all keys again.
  */
 const rememberedChangeCount = 10_000;
--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -18,7 +18,7 @@
 import type { Engine } from './engine.js';
 import type { Entry, View } from './keyspace.js';
 
-/** So many keys are written in one turn of the event loop. */
+/** The number of keys that are written in one turn of the event loop. */
 const keysPerTurn = 500;
 
 /**
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -14,7 +14,7 @@
 
 /** Extension points for a program that embeds the core, such as the control service. */
 export interface ServerHooks {
-  /** Handles a request; returns false if it is not one of the extension. */
+  /** Handles a request; returns false if the extension does not handle requests of this kind. */
   handleRequest(req: IncomingMessage, res: ServerResponse, path: string): boolean;
   /** Validates a job beyond the checks of the protocol; returns the reason to reject it, or null. */
   rejectionReason(spec: JobSpec): string | null;
--- a/src/wire/agent.ts
+++ b/src/wire/agent.ts
@@ -16,7 +16,7 @@
   startedAt: number;
   endedAt: number;
 }
-/** Why a task on an agent can have ended. */
+/** All reasons for which a task on an agent can end. */
 export const resultReasons = [
   'exited',
   'wall time',
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -95,7 +95,7 @@
   count: number;
 }
 
-/** What became of a rental request. */
+/** The result of a rental request. */
 export type RentalOutcome =
   /** Machines were provided: as many as requested, or fewer. */
   | { readonly type: 'rented'; readonly hosts: string[] }
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -66,7 +66,7 @@
   const r = read(failedBody, body);
   return r && { failed: r.failed, revision: r.epoch };
 }
-/** Reads the id of a new lease; null: malformed. */
+/** Reads the ID of a new lease; null: malformed. */
 export const parseLeaseId = (body: unknown): number | null => read(holdBody, body)?.hold ?? null;
 
 /** Reads a page of keys; null: malformed. */
