--- a/src/feature-levels/level-decision.ts
+++ b/src/feature-levels/level-decision.ts
@@ -1,7 +1,7 @@
 /** Decides when the feature level in force is raised or lowered. Pure functions; the leader carries out the decisions. */
 import { legacyCapabilities, type Capabilities, type LevelState } from './feature-levels.js';
 
-/** What operators request of the feature level; every part is optional. */
+/** The operators' request about the feature level; every part is optional. */
 export interface RequestedLevel {
   /** The highest level allowed; null: no limit. */
   readonly maxLevel: number | null;
@@ -12,7 +12,7 @@
   readonly modRevision: number;
 }
 
-/** The request of operators who request nothing. */
+/** The request that applies while the operators have made none. */
 export const noRequestedLevel: RequestedLevel = {
   maxLevel: null,
   lower: false,
@@ -64,7 +64,7 @@
   const capabilities = latestCapabilitiesByMember(input);
   if (state.writeLevel < state.level) return decideWhileLowering(input, capabilities);
   if (state.level > (requested.maxLevel ?? Infinity)) return decideAboveLimit(input, capabilities);
-  return decideRise(input, capabilities);
+  return decideRaise(input, capabilities);
 }
 
 type CapabilitiesByMember = Map<string, Capabilities>;
@@ -109,7 +109,7 @@
   return { type: 'stay', why: `held at ${requested.maxLevel}, but ${state.level} is in force` };
 }
 
-function decideRise(input: LevelDecisionInput, latest: CapabilitiesByMember): LevelDecision {
+function decideRaise(input: LevelDecisionInput, latest: CapabilitiesByMember): LevelDecision {
   const { state, requested, newestLevel } = input;
   const limit = requested.maxLevel ?? Infinity;
   const to = state.level + 1;
--- a/src/request-queue.ts
+++ b/src/request-queue.ts
@@ -86,12 +86,12 @@
     this.internal = [];
   }
 
-  /** Removes and returns the commands for the next step. `answers`: the responses to requests that have waited too long. */
-  take(now: number): { commands: Command[]; answers: Effect[] } {
+  /** Removes and returns the commands for the next step. `rejections`: the responses to requests that have waited too long. */
+  take(now: number): { commands: Command[]; rejections: Effect[] } {
     const { items, expired } = this.requests.take(maxRequestsPerStep, now);
     const commands = this.internal.concat(items);
     this.internal = [];
-    return { commands, answers: expired.map((request) => this.rejection(request)) };
+    return { commands, rejections: expired.map((request) => this.rejection(request)) };
   }
 
   private rejection({ requestId }: Request): Effect {
--- a/src/service.ts
+++ b/src/service.ts
@@ -22,7 +22,7 @@
 import { PublicServer, type ServerHooks } from './users/server.js';
 import { decodeChanges } from './wire/store.js';
 
-/** How often the core gets a tick. */
+/** The interval at which the core gets ticks. */
 const tickMs = 50;
 const loadReportIntervalMs = 1000;
 /** How long open connections may take to close at shutdown. No client waits longer than this for a response. */
@@ -65,7 +65,8 @@
   private scheduled = false;
   private shutdown: Promise<void> | null = null;
   private readonly timers: NodeJS.Timeout[] = [];
-  private utilization = performance.eventLoopUtilization();
+  /** The reading of the last load report. */
+  private lastLoopUtilization = performance.eventLoopUtilization();
 
   constructor(
     private readonly settings: Settings,
@@ -210,9 +211,9 @@
   }
 
   private reportLoad(): void {
-    const now = performance.eventLoopUtilization();
-    const { utilization: busy } = performance.eventLoopUtilization(now, this.utilization);
-    this.utilization = now;
+    const current = performance.eventLoopUtilization();
+    const { utilization: busy } = performance.eventLoopUtilization(current, this.lastLoopUtilization);
+    this.lastLoopUtilization = current;
     this.requestQueue.memoryShort = this.memoryUsage.check(performance.now());
     const connections = this.publicServer.trimConnections(performance.now());
     this.enqueue({
@@ -288,8 +289,8 @@
   private runStep(): void {
     this.scheduled = false;
     const now = performance.now();
-    const { commands, answers } = this.requestQueue.take(now);
-    for (const response of answers) this.execute(response);
+    const { commands, rejections } = this.requestQueue.take(now);
+    for (const response of rejections) this.execute(response);
     const effects = this.controller.step(commands, { now, wall: Date.now() });
     for (const effect of effects) this.execute(effect);
     this.schedule();
