--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -40,11 +40,11 @@
   'idle-boots': 0.6,
   /** Number of shards; 0: one per controller. */
   shards: 1,
-  /** The highest feature level that this controller supports (see `feature-levels/`); 0: all that the program knows. */
+  /** The highest feature level that this controller supports (see `docs/upgrades.md`); 0: all that the program knows. */
   'level-most': 0,
-  /** 1: jobs are admitted fairly by team and class, and writes are divided among all controllers (see `admission/`). */
+  /** 1: jobs are admitted fairly by team and class, and writes are divided among all controllers (see `docs/admission.md`). */
   'fair-admission': 0,
-  /** Minimum share of each waiting team and class over a window, as a part of an equal share (see `admission/`); 0: none. */
+  /** Minimum share of each waiting team and class over a window, as a part of an equal share (see `docs/admission.md`); 0: none. */
   'floor-share': 0,
   /** Length of the window of `floor-share`, in worker leases. */
   'floor-leases': 2,
