--- a/deploy/agent.scm
+++ b/deploy/agent.scm
@@ -4,4 +4,4 @@
   (control "127.0.0.1:8080")
   (directory "var/desk-1")
   (zone here)
-  (attribute has-scanner false))     ; cpus, mem-gb: measured unless stated
+  (attribute has-scanner false))     ; cpus and mem-gb default to those of the machine
