--- a/src/agent/agent-directory.ts
+++ b/src/agent/agent-directory.ts
@@ -25,7 +25,7 @@
   session: number;
   /** The highest fencing token seen. */
   token: number;
-  /** The first sequence number of the next block: numbers are reserved in blocks, so that not each one is written to disk. */
+  /** The first sequence number of the next block: numbers are reserved in blocks, so that not every one is written. */
   seqFrom: number;
 }
 
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -188,14 +188,14 @@
 
   // ---- events from the agent ----
 
-  /** Handles that a task's job is known and the machine has capacity: the task runs now, or waits for its gang. */
+  /** Called when a task's job is known and the machine has capacity: the task runs now, or waits for its gang. */
   onPrepared(task: AgentTask, gang: boolean): WorkerEffect[] {
     if (task.phase !== 'fetching') return [];
     task.phase = gang ? 'waiting' : 'running';
     return gang ? [{ type: 'heartbeat-soon' }] : [{ type: 'run', task }, { type: 'heartbeat-soon' }];
   }
 
-  /** Handles that a task has ended or cannot be run. */
+  /** Called when a task has ended or cannot be run. */
   onExited(
     task: AgentTask,
     why: AgentTask['why'],
--- a/src/cli/agent-command.ts
+++ b/src/cli/agent-command.ts
@@ -4,7 +4,7 @@
 import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
 
 async function runAgent(path: string, fail: Fail): Promise<void> {
-  const [{ Agent, parseAgentSettings }, { createLogger: makeLog }, { seededRandom }, { randomInt }] =
+  const [{ Agent, parseAgentSettings }, { createLogger }, { seededRandom }, { randomInt }] =
     await Promise.all([
       import('../agent/index.js'),
       import('../log.js'),
@@ -12,7 +12,7 @@
       import('node:crypto'),
     ]);
   const settings = parseAgentSettings(readFile(path, fail), path);
-  const agent = new Agent(settings, seededRandom(randomInt(2 ** 31)), makeLog(settings.name));
+  const agent = new Agent(settings, seededRandom(randomInt(2 ** 31)), createLogger(settings.name));
   await agent.start();
   // The commands of its tasks keep running: the agent adopts them when it is started again.
   onTerminationSignal(() => {
@@ -26,7 +26,7 @@
 
 /** Registers `agent` and its subcommand. */
 export function addAgentCommand(program: Command, fail: Fail): void {
-  const agent = program.command('agent').description('run an agent, or have one leave in order');
+  const agent = program.command('agent').description('run an agent');
   agent
     .command('run')
     .description('join a control service and run its tasks on this machine')
--- a/src/cli/control-command.ts
+++ b/src/cli/control-command.ts
@@ -4,12 +4,12 @@
 import { exitOnKnownErrors, onTerminationSignal, readFile } from './run-program.js';
 
 async function runControl(path: string, fail: Fail): Promise<void> {
-  const [{ openControl, parseControlSettings }, { createLogger: makeLog }] = await Promise.all([
+  const [{ openControl, parseControlSettings }, { createLogger }] = await Promise.all([
     import('../control/index.js'),
     import('../log.js'),
   ]);
   const settings = parseControlSettings(readFile(path, fail), path);
-  const opened = await openControl(settings, makeLog(settings.name), (error) => fail(error.message));
+  const opened = await openControl(settings, createLogger(settings.name), (error) => fail(error.message));
   await opened.control.start();
   onTerminationSignal(() => void opened.close().then(() => process.exit(0)));
 }
--- a/src/cli/level-store.ts
+++ b/src/cli/level-store.ts
@@ -1,4 +1,4 @@
-/** Access of `dapplepick level` to the stored records about the feature level. */
+/** Reads and writes the stored records about the feature level for `dapplepick level`. */
 import {
   levelKey,
   membersKey,
@@ -22,7 +22,7 @@
 
 const requestTimeoutMs = 5000;
 /** Prefix of the keys of present members; the member's name follows it. */
-const nodePrefix = 'dp/node/';
+const presencePrefix = 'dp/node/';
 
 /** Reads the records about the feature level, and writes the operators' request. Failures end the program. */
 export class LevelStore {
@@ -63,10 +63,10 @@
 
   /** The capabilities of the members that are present. */
   async presentMembers(): Promise<Map<string, Capabilities>> {
-    const nodes = await this.listKeys(nodePrefix);
+    const presenceRecords = await this.listKeys(presencePrefix);
     return new Map(
-      nodes.map(({ key, data, stamp }) => {
-        const member = key.slice(nodePrefix.length);
+      presenceRecords.map(({ key, data, stamp }) => {
+        const member = key.slice(presencePrefix.length);
         return [member, readPresence(member, data, stamp).capabilities];
       }),
     );
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -23,11 +23,8 @@
 
 async function runController(config: string, operatorsFile?: string): Promise<void> {
   const { settings, operators } = loadSettingsFiles(config, operatorsFile);
-  const [{ createLogger: makeLog }, { Service }] = await Promise.all([
-    import('../log.js'),
-    import('../service.js'),
-  ]);
-  const log = makeLog(settings.member);
+  const [{ createLogger }, { Service }] = await Promise.all([import('../log.js'), import('../service.js')]);
+  const log = createLogger(settings.member);
   try {
     const service = new Service(settings, operators, log, {}, version());
     await service.start();
--- a/src/cli/store-commands.ts
+++ b/src/cli/store-commands.ts
@@ -11,12 +11,12 @@
 }
 
 async function runStore(options: RunOptions, fail: Fail): Promise<void> {
-  const [{ Engine, LevelDisk, storeServer }, { createLogger: makeLog }] = await Promise.all([
+  const [{ Engine, LevelDisk, storeServer }, { createLogger }] = await Promise.all([
     import('../store/index.js'),
     import('../log.js'),
   ]);
   const { host, port } = splitAddress(options.listen);
-  const log = makeLog('store');
+  const log = createLogger('store');
   const disk = await LevelDisk.open(options.dir);
   const engine = await Engine.open(disk, log, (error) => fail(error.message));
   const server = storeServer(engine, options.dir);
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -129,7 +129,7 @@
       else if (key.includes('.')) throw new SubmitError(position, `${name}: not a submit command`);
     }
     assignments.sort((a, b) => commandOrder.indexOf(a.command) - commandOrder.indexOf(b.command));
-    if (!assignments.some((s) => s.command === 'executable'))
+    if (!assignments.some((assignment) => assignment.command === 'executable'))
       throw new SubmitError(statement.position, 'queue: no executable is set');
     return { commands: assignments, custom };
   }
@@ -159,11 +159,11 @@
         continue;
       }
       const value = statement.macros.expand(assignment.value, assignment.position, perJob).trim();
-      const { dependsOnJob: variesByJob } = statement.macros;
+      const { dependsOnJob } = statement.macros;
       context.position = assignment.position;
       if (value === '' && assignment.command !== 'executable' && assignment.command !== 'my') continue;
-      // Attributes that do not vary from job to job are computed once per queue statement.
-      const before = variesByJob ? null : new Map([...ad].map((a) => [a.name, a.expr]));
+      // Attributes that do not depend on the job are computed once per queue statement.
+      const before = dependsOnJob ? null : new Map([...ad].map((a) => [a.name, a.expr]));
       if (assignment.command === 'my')
         ad.set(assignment.name, parseExpression(value, context, assignment.name));
       else commands[assignment.command](value, context, assignment.name);
@@ -180,7 +180,9 @@
 
   /** Warns about macros that are set but have no effect; most likely their names are misspelt. */
   private warnUnused(): void {
-    const used = new Set(this.file.queueStatements.flatMap((b) => [...b.macros.referencedNames]));
+    const used = new Set(
+      this.file.queueStatements.flatMap((statement) => [...statement.macros.referencedNames]),
+    );
     for (const { name, position } of this.file.macros.all) {
       const key = name.toLowerCase();
       if (
@@ -194,8 +196,8 @@
     }
     const lastQueueLine = Math.max(
       ...this.file.queueStatements
-        .filter((b) => b.position.file === this.file.fileName)
-        .map((b) => b.position.line),
+        .filter((statement) => statement.position.file === this.file.fileName)
+        .map((statement) => statement.position.line),
       0,
     );
     for (const { name, position } of this.file.macros.all)
--- a/src/condor/submit-file.ts
+++ b/src/condor/submit-file.ts
@@ -159,7 +159,7 @@
     if (!active) return;
     const macros = this.macros.snapshot();
     const queued = parseQueue(this.macros.expand(head, position), inline, position, this.environment);
-    for (const u of this.macros.referencedNames) macros.referencedNames.add(u);
+    for (const name of this.macros.referencedNames) macros.referencedNames.add(name);
     this.queueStatements.push({ macros, request: queued, position });
   }
 
--- a/src/control/control.ts
+++ b/src/control/control.ts
@@ -16,7 +16,7 @@
 import { StoreUnavailableError, type ControlStore } from './control-store.js';
 import { HeartbeatInterceptor } from './heartbeat-interceptor.js';
 import { ResultStore } from './result-store.js';
-import { platformSettings, type ControlSettings } from './settings.js';
+import { deriveCoreSettings, type ControlSettings } from './settings.js';
 
 /** While the store does not answer at startup, only one in this many attempts is logged. */
 const logEveryAttempts = 20;
@@ -69,7 +69,7 @@
     this.settings = settings;
     this.log = log;
     this.matching = matching;
-    const { settings: coreSettings, nodeLeaseRatio } = platformSettings(settings);
+    const { settings: coreSettings, nodeLeaseRatio } = deriveCoreSettings(settings);
     const aliveTimeoutMs = settings.reportS * 1000 * aliveTimeoutHeartbeats;
     this.pool = new AgentPool(store, settings.zones, aliveTimeoutMs, () => performance.now(), log);
     this.results = new ResultStore(store);
--- a/src/control/machine-views.ts
+++ b/src/control/machine-views.ts
@@ -12,7 +12,7 @@
   readonly ownsShard: boolean;
 }
 
-/** Added to a lease's expiry (a share of the lease plus a constant): after that the worker has certainly noticed it. */
+/** Time after a lease's expiry by which the worker has certainly noticed it: a multiple of the lease plus a constant. */
 const leaseExpiryMarginRatio = 1.5;
 const leaseExpiryMarginMs = 1000;
 
--- a/src/control/open-control.ts
+++ b/src/control/open-control.ts
@@ -4,7 +4,7 @@
 import { HttpStateService } from '../state/http-state-service.js';
 import { EmbeddedStore, Engine, LevelDisk, snapshotInto, type StoreError } from '../store/index.js';
 import { ControlService, type MatchingSupport } from './control.js';
-import { platformSettings, type ControlSettings } from './settings.js';
+import { deriveCoreSettings, type ControlSettings } from './settings.js';
 
 /** A control service that is open but not started. */
 export interface OpenControl {
@@ -35,7 +35,7 @@
     settings.directory === null
       ? null
       : await Engine.open(await LevelDisk.open(settings.directory), log, onStoreFailure);
-  const { settings: coreSettings, nodeLeaseRatio } = platformSettings(settings);
+  const { settings: coreSettings, nodeLeaseRatio } = deriveCoreSettings(settings);
   const stateLeaseMs = settings.leaseS * 1000 * nodeLeaseRatio;
   const store = engine
     ? new EmbeddedStore(engine)
--- a/src/control/settings.ts
+++ b/src/control/settings.ts
@@ -137,7 +137,7 @@
 const controllerLeaseS = 4;
 
 /** Builds the core's settings, and the ratio of the controller's state lease to the agents' lease. */
-export function platformSettings(control: ControlSettings): { settings: Settings; nodeLeaseRatio: number } {
+export function deriveCoreSettings(control: ControlSettings): { settings: Settings; nodeLeaseRatio: number } {
   const settings: Settings = {
     member: control.name,
     zone: control.zones[0],
