--- a/scale/cell.ts
+++ b/scale/cell.ts
@@ -53,6 +53,7 @@
 /** Maximum delay with which events arrive; those of a busy process arrive later than those of others. */
 const maxEventDelayMs = 3000;
 const startTimeoutMs = 20_000;
+/** Second byte of the loopback addresses of the workers of the first cell; each further cell has the next number. */
 const firstLoopbackNetwork = 16;
 /** Time that controllers and the first machines need to start. */
 const startupMs = 10_000;
@@ -114,7 +115,7 @@
   }
 
   /** Length of the warm-up: afterwards the tasks of the initial load have been replaced by those of the steady load. */
-  get settlingMs(): number {
+  get warmUpMs(): number {
     return this.runMs + startupMs + this.options.workers / machinesRentedPerMs;
   }
 
@@ -340,7 +341,7 @@
 
   // ---- measuring ----
 
-  private processUsages(): [name: string, use: ProcessUsage | null][] {
+  private processUsages(): [name: string, usage: ProcessUsage | null][] {
     return [
       ...this.controllers.map((c): [string, ProcessUsage | null] => [c.name, c.usage]),
       ['platform', readProcessUsage(this.platform.pid)],
@@ -351,10 +352,10 @@
 
   private readCounts(): CountsReading {
     const usages = new Map<string, ProcessUsage>();
-    for (const [name, use] of this.processUsages()) if (use) usages.set(name, use);
+    for (const [name, usage] of this.processUsages()) if (usage) usages.set(name, usage);
     return {
       at: now(),
-      usages: usages,
+      usages,
       workers: totalCounts(this.workerCounts),
       platform: this.platformCounts,
     };
--- a/scale/cloud.ts
+++ b/scale/cloud.ts
@@ -74,10 +74,10 @@
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = new URL(req.url ?? '/', 'http://cloud');
     const body = req.method === 'POST' ? await readJson(req, maxBodyBytes) : null;
-    const respond = this.requests.take(1)
+    const response = this.requests.take(1)
       ? await this.answer(`${req.method} ${url.pathname}`, url.searchParams, body)
       : { status: 429, body: { error: 'too many requests' } };
-    sendJson(res, respond.status, respond.body);
+    sendJson(res, response.status, response.body);
   }
 
   private async answer(route: string, query: URLSearchParams, body: unknown): Promise<CloudResponse> {
@@ -96,8 +96,8 @@
   }
 
   private rent({ hire, yard, loaners, howMany }: RentalRequest): CloudResponse {
-    const before = this.rentals.get(hire);
-    if (before) return { status: 200, body: { hosts: before } };
+    const existing = this.rentals.get(hire);
+    if (existing) return { status: 200, body: { hosts: existing } };
     const { machines: capacity, zones } = this.limits;
     const inZone = [...this.machines.values()].filter((m) => m.zone === yard).length;
     const free = Math.ceil(capacity / zones.length) - inZone;
--- a/scale/figures.ts
+++ b/scale/figures.ts
@@ -22,8 +22,8 @@
   });
 
   /** Adds one latency, ms. */
-  record(quantilesText: number): void {
-    this.histogram.recordValue(Math.min(maxLatencyMs, Math.max(0, Math.round(quantilesText))));
+  record(ms: number): void {
+    this.histogram.recordValue(Math.min(maxLatencyMs, Math.max(0, Math.round(ms))));
   }
 
   get quantiles(): Quantiles {
@@ -111,7 +111,7 @@
   return sum;
 }
 
-const ms = ({ count, p50Ms, p99Ms, maxMs }: Quantiles): string =>
+const quantilesText = ({ count, p50Ms, p99Ms, maxMs }: Quantiles): string =>
   `p50 ${p50Ms} ms, p99 ${p99Ms} ms, max ${maxMs} ms (${count})`;
 
 function processLine(p: ProcessFigures): string {
@@ -143,12 +143,12 @@
   return [
     `cell ${f.cell}: ${f.workers} hollow workers, ${f.running} running tasks at the end of the measurement`,
     `  starts            ${f.startsPerS.toFixed(1)} per second, ${f.startsAskedPerS} requested`,
-    `  submit            ${ms(f.submit)}`,
-    `  urgent start      ${ms(f.urgentStart)}`,
-    `    until accepted  ${ms(f.urgentSteps.accepted)}`,
-    `    until placed    ${ms(f.urgentSteps.placed)}`,
-    `    placed to start ${ms(f.urgentSteps.started)}`,
-    `  cancel            ${ms(f.cancel)}`,
+    `  submit            ${quantilesText(f.submit)}`,
+    `  urgent start      ${quantilesText(f.urgentStart)}`,
+    `    until accepted  ${quantilesText(f.urgentSteps.accepted)}`,
+    `    until placed    ${quantilesText(f.urgentSteps.placed)}`,
+    `    placed to start ${quantilesText(f.urgentSteps.started)}`,
+    `  cancel            ${quantilesText(f.cancel)}`,
     `  users             ${f.acceptedJobs} jobs accepted, ${f.submissionsGivenUp} submissions abandoned, ${f.requestsUnavailable} requests failed (no answer, 429 or 5xx)`,
     `  reports           ${f.reportsPerS.toFixed(0)} per second, ${f.failedReports} without a valid response`,
     `  leases            ${f.expiredLeases} expired, ${f.tasksLostWithLeases} tasks lost as a result`,
--- a/scale/measurements.ts
+++ b/scale/measurements.ts
@@ -204,10 +204,10 @@
     seconds: number,
     owner: string | null,
   ): CellFigures['processes'] {
-    return [...after.usages].flatMap(([name, use]) => {
+    return [...after.usages].flatMap(([name, usage]) => {
       const first = before.usages.get(name);
       if (!first) return [];
-      return [processFigures(name === owner ? `${name} owner` : name, first, use, seconds)];
+      return [processFigures(name === owner ? `${name} owner` : name, first, usage, seconds)];
     });
   }
 }
--- a/scale/messages.ts
+++ b/scale/messages.ts
@@ -120,7 +120,7 @@
   workers: number;
   running: number;
   reports: number;
-  /** Reports without a valid response. */
+  /** Heartbeats without a valid response. */
   failedReports: number;
   orders: number;
   expiredLeases: number;
--- a/scale/options.ts
+++ b/scale/options.ts
@@ -44,7 +44,7 @@
 /** Resident memory, MB: of an idle process, of each hollow worker, and of a controller per worker that it manages. */
 const memoryMb = { process: 90, hollowWorker: 0.12, controllerPerWorker: 0.1 };
 
-/** A run that this machine lacks the capacity for, or one whose processes failed to start. */
+/** Thrown if this machine lacks the capacity for a run, or if a process of the run fails to start. */
 export class ScaleError extends Error {}
 
 const wholeNumber =
--- a/scale/processes.ts
+++ b/scale/processes.ts
@@ -110,7 +110,7 @@
   openFiles: number;
 }
 
-/** Adds up the consumption of successive processes; memory and open files are those of the last. */
+/** Adds up the usage of successive processes; memory and open files are those of the last. */
 function combinedUsage(before: ProcessUsage | null, last: ProcessUsage | null): ProcessUsage | null {
   if (!before || !last) return last ?? before;
   return {
--- a/scale/rules.ts
+++ b/scale/rules.ts
@@ -85,8 +85,8 @@
   onUserEvent(e: UserEvent): void {
     if (e.what === 'submitted') {
       const { team, tasks, cpus } = e;
-      const before = { accepted: false, final: null, cancelledAt: null };
-      this.jobs.set(e.job, { team, tasks, cpus, ...before, done: new Set(), placed: new Map() });
+      const initialState = { accepted: false, final: null, cancelledAt: null };
+      this.jobs.set(e.job, { team, tasks, cpus, ...initialState, done: new Set(), placed: new Map() });
       return;
     }
     const job = this.jobs.get(e.job);
--- a/scale/run.ts
+++ b/scale/run.ts
@@ -44,7 +44,7 @@
   );
   try {
     await Promise.all(cells.map((cell) => cell.start()));
-    await pause(cells[0].settlingMs);
+    await pause(cells[0].warmUpMs);
     for (const cell of cells) cell.beginMeasuring();
     await Promise.all([pause(options.seconds * 1000), ...cells.map((cell) => injectFaults(cell, options))]);
     for (const cell of cells) cell.endMeasuring();
@@ -63,6 +63,6 @@
 
 function progressLine(cells: Cell[], ms: number): string {
   const each = cells.map((c) => `${c.workerCount} workers, ${c.running} running`).join('; ');
-  const broken = cells.reduce((sum, c) => sum + c.checker.violations.length, 0);
-  return `${(ms / 1000).toFixed(0).padStart(4)} s  ${each}; ${broken} rule violations`;
+  const violations = cells.reduce((sum, c) => sum + c.checker.violations.length, 0);
+  return `${(ms / 1000).toFixed(0).padStart(4)} s  ${each}; ${violations} rule violations`;
 }
--- a/scale/users.ts
+++ b/scale/users.ts
@@ -39,12 +39,12 @@
     method: string,
     path: string,
     body: object | null,
-    patienceMs: number,
+    timeoutMs: number,
   ): Promise<JsonResponse | null> {
     const candidates = this.addresses.filter((_, i) => this.healthy[i]);
     const targets = candidates.length > 0 ? candidates : this.addresses;
     const address = targets[Math.floor(this.random() * targets.length)];
-    return requestJson(this.agent, address, method, path, body, patienceMs);
+    return requestJson(this.agent, address, method, path, body, timeoutMs);
   }
 
   private async probe(): Promise<void> {
@@ -184,10 +184,10 @@
     method: string,
     path: string,
     body: object | null,
-    patienceMs: number,
+    timeoutMs: number,
   ): Promise<JsonResponse | null> {
     this.counts.requests++;
-    const reply = await this.balancer.call(method, path, body, patienceMs);
+    const reply = await this.balancer.call(method, path, body, timeoutMs);
     if (reply === null || reply.status >= 429) this.counts.unavailable++;
     return reply;
   }
--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -15,11 +15,11 @@
 import { now, type MachineSpec, type TaskEvent, type WorkerCounts, type WorkersStart } from './messages.js';
 import { isInitialJob, isUrgentJob } from './jobs.js';
 
-const reportTimeoutMs = 4000;
-const minReportIntervalMs = 500;
+const responseTimeoutMs = 4000;
+const minHeartbeatIntervalMs = 500;
 const nextControllerPauseMs = 1000;
 const redirectPauseMs = 100;
-const reportIntervalSpread = 0.25;
+const heartbeatIntervalSpread = 0.25;
 /** Run times vary uniformly by this fraction around the mean. */
 const runTimeSpread = 0.25;
 
@@ -34,27 +34,27 @@
 }
 
 interface RunningTask extends AgentTask {
-  /** Sequence number of the start on this worker; it lets the timer of a task that has left be ignored. */
+  /** Sequence number of the start on this worker; used to ignore the timer of a task that has left. */
   startNumber: number;
 }
 
-/** A worker that reports, keeps its lease, and simulates running tasks by timers. */
+/** A worker that sends heartbeats, keeps its lease, and simulates running tasks by timers. */
 export class HollowWorker {
   private readonly tasks = new Map<string, RunningTask>();
   private runningCount = 0;
-  private session = 1;
+  private agentEpoch = 1;
   private sequence = 0;
-  private token = 0;
+  private fencingToken = 0;
   private leaseRenewedAt = now();
   private controller: number;
   private connection: Agent;
-  private reporting = false;
+  private awaitingResponse = false;
   private hasUnreportedChange = false;
-  private lastReportAt = -Infinity;
-  private reportTimer: NodeJS.Timeout | null = null;
+  private lastHeartbeatAt = -Infinity;
+  private heartbeatTimer: NodeJS.Timeout | null = null;
   private leaseTimer: NodeJS.Timeout | null = null;
   private startCount = 0;
-  private tokenRaisedAt = -Infinity;
+  private fencingTokenRaisedAt = -Infinity;
   private ended = false;
   /** The lease has not been renewed since the last mark. */
   renewalPending = false;
@@ -76,90 +76,100 @@
   end(): void {
     this.ended = true;
     this.loseTasks(now());
-    if (this.reportTimer) clearTimeout(this.reportTimer);
+    if (this.heartbeatTimer) clearTimeout(this.heartbeatTimer);
     if (this.leaseTimer) clearTimeout(this.leaseTimer);
     this.connection.destroy();
     this.context.counts.workers--;
   }
 
-  /** Simulates a restart of the worker process: its tasks are lost, and a new session begins. */
+  /** Simulates a restart of the worker process: its tasks are lost, and a new epoch begins. */
   restart(): void {
-    this.newSession(now());
-    this.scheduleChangeReport();
+    this.startEpoch(now());
+    this.requestHeartbeat();
   }
 
-  /** Executes commands that a controller sent directly; returns the HTTP status of the answer. */
-  executeCommands(token: number | null, session: number | null, orders: TaskOrder[]): 200 | 400 | 409 {
-    if (token === null || session === null) return 400;
-    if (token < this.token || session !== this.session) return 409;
-    this.token = token;
+  /** Executes orders that a controller sent directly; returns the HTTP status of the response. */
+  executeOrders(
+    fencingToken: number | null,
+    agentEpoch: number | null,
+    orders: TaskOrder[],
+  ): 200 | 400 | 409 {
+    if (fencingToken === null || agentEpoch === null) return 400;
+    if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return 409;
+    this.fencingToken = fencingToken;
     for (const order of orders) this.execute(order);
     return 200;
   }
 
-  /** The body of the next heartbeat. */
-  report(): object {
+  /** Builds the body of the next heartbeat, with a new sequence number. */
+  buildHeartbeat(): object {
     const { host, zone } = this.machine;
-    const report: AgentReport = {
+    const heartbeat: AgentReport = {
       host,
       endpoint: this.endpoint,
       type: machineType,
       zone,
-      agentEpoch: this.session,
+      agentEpoch: this.agentEpoch,
       seq: ++this.sequence,
-      fencingToken: this.token,
+      fencingToken: this.fencingToken,
       tasks: [...this.tasks.values()],
     };
-    return encodeAgentReport(report);
+    return encodeAgentReport(heartbeat);
   }
 
-  // ---- reports ----
+  // ---- heartbeats ----
 
   private connect(): Agent {
     return new Agent({ keepAlive: true, maxSockets: 1, localAddress: this.address });
   }
 
   private schedule(afterMs: number): void {
-    if (this.reportTimer) clearTimeout(this.reportTimer);
+    if (this.heartbeatTimer) clearTimeout(this.heartbeatTimer);
     if (this.ended) return;
-    this.reportTimer = setTimeout(() => void this.sendReport(), afterMs);
+    this.heartbeatTimer = setTimeout(() => void this.sendHeartbeat(), afterMs);
   }
 
-  /** Schedules a report of a change as soon as the minimum interval of the protocol allows. */
-  private scheduleChangeReport(): void {
+  /** Schedules a heartbeat that reports a change, as soon as the minimum interval of the protocol allows. */
+  private requestHeartbeat(): void {
     this.hasUnreportedChange = true;
-    if (!this.reporting) this.schedule(Math.max(0, this.lastReportAt + minReportIntervalMs - now()));
+    if (!this.awaitingResponse)
+      this.schedule(Math.max(0, this.lastHeartbeatAt + minHeartbeatIntervalMs - now()));
   }
 
-  private async sendReport(): Promise<void> {
-    if (this.ended || this.reporting) return;
+  private async sendHeartbeat(): Promise<void> {
+    if (this.ended || this.awaitingResponse) return;
     const { options, counts, random } = this.context;
-    this.reporting = true;
+    this.awaitingResponse = true;
     this.hasUnreportedChange = false;
     const sentAt = now();
-    this.lastReportAt = sentAt;
-    const { session } = this;
-    const body = this.report();
+    this.lastHeartbeatAt = sentAt;
+    const { agentEpoch } = this;
+    const body = this.buildHeartbeat();
     counts.reports++;
     const [, address] = options.controllers[this.controller];
-    const reply = await requestJson(this.connection, address, 'POST', '/checkin', body, reportTimeoutMs);
-    this.reporting = false;
+    const reply = await requestJson(this.connection, address, 'POST', '/checkin', body, responseTimeoutMs);
+    this.awaitingResponse = false;
     if (this.ended) return;
-    const accepted = reply?.status === 200 && this.applyResponse(reply.body, session, sentAt);
+    const accepted = reply?.status === 200 && this.applyResponse(reply.body, agentEpoch, sentAt);
     if (!accepted) counts.failedReports++;
     if (reply?.status === 200) {
-      const intervalMs = options.limits.reportS * 1000 * (1 + reportIntervalSpread * (2 * random() - 1));
-      const afterMs = this.hasUnreportedChange ? minReportIntervalMs : intervalMs;
+      const intervalMs = options.limits.reportS * 1000 * (1 + heartbeatIntervalSpread * (2 * random() - 1));
+      const afterMs = this.hasUnreportedChange ? minHeartbeatIntervalMs : intervalMs;
       this.schedule(Math.max(0, sentAt + afterMs - now()));
     } else this.switchController(reply?.status === 421 ? parseRedirect(reply.body) : null);
   }
 
   /** Applies a heartbeat response; returns false if it is invalid or outdated. */
-  private applyResponse(body: unknown, session: number, sentAt: number): boolean {
+  private applyResponse(body: unknown, agentEpoch: number, sentAt: number): boolean {
     const answer = parseHeartbeatResponse(body);
-    if (!answer || answer.token === null || answer.token < this.token || session !== this.session)
+    if (
+      !answer ||
+      answer.token === null ||
+      answer.token < this.fencingToken ||
+      agentEpoch !== this.agentEpoch
+    )
       return false;
-    this.raiseToken(answer.token);
+    this.raiseFencingToken(answer.token);
     this.leaseRenewedAt = sentAt;
     if (this.renewalPending) {
       this.renewalPending = false;
@@ -169,12 +179,12 @@
     return true;
   }
 
-  private raiseToken(token: number): void {
-    if (token === this.token) return;
-    this.token = token;
-    if (now() - this.tokenRaisedAt < (this.context.options.limits.leaseS * 1000) / 2) return;
-    this.tokenRaisedAt = now();
-    this.scheduleChangeReport();
+  private raiseFencingToken(fencingToken: number): void {
+    if (fencingToken === this.fencingToken) return;
+    this.fencingToken = fencingToken;
+    if (now() - this.fencingTokenRaisedAt < (this.context.options.limits.leaseS * 1000) / 2) return;
+    this.fencingTokenRaisedAt = now();
+    this.requestHeartbeat();
   }
 
   private switchController(owner: string | null): void {
@@ -195,16 +205,16 @@
     if (now() > endsAt) {
       this.context.counts.expiredLeases++;
       this.context.counts.tasksLostWithLeases += this.runningCount;
-      this.newSession(endsAt);
-      this.scheduleChangeReport();
+      this.startEpoch(endsAt);
+      this.requestHeartbeat();
     }
     const leftMs = this.leaseRenewedAt + leaseMs - now();
     this.leaseTimer = setTimeout(() => this.watchLease(), leftMs + 1);
   }
 
-  private newSession(at: number): void {
+  private startEpoch(at: number): void {
     this.loseTasks(at);
-    this.session++;
+    this.agentEpoch++;
     this.leaseRenewedAt = now();
   }
 
@@ -225,7 +235,7 @@
     } else if (task.phase === 'running') {
       this.recordTaskLeft(task, now());
       Object.assign(task, { phase: 'exited', why: 'stopped' });
-      this.scheduleChangeReport();
+      this.requestHeartbeat();
     }
   }
 
@@ -242,7 +252,7 @@
       result: null,
       startNumber: ++this.startCount,
     };
-    this.scheduleChangeReport();
+    this.requestHeartbeat();
     if (existing) {
       // Refused: another attempt of the task is on this worker and stays unchanged.
       return;
@@ -265,7 +275,7 @@
     this.emit('done', task, at);
     this.recordTaskLeft(task, at);
     Object.assign(task, { phase: 'exited', why: 'done' });
-    this.scheduleChangeReport();
+    this.requestHeartbeat();
   }
 
   private recordTaskLeft(task: RunningTask, at: number): void {
--- a/scale/workers.ts
+++ b/scale/workers.ts
@@ -83,7 +83,7 @@
     for (const { worker } of this.hostedWorkers.values()) worker.renewalPending = true;
   }
 
-  /** Removes machines. Their last events are sent before the removal is confirmed to anyone. */
+  /** Removes machines. Their last events are sent before the removal is confirmed. */
   private removeAll(hosts: string[]): void {
     for (const host of hosts) this.remove(host);
     this.sendEvents();
@@ -121,10 +121,10 @@
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const worker = this.byAddress.get(req.socket.localAddress ?? '');
     if (!worker) return void res.destroy();
-    if (req.url === '/show') return sendJson(res, 200, worker.report());
+    if (req.url === '/show') return sendJson(res, 200, worker.buildHeartbeat());
     const body = parseTaskOrders(await readJson(req, maxBodyBytes));
-    const status = body ? worker.executeCommands(body.token, body.session, body.orders) : 400;
-    sendJson(res, status, worker.report());
+    const status = body ? worker.executeOrders(body.token, body.session, body.orders) : 400;
+    sendJson(res, status, worker.buildHeartbeat());
   }
 }
 
