--- a/src/core/shard-state/shard-state.ts
+++ b/src/core/shard-state/shard-state.ts
@@ -235,7 +235,7 @@
       const isCurrent = this.ledger.isCurrent(placement);
       if (isCurrent && !this.machines.has(placement.host) && this.clock.now <= expiresAt) continue;
       if (isCurrent && !this.replica.machines.has(placement.host))
-        this.removePlacement(placement, 'machine returned');
+        this.removePlacement(placement, 'machine deleted');
       this.expiringPlacements.delete(placement);
     }
   }
@@ -310,9 +310,9 @@
     if (!record) {
       // The record is deleted only after the cloud has confirmed the deletion of the machine, so everything on it is gone.
       const placements = [...(machine?.placements.values() ?? [])];
-      for (const placement of placements) this.removePlacement(placement, 'machine returned', 'lost');
+      for (const placement of placements) this.removePlacement(placement, 'machine deleted', 'lost');
       for (const placement of this.ledger.takePlacementsOnUnknownHost(host))
-        this.removePlacement(placement, 'machine returned', 'lost');
+        this.removePlacement(placement, 'machine deleted', 'lost');
     }
     this.machines.delete(host);
   }
