--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -235,11 +235,11 @@
     freshness.update();
     if (!this.shardsChanged) return;
     shardManager.reconcileShards();
-    // An assignment may be visible before the replica has reached its revision: reconcile again until the shard is acquired.
+    // A grant may be visible before the replica has reached its revision: reconcile again until the shard is acquired.
     this.shardsChanged = [...replica.shards].some(
-      ([shard, assignment]) =>
-        assignment.owner === settings.member &&
-        assignment.instanceId === instanceId &&
+      ([shard, grant]) =>
+        grant.owner === settings.member &&
+        grant.instanceId === instanceId &&
         !shardManager.ownedShards.has(shard),
     );
   }
--- a/src/core/controller/components.ts
+++ b/src/core/controller/components.ts
@@ -50,7 +50,7 @@
 
 /** Callbacks for changes of the replicated state that affect the whole controller. */
 export interface ReplicaEvents {
-  /** Called when shard assignments, or the records they depend on, have changed. */
+  /** Called when shard grants, or the records they depend on, have changed. */
   readonly onShardsChanged: () => void;
   /** Called when the feature level in force has changed. */
   readonly onLevelChanged: () => void;
--- a/src/core/machine-lifecycle.ts
+++ b/src/core/machine-lifecycle.ts
@@ -133,9 +133,9 @@
       priority: WritePriority.provisioning,
       build: () => {
         const { record, placements } = machine;
-        const assignment = replica.shards.get(record.shard);
+        const grant = replica.shards.get(record.shard);
         const isStillOwned = machines.get(host) === machine && ownedShards.has(record.shard);
-        if (!assignment || !isStillOwned || (state === 'free' && placements.size > 0)) {
+        if (!grant || !isStillOwned || (state === 'free' && placements.size > 0)) {
           machine.releasing = false;
           return null;
         }
@@ -143,7 +143,7 @@
         return {
           conditions: [
             { key, stamp: replica.modRevisionOf(key) },
-            { key: shardKey(record.shard), stamp: assignment.modRevision },
+            { key: shardKey(record.shard), stamp: grant.modRevision },
           ],
           writes: [{ key, data: machineData({ ...record, shard, state }) }],
         };
--- a/src/core/shard-manager.ts
+++ b/src/core/shard-manager.ts
@@ -95,17 +95,17 @@
     return this.cycleRunner.machinesExamined;
   }
 
-  /** Acquires the shards that are assigned to this process, and releases those that no longer are. */
+  /** Acquires the shards that are granted to this process, and releases those that no longer are. */
   reconcileShards(): void {
     const { shardState, replica } = this;
     for (const shard of [...shardState.ownedShards])
-      if (!this.isAssignedToThisProcess(shard)) {
+      if (!this.isGrantedToThisProcess(shard)) {
         shardState.releaseShard(shard);
         this.log('info', 'shard released', { shard, to: replica.shards.get(shard)?.owner });
       }
     for (const [shard, { modRevision }] of replica.shards) {
-      if (shardState.ownedShards.has(shard) || !this.isAssignedToThisProcess(shard)) continue;
-      // The replica must include everything that earlier owners wrote, so it must have reached the revision of the assignment.
+      if (shardState.ownedShards.has(shard) || !this.isGrantedToThisProcess(shard)) continue;
+      // The replica must include everything that earlier owners wrote, so it must have reached the revision of the grant.
       if (replica.watchRevision >= modRevision) this.acquireShard(shard, modRevision);
     }
   }
@@ -131,10 +131,10 @@
     return [...this.awaitingConfirmation];
   }
 
-  private isAssignedToThisProcess(shard: number): boolean {
+  private isGrantedToThisProcess(shard: number): boolean {
     if (this.replica.levels.mustStandBy) return false;
-    const assignment = this.replica.shards.get(shard);
-    return assignment?.owner === this.settings.member && assignment.instanceId === this.instanceId;
+    const grant = this.replica.shards.get(shard);
+    return grant?.owner === this.settings.member && grant.instanceId === this.instanceId;
   }
 
   /** Runs one step: writes, maintenance and scheduling that are due, and orders that are sent without waiting for a heartbeat. */
--- a/src/core/storage/records.ts
+++ b/src/core/storage/records.ts
@@ -361,21 +361,21 @@
 const maxAllocationValueShare = 0.5;
 
 /** The stored form of the write allocation. */
-export function allocationData({ version: number, members: parts }: WriteAllocation, valueKb: number): Data {
-  const workloads = [...parts].flatMap(([member, p]) =>
-    [...p.workloadRates].map(([kind, rate]) => ({ member, kind, rate })),
+export function allocationData({ version, members }: WriteAllocation, valueKb: number): Data {
+  const workloads = [...members].flatMap(([member, p]) =>
+    [...p.workloadRates].map(([workload, rate]) => ({ member, workload, rate })),
   );
   workloads.sort((a, b) => b.rate - a.rate);
   const encode = (list: typeof workloads): Data => ({
-    n: number,
+    n: version,
     p: Object.fromEntries(
-      [...parts].map(([member, p]) => [
+      [...members].map(([member, p]) => [
         member,
         [
           p.total,
           p.newJobs,
           p.maxInUse,
-          Object.fromEntries(list.filter((x) => x.member === member).map((x) => [x.kind, x.rate])),
+          Object.fromEntries(list.filter((x) => x.member === member).map((x) => [x.workload, x.rate])),
         ],
       ]),
     ),
@@ -394,11 +394,11 @@
 /** Reads the write allocation. */
 export function readAllocation(data: unknown): WriteAllocation {
   const d = data as { n: number; p: Record<string, [number, number, number, Record<string, number>]> };
-  const parts = Object.entries(d.p).map(
+  const members = Object.entries(d.p).map(
     ([member, [total, newJobs, maxInUse, rates]]) =>
       [member, { total, newJobs, maxInUse, workloadRates: new Map(Object.entries(rates)) }] as const,
   );
-  return { version: d.n, members: new Map(parts) };
+  return { version: d.n, members: new Map(members) };
 }
 
 /** The stored form of an incarnation record. */
--- a/src/core/storage/task-log/entry.ts
+++ b/src/core/storage/task-log/entry.ts
@@ -1,6 +1,6 @@
 /**
  * Entries of the task log: the difference between two versions of the state of a chunk of a job's tasks. Entries of many jobs
- * share a record, so that one write makes the placements and terminations of a whole scheduling round durable.
+ * share a record, so that one write makes the placements and terminations of a whole scheduling cycle durable.
  */
 import type { Data } from '../../../formats/index.js';
 import { BitSet, type ChunkRecord, type ChunkState, type PlacementRecord } from '../records.js';
@@ -39,7 +39,7 @@
   last: number,
   placed: StoredPlacement[],
   done: number[],
-  freed: number[],
+  removed: number[],
   failed: string[] | null,
 ];
 
@@ -55,7 +55,7 @@
   entry.failedHosts,
 ];
 
-function decodeEntry([job, chunk, from, to, last, placed, done, freed, failed]: StoredEntry): LogEntry {
+function decodeEntry([job, chunk, from, to, last, placed, done, removed, failed]: StoredEntry): LogEntry {
   const placements = placed.map(([index, attempt, host]): PlacementRecord => ({ index, attempt, host }));
   return {
     job,
@@ -65,7 +65,7 @@
     lastAttempt: last,
     placements,
     done,
-    removed: freed,
+    removed,
     failedHosts: failed,
   };
 }
@@ -124,12 +124,12 @@
   const placementsBefore = new Map(before.placements.map((p) => [p.index, p]));
   const placementsAfter = new Map(after.placements.map((p) => [p.index, p]));
   const isUnchanged = (p: PlacementRecord): boolean => {
-    const now = placementsAfter.get(p.index);
-    return now !== undefined && isSamePlacement(p, now);
+    const current = placementsAfter.get(p.index);
+    return current !== undefined && isSamePlacement(p, current);
   };
   const isNew = (p: PlacementRecord): boolean => {
-    const before = placementsBefore.get(p.index);
-    return before === undefined || !isSamePlacement(p, before);
+    const previous = placementsBefore.get(p.index);
+    return previous === undefined || !isSamePlacement(p, previous);
   };
   const done: number[] = [];
   for (let i = 0; i < after.size; i++) if (after.done.has(i) && !before.done.has(i)) done.push(i);
--- a/src/core/storage/task-log/writer.ts
+++ b/src/core/storage/task-log/writer.ts
@@ -225,15 +225,15 @@
 
   private clearsOf(id: string): LogEntry[] {
     return [...(this.replica.chunks.get(id) ?? [])].map(
-      ([chunk, { version: revision, lastAttempt: last, placements: placed }]): LogEntry => ({
+      ([chunk, { version, lastAttempt, placements }]): LogEntry => ({
         job: id,
         chunk,
-        fromVersion: revision,
-        toVersion: revision + 1,
-        lastAttempt: last,
+        fromVersion: version,
+        toVersion: version + 1,
+        lastAttempt,
         placements: [],
         done: [],
-        removed: placed.map((p) => p.index),
+        removed: placements.map((p) => p.index),
         failedHosts: null,
       }),
     );
--- a/src/core/storage/task-writer.ts
+++ b/src/core/storage/task-writer.ts
@@ -315,7 +315,7 @@
   private wasChangedElsewhere(job: ScheduledJob, chunk: TaskChunk): boolean {
     const { replica } = this;
     if (replica.taskStateModRevision(job.id, chunk.index) !== chunk.modRevision) return true;
-    const revision = replica.chunks.get(job.id)?.get(chunk.index)?.version ?? 0;
-    return revision > chunk.durableVersion;
+    const version = replica.chunks.get(job.id)?.get(chunk.index)?.version ?? 0;
+    return version > chunk.durableVersion;
   }
 }
--- a/src/core/storage/transaction-batcher.ts
+++ b/src/core/storage/transaction-batcher.ts
@@ -59,7 +59,7 @@
   /** No transaction is built before the replica has reached this revision, at which the level or the incarnation changed. */
   private blockedUntilRevision = -1;
   /** Whether the transaction in flight awaits a response; false: it is to be sent again. */
-  private isSent = true;
+  private awaitsResponse = true;
   /** No transaction is sent or resent before this time, ms. */
   private resendAt = 0;
   private readonly retries: RetryBackoff;
@@ -159,7 +159,7 @@
       if (this.unresolvedConflict) {
         if (this.replica.watchRevision >= this.unresolvedConflict.revision)
           this.resolveConflict(this.unresolvedConflict.failed, this.unresolvedConflict.revision);
-      } else if (!this.isSent && now >= this.resendAt) this.send(now, effects);
+      } else if (!this.awaitsResponse && now >= this.resendAt) this.send(now, effects);
     }
     if (this.inFlight || now < this.resendAt || this.tokens < 1) return;
     if (this.replica.watchRevision < this.blockedUntilRevision) return;
@@ -238,7 +238,7 @@
   }
 
   private send(now: number, effects: Effect[]): void {
-    this.isSent = true;
+    this.awaitsResponse = true;
     this.lastSentAt = now;
     this.tokens -= this.inFlight!.transaction.writes.length;
     effects.push({ type: 'commit', txn: this.inFlight!.transaction });
@@ -262,7 +262,7 @@
       case 'unknown':
         this.backOff(now);
         inFlight.isOutcomeUnknown = true;
-        this.isSent = false;
+        this.awaitsResponse = false;
         return;
       case 'lease-expired':
       case 'malformed':
@@ -279,7 +279,7 @@
         this.limits.writesPerS * maxBudgetShare,
         this.probedWritesPerS + this.limits.writesPerS * additiveIncrease,
       );
-    // Apply our own writes at once, without waiting for the watch to deliver them.
+    // Applies the writes of this controller at once, without waiting for the watch to deliver them.
     for (const { key, data } of transaction.writes) this.replica.apply({ key, data, stamp: revision });
     for (const { pending } of built) pending.onCommitted(revision);
   }
@@ -319,14 +319,14 @@
     this.tokens = Math.min(this.tokens, 0);
     this.resendAt = now + backoffDelayMs(this.retryPolicy, 1, this.random);
     // The writes are queued again and users are not rejected: only an outage does that, not a short burst.
-    if (inFlight.isOutcomeUnknown) this.isSent = false;
+    if (inFlight.isOutcomeUnknown) this.awaitsResponse = false;
     else this.requeue(inFlight.built);
   }
 
   private onRejected(inFlight: InFlight, now: number): void {
     this.backOff(now);
     if (inFlight.isOutcomeUnknown) {
-      this.isSent = false;
+      this.awaitsResponse = false;
       return;
     }
     this.inFlight = null;
