--- a/src/core/autoscaler/inventory.ts
+++ b/src/core/autoscaler/inventory.ts
@@ -11,7 +11,7 @@
 
 /** A machine that is neither listed nor sends heartbeats for this many listing lags is marked dead. */
 const maxAbsenceListLags = 4;
-/** Minimum age of a record for that, in units of that time, since a new machine may not be listed yet. */
+/** The record of such a machine must be older than this many times that limit, since a new machine may not be listed yet. */
 const minRecordAgeAbsenceLimits = 2;
 
 /** Finds recorded machines that no longer exist, and existing machines that have no record. */
--- a/src/core/autoscaler/request-budget.ts
+++ b/src/core/autoscaler/request-budget.ts
@@ -2,7 +2,7 @@
 import type { RetryBackoff } from '../../retry/index.js';
 import type { Clock } from '../effects.js';
 
-/** Fraction of the cloud's request limit that is used; the rest allows for clock differences between the cloud and us. */
+/** Fraction of the cloud's request limit that is used; the rest allows for clock differences between the cloud and this process. */
 const usableLimitFraction = 0.8;
 
 /** Token bucket for cloud requests. Its capacity is one second's worth of requests. */
--- a/src/core/capacity-index.ts
+++ b/src/core/capacity-index.ts
@@ -65,8 +65,8 @@
 }
 
 /**
- * The machines of a shard in the policy's order of preference, for one scheduling cycle. The naive implementation scores every machine
- * for every job. Since the score within a group depends on image and fullness only, the index keeps the groups sorted and merges them
+ * The machines of a shard in the policy's order of preference, for one scheduling cycle. Scoring every machine for every job would be
+ * expensive. Since the score within a group depends on image and fullness only, the index keeps the groups sorted and merges them
  * lazily, only as far as a job needs machines.
  */
 export class CapacityIndex<M extends IndexedMachine> {
--- a/src/core/data-loss-recovery.ts
+++ b/src/core/data-loss-recovery.ts
@@ -49,7 +49,7 @@
     this.incarnations = new IncarnationManager(options);
   }
 
-  /** Whether controllers may act: write, grant leases, start tasks, rent and return machines, answer workers. */
+  /** Whether controllers may act: write, grant leases, start tasks, request and delete machines, answer workers. */
   get mayAct(): boolean {
     return this.essentialsRestored && this.options.replica.incarnation?.stage !== 'open';
   }
--- a/src/core/data-loss/data-loss-monitor.ts
+++ b/src/core/data-loss/data-loss-monitor.ts
@@ -92,7 +92,7 @@
 
   // ---- evidence ----
 
-  /** Handles the result of an own commit that was executed at this revision. */
+  /** Handles the result of a commit of this controller that was executed at this revision. */
   revisionReached(revision: number): void {
     this.detector.revisionReached(revision, this.options.clock.now);
   }
@@ -118,7 +118,7 @@
       );
   }
 
-  /** Handles conditions of an own commit that failed at this revision. */
+  /** Handles conditions of a commit of this controller that failed at this revision. */
   conditionsFailed(failed: readonly KeyRevision[], revision: number): void {
     // A key that was required to be absent may have been created and deleted again, so its failure proves nothing.
     for (const f of failed) if (f.stamp > 0) this.detector.conditionFailed(f.key, f.stamp, revision);
--- a/src/core/heartbeat-reconciler.ts
+++ b/src/core/heartbeat-reconciler.ts
@@ -29,8 +29,9 @@
 type ReportedTasks = ReadonlyMap<string, TaskStatus>;
 
 /**
- * Updates the placements by what heartbeats report as running, and turns durable placements into orders. A heartbeat that carries the
- * current owner's fencing token also proves which tasks do not run: after it, no earlier owner can have a task started.
+ * Updates the placements according to the tasks that heartbeats list, and creates start orders for durable placements. A heartbeat
+ * that carries the current owner's fencing token also proves which tasks do not run: after it, no earlier owner can have a task
+ * started.
  */
 export class HeartbeatReconciler {
   /** Exits of tasks that their workers still list, by machine, task and attempt. */
@@ -116,8 +117,8 @@
       if (placement.job.unreadable) continue;
       const status = reported.get(key);
       if (status?.attempt === placement.attempt) {
-        // The first heartbeat that a new owner receives may be an old copy from an earlier agent session, and a repaired gang may have
-        // the same attempt on the machine again. So any exit other than completion counts only under the current token; a
+        // The first heartbeat that a new owner receives may be an old copy from before a restart of the agent, and a repaired gang may
+        // have the same attempt on the machine again. So any exit other than completion counts only under the current token; a
         // completion stays valid.
         const exitedIncomplete = status.phase === 'exited' && status.exitReason !== 'done';
         if (hasCurrentToken || !exitedIncomplete) this.applyTaskStatus(machine, placement, status);
--- a/src/core/held-responses.ts
+++ b/src/core/held-responses.ts
@@ -41,7 +41,7 @@
 
   /** Holds the response to a heartbeat for which there are no orders, if this may be useful; returns whether it is held. */
   tryHold(machine: ScheduledMachine, heartbeat: Heartbeat, token: number, requestId: number): boolean {
-    // In a pool, agents are asked for a heartbeat when there are tasks to start.
+    // In a pool, workers are asked for a heartbeat when there are tasks to start.
     if (this.settings.pool) return false;
     // A machine that is about to be reclaimed or released must not be delayed in sending its next heartbeat.
     if (heartbeat.fencingToken !== token || heartbeat.noticeS !== null || machine.quarantined) return false;
--- a/src/core/load-sharing.ts
+++ b/src/core/load-sharing.ts
@@ -1,6 +1,6 @@
 /**
- * Load sharing between controllers: an overloaded owner asks its peers to accept the connections of its agents and forward their
- * heartbeats, redirects agents to a peer, and as a last resort hands over its shards.
+ * Load sharing between controllers: an overloaded owner asks its peers to accept the connections of its workers and forward their
+ * heartbeats, redirects workers to a peer, and as a last resort hands over its shards.
  */
 import type { Settings } from '../config/settings.js';
 import {
@@ -29,7 +29,7 @@
   readonly shardManager: ShardManager;
   readonly peers: Peers;
   readonly clock: Clock;
-  /** With more connections than this, an owner asks its peers to accept agents' connections. */
+  /** With more connections than this, an owner asks its peers to accept workers' connections. */
   readonly preferredConnections: number;
   /** Whether the replica is recent enough to answer workers from it. */
   readonly mayAnswerWorkers: () => boolean;
@@ -63,7 +63,7 @@
     return this.load.utilization >= offloadStartUtilization;
   }
 
-  /** Whether peers are asked to accept agents' connections and forward their heartbeats. */
+  /** Whether peers are asked to accept workers' connections and forward their heartbeats. */
   get isOffloading(): boolean {
     return this.offloading;
   }
@@ -79,7 +79,7 @@
     this.forwardedBy.set(forwardedBy, (this.forwardedBy.get(forwardedBy) ?? 0) + 1);
   }
 
-  /** Returns the peer to which one more agent should be redirected, and counts the redirect; null if there is none. */
+  /** Returns the peer to which one more worker should be redirected, and counts the redirect; null if there is none. */
   takeRedirectTarget(): string | null {
     const { shardManager, peers, preferredConnections } = this.options;
     const maxRedirects = Math.max(1, shardManager.machines.size * maxRedirectedShare);
--- a/src/core/record-migrator.ts
+++ b/src/core/record-migrator.ts
@@ -14,7 +14,7 @@
     this.migration = new MigrationPacer(settings.state.write_rps, operators['sweep-share'], reportIntervalMs);
   }
 
-  /** Makes all jobs be checked again: to be called when the level in force or the set of jobs has changed. */
+  /** Causes all jobs to be checked again. To be called when the level in force or the set of jobs has changed. */
   restart(): void {
     this.isPending = true;
   }
--- a/src/core/replica/machine-table.ts
+++ b/src/core/replica/machine-table.ts
@@ -57,7 +57,7 @@
     for (const host of hosts)
       if (!this.origins.has(host)) {
         // A block is rewritten when machines leave it. The others keep the revision at which the block first listed them,
-        // because it is the one at which they came under their owner.
+        // because their owner has been responsible for them since then.
         this.origins.set(host, { block: id, modRevision });
         if (!this.hasOwnRecord(host)) this.resolve(host);
       }
--- a/src/core/scheduling/arrays.ts
+++ b/src/core/scheduling/arrays.ts
@@ -1,4 +1,4 @@
-/** Placement of array and service tasks. Unlike a gang's, they are placed independently of each other. */
+/** Placement of array and service tasks. Unlike the tasks of a gang, they are placed independently of each other. */
 import { fits, fitCount } from '../../model/machine.js';
 import { zoneAllows } from '../../policy/guardrails.js';
 import { isSuspect } from '../failure-attribution.js';
--- a/src/core/scheduling/minimum-shares.ts
+++ b/src/core/scheduling/minimum-shares.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * The jobs that are placed first because their team and class had less than their minimum share, with the number of their tasks
- * that may be.
+ * The jobs that are placed first because their team and class had less than their minimum share, with the maximum number of
+ * their tasks that are placed first.
  */
 export function jobsBelowMinimumShare(
   shardState: ShardState,
--- a/src/core/shard-state/machines.ts
+++ b/src/core/shard-state/machines.ts
@@ -8,7 +8,7 @@
 
 /**
  * Builds the state of a machine that this process has just acquired. Its worker's lease cannot have expired before
- * `earliestLeaseExpiry` (on the steady clock, ms).
+ * `earliestLeaseExpiry` (on the monotonic clock, ms).
  */
 export const createScheduledMachine = (
   record: VersionedMachine,
--- a/src/core/shard-state/reservations.ts
+++ b/src/core/shard-state/reservations.ts
@@ -8,7 +8,7 @@
 export interface Reservation {
   /** The id of the job that the machine is reserved for. */
   readonly job: string;
-  /** When the reservation expires, on the steady clock, ms. */
+  /** When the reservation expires, on the monotonic clock, ms. */
   readonly expiresAt: number;
 }
 
--- a/src/core/shard-state/types.ts
+++ b/src/core/shard-state/types.ts
@@ -30,7 +30,7 @@
 export interface StopRequest {
   /** The time that the task gets to save its state, s. */
   readonly graceS: number;
-  /** When the request was made, on the steady clock, ms. */
+  /** When the request was made, on the monotonic clock, ms. */
   readonly since: number;
 }
 
@@ -91,7 +91,7 @@
   readonly id: string;
   readonly spec: JobSpec;
   readonly shard: number;
-  /** Time of day at which the job was accepted, ms. */
+  /** Wall-clock time at which the job was accepted, ms. */
   readonly acceptedAt: number;
   /** The revision of its record. */
   modRevision: number;
@@ -127,7 +127,7 @@
   anyHostAllowed: boolean;
   /** None of its tasks is placed before this time, ms. */
   retryNotBefore: number;
-  /** Time of day since when none of its tasks has been placed, ms. Meaningless while some are placed. */
+  /** Wall-clock time since when none of its tasks has been placed, ms. Meaningless while some are placed. */
   unplacedSince: number;
   /** Its machine requirements and preferences other than type and zone; null: none. */
   match: MachineMatch | null;
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -24,7 +24,7 @@
   because: Record<string, number>;
 }
 
-/** The jobs of one team: open jobs, jobs done since the shard was acquired, tasks, and what they use of the team's limit. */
+/** The jobs of one team: open jobs, jobs done since the shard was acquired, tasks, and what they use of the team's quota. */
 interface TeamSummary {
   open: number;
   done: number;
--- a/src/core/user-requests.ts
+++ b/src/core/user-requests.ts
@@ -110,7 +110,7 @@
   readonly rejections = new Map<string, number>();
   private readonly demandEstimates: DemandEstimates;
   private lastBacklogAt = -Infinity;
-  /** The rates of teams and classes in the allocation; if empty, they are weighted by quota and urgency. */
+  /** The rates of teams and classes in the allocation; if empty, they are weighted by guarantee and urgency. */
   private workloadRates: ReadonlyMap<string, number> = new Map();
   private defaultWorkloadRate = 1;
   private readonly cancellationWrites = new Map<string, { requestIds: number[]; since: number }>();
