--- a/src/core/replica.ts
+++ b/src/core/replica.ts
@@ -134,7 +134,7 @@
   /** The revision at which each key that has a value was last written. */
   private readonly modRevisions = new Map<string, number>();
   /** The ID of the transaction that wrote the value of a key, by key. */
-  private readonly transactionIds = new Map<string, string>();
+  private readonly writers = new Map<string, string>();
   /** Revisions of this controller's own deletions that the watch has not reached yet, by key. */
   private readonly recentDeletions = new Map<string, number>();
   private readonly readability = new RecordReadability({
@@ -216,14 +216,14 @@
   private recordPut(ref: ParsedKey, key: string, { w: writer }: StoredValue, modRevision: number): void {
     if (ref.kind === 'job' && !this.modRevisions.has(key)) this.jobCount++;
     this.modRevisions.set(key, modRevision);
-    if (typeof writer === 'string') this.transactionIds.set(key, writer);
-    else this.transactionIds.delete(key);
+    if (typeof writer === 'string') this.writers.set(key, writer);
+    else this.writers.delete(key);
   }
 
   private recordDeletion(ref: ParsedKey, key: string, modRevision: number): void {
     if (ref.kind === 'job' && this.modRevisions.has(key)) this.jobCount--;
     this.modRevisions.delete(key);
-    this.transactionIds.delete(key);
+    this.writers.delete(key);
     this.readability.recordDeleted(ref, key);
     if (modRevision > this.watchRevision) this.recentDeletions.set(key, modRevision);
   }
@@ -370,7 +370,7 @@
 
   /** The ID of the transaction that wrote the value of a key; undefined: it has none. */
   transactionIdOf(key: string): string | undefined {
-    return this.transactionIds.get(key);
+    return this.writers.get(key);
   }
 
   /** Iterates over all keys that have a value, with the revisions at which they were last written. */
