--- a/test/support/concurrent-failures.ts
+++ b/test/support/concurrent-failures.ts
@@ -32,11 +32,11 @@
 }
 
 /** A simulated cluster with long tasks and three controllers that are ready to serve. */
-export function longWorld(seed: number, setting: LongWorldOptions = {}): World {
-  const w = new World(3, operators, seed, setting.modifySettings);
-  w.capacity = setting.capacity ?? 80;
-  w.taskDurationS = setting.taskDurationS ?? 600;
-  setting.prepare?.(w);
+export function longWorld(seed: number, options: LongWorldOptions = {}): World {
+  const w = new World(3, operators, seed, options.modifySettings);
+  w.capacity = options.capacity ?? 80;
+  w.taskDurationS = options.taskDurationS ?? 600;
+  options.prepare?.(w);
   const isReady = (n: Node): boolean =>
     n.controller.replica.machineTypes.length > 0 &&
     n.controller.replica.shards.size > 0 &&
@@ -214,7 +214,7 @@
  */
 export function testConcurrentFailures(
   name: string,
-  scene: ScenarioOptions,
+  options: ScenarioOptions,
   injectFaults: (w: World, at: (s: number, f: () => void) => void, users: Traffic) => FailureScenario,
 ): void {
   const {
@@ -224,7 +224,7 @@
     share = 1,
     withinS,
     regressionSeeds = [],
-  } = scene;
+  } = options;
   test(name, () => {
     const requiredSeeds = Math.max(1, Math.round(seedCount * share));
     const runSeed = (seed: number): boolean => {
--- a/test/support/flood.ts
+++ b/test/support/flood.ts
@@ -14,7 +14,7 @@
   startMs: number;
   /** The duration of the stream. */
   lengthMs: number;
-  /** What the jobs of the stream have instead of the defaults. */
+  /** Fields of the jobs that differ from the default. */
   job: Partial<JobSpec>;
   /** Indexes of the controllers that the stream is sent to; by default all. */
   through?: number[];
--- a/test/support/rolling-upgrade.ts
+++ b/test/support/rolling-upgrade.ts
@@ -20,8 +20,8 @@
   /** The feature level in force while all controllers run the earlier program. */
   earlierLevel: number;
   /**
-   * Whether the earlier program knows feature levels. If so, it stands by and reports it when it restarts after the level was
-   * raised; a program without levels cannot do so.
+   * Whether the earlier program knows feature levels. If so, it stands by and logs this when it restarts after the level was
+   * raised; a program without levels cannot.
    */
   earlierKnowsLevels: boolean;
 }
@@ -91,7 +91,7 @@
 /** Whether the stored level is the newest that the current program knows. */
 export const isAtNewestLevel = (w: World): boolean => levelOf(w).level === newestLevel;
 
-/** Advances until every job is known to be done or aborted, and checks that no rule was violated. */
+/** Advances until every job is known to be done or aborted, and checks that no invariant was violated. */
 export function finishAndCheck(w: World, users: Traffic, withinS = 240): void {
   users.stopSubmitting();
   const allFinished = w.advanceUntil(() => users.allEnded, withinS);
@@ -137,11 +137,11 @@
     }
   },
   'the leader is upgraded first; the owner of shards is upgraded first'(versions) {
-    for (const first of [leaderOf, ownerOf]) {
+    for (const selectFirst of [leaderOf, ownerOf]) {
       const { w, users } = startEarlierPrograms(versions);
       const replaced = new Set<Node>();
       for (let i = 0; i < 3; i++) {
-        const n = first(w);
+        const n = selectFirst(w);
         const next = n && !replaced.has(n) ? n : w.nodes.find((x) => !replaced.has(x))!;
         replaced.add(next);
         restart(w, next, versions.installCurrent);
@@ -282,11 +282,11 @@
       assert.equal(n.controller.shardManager.ownedShards.size, 0);
       if (versions.earlierKnowsLevels) {
         assert.equal(n.controller.healthy, false);
-        assert.equal(n.logLines.filter(([, what]) => what.startsWith('standing by')).length, 1);
+        assert.equal(n.logLines.filter(([, message]) => message.startsWith('standing by')).length, 1);
         assert.equal(n.submit(spec('req-9'))?.status, 503);
         assert.equal(n.status('req-8')?.status, 503);
       }
-      // It must not take over while all controllers with the current program are down.
+      // This controller must not take over while all controllers with the current program are down.
       const others = w.nodes.filter((x) => x !== n);
       for (const x of others) x.alive = false;
       w.advance(25);
--- a/test/support/scripted-worker.ts
+++ b/test/support/scripted-worker.ts
@@ -35,7 +35,7 @@
   /** Its heartbeats arrive, but responses and direct commands to it are lost. */
   losesResponses = false;
   /** Direct commands received while the machine hung. */
-  private readonly delayedCommands: { orders: TaskOrder[]; token: number; session: number }[] = [];
+  private readonly delayedCommands: { orders: TaskOrder[]; token: number; agentEpoch: number }[] = [];
   /** Members whose controllers it cannot reach. */
   readonly unreachableNodes = new Set<string>();
   /** Every task fails as soon as it starts. */
@@ -118,7 +118,7 @@
       this.nextHeartbeatAt = scheduledAt;
     }
     for (const delayed of this.delayedCommands.splice(0))
-      this.receiveDirectCommands(delayed.orders, delayed.token, delayed.session);
+      this.receiveDirectCommands(delayed.orders, delayed.token, delayed.agentEpoch);
     for (const t of this.tasks.values()) this.advanceImageFetch(t);
     for (const t of this.tasks.values())
       if (t.report.phase === 'saving' && w.now - t.since > (t.saveS ?? 0) * 1000)
@@ -149,7 +149,7 @@
       return;
     }
     const sentAt = w.now;
-    const session = this.agentEpoch;
+    const agentEpoch = this.agentEpoch;
     const requestId = ++w.nextRequestId;
     const report = this.report();
     if (!node.controller.replica.machines.has(this.host)) w.heartbeatsBeforeRecord++;
@@ -169,23 +169,23 @@
     this.inFlight = true;
     const delayMs = w.responseDelayMs();
     if (delayMs > 0) this.nextHeartbeatAt = Math.max(this.nextHeartbeatAt, w.now + delayMs + 200);
-    w.schedule(100 + delayMs, () => this.receiveResponse(node, requestId, sentAt, session));
+    w.schedule(100 + delayMs, () => this.receiveResponse(node, requestId, sentAt, agentEpoch));
   }
 
-  private receiveResponse(node: Node, requestId: number, sentAt: number, session: number): void {
+  private receiveResponse(node: Node, requestId: number, sentAt: number, agentEpoch: number): void {
     const w = this.world;
     // A machine that resumes processes responses received while it hung, unless they are too old.
     if (this.hung && w.now - sentAt < 4000)
-      return w.schedule(50, () => this.receiveResponse(node, requestId, sentAt, session));
+      return w.schedule(50, () => this.receiveResponse(node, requestId, sentAt, agentEpoch));
     // Only one heartbeat is in flight. The worker waits for its response up to 4 s, while the controller is alive.
     const stillWaiting =
       !this.silent && !this.losesResponses && node.alive && !this.unreachableNodes.has(node.member);
     if (!node.responses.has(requestId) && stillWaiting && w.now - sentAt < 4000)
-      return w.schedule(10, () => this.receiveResponse(node, requestId, sentAt, session));
+      return w.schedule(10, () => this.receiveResponse(node, requestId, sentAt, agentEpoch));
     const response = node.responses.get(requestId);
     node.responses.delete(requestId);
     this.inFlight = false;
-    if (this.silent || this.hung || this.losesResponses || session !== this.agentEpoch) return;
+    if (this.silent || this.hung || this.losesResponses || agentEpoch !== this.agentEpoch) return;
     this.longestGapMs = Math.max(this.longestGapMs, w.now - this.leaseRenewedAt);
     if (response?.status !== 200) {
       const ownerIndex = w.nodes.findIndex((n) => n.member === response?.body['boss']);
@@ -238,11 +238,14 @@
     }
   }
 
-  /** Receives commands that a controller sent directly. Late commands are executed, too, if session and token are still valid. */
-  receiveDirectCommands(orders: TaskOrder[], token: number, session: number): void {
+  /**
+   * Receives commands that a controller sent directly. Late commands are executed, too, if their agent epoch and fencing
+   * token are still valid.
+   */
+  receiveDirectCommands(orders: TaskOrder[], token: number, agentEpoch: number): void {
     if (this.losesResponses) return;
-    if (this.hung) this.delayedCommands.push({ orders, token, session });
-    else if (session === this.agentEpoch) this.execute(orders, token);
+    if (this.hung) this.delayedCommands.push({ orders, token, agentEpoch });
+    else if (agentEpoch === this.agentEpoch) this.execute(orders, token);
   }
 
   /** Executes task commands unless their fencing token is outdated. */
--- a/test/support/test-cluster.ts
+++ b/test/support/test-cluster.ts
@@ -17,7 +17,7 @@
 const mainPath = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 /** A log function that discards all messages. */
 const discardLog = (): undefined => undefined;
-/** Waits for so many milliseconds of real time. */
+/** Waits for the given number of milliseconds of real time. */
 export const pause = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
 
 /** A task as the control service shows it to users. */
@@ -71,7 +71,7 @@
     this.interrupted = true;
     for (const s of [...this.connections].flat()) s.pause();
   }
-  /** Delivers what was held back and lets traffic pass again. */
+  /** Delivers what was held back and forwards all traffic again. */
   restore(): void {
     this.interrupted = false;
     for (const s of [...this.connections].flat()) s.resume();
@@ -132,12 +132,12 @@
       (team default) (team small (cpus-max 1)) (class quick (sleep-s 0.05)) (class stuck (hang true)) (class bad (fail 1) (sleep-s 0.05)))`;
   }
   /** The settings file of an agent. */
-  agentSettings(name: string, more = '(cpus 4) (mem-gb 2)'): string {
+  agentSettings(name: string, moreSettings = '(cpus 4) (mem-gb 2)'): string {
     const controls = [...this.controls].map(
       ([n, port], i) =>
         `(control "127.0.0.1:${i === 0 && this.agentProxy ? this.agentProxy.port : port}" ${n})`,
     );
-    return `(agent (name ${name}) ${controls.join(' ')} (directory "${join(this.dir, name)}") (type t) (grace-s 0.3) ${more})`;
+    return `(agent (name ${name}) ${controls.join(' ')} (directory "${join(this.dir, name)}") (type t) (grace-s 0.3) ${moreSettings})`;
   }
   /** Starts a control service in this process. */
   async startControl(): Promise<void> {
@@ -158,9 +158,9 @@
     return this.openControlService!.control;
   }
   /** Starts an agent in this process. */
-  async startAgent(name: string, more?: string): Promise<Agent> {
+  async startAgent(name: string, moreSettings?: string): Promise<Agent> {
     const agent = new Agent(
-      parseAgentSettings(this.agentSettings(name, more)),
+      parseAgentSettings(this.agentSettings(name, moreSettings)),
       seededRandom(this.agents.size),
       discardLog,
     );
@@ -267,7 +267,7 @@
     }
     assert.fail('the condition did not become true in time');
   }
-  /** Waits until the control service in this process has exactly so many machines that may be given tasks. */
+  /** Waits until the control service in this process has exactly the given number of machines that tasks may be placed on. */
   waitForMachines(machines: number): Promise<void> {
     const all = () => [...this.service.service.controller.shardManager.machines.values()];
     return this.waitUntil(
@@ -302,14 +302,14 @@
 
 /** Runs a test with control services and agents, and stops and deletes everything afterwards. */
 export const withTestCluster = async (
-  use: (s: TestCluster) => Promise<void>,
-  more?: string,
-  names?: string[],
+  use: (cluster: TestCluster) => Promise<void>,
+  extraSettings?: string,
+  controlNames?: string[],
 ): Promise<void> => {
-  const s = await new TestCluster(more, names).allocatePorts();
+  const cluster = await new TestCluster(extraSettings, controlNames).allocatePorts();
   try {
-    await use(s);
+    await use(cluster);
   } finally {
-    await s.tearDown();
+    await cluster.tearDown();
   }
 };
--- a/test/support/traffic.ts
+++ b/test/support/traffic.ts
@@ -13,7 +13,7 @@
   kind: 'submit' | 'query' | 'cancel';
 }
 
-/** What users distinguish of a job's status. */
+/** The job statuses that users distinguish. */
 type ReportedStatus = 'accepted' | 'done' | 'aborted';
 /** A known status is replaced only by one of a higher rank. */
 const statusRank: Record<ReportedStatus, number> = { accepted: 0, done: 1, aborted: 1 };
@@ -120,7 +120,7 @@
 
   /** Jobs that were accepted and are not known to have ended. */
   get unfinishedJobs(): string[] {
-    return [...this.reportedStatus].flatMap(([id, told]) => (told === 'accepted' ? [id] : []));
+    return [...this.reportedStatus].flatMap(([id, status]) => (status === 'accepted' ? [id] : []));
   }
 
   /** Sends cancellations, queries and repeated submissions around the time at which the last task of a job ends. */
@@ -149,7 +149,7 @@
     this.submitting = false;
   }
 
-  /** Whether users were told of every job that it has ended. */
+  /** Whether users were told that every job has ended. */
   get allEnded(): boolean {
     return [...this.jobs.keys()].every(
       (id) => this.reportedStatus.get(id) === 'done' || this.reportedStatus.get(id) === 'aborted',
@@ -214,8 +214,8 @@
   private poll(): void {
     this.lastPollAt = this.w.now;
     this.pollCount++;
-    for (const [id, told] of this.reportedStatus) {
-      if (told !== 'accepted') {
+    for (const [id, status] of this.reportedStatus) {
+      if (status !== 'accepted') {
         if (this.pollCount % 10 === Number(id.slice(-1))) this.sendRequest('query', id);
         continue;
       }
--- a/test/support/wait-monitor.ts
+++ b/test/support/wait-monitor.ts
@@ -38,10 +38,10 @@
       const spec = w.jobSpecs.get(id)!;
       if (!this.couldStart(spec)) this.waitingSince.delete(id);
       else if (!this.waitingSince.has(id)) this.waitingSince.set(id, w.now);
-      const ms = w.now - (this.waitingSince.get(id) ?? w.now);
-      if (ms > maxWaitMs && this.longestMs <= maxWaitMs)
-        w.violations.push(`waits ${id}: ${ms} ms although there is room`);
-      this.longestMs = Math.max(this.longestMs, ms);
+      const waitMs = w.now - (this.waitingSince.get(id) ?? w.now);
+      if (waitMs > maxWaitMs && this.longestMs <= maxWaitMs)
+        w.violations.push(`waits ${id}: ${waitMs} ms although there is room`);
+      this.longestMs = Math.max(this.longestMs, waitMs);
     }
     for (const id of this.waitingSince.keys())
       if (this.users.reportedStatus.get(id) !== 'accepted') this.waitingSince.delete(id);
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -266,7 +266,7 @@
     return condition();
   }
 
-  /** The tasks of a job that workers have and that have not ended, with their hosts. */
+  /** The tasks of a job that are on workers and have not exited, with their hosts. */
   running(job: string): { host: string; piece: string }[] {
     const list: { host: string; piece: string }[] = [];
     for (const w of this.workers.values())
