--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -37,12 +37,12 @@
     ['persist-state', 'heartbeat-soon', 'prepare'],
   );
   // Responses with a lower token, no token or another epoch are dropped and do not renew the lease.
-  for (const [response, session] of [
+  for (const [response, agentEpoch] of [
     [heartbeatResponse(4, [startOrder(1, 1)]), 1],
     [{ ...heartbeatResponse(5), token: null }, 1],
     [heartbeatResponse(5, [startOrder(1, 1)]), 2],
   ] as const)
-    assert.deepEqual(effectTypes(worker.onHeartbeatResponse(response, 9000, session)), []);
+    assert.deepEqual(effectTypes(worker.onHeartbeatResponse(response, 9000, agentEpoch)), []);
   assert.equal(worker.leaseStart, 100);
   // A repeated order for the same attempt has no effect; another attempt of a task that has not ended is rejected.
   assert.deepEqual(
--- a/test/allocation.test.ts
+++ b/test/allocation.test.ts
@@ -43,7 +43,8 @@
 const rate = fc.double({ min: 0, max: 80, noNaN: true });
 
 test('allocations: whichever one each controller follows, all together never exceed the budget', () => {
-  // Each step: the demands, who has caught up with the newest allocation, who has reported that, who is absent, time passing.
+  // Each step: the demands; which controllers catch up with the newest allocation, report it, are present or have fallen back;
+  // and whether enough time has passed for the allocation to settle.
   const step = fc.record({
     wants: fc.array(fc.tuple(rate, rate), { minLength: 4, maxLength: 4 }),
     catchesUp: fc.array(fc.boolean(), { minLength: 4, maxLength: 4 }),
@@ -69,7 +70,7 @@
           names.forEach((_, i) => {
             if (allocation && s.catchesUp[i]) followedVersions[i] = allocation.version;
             if (s.reports[i]) reportedVersions[i] = Math.max(reportedVersions[i], followedVersions[i]);
-            // The allocation is older than any replica can be: who does not follow it has fallen back.
+            // The allocation is older than any replica can be: controllers that do not follow it have fallen back.
             if (allocation && s.isSettled && followedVersions[i] < allocation.version)
               followedVersions[i] = -1;
             if (allocation && !s.isPresent[i] && s.hasFallenBack[i]) followedVersions[i] = -1;
@@ -354,7 +355,7 @@
     [5],
   );
   assert.deepEqual(minimumShares.findDeficits(12_000, usages(0.25)), []);
-  // Nothing of it waited in between, so the window starts again.
+  // None of its work waited in between, so the window starts again.
   minimumShares.findDeficits(20_000, usages(0, false));
   assert.deepEqual(minimumShares.findDeficits(29_000, usages(0)), []);
   const manyUsages = Array.from({ length: 10_000 }, (_, i) => ({
@@ -368,7 +369,7 @@
   assert.equal(manyWorkloads.findDeficits(1000, manyUsages).length, 16);
 });
 
-/** A full fleet with jobs with deadlines arriving for twice its capacity; jobs without a deadline are placed after all of them. */
+/** A full fleet with twice its capacity of arriving jobs with deadlines; jobs without a deadline are placed after all of them. */
 function fullFleet(minimumShare: number, overrides: Partial<JobSpec> = {}) {
   const w = new World(3, { 'idle-boots': 1000, 'floor-share': minimumShare });
   w.capacity = 4;
--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -49,7 +49,7 @@
  * Only the leader loses the state service while another controller confirms cancellations. Then the state service is unavailable
  * for all controllers for longer than `cancel_s`, and workers continue to send heartbeats to the old leader.
  */
-function runRefusedLeaderScenario(seed: number): void {
+function runLeaderCutOffScenario(seed: number): void {
   const w = longWorld(seed);
   const jobs = startLongJobs(w);
   const leader = leaderOf(w)!;
@@ -59,13 +59,13 @@
     workers: pick(w, workerFaults),
     confirmer: pick(w, confirmingNodeFaults),
     leader: pick(w, leaderFaults),
-    refusedS: 8 * w.random(),
+    cutOffS: 8 * w.random(),
     outageS: w.random() < 0.5 ? 2 * w.random() : cancelS * w.random(),
   };
   const description = `seed ${seed} ${JSON.stringify(choices)}`;
   leader.cutFromState = true;
   if (w.random() < 0.5) injectPeerFault(w, choices.peers, leader, others[0]);
-  w.advance(choices.refusedS);
+  w.advance(choices.cutOffS);
   let confirmingNode = others[0];
   for (const id of jobs.cancel) confirmingNode = cancelJob(w, id, others);
   const affected = [...w.workers.values()].filter(() => w.random() < 0.3);
@@ -102,7 +102,7 @@
 }
 
 test('only the leader loses the state service, another controller cancels jobs, then an outage exceeds cancel_s', () => {
-  for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) runRefusedLeaderScenario(seed);
+  for (let seed = firstSeed; seed < firstSeed + seedCount; seed++) runLeaderCutOffScenario(seed);
 });
 
 /**
@@ -113,7 +113,7 @@
  * All situations in which a controller may answer a heartbeat with 200 and thereby renew the worker's lease. Each case creates
  * its situation and calls `cancelJobs`. It returns a function that tells whether the situation occurred.
  */
-const renewalCases: Record<string, (w: World, way: RenewalContext) => () => boolean> = {
+const renewalCases: Record<string, (w: World, context: RenewalContext) => () => boolean> = {
   'the replica is up to date'(_, { owner, cancelJobs }) {
     cancelJobs();
     return () => !owner.controller.freshness.isStale;
@@ -145,7 +145,7 @@
     owner.paused = true;
     cancelJobs();
     w.schedule(2000 + 10_000 * w.random(), () => (owner.paused = false));
-    return () => owner.logLines.some(([, what]) => what === 'process stalled');
+    return () => owner.logLines.some(([, message]) => message === 'process stalled');
   },
   'the shard is handed over and back'(w, { owner, others, cancelJobs }) {
     const [target] = others;
@@ -206,7 +206,7 @@
  * Defines a test that injects temporary failures while users submit jobs. Afterwards no invariant may have been violated and all
  * jobs must end.
  */
-function testConcurrentFailures(
+function testTemporaryFailures(
   name: string,
   beforeS: number,
   injectFaults: (w: World, at: (s: number, f: () => void) => void) => number,
@@ -228,7 +228,7 @@
   });
 }
 
-testConcurrentFailures(
+testTemporaryFailures(
   'a leader crashes while workers with long tasks hang, are silent or lose responses',
   40,
   (w, at) => {
@@ -244,7 +244,7 @@
   },
 );
 
-testConcurrentFailures(
+testTemporaryFailures(
   'old heartbeats arrive after newer ones, across changes of the owner and of agent epochs',
   30,
   (w, at) => {
@@ -265,7 +265,7 @@
   },
 );
 
-testConcurrentFailures(
+testTemporaryFailures(
   'small jobs whose tasks end at very different times, across changes of the leader and of the feature level',
   15,
   (w, at) => {
@@ -285,27 +285,27 @@
   },
 );
 
-testConcurrentFailures(
+testTemporaryFailures(
   'a slow state service is unreachable for the leader, then unavailable for all for longer than cancel_s',
   30,
   (w, at) => {
     w.responseMs = 50 + 700 * w.random();
     const leader = pick(w, [leaderOf(w), ownerOf(w)])!;
-    const refusedS = 2 + 20 * w.random();
+    const cutOffS = 2 + 20 * w.random();
     const isolated = w.random() < 0.5;
     at(1, () => (leader.isolatedFromPeers = isolated));
     at(1, () => (leader.cutFromState = true));
-    at(1 + refusedS, () => (w.state.unavailable = true));
-    at(1 + refusedS + 3, () => (leader.cutFromState = false));
-    at(1 + refusedS + cancelS * 1.3, () => {
+    at(1 + cutOffS, () => (w.state.unavailable = true));
+    at(1 + cutOffS + 3, () => (leader.cutFromState = false));
+    at(1 + cutOffS + cancelS * 1.3, () => {
       w.state.unavailable = leader.isolatedFromPeers = false;
       w.responseMs = 5;
     });
-    return refusedS + cancelS * 1.3 + 4;
+    return cutOffS + cancelS * 1.3 + 4;
   },
 );
 
-testConcurrentFailures(
+testTemporaryFailures(
   'commands and responses are delayed by seconds, workers hang and resume, rentals and deletions are executed late',
   20,
   (w, at) => {
@@ -332,7 +332,7 @@
   },
 );
 
-testConcurrentFailures(
+testTemporaryFailures(
   'shards are handed over and back, all controllers crash, one restarts within a second',
   25,
   (w, at) => {
@@ -372,7 +372,7 @@
   },
 );
 
-testConcurrentFailures('transactions without a response are executed late, after newer ones', 20, (w, at) => {
+testTemporaryFailures('transactions without a response are executed late, after newer ones', 20, (w, at) => {
   w.state.delayedCommitShare = 0.35;
   for (let s = 3; s < 80; s += 8 + 10 * w.random())
     at(s, () => {
@@ -390,7 +390,7 @@
   return 100;
 });
 
-testConcurrentFailures(
+testTemporaryFailures(
   'a leader is isolated from state service and peers but reachable for workers and users; jobs are cancelled through its successor',
   40,
   (w, at) => {
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -184,7 +184,7 @@
   return { w, users };
 }
 
-/** The state service becomes unavailable and returns with less data. All jobs must finish without violating a rule. */
+/** The state service becomes unavailable and returns with less data. All jobs must finish without violating an invariant. */
 function runDataLossScenario(
   w: World,
   users: Traffic,
@@ -278,7 +278,7 @@
 test('recovery: all data is lost, and workers have seen earlier tokens: they accept a controller again', () => {
   const { w, users } = worldUnderLoad(7);
   users.stopSubmitting();
-  // A high revision, and therefore high tokens.
+  // The revision is high, and therefore the tokens are, too.
   w.state.revision += 5000;
   const owner = ownerOf(w)!;
   owner.alive = false;
@@ -294,7 +294,7 @@
     4,
     /^forgotten/,
   );
-  // Jobs that no controller knows any more are answered with 404 after the documented time; no other rule is violated.
+  // Jobs that no controller knows any more are answered with 404 after the documented time; no other invariant is violated.
   const node = w.nodes[0];
   assert.equal(node.submit(spec('req-7', { team: 'blue' }))?.status, 201);
   assert.ok(w.advanceUntil(() => node.controller.replica.jobs.get('req-7')?.state === 'done', 120));
--- a/test/feature-levels.test.ts
+++ b/test/feature-levels.test.ts
@@ -106,7 +106,7 @@
     ).type,
     'raise',
   );
-  // A member that was never seen, or last seen without the level, blocks the rise.
+  // A member that was never seen, or last seen without the level, prevents raising it.
   assert.deepEqual(
     decideLevelChange(decisionInput({ recordedCapabilities: twoMembers, observedCapabilities: twoMembers })),
     {
@@ -124,7 +124,7 @@
       why: 'waits for c (before levels)',
     },
   );
-  // A member that returns with an older program counts with that.
+  // A member that returns with an older program counts with the levels of that program.
   assert.equal(
     decideLevelChange(
       decisionInput({ recordedCapabilities: allMembersUpTo(2), observedCapabilities: withLegacyMember }),
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -5,7 +5,7 @@
 import { World } from './support/world.js';
 
 // Guards against a gang that is never placed again because it still counts as being torn down after its last task has
-// completed. Found by seed 4 of "jobs bound to one zone" with the task log.
+// completed. Found by seed 4 of "jobs bound to a zone" in leader-changes.test.ts with the task log.
 test('a gang that is being torn down when its last task completes can be placed again', () => {
   const w = new World(1);
   w.serviceJobs.add('req-1');
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -61,7 +61,7 @@
           else if (node && targetInstanceId && target !== node)
             node.controller.membership.handOver(0, target.member, targetInstanceId);
         });
-        // The sessions of some workers end, too. What was reported in those sessions must be ignored.
+        // The agent epochs of some workers end, too. Heartbeats of these epochs must be ignored from then on.
         const silenced = randomWorkers(w, 0.15);
         at(s - 2, () => silenced.forEach((m) => (m.silent = true)));
         at(s + 22 * w.random(), () => silenced.forEach((m) => (m.silent = false)));
@@ -97,7 +97,7 @@
           cancelledInZone += w.running(id).filter((r) => w.workers.get(r.host)!.zone === zone).length;
           users.cancel(id, pick(w, others));
         }
-        // Applies the partition to machines that were rented since, too.
+        // Applies the partition to machines that have been rented since then, too.
         if (w.now > 0) setPartition(true);
       });
     if (w.random() < 0.4) at(durationS * w.random(), () => crashAndRestart(w, pick(w, others), 0.5, 6));
@@ -111,7 +111,7 @@
   { beforeS: 30 },
   (w, at, users) => {
     let allDown = 0;
-    const failure = pick(w, ['killed', 'frozen', 'mixed'] as const);
+    const failure = pick(w, ['killed', 'paused', 'mixed'] as const);
     const durationS = 18 + 25 * w.random();
     at(1, () => users.unfinishedJobs.slice(0, 4).forEach((id) => users.cancel(id, pick(w, w.nodes))));
     at(1 + 0.5 * w.random(), () => {
@@ -194,8 +194,8 @@
   'urgent and other work exceeds the capacity while connections are slow',
   {
     beforeS: 10,
-    // 142: an owner gave up a task, placed others within the quota that this freed for their team, and crashed before that was
-    // written.
+    // Seed 142: an owner gave up a task, placed others within the quota that this freed for their team, and crashed before that
+    // was written.
     regressionSeeds: [142],
     world: (seed) => longWorld(seed, { capacity: 6 }),
     users: (w) => {
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -6,7 +6,7 @@
 import { spec } from './support/fixtures.js';
 
 // Guards against an old copy of a heartbeat that is the first one a new owner receives from a machine: a repaired gang may have the same
-// attempt on the machine again that exited in an earlier agent session.
+// attempt on the machine again that exited in an earlier agent epoch.
 test('a task exit in an old heartbeat counts only under the current fencing token', () => {
   const w = longWorld(1);
   const gang = spec('req-1', { team: 'blue', shape: 'gang', tasks: 2, cpus: 8 });
@@ -27,7 +27,7 @@
   previousOwner.boot();
   w.advance(30);
   assert.deepEqual(
-    owner.logLines.filter(([, what]) => what === 'gang torn down'),
+    owner.logLines.filter(([, message]) => message === 'gang torn down'),
     [],
   );
   for (const x of w.workers.values())
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -26,8 +26,8 @@
   return w;
 }
 
-const writesOf = (w: World, what: (txn: Transaction) => boolean = () => true): number =>
-  w.commits.reduce((n, c) => (c.outcome.type === 'ok' && what(c.txn) ? n + c.txn.writes.length : n), 0);
+const writesOf = (w: World, matches: (txn: Transaction) => boolean = () => true): number =>
+  w.commits.reduce((n, c) => (c.outcome.type === 'ok' && matches(c.txn) ? n + c.txn.writes.length : n), 0);
 
 /** Submits one-task jobs at a constant rate: the share accepted within 1 s, the time until done, and the writes per job. */
 function measureRate(maxLevel: number, perS: number): string {
--- a/test/measure.ts
+++ b/test/measure.ts
@@ -31,10 +31,10 @@
   const file = openSync(join(directory, 'probe'), 'w');
   const syncMs: number[] = [];
   for (let i = 0; i < 300; i++) {
-    const at = performance.now();
+    const startedAt = performance.now();
     writeSync(file, 'x'.repeat(200));
     fdatasyncSync(file);
-    syncMs.push(performance.now() - at);
+    syncMs.push(performance.now() - startedAt);
   }
   closeSync(file);
   printLine(
@@ -47,12 +47,12 @@
     await Promise.all(
       Array.from({ length: writers }, async (_, w) => {
         for (let i = 0; performance.now() < until; i++) {
-          const at = performance.now();
+          const startedAt = performance.now();
           await engine.commit({
             conditions: [],
             writes: [{ key: `k/${w}/${i % 100}`, data: { i, text: 'x'.repeat(100) } }],
           });
-          latenciesMs.push(performance.now() - at);
+          latenciesMs.push(performance.now() - startedAt);
         }
       }),
     );
@@ -135,7 +135,7 @@
   );
   await open.close();
   await pause(1000);
-  const at = performance.now();
+  const startedAt = performance.now();
   open = await openControl(settings, ignore, fatal);
   await open.control.start();
   await http.call('POST', '/work', job(1, 50), 5000);
@@ -145,14 +145,16 @@
     await pause(20);
   }
   printLine(
-    `restart: first submission accepted ${((performance.now() - at) / 1000).toFixed(2)} s after its start`,
+    `restart: first submission accepted ${((performance.now() - startedAt) / 1000).toFixed(2)} s after its start`,
   );
   const { shardState } = open.control.service.controller.shardManager;
   while (shardState.placementCount === 0) await pause(10);
-  printLine(`restart: first placement ${((performance.now() - at) / 1000).toFixed(2)} s after its start`);
+  printLine(
+    `restart: first placement ${((performance.now() - startedAt) / 1000).toFixed(2)} s after its start`,
+  );
   while (machines() < 1000) await pause(20);
   printLine(
-    `restart: all 1,000 agents reported ${((performance.now() - at) / 1000).toFixed(2)} s after its start`,
+    `restart: all 1,000 agents reported ${((performance.now() - startedAt) / 1000).toFixed(2)} s after its start`,
   );
   for (const a of all) a.stop();
   await open.close();
@@ -177,7 +179,7 @@
       : null;
   };
   await pause(6000);
-  const at = performance.now();
+  const startedAt = performance.now();
   for (;;) {
     const r = await http.call('POST', '/work', job(7, 10_000), 5000);
     if (r && r.status < 300) break;
@@ -186,14 +188,14 @@
   let kills = 0;
   for (;;) {
     await pause(250);
-    if (killEveryS !== null && performance.now() - at > (kills + 1) * killEveryS * 1000) {
+    if (killEveryS !== null && performance.now() - startedAt > (kills + 1) * killEveryS * 1000) {
       kills++;
       control.kill('SIGKILL');
       control = start();
     }
     const s = await firstJob();
-    if (s?.status === 'done' || performance.now() - at > 150_000) {
-      const tookS = (performance.now() - at) / 1000;
+    if (s?.status === 'done' || performance.now() - startedAt > 150_000) {
+      const tookS = (performance.now() - startedAt) / 1000;
       printLine(
         `10,000 tasks of 1 s on 200 agents of 4 CPUs${killEveryS === null ? '' : `, service killed every ${killEveryS} s (${kills} times)`}: ${s?.status ?? '?'} after ${tookS.toFixed(1)} s, ${(10_000 / tookS).toFixed(0)} tasks per second (800 is the capacity), ${s?.failed ?? '?'} failed`,
       );
@@ -210,9 +212,9 @@
   const { ClassAdMatcher } = await import('../src/matching/index.js');
   const { evaluate, parseAd, parseExpr } = await import('../src/classad/index.js');
   const timeMs = (f: () => void): number => {
-    const at = performance.now();
+    const startedAt = performance.now();
     f();
-    return performance.now() - at;
+    return performance.now() - startedAt;
   };
   const text =
     'TARGET.Memory >= MY.RequestMemory && OpSys == "LINUX" && (Site == "a" || HasScanner) && Cpus > 1';
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -63,7 +63,7 @@
 /** How many responses to transactions were lost, by the kind of key that they wrote. */
 const lostResponsesByKind = new Map<string, number>();
 
-/** A world that loses responses to transactions from its start on. */
+/** A simulated cluster that loses responses to transactions from its start on. */
 function lossyWorld(seed: number): World {
   return longWorld(seed, {
     prepare: (w) => {
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -19,13 +19,13 @@
 };
 const ownerOf = (w: World): Node =>
   w.nodes.find((n) => n.alive && n.controller.shardManager.ownedShards.size > 0)!;
-const sessions = (w: World): number[] => [...w.workers.values()].map((x) => x.agentEpoch);
+const agentEpochs = (w: World): number[] => [...w.workers.values()].map((x) => x.agentEpoch);
 
 test('in an outage longer than the maximum replica age, peers confirm the replica and no worker loses its lease', () => {
   const w = startCluster(3, 6);
   w.state.unavailable = true;
   w.advance(90);
-  assert.deepEqual(new Set(sessions(w)), new Set([1]));
+  assert.deepEqual(new Set(agentEpochs(w)), new Set([1]));
   const known = w.nodes[1].status('req-1');
   assert.equal(known?.status, 200);
   assert.equal(w.nodes[1].status('req-2')?.status, 503);
@@ -45,7 +45,7 @@
   other.boot();
   w.advance(60);
   // Workers lost their leases because no controller answered them once its replica was too old.
-  assert.ok(sessions(w).every((s) => s > 1));
+  assert.ok(agentEpochs(w).every((s) => s > 1));
   w.state.unavailable = false;
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 6, 90));
   assert.deepEqual(w.violations, []);
@@ -91,7 +91,7 @@
     [9, 7, 8],
   );
   r.record({ key: 'k10', data: {}, stamp: 10 });
-  // Stamp 9 was dropped with the half recorded first: below it, the buffer is no longer complete.
+  // Stamp 9 was dropped with the half of the buffer that was recorded first: the buffer is complete only for later changes.
   assert.equal(r.since(8), null);
   assert.deepEqual(
     r.since(9)?.map((c) => c.stamp),
@@ -197,12 +197,12 @@
   first.alive = false;
   assert.ok(w.advanceUntil(() => ownerOf(w) !== undefined && ownerOf(w) !== first, 20));
   const owner = ownerOf(w);
-  const inside = [...w.workers.values()].filter((x) => x.zone === 'south');
-  for (const x of inside) for (const n of w.nodes) x.unreachableNodes.add(n.member);
+  const workersInZone = [...w.workers.values()].filter((x) => x.zone === 'south');
+  for (const x of workersInZone) for (const n of w.nodes) x.unreachableNodes.add(n.member);
   w.advance(60);
   assert.equal(ownerOf(w), owner);
   assert.equal(w.running('req-1').length, 8);
-  for (const x of inside) x.unreachableNodes.clear();
+  for (const x of workersInZone) x.unreachableNodes.clear();
   w.advance(30);
   assert.deepEqual(w.violations, []);
 });
@@ -238,7 +238,7 @@
   }
   assert.ok(w.advanceUntil(() => ownerOf(w) !== owner, 40));
   w.advance(10);
-  assert.deepEqual(new Set(sessions(w)), new Set([1]));
+  assert.deepEqual(new Set(agentEpochs(w)), new Set([1]));
   for (const x of w.workers.values()) assert.ok(x.longestGapMs < w.leaseMs / 2, `${x.longestGapMs} ms`);
   assert.equal(w.running('req-1').length, 12);
   assert.deepEqual(w.violations, []);
@@ -256,7 +256,7 @@
   assert.ok(direct() < w.workers.size / 2, `${direct()} of ${w.workers.size}`);
   w.nodes[0].submit(spec('req-2', { team: 'blue', tasks: 4 }));
   assert.ok(w.advanceUntil(() => w.finishedTasks.length === 4, 90));
-  assert.deepEqual(new Set(sessions(w)), new Set([1]));
+  assert.deepEqual(new Set(agentEpochs(w)), new Set([1]));
   for (let i = 0; i < 20; i++) {
     owner.push({ type: 'load', busy: 0.1, connections: 10 });
     w.advance(0.5);
@@ -295,12 +295,15 @@
       ['b', b],
       ['c', c],
     ]);
-  const at = { offloading: false, utilization: 0.2 };
-  assert.equal(handoverTarget({ ...at, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) }, others), 'b');
-  assert.equal(handoverTarget({ ...at, direct: 50, forwardedBy: forwardedHeartbeats(45, 5) }, others), null);
-  assert.equal(handoverTarget({ ...at, direct: 0, forwardedBy: forwardedHeartbeats(5, 95) }, others), null);
+  const load = { offloading: false, utilization: 0.2 };
+  assert.equal(handoverTarget({ ...load, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) }, others), 'b');
   assert.equal(
-    handoverTarget({ ...at, offloading: true, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) }, others),
+    handoverTarget({ ...load, direct: 50, forwardedBy: forwardedHeartbeats(45, 5) }, others),
+    null,
+  );
+  assert.equal(handoverTarget({ ...load, direct: 0, forwardedBy: forwardedHeartbeats(5, 95) }, others), null);
+  assert.equal(
+    handoverTarget({ ...load, offloading: true, direct: 5, forwardedBy: forwardedHeartbeats(90, 5) }, others),
     null,
   );
   assert.equal(
@@ -320,7 +323,7 @@
   const attempts = () =>
     new Set([...w.workers.values()].flatMap((x) => [...x.tasks.values()].map((t) => t.report.attempt)));
   const lost = w.running('req-1')[0].host;
-  // A worker whose lease has ended reports its new session at once, so that no timeout has to pass.
+  // A worker whose lease has expired reports its new agent epoch at once, so no timeout has to pass.
   w.workers.get(lost)!.expireLease();
   assert.ok(w.advanceUntil(() => w.running('req-1').length === 3, 20));
   assert.deepEqual(attempts(), new Set([1]));
@@ -331,24 +334,25 @@
 
 test('the phases of a recovery, forward and back, and their durations', () => {
   const r = new RecoveryTracker(1000);
-  const at = (over: Partial<RecoveryFacts>): RecoveryFacts => ({
+  const facts = (overrides: Partial<RecoveryFacts>): RecoveryFacts => ({
     isStateLoaded: false,
     isPresent: false,
     ownedShards: 0,
     unprovenMachines: 0,
     placementCount: 0,
-    ...over,
+    ...overrides,
   });
-  assert.equal(r.update(10, at({})), null);
-  assert.equal(r.update(500, at({ isStateLoaded: true }))?.to, 'joining');
-  assert.equal(r.update(600, at({ isStateLoaded: true, isPresent: true }))?.to, 'standby');
+  assert.equal(r.update(10, facts({})), null);
+  assert.equal(r.update(500, facts({ isStateLoaded: true }))?.to, 'joining');
+  assert.equal(r.update(600, facts({ isStateLoaded: true, isPresent: true }))?.to, 'standby');
   assert.equal(
-    r.update(700, at({ isStateLoaded: true, isPresent: true, ownedShards: 1, unprovenMachines: 3 }))?.to,
+    r.update(700, facts({ isStateLoaded: true, isPresent: true, ownedShards: 1, unprovenMachines: 3 }))?.to,
     'proving',
   );
   assert.equal(r.takeSummary(800), null);
   assert.equal(
-    r.update(2000, at({ isStateLoaded: true, isPresent: true, ownedShards: 1, placementCount: 1 }))?.lastedMs,
+    r.update(2000, facts({ isStateLoaded: true, isPresent: true, ownedShards: 1, placementCount: 1 }))
+      ?.lastedMs,
     1300,
   );
   assert.deepEqual(r.takeSummary(2000), {
@@ -358,9 +362,9 @@
     late: true,
   });
   assert.equal(r.takeSummary(2000), null);
-  assert.equal(r.update(3000, at({ isStateLoaded: true, placementCount: 1 }))?.to, 'joining');
+  assert.equal(r.update(3000, facts({ isStateLoaded: true, placementCount: 1 }))?.to, 'joining');
   assert.equal(
-    r.update(4000, at({ isStateLoaded: true, isPresent: true, ownedShards: 1, placementCount: 1 }))?.to,
+    r.update(4000, facts({ isStateLoaded: true, isPresent: true, ownedShards: 1, placementCount: 1 }))?.to,
     'serving',
   );
   assert.equal(r.takeSummary(4000)?.late, false);
--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -9,8 +9,8 @@
 import { type World } from './support/world.js';
 
 /**
- * Submits one job a second to a world with a fixed number of machines, and asserts that no job waits longer than `maxWaitMs`
- * for capacity that it could use.
+ * Submits one job a second to a simulated cluster with a fixed number of machines, and asserts that no job waits longer than
+ * `maxWaitMs` for capacity that it could use.
  */
 function assertWaitsAreBounded(
   capacity: number,
--- a/test/resource-limits.test.ts
+++ b/test/resource-limits.test.ts
@@ -137,7 +137,7 @@
   let usedMb = 60;
   const memoryUsage = new MemoryUsage(
     { collectGarbageAboveMb: 75, shedLoadAboveMb: 85 },
-    (_, what) => messages.push(what),
+    (_, message) => messages.push(message),
     () => usedMb,
   );
   assert.equal(memoryUsage.check(0), false);
@@ -200,7 +200,8 @@
   assert.equal(connections.trim(6, 100), 0);
   assert.equal(connections.trim(3, 100), 3);
   while (closed.length < 3) await new Promise((r) => setTimeout(r, 2));
-  // The connection without a request first, then users idle longest; not those that wait for a response or were just active.
+  // The connection without a request is closed first, then those of users that were idle longest, but none that waits for a
+  // response or was just active.
   assert.deepEqual(new Set(closed), new Set([5, 2, 1]));
   for (const e of clientSockets) e.destroy();
   server.close();
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -320,11 +320,12 @@
     ['mistaken', mistaken],
     ['fresh', fresh],
   ]);
-  const of = (...f: [string, number][]): number => evidenceAgainst(new Map(f), (id) => jobs.get(id));
-  assert.equal(of(['mistaken', 50]), 0);
-  assert.ok(of(['fresh', 50]) < quarantineEvidence);
-  assert.ok(of(['good', 2]) >= quarantineEvidence);
-  assert.ok(of(['good', 1], ['fresh', 1], ['mistaken', 9]) >= quarantineEvidence);
+  const evidence = (...failures: [string, number][]): number =>
+    evidenceAgainst(new Map(failures), (id) => jobs.get(id));
+  assert.equal(evidence(['mistaken', 50]), 0);
+  assert.ok(evidence(['fresh', 50]) < quarantineEvidence);
+  assert.ok(evidence(['good', 2]) >= quarantineEvidence);
+  assert.ok(evidence(['good', 1], ['fresh', 1], ['mistaken', 9]) >= quarantineEvidence);
 });
 
 test('a job that fills all machines beyond its guarantee is preempted: immediately for a guarantee, without loss of work for higher urgency', () => {
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -60,7 +60,7 @@
   assert.deepEqual(w.violations, []);
 });
 
-// A newer program's fields used to be lost with the next write by this program.
+// Guards against losing the fields of a newer program with the next write by this program.
 test('fields unknown to this program are preserved by its writes', () => {
   const w = new World(1);
   w.advance(5);
@@ -114,8 +114,8 @@
     ['dp/m/n-000099', { v: 2, f: 'box' }],
   ];
   const block = [...w.state.entries.values()].find((k) => k.key.startsWith('dp/b/'))!;
-  const good = block.data as Record<string, unknown>;
-  const hosts = w.workers.size;
+  const blockData = block.data as Record<string, unknown>;
+  const machineCount = w.workers.size;
   for (const [key, data] of unreadable) put(w, key, data);
   w.advance(2);
   const running = w.running('req-1').length + w.running('req-2').length;
@@ -136,19 +136,19 @@
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   assert.equal(n.submit(spec('req-8', { team: 'red', tasks: 1 }))?.status, 201);
   const loggedKeys = n.logLines
-    .filter(([, what]) => what === 'record not acted on')
+    .filter(([, message]) => message === 'record not acted on')
     .map(([, , f]) => f?.['key']);
   assert.ok(
     unreadable.every(([key]) => loggedKeys.includes(key)),
     loggedKeys.join(),
   );
   // No machine is considered gone because the record of its rental is unreadable.
-  put(w, block.key, { ...good, h: 7 });
+  put(w, block.key, { ...blockData, h: 7 });
   w.advance(20);
-  assert.equal(w.workers.size, hosts);
+  assert.equal(w.workers.size, machineCount);
   assert.equal(w.running('req-1').length + w.running('req-2').length, running);
   // Once the records are repaired, the job continues.
-  put(w, block.key, good);
+  put(w, block.key, blockData);
   put(w, 'dp/t/req-2/0', chunk);
   assert.ok(w.advanceUntil(() => n.status('req-2')?.body['status'] === 'done', 400));
   assert.deepEqual(w.violations, []);
@@ -178,7 +178,7 @@
   );
   for (const x of w.nodes) {
     assert.ok(x.alive && !x.controller.healthy);
-    assert.equal(x.logLines.filter(([, what]) => what.startsWith('standing by')).length, 1);
+    assert.equal(x.logLines.filter(([, message]) => message.startsWith('standing by')).length, 1);
   }
   put(w, 'dp/level', before);
   assert.ok(w.advanceUntil(() => n.status('req-2')?.body['status'] === 'done', 90));
@@ -217,7 +217,7 @@
   assert.ok(writes / seconds > 2 && writes / seconds <= 4.2, `${writes / seconds} writes per second`);
   const progressLines = w.nodes
     .flatMap((n) => n.logLines)
-    .filter(([, what]) => /records? rewritten|rewriting/.test(what));
+    .filter(([, message]) => /records? rewritten|rewriting/.test(message));
   assert.ok(progressLines.length >= 4);
   assert.equal(
     placed.every(([job, index, , h]) => w.workers.get(h)!.hasTask(`${job}/${index}`)),
@@ -280,12 +280,12 @@
 });
 
 test('graceful shutdown: shards and leadership are handed over at once, no request is rejected and no job is lost', () => {
-  for (const who of [ownerOf, leaderOf]) {
+  for (const selectNode of [ownerOf, leaderOf]) {
     const w = new World(3);
     w.advance(5);
     const users = new Traffic(w, 250);
     w.advance(20);
-    const n = who(w)!;
+    const n = selectNode(w)!;
     const failed = users.failed;
     n.push({ type: 'shut-down' });
     const from = w.now;
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -17,8 +17,8 @@
   nowS: 1_700_000_000,
   random: () => 0.5,
   read: (path) => files[path] ?? null,
-  glob: (pattern, what) =>
-    what === 'dirs'
+  glob: (pattern, kind) =>
+    kind === 'dirs'
       ? ['in/dir']
       : pattern === '*.dat'
         ? ['a.dat', 'b.dat']
@@ -422,10 +422,10 @@
   const { warnings } = readSubmitFile(
     `${executable}should_transfer_files = YES\nnotification = complete\nargumens = a\nused = 1\narguments = $(used) $(nope)\nqueue\nlate = 1`,
   );
-  const assertWarning = (line: number, what: RegExp): void =>
+  const assertWarning = (line: number, message: RegExp): void =>
     assert.ok(
-      warnings.some((w) => w.startsWith(`work/job.sub:${line}: warning: `) && what.test(w)),
-      `${line} ${what}: ${warnings.join('\n')}`,
+      warnings.some((w) => w.startsWith(`work/job.sub:${line}: warning: `) && message.test(w)),
+      `${line} ${message}: ${warnings.join('\n')}`,
     );
   assertWarning(2, /no files are transferred/);
   assertWarning(3, /no mail is sent/);
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -38,6 +38,7 @@
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
 
+/** The number of tasks of each chunk. */
 const size = 8;
 
 /** A chunk's state in a form that can be compared. */
@@ -218,7 +219,7 @@
   assert.equal(state.checkpointVersion, old.version);
 });
 
-// ---- with controllers ----
+// Tests with controllers in the simulated cluster.
 
 const taskLogEnabled = { 'task-log': 1 };
 
--- a/test/team-limits.test.ts
+++ b/test/team-limits.test.ts
@@ -15,7 +15,7 @@
 import type { Worker } from './support/scripted-worker.js';
 import type { World } from './support/world.js';
 
-/** A world in which both teams have a CPU limit. */
+/** A simulated cluster in which both teams have a CPU limit. */
 const limitedTeamsWorld = (seed: number): World =>
   longWorld(seed, {
     capacity: 12,
--- a/test/upgrade-processes.ts
+++ b/test/upgrade-processes.ts
@@ -1,7 +1,7 @@
 /**
  * A rolling upgrade of real processes on loopback: a store and three controllers, which all run the earlier program at first.
- * The cloud, its workers and the users are simulated in this process; controllers are killed. Limited in time; stops what it
- * started. Run by `npm run roll -- --real`.
+ * The cloud, its workers and the users are simulated in this process; controllers are killed. The run is limited in time and
+ * stops all processes that it started. Run by `npm run roll -- --real`.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, openSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -24,7 +24,7 @@
 /** Answers an HTTP request. */
 type Handler = (method: string, path: string, body: unknown) => { status: number; body: object };
 
-/** Starts an HTTP server on a free port of loopback. */
+/** Starts an HTTP server on a free loopback port. */
 async function serve(handle: Handler): Promise<{ server: Server; addr: string }> {
   const server = createServer((request: IncomingMessage, res: ServerResponse) => {
     void readJson(request, 1 << 16).then((body) => {
