--- a/src/store/snapshot.ts
+++ b/src/store/snapshot.ts
@@ -65,8 +65,9 @@
 }
 
 /**
- * Creates a store from a snapshot, in an empty or new directory. Leases are not restored: their holders have to request new ones,
- * and the keys that were attached to a lease are gone, as after its end.
+ * Creates a store from a snapshot, in an empty or new directory. Leases are not restored: their holders have to request new ones.
+ * Keys that were attached to a lease should be gone, as after its end. They are not yet: a snapshot does not record leases, so these
+ * keys are restored as permanent ones, and lease IDs start at 1 again.
  */
 export async function restoreSnapshot(path: string, dir: string): Promise<{ keys: number; epoch: number }> {
   if (existsSync(dir) && readdirSync(dir).length > 0)
