--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -63,13 +63,14 @@
     const submission = new Submission(text, file, submitHost());
     // All jobs are made first: nothing is printed of a file with a mistake further on.
     const ads = [...submission.jobs()];
-    for (const w of submission.warnings) process.stderr.write(`${w}\n`);
+    for (const warning of submission.warnings) process.stderr.write(`${warning}\n`);
     let buffer = '';
     const chunks = json ? jsonChunks(ads) : ads.map((ad) => `${jobLine(ad)}\n`);
-    for (const part of chunks) {
-      buffer += part;
+    for (const chunk of chunks) {
+      buffer += chunk;
       if (buffer.length < 65_536) continue;
-      if (!process.stdout.write(buffer)) await new Promise((r) => process.stdout.once('drain', r));
+      if (!process.stdout.write(buffer))
+        await new Promise((resolve) => process.stdout.once('drain', resolve));
       buffer = '';
     }
     process.stdout.write(buffer);
@@ -96,7 +97,7 @@
         count: group.count,
         job: nativeSubmission(group, team, submission.file.warnings),
       });
-    for (const w of submission.warnings) process.stderr.write(`${w}\n`);
+    for (const warning of submission.warnings) process.stderr.write(`${warning}\n`);
   } catch (e) {
     if (e instanceof SubmitError) return failAtPosition(e.message);
     throw e;
@@ -113,13 +114,15 @@
         : `no answer from ${node}`;
       process.stderr.write(`dapplepick: process ${processes}: ${reason}\n`);
       if (submitted.length > 0)
-        process.stderr.write(`dapplepick: submitted before: ${submitted.map((d) => d.nameId).join(' ')}\n`);
+        process.stderr.write(
+          `dapplepick: submitted before: ${submitted.map((job) => job.nameId).join(' ')}\n`,
+        );
       process.exit(response ? exitCodes.refused : 1);
     }
     submitted.push({ processes, nameId });
   }
   if (json) printLine(JSON.stringify(submitted));
-  else for (const d of submitted) printLine(`${d.nameId}  processes ${d.processes}`);
+  else for (const job of submitted) printLine(`${job.nameId}  processes ${job.processes}`);
   process.exit(0);
 }
 
@@ -146,10 +149,12 @@
     .option('--node <address>', 'a control service, HOST:PORT', '127.0.0.1:8080')
     .option('--team <name>', 'whose limits count, unless accounting_group says', 'default')
     .addHelpText('after', '\nExample:\n  dapplepick condor submit --dry-run --json job.sub\n')
-    .action(async (file: string, o: { dryRun?: boolean; json?: boolean; node: string; team: string }) => {
-      if (o.dryRun) await dryRun(file, o.json ?? false, fail);
-      else await submit(file, o.json ?? false, o.node, o.team, fail);
-    });
+    .action(
+      async (file: string, options: { dryRun?: boolean; json?: boolean; node: string; team: string }) => {
+        if (options.dryRun) await dryRun(file, options.json ?? false, fail);
+        else await submit(file, options.json ?? false, options.node, options.team, fail);
+      },
+    );
   condor
     .command('analyze')
     .description('why a job has the machines that it has: what excludes how many')
@@ -157,7 +162,9 @@
     .option('--node <address>', 'a control service, HOST:PORT', '127.0.0.1:8080')
     .option('--json', 'answer as JSON')
     .addHelpText('after', '\nExample:\n  dapplepick condor analyze req-000412\n')
-    .action((id: string, o: { node: string; json?: boolean }) => analyze(id, o.node, o.json ?? false, fail));
+    .action((id: string, options: { node: string; json?: boolean }) =>
+      analyze(id, options.node, options.json ?? false, fail),
+    );
   condor
     .command('eval')
     .description('print the value of an expression')
@@ -168,9 +175,9 @@
       'after',
       "\nExample:\n  dapplepick condor eval 'TARGET.Memory >= MY.RequestMemory' --my job.ad --target slot.ad\n",
     )
-    .action((expr: string, o: { my?: string; target?: string }) => {
-      const my = o.my === undefined ? parseAd('[]') : readAd(o.my, fail);
-      const target = o.target === undefined ? null : readAd(o.target, fail);
+    .action((expr: string, options: { my?: string; target?: string }) => {
+      const my = options.my === undefined ? parseAd('[]') : readAd(options.my, fail);
+      const target = options.target === undefined ? null : readAd(options.target, fail);
       try {
         printLine(printValue(evaluate(parseExpr(expr), my, target, evaluationContext())));
       } catch (e) {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -44,9 +44,9 @@
     .version(version())
     .option('--config <file>', "run a controller with the platform's settings (TOML)")
     .option('--operators <file>', "the operators' own settings (S-expressions)")
-    .action(async (o: { config?: string; operators?: string }) => {
-      if (o.config === undefined) return program.help({ error: true });
-      await runController(o.config, o.operators);
+    .action(async (options: { config?: string; operators?: string }) => {
+      if (options.config === undefined) return program.help({ error: true });
+      await runController(options.config, options.operators);
     });
   program
     .command('check')
@@ -54,8 +54,8 @@
     .argument('<config>', "the platform's settings (TOML)")
     .argument('[operators]', "the operators' own settings (S-expressions)")
     .action((config: string, operators?: string) => {
-      const { settings, operators: o } = loadSettingsFiles(config, operators);
-      const listed = Object.entries(o).map(([k, x]) => `  (${k} ${x})`);
+      const { settings, operators: operatorSettings } = loadSettingsFiles(config, operators);
+      const listed = Object.entries(operatorSettings).map(([name, value]) => `  (${name} ${value})`);
       process.stdout.write(`${settings.member}: settings are valid\n(dapplepick\n${listed.join('\n')})\n`);
     });
   if (argv[2] !== '--config') await addCommands(program, argv[2]);
--- a/src/cloud/cloud-provider.ts
+++ b/src/cloud/cloud-provider.ts
@@ -73,15 +73,15 @@
 
   /** See {@link CloudProvider}. */
   async listMachines(): Promise<ListedMachine[] | null> {
-    const all: ListedMachine[] = [];
-    for (let from = ''; ;) {
-      const path = `/rentals?${from === '' ? '' : `from=${from}&`}limit=${pageSize}`;
+    const machines: ListedMachine[] = [];
+    for (let cursor = ''; ;) {
+      const path = `/rentals?${cursor === '' ? '' : `from=${cursor}&`}limit=${pageSize}`;
       const reply = await this.client.call('GET', path, null, this.timeoutMs);
       const page = reply?.status === 200 ? parseMachineList(reply.body) : null;
       if (!page) return null;
-      all.push(...page.machines);
-      if (!page.more || page.machines.length === 0) return all;
-      from = page.machines[page.machines.length - 1].host;
+      machines.push(...page.machines);
+      if (!page.more || page.machines.length === 0) return machines;
+      cursor = page.machines[page.machines.length - 1].host;
     }
   }
 }
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -59,16 +59,16 @@
 
 /** Reads settings over the defaults. Throws a `SettingsError` that names origin, line and setting. */
 export function parseOperatorSettings(text: string, origin = 'operators'): OperatorSettings {
-  const out: OperatorSettings = { ...operatorDefaults };
+  const settings: OperatorSettings = { ...operatorDefaults };
   for (const { name, line, values } of readForms(text, origin, 'dapplepick')) {
     const [value] = values;
     if (values.length !== 1) throw new SettingsError(`${origin}: line ${line}: expected (NAME VALUE)`);
     if (!Object.hasOwn(operatorDefaults, name))
       throw new SettingsError(`${origin}: line ${line}: ${name}: unknown setting`);
-    const n = typeof value === 'string' ? Number(value) : NaN;
-    if (!Number.isFinite(n) || n < 0)
+    const number = typeof value === 'string' ? Number(value) : NaN;
+    if (!Number.isFinite(number) || number < 0)
       throw new SettingsError(`${origin}: line ${line}: ${name}: must be a number of at least 0`);
-    out[name as keyof OperatorSettings] = n;
+    settings[name as keyof OperatorSettings] = number;
   }
   for (const key of [
     'round-s',
@@ -79,14 +79,15 @@
     'floor-leases',
     'task-log-leases',
   ] as const)
-    if (out[key] <= 0) throw new SettingsError(`${origin}: ${key}: must be above 0`);
-  if (out.headroom >= 1) throw new SettingsError(`${origin}: headroom: must be below 1`);
-  if (!Number.isInteger(out['level-most']))
+    if (settings[key] <= 0) throw new SettingsError(`${origin}: ${key}: must be above 0`);
+  if (settings.headroom >= 1) throw new SettingsError(`${origin}: headroom: must be below 1`);
+  if (!Number.isInteger(settings['level-most']))
     throw new SettingsError(`${origin}: level-most: must be a whole number`);
-  if (out['floor-share'] > 1) throw new SettingsError(`${origin}: floor-share: must be at most 1`);
-  if (out['sweep-share'] > 1) throw new SettingsError(`${origin}: sweep-share: must be at most 1`);
-  if (!Number.isInteger(out.shards)) throw new SettingsError(`${origin}: shards: must be a whole number`);
-  return out;
+  if (settings['floor-share'] > 1) throw new SettingsError(`${origin}: floor-share: must be at most 1`);
+  if (settings['sweep-share'] > 1) throw new SettingsError(`${origin}: sweep-share: must be at most 1`);
+  if (!Number.isInteger(settings.shards))
+    throw new SettingsError(`${origin}: shards: must be a whole number`);
+  return settings;
 }
 
 /** Reads a file of settings; null: all defaults. */
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -100,25 +100,25 @@
     const issue = result.issues[0];
     throw new SettingsError(`${origin}: ${v.getDotPath(issue) ?? '(top level)'}: ${issue.message}`);
   }
-  const s = result.output;
-  const d = s.deployment;
-  if (d.workers.cancel_s <= d.workers.lease_s)
+  const file = result.output;
+  const deployment = file.deployment;
+  if (deployment.workers.cancel_s <= deployment.workers.lease_s)
     throw new SettingsError(`${origin}: deployment.workers.cancel_s: must be longer than lease_s`);
   return {
-    member: s.member,
-    zone: s.location,
-    publicAddr: s.public_addr,
-    peerAddr: s.back,
-    peers: s.others.map((o) => ({ member: o.member, zone: o.location, addr: o.peer_addr })),
-    endpoints: s.endpoints,
-    zones: d.zones,
-    timeBoundMs: d.time_bound_ms,
-    teams: d.teams,
-    objectives: d.objectives,
-    workers: d.workers,
-    state: d.state,
-    cloud: d.cloud,
-    quota: d.quota,
+    member: file.member,
+    zone: file.location,
+    publicAddr: file.public_addr,
+    peerAddr: file.back,
+    peers: file.others.map((peer) => ({ member: peer.member, zone: peer.location, addr: peer.peer_addr })),
+    endpoints: file.endpoints,
+    zones: deployment.zones,
+    timeBoundMs: deployment.time_bound_ms,
+    teams: deployment.teams,
+    objectives: deployment.objectives,
+    workers: deployment.workers,
+    state: deployment.state,
+    cloud: deployment.cloud,
+    quota: deployment.quota,
   };
 }
 
@@ -135,6 +135,6 @@
 
 /** Host and port of an address `IPv4:port`. */
 export function splitAddress(addr: string): { host: string; port: number } {
-  const at = addr.lastIndexOf(':');
-  return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
+  const separator = addr.lastIndexOf(':');
+  return { host: addr.slice(0, separator), port: Number(addr.slice(separator + 1)) };
 }
--- a/src/net/client.ts
+++ b/src/net/client.ts
@@ -52,14 +52,14 @@
   settle: (response: JsonResponse | null) => void,
   abort: () => void,
 ): void {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  res.on('data', (data: Buffer) => {
-    size += data.length;
+  res.on('data', (chunk: Buffer) => {
+    size += chunk.length;
     if (size > maxResponseBytes) abort();
-    else parts.push(data);
+    else chunks.push(chunk);
   });
-  res.on('end', () => settle(parseResponse(res.statusCode ?? 0, Buffer.concat(parts).toString('utf8'))));
+  res.on('end', () => settle(parseResponse(res.statusCode ?? 0, Buffer.concat(chunks).toString('utf8'))));
   res.on('error', () => settle(null));
   res.on('close', () => settle(null));
 }
--- a/src/net/json.ts
+++ b/src/net/json.ts
@@ -3,15 +3,15 @@
 
 /** The body of a request as JSON; undefined: too long, or not JSON. */
 export async function readJson(req: IncomingMessage, maxBytes: number): Promise<unknown> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  for await (const part of req as AsyncIterable<Buffer>) {
-    size += part.length;
+  for await (const chunk of req as AsyncIterable<Buffer>) {
+    size += chunk.length;
     if (size > maxBytes) return undefined;
-    parts.push(part);
+    chunks.push(chunk);
   }
   try {
-    return JSON.parse(Buffer.concat(parts).toString('utf8')) as unknown;
+    return JSON.parse(Buffer.concat(chunks).toString('utf8')) as unknown;
   } catch {
     return undefined;
   }
--- a/src/peers/frame-reader.ts
+++ b/src/peers/frame-reader.ts
@@ -1,5 +1,5 @@
 /** Cuts the stream of bytes of a connection into frames. */
-import { decodeFrame, lengthBytes, type Frame } from './frames.js';
+import { decodeFrame, lengthPrefixBytes, type Frame } from './frames.js';
 
 /** Far above what any frame needs: a longer one is taken for garbage. */
 const maxFrameBytes = 256 * 1024;
@@ -32,26 +32,26 @@
 
 /** Keeps the bytes of an incomplete frame until the rest arrives. */
 export class FrameReader {
-  private rest: Buffer = Buffer.alloc(0);
+  private unparsed: Buffer = Buffer.alloc(0);
 
   /**
    * The frames that are complete with these bytes. Throws `FrameTooLargeError` or `MalformedFrameError`: the reader
    * cannot be used any more then, and the connection is to be closed.
    */
   push(data: Buffer): Frame[] {
-    this.rest = this.rest.length === 0 ? data : Buffer.concat([this.rest, data]);
+    this.unparsed = this.unparsed.length === 0 ? data : Buffer.concat([this.unparsed, data]);
     const frames: Frame[] = [];
     let offset = 0;
-    while (this.rest.length - offset >= lengthBytes) {
-      const frameBytes = this.rest.readUInt32BE(offset);
+    while (this.unparsed.length - offset >= lengthPrefixBytes) {
+      const frameBytes = this.unparsed.readUInt32BE(offset);
       if (frameBytes > maxFrameBytes) throw new FrameTooLargeError(frameBytes, maxFrameBytes);
-      const start = offset + lengthBytes;
-      if (this.rest.length - start < frameBytes) break;
-      const frame = decode(this.rest.subarray(start, start + frameBytes));
+      const start = offset + lengthPrefixBytes;
+      if (this.unparsed.length - start < frameBytes) break;
+      const frame = decode(this.unparsed.subarray(start, start + frameBytes));
       offset = start + frameBytes;
       if (frame) frames.push(frame);
     }
-    this.rest = this.rest.subarray(offset);
+    this.unparsed = this.unparsed.subarray(offset);
     return frames;
   }
 }
--- a/src/peers/frames.ts
+++ b/src/peers/frames.ts
@@ -45,7 +45,7 @@
 export type HelloFrame = Extract<Frame, { type: 'hello' }>;
 
 /** The length in front of every frame, bytes. */
-export const lengthBytes = 4;
+export const lengthPrefixBytes = 4;
 
 /** Task phases by their number on the wire. */
 const phases: readonly TaskPhase[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
@@ -228,9 +228,9 @@
 /** The bytes of a frame, its length included. */
 export function encodeFrame(frame: Frame): Buffer {
   const body = frameType.encode(encodeMessage(frame)).finish();
-  const bytes = Buffer.allocUnsafe(lengthBytes + body.length);
+  const bytes = Buffer.allocUnsafe(lengthPrefixBytes + body.length);
   bytes.writeUInt32BE(body.length, 0);
-  bytes.set(body, lengthBytes);
+  bytes.set(body, lengthPrefixBytes);
   return bytes;
 }
 
--- a/src/users/connections.ts
+++ b/src/users/connections.ts
@@ -30,35 +30,35 @@
   }
 
   /** A request has come in on a connection. */
-  requestStarted(socket: Socket, peer: ClientKind, now: number): void {
-    const line = this.states.get(socket);
-    if (!line) return;
-    line.client = peer;
-    line.openRequests++;
-    line.lastUsedAt = now;
+  requestStarted(socket: Socket, client: ClientKind, now: number): void {
+    const state = this.states.get(socket);
+    if (!state) return;
+    state.client = client;
+    state.openRequests++;
+    state.lastUsedAt = now;
   }
 
   /** A request was answered. */
   requestFinished(socket: Socket, now: number): void {
-    const line = this.states.get(socket);
-    if (!line) return;
-    line.openRequests--;
-    line.lastUsedAt = now;
+    const state = this.states.get(socket);
+    if (!state) return;
+    state.openRequests--;
+    state.lastUsedAt = now;
   }
 
   /** Closes so many as are above `most`: idle ones only, those that are needed least and idle longest first. */
-  trim(most: number, now: number): number {
-    const above = this.states.size - most;
-    if (above <= 0) return 0;
+  trim(maxConnections: number, now: number): number {
+    const excess = this.states.size - maxConnections;
+    if (excess <= 0) return 0;
     const idle = [...this.states].filter(
-      ([, l]) => l.openRequests === 0 && now - l.lastUsedAt >= this.idleMs,
+      ([, state]) => state.openRequests === 0 && now - state.lastUsedAt >= this.idleMs,
     );
     idle.sort(
       ([, a], [, b]) =>
         priorityOrder.indexOf(a.client) - priorityOrder.indexOf(b.client) || a.lastUsedAt - b.lastUsedAt,
     );
-    const close = idle.slice(0, above);
-    for (const [socket] of close) socket.end();
-    return close.length;
+    const closing = idle.slice(0, excess);
+    for (const [socket] of closing) socket.end();
+    return closing.length;
   }
 }
--- a/src/users/server.ts
+++ b/src/users/server.ts
@@ -21,8 +21,8 @@
   /** Looks at a worker's report before the core does. `pass` hands it on, `refuse` answers instead. */
   heartbeat(
     raw: unknown,
-    report: Heartbeat,
-    pass: (report: Heartbeat) => void,
+    heartbeat: Heartbeat,
+    pass: (heartbeat: Heartbeat) => void,
     refuse: (status: number, body: object) => void,
   ): void;
   /** The answer to a worker, as it goes out. */
@@ -34,19 +34,19 @@
   private readonly pending = new Map<number, ServerResponse>();
   private lastRequestId = 0;
   /** Whose report a request is, where somebody wants to see the answer. */
-  private readonly reportingHosts = new Map<number, string>();
+  private readonly heartbeatHosts = new Map<number, string>();
   readonly server: Server;
   private readonly connections: Connections;
 
   constructor(
-    private readonly enqueue: (c: Command) => void,
+    private readonly enqueue: (command: Command) => void,
     private readonly healthy: () => boolean,
     private readonly sockets: Pick<Limits['sockets'], 'max' | 'closeIdleAbove'>,
     /** Workers come again within this time, ms. */
-    reportMs: number,
+    heartbeatIntervalMs: number,
     private readonly hooks: ServerHooks | null = null,
   ) {
-    this.connections = new Connections(reportMs * 2);
+    this.connections = new Connections(heartbeatIntervalMs * 2);
     this.server = createServer(
       { keepAliveTimeout: 120_000, requestTimeout: 10_000, headersTimeout: 10_000 },
       (req, res) => this.handle(req, res),
@@ -69,21 +69,21 @@
   /** Answers a request that waits; does nothing if its client is gone. */
   respond(requestId: number, status: number, body: object | string, retryAfterS?: number): void {
     const res = this.pending.get(requestId);
-    const host = this.reportingHosts.get(requestId);
-    this.reportingHosts.delete(requestId);
+    const host = this.heartbeatHosts.get(requestId);
+    this.heartbeatHosts.delete(requestId);
     if (!res) return;
     this.pending.delete(requestId);
-    const seen =
+    const sentBody =
       host !== undefined && typeof body === 'object'
         ? this.hooks!.transformResponse(host, status, body)
         : body;
-    reply(res, status, seen, retryAfterS);
+    reply(res, status, sentBody, retryAfterS);
   }
 
   private handle(req: IncomingMessage, res: ServerResponse): void {
     const path = (req.url ?? '').split('?', 1)[0];
     const method = req.method ?? '';
-    const part = path.split('/');
+    const segments = path.split('/');
     this.trackConnection(req, res, path);
     if (this.hooks?.handle(req, res, path)) return;
     if (path === '/healthz') {
@@ -95,46 +95,50 @@
       return this.readBody(req, res, (body) => {
         const spec = parseSubmission(body);
         if (typeof spec === 'string') return reply(res, 400, { error: spec });
-        const wrong = this.hooks ? this.hooks.rejectionReason(spec) : spec.match ? matchingUnsupported : null;
-        if (wrong !== null) return reply(res, 400, { error: wrong });
+        const reason = this.hooks
+          ? this.hooks.rejectionReason(spec)
+          : spec.match
+            ? matchingUnsupported
+            : null;
+        if (reason !== null) return reply(res, 400, { error: reason });
         this.enqueue({ type: 'submit', requestId: this.registerRequest(res), spec });
       });
     }
     if (path === '/checkin') {
       if (!requireMethod(method, 'POST', res)) return;
       return this.readBody(req, res, (body) => {
-        const report = parseHeartbeat(body);
-        if (typeof report === 'string') return reply(res, 400, { error: report });
-        this.handleHeartbeat(body, report, res);
+        const heartbeat = parseHeartbeat(body);
+        if (typeof heartbeat === 'string') return reply(res, 400, { error: heartbeat });
+        this.handleHeartbeat(body, heartbeat, res);
       });
     }
-    if (`/${part[1]}` === jobPath && part.length === 3 && part[2] !== '') {
+    if (`/${segments[1]}` === jobPath && segments.length === 3 && segments[2] !== '') {
       if (!requireMethod(method, 'GET', res)) return;
-      return this.enqueue({ type: 'query', requestId: this.registerRequest(res), id: part[2] });
+      return this.enqueue({ type: 'query', requestId: this.registerRequest(res), id: segments[2] });
     }
-    if (`/${part[1]}` === jobPath && part.length === 4 && part[3] === cancelSuffix) {
+    if (`/${segments[1]}` === jobPath && segments.length === 4 && segments[3] === cancelSuffix) {
       if (!requireMethod(method, 'POST', res)) return;
       return this.readBody(req, res, null, () =>
-        this.enqueue({ type: 'cancel', requestId: this.registerRequest(res), id: part[2] }),
+        this.enqueue({ type: 'cancel', requestId: this.registerRequest(res), id: segments[2] }),
       );
     }
     reply(res, 404, { error: 'not found' });
   }
 
-  private handleHeartbeat(raw: unknown, report: Heartbeat, res: ServerResponse): void {
-    const pass = (seen: Heartbeat): void => {
+  private handleHeartbeat(raw: unknown, heartbeat: Heartbeat, res: ServerResponse): void {
+    const pass = (passed: Heartbeat): void => {
       const requestId = this.registerRequest(res);
-      if (this.hooks) this.reportingHosts.set(requestId, seen.host);
-      this.enqueue({ type: 'heartbeat', requestId, report: seen });
+      if (this.hooks) this.heartbeatHosts.set(requestId, passed.host);
+      this.enqueue({ type: 'heartbeat', requestId, report: passed });
     };
-    if (!this.hooks) return pass(report);
-    this.hooks.heartbeat(raw, report, pass, (status, body) => reply(res, status, body));
+    if (!this.hooks) return pass(heartbeat);
+    this.hooks.heartbeat(raw, heartbeat, pass, (status, body) => reply(res, status, body));
   }
 
   private trackConnection(req: IncomingMessage, res: ServerResponse, path: string): void {
-    const peer: ClientKind = path === '/healthz' ? 'probe' : path === '/checkin' ? 'worker' : 'user';
+    const client: ClientKind = path === '/healthz' ? 'probe' : path === '/checkin' ? 'worker' : 'user';
     const { socket } = req;
-    this.connections.requestStarted(socket, peer, performance.now());
+    this.connections.requestStarted(socket, client, performance.now());
     res.on('close', () => this.connections.requestFinished(socket, performance.now()));
   }
 
@@ -149,34 +153,34 @@
   private readBody(
     req: IncomingMessage,
     res: ServerResponse,
-    use: ((body: unknown) => void) | null,
-    skip?: () => void,
+    onJson: ((body: unknown) => void) | null,
+    onIgnored?: () => void,
   ): void {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
-    let refused = false;
-    req.on('data', (d: Buffer) => {
-      size += d.length;
-      if (refused) return;
+    let isRejected = false;
+    req.on('data', (chunk: Buffer) => {
+      size += chunk.length;
+      if (isRejected) return;
       if (size > maxBodyBytes) {
-        refused = true;
+        isRejected = true;
         res.setHeader('Connection', 'close');
         reply(res, 400, { error: 'body too large' });
         return;
       }
-      parts.push(d);
+      chunks.push(chunk);
     });
     req.on('error', () => undefined);
     req.on('end', () => {
-      if (refused) return;
-      if (!use) return skip!();
+      if (isRejected) return;
+      if (!onJson) return onIgnored!();
       let body: unknown;
       try {
-        body = JSON.parse(Buffer.concat(parts).toString('utf8'));
+        body = JSON.parse(Buffer.concat(chunks).toString('utf8'));
       } catch {
         return reply(res, 400, { error: 'not JSON' });
       }
-      use(body);
+      onJson(body);
     });
   }
 }
@@ -189,6 +193,6 @@
 }
 
 function reply(res: ServerResponse, status: number, body: object | string, retryAfterS?: number): void {
-  const after = retryAfterS ?? (status === 503 || status === 429 ? 1 : undefined);
-  sendJson(res, status, body, after === undefined ? {} : { 'Retry-After': after });
+  const retryAfter = retryAfterS ?? (status === 503 || status === 429 ? 1 : undefined);
+  sendJson(res, status, body, retryAfter === undefined ? {} : { 'Retry-After': retryAfter });
 }
