--- a/src/condor/command-handlers.ts
+++ b/src/condor/command-handlers.ts
@@ -1,27 +1,27 @@
-/** Parts of the handlers of submit commands: parsing values and setting attributes. */
+/** Building blocks of submit command handlers: they parse values and set job attributes. */
 import { Ad, ClassAdError, evaluate, literal, parseExpr, type Expr } from '../classad/index.js';
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
 import type { SubmitEnvironment } from './submit-environment.js';
 
-/** What a command's handler works on. */
+/** The state that a command handler reads and modifies. */
 export interface CommandContext {
-  /** The job's record so far. */
+  /** The job's ClassAd record, to which the handler adds attributes. */
   readonly ad: Ad;
-  /** Where the command stands. */
+  /** The position of the command in the submit file. */
   position: SourcePosition;
   readonly environment: SubmitEnvironment;
   readonly warnings: Warnings;
 }
 
-/** Sets the attributes that a command with this value stands for. `name` is the command's name as the file has it. */
+/** Sets the attributes that result from a command with this value. `name` is the command's name as written in the file. */
 export type CommandHandler = (value: string, context: CommandContext, name: string) => void;
 
-/** A string as an expression. */
+/** Creates a string literal expression. */
 export const stringLiteral = (text: string): Expr => literal(text);
-/** An integer as an expression. */
+/** Creates an integer literal expression. */
 export const integerLiteral = (value: number): Expr => literal(BigInt(value));
 
-/** Parses an expression of the match language. */
+/** Parses a ClassAd expression. A syntax error is thrown as a `SubmitError` with the command's position. */
 export function parseExpression(value: string, context: CommandContext, name: string): Expr {
   try {
     return parseExpr(value);
@@ -32,17 +32,17 @@
   }
 }
 
-/** Sets an attribute to the text. */
+/** Creates a handler that sets an attribute to the value as a string. */
 export const setString =
   (attr: string): CommandHandler =>
   (value, context) =>
     context.ad.set(attr, stringLiteral(value));
-/** Sets an attribute to the expression. */
+/** Creates a handler that sets an attribute to the value parsed as an expression. */
 export const setExpr =
   (attr: string): CommandHandler =>
   (value, context, name) =>
     context.ad.set(attr, parseExpression(value, context, name));
-/** Sets an attribute to the integer. */
+/** Creates a handler that sets an attribute to the value parsed as an integer. */
 export const setInteger =
   (attr: string): CommandHandler =>
   (value, context, name) => {
@@ -50,22 +50,25 @@
       throw new SubmitError(context.position, `${name}: ${value}: must be a whole number`);
     context.ad.set(attr, integerLiteral(Number(value)));
   };
-/** Parses a truth value. */
+/** Parses a boolean; `yes`, `no`, `t`, `f`, `1` and `0` are accepted as well. */
 export function parseBoolean(value: string, context: CommandContext, name: string): boolean {
   if (/^(true|yes|1|t)$/i.test(value)) return true;
   if (/^(false|no|0|f)$/i.test(value)) return false;
   throw new SubmitError(context.position, `${name}: ${value}: must be true or false`);
 }
-/** Sets an attribute to the truth value. */
+/** Creates a handler that sets an attribute to the value parsed as a boolean. */
 export const setBoolean =
   (attr: string): CommandHandler =>
   (value, context, name) =>
     context.ad.set(attr, literal(parseBoolean(value, context, name)));
 
-/** Bytes of the units of amounts. */
+/** The units of sizes, in bytes. */
 export const bytesPerUnit: Record<string, number> = { b: 1, k: 2 ** 10, m: 2 ** 20, g: 2 ** 30, t: 2 ** 40 };
 
-/** Sets an attribute to an amount: a number with a unit, or an expression in the attribute's own unit. */
+/**
+ * Creates a handler that sets an attribute to a size: a number with an optional unit suffix, rounded up to a multiple of the
+ * attribute's unit (`unit`, in bytes), or an expression in that unit.
+ */
 export const setAmount =
   (attr: string, unit: number): CommandHandler =>
   (value, context, name) => {
@@ -78,7 +81,7 @@
     context.ad.set(attr, parseNonNegative(value, context, name));
   };
 
-/** A number that is not negative, or an expression that depends on other attributes. */
+/** Parses a non-negative number, or an expression that depends on other attributes. */
 function parseNonNegative(value: string, context: CommandContext, name: string): Expr {
   const expression = parseExpression(value, context, name);
   const result = evaluate(expression, new Ad());
@@ -91,7 +94,7 @@
   return expression;
 }
 
-/** Sets an attribute to a number of at least `min`, or an expression. */
+/** Creates a handler that sets an attribute to a number of at least `min`, or to an expression. */
 export const setCount =
   (attr: string, min: number): CommandHandler =>
   (value, context, name) => {
@@ -101,8 +104,8 @@
     context.ad.set(attr, count);
   };
 
-/** Parses a value; its errors become errors at the command's position. */
-export const withPosition = <T>(context: CommandContext, name: string, parse: () => T): T => {
+/** Runs a parser and rethrows its errors as a `SubmitError` with the command's position. */
+export const withErrorPosition = <T>(context: CommandContext, name: string, parse: () => T): T => {
   try {
     return parse();
   } catch (error) {
@@ -110,7 +113,7 @@
   }
 };
 
-/** Sets the environment of the command. */
+/** Sets the job's environment; `isNew`: in the new syntax. */
 export function setEnvironment(context: CommandContext, value: string, isNew: boolean): void {
   context.ad.set('Env', stringLiteral(value));
   if (isNew) context.ad.set('Environment', stringLiteral(value));
--- a/src/condor/command-tables.ts
+++ b/src/condor/command-tables.ts
@@ -1,6 +1,6 @@
-/** Submit commands that have other names, that are ignored, or that are not supported. */
+/** Tables of submit command aliases, and of commands that are ignored or not supported. */
 
-/** Other names of commands. */
+/** Aliases of commands, mapped to the canonical names. */
 export const aliases: Record<string, string> = {
   initial_dir: 'initialdir',
   iwd: 'initialdir',
@@ -27,7 +27,7 @@
   accountinggroup: 'accounting_group',
 };
 
-/** Commands without effect on the job; the warning says what applies instead. */
+/** Commands that are accepted without effect, and the warnings that say what applies instead. */
 export const ignoredCommands: Record<string, string> = {
   should_transfer_files: 'no files are transferred: jobs run in their initial directory',
   when_to_transfer_output: 'no files are transferred: jobs run in their initial directory',
@@ -38,24 +38,24 @@
   transfer_output: 'no files are transferred',
   transfer_error: 'no files are transferred',
   preserve_relative_paths: 'no files are transferred',
-  stream_output: 'output is written as it comes, always',
-  stream_error: 'output is written as it comes, always',
+  stream_output: 'output is always written as it is produced',
+  stream_error: 'output is always written as it is produced',
   stream_input: 'input is read from its file',
   notify_user: 'accepted, but no mail is sent',
   email_attributes: 'accepted, but no mail is sent',
   copy_to_spool: 'nothing is copied: the executable is run where it is',
-  image_size: 'not used: request_memory is',
+  image_size: 'not used: request_memory applies instead',
   rendezvousdir: 'not used',
   coresize: 'not used',
-  job_lease_duration: "agents' leases are the operator's to set",
+  job_lease_duration: "not used: the operator configures the agents' leases",
   job_ad_information_attrs: 'not used',
   log_xml: 'the log is written in the plain format',
-  want_graceful_removal: 'jobs are always asked to end before they are killed',
-  kill_sig: 'jobs are asked to end by SIGTERM',
-  remove_kill_sig: 'jobs are asked to end by SIGTERM',
-  hold_kill_sig: 'jobs are asked to end by SIGTERM',
-  kill_sig_timeout: "the time to end is the agent's setting",
-  job_max_vacate_time: "the time to end is the agent's setting",
+  want_graceful_removal: 'jobs always receive SIGTERM before SIGKILL',
+  kill_sig: 'jobs are always asked to terminate by SIGTERM',
+  remove_kill_sig: 'jobs are always asked to terminate by SIGTERM',
+  hold_kill_sig: 'jobs are always asked to terminate by SIGTERM',
+  kill_sig_timeout: "the agent's settings determine the time between SIGTERM and SIGKILL",
+  job_max_vacate_time: "the agent's settings determine the time between SIGTERM and SIGKILL",
   next_job_start_delay: 'not used',
   max_idle: 'not used: all jobs are queued at once',
   max_materialize: 'not used: all jobs are queued at once',
@@ -64,10 +64,10 @@
   run_as_owner: 'jobs run as the user that the agent runs as',
   load_profile: 'not used',
   skip_filechecks: 'not used',
-  append_files: 'output files are appended to, always',
+  append_files: 'output is always appended to existing files',
 };
 
-/** Commands that are rejected, because a job would not be what its user wants without them; and the reason. */
+/** Commands that are rejected with a reason, because ignoring them would change what the job does. */
 export const unsupportedCommands: Record<string, string> = {
   docker_image: 'containers are not supported',
   container_image: 'containers are not supported',
@@ -86,21 +86,21 @@
   x509userproxy: 'credentials are not supported',
   use_oauth_services: 'credentials are not supported',
   encrypt_execute_directory: 'encrypted directories are not supported',
-  encrypt_input_files: 'files are not transferred, so not encrypted',
+  encrypt_input_files: 'files are neither transferred nor encrypted',
   cron_minute: 'repeated jobs are not supported',
   cron_hour: 'repeated jobs are not supported',
   cron_day_of_month: 'repeated jobs are not supported',
   cron_month: 'repeated jobs are not supported',
   cron_day_of_week: 'repeated jobs are not supported',
-  checkpoint_exit_code: 'checkpoints by exit code are not supported',
+  checkpoint_exit_code: 'checkpoints signaled by an exit code are not supported',
   deferral_user: 'not supported',
   dagman_log: 'workflows are not supported',
   noop_job: 'jobs that do nothing are not supported',
-  output_destination: 'output cannot be sent elsewhere',
-  transfer_output_remaps: 'output cannot be renamed: name it with output',
+  output_destination: 'output cannot be sent to another destination',
+  transfer_output_remaps: 'output files cannot be renamed: set their names with output',
   manifest: 'not supported',
   job_machine_attrs: 'not supported',
-  require_gpus: 'requirements on single GPUs are not supported: use requirements',
-  gpus_minimum_memory: 'requirements on single GPUs are not supported: use requirements',
-  gpus_minimum_capability: 'requirements on single GPUs are not supported: use requirements',
+  require_gpus: 'requirements on individual GPUs are not supported: use requirements',
+  gpus_minimum_memory: 'requirements on individual GPUs are not supported: use requirements',
+  gpus_minimum_capability: 'requirements on individual GPUs are not supported: use requirements',
 };
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -1,4 +1,4 @@
-/** The submit commands that set attributes of a job. */
+/** The submit commands that set job attributes. */
 import { resolve } from 'node:path';
 import { stringLiteralValue } from '../classad/index.js';
 import {
@@ -14,19 +14,19 @@
   setString,
   stringLiteral,
   bytesPerUnit,
-  withPosition,
+  withErrorPosition,
   type CommandContext,
   type CommandHandler,
 } from './command-handlers.js';
 import { SubmitError } from './errors.js';
 import { joinVariables, parseNewSyntaxVariables, parseArguments, parseEnvironment } from './quoting.js';
 
-/** Values of the attribute JobUniverse. */
+/** Values of the JobUniverse attribute, by the value of the `universe` command. */
 const universes: Record<string, number> = { vanilla: 5, '5': 5, local: 12, '12': 12, parallel: 11, '11': 11 };
-/** Values of the attribute JobNotification. */
+/** Values of the JobNotification attribute, by the value of the `notification` command. */
 const notifications: Record<string, number> = { never: 0, always: 1, complete: 2, error: 3 };
 
-/** The variables of the submit environment that `getenv` selects: all, none, or those that match its patterns. */
+/** Returns the environment variables that `getenv` selects: all, none, or those that match its patterns. */
 function selectVariables(value: string, context: CommandContext): [string, string][] {
   const all = Object.entries(context.environment.env).filter(
     (entry): entry is [string, string] => entry[1] !== undefined,
@@ -46,7 +46,10 @@
   );
 }
 
-/** The commands, in the order in which they are applied, whatever their order in the file: some use attributes that others set. */
+/**
+ * The command handlers, in the order in which they are applied. It is independent of the order in the file, because some
+ * handlers use attributes that others set.
+ */
 export const commands: Record<string, CommandHandler> = {
   universe: (value, context, name) => {
     const universe = universes[value.toLowerCase()];
@@ -64,7 +67,7 @@
     context.ad.set('Cmd', stringLiteral(resolve(context.environment.cwd, value)));
   },
   arguments: (value, context, name) => {
-    const parsed = withPosition(context, name, () => parseArguments(value));
+    const parsed = withErrorPosition(context, name, () => parseArguments(value));
     context.ad.set('Args', stringLiteral(parsed.text));
     if (parsed.isNew) context.ad.set('Arguments', stringLiteral(parsed.text));
   },
@@ -73,10 +76,10 @@
     if (vars.length > 0) setEnvironment(context, joinVariables(vars), true);
   },
   environment: (value, context, name) => {
-    const parsed = withPosition(context, name, () => parseEnvironment(value));
+    const parsed = withErrorPosition(context, name, () => parseEnvironment(value));
     const before = stringLiteralValue(context.ad.get('Environment'));
     if (before === null) return setEnvironment(context, parsed.text, parsed.isNew);
-    // Variables that are set here override those from getenv.
+    // Variables of this command override those selected by getenv.
     const names = new Set(parsed.vars.map(([variable]) => variable));
     const kept = parseNewSyntaxVariables(before).filter(([variable]) => !names.has(variable));
     setEnvironment(context, joinVariables([...kept, ...parsed.vars]), true);
--- a/src/condor/errors.ts
+++ b/src/condor/errors.ts
@@ -1,12 +1,12 @@
-/** Errors and warnings about submit files, with their positions. */
+/** Errors and warnings that refer to a position in a submit file. */
 
-/** A position in a submit file: the file as it was named, and a line, from 1. */
+/** A position in a submit file: the file name as given by the user, and the line number, from 1. */
 export interface SourcePosition {
   readonly file: string;
   readonly line: number;
 }
 
-/** A mistake in a submit file. Its message has the form that editors understand: file, line, reason. */
+/** An error in a submit file. The message has the form `file:line: reason`, which editors recognize. */
 export class SubmitError extends Error {
   constructor(
     readonly position: SourcePosition,
@@ -17,7 +17,7 @@
   }
 }
 
-/** Malformed arguments, or a malformed environment, of a command. The caller knows their position. */
+/** A syntax error in the arguments or the environment of a job. The caller adds the position. */
 export class QuotingError extends Error {
   constructor(message: string) {
     super(message);
@@ -25,16 +25,16 @@
   }
 }
 
-/** Collects warnings, each once. */
+/** Collects warnings without duplicates. */
 export class Warnings {
   private readonly messages = new Set<string>();
 
-  /** Adds a warning about a position. */
+  /** Adds a warning that refers to a position. */
   add(position: SourcePosition, text: string): void {
     this.messages.add(`${position.file}:${position.line}: warning: ${text}`);
   }
 
-  /** All warnings, in the order in which they first occurred. */
+  /** All warnings, in the order in which they were first added. */
   get all(): string[] {
     return [...this.messages];
   }
--- a/src/condor/index.ts
+++ b/src/condor/index.ts
@@ -1,4 +1,4 @@
-/** HTCondor's submit files: their jobs as ClassAd records and as native submissions. */
+/** Reads HTCondor submit files and converts their jobs to ClassAd records and native submissions. */
 export { SubmitError } from './errors.js';
 export { Submission, adToJson } from './jobs.js';
 export { nativeSubmission, type JobGroup } from './native-submission.js';
--- a/src/condor/job-attributes.ts
+++ b/src/condor/job-attributes.ts
@@ -1,8 +1,8 @@
-/** The attributes of a job that no command sets: defaults, and what follows from other attributes. */
+/** Job attributes that no command sets directly: defaults, and attributes derived from others. */
 import { literal, parseExpr, printExpr, stringLiteralValue } from '../classad/index.js';
 import { integerLiteral, stringLiteral, type CommandContext } from './command-handlers.js';
 
-/** Adds the attributes that follow from others, after all commands were applied. */
+/** Adds the attributes that are derived from others. Called after all commands were applied. */
 export function addDerivedAttributes(context: CommandContext): void {
   const { ad } = context;
   const isSet = (name: string): boolean => ad.has(name);
@@ -23,7 +23,7 @@
   }
 }
 
-/** Adds the attributes that every job has, before commands are applied. */
+/** Adds the default attributes of every job. Called before commands are applied. */
 export function addDefaultAttributes(context: CommandContext): void {
   const { ad } = context;
   ad.set('JobUniverse', integerLiteral(5));
--- a/src/condor/jobs.ts
+++ b/src/condor/jobs.ts
@@ -1,4 +1,4 @@
-/** The jobs of a submit file as ClassAd records. */
+/** Generates the jobs of a submit file as ClassAd records. */
 import { Ad, literal, printExpr, type Attribute, type Expr } from '../classad/index.js';
 import { parseExpression, type CommandContext } from './command-handlers.js';
 import { aliases, ignoredCommands, unsupportedCommands } from './command-tables.js';
@@ -10,18 +10,18 @@
 import type { JobGroup } from './native-submission.js';
 import { SubmitFile, type QueueStatement } from './submit-file.js';
 
-/** A command, or an attribute of the user's own, to be applied to each job of a queue statement. */
+/** A command or custom attribute that is applied to each job of a queue statement. */
 interface AttributeAssignment {
   /** The command's canonical name; `my` for a custom attribute. */
   readonly command: string;
-  /** The name as the file has it. */
+  /** The name as written in the file. */
   readonly name: string;
-  /** The value, not expanded. */
+  /** The value before macro expansion. */
   readonly value: string;
   readonly position: SourcePosition;
 }
 
-/** What is applied to each job of a queue statement, in order. */
+/** The commands and custom attributes that are applied, in this order, to each job of a queue statement. */
 interface JobPlan {
   readonly commands: AttributeAssignment[];
   readonly custom: AttributeAssignment[];
@@ -30,43 +30,43 @@
 const commandOrder = Object.keys(commands);
 const canonicalName = (name: string): string => aliases[name] ?? name;
 
-/** A submit file and its jobs, which are generated one by one because there may be many. */
+/** A submit file and its jobs. Jobs are generated lazily, because there may be many. */
 export class Submission {
   readonly file: SubmitFile;
   private readonly environment: SubmitEnvironment;
   private readonly plansByStatement = new Map<QueueStatement, JobPlan>();
 
-  constructor(text: string, name: string, outside: SubmitEnvironment) {
-    this.environment = outside;
-    this.file = new SubmitFile(text, name, outside);
+  constructor(text: string, name: string, environment: SubmitEnvironment) {
+    this.environment = environment;
+    this.file = new SubmitFile(text, name, environment);
   }
 
-  /** The warnings so far; those about single jobs come while they are generated. */
+  /** The warnings so far. Warnings about individual jobs are added while these are generated. */
   get warnings(): string[] {
     return this.file.warnings.all;
   }
 
-  /** All jobs, one record each. */
+  /** Generates all jobs, each as a ClassAd record. */
   *jobs(): Generator<Ad> {
     let proc = 0;
     for (const statement of this.file.queueStatements) {
-      const steps = this.planFor(statement);
+      const plan = this.planFor(statement);
       const constants = new Map<AttributeAssignment, Attribute[]>();
       const rows = statement.request.rows?.length ?? 1;
       if (statement.request.count === 0) this.file.warnings.add(statement.position, 'queue: 0 jobs');
       for (let row = 0; row < rows; row++)
         for (let step = 0; step < statement.request.count; step++) {
           const perJob = perJobValues(statement, row, String(proc), String(step));
-          yield this.buildJob(statement, steps, constants, perJob, proc++);
+          yield this.buildJob(statement, plan, constants, perJob, proc++);
         }
     }
     this.warnUnused();
   }
 
   /**
-   * The jobs in groups whose jobs differ by their numbers only, so that ten thousand can be submitted as one. A group is found
-   * by expanding its values with a mark in place of the number, and verified by comparing the result with every job; if they
-   * differ otherwise, each job is a group of its own.
+   * Generates the jobs in groups. Jobs of one row that differ only in their process numbers form one group, so that ten
+   * thousand jobs can be submitted as one array. Such a group is found by expanding all values with a placeholder in place of
+   * the number, and verified by comparing the result with every job. Jobs that differ in other ways form groups of one.
    */
   *groups(): Generator<JobGroup> {
     const jobs = this.jobs();
@@ -79,29 +79,30 @@
         for (let i = 0; i < count; i++) ads.push(jobs.next().value as Ad);
         const ad = count > 1 ? this.buildTemplateJob(statement, row) : null;
         const uniform = ad !== null && ads.every((a, i) => matchesTemplate(ad, a, first + i));
-        if (uniform) yield { ad, first, count, numbered: true, position: statement.position };
+        if (uniform) yield { ad, first, count, isTemplate: true, position: statement.position };
         else
           for (const [i, a] of ads.entries())
-            yield { ad: a, first: first + i, count: 1, numbered: false, position: statement.position };
+            yield { ad: a, first: first + i, count: 1, isTemplate: false, position: statement.position };
         first += count;
       }
     }
-    // Runs the generator to its end, where it adds warnings.
+    // Runs the generator to completion: it adds the remaining warnings at its end.
     jobs.next();
   }
 
+  /** Builds the record of a row with a placeholder as the process number; null if this is not possible. */
   private buildTemplateJob(statement: QueueStatement, row: number): Ad | null {
     const perJob = perJobValues(statement, row, taskIndexPlaceholder, taskIndexPlaceholder);
     try {
       return this.buildJob(statement, this.planFor(statement), new Map(), perJob, 0);
     } catch (e) {
-      // Some expression needs the number's value.
+      // An expression cannot be evaluated without the actual number.
       if (e instanceof SubmitError) return null;
       throw e;
     }
   }
 
-  /** The plan of a queue statement, made once. */
+  /** Returns the plan of a queue statement, which is built on first use. */
   private planFor(statement: QueueStatement): JobPlan {
     let known = this.plansByStatement.get(statement);
     if (!known) this.plansByStatement.set(statement, (known = this.buildPlan(statement)));
@@ -109,7 +110,7 @@
   }
 
   private buildPlan(statement: QueueStatement): JobPlan {
-    const steps: AttributeAssignment[] = [];
+    const assignments: AttributeAssignment[] = [];
     const custom: AttributeAssignment[] = [];
     for (const { name, value, position } of statement.macros.all) {
       const key = name.toLowerCase();
@@ -124,18 +125,18 @@
         continue;
       }
       const command = canonicalName(key);
-      if (commands[command]) steps.push({ command, name, value, position });
+      if (commands[command]) assignments.push({ command, name, value, position });
       else if (key.includes('.')) throw new SubmitError(position, `${name}: not a submit command`);
     }
-    steps.sort((a, b) => commandOrder.indexOf(a.command) - commandOrder.indexOf(b.command));
-    if (!steps.some((s) => s.command === 'executable'))
+    assignments.sort((a, b) => commandOrder.indexOf(a.command) - commandOrder.indexOf(b.command));
+    if (!assignments.some((s) => s.command === 'executable'))
       throw new SubmitError(statement.position, 'queue: no executable is set');
-    return { commands: steps, custom };
+    return { commands: assignments, custom };
   }
 
   private buildJob(
     statement: QueueStatement,
-    { commands: steps, custom: own }: JobPlan,
+    { commands: assignments, custom: customAssignments }: JobPlan,
     constants: Map<AttributeAssignment, Attribute[]>,
     perJob: ReadonlyMap<string, string>,
     proc: number,
@@ -151,23 +152,24 @@
       warnings: this.file.warnings,
     };
     addDefaultAttributes(context);
-    for (const s of [...steps, ...own]) {
-      const done = constants.get(s);
-      if (done) {
-        for (const a of done) ad.set(a.name, a.expr);
+    for (const assignment of [...assignments, ...customAssignments]) {
+      const constantAttributes = constants.get(assignment);
+      if (constantAttributes) {
+        for (const a of constantAttributes) ad.set(a.name, a.expr);
         continue;
       }
-      const value = statement.macros.expand(s.value, s.position, perJob).trim();
-      const { dependsOnJob: varied } = statement.macros;
-      context.position = s.position;
-      if (value === '' && s.command !== 'executable' && s.command !== 'my') continue;
-      // Attributes that do not depend on the job are computed once.
-      const before = varied ? null : new Map([...ad].map((a) => [a.name, a.expr]));
-      if (s.command === 'my') ad.set(s.name, parseExpression(value, context, s.name));
-      else commands[s.command](value, context, s.name);
+      const value = statement.macros.expand(assignment.value, assignment.position, perJob).trim();
+      const { dependsOnJob: variesByJob } = statement.macros;
+      context.position = assignment.position;
+      if (value === '' && assignment.command !== 'executable' && assignment.command !== 'my') continue;
+      // Attributes that do not vary from job to job are computed once per queue statement.
+      const before = variesByJob ? null : new Map([...ad].map((a) => [a.name, a.expr]));
+      if (assignment.command === 'my')
+        ad.set(assignment.name, parseExpression(value, context, assignment.name));
+      else commands[assignment.command](value, context, assignment.name);
       if (before)
         constants.set(
-          s,
+          assignment,
           [...ad].filter((a) => before.get(a.name) !== a.expr),
         );
     }
@@ -176,7 +178,7 @@
     return ad;
   }
 
-  /** Warns about names that are set without effect: most likely they are misspelt. */
+  /** Warns about macros that are set but have no effect; most likely their names are misspelt. */
   private warnUnused(): void {
     const used = new Set(this.file.queueStatements.flatMap((b) => [...b.macros.referencedNames]));
     for (const { name, position } of this.file.macros.all) {
@@ -190,19 +192,19 @@
         continue;
       this.file.warnings.add(position, `${name}: not a submit command, and nothing refers to it`);
     }
-    const last = Math.max(
+    const lastQueueLine = Math.max(
       ...this.file.queueStatements
         .filter((b) => b.position.file === this.file.fileName)
         .map((b) => b.position.line),
       0,
     );
     for (const { name, position } of this.file.macros.all)
-      if (position.file === this.file.fileName && position.line > last && last > 0)
+      if (position.file === this.file.fileName && position.line > lastQueueLine && lastQueueLine > 0)
         this.file.warnings.add(position, `${name}: after the last queue: not used`);
   }
 }
 
-/** The macros whose values differ from job to job. */
+/** Returns the macros whose values vary from job to job, by name in lower case. */
 function perJobValues(
   statement: QueueStatement,
   row: number,
@@ -221,10 +223,10 @@
   return perJob;
 }
 
-/** Whether a job equals the numbered record with its number filled in. */
-function matchesTemplate(numbered: Ad, job: Ad, proc: number): boolean {
-  if (numbered.size !== job.size) return false;
-  for (const { name, expr } of numbered) {
+/** Whether a job equals the template record with the placeholder replaced by its process number. */
+function matchesTemplate(template: Ad, job: Ad, proc: number): boolean {
+  if (template.size !== job.size) return false;
+  for (const { name, expr } of template) {
     const own = job.get(name);
     if (name === 'ProcId' || own === expr) continue;
     if (!own || printExpr(expr).replaceAll(taskIndexPlaceholder, String(proc)) !== printExpr(own))
@@ -233,7 +235,7 @@
   return true;
 }
 
-/** A record as JSON: values as they are, expressions as HTCondor's tools show them. */
+/** Converts a record to JSON: literals to values, other expressions to strings in the notation of HTCondor's tools. */
 export function adToJson(ad: Ad): Record<string, unknown> {
   const out: Record<string, unknown> = {};
   for (const { name, expr } of ad) out[name] = valueToJson(expr);
--- a/src/condor/line-reader.ts
+++ b/src/condor/line-reader.ts
@@ -1,13 +1,13 @@
-/** Splits submit files into statements. */
+/** Splits the text of a submit file into statements. */
 import { SubmitError, type SourcePosition } from './errors.js';
 
-/** A logical line: a line of a submit file with its continuation lines. */
+/** A logical line of a submit file: a line joined with its continuation lines. */
 export interface Statement {
   readonly text: string;
   readonly position: SourcePosition;
 }
 
-/** LineReader one after the other; whoever reads a statement may take those that belong to it. */
+/** Reads statements sequentially. The caller can consume the raw lines that follow if they belong to the statement. */
 export class LineReader {
   private nextIndex = 0;
   private readonly lines: string[];
@@ -19,7 +19,7 @@
     this.lines = text.split(/\r?\n/);
   }
 
-  /** The next statement, without comments and empty lines; null at the end of the file. */
+  /** Returns the next statement, skipping comments and empty lines; null at the end of the file. */
   nextStatement(): Statement | null {
     while (this.nextIndex < this.lines.length) {
       const position = { file: this.fileName, line: this.nextIndex + 1 };
@@ -30,7 +30,7 @@
         // Comments between continuation lines are skipped.
         while (this.lines[this.nextIndex]?.trimStart().startsWith('#')) this.nextIndex++;
         const continuation = this.lines[this.nextIndex++] ?? '';
-        // Any amount of white space where two lines are joined counts as one space.
+        // Any white space at the point where two lines are joined becomes one space.
         const separator = /\s$/.test(before) || /^\s/.test(continuation) ? ' ' : '';
         text = before.trimEnd() + separator + continuation.trimStart();
       }
@@ -39,7 +39,7 @@
     return null;
   }
 
-  /** The raw lines before the line that satisfies `isEnd`; throws `message` if there is none. */
+  /** Reads raw lines up to the line that satisfies `isEnd`, which is consumed. Throws `message` if there is no such line. */
   readUntil(isEnd: (line: string) => boolean, position: SourcePosition, message: string): string {
     const lines: string[] = [];
     while (this.nextIndex < this.lines.length) {
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -1,30 +1,32 @@
-/** The macros of a submit file: assignment, references and their expansion. */
+/** The macros of a submit file: assignment and expansion of references. */
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
 import { callMacroFunction } from './macro-functions.js';
 import type { SubmitEnvironment } from './submit-environment.js';
 
-/** A macro that the file has set. */
+/** A macro that the submit file sets. */
 export interface Macro {
   readonly name: string;
-  /** Its value, not expanded. */
+  /** The value before macro expansion. */
   readonly value: string;
   readonly position: SourcePosition;
 }
 
-/** The macros whose values differ from job to job, by name in lower case. */
+/** The macros whose values vary from job to job, by name in lower case. */
 export type PerJobValues = ReadonlyMap<string, string>;
 
 const noPerJobValues: PerJobValues = new Map();
+/** Maximum length of an expanded text, characters: macros that refer to each other can grow a text exponentially. */
 const maxExpandedChars = 1024 * 1024;
+/** Maximum depth of macros that refer to other macros. */
 const maxNesting = 50;
 const namePattern = /^[A-Za-z_][\w.]*$/;
 
-/** The macros that a submit file has set so far. */
+/** The macros that are set at the current point of a submit file. */
 export class Macros {
   private macros = new Map<string, Macro>();
-  /** The names that were referred to, in lower case. */
+  /** The names that references mention, in lower case. */
   readonly referencedNames = new Set<string>();
-  /** Whether the last expansion used a value that differs from job to job. */
+  /** Whether the result of the last expansion varies from job to job: it used such a value or a random function. */
   dependsOnJob = false;
 
   constructor(
@@ -33,7 +35,7 @@
     private readonly predefined: ReadonlyMap<string, string>,
   ) {}
 
-  /** A copy that later assignments do not change. */
+  /** Returns a copy that later assignments do not affect. */
   snapshot(): Macros {
     const copy = new Macros(this.environment, this.warnings, this.predefined);
     copy.macros = new Map(this.macros);
@@ -41,7 +43,7 @@
     return copy;
   }
 
-  /** A macro by its name. */
+  /** Returns a macro by name, in any case; undefined if it is not set. */
   get(name: string): Macro | undefined {
     return this.macros.get(name.toLowerCase());
   }
@@ -51,7 +53,7 @@
     return this.macros.values();
   }
 
-  /** Sets a macro. A reference to itself in the value stands for the previous value. */
+  /** Sets a macro. References to the macro itself are replaced by its previous value immediately. */
   assign(name: string, value: string, position: SourcePosition): void {
     const key = name.toLowerCase();
     const previous = this.macros.get(key);
@@ -64,7 +66,7 @@
     this.macros.set(key, { name, value: text, position });
   }
 
-  /** Expands all references in a text. */
+  /** Expands all macro references and function calls in a text. */
   expand(text: string, position: SourcePosition, perJob: PerJobValues = noPerJobValues): string {
     this.dependsOnJob = false;
     return text.includes('$') ? this.expandReferences(text, position, perJob, []) : text;
@@ -117,11 +119,11 @@
     const found = this.lookup(name, position, perJob, stack);
     if (found !== null) return found;
     if (colon >= 0) return body.slice(colon + 1);
-    this.warnings.add(position, `$(${name}) has no value: taken as empty`);
+    this.warnings.add(position, `$(${name}) has no value: treated as empty`);
     return '';
   }
 
-  /** The expanded value of a macro; null if it is not set. */
+  /** Returns the expanded value of a macro; null if it is not set. */
   private lookup(
     name: string,
     position: SourcePosition,
@@ -134,7 +136,7 @@
     if (stack.includes(key))
       throw new SubmitError(position, `${[...stack, key].join(' -> ')}: refers to itself`);
     if (stack.length >= maxNesting)
-      throw new SubmitError(position, `${name}: more than ${maxNesting} names deep`);
+      throw new SubmitError(position, `${name}: macros are nested more than ${maxNesting} levels deep`);
     const perJobValue = perJob.get(key);
     if (perJobValue !== undefined) {
       this.dependsOnJob = true;
@@ -169,7 +171,7 @@
   }
 }
 
-/** The index of the parenthesis that closes the one before `from`; -1 if there is none. */
+/** Returns the index of the parenthesis that closes the one before `from`; -1 if there is none. */
 export function closingParenthesis(text: string, from: number): number {
   let depth = 1;
   for (let i = from; i < text.length; i++)
--- a/src/condor/native-submission.ts
+++ b/src/condor/native-submission.ts
@@ -1,4 +1,4 @@
-/** Jobs of submit files as native submissions. */
+/** Converts the jobs of submit files to the control service's native submissions. */
 import { resolve } from 'node:path';
 import { printExpr, stringLiteralValue, type Ad, type Expr } from '../classad/index.js';
 import { taskIndexPlaceholder } from '../model/task-command.js';
@@ -6,52 +6,53 @@
 import { SubmitError, type SourcePosition, type Warnings } from './errors.js';
 import { parseNewSyntaxVariables, parseEnvironment, splitWords } from './quoting.js';
 
-/** Jobs of one queue statement that are submitted as one job. */
+/** Jobs of one queue statement that are submitted together, as one native job. */
 export interface JobGroup {
   readonly ad: Ad;
-  /** The number of the first one. */
+  /** The process number of the first job. */
   readonly first: number;
   readonly count: number;
-  /** Whether marks stand for their numbers in the record; if not, it is a single job. */
-  readonly numbered: boolean;
+  /** Whether the record contains placeholders for the process number; if not, the group is a single job. */
+  readonly isTemplate: boolean;
   readonly position: SourcePosition;
 }
 
-/** Values of the attribute JobUniverse. */
+/** Values of the JobUniverse attribute. */
 const universes = { local: 12, parallel: 11 };
-/** The value of the attribute JobStatus for a job on hold. */
+/** The value of the JobStatus attribute for a job on hold. */
 const heldStatus = 5;
 const nullDevice = '/dev/null';
-/** Attributes that expressions of the job cannot refer to: they are the command itself, or long. */
+/** Attributes that are not sent, so that the job's expressions cannot refer to them: they describe the command, or are long. */
 const unsentAttributes =
   /^(ClusterId|ProcId|Cmd|Args|Arguments|Env|Environment|Iwd|In|Out|Err|UserLog|Requirements|Rank|Periodic.*|OnExit.*)$/;
-/** Longer attributes are not sent. */
+/** Attributes with longer expressions are not sent, characters. */
 const maxAttributeChars = 500;
 
-/** The number that an expression is; null if it is none. */
+/** Returns the value of a number literal; null for any other expression. */
 const numericLiteralValue = (e: Expr | undefined): number | null =>
   e?.kind === 'literal' && (typeof e.value === 'bigint' || typeof e.value === 'number')
     ? Number(e.value)
     : null;
-/** Whether an attribute is missing or false. */
+/** Whether an attribute is missing or the literal false. */
 const isMissingOrFalse = (e: Expr | undefined): boolean =>
   e === undefined || (e.kind === 'literal' && e.value === false);
 
-/** A group as a native submission. Throws for attributes that a control service does not support. */
+/** Converts a group to a native submission. Throws a `SubmitError` for attributes that a control service does not support. */
 export function nativeSubmission(group: JobGroup, team: string, warnings: Warnings): Record<string, unknown> {
   const { ad, position } = group;
   const reject = (what: string): never => {
     throw new SubmitError(position, `${what}: not supported by a control service yet (--dry-run shows it)`);
   };
-  rejectUnsupported(ad, reject);
+  rejectUnsupportedAttributes(ad, reject);
   if (ad.has('UserLog')) warnings.add(position, 'log: its events are not written yet');
   const amount = (attr: string, name: string): number =>
     numericLiteralValue(ad.get(attr)) ?? reject(`${name} that depends on other attributes`);
   const universe = numericLiteralValue(ad.get('JobUniverse'));
-  if (universe === universes.local) warnings.add(position, 'universe: local: run on an agent like any other');
+  if (universe === universes.local)
+    warnings.add(position, 'universe: local: runs on an agent like any other job');
   const gang = universe === universes.parallel;
-  if (gang && group.count > 1 && group.numbered)
-    throw new SubmitError(position, 'universe: parallel: one job for each gang');
+  if (gang && group.count > 1 && group.isTemplate)
+    throw new SubmitError(position, 'universe: parallel: queue with a count above 1 is not supported');
   const priority = numericLiteralValue(ad.get('JobPrio')) ?? 0;
   const wallS = numericLiteralValue(ad.get('AllowedExecuteDuration'));
   return {
@@ -67,13 +68,13 @@
     retries: numericLiteralValue(ad.get('JobMaxRetries')) ?? 0,
     ...(wallS === null || wallS <= 0 ? {} : { wallS }),
     ...commandFields(ad),
-    ...(group.numbered ? { numberFrom: group.first } : {}),
+    ...(group.isTemplate ? { numberFrom: group.first } : {}),
     ...matchFields(ad),
   };
 }
 
-/** Rejects the attributes that would make it another job on a control service. */
-function rejectUnsupported(ad: Ad, reject: (what: string) => never): void {
+/** Rejects attributes that a control service does not support and whose omission would change what the job does. */
+function rejectUnsupportedAttributes(ad: Ad, reject: (what: string) => never): void {
   for (const [attr, name] of [
     ['PeriodicHold', 'periodic_hold'],
     ['PeriodicRelease', 'periodic_release'],
@@ -89,7 +90,7 @@
   if (numericLiteralValue(ad.get('JobStatus')) === heldStatus) reject('hold');
 }
 
-/** The expressions of the job, and if it has any, the attributes that they may refer to. */
+/** Returns the job's requirements and rank, together with the attributes that they may refer to; nothing if it has neither. */
 function matchFields(ad: Ad): Record<string, unknown> {
   const requirements = ad.get('Requirements');
   const rank = ad.get('Rank');
@@ -110,7 +111,7 @@
   };
 }
 
-/** The command with its files and environment. */
+/** Returns the fields of the command: arguments, environment, working directory and files. */
 function commandFields(ad: Ad): Record<string, unknown> {
   const iwd = stringLiteralValue(ad.get('Iwd')) ?? '/';
   const newArguments = stringLiteralValue(ad.get('Arguments'));
@@ -131,7 +132,7 @@
     return name === null || name === nullDevice ? null : resolve(iwd, name);
   };
   return {
-    // Agents do not supply standard input: a shell opens the file, and then executes the command.
+    // Agents do not provide standard input: a shell redirects it from the file and then executes the command.
     command:
       inputPath === null ? command : ['/bin/sh', '-c', 'exec "$0" "$@" < "$DAPPLEPICK_INPUT"', ...command],
     env: { ...Object.fromEntries(vars), ...(inputPath === null ? {} : { DAPPLEPICK_INPUT: inputPath }) },
--- a/src/condor/quoting.ts
+++ b/src/condor/quoting.ts
@@ -1,9 +1,9 @@
-/** Arguments and environments, in the old and the new syntax of HTCondor's manual. */
+/** Parses job arguments and environments in the old and the new syntax that HTCondor's manual defines. */
 import { QuotingError } from './errors.js';
 
 const isNewSyntax = (text: string): boolean => text.startsWith('"');
 
-/** The text between the outer double quotes of the new syntax, in which `""` stands for a double quote. */
+/** Returns the text between the outer double quotes of the new syntax, where `""` denotes a double quote. */
 function unquote(text: string): string {
   if (text.length < 2 || !text.endsWith('"')) throw new QuotingError('a double quote is not closed');
   const inside = text.slice(1, -1);
@@ -12,7 +12,10 @@
   return inside.replaceAll('""', '"');
 }
 
-/** The words of the new syntax: white space separates them, single quotes group, `''` between them is a single quote. */
+/**
+ * Splits a text in the new syntax into words. Words are separated by white space; single quotes group characters into a word, and
+ * `''` inside them denotes a single quote.
+ */
 export function splitWords(text: string): string[] {
   const words: string[] = [];
   let word: string | null = null;
@@ -40,16 +43,16 @@
     .map((word) => (word === '' || /[\s']/.test(word) ? `'${word.replaceAll("'", "''")}'` : word))
     .join(' ');
 
-/** Parsed arguments of a command. */
+/** The parsed arguments of a job. */
 export interface ParsedArguments {
-  /** As the job's record has them: in `Args` in the old syntax, in `Arguments` in the new one. */
+  /** The arguments as stored in the job's record: attribute `Args`, and for the new syntax also `Arguments`. */
   readonly text: string;
-  /** Whether they are in the new syntax. */
+  /** Whether the arguments use the new syntax. */
   readonly isNew: boolean;
   readonly argv: string[];
 }
 
-/** Parses the arguments of a command. */
+/** Parses the arguments of a job. */
 export function parseArguments(value: string): ParsedArguments {
   if (isNewSyntax(value)) {
     const text = unquote(value);
@@ -57,22 +60,22 @@
   }
   if (/(^|[^\\])"/.test(value))
     throw new QuotingError(
-      'a double quote in the old syntax must be written \\" (or the whole in double quotes)',
+      'a double quote in the old syntax must be written \\" (or enclose the whole value in double quotes)',
     );
   const text = value.replaceAll('\\"', '"');
   return { text, isNew: false, argv: text.split(/\s+/).filter((word) => word !== '') };
 }
 
-/** A parsed environment of a command. */
+/** The parsed environment of a job. */
 export interface ParsedEnvironment {
-  /** As the job's record has it. */
+  /** The environment as stored in the job's record. */
   readonly text: string;
-  /** Whether it is in the new syntax. */
+  /** Whether the environment uses the new syntax. */
   readonly isNew: boolean;
   readonly vars: [string, string][];
 }
 
-/** Parses the environment of a command. */
+/** Parses the environment of a job. */
 export function parseEnvironment(value: string): ParsedEnvironment {
   if (!isNewSyntax(value)) {
     const entries = value.split(';').filter((e) => e.trim() !== '');
@@ -82,11 +85,11 @@
   return { text, isNew: true, vars: parseNewSyntaxVariables(text) };
 }
 
-/** The variables of an environment in the new syntax, without its outer quotes. */
+/** Parses the variables of an environment in the new syntax, given without its outer quotes. */
 export const parseNewSyntaxVariables = (text: string): [string, string][] =>
   splitWords(text).map(parseVariable);
 
-/** Variables in the new syntax, without outer quotes. */
+/** Formats variables in the new syntax, without outer quotes. */
 export const joinVariables = (vars: readonly [string, string][]): string =>
   joinWords(vars.map(([name, value]) => `${name}=${value}`));
 
--- a/src/condor/submit-environment.ts
+++ b/src/condor/submit-environment.ts
@@ -1,17 +1,17 @@
-/** The environment in which a submit file is read. */
+/** The environment in which a submit file is evaluated. */
 
-/** What a submit file may refer to on the machine on which it is submitted. */
+/** The properties of the submitting machine that a submit file may refer to. */
 export interface SubmitEnvironment {
-  /** The current directory. */
+  /** The current working directory. */
   readonly cwd: string;
   readonly env: Readonly<Record<string, string | undefined>>;
   readonly user: string;
-  /** Time of day, s. */
+  /** Seconds since the Unix epoch. */
   readonly nowS: number;
-  /** A random number from 0 to 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   random(): number;
-  /** The text of a file; null if it cannot be read. */
+  /** Returns the text of a file; null if it cannot be read. */
   read(path: string): string | null;
-  /** The names that match a pattern, sorted; relative if the pattern is. */
+  /** Returns the names that match a pattern, sorted; they are relative if the pattern is. */
   glob(pattern: string, type: 'files' | 'dirs' | 'any'): string[];
 }
--- a/src/condor/submit-file.ts
+++ b/src/condor/submit-file.ts
@@ -1,4 +1,4 @@
-/** Reads submit files: statements, conditionals, includes, and the queue statements. */
+/** Reads a submit file: evaluates its assignments, conditionals and includes, and collects its queue statements. */
 import { dirname, relative, resolve } from 'node:path';
 import { Ad, ClassAdError, evaluate, parseExpr } from '../classad/index.js';
 import { SubmitError, Warnings, type SourcePosition } from './errors.js';
@@ -7,33 +7,34 @@
 import type { SubmitEnvironment } from './submit-environment.js';
 import { parseQueue, type QueueRequest } from './queue-statement.js';
 
-/** A queue statement, and the macros as they were set when it was reached. */
+/** A queue statement, with the values of the macros at that point of the file. */
 export interface QueueStatement {
   readonly macros: Macros;
   readonly request: QueueRequest;
   readonly position: SourcePosition;
 }
 
-/** The number of the cluster is not known before the submission. */
+/** Value of the cluster macros. The actual cluster number is not known before the submission. */
 const clusterId = '1';
+/** Maximum number of files that a submit file may include, directly or indirectly. */
 const maxIncludes = 20;
 /** The version of HTCondor that `if version` conditions are compared with. */
 const supportedVersion = [24, 0, 0];
 
-/** An open `if` of a submit file. */
+/** An `if` that is not closed by its `endif` yet. */
 interface Conditional {
-  /** Whether the current branch is taken, and with it all enclosing ones. */
+  /** Whether the current branch and all enclosing branches are taken. */
   active: boolean;
-  /** Whether a branch was taken already. */
+  /** Whether a branch has been taken already. */
   branchTaken: boolean;
   /** Whether all enclosing branches are taken. */
-  readonly outer: boolean;
-  /** Whether its `else` was reached. */
+  readonly enclosingActive: boolean;
+  /** Whether its `else` has been reached. */
   elseSeen: boolean;
   readonly position: SourcePosition;
 }
 
-/** A submit file, read statement by statement up to its queue statements. */
+/** A parsed submit file. The constructor evaluates all statements and collects the queue statements. */
 export class SubmitFile {
   readonly queueStatements: QueueStatement[] = [];
   readonly warnings = new Warnings();
@@ -87,16 +88,18 @@
         const [, kind, condition] = word;
         const last = conditionals.at(-1);
         if (kind.toLowerCase() === 'if') {
-          const outer = isActive();
-          const active = outer && this.evaluateCondition(condition, position);
-          conditionals.push({ active, branchTaken: active, outer, elseSeen: false, position });
+          const enclosingActive = isActive();
+          const active = enclosingActive && this.evaluateCondition(condition, position);
+          conditionals.push({ active, branchTaken: active, enclosingActive, elseSeen: false, position });
         } else if (!last) throw new SubmitError(position, `${kind}: without if`);
         else if (kind.toLowerCase() === 'endif') conditionals.pop();
         else {
           if (last.elseSeen) throw new SubmitError(position, `${kind}: after else`);
           last.elseSeen = kind.toLowerCase() === 'else';
           last.active =
-            last.outer && !last.branchTaken && (last.elseSeen || this.evaluateCondition(condition, position));
+            last.enclosingActive &&
+            !last.branchTaken &&
+            (last.elseSeen || this.evaluateCondition(condition, position));
           last.branchTaken ||= last.active;
         }
         continue;
@@ -107,7 +110,7 @@
     if (unclosed) throw new SubmitError(unclosed.position, 'if: without endif');
   }
 
-  /** Executes a statement, or only consumes its lines if it stands in a branch that is not taken. */
+  /** Executes a statement. In a branch that is not taken, only consumes its lines. */
   private executeStatement(text: string, position: SourcePosition, lines: LineReader, active: boolean): void {
     const queue = /^queue\b(?!\s*=)\s*(.*)$/is.exec(text);
     if (queue) return this.addQueueStatement(queue[1], position, lines, active);
@@ -134,7 +137,7 @@
     this.assign(set[1], set[2].trim(), position);
   }
 
-  /** Custom attributes are set as `My.NAME`, in whichever of their two forms they are written. */
+  /** Sets a macro. Custom attributes, written as `+NAME` or `My.NAME`, are stored as `My.NAME`. */
   private assign(name: string, value: string, position: SourcePosition): void {
     this.macros.assign(name.startsWith('+') ? `My.${name.slice(1)}` : name, value, position);
   }
@@ -145,7 +148,7 @@
     lines: LineReader,
     active: boolean,
   ): void {
-    // The text in parentheses may extend over several lines; after `from` it is a table.
+    // The text in parentheses may span several lines; after `from` it is a table with one row per line.
     const open = /^(.*?(?:^|\s)(?:in|from|matching)\b[^(]*)\((.*)$/is.exec(rest);
     let inline: string | null = null;
     let head = rest;
@@ -160,7 +163,10 @@
     this.queueStatements.push({ macros, request: queued, position });
   }
 
-  /** The text in the parentheses of a queue statement. Rows of a table may contain parentheses: a line with nothing else ends it. */
+  /**
+   * Reads the text in the parentheses of a queue statement; `head` is what follows the opening one on its line. Rows of a table
+   * may contain parentheses, so a table ends only at a line that consists of a closing parenthesis.
+   */
   private readParentheses(head: string, table: boolean, lines: LineReader, position: SourcePosition): string {
     const unclosed = 'queue: bracket not closed';
     const end = table ? (/^.*\)\s*$/.test(head) ? head.lastIndexOf(')') : -1) : closingParenthesis(head, 0);
@@ -188,7 +194,7 @@
     const path = resolve(this.directory, name);
     const relativePath = relative(this.directory, path);
     if (relativePath.startsWith('..') || relativePath === '')
-      throw new SubmitError(position, `include: ${name}: not below the submit file's folder`);
+      throw new SubmitError(position, `include: ${name}: not below the submit file's directory`);
     if (++this.includeCount > maxIncludes)
       throw new SubmitError(position, `include: more than ${maxIncludes} files (does one include itself?)`);
     const text = this.environment.read(path);
@@ -224,7 +230,7 @@
   }
 }
 
-/** Whether the supported version compares so with the requested one. */
+/** Whether the supported version compares with the requested one as the operator demands. */
 function versionHolds(op: string, requested: number[]): boolean {
   let order = 0;
   for (let i = 0; i < requested.length && order === 0; i++) order = supportedVersion[i] - requested[i];
--- a/src/condor/submit-host.ts
+++ b/src/condor/submit-host.ts
@@ -1,10 +1,10 @@
-/** The machine on which a submit file is submitted. */
+/** Provides the properties of the local machine to submit files. */
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
 import { globSync } from 'tinyglobby';
 import type { SubmitEnvironment } from './submit-environment.js';
 
-/** This machine as the environment of submit files. */
+/** Returns the submit environment of the local machine and the current process. */
 export function submitHost(): SubmitEnvironment {
   const cwd = process.cwd();
   return {
@@ -20,12 +20,12 @@
         return null;
       }
     },
-    glob: (pattern, what) =>
+    glob: (pattern, type) =>
       globSync(pattern, {
         cwd,
         absolute: pattern.startsWith('/'),
-        onlyFiles: what === 'files',
-        onlyDirectories: what === 'dirs',
+        onlyFiles: type === 'files',
+        onlyDirectories: type === 'dirs',
         expandDirectories: false,
       })
         .map((path) => path.replace(/\/$/, ''))
--- a/src/matching/machine-ad.ts
+++ b/src/matching/machine-ad.ts
@@ -1,4 +1,4 @@
-/** Machines as ClassAd records. */
+/** Converts machines to ClassAd records. */
 import { Ad, literal, type Value } from '../classad/index.js';
 import type { MachineAttributes } from '../policy/matching.js';
 import type { JoinRequest } from '../wire/agent-side.js';
@@ -6,11 +6,11 @@
 const toValue = (v: string | number | boolean): Value =>
   typeof v === 'number' && Number.isInteger(v) ? BigInt(v) : v;
 
-/** The record of a machine, as jobs' expressions see it. */
+/** Creates the ClassAd record of a machine, which jobs' expressions are matched against. */
 export const machineAd = (attributes: MachineAttributes): Ad =>
   new Ad(Object.entries(attributes).map(([name, v]) => ({ name, expr: literal(toValue(v)) })));
 
-/** The attributes of an agent's machine: its own, overridden by those that the control service knows. */
+/** Returns the attributes of an agent's machine: those that the agent sets, overridden by those that the control service knows. */
 export const machineAttributes = (
   machine: Omit<JoinRequest, 'id'> & { host: string },
 ): MachineAttributes => ({
--- a/src/matching/matcher.ts
+++ b/src/matching/matcher.ts
@@ -1,4 +1,7 @@
-/** Evaluates jobs' requirements and ranks on machines, and caches the results by autocluster and machine signature. */
+/**
+ * Evaluates jobs' requirements and ranks on machines. Results are cached by autocluster (jobs with the same expressions) and
+ * machine signature (machines with the same values of the relevant attributes).
+ */
 import {
   Ad,
   referencedAttributes,
@@ -18,49 +21,51 @@
 import { splitConjuncts, type Analysis } from './analysis.js';
 import { machineAd } from './machine-ad.js';
 
+/** A machine that can be matched. */
 interface MachineEntry {
   readonly ad: Ad;
-  /** Changes with the attributes. */
+  /** Increases whenever the attributes change. */
   readonly version: number;
 }
 
-/** The attributes that a set of expressions names, `*` for all, and by host the machines' values of them. */
+/** The attribute names that a set of expressions refers to (`*`: all), and the machines' signatures of these attributes, by host. */
 interface AttributeProjection {
   readonly names: readonly string[];
   readonly signatures: Map<string, { version: number; signature: string }>;
 }
 
+/** The cached result of evaluating the expressions of an autocluster on a machine. */
 interface MatchResult {
   readonly matches: boolean;
   readonly rank: number;
 }
 
-/** Jobs with the same expressions. These are evaluated once for all machines of the same signature. */
+/** The expressions that a set of jobs has in common. They are evaluated once for all machines with the same signature. */
 interface Autocluster {
   readonly my: Ad;
   readonly requirements: Expr;
   readonly rank: Expr | null;
   readonly projection: AttributeProjection;
-  /** By machine signature. */
+  /** The cached results, by machine signature. */
   readonly results: Map<string, MatchResult>;
 }
 
-/** When there are more, the caches are emptied: that costs time only. */
+/** With more autoclusters the caches are cleared, which only costs repeated evaluations. */
 const maxAutoclusters = 20_000;
 /**
- * More than a fleet has machines: where each has a signature of its own, a smaller cache would be emptied in every scheduling
- * cycle.
+ * Maximum number of cached results per autocluster. It must exceed the number of machines: if every machine has a signature of
+ * its own, a smaller cache would be cleared in every scheduling cycle.
  */
 const maxCachedResults = 16_384;
 
-/** A rank as a number: 0 for values that are none. */
+/** Converts the value of a rank to a number. True counts as 1, and any other value that is not a finite number as 0. */
 function rankValue(value: Value): number {
   if (typeof value === 'bigint') return Number(value);
   if (typeof value === 'number' && Number.isFinite(value)) return value;
   return value === true ? 1 : 0;
 }
 
-/** What is wrong with a job's expressions, and in which field; null if nothing is. */
+/** Validates a job's expressions. Returns the first error, prefixed with its field; null if there is none. */
 export function matchSpecError(spec: MatchSpec): string | null {
   const fields: [string, string][] = Object.entries(spec.attributes).map(([name, text]) => [
     `attributes.${name}`,
@@ -70,7 +75,7 @@
   if (spec.rank !== null) fields.push(['rank', spec.rank]);
   for (const [field, text] of fields)
     try {
-      // Verdicts are cached, so they must stay true.
+      // Match results are cached, so they must not change over time.
       if (isNonDeterministic(parseExpr(text))) return `${field}: must not depend on time or chance`;
     } catch (error) {
       if (error instanceof ClassAdError) return `${field}: ${error.message}`;
@@ -79,16 +84,16 @@
   return null;
 }
 
-/** Matches jobs with machines. */
+/** Matches jobs with machines by the jobs' ClassAd expressions. */
 export class ClassAdMatcher implements Matcher {
   private readonly machines = new Map<string, MachineEntry>();
   private readonly projections = new Map<string, AttributeProjection>();
   private autoclusters = new Map<string, Autocluster>();
   private lastVersion = 0;
-  /** How many evaluations there were, a measure of the cost of matching. */
+  /** The number of evaluations so far, a measure of the cost of matching. */
   evaluations = 0;
 
-  /** Replaces what a machine advertises; null: it is gone. */
+  /** Replaces the attributes of a machine; null removes the machine. */
   setAttributes(host: string, attributes: MachineAttributes | null): void {
     if (attributes === null) {
       this.machines.delete(host);
@@ -98,7 +103,7 @@
     this.machines.set(host, { ad: machineAd(attributes), version: ++this.lastVersion });
   }
 
-  /** The match of a job; null: it has no expressions. */
+  /** Returns the match of a job; null if the job has no expressions. */
   matchFor(spec: JobSpec): MachineMatch | null {
     if (!spec.match) return null;
     const autocluster = this.autocluster(spec.match);
@@ -109,7 +114,7 @@
     };
   }
 
-  /** Which machines match a job's requirements, and how many each of their operands excludes. */
+  /** Counts the machines that match a job's requirements, and the machines that each operand of the requirements excludes. */
   analyze(spec: MatchSpec): Analysis {
     const autocluster = this.autocluster(spec);
     const conjuncts = splitConjuncts(
@@ -172,7 +177,7 @@
       ...referencedAttributes(requirements, my),
       ...(rank ? referencedAttributes(rank, my) : []),
     ];
-    // A constant rank prefers no machine.
+    // A constant rank does not prefer any machine.
     const variableRank = rank !== null && rank.kind !== 'literal' ? rank : null;
     return { my, requirements, rank: variableRank, projection: this.projection(names), results: new Map() };
   }
@@ -185,7 +190,7 @@
     return found;
   }
 
-  /** null: the machine is not known. */
+  /** Returns the result for a machine; null if the machine is not known. */
   private resultFor(autocluster: Autocluster, host: string): MatchResult | null {
     const machine = this.machines.get(host);
     return machine ? this.evaluateMachine(autocluster, machine, host) : null;
@@ -206,7 +211,7 @@
     return result;
   }
 
-  /** A machine's values of the attributes that matter. Only when one of them changes are expressions evaluated again. */
+  /** Returns the machine's signature: its values of the projection's attributes. Expressions are evaluated again only if it changes. */
   private signatureOf(projection: AttributeProjection, machine: MachineEntry, host: string): string {
     const known = projection.signatures.get(host);
     if (known?.version === machine.version) return known.signature;
@@ -223,7 +228,7 @@
   }
 }
 
-/** An attribute name in the spelling of the job's expressions; the analysis knows it in lower case. */
+/** Returns an attribute name, given in lower case, as it is spelled in the job's expressions. */
 function originalSpelling(spec: MatchSpec, name: string): string {
   const texts = [spec.requirements, spec.rank, ...Object.values(spec.attributes)].filter(
     (text) => text !== null,
@@ -236,8 +241,8 @@
 }
 
 /**
- * Expressions were checked when the job was accepted; one that another version accepted and this one cannot parse gets the
- * fallback, so that it matches nothing.
+ * Parses an expression that was validated when the job was accepted. If it cannot be parsed, because another version of the
+ * program accepted it, the fallback is used, so that the job matches no machine.
  */
 function parseOrDefault(text: string, fallback: Expr): Expr {
   try {
