--- a/test/reservations.test.ts
+++ b/test/reservations.test.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '../src/model/job.js';
 import { longWorld } from './support/concurrent-failures.js';
 import { Traffic } from './support/traffic.js';
-import { maxWaitMs, WaitMonitor } from './support/waiting.js';
+import { maxWaitMs, WaitMonitor } from './support/wait-monitor.js';
 import { box } from './support/fixtures.js';
 import { type World } from './support/world.js';
 
