--- a/test/concurrent-failures.test.ts
+++ b/test/concurrent-failures.test.ts
@@ -16,7 +16,7 @@
   assertRecovered,
   randomWorkers,
 } from './support/concurrent-failures.js';
-import { leaderOf, ownerOf } from './support/rolls.js';
+import { leaderOf, ownerOf } from './support/rolling-upgrade.js';
 import type { Node } from './support/controller-node.js';
 import type { World } from './support/world.js';
 
--- a/test/data-loss.test.ts
+++ b/test/data-loss.test.ts
@@ -18,7 +18,7 @@
   BitSet,
   machineData,
 } from '../src/core/storage/index.js';
-import { ownerOf } from './support/rolls.js';
+import { ownerOf } from './support/rolling-upgrade.js';
 import { Traffic } from './support/traffic.js';
 import { type Node } from './support/controller-node.js';
 import { spec } from './support/fixtures.js';
--- a/test/leader-changes.test.ts
+++ b/test/leader-changes.test.ts
@@ -9,7 +9,7 @@
   pick,
   randomWorkers,
 } from './support/concurrent-failures.js';
-import { leaderOf, ownerOf } from './support/rolls.js';
+import { leaderOf, ownerOf } from './support/rolling-upgrade.js';
 import { Traffic } from './support/traffic.js';
 import { spec } from './support/fixtures.js';
 import { type World } from './support/world.js';
--- a/test/lease-proofs.test.ts
+++ b/test/lease-proofs.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { crash, longWorld } from './support/concurrent-failures.js';
-import { leaderOf, ownerOf } from './support/rolls.js';
+import { leaderOf, ownerOf } from './support/rolling-upgrade.js';
 import { spec } from './support/fixtures.js';
 
 // Guards against an old copy of a heartbeat that is the first one a new owner receives from a machine: a repaired gang may have the same
--- a/test/measure-levels.ts
+++ b/test/measure-levels.ts
@@ -3,7 +3,7 @@
  * `npm run measure -- levels`. All figures are in simulated time.
  */
 import type { Transaction } from '../src/wire/store.js';
-import { leaderOf, levelOf, ownerOf, restart } from './support/rolls.js';
+import { leaderOf, levelOf, ownerOf, restart } from './support/rolling-upgrade.js';
 import { worldWithRecords, recordsOf100000Tasks, addWorkersFor } from './support/stored-state.js';
 import { Traffic } from './support/traffic.js';
 import { type Node } from './support/controller-node.js';
--- a/test/read-your-writes.test.ts
+++ b/test/read-your-writes.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { crashAndRestart, longWorld, testConcurrentFailures, pick } from './support/concurrent-failures.js';
-import { leaderOf, ownerOf } from './support/rolls.js';
+import { leaderOf, ownerOf } from './support/rolling-upgrade.js';
 import { collectionSizes } from './support/collection-sizes.js';
 import { Traffic } from './support/traffic.js';
 import type { World } from './support/world.js';
--- a/test/roll.ts
+++ b/test/roll.ts
@@ -2,7 +2,7 @@
  * Tests rolling upgrades from an earlier revision to the current program: `npm run roll [-- REVISION]`. The earlier revision is
  * built from the history of this repository under target/roll/. This is not part of the test suite, since a clone without
  * history cannot build earlier revisions.
- *   npm run roll                     every scenario of test/support/rolls.ts with the program of the earlier revision
+ *   npm run roll                     every scenario of test/support/rolling-upgrade.ts with the program of the earlier revision
  *   npm run roll -- --only=TEXT      only the scenarios whose title contains TEXT
  *   npm run roll -- --real           one upgrade of real processes on loopback, with kills; takes a minute
  *   npm run roll -- --fixture        writes test/fixtures/before-levels.json, the state that the earlier program leaves
@@ -12,8 +12,8 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { operatorDefaults } from '../src/config/operators.js';
-import { upgradeProcesses } from './roll-processes.js';
-import { scenarios, type ProgramVersions } from './support/rolls.js';
+import { upgradeProcesses } from './upgrade-processes.js';
+import { scenarios, type ProgramVersions } from './support/rolling-upgrade.js';
 import { thisProgram, type Program } from './support/controller-node.js';
 import { adaptEarlierController, type EarlierControllerClass } from './support/earlier-build.js';
 import { spec } from './support/fixtures.js';
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -18,7 +18,7 @@
   type PlacementTuple,
 } from './support/stored-state.js';
 import { newestLevel } from '../src/feature-levels/index.js';
-import { unsupportedLevelData, leaderOf, levelOf, ownerOf } from './support/rolls.js';
+import { unsupportedLevelData, leaderOf, levelOf, ownerOf } from './support/rolling-upgrade.js';
 import { Traffic } from './support/traffic.js';
 import { spec } from './support/fixtures.js';
 import { World } from './support/world.js';
--- a/test/task-log.test.ts
+++ b/test/task-log.test.ts
@@ -32,7 +32,7 @@
 import type { Placement } from '../src/core/shard-state/types.js';
 import { collectRecoveryRecords } from '../src/core/recovery-records.js';
 import { historyViolations } from './support/task-log-history.js';
-import { levelOf, ownerOf, restart } from './support/rolls.js';
+import { levelOf, ownerOf, restart } from './support/rolling-upgrade.js';
 import { Traffic } from './support/traffic.js';
 import { type Node } from './support/controller-node.js';
 import { spec } from './support/fixtures.js';
