--- a/scale/worker.ts
+++ b/scale/worker.ts
@@ -10,7 +10,7 @@
   parseRedirect,
   type AgentReport,
   type AgentTask,
-} from '../src/wire/agent-side.js';
+} from '../src/wire/agent.js';
 import { machineType } from './cloud.js';
 import { now, type MachineSpec, type TaskEvent, type WorkerCounts, type WorkersStart } from './messages.js';
 import { isInitialJob, isUrgentJob } from './jobs.js';
@@ -105,9 +105,9 @@
       endpoint: this.endpoint,
       type: machineType,
       zone,
-      session: this.session,
+      agentEpoch: this.session,
       seq: ++this.sequence,
-      token: this.token,
+      fencingToken: this.token,
       tasks: [...this.tasks.values()],
     };
     return encodeAgentReport(report);
--- a/src/agent/worker.ts
+++ b/src/agent/worker.ts
@@ -1,7 +1,7 @@
 /** The worker's side of the protocol as a pure state machine: epochs, the lease, fencing tokens and held tasks. */
 import type { TaskOrder } from '../model/heartbeat.js';
 import { taskKey } from '../model/job.js';
-import type { AgentReport, HeartbeatResponse, AgentTask, TaskResult } from '../wire/agent-side.js';
+import type { AgentReport, HeartbeatResponse, AgentTask, TaskResult } from '../wire/agent.js';
 
 /** An action that the worker state machine requests from its agent. */
 export type WorkerEffect =
@@ -81,9 +81,9 @@
 
   /** Builds the next heartbeat, with a new sequence number. */
   buildHeartbeat(): AgentReport {
-    const { agentEpoch: session, fencingToken: token } = this.state;
+    const { agentEpoch, fencingToken } = this.state;
     const tasks = [...this.tasksByKey.values()];
-    return { ...this.identity, session, seq: ++this.state.seq, token, tasks };
+    return { ...this.identity, agentEpoch, seq: ++this.state.seq, fencingToken, tasks };
   }
 
   /** Processes the response to a heartbeat that was sent at `sentAt` in `agentEpoch`. */
